--- a/adapter/src/host.rs
+++ b/adapter/src/host.rs
@@ -4,8 +4,8 @@
 use std::collections::{BTreeMap, HashMap};
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
-use notchridge::Gateway;
-use notchridge::interface::*;
+use workload_manager::WorkloadManager;
+use workload_manager::interface::*;
 
 use crate::wire::{self, Batch, Element, Reply, Step};
 
@@ -53,7 +53,7 @@
 
 /// One gateway and its names.
 struct Seat {
-    gateway: Gateway,
+    gateway: WorkloadManager,
     classes: Names,
     kinds: Names,
     zones: Names,
@@ -77,53 +77,53 @@
             gateways: env.balancers,
             zone: (!env.locality.is_empty()).then(|| ZoneId(zones.number(&env.locality))),
             classes,
-            kinds: (0..env.kinds.len())
-                .map(|i| Kind {
+            machine_types: (0..env.kinds.len())
+                .map(|i| MachineType {
                     cores: d.kind_cores.get(i).copied().unwrap_or(1.0),
                     memory_mb: d.memory_by_kind_mb.get(i).copied().unwrap_or(0.0),
                 })
                 .collect(),
-            tenants: env.projects.iter().map(|p| Tenant { quota: p.quota_per_s }).collect(),
-            over_share_worth: env.over_share_worth,
+            tenants: env.projects.iter().map(|p| Tenant { quota_per_second: p.quota_per_s }).collect(),
+            over_quota_weight_ratio: env.over_share_worth,
             rules: Rules {
-                answer_slack: r.answer_slack_s,
+                answer_grace: r.answer_slack_s,
                 drain_grace: r.drain_grace_s,
-                cold_share: r.cold_share,
-                warm_up: r.warm_up_s,
-                fall_multiple: r.fall_multiple,
-                overload_for: r.overload_for_s,
-                order_pause: r.order_pause_s,
-                extra: r.look_back_s.map(|look_back| ExtraBudget {
-                    floor: r.extra_floor.unwrap_or(0.0),
-                    ratio: r.extra_ratio.unwrap_or(0.0),
-                    look_back,
+                slow_start_min_ratio: r.cold_share,
+                slow_start_duration: r.warm_up_s,
+                collapse_load_ratio: r.fall_multiple,
+                collapse_window: r.overload_for_s,
+                key_cooldown: r.order_pause_s,
+                retry_budget: r.look_back_s.map(|look_back| RetryBudget {
+                    min_retries: r.extra_floor.unwrap_or(0.0),
+                    retry_ratio: r.extra_ratio.unwrap_or(0.0),
+                    window: look_back,
                 }),
             },
-            allowed: Allowed {
-                cancel: a.cancelling,
-                probe: a.probing,
-                reports: match env.report.how.as_str() {
-                    "probe" if a.probing => Reports::Probes,
-                    "none" | "probe" => Reports::None,
-                    _ => Reports::Answers,
+            capabilities: Capabilities {
+                cancels_attempts: a.cancelling,
+                health_checks: a.probing,
+                load_reports: match env.report.how.as_str() {
+                    "probe" if a.probing => LoadReportSource::HealthChecks,
+                    "none" | "probe" => LoadReportSource::None,
+                    _ => LoadReportSource::Responses,
                 },
-                ask_for_list: env.discovery == "ask",
+                polls_endpoint_list: env.discovery == "ask",
                 retry_after: a.retry_after,
                 max_retry_after: a.max_retry_after_s,
                 max_attempts: a.max_attempts,
-                grants: d.grants_count,
+                memory_grants: d.grants_count,
                 priorities: d.takes_priority,
-                note_period: d.note_period_s,
+                progress_period: d.note_period_s,
             },
-            when_short: match d.when_short {
-                wire::WhenShort::Wait => WhenShort::Wait,
-                wire::WhenShort::Shrink => WhenShort::Shrink,
-                wire::WhenShort::Page => WhenShort::Page,
+            on_memory_shortage: match d.when_short {
+                wire::WhenShort::Wait => MemoryShortage::Queue,
+                wire::WhenShort::Shrink => MemoryShortage::Spill,
+                wire::WhenShort::Page => MemoryShortage::Overcommit,
             },
-            resolution: env.resolution_s,
+            clock_resolution: env.resolution_s,
         };
         Ok(Self {
-            gateway: Gateway::new(settings, salt)?,
+            gateway: WorkloadManager::new(settings, salt)?,
             classes: Names::of(&class_names),
             kinds,
             zones,
@@ -139,19 +139,19 @@
         EngineId(u32::try_from(self.engines.number(name)).unwrap_or(u32::MAX))
     }
 
-    fn entry(&mut self, e: &Element, event: usize) -> Result<EngineEntry, HostError> {
-        Ok(EngineEntry {
+    fn entry(&mut self, e: &Element, event: usize) -> Result<EndpointEntry, HostError> {
+        Ok(EndpointEntry {
             engine: self.engine(&e.engine),
             zone: ZoneId(self.zones.number(&e.failure_domain)),
-            kind: KindId(self.kinds.number(&e.generation_hw)),
+            machine_type: MachineTypeId(self.kinds.number(&e.generation_hw)),
             cell: e.group,
             state: match e.state {
-                0 => EngineState::Gone,
-                1 => EngineState::Ready,
-                2 => EngineState::Draining,
+                0 => EndpointState::Removed,
+                1 => EndpointState::Ready,
+                2 => EndpointState::Draining,
                 value => return Err(HostError::UnknownNumber { event, what: "engine state", value }),
             },
-            started: (e.since_s > 0.0).then_some(e.since_s),
+            started_at: (e.since_s > 0.0).then_some(e.since_s),
         })
     }
 
@@ -165,14 +165,14 @@
             tenant: w.party.as_ref().and_then(|p| p.as_str()).map(|p| TenantId(self.tenants.number(p))),
             key: w.relation.map(|k| KeyId(self.keys.number(&k) as u64)),
             deadline: w.valid_until_s,
-            estimate: w.estimate_s,
-            need_mb: w.need_mb.filter(|mb| *mb > 0.0),
-            group: w.tables.map(|t| GroupId(t as u64)),
-            retry: w.retry,
+            estimated_work: w.estimate_s,
+            estimated_memory_mb: w.need_mb.filter(|mb| *mb > 0.0),
+            table_group: w.tables.map(|t| TableGroupId(t as u64)),
+            is_retry: w.retry,
         })
     }
 
-    fn report(&self, values: Option<BTreeMap<String, f64>>) -> Option<Report> {
+    fn report(&self, values: Option<BTreeMap<String, f64>>) -> Option<LoadReport> {
         let values = values?;
         let extra = |meaning: &str| {
             let named = |name: &str, stands_for: &str| {
@@ -180,63 +180,68 @@
             };
             named("x0", &self.report_x0).or_else(|| named("x1", &self.report_x1))
         };
-        Some(Report {
-            inflight: values.get("inflight").copied(),
-            queue: values.get("queue").copied(),
-            cores_busy: values.get("util").copied(),
-            memory_granted: extra("memory"),
-            disks_busy: extra("disk"),
+        Some(LoadReport {
+            in_flight: values.get("inflight").copied(),
+            queued: values.get("queue").copied(),
+            core_utilization: values.get("util").copied(),
+            memory_utilization: extra("memory"),
+            disk_utilization: extra("disk"),
         })
     }
 }
 
 fn class(c: &wire::Class, i: usize, d: &wire::Domain, kinds: &mut Names, zones: &mut Names) -> Class {
     let effect = match c.repeat {
-        wire::Repeat::Pure => Effect::Safe,
-        wire::Repeat::SideEffect => Effect::Unsafe,
-        wire::Repeat::Token => Effect::Keyed {
-            group: match c.group {
-                wire::Group::All => RepeatGroup::All,
-                wire::Group::Zone => RepeatGroup::Zone,
-                wire::Group::Cell => RepeatGroup::Cell,
+        wire::Repeat::Pure => Idempotency::Idempotent,
+        wire::Repeat::SideEffect => Idempotency::NotIdempotent,
+        wire::Repeat::Token => Idempotency::Keyed {
+            scope: match c.group {
+                wire::Group::All => IdempotencyScope::All,
+                wire::Group::Zone => IdempotencyScope::Zone,
+                wire::Group::Cell => IdempotencyScope::Cell,
             },
             window: c.window_s,
         },
     };
     let flag = |list: &[bool]| list.get(i).copied().unwrap_or(false);
     Class {
-        aim: c.aim_s,
-        aim_stretch: c.aim_stretch,
+        latency_objective: c.aim_s,
+        objective_stretch: c.aim_stretch,
         deadline: c.deadline_s,
-        worth: c.worth,
-        late_value: c.late_value,
-        effect,
-        keep_order: c.keep_order,
-        only_kinds: c.allowed_on.as_ref().map(|l| l.iter().map(|k| KindId(kinds.number(k))).collect()),
-        only_zones: c.confined_to.as_ref().map(|l| l.iter().map(|z| ZoneId(zones.number(z))).collect()),
+        priority_weight: c.worth,
+        late_weight_ratio: c.late_value,
+        idempotency: effect,
+        ordered_by_key: c.keep_order,
+        allowed_machine_types: c
+            .allowed_on
+            .as_ref()
+            .map(|l| l.iter().map(|k| MachineTypeId(kinds.number(k))).collect()),
+        allowed_zones: c.confined_to.as_ref().map(|l| l.iter().map(|z| ZoneId(zones.number(z))).collect()),
         threads: d.parallelism.get(i).copied().unwrap_or(1),
-        load: flag(&d.holds_tables),
-        yields: flag(&d.yields_to_loads),
-        streaming: c.streaming,
+        is_load: flag(&d.holds_tables),
+        waits_for_loads: flag(&d.yields_to_loads),
+        is_streaming: c.streaming,
     }
 }
 
 fn outcome(how: wire::How) -> Outcome {
     match how {
         wire::How::Success => Outcome::Success,
-        wire::How::Failure => Outcome::Failure,
-        wire::How::Overloaded => Outcome::Overloaded,
+        wire::How::Failure => Outcome::Error,
+        wire::How::Overloaded => Outcome::Rejected,
         wire::How::TimedOut => Outcome::TimedOut,
-        wire::How::Unreachable => Outcome::Unreachable,
-        wire::How::Broken => Outcome::Broken,
-        wire::How::Withdrawn => Outcome::Withdrawn,
-        wire::How::Void => Outcome::Void,
+        wire::How::Unreachable => Outcome::ConnectFailed,
+        wire::How::Broken => Outcome::ConnectionLost,
+        wire::How::Withdrawn => Outcome::Cancelled,
+        wire::How::Void => Outcome::NeverSent,
     }
 }
 
-fn cost(used_up: u64) -> Option<Cost> {
-    (used_up > 0)
-        .then(|| Cost { work: (used_up / 4096) as f64 / 1000.0, memory_mb: (used_up % 4096) as f64 * 4.0 })
+fn cost(used_up: u64) -> Option<QueryCost> {
+    (used_up > 0).then(|| QueryCost {
+        work: (used_up / 4096) as f64 / 1000.0,
+        memory_mb: (used_up % 4096) as f64 * 4.0,
+    })
 }
 
 /// All gateways of this process.
@@ -278,15 +283,15 @@
             }
             wire::Event::RosterChange(change) => {
                 let mode = match change.mode {
-                    0 => ListMode::Delta,
-                    1 => ListMode::Full,
-                    2 => ListMode::Cached,
-                    3 => ListMode::Failed,
+                    0 => EndpointListMode::Delta,
+                    1 => EndpointListMode::Full,
+                    2 => EndpointListMode::Cached,
+                    3 => EndpointListMode::Failed,
                     value => return Err(HostError::UnknownNumber { event: n, what: "roster mode", value }),
                 };
                 let seat = seat(&mut self.seats, n, &change.who)?;
                 let mut entries = Vec::new();
-                if mode != ListMode::Failed {
+                if mode != EndpointListMode::Failed {
                     let Some(elements) = self.rosters.get(&change.slot) else {
                         return Err(HostError::UnknownNumber {
                             event: n,
@@ -298,59 +303,60 @@
                         entries.push(seat.entry(element, n)?);
                     }
                 }
-                seat.tell(now, change.who, &Event::List { mode, entries }, reply);
+                seat.tell(now, change.who, &Event::EndpointList { mode, entries }, reply);
             }
             wire::Event::WorkItem(item) => {
                 let who = item.who.clone();
                 let seat = seat(&mut self.seats, n, &who)?;
                 let request = seat.request(item, n)?;
-                seat.tell(now, who, &Event::Arrived(request), reply);
+                seat.tell(now, who, &Event::RequestArrived(request), reply);
             }
             wire::Event::Established(a) => {
-                let event = Event::Started { request: RequestId(a.job), attempt: a.attempt };
+                let event = Event::StreamStarted { request: RequestId(a.job), attempt: a.attempt };
                 seat(&mut self.seats, n, &a.who)?.tell(now, a.who, &event, reply);
             }
             wire::Event::UpdateOf(u) => {
                 let note = match (u.what, u.amount) {
-                    (1, share) => Note::Progress(share),
-                    (2, mb) => Note::Spills(mb),
-                    (3, load) if load >= 2.0 => Note::WaitsForLoad,
-                    (3, _) => Note::WaitsForMemory,
+                    (1, share) => Progress::Fraction(share),
+                    (2, mb) => Progress::Spilling(mb),
+                    (3, load) if load >= 2.0 => Progress::WaitingForLoad,
+                    (3, _) => Progress::WaitingForMemory,
                     (value, _) => {
                         return Err(HostError::UnknownNumber { event: n, what: "kind of news", value });
                     }
                 };
-                let event = Event::Noted { request: RequestId(u.job), attempt: u.attempt, note };
+                let event =
+                    Event::AttemptProgress { request: RequestId(u.job), attempt: u.attempt, progress: note };
                 seat(&mut self.seats, n, &u.who)?.tell(now, u.who, &event, reply);
             }
             wire::Event::ReportBack(r) => {
                 let seat = seat(&mut self.seats, n, &r.who)?;
-                let event = Event::Ended {
+                let event = Event::AttemptEnded {
                     request: RequestId(r.job),
                     attempt: r.attempt,
                     engine: seat.engine(&r.engine),
                     outcome: outcome(r.how),
                     elapsed: r.rtt_s,
-                    settled: r.settled,
-                    may_run_for: 0.0,
+                    request_settled: r.settled,
+                    may_still_run_for: 0.0,
                     cost: cost(r.used_up),
-                    report: seat.report(r.feedback),
+                    load_report: seat.report(r.feedback),
                 };
                 seat.tell(now, r.who, &event, reply);
             }
             wire::Event::Aborted { who, job } => {
-                seat(&mut self.seats, n, &who)?.tell(now, who, &Event::Aborted(RequestId(job)), reply);
+                seat(&mut self.seats, n, &who)?.tell(now, who, &Event::RequestAborted(RequestId(job)), reply);
             }
             wire::Event::Bell { who, nonce } => {
                 seat(&mut self.seats, n, &who)?.tell(now, who, &Event::Timer(nonce), reply);
             }
             wire::Event::CheckResult(c) => {
                 let seat = seat(&mut self.seats, n, &c.who)?;
-                let event = Event::Probed {
+                let event = Event::HealthChecked {
                     engine: seat.engine(&c.engine),
                     outcome: outcome(c.how),
                     elapsed: c.rtt_s,
-                    report: seat.report(c.feedback),
+                    load_report: seat.report(c.feedback),
                 };
                 seat.tell(now, c.who, &event, reply);
             }
@@ -383,25 +389,25 @@
 
     fn step(&self, who: String, action: Action) -> Step {
         match action {
-            Action::Terms { request, memory_mb, priority } => {
+            Action::SetAttemptTerms { request, memory_mb, priority } => {
                 Step::Allot { who, job: request.0, memory: memory_mb, priority }
             }
-            Action::Send { request, engine, timeout } => Step::Route {
+            Action::Forward { request, engine, timeout } => Step::Route {
                 who,
                 job: request.0,
                 engine: self.engines.names[engine.0 as usize].clone(),
                 max_wait_s: timeout,
             },
-            Action::Cancel { request, attempt } => Step::StopAttempt { who, job: request.0, attempt },
-            Action::Refuse { request, retry_after } => {
+            Action::CancelAttempt { request, attempt } => Step::StopAttempt { who, job: request.0, attempt },
+            Action::Reject { request, retry_after } => {
                 Step::OverloadReply { who, job: request.0, wait_s: retry_after }
             }
             Action::Fail(request) => Step::RespondError { who, job: request.0 },
             Action::SetTimer { delay, token, .. } => Step::Remind { who, delay_s: delay, nonce: token },
-            Action::Probe(engine) => {
+            Action::CheckHealth(engine) => {
                 Step::Touch { who, engine: self.engines.names[engine.0 as usize].clone() }
             }
-            Action::Subscribe => Step::Observe { who, active: true },
+            Action::WatchEndpointList => Step::Observe { who, active: true },
         }
     }
 }
--- a/adapter/src/main.rs
+++ b/adapter/src/main.rs
@@ -9,11 +9,11 @@
 
 fn main() -> ExitCode {
     // A panic in the decision module is told on the wire; its own report would only repeat that.
-    std::panic::set_hook(Box::new(|info| eprintln!("notchridge-adapter: {info}")));
+    std::panic::set_hook(Box::new(|info| eprintln!("simulator-adapter: {info}")));
     match run(io::stdin().lock(), BufWriter::new(io::stdout().lock())) {
         Ok(()) => ExitCode::SUCCESS,
         Err(message) => {
-            eprintln!("notchridge-adapter: {message}");
+            eprintln!("simulator-adapter: {message}");
             ExitCode::FAILURE
         }
     }
--- a/gateway/src/config.rs
+++ b/gateway/src/config.rs
@@ -5,8 +5,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use notchridge::interface::*;
 use tinyjson::JsonValue;
+use workload_manager::interface::*;
 use wrenhatch_configuration::Document;
 
 use crate::engine::mysql::Login;
@@ -174,7 +174,7 @@
 
 /// One engine of a list event.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Listed {
+pub struct Endpoint {
     /// Its name, by which it goes.
     pub name: String,
     /// Where it listens now.
@@ -186,27 +186,27 @@
     /// Its cell.
     pub cell: u64,
     /// Its state.
-    pub state: EngineState,
+    pub state: EndpointState,
     /// Unix milliseconds of a late start; 0: long ago.
     pub since_ms: u64,
 }
 
 /// One event of the coordinator.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ListEvent {
+pub struct EndpointListEvent {
     /// Its number.
     pub index: u64,
     /// Whether it holds the whole list.
     pub full: bool,
     /// Its entries.
-    pub entries: Vec<Listed>,
+    pub entries: Vec<Endpoint>,
     /// Those that can't be read. The others count all the same.
-    pub unread: Vec<Unread>,
+    pub unread: Vec<UnreadableEntry>,
 }
 
 /// An entry of an event that can't be read.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Unread {
+pub struct UnreadableEntry {
     /// The engine it is about, if it says so much.
     pub name: Option<String>,
     /// Where it stands and what was expected there.
@@ -217,42 +217,42 @@
 ///
 /// # Errors
 /// It is no event: what it holds, its number or whether it is the whole list can't be read.
-pub fn list_event(node: &Node<'_>) -> Result<ListEvent, ConfigError> {
+pub fn list_event(node: &Node<'_>) -> Result<EndpointListEvent, ConfigError> {
     let body = node.get("endpoints");
     let (mut entries, mut unread) = (Vec::new(), Vec::new());
     for node in body.get("endpoints").items()? {
         match list_entry(&node) {
             Ok(entry) => entries.push(entry),
-            Err(e) => unread.push(Unread { name: node.get("name").text().ok(), why: e.to_string() }),
+            Err(e) => unread.push(UnreadableEntry { name: node.get("name").text().ok(), why: e.to_string() }),
         }
     }
     let (index, full) = (node.get("index").number()? as u64, body.get("snapshot").flag()?);
-    Ok(ListEvent { index, full, entries, unread })
+    Ok(EndpointListEvent { index, full, entries, unread })
 }
 
 /// Reads an event from its text.
-pub fn list_event_text(text: &str) -> Result<ListEvent, ConfigError> {
+pub fn list_event_text(text: &str) -> Result<EndpointListEvent, ConfigError> {
     let json: JsonValue =
         text.parse().map_err(|source| ConfigError::Json { path: "event".to_owned(), source })?;
     list_event(&Node::root(&json, "event"))
 }
 
 /// Reads an entry of the list.
-pub fn list_entry(node: &Node<'_>) -> Result<Listed, ConfigError> {
+pub fn list_entry(node: &Node<'_>) -> Result<Endpoint, ConfigError> {
     let state = match node.get("status").text()?.as_str() {
-        "Ready" => EngineState::Ready,
-        "Terminating" => EngineState::Draining,
-        "Gone" => EngineState::Gone,
+        "Ready" => EndpointState::Ready,
+        "Terminating" => EndpointState::Draining,
+        "Gone" => EndpointState::Removed,
         _ => return Err(node.get("status").wrong("Ready, Terminating or Gone")),
     };
     let address = node.get("address");
     // One that has gone needs none.
-    let address = if state == EngineState::Gone && !address.is_there() {
+    let address = if state == EndpointState::Removed && !address.is_there() {
         SocketAddr::from(([127, 0, 0, 1], 0))
     } else {
         address.address()?
     };
-    Ok(Listed {
+    Ok(Endpoint {
         name: node.get("name").text()?,
         address,
         zone: node.get("zone").text_or_empty()?,
@@ -308,7 +308,7 @@
 
 impl Default for Clients {
     fn default() -> Self {
-        let limits = wrenhatch_sessions::governor::Limits::default();
+        let limits = wrenhatch_sessions::read_scheduler::Limits::default();
         Self {
             most: None,
             idle_limit_us: None,
@@ -350,7 +350,7 @@
     /// The coordinator, if there is one.
     pub coordinator: Option<SocketAddr>,
     /// Events of the list so far, and the number of the last.
-    pub known: (u64, Vec<ListEvent>),
+    pub known: (u64, Vec<EndpointListEvent>),
     /// The module's settings.
     pub settings: Settings,
     /// Names in the settings.
@@ -488,8 +488,8 @@
 
 /// The list so far, as far as it can be read: what is behind the last good event is asked of the coordinator. A
 /// gateway that refused to start for it would serve nobody.
-fn known_events(known: &Node<'_>) -> Result<(u64, Vec<ListEvent>), ConfigError> {
-    let mut events: Vec<ListEvent> = Vec::new();
+fn known_events(known: &Node<'_>) -> Result<(u64, Vec<EndpointListEvent>), ConfigError> {
+    let mut events: Vec<EndpointListEvent> = Vec::new();
     for node in known.get("updates").items()? {
         match list_event(&node) {
             Ok(event) => events.push(event),
@@ -518,12 +518,12 @@
     let mut tenants = Vec::new();
     for node in env.get("projects").items()? {
         names.tenants.push(node.get("name").text()?);
-        tenants.push(Tenant { quota: node.get("quota-per-s").number_or(0.0)? });
+        tenants.push(Tenant { quota_per_second: node.get("quota-per-s").number_or(0.0)? });
     }
     let (cores, memory) = (domain.get("kind-cores").items()?, domain.get("memory-by-kind-mb").items()?);
     let figure = |list: &[Node<'_>], i: usize, default| list.get(i).map_or(Ok(default), Node::number);
     let kinds = (0..names.kinds.len())
-        .map(|i| Ok(Kind { cores: figure(&cores, i, 1.0)?, memory_mb: figure(&memory, i, 0.0)? }))
+        .map(|i| Ok(MachineType { cores: figure(&cores, i, 1.0)?, memory_mb: figure(&memory, i, 0.0)? }))
         .collect::<Result<_, ConfigError>>()?;
     let zone = env.get("locality").text_or_empty()?;
     let extra = rules.get("look-back-s");
@@ -531,49 +531,49 @@
         gateways: env.get("balancers").number_or(1.0)? as u32,
         zone: (!zone.is_empty()).then(|| ZoneId(Names::number(&mut names.zones, &zone))),
         classes,
-        kinds,
+        machine_types: kinds,
         tenants,
-        over_share_worth: env.get("over-share-worth").number_or(1.0)?,
+        over_quota_weight_ratio: env.get("over-share-worth").number_or(1.0)?,
         rules: Rules {
-            answer_slack: rules.get("answer-slack-s").number_or(0.0)?,
+            answer_grace: rules.get("answer-slack-s").number_or(0.0)?,
             drain_grace: rules.get("drain-grace-s").number_or(0.0)?,
-            cold_share: rules.get("cold-share").number_or(0.0)?,
-            warm_up: rules.get("warm-up-s").number_or(0.0)?,
-            fall_multiple: rules.get("fall-multiple").number_or(0.0)?,
-            overload_for: rules.get("overload-for-s").number_or(0.0)?,
-            order_pause: rules.get("order-pause-s").number_or(0.0)?,
-            extra: if extra.is_there() {
-                Some(ExtraBudget {
-                    floor: rules.get("extra-floor").number_or(0.0)?,
-                    ratio: rules.get("extra-ratio").number_or(0.0)?,
-                    look_back: extra.number()?,
+            slow_start_min_ratio: rules.get("cold-share").number_or(0.0)?,
+            slow_start_duration: rules.get("warm-up-s").number_or(0.0)?,
+            collapse_load_ratio: rules.get("fall-multiple").number_or(0.0)?,
+            collapse_window: rules.get("overload-for-s").number_or(0.0)?,
+            key_cooldown: rules.get("order-pause-s").number_or(0.0)?,
+            retry_budget: if extra.is_there() {
+                Some(RetryBudget {
+                    min_retries: rules.get("extra-floor").number_or(0.0)?,
+                    retry_ratio: rules.get("extra-ratio").number_or(0.0)?,
+                    window: extra.number()?,
                 })
             } else {
                 None
             },
         },
-        allowed: Allowed {
-            cancel: allowed.get("cancelling").flag()?,
-            probe: allowed.get("probing").flag()?,
-            reports: match env.get("report").get("how").text_or_empty()?.as_str() {
-                "none" => Reports::None,
-                "probe" => Reports::Probes,
-                _ => Reports::Answers,
+        capabilities: Capabilities {
+            cancels_attempts: allowed.get("cancelling").flag()?,
+            health_checks: allowed.get("probing").flag()?,
+            load_reports: match env.get("report").get("how").text_or_empty()?.as_str() {
+                "none" => LoadReportSource::None,
+                "probe" => LoadReportSource::HealthChecks,
+                _ => LoadReportSource::Responses,
             },
-            ask_for_list: false,
+            polls_endpoint_list: false,
             retry_after: allowed.get("retry-after").flag()?,
             max_retry_after: allowed.get("max-retry-after-s").number_or(0.0)?,
             max_attempts: allowed.get("max-attempts").number_or(0.0)? as u32,
-            grants: domain.get("grants-count").flag()?,
+            memory_grants: domain.get("grants-count").flag()?,
             priorities: domain.get("takes-priority").flag()?,
-            note_period: domain.get("note-period-s").number_or(0.0)?,
+            progress_period: domain.get("note-period-s").number_or(0.0)?,
         },
-        when_short: match domain.get("when-short").text_or_empty()?.as_str() {
-            "shrink" => WhenShort::Shrink,
-            "page" => WhenShort::Page,
-            _ => WhenShort::Wait,
+        on_memory_shortage: match domain.get("when-short").text_or_empty()?.as_str() {
+            "shrink" => MemoryShortage::Spill,
+            "page" => MemoryShortage::Overcommit,
+            _ => MemoryShortage::Queue,
         },
-        resolution: env.get("resolution-s").number_or(0.0)?,
+        clock_resolution: env.get("resolution-s").number_or(0.0)?,
     };
     Ok((settings, names))
 }
@@ -583,36 +583,36 @@
         domain.get(list).items()?.get(i).map_or(Ok(false), Node::flag)
     };
     let effect = match c.get("repeat").text_or_empty()?.as_str() {
-        "pure" => Effect::Safe,
-        "token" => Effect::Keyed {
-            group: match c.get("group").text_or_empty()?.as_str() {
-                "all" => RepeatGroup::All,
-                "zone" => RepeatGroup::Zone,
-                _ => RepeatGroup::Cell,
+        "pure" => Idempotency::Idempotent,
+        "token" => Idempotency::Keyed {
+            scope: match c.get("group").text_or_empty()?.as_str() {
+                "all" => IdempotencyScope::All,
+                "zone" => IdempotencyScope::Zone,
+                _ => IdempotencyScope::Cell,
             },
             window: c.get("window-s").number_or(0.0)?,
         },
-        _ => Effect::Unsafe,
+        _ => Idempotency::NotIdempotent,
     };
     let (kinds, zones) = (c.get("allowed-on"), c.get("confined-to"));
     let only_kinds: Vec<_> =
-        kinds.texts()?.iter().map(|k| KindId(Names::number(&mut names.kinds, k))).collect();
+        kinds.texts()?.iter().map(|k| MachineTypeId(Names::number(&mut names.kinds, k))).collect();
     let only_zones: Vec<_> =
         zones.texts()?.iter().map(|z| ZoneId(Names::number(&mut names.zones, z))).collect();
     Ok(Class {
-        aim: c.get("aim-s").number()?,
-        aim_stretch: c.get("aim-stretch").number_or(0.0)?,
+        latency_objective: c.get("aim-s").number()?,
+        objective_stretch: c.get("aim-stretch").number_or(0.0)?,
         deadline: c.get("deadline-s").number()?,
-        worth: c.get("worth").number_or(1.0)?,
-        late_value: c.get("late-value").number_or(0.0)?,
-        effect,
-        keep_order: c.get("keep-order").flag()?,
-        only_kinds: kinds.is_there().then_some(only_kinds),
-        only_zones: zones.is_there().then_some(only_zones),
+        priority_weight: c.get("worth").number_or(1.0)?,
+        late_weight_ratio: c.get("late-value").number_or(0.0)?,
+        idempotency: effect,
+        ordered_by_key: c.get("keep-order").flag()?,
+        allowed_machine_types: kinds.is_there().then_some(only_kinds),
+        allowed_zones: zones.is_there().then_some(only_zones),
         threads: domain.get("parallelism").items()?.get(i).map_or(Ok(1.0), Node::number)? as u32,
-        load: flag("holds-tables")?,
-        yields: flag("yields-to-loads")?,
-        streaming: c.get("streaming").flag()?,
+        is_load: flag("holds-tables")?,
+        waits_for_loads: flag("yields-to-loads")?,
+        is_streaming: c.get("streaming").flag()?,
     })
 }
 
--- a/gateway/src/coordinator.rs
+++ b/gateway/src/coordinator.rs
@@ -2,7 +2,7 @@
 
 use std::io::Write;
 
-use crate::config::{ListEvent, list_event_text};
+use crate::config::{EndpointListEvent, list_event_text};
 use crate::event_stream::EventStream;
 
 /// Bytes in which an engine is told of, at most; read, it takes some times as much.
@@ -105,7 +105,11 @@
     }
 
     /// Takes what has come and adds the events that are whole to `events`, also those before an error.
-    pub fn read(&mut self, input: &mut Vec<u8>, events: &mut Vec<ListEvent>) -> Result<(), StreamError> {
+    pub fn read(
+        &mut self,
+        input: &mut Vec<u8>,
+        events: &mut Vec<EndpointListEvent>,
+    ) -> Result<(), StreamError> {
         self.0.take(input).map_err(|_| StreamError::NoStream)?;
         while let Some(sent) = self.0.next_event() {
             let mut event = list_event_text(&sent.data).map_err(|e| StreamError::BadEvent(sent.id, e))?;
--- a/gateway/src/core.rs
+++ b/gateway/src/core.rs
@@ -5,12 +5,12 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use notchridge::Gateway;
-use notchridge::interface::*;
-use wrenhatch_sessions::wheel::{TimerId, Wheel};
+use workload_manager::WorkloadManager;
+use workload_manager::interface::*;
+use wrenhatch_sessions::timer_wheel::{TimerId, TimerWheel};
 
-use crate::key_leases::{KeyLeases, LeaseEffect, Neighbour};
-use crate::lateness::Lateness;
+use crate::key_leases::{KeyLeases, LeaseEffect, PeerProcessId};
+use crate::timer_lag::TimerLag;
 
 /// How long before a client's own limit the core answers at the latest, in microseconds: what the answer
 /// needs on its way, and what the request needed on its way here, which no clock of ours has seen.
@@ -21,7 +21,7 @@
 
 /// A request as a front hands it over.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Ask {
+pub struct NewRequest {
     /// Its class.
     pub class: ClassId,
     /// Its tenant.
@@ -33,7 +33,7 @@
     /// Estimated memory in MB.
     pub need_mb: Option<f64>,
     /// The group of tables it reads.
-    pub group: Option<GroupId>,
+    pub group: Option<TableGroupId>,
     /// Its order key; without effect in a class that keeps no order.
     pub key: Option<KeyId>,
     /// Its client repeats an earlier request.
@@ -44,37 +44,37 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
     /// News of the list of engines; start times are on the core's clock in seconds.
-    List(ListMode, Vec<EngineEntry>),
+    EndpointList(EndpointListMode, Vec<EndpointEntry>),
     /// A request was taken.
-    Asked(RequestId, Ask),
+    RequestArrived(RequestId, NewRequest),
     /// An attempt has ended.
-    Ended(RequestId, u32, Outcome, Option<Report>),
+    AttemptEnded(RequestId, u32, Outcome, Option<LoadReport>),
     /// Nothing more will be heard of an attempt; its engine may run it until then, in microseconds.
-    Lost(RequestId, u32, u64),
+    AttemptLost(RequestId, u32, u64),
     /// Nothing was heard of the end of an attempt that others of its key wait for, and it may run on without bound.
-    /// [`Input::Confirmed`] follows.
-    Unconfirmed(RequestId, u32),
+    /// [`Input::AttemptEndConfirmed`] follows.
+    AttemptUnconfirmed(RequestId, u32),
     /// An unconfirmed attempt runs no longer than until then, in microseconds.
-    Confirmed(RequestId, u32, u64),
+    AttemptEndConfirmed(RequestId, u32, u64),
     /// News of an attempt that is out.
-    Noted(RequestId, u32, Note),
+    AttemptProgress(RequestId, u32, Progress),
     /// The client has left; no answer is owed.
-    Left(RequestId),
+    ClientLeft(RequestId),
     /// The gateway ends: every request gets its answer now.
-    Closing,
+    ShuttingDown,
     /// Another process of this gateway was heard of or has ended.
-    Neighbour(Neighbour, NeighbourNews),
+    PeerProcess(PeerProcessId, PeerProcessEvent),
 }
 
 /// What is heard of another process of this gateway, while one takes the place of the other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NeighbourNews {
+pub enum PeerProcessEvent {
     /// This process takes its place; it has the leases of all keys.
-    Followed,
+    Succeeded,
     /// It asks for the lease of a key.
-    Claims(KeyId),
+    ClaimsLease(KeyId),
     /// It hands the lease of a key over.
-    Grants(KeyId),
+    GrantsLease(KeyId),
     /// It has ended. What it may have left running is over by then, in microseconds.
     Ended(u64),
 }
@@ -103,7 +103,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
     /// Start an attempt.
-    Start {
+    StartAttempt {
         /// Its request.
         request: RequestId,
         /// Its number.
@@ -116,7 +116,7 @@
         limits: AttemptLimits,
     },
     /// Change the priority of an attempt that is out.
-    Rank {
+    SetPriority {
         /// Its request.
         request: RequestId,
         /// Its number.
@@ -125,17 +125,17 @@
         priority: u8,
     },
     /// Take an attempt back; its end is still awaited.
-    Stop(RequestId, u32),
+    CancelAttempt(RequestId, u32),
     /// Final answer: the result of this attempt.
     Serve(RequestId, u32),
     /// Final answer: refused, with the milliseconds to stay away.
-    Refuse(RequestId, Option<u64>),
+    Reject(RequestId, Option<u64>),
     /// Final answer: failed.
     Fail(RequestId),
     /// Ask another process of this gateway for the lease of a key.
-    Claim(Neighbour, KeyId),
+    ClaimLease(PeerProcessId, KeyId),
     /// Hand the lease of a key to another process of this gateway.
-    Grant(Neighbour, KeyId),
+    GrantLease(PeerProcessId, KeyId),
 }
 
 #[derive(Debug)]
@@ -178,7 +178,7 @@
     /// The request is finished.
     settled: bool,
     runs_until: RunsUntil,
-    report: Option<Report>,
+    report: Option<LoadReport>,
 }
 
 /// Until when an engine may run an attempt that has ended here.
@@ -201,7 +201,7 @@
 /// What the core itself keeps to of the settings.
 struct Terms {
     /// By class.
-    effects: Vec<Effect>,
+    effects: Vec<Idempotency>,
     /// By class.
     keeps_order: Vec<bool>,
     /// How long a key rests behind an attempt that might still run.
@@ -214,13 +214,13 @@
 
 impl Terms {
     fn of(settings: &Settings) -> Self {
-        let allowed = &settings.allowed;
+        let allowed = &settings.capabilities;
         Self {
-            effects: settings.classes.iter().map(|c| c.effect).collect(),
-            keeps_order: settings.classes.iter().map(|c| c.keep_order).collect(),
-            order_pause_us: micros(settings.rules.order_pause),
+            effects: settings.classes.iter().map(|c| c.idempotency).collect(),
+            keeps_order: settings.classes.iter().map(|c| c.ordered_by_key).collect(),
+            order_pause_us: micros(settings.rules.key_cooldown),
             max_attempts: allowed.max_attempts,
-            resolution_us: micros(settings.resolution),
+            resolution_us: micros(settings.clock_resolution),
             come_back: allowed.retry_after.then_some(COME_BACK.min(allowed.max_retry_after)),
         }
     }
@@ -228,7 +228,7 @@
 
 /// The core of one gateway.
 pub struct Core {
-    module: Gateway,
+    module: WorkloadManager,
     terms: Terms,
     leases: KeyLeases,
     lease_effects: Vec<LeaseEffect>,
@@ -236,9 +236,9 @@
     out: BTreeMap<(RequestId, u32), Out>,
     /// Attempts that have ended here and may run on without bound, with their keys.
     unconfirmed: BTreeMap<(RequestId, u32), KeyId>,
-    states: BTreeMap<EngineId, EngineState>,
-    timers: Wheel<Timer>,
-    lateness: Lateness,
+    states: BTreeMap<EngineId, EndpointState>,
+    timers: TimerWheel<Timer>,
+    lateness: TimerLag,
     events: VecDeque<Event>,
     actions: Vec<Action>,
 }
@@ -261,13 +261,13 @@
             terms: Terms::of(&settings),
             leases: KeyLeases::default(),
             lease_effects: Vec::new(),
-            module: Gateway::new(settings, seed)?,
+            module: WorkloadManager::new(settings, seed)?,
             open: BTreeMap::new(),
             out: BTreeMap::new(),
             unconfirmed: BTreeMap::new(),
             states: BTreeMap::new(),
-            timers: Wheel::new(),
-            lateness: Lateness::default(),
+            timers: TimerWheel::new(),
+            lateness: TimerLag::default(),
             events: VecDeque::new(),
             actions: Vec::new(),
         })
@@ -278,7 +278,7 @@
     ///
     /// # Errors
     /// Settings that no gateway could act on: the old ones stay.
-    pub fn reconfigure(&mut self, change: Change) -> Result<(), SettingsError> {
+    pub fn reconfigure(&mut self, change: SettingsChange) -> Result<(), SettingsError> {
         let terms = Terms::of(&change.settings);
         self.module.reconfigure(change)?;
         self.terms = terms;
@@ -307,7 +307,7 @@
     }
 
     /// How late its timers have fired.
-    pub fn lateness(&self) -> &Lateness {
+    pub fn lateness(&self) -> &TimerLag {
         &self.lateness
     }
 
@@ -331,16 +331,16 @@
 
     fn take(&mut self, now_us: u64, input: Input, commands: &mut Vec<Command>) {
         match input {
-            Input::List(mode, entries) => {
-                if matches!(mode, ListMode::Full | ListMode::Cached) {
-                    self.states.values_mut().for_each(|s| *s = EngineState::Gone);
+            Input::EndpointList(mode, entries) => {
+                if matches!(mode, EndpointListMode::Full | EndpointListMode::Cached) {
+                    self.states.values_mut().for_each(|s| *s = EndpointState::Removed);
                 }
                 self.states.extend(entries.iter().map(|e| (e.engine, e.state)));
                 // Nothing is sent to one that is not known, as to one that has gone.
-                self.states.retain(|_, s| *s != EngineState::Gone);
-                self.events.push_back(Event::List { mode, entries });
+                self.states.retain(|_, s| *s != EndpointState::Removed);
+                self.events.push_back(Event::EndpointList { mode, entries });
             }
-            Input::Asked(id, ask) => {
+            Input::RequestArrived(id, ask) => {
                 let deadline_us = ask.deadline_us.saturating_sub(MARGIN_US);
                 // The module plans the end itself; this guards against one that does not.
                 let deadline = self.timers.arm(deadline_us, Timer::Deadline(id));
@@ -351,10 +351,10 @@
                     tenant: ask.tenant,
                     key,
                     deadline: seconds(deadline_us),
-                    estimate: ask.estimate,
-                    need_mb: ask.need_mb,
-                    group: ask.group,
-                    retry: ask.retry,
+                    estimated_work: ask.estimate,
+                    estimated_memory_mb: ask.need_mb,
+                    table_group: ask.group,
+                    is_retry: ask.retry,
                 };
                 let mut open = Open {
                     class: ask.class,
@@ -373,62 +373,62 @@
                     self.leases.request(now_us, key, id, &mut self.lease_effects);
                 } else {
                     self.open.insert(id, open);
-                    self.events.push_back(Event::Arrived(request));
+                    self.events.push_back(Event::RequestArrived(request));
                 }
             }
-            Input::Ended(id, attempt, outcome, report) => {
+            Input::AttemptEnded(id, attempt, outcome, report) => {
                 self.ended(now_us, id, attempt, outcome, report, commands);
             }
-            Input::Lost(id, attempt, runs_until_us) => {
+            Input::AttemptLost(id, attempt, runs_until_us) => {
                 self.lost(now_us, (id, attempt), RunsUntil::At(runs_until_us), commands);
             }
-            Input::Unconfirmed(id, attempt) => {
+            Input::AttemptUnconfirmed(id, attempt) => {
                 self.lost(now_us, (id, attempt), RunsUntil::Unconfirmed, commands);
             }
-            Input::Confirmed(id, attempt, runs_until_us) => {
+            Input::AttemptEndConfirmed(id, attempt, runs_until_us) => {
                 self.confirmed(now_us, (id, attempt), runs_until_us);
             }
-            Input::Noted(request, attempt, note) => {
+            Input::AttemptProgress(request, attempt, note) => {
                 if self.out.contains_key(&(request, attempt)) {
-                    self.events.push_back(Event::Noted { request, attempt, note });
+                    self.events.push_back(Event::AttemptProgress { request, attempt, progress: note });
                 }
             }
-            Input::Left(id) => {
+            Input::ClientLeft(id) => {
                 if self.close(now_us, id).is_some() {
-                    self.events.push_back(Event::Aborted(id));
+                    self.events.push_back(Event::RequestAborted(id));
                 }
             }
-            Input::Closing => {
+            Input::ShuttingDown => {
                 let open: Vec<RequestId> = self.open.keys().copied().collect();
                 for id in open {
-                    self.events.push_back(Event::Aborted(id));
+                    self.events.push_back(Event::RequestAborted(id));
                     self.answer_unserved(now_us, id, self.terms.come_back, true, commands);
                 }
             }
-            Input::Neighbour(neighbour, news) => self.neighbour(now_us, neighbour, news),
+            Input::PeerProcess(neighbour, news) => self.neighbour(now_us, neighbour, news),
         }
         self.carry_out_leases(commands);
     }
 
-    fn neighbour(&mut self, now_us: u64, neighbour: Neighbour, news: NeighbourNews) {
+    fn neighbour(&mut self, now_us: u64, neighbour: PeerProcessId, news: PeerProcessEvent) {
         let effects = &mut self.lease_effects;
         match news {
-            NeighbourNews::Followed => self.leases.follow(neighbour),
-            NeighbourNews::Claims(key) => self.leases.claimed(now_us, key, neighbour, effects),
-            NeighbourNews::Grants(key) => self.leases.granted(now_us, key, neighbour, effects),
-            NeighbourNews::Ended(over_us) => self.leases.left(now_us, neighbour, over_us, effects),
+            PeerProcessEvent::Succeeded => self.leases.follow(neighbour),
+            PeerProcessEvent::ClaimsLease(key) => self.leases.claimed(now_us, key, neighbour, effects),
+            PeerProcessEvent::GrantsLease(key) => self.leases.granted(now_us, key, neighbour, effects),
+            PeerProcessEvent::Ended(over_us) => self.leases.left(now_us, neighbour, over_us, effects),
         }
     }
 
     fn carry_out_leases(&mut self, commands: &mut Vec<Command>) {
         for effect in std::mem::take(&mut self.lease_effects) {
             match effect {
-                LeaseEffect::Claim(key, neighbour) => commands.push(Command::Claim(neighbour, key)),
-                LeaseEffect::Grant(key, neighbour) => commands.push(Command::Grant(neighbour, key)),
+                LeaseEffect::Claim(key, neighbour) => commands.push(Command::ClaimLease(neighbour, key)),
+                LeaseEffect::Grant(key, neighbour) => commands.push(Command::GrantLease(neighbour, key)),
                 LeaseEffect::WakeAt(key, at_us) => drop(self.timers.arm(at_us, Timer::Lease(key))),
                 LeaseEffect::Admit(id) => {
                     let request = self.open.get_mut(&id).and_then(|open| open.unadmitted.take());
-                    self.events.extend(request.map(Event::Arrived));
+                    self.events.extend(request.map(Event::RequestArrived));
                 }
             }
         }
@@ -452,11 +452,11 @@
         id: RequestId,
         attempt: u32,
         outcome: Outcome,
-        report: Option<Report>,
+        report: Option<LoadReport>,
         commands: &mut Vec<Command>,
     ) {
         let Some(out) = self.take_back(id, attempt) else { return };
-        let proves = matches!(outcome, Outcome::Unreachable | Outcome::Overloaded | Outcome::Void);
+        let proves = matches!(outcome, Outcome::ConnectFailed | Outcome::Rejected | Outcome::NeverSent);
         let mut settled = true;
         if let Some(open) = self.open.get_mut(&id) {
             settled = outcome == Outcome::Success;
@@ -501,7 +501,7 @@
         let engine = out.engine;
         let may_run_for = match (end.runs_until, out.key) {
             (RunsUntil::At(until_us), key) => {
-                let rests_until_us = if end.outcome.may_run_on() { self.rests_after(until_us) } else { 0 };
+                let rests_until_us = if end.outcome.may_still_run() { self.rests_after(until_us) } else { 0 };
                 if let Some(key) = key {
                     self.leases.ended(now_us, key, rests_until_us, &mut self.lease_effects);
                 }
@@ -514,16 +514,16 @@
             }
             (RunsUntil::Unconfirmed, None) => 0.0,
         };
-        self.events.push_back(Event::Ended {
+        self.events.push_back(Event::AttemptEnded {
             request,
             attempt,
             engine,
             outcome: end.outcome,
             elapsed,
-            settled: end.settled,
-            may_run_for,
+            request_settled: end.settled,
+            may_still_run_for: may_run_for,
             cost: None,
-            report: end.report,
+            load_report: end.report,
         });
     }
 
@@ -552,7 +552,7 @@
         let rests_until_us = self.rests_after(runs_until_us);
         self.leases.ended(now_us, key, rests_until_us, &mut self.lease_effects);
         let may_run_for = seconds(runs_until_us.saturating_sub(now_us));
-        self.events.push_back(Event::Confirmed { key, may_run_for });
+        self.events.push_back(Event::AttemptEndConfirmed { key, may_still_run_for: may_run_for });
     }
 
     fn ring(&mut self, now_us: u64, timer: Timer, commands: &mut Vec<Command>) {
@@ -565,7 +565,7 @@
                     // One that the module never heard of was never sent.
                     let unadmitted = open.unadmitted.is_some();
                     let retry_after = self.terms.come_back.filter(|_| unadmitted);
-                    self.events.push_back(Event::Aborted(id));
+                    self.events.push_back(Event::RequestAborted(id));
                     self.answer_unserved(now_us, id, retry_after, unadmitted, commands);
                 }
             }
@@ -577,7 +577,7 @@
     fn stop(&mut self, id: RequestId, attempt: u32, commands: &mut Vec<Command>) {
         if let Some(out) = self.out.get_mut(&(id, attempt)).filter(|o| !o.stopped) {
             out.stopped = true;
-            commands.push(Command::Stop(id, attempt));
+            commands.push(Command::CancelAttempt(id, attempt));
         }
     }
 
@@ -594,9 +594,9 @@
         let Some(open) = self.close(now_us, id) else { return };
         let running = self.out.range((id, 0)..=(id, u32::MAX)).next().is_some();
         let may_have_run = running || open.may_have_run_us.is_some();
-        let harmless = !may_have_run || self.terms.effects[open.class.0].is_harmless_to_repeat();
+        let harmless = !may_have_run || self.terms.effects[open.class.0].client_may_retry();
         commands.push(if refuse && harmless {
-            Command::Refuse(id, retry_after.map(|s| (s * 1000.0).ceil() as u64))
+            Command::Reject(id, retry_after.map(|s| (s * 1000.0).ceil() as u64))
         } else {
             Command::Fail(id)
         });
@@ -617,26 +617,24 @@
 
     fn act(&mut self, now_us: u64, action: Action, commands: &mut Vec<Command>) {
         match action {
-            Action::Terms { request, memory_mb, priority } => {
+            Action::SetAttemptTerms { request, memory_mb, priority } => {
                 let Some(open) = self.open.get_mut(&request) else { return };
                 let changed = open.priority != priority;
                 (open.memory_mb, open.priority) = (memory_mb, priority);
                 let out = self.out.range((request, 0)..=(request, u32::MAX)).filter(|(_, o)| !o.stopped);
-                commands.extend(out.filter(|_| changed).map(|((request, attempt), _)| Command::Rank {
-                    request: *request,
-                    attempt: *attempt,
-                    priority,
+                commands.extend(out.filter(|_| changed).map(|((request, attempt), _)| {
+                    Command::SetPriority { request: *request, attempt: *attempt, priority }
                 }));
             }
-            Action::Send { request, engine, timeout } => {
+            Action::Forward { request, engine, timeout } => {
                 self.send(now_us, request, engine, timeout, commands)
             }
-            Action::Cancel { request, attempt } => self.stop(request, attempt, commands),
-            Action::Refuse { request, retry_after } => {
+            Action::CancelAttempt { request, attempt } => self.stop(request, attempt, commands),
+            Action::Reject { request, retry_after } => {
                 self.answer_unserved(now_us, request, retry_after, true, commands);
             }
             Action::Fail(request) => self.answer_unserved(now_us, request, None, false, commands),
-            Action::SetTimer { delay, token, of } => {
+            Action::SetTimer { delay, token, request: of } => {
                 let timer = self.timers.arm(now_us + micros(delay), Timer::Module(token));
                 match of.map(|id| self.open.get_mut(&id)) {
                     Some(Some(open)) => open.plans.push(timer),
@@ -645,7 +643,7 @@
                 }
             }
             // The platform pushes its list and forbids probes; the module asks for neither there.
-            Action::Probe(_) | Action::Subscribe => {}
+            Action::CheckHealth(_) | Action::WatchEndpointList => {}
         }
     }
 
@@ -658,7 +656,7 @@
         commands: &mut Vec<Command>,
     ) {
         let busy = self.out.range((id, 0)..=(id, u32::MAX)).next().is_some();
-        let ready = self.states.get(&engine) == Some(&EngineState::Ready);
+        let ready = self.states.get(&engine) == Some(&EndpointState::Ready);
         let Some(open) = self.open.get_mut(&id) else { return };
         let attempt = open.attempts;
         open.attempts += 1;
@@ -672,7 +670,7 @@
         // A module that asked for one of these would break a rule on the wire; here it only loses a try.
         let spent = self.terms.max_attempts > 0 && attempt >= self.terms.max_attempts;
         if busy || !ready || spent || until_us <= now_us {
-            self.ended(now_us, id, attempt, Outcome::Void, None, commands);
+            self.ended(now_us, id, attempt, Outcome::NeverSent, None, commands);
             return;
         }
         if timeout.is_some() {
@@ -683,7 +681,7 @@
         }
         // A repeat is known as one for a while only, from when the first was sent that may have run.
         let window_us = match (self.terms.effects[open.class.0], open.may_have_run_us) {
-            (Effect::Keyed { window, .. }, Some(sent_us)) => {
+            (Idempotency::Keyed { window, .. }, Some(sent_us)) => {
                 (sent_us + micros(window)).saturating_sub(self.terms.resolution_us)
             }
             _ => u64::MAX,
@@ -691,7 +689,7 @@
         let begin_by_us = until_us.min(window_us);
         let limits = AttemptLimits { until_us, begin_by_us, in_order: key.is_some() };
         let terms = AttemptTerms { memory_mb: open.memory_mb, priority: open.priority };
-        commands.push(Command::Start { request: id, attempt, engine, terms, limits });
+        commands.push(Command::StartAttempt { request: id, attempt, engine, terms, limits });
     }
 }
 
--- a/gateway/src/counters.rs
+++ b/gateway/src/counters.rs
@@ -82,17 +82,17 @@
 
 impl Counters {
     /// Counts the end of an attempt.
-    pub fn ended(&mut self, outcome: notchridge::interface::Outcome) {
-        use notchridge::interface::Outcome as O;
+    pub fn ended(&mut self, outcome: workload_manager::interface::Outcome) {
+        use workload_manager::interface::Outcome as O;
         *match outcome {
             O::Success => &mut self.ended_success,
-            O::Failure => &mut self.ended_failure,
-            O::Overloaded => &mut self.ended_overloaded,
+            O::Error => &mut self.ended_failure,
+            O::Rejected => &mut self.ended_overloaded,
             O::TimedOut => &mut self.ended_timed_out,
-            O::Unreachable => &mut self.ended_unreachable,
-            O::Broken => &mut self.ended_broken,
-            O::Withdrawn => &mut self.ended_withdrawn,
-            O::Void => &mut self.ended_void,
+            O::ConnectFailed => &mut self.ended_unreachable,
+            O::ConnectionLost => &mut self.ended_broken,
+            O::Cancelled => &mut self.ended_withdrawn,
+            O::NeverSent => &mut self.ended_void,
         } += 1;
     }
 }
--- a/gateway/src/engine/http.rs
+++ b/gateway/src/engine/http.rs
@@ -2,7 +2,7 @@
 
 use std::io::Write;
 
-use notchridge::interface::{Note, Outcome, Report};
+use workload_manager::interface::{LoadReport, Outcome, Progress};
 
 use crate::front::Rows;
 
@@ -33,9 +33,9 @@
     /// `Page-No`.
     pub page_no: Option<u32>,
     /// `X-Remark` with `Figure`.
-    pub note: Option<Note>,
+    pub note: Option<Progress>,
     /// `X-Meter`.
-    pub report: Option<Report>,
+    pub report: Option<LoadReport>,
     /// The body.
     pub body: Vec<u8>,
     /// The engine closes the connection behind it.
@@ -140,30 +140,30 @@
     }
 }
 
-fn note(kind: &str, figure: f64) -> Option<Note> {
+fn note(kind: &str, figure: f64) -> Option<Progress> {
     match kind {
-        "progress" => Some(Note::Progress(figure)),
-        "spill_mb" => Some(Note::Spills(figure)),
-        "blocked" if figure >= 2.0 => Some(Note::WaitsForLoad),
-        "blocked" => Some(Note::WaitsForMemory),
+        "progress" => Some(Progress::Fraction(figure)),
+        "spill_mb" => Some(Progress::Spilling(figure)),
+        "blocked" if figure >= 2.0 => Some(Progress::WaitingForLoad),
+        "blocked" => Some(Progress::WaitingForMemory),
         _ => None,
     }
 }
 
 /// Reads a load report such as `inflight:7;util:0.61`; x0 and x1 stand for what the settings say.
-fn report(text: &str, extras: &[String; 2]) -> Report {
-    let mut report = Report::default();
+fn report(text: &str, extras: &[String; 2]) -> LoadReport {
+    let mut report = LoadReport::default();
     for (name, value) in text.split(';').filter_map(|p| p.split_once(':')) {
         let Ok(value) = value.trim().parse::<f64>() else { continue };
         let extra = |i: usize| extras[i].as_str();
         let slot = match name.trim() {
-            "inflight" => &mut report.inflight,
-            "queue" => &mut report.queue,
-            "util" => &mut report.cores_busy,
-            "x0" if extra(0).contains("memory") => &mut report.memory_granted,
-            "x0" if extra(0).contains("disk") => &mut report.disks_busy,
-            "x1" if extra(1).contains("memory") => &mut report.memory_granted,
-            "x1" if extra(1).contains("disk") => &mut report.disks_busy,
+            "inflight" => &mut report.in_flight,
+            "queue" => &mut report.queued,
+            "util" => &mut report.core_utilization,
+            "x0" if extra(0).contains("memory") => &mut report.memory_utilization,
+            "x0" if extra(0).contains("disk") => &mut report.disk_utilization,
+            "x1" if extra(1).contains("memory") => &mut report.memory_utilization,
+            "x1" if extra(1).contains("disk") => &mut report.disk_utilization,
             _ => continue,
         };
         *slot = Some(value);
@@ -235,7 +235,7 @@
     /// The answer that is awaited is that to the call that starts it, on its first way.
     starting: bool,
     /// The newest load report that came along: further pages bring none.
-    pub report: Option<Report>,
+    pub report: Option<LoadReport>,
 }
 
 /// What an answer means for the attempt.
@@ -308,13 +308,13 @@
             // Only these prove that it never ran, and only for the call that starts it: behind an answer that it
             // goes on, or over another connection, perhaps to another engine at its address, they may mean the
             // call for news. The same status without the mark may hide anything.
-            503 if r.shed && starting => Step::Ended(Outcome::Overloaded),
-            504 if r.shed && starting => Step::Ended(Outcome::Void),
+            503 if r.shed && starting => Step::Ended(Outcome::Rejected),
+            504 if r.shed && starting => Step::Ended(Outcome::NeverSent),
             503 | 504 if r.shed => Step::Spoilt,
             // The engine heard that it was given up before it answered what was asked last. That it knows the
             // query no more is the end that was wanted, and no fault of the engine's.
-            200 | 500 if self.given_up => Step::Ended(Outcome::Withdrawn),
-            500 | 503 | 504 => Step::Ended(Outcome::Failure),
+            200 | 500 if self.given_up => Step::Ended(Outcome::Cancelled),
+            500 | 503 | 504 => Step::Ended(Outcome::Error),
             _ => Step::Spoilt,
         }
     }
--- a/gateway/src/engine_registry.rs
+++ b/gateway/src/engine_registry.rs
@@ -5,9 +5,9 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use notchridge::interface::EngineState;
+use workload_manager::interface::EndpointState;
 
-use crate::config::{ListEvent, Listed};
+use crate::config::{Endpoint, EndpointListEvent};
 
 /// Names that are remembered at the least after their engines have gone.
 const LEAST_NAMES: usize = 4096;
@@ -21,7 +21,7 @@
 /// The engines by name.
 #[derive(Debug)]
 pub struct EngineRegistry {
-    listed: BTreeMap<String, Listed>,
+    listed: BTreeMap<String, Endpoint>,
     ever: BTreeSet<String>,
     order: VecDeque<String>,
     most_names: usize,
@@ -47,10 +47,10 @@
     /// says, and who has come back started then at the earliest.
     ///
     /// An engine whose entry can't be read stays as it was listed, but drains: nothing says that it may be sent to.
-    pub fn apply(&mut self, event: &ListEvent) -> ListEvent {
+    pub fn apply(&mut self, event: &EndpointListEvent) -> EndpointListEvent {
         let unread = event.unread.iter().filter_map(|u| self.listed.get(u.name.as_ref()?));
-        let mut entries: Vec<Listed> =
-            unread.map(|l| Listed { state: EngineState::Draining, ..l.clone() }).collect();
+        let mut entries: Vec<Endpoint> =
+            unread.map(|l| Endpoint { state: EndpointState::Draining, ..l.clone() }).collect();
         if event.full {
             self.listed.clear();
         }
@@ -58,23 +58,23 @@
         entries.extend_from_slice(&event.entries);
         for l in &entries {
             self.remember(&l.name);
-            if l.state == EngineState::Gone {
+            if l.state == EndpointState::Removed {
                 self.listed.remove(&l.name);
             } else {
                 self.listed.insert(l.name.clone(), l.clone());
             }
         }
         let entries = entries.iter().map(|l| self.counts_as(l)).collect();
-        ListEvent { index: event.index, full: event.full, entries, unread: Vec::new() }
+        EndpointListEvent { index: event.index, full: event.full, entries, unread: Vec::new() }
     }
 
-    fn counts_as(&self, l: &Listed) -> Listed {
+    fn counts_as(&self, l: &Endpoint) -> Endpoint {
         let state = match l.state {
-            EngineState::Ready if self.out.contains(&l.name) => EngineState::Draining,
+            EndpointState::Ready if self.out.contains(&l.name) => EndpointState::Draining,
             state => state,
         };
         let since_ms = l.since_ms.max(self.back_ms.get(&l.name).copied().unwrap_or(0));
-        Listed { state, since_ms, ..l.clone() }
+        Endpoint { state, since_ms, ..l.clone() }
     }
 
     /// A name was listed. The oldest are forgotten, so that new ones all day take no memory for good; one that is
@@ -107,7 +107,7 @@
     ///
     /// # Errors
     /// It was never listed.
-    pub fn enter(&mut self, name: &str) -> Result<Option<ListEvent>, NeverListed> {
+    pub fn enter(&mut self, name: &str) -> Result<Option<EndpointListEvent>, NeverListed> {
         if !self.ever.contains(name) {
             return Err(NeverListed);
         }
@@ -118,7 +118,7 @@
     ///
     /// # Errors
     /// It was never listed.
-    pub fn exit(&mut self, name: &str, now_ms: u64) -> Result<Option<ListEvent>, NeverListed> {
+    pub fn exit(&mut self, name: &str, now_ms: u64) -> Result<Option<EndpointListEvent>, NeverListed> {
         if !self.ever.contains(name) {
             return Err(NeverListed);
         }
@@ -129,9 +129,9 @@
         Ok(self.change(name))
     }
 
-    fn change(&self, name: &str) -> Option<ListEvent> {
+    fn change(&self, name: &str) -> Option<EndpointListEvent> {
         let entries = vec![self.counts_as(self.listed.get(name)?)];
-        Some(ListEvent { index: 0, full: false, entries, unread: Vec::new() })
+        Some(EndpointListEvent { index: 0, full: false, entries, unread: Vec::new() })
     }
 
     /// How many engines are in the list.
@@ -140,7 +140,7 @@
     }
 
     /// The engines in the list, as it has them.
-    pub fn listed(&self) -> impl Iterator<Item = &Listed> {
+    pub fn listed(&self) -> impl Iterator<Item = &Endpoint> {
         self.listed.values()
     }
 
--- a/gateway/src/front/fields.rs
+++ b/gateway/src/front/fields.rs
@@ -2,7 +2,7 @@
 
 use std::borrow::Cow;
 
-use notchridge::interface::KeyId;
+use workload_manager::interface::KeyId;
 
 /// Fields as the client worded them.
 #[derive(Clone, Debug, Default, PartialEq)]
--- a/gateway/src/front/mod.rs
+++ b/gateway/src/front/mod.rs
@@ -33,43 +33,43 @@
 
 /// How a request ended, for a front to word.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Answer<'a> {
+pub enum FinalAnswer<'a> {
     /// All rows of the result.
     Served(&'a Payload),
     /// Refused: trying again is harmless, best after so many milliseconds.
-    Refused(Option<u64>),
+    Rejected(Option<u64>),
     /// Failed, with no word on its effect.
     Failed(&'a str),
     /// Ended at the client's own word.
     Cancelled,
 }
 
-impl Answer<'_> {
+impl FinalAnswer<'_> {
     /// Its name in the log.
     pub fn name(&self) -> &'static str {
         match self {
-            Answer::Served(_) => "served",
-            Answer::Refused(_) => "refused",
-            Answer::Failed(_) => "failed",
-            Answer::Cancelled => "cancelled",
+            FinalAnswer::Served(_) => "served",
+            FinalAnswer::Rejected(_) => "refused",
+            FinalAnswer::Failed(_) => "failed",
+            FinalAnswer::Cancelled => "cancelled",
         }
     }
 }
 
 /// A request that a front has read.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Demand {
+pub struct ClientRequest {
     /// Its fields.
     pub fields: fields::Fields,
     /// The statement without the comment that held the fields.
     pub statement: Vec<u8>,
     /// How it is to be run.
-    pub run: Run,
+    pub run: ExecutionMode,
 }
 
 /// How a statement is to be run.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Run {
+pub enum ExecutionMode {
     /// As text, by the engines' own protocol.
     Simple,
     /// As text, over MySQL.
@@ -80,11 +80,11 @@
 
 /// What a client wants, once its bytes have been read.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Want {
+pub enum ClientCommand {
     /// An answer to a request.
-    Answer(Demand),
+    Request(ClientRequest),
     /// Word whether the settings know what these fields name.
-    Judge(fields::Fields),
+    Prepare(fields::Fields),
     /// The end of another session's request.
     Cancel {
         /// The session's number.
@@ -93,7 +93,7 @@
         secret: u32,
     },
     /// Nothing more: its message was answered here, or needed no answer.
-    Done,
+    Handled,
     /// Nothing more: its message was answered with an error here.
     Invalid,
     /// The end of this session, once all that was written is out.
--- a/gateway/src/front/pg.rs
+++ b/gateway/src/front/pg.rs
@@ -1,6 +1,6 @@
 //! The PostgreSQL wire protocol, version 3.0, simple queries: a client session without its socket.
 
-use super::{Answer, Demand, Payload, Rows, Run, Want, fields};
+use super::{ClientCommand, ClientRequest, ExecutionMode, FinalAnswer, Payload, Rows, fields};
 
 const MAX_STARTUP: usize = 10_000;
 
@@ -111,7 +111,7 @@
 
     /// Reads one message from `input`, writes to `out` what needs no decision. `None`: more must come, or
     /// the open request must end, first.
-    pub fn read(&mut self, input: &mut Vec<u8>, out: &mut Vec<u8>) -> Option<Want> {
+    pub fn read(&mut self, input: &mut Vec<u8>, out: &mut Vec<u8>) -> Option<ClientCommand> {
         match self.state {
             State::Closed | State::Busy => None,
             State::StartUp => {
@@ -126,7 +126,7 @@
                     return None;
                 }
                 let packet: Vec<u8> = input.drain(..length).collect();
-                Some(self.start(&packet, out).unwrap_or(Want::Done))
+                Some(self.start(&packet, out).unwrap_or(ClientCommand::Handled))
             }
             State::Ready | State::Skipping => {
                 if input.len() < 5 {
@@ -143,23 +143,26 @@
                     return None;
                 }
                 let body: Vec<u8> = input.drain(..=length).skip(5).collect();
-                Some(self.message(kind, &body, out).unwrap_or(Want::Done))
+                Some(self.message(kind, &body, out).unwrap_or(ClientCommand::Handled))
             }
         }
     }
 
-    fn fatal(&mut self, out: &mut Vec<u8>, code: &str, text: &str) -> Want {
+    fn fatal(&mut self, out: &mut Vec<u8>, code: &str, text: &str) -> ClientCommand {
         error(out, "FATAL", code, text);
         self.state = State::Closed;
-        Want::Close
+        ClientCommand::Close
     }
 
-    fn start(&mut self, packet: &[u8], out: &mut Vec<u8>) -> Option<Want> {
+    fn start(&mut self, packet: &[u8], out: &mut Vec<u8>) -> Option<ClientCommand> {
         match be32(&packet[4..]) {
             SSL | GSS => out.push(b'N'),
             CANCEL if packet.len() == 16 => {
                 self.state = State::Closed;
-                return Some(Want::Cancel { session: be32(&packet[8..]), secret: be32(&packet[12..]) });
+                return Some(ClientCommand::Cancel {
+                    session: be32(&packet[8..]),
+                    secret: be32(&packet[12..]),
+                });
             }
             PROTOCOL_3 => {
                 message(out, b'R', |b| b.extend([0; 4]));
@@ -188,11 +191,11 @@
         None
     }
 
-    fn message(&mut self, kind: u8, body: &[u8], out: &mut Vec<u8>) -> Option<Want> {
+    fn message(&mut self, kind: u8, body: &[u8], out: &mut Vec<u8>) -> Option<ClientCommand> {
         match kind {
             b'X' => {
                 self.state = State::Closed;
-                return Some(Want::Close);
+                return Some(ClientCommand::Close);
             }
             b'S' => {
                 ready(out);
@@ -207,7 +210,7 @@
                 } else {
                     self.state = State::Skipping
                 }
-                return Some(Want::Invalid);
+                return Some(ClientCommand::Invalid);
             }
             b'H' | b'd' | b'c' | b'f' => {}
             _ => return Some(self.fatal(out, "08P01", "unknown message")),
@@ -215,7 +218,7 @@
         None
     }
 
-    fn query(&mut self, body: &[u8], out: &mut Vec<u8>) -> Option<Want> {
+    fn query(&mut self, body: &[u8], out: &mut Vec<u8>) -> Option<ClientCommand> {
         let Some((0, text)) = body.split_last().filter(|(_, text)| !text.contains(&0)) else {
             return Some(self.fatal(out, "08P01", "the query is not one terminated text"));
         };
@@ -230,16 +233,20 @@
             Ok((f, statement)) => {
                 self.state = State::Busy;
                 self.select = !statement.get(..6).is_some_and(|v| v.eq_ignore_ascii_case(b"insert"));
-                Some(Want::Answer(Demand { fields: f, statement: statement.to_vec(), run: Run::Simple }))
+                Some(ClientCommand::Request(ClientRequest {
+                    fields: f,
+                    statement: statement.to_vec(),
+                    run: ExecutionMode::Simple,
+                }))
             }
             Err(e) => self.invalid(&e.to_string(), out),
         }
     }
 
-    fn invalid(&mut self, text: &str, out: &mut Vec<u8>) -> Option<Want> {
+    fn invalid(&mut self, text: &str, out: &mut Vec<u8>) -> Option<ClientCommand> {
         error(out, "ERROR", "42601", text);
         ready(out);
-        Some(Want::Invalid)
+        Some(ClientCommand::Invalid)
     }
 
     /// Turns down the open request for fields that only the settings can judge.
@@ -249,17 +256,19 @@
     }
 
     /// Writes the final answer to the open request.
-    pub fn answer(&mut self, answer: Answer<'_>, out: &mut Vec<u8>) {
+    pub fn answer(&mut self, answer: FinalAnswer<'_>, out: &mut Vec<u8>) {
         debug_assert!(self.is_busy(), "an answer without a request");
         self.state = State::Ready;
         match answer {
-            Answer::Served(Payload::Text(rows)) => self.rows(rows, out),
-            Answer::Served(Payload::MySql(_)) => error(out, "ERROR", "XX000", "the result has another form"),
+            FinalAnswer::Served(Payload::Text(rows)) => self.rows(rows, out),
+            FinalAnswer::Served(Payload::MySql(_)) => {
+                error(out, "ERROR", "XX000", "the result has another form")
+            }
             // Class 53 says that trying again is harmless.
-            Answer::Refused(None) => error(out, "ERROR", "53000", "refused"),
-            Answer::Refused(Some(ms)) => error(out, "ERROR", "53000", &format!("refused, w={ms}")),
-            Answer::Cancelled => error(out, "ERROR", "57014", "cancelled at the client's word"),
-            Answer::Failed(why) => error(out, "ERROR", "58000", why),
+            FinalAnswer::Rejected(None) => error(out, "ERROR", "53000", "refused"),
+            FinalAnswer::Rejected(Some(ms)) => error(out, "ERROR", "53000", &format!("refused, w={ms}")),
+            FinalAnswer::Cancelled => error(out, "ERROR", "57014", "cancelled at the client's word"),
+            FinalAnswer::Failed(why) => error(out, "ERROR", "58000", why),
         }
         ready(out);
     }
--- a/gateway/src/handover.rs
+++ b/gateway/src/handover.rs
@@ -5,10 +5,10 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-use notchridge::interface::{EngineState, KeyId};
 use tinyjson::JsonValue;
+use workload_manager::interface::{EndpointState, KeyId};
 
-use crate::config::{Listed, Node, list_entry};
+use crate::config::{Endpoint, Node, list_entry};
 
 /// The form of what is told. Another one is not understood.
 pub const FORM: u32 = 1;
@@ -28,7 +28,7 @@
     /// An engine of this name was listed; when it last came back from being out, in Unix milliseconds, or 0.
     Known(String, u64),
     /// An engine of the list.
-    Listed(Listed),
+    Listed(Endpoint),
     /// An engine is out by hand.
     Enter(String),
     /// It may serve again since this Unix millisecond.
@@ -89,9 +89,9 @@
             Message::Known(name, back_ms) => vec![("known", text(name)), ("ms", number(*back_ms))],
             Message::Listed(l) => {
                 let status = match l.state {
-                    EngineState::Ready => "Ready",
-                    EngineState::Draining => "Terminating",
-                    EngineState::Gone => "Gone",
+                    EndpointState::Ready => "Ready",
+                    EndpointState::Draining => "Terminating",
+                    EndpointState::Removed => "Gone",
                 };
                 let entry = [
                     ("name", text(&l.name)),
--- a/gateway/src/handover/tests.rs
+++ b/gateway/src/handover/tests.rs
@@ -1,13 +1,13 @@
 use super::*;
 
 fn messages() -> Vec<Message> {
-    let listed = Listed {
+    let listed = Endpoint {
         name: "s-1".into(),
         address: ([127, 0, 0, 2], 80).into(),
         zone: "east".into(),
         kind: "std".into(),
         cell: 7,
-        state: EngineState::Draining,
+        state: EndpointState::Draining,
         since_ms: 1_796_166_000_123,
     };
     vec![
--- a/gateway/src/key_leases.rs
+++ b/gateway/src/key_leases.rs
@@ -10,19 +10,19 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use notchridge::interface::{KeyId, RequestId};
+use workload_manager::interface::{KeyId, RequestId};
 
 /// A neighbouring process, by the number of the connection to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Neighbour(pub u32);
+pub struct PeerProcessId(pub u32);
 
 /// What follows from a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseEffect {
     /// Ask a neighbour for the lease of a key.
-    Claim(KeyId, Neighbour),
+    Claim(KeyId, PeerProcessId),
     /// Hand the lease of a key to a neighbour.
-    Grant(KeyId, Neighbour),
+    Grant(KeyId, PeerProcessId),
     /// This request may run.
     Admit(RequestId),
     /// Call [`KeyLeases::wake`] for this key at this time.
@@ -32,14 +32,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Waiter {
     Request(RequestId),
-    Neighbour(Neighbour),
+    Peer(PeerProcessId),
 }
 
 /// The lease of one key, as this process sees it.
 #[derive(Debug)]
 struct Lease {
     /// The neighbour on whose side it is; none: it is here.
-    holder: Option<Neighbour>,
+    holder: Option<PeerProcessId>,
     /// That neighbour has been asked for it.
     claimed: bool,
     /// Admitted requests that are open, and attempts that are out.
@@ -58,19 +58,25 @@
 pub struct KeyLeases {
     leases: BTreeMap<KeyId, Lease>,
     /// The older process, while it lives: it has all leases that are not in the table.
-    older: Option<Neighbour>,
+    older: Option<PeerProcessId>,
     /// What an older process has left running is over then, whatever its key.
     inherited_until_us: u64,
 }
 
 impl KeyLeases {
     /// The process whose place this one takes has all leases.
-    pub fn follow(&mut self, older: Neighbour) {
+    pub fn follow(&mut self, older: PeerProcessId) {
         self.older = Some(older);
     }
 
     /// A neighbour has ended; what it may have left running is over at `over_us`. Its leases fall to this process.
-    pub fn left(&mut self, now_us: u64, neighbour: Neighbour, over_us: u64, effects: &mut Vec<LeaseEffect>) {
+    pub fn left(
+        &mut self,
+        now_us: u64,
+        neighbour: PeerProcessId,
+        over_us: u64,
+        effects: &mut Vec<LeaseEffect>,
+    ) {
         if self.older == Some(neighbour) {
             self.older = None;
             self.inherited_until_us = self.inherited_until_us.max(over_us);
@@ -78,7 +84,7 @@
         let keys: Vec<KeyId> = self.leases.keys().copied().collect();
         for key in keys {
             let Some(lease) = self.leases.get_mut(&key) else { continue };
-            lease.waiters.retain(|waiter| *waiter != Waiter::Neighbour(neighbour));
+            lease.waiters.retain(|waiter| *waiter != Waiter::Peer(neighbour));
             if lease.holder == Some(neighbour) {
                 (lease.holder, lease.claimed) = (None, false);
                 lease.inherited_until_us = lease.inherited_until_us.max(over_us);
@@ -115,8 +121,8 @@
     }
 
     /// A neighbour asks for a lease.
-    pub fn claimed(&mut self, now_us: u64, key: KeyId, by: Neighbour, effects: &mut Vec<LeaseEffect>) {
-        let waiter = Waiter::Neighbour(by);
+    pub fn claimed(&mut self, now_us: u64, key: KeyId, by: PeerProcessId, effects: &mut Vec<LeaseEffect>) {
+        let waiter = Waiter::Peer(by);
         let lease = self.lease(key);
         // One that has it, or waits for it already, is told nothing new.
         if lease.holder != Some(by) && !lease.waiters.contains(&waiter) {
@@ -126,7 +132,7 @@
     }
 
     /// A neighbour has handed a lease over.
-    pub fn granted(&mut self, now_us: u64, key: KeyId, by: Neighbour, effects: &mut Vec<LeaseEffect>) {
+    pub fn granted(&mut self, now_us: u64, key: KeyId, by: PeerProcessId, effects: &mut Vec<LeaseEffect>) {
         let lease = self.lease(key);
         if lease.holder == Some(by) {
             (lease.holder, lease.claimed) = (None, false);
@@ -186,7 +192,7 @@
                     lease.in_use += 1;
                     effects.push(LeaseEffect::Admit(request));
                 }
-                Waiter::Neighbour(neighbour) => {
+                Waiter::Peer(neighbour) => {
                     let rests_until_us = lease.rests_until_us.max(lease.inherited_until_us);
                     if lease.in_use > 0 || lease.waits_until(now_us, rests_until_us, key, effects) {
                         return;
--- a/gateway/src/key_leases/tests.rs
+++ b/gateway/src/key_leases/tests.rs
@@ -5,8 +5,8 @@
 use super::*;
 
 const KEY: KeyId = KeyId(5);
-const OLDER: Neighbour = Neighbour(1);
-const NEWER: Neighbour = Neighbour(2);
+const OLDER: PeerProcessId = PeerProcessId(1);
+const NEWER: PeerProcessId = PeerProcessId(2);
 const REST_US: u64 = 300_000;
 
 fn effects(call: impl FnOnce(&mut Vec<LeaseEffect>)) -> Vec<LeaseEffect> {
@@ -110,7 +110,7 @@
     fn new(count: usize) -> Self {
         let mut processes: Vec<KeyLeases> = (0..count).map(|_| KeyLeases::default()).collect();
         for (at, process) in processes.iter_mut().enumerate().skip(1) {
-            process.follow(Neighbour(at as u32 - 1));
+            process.follow(PeerProcessId(at as u32 - 1));
         }
         Self {
             now_us: 0,
@@ -135,7 +135,7 @@
         }
     }
 
-    fn send(&mut self, from: usize, to: Neighbour, message: Message) {
+    fn send(&mut self, from: usize, to: PeerProcessId, message: Message) {
         self.wires.entry((from, to.0 as usize)).or_default().push_back(message);
     }
 
@@ -180,7 +180,7 @@
 
     fn deliver(&mut self, wire: (usize, usize)) {
         let Some(message) = self.wires.get_mut(&wire).and_then(VecDeque::pop_front) else { return };
-        let (now_us, from) = (self.now_us, Neighbour(wire.0 as u32));
+        let (now_us, from) = (self.now_us, PeerProcessId(wire.0 as u32));
         let process = &mut self.processes[wire.1];
         let effects = effects(|e| match message {
             Message::Claim(key) => process.claimed(now_us, key, from, e),
@@ -286,7 +286,7 @@
         row.wakes.retain(|(_, at, _)| *at == 1);
         let (now_us, over_us) = (row.now_us, row.now_us + REST_US);
         row.rests.insert(KEY, (over_us, 0));
-        let effects = effects(|e| row.processes[1].left(now_us, Neighbour(0), over_us, e));
+        let effects = effects(|e| row.processes[1].left(now_us, PeerProcessId(0), over_us, e));
         // What runs here already was admitted under the lease.
         if !row.running.is_empty() {
             row.rests.clear();
--- a/gateway/src/net/clients.rs
+++ b/gateway/src/net/clients.rs
@@ -2,10 +2,10 @@
 
 use std::net::{SocketAddr, TcpStream};
 
-use notchridge::interface::*;
-use wrenhatch_sessions::governor::{Pick, Work};
-use wrenhatch_sessions::ledger::{Kind, Pressure};
-use wrenhatch_sessions::table::{Ended, Handle, Use};
+use workload_manager::interface::*;
+use wrenhatch_sessions::memory_budget::{Kind, Pressure};
+use wrenhatch_sessions::read_scheduler::{Pick, Work};
+use wrenhatch_sessions::session_table::{Ended, Handle, Use};
 
 use super::conn::{Conn, MOST_UNSENT, Phase, ReadEnd};
 use super::listeners::{self, Front};
@@ -13,8 +13,8 @@
 use super::sessions::{CLOSE_US, Session, Sessions, UNFINISHED_US};
 use super::{Request, Server, Timer};
 use crate::config::Names;
-use crate::core::{Ask, Command, Input};
-use crate::front::{Answer, Demand, Payload, Want, fields};
+use crate::core::{Command, Input, NewRequest};
+use crate::front::{ClientCommand, ClientRequest, FinalAnswer, Payload, fields};
 use crate::metrics::Ending;
 use crate::mysql::ResultSet;
 
@@ -211,15 +211,15 @@
         }
         match live.session.read(&mut conn.input, &mut conn.output) {
             None => return false,
-            Some(Want::Done) => {}
-            Some(Want::Invalid) => self.counters.invalid += 1,
-            Some(Want::Answer(demand)) => self.demand(who, demand),
-            Some(Want::Judge(fields)) => self.judge(who, &fields),
-            Some(Want::Cancel { session, secret }) => {
+            Some(ClientCommand::Handled) => {}
+            Some(ClientCommand::Invalid) => self.counters.invalid += 1,
+            Some(ClientCommand::Request(demand)) => self.demand(who, demand),
+            Some(ClientCommand::Prepare(fields)) => self.judge(who, &fields),
+            Some(ClientCommand::Cancel { session, secret }) => {
                 self.close_soon(who);
                 self.cancel(session, secret);
             }
-            Some(Want::Close) => self.close_soon(who),
+            Some(ClientCommand::Close) => self.close_soon(who),
         }
         true
     }
@@ -369,7 +369,7 @@
 
     /// Takes a request, or turns it down where its fields name nothing that the settings know, and where it would
     /// not be served: the gateway ends, is full, or would come to it too late.
-    fn demand(&mut self, who: Handle, demand: Demand) {
+    fn demand(&mut self, who: Handle, demand: ClientRequest) {
         let now_us = self.time.now_us;
         let fields = demand.fields;
         let judged = judge(&self.names, &fields);
@@ -411,10 +411,10 @@
             self.metrics.ended(class, Ending::Refused);
             self.counters.too_late += u64::from(late);
             self.counters.no_memory += u64::from(short);
-            let tells = self.config.settings.allowed.retry_after && (short || late);
+            let tells = self.config.settings.capabilities.retry_after && (short || late);
             let wait_ms = tells.then(|| self.sessions.governor.come_back_ms(now_us));
             if let Some(live) = self.sessions.table.hot_mut(who) {
-                live.session.answer(Answer::Refused(wait_ms), &mut live.conn.output);
+                live.session.answer(FinalAnswer::Rejected(wait_ms), &mut live.conn.output);
             }
             return;
         }
@@ -427,13 +427,13 @@
             self.sessions.set_tenant(who, tenant.0);
         }
         self.sessions.governor.charge(Work::Request, 1);
-        let ask = Ask {
+        let ask = NewRequest {
             class,
             tenant,
             deadline_us,
             estimate: fields.estimate_ms.map(|ms| ms / 1000.0),
             need_mb: fields.need_mb.filter(|mb| *mb > 0.0),
-            group: fields::table_group(&request.statement).map(GroupId),
+            group: fields::table_group(&request.statement).map(TableGroupId),
             key: fields.order_key.as_deref().map(fields::key_id),
             retry: fields.retry,
         };
@@ -453,7 +453,7 @@
         );
         self.sessions.ledger.book(Kind::Requests, 0, request.bytes());
         self.requests.insert(id, request);
-        self.inputs.push(Input::Asked(id, ask));
+        self.inputs.push(Input::RequestArrived(id, ask));
     }
 
     /// Ends the request of the session that a CancelRequest names; its client waits no longer.
@@ -466,7 +466,7 @@
         self.read_now(who);
         let Some(live) = self.sessions.table.hot_mut(who) else { return };
         if let Some(id) = live.closes() {
-            live.session.answer(Answer::Cancelled, &mut live.conn.output);
+            live.session.answer(FinalAnswer::Cancelled, &mut live.conn.output);
             live.ready_us = self.time.now_us;
             self.left(id);
             self.client_messages(who);
@@ -483,7 +483,7 @@
         if let Some(request) = self.close_request(id) {
             tracing::debug!(ticket = request.ticket, now_us = self.time.now_us, "left");
             self.counters.left += 1;
-            self.inputs.push(Input::Left(id));
+            self.inputs.push(Input::ClientLeft(id));
         }
     }
 
@@ -512,23 +512,23 @@
     pub(super) fn answer(&mut self, command: Command) {
         let (id, answer) = match command {
             Command::Serve(id, attempt) => match self.pools.results.get(&(id, attempt)) {
-                Some(payload) => (id, Answer::Served(payload)),
-                None => (id, Answer::Failed("the result is lost")),
+                Some(payload) => (id, FinalAnswer::Served(payload)),
+                None => (id, FinalAnswer::Failed("the result is lost")),
             },
-            Command::Refuse(id, wait) => (id, Answer::Refused(wait)),
-            Command::Fail(id) => (id, Answer::Failed("the engines could not answer")),
+            Command::Reject(id, wait) => (id, FinalAnswer::Rejected(wait)),
+            Command::Fail(id) => (id, FinalAnswer::Failed("the engines could not answer")),
             _ => return,
         };
         let Some(request) = self.requests.remove(id) else { return };
         self.sessions.ledger.book(Kind::Requests, request.bytes(), 0);
         tracing::debug!(ticket = request.ticket, now_us = self.time.now_us, how = answer.name(), "answered");
         let (counter, ending) = match answer {
-            Answer::Served(Payload::MySql(ResultSet::Wrong(_))) => {
+            FinalAnswer::Served(Payload::MySql(ResultSet::Wrong(_))) => {
                 (&mut self.counters.failed, Ending::Failed)
             }
-            Answer::Served(_) => (&mut self.counters.served, Ending::Served),
-            Answer::Refused(_) => (&mut self.counters.refused, Ending::Refused),
-            Answer::Failed(_) | Answer::Cancelled => (&mut self.counters.failed, Ending::Failed),
+            FinalAnswer::Served(_) => (&mut self.counters.served, Ending::Served),
+            FinalAnswer::Rejected(_) => (&mut self.counters.refused, Ending::Refused),
+            FinalAnswer::Failed(_) | FinalAnswer::Cancelled => (&mut self.counters.failed, Ending::Failed),
         };
         *counter += 1;
         self.metrics.ended(request.class, ending);
--- a/gateway/src/net/configuration.rs
+++ b/gateway/src/net/configuration.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 
 use wrenhatch_configuration::{Document, GatewayId, MAX_MESSAGE_BYTES, Report, Step, Subscriber, Version};
-use wrenhatch_sessions::wheel::TimerId;
+use wrenhatch_sessions::timer_wheel::TimerId;
 
 use super::conn::{Conn, Phase, ReadEnd};
 use super::poll::Interest;
--- a/gateway/src/net/engines.rs
+++ b/gateway/src/net/engines.rs
@@ -3,8 +3,8 @@
 
 use std::net::SocketAddr;
 
-use notchridge::interface::*;
-use wrenhatch_sessions::wheel::TimerId;
+use workload_manager::interface::*;
+use wrenhatch_sessions::timer_wheel::TimerId;
 
 use super::Server;
 use super::conn::Phase;
@@ -43,7 +43,7 @@
 pub struct Engine {
     address: SocketAddr,
     mysql: Option<SocketAddr>,
-    state: EngineState,
+    state: EndpointState,
     since_ms: u64,
     idle: [Vec<usize>; 2],
 }
--- a/gateway/src/net/engines/answers.rs
+++ b/gateway/src/net/engines/answers.rs
@@ -1,7 +1,7 @@
 //! What comes over connections to engines, and what it means for the attempt or the call that waits for it.
 
-use notchridge::interface::*;
-use wrenhatch_sessions::ledger::Kind;
+use workload_manager::interface::*;
+use wrenhatch_sessions::memory_budget::Kind;
 
 use super::connections::REST_US;
 use super::{Course, End, Job, Wire};
@@ -73,7 +73,7 @@
             // The call has come whole, or the engine knows the query no more: the attempt is over.
             Job::Delete(id) if matches!(response.status, 204 | 500) => {
                 self.release_or_close(at, response.close);
-                self.end_attempt(id, Outcome::Withdrawn, None);
+                self.end_attempt(id, Outcome::Cancelled, None);
             }
             Job::Confirm(id) if matches!(response.status, 204 | 500) => {
                 self.release_or_close(at, response.close);
@@ -98,8 +98,8 @@
                         // Where there is no news the engine takes its time to say so.
                         let soon = now_us < link.asked_us + REST_US;
                         link.doubtful |= response.status == 202 && response.note.is_none() && soon;
-                        let note = response.note.unwrap_or(Note::Running);
-                        self.inputs.push(Input::Noted(id.0, id.1, note));
+                        let note = response.note.unwrap_or(Progress::Running);
+                        self.inputs.push(Input::AttemptProgress(id.0, id.1, note));
                         if response.close {
                             return self.engine_gone(at, End::Broken);
                         }
@@ -119,8 +119,8 @@
                     http::Step::Ended(mut outcome) => {
                         // The call that starts it was lost with its connection, or its engine has started anew:
                         // the engine that says so is well, and the request too.
-                        if asked_again && outcome == Outcome::Failure {
-                            outcome = Outcome::Withdrawn;
+                        if asked_again && outcome == Outcome::Error {
+                            outcome = Outcome::Cancelled;
                         }
                         let report = exchange.report;
                         if outcome == Outcome::Success {
@@ -128,7 +128,7 @@
                                 Some(rows) => {
                                     self.pools.results.insert(id, Payload::Text(rows));
                                 }
-                                None => outcome = Outcome::Failure,
+                                None => outcome = Outcome::Error,
                             }
                         }
                         self.release_or_close(at, response.close);
@@ -149,7 +149,7 @@
                 if !self.may_begin(id, engine) {
                     // It was prepared there and nothing more: it never ran.
                     self.pools.close(&self.poll, &mut self.timers, at);
-                    return self.end_attempt(id, Outcome::Void, None);
+                    return self.end_attempt(id, Outcome::NeverSent, None);
                 }
                 if let Some(Peer { conn, link, .. }) = self.pools.peer(at) {
                     if let Wire::MySql(session) = &mut link.wire {
@@ -167,7 +167,7 @@
             (mysql::Event::Failed(e), Job::Attempt(id)) => {
                 tracing::debug!(code = e.code, "an engine's error: {}", e.message);
                 self.release(at);
-                self.end_attempt(id, Outcome::Failure, None);
+                self.end_attempt(id, Outcome::Error, None);
             }
             (mysql::Event::TurnedAway(e), Job::Attempt(id)) => {
                 self.pools.close(&self.poll, &mut self.timers, at);
@@ -177,12 +177,12 @@
             // error, as that this gateway may not end it, nothing is known of it.
             (mysql::Event::Done(ResultSet::Done { .. }), Job::Delete(id)) => {
                 self.release(at);
-                self.end_attempt(id, Outcome::Withdrawn, None);
+                self.end_attempt(id, Outcome::Cancelled, None);
             }
             (mysql::Event::Done(_) | mysql::Event::Failed(_), Job::Delete(id)) => {
                 self.release(at);
                 if let mysql::Event::Failed(SqlError { code: NO_SUCH_THREAD, .. }) = event {
-                    self.end_attempt(id, Outcome::Withdrawn, None);
+                    self.end_attempt(id, Outcome::Cancelled, None);
                 }
             }
             (mysql::Event::Done(_) | mysql::Event::Failed(_), Job::Discarding { .. }) => self.release(at),
@@ -198,5 +198,5 @@
 /// reached. Nothing ran on either.
 fn turned_away(e: &SqlError) -> Outcome {
     tracing::warn!(code = e.code, "an engine turned a connection away: {}", e.message);
-    if matches!(e.code, 1040 | 1203 | 1226) { Outcome::Overloaded } else { Outcome::Unreachable }
+    if matches!(e.code, 1040 | 1203 | 1226) { Outcome::Rejected } else { Outcome::ConnectFailed }
 }
--- a/gateway/src/net/engines/attempts.rs
+++ b/gateway/src/net/engines/attempts.rs
@@ -1,12 +1,12 @@
 //! Attempts at engines: begun, asked for again, given up, and how the core is told of their end.
 
-use notchridge::interface::*;
-use wrenhatch_sessions::ledger::Kind;
+use workload_manager::interface::*;
+use wrenhatch_sessions::memory_budget::Kind;
 
 use super::{Attempt, AttemptId, Course, End, EngineProtocol, Job, Link, Unconfirmed, Wire};
 use crate::core::{AttemptLimits, AttemptTerms, Input};
 use crate::engine::{http, mysql};
-use crate::front::Run;
+use crate::front::ExecutionMode;
 use crate::mysql::Param;
 use crate::net::pools::Peer;
 use crate::net::{Request, Server, Timer};
@@ -27,11 +27,13 @@
         limits: AttemptLimits,
     ) {
         let AttemptLimits { until_us, begin_by_us, in_order } = limits;
-        let Some(request) = self.requests.open.get(&id.0) else { return self.never_sent(id, Outcome::Void) };
+        let Some(request) = self.requests.open.get(&id.0) else {
+            return self.never_sent(id, Outcome::NeverSent);
+        };
         let max_ms = (until_us.saturating_sub(self.time.now_us) / 1000).max(1);
         let class = self.names.classes[request.class.0].as_str();
         let (course, protocol) = match &request.run {
-            Run::Simple => {
+            ExecutionMode::Simple => {
                 let mut start = Vec::with_capacity(256 + request.statement.len());
                 let call = http::Start {
                     ticket: &request.ticket,
@@ -49,7 +51,7 @@
             _ => (Course::MySql { work: Some(work(request, class, max_ms)) }, EngineProtocol::MySql),
         };
         let ticket = request.ticket.clone();
-        let prepared = matches!(request.run, Run::Execute(_)).then(|| request.statement.clone());
+        let prepared = matches!(request.run, ExecutionMode::Execute(_)).then(|| request.statement.clone());
         match self.link(engine, Job::Attempt(id), protocol, prepared.as_deref()) {
             Ok(link) => {
                 let attempt = Attempt {
@@ -77,13 +79,13 @@
 
     pub(super) fn never_sent(&mut self, id: AttemptId, outcome: Outcome) {
         self.counters.ended(outcome);
-        self.inputs.push(Input::Ended(id.0, id.1, outcome, None));
+        self.inputs.push(Input::AttemptEnded(id.0, id.1, outcome, None));
     }
 
     /// Whether the first byte of an attempt may still leave, which is asked when it would: while its connection
     /// came up the engine may have been said to drain, the client may have left, the time for it may be over.
     pub(super) fn may_begin(&self, id: AttemptId, engine: EngineId) -> bool {
-        let ready = self.pools.engines.get(&engine).is_some_and(|e| e.state == EngineState::Ready);
+        let ready = self.pools.engines.get(&engine).is_some_and(|e| e.state == EndpointState::Ready);
         let in_time = self.pools.attempts.get(&id).is_some_and(|a| self.time.now_us < a.begin_by_us);
         ready && in_time && self.requests.open.contains_key(&id.0)
     }
@@ -112,7 +114,7 @@
                 }
                 if !self.may_begin(id, engine) {
                     self.release(at);
-                    return self.end_attempt(id, Outcome::Void, None);
+                    return self.end_attempt(id, Outcome::NeverSent, None);
                 }
                 let Some(attempt) = self.pools.attempts.get_mut(&id) else { return };
                 let Some(peer) = self.pools.peers.get_mut(at).and_then(Option::as_mut) else { return };
@@ -168,7 +170,12 @@
     }
 
     /// The attempt is over; the core is told how.
-    pub(in crate::net) fn end_attempt(&mut self, id: AttemptId, outcome: Outcome, report: Option<Report>) {
+    pub(in crate::net) fn end_attempt(
+        &mut self,
+        id: AttemptId,
+        outcome: Outcome,
+        report: Option<LoadReport>,
+    ) {
         let Some(attempt) = self.forget_attempt(id) else { return };
         self.detach(attempt.link, id);
         tracing::debug!(
@@ -180,7 +187,7 @@
             "ended"
         );
         self.counters.ended(outcome);
-        self.inputs.push(Input::Ended(id.0, id.1, outcome, report));
+        self.inputs.push(Input::AttemptEnded(id.0, id.1, outcome, report));
     }
 
     /// Whether no byte that runs this attempt has been written.
@@ -205,15 +212,15 @@
         match (over.protocol(), end) {
             _ if attempt.stopping && !unsent => return,
             (EngineProtocol::MySql, _) | (_, End::Refused | End::Late) if unsent => {
-                return self.end_attempt(id, Outcome::Unreachable, None);
+                return self.end_attempt(id, Outcome::ConnectFailed, None);
             }
             // That protocol has no way to ask for it again, and a statement may outlive its connection.
             (EngineProtocol::MySql, _) => return self.unheard(id),
             (_, End::Refused | End::Late) if again => return self.unheard(id),
             _ if attempt.retries >= MOST_RETRIES && unsent => {
-                return self.end_attempt(id, Outcome::Unreachable, None);
+                return self.end_attempt(id, Outcome::ConnectFailed, None);
             }
-            _ if attempt.retries >= MOST_RETRIES && self.config.settings.allowed.cancel => {
+            _ if attempt.retries >= MOST_RETRIES && self.config.settings.capabilities.cancels_attempts => {
                 return self.stop(id);
             }
             _ if attempt.retries >= MOST_RETRIES => return self.unheard(id),
@@ -263,7 +270,7 @@
                 let unconfirmed = Unconfirmed::new(attempt.engine, attempt.ticket, runs_until_us);
                 self.begin_confirmation(id, unconfirmed);
             }
-            _ => self.inputs.push(Input::Lost(id.0, id.1, runs_until_us)),
+            _ => self.inputs.push(Input::AttemptLost(id.0, id.1, runs_until_us)),
         }
     }
 
@@ -298,7 +305,7 @@
             }
             if self.is_unsent(id, &l.wire) {
                 self.pools.close(&self.poll, &mut self.timers, link);
-                return self.end_attempt(id, Outcome::Void, None);
+                return self.end_attempt(id, Outcome::NeverSent, None);
             }
         }
         let Some(attempt) = self.pools.attempts.get_mut(&id) else { return };
@@ -348,7 +355,7 @@
     attributes.extend(request.token.as_deref().map(|token| Param::text("k", token)));
     let sql = request.statement.clone();
     match &request.run {
-        Run::Execute(params) => mysql::Work::Execute(sql, params.clone(), attributes),
-        Run::Simple | Run::Query => mysql::Work::Query(sql, attributes),
+        ExecutionMode::Execute(params) => mysql::Work::Execute(sql, params.clone(), attributes),
+        ExecutionMode::Simple | ExecutionMode::Query => mysql::Work::Query(sql, attributes),
     }
 }
--- a/gateway/src/net/engines/confirmation.rs
+++ b/gateway/src/net/engines/confirmation.rs
@@ -6,7 +6,7 @@
 use crate::core::Input;
 use crate::engine::http;
 use crate::net::Timer;
-use notchridge::interface::*;
+use workload_manager::interface::*;
 
 /// How long a connection over which an engine is asked may take to come up, in microseconds: longer than one that
 /// comes up late, and short enough that a cut that has healed is seen soon.
@@ -35,7 +35,7 @@
     pub(super) fn begin_confirmation(&mut self, id: AttemptId, attempt: Unconfirmed) {
         self.requests.take_ticket(&attempt.ticket);
         self.pools.unconfirmed.insert(id, attempt);
-        self.inputs.push(Input::Unconfirmed(id.0, id.1));
+        self.inputs.push(Input::AttemptUnconfirmed(id.0, id.1));
         self.ask_for_confirmation(id);
     }
 
@@ -45,12 +45,12 @@
         let engine = attempt.engine;
         let state = self.pools.engines.get(&engine).map(|e| e.state);
         // The list says that its process runs no more.
-        if matches!(state, None | Some(EngineState::Gone)) {
+        if matches!(state, None | Some(EndpointState::Removed)) {
             return self.confirm_dropped(id);
         }
         match self.connect(engine, Job::Confirm(id), EngineProtocol::Http) {
             Ok(at) => self.post_if_up(at),
-            Err(Outcome::Unreachable) => self.confirm_dropped(id),
+            Err(Outcome::ConnectFailed) => self.confirm_dropped(id),
             Err(_) => self.retry_confirmation(id),
         }
     }
@@ -59,7 +59,7 @@
     pub(super) fn write_confirmation(&mut self, at: usize, id: AttemptId) {
         let ticket = self.pools.unconfirmed.get(&id).map(|attempt| attempt.ticket.clone());
         let Some(ticket) = ticket else { return self.release(at) };
-        if !self.config.settings.allowed.cancel {
+        if !self.config.settings.capabilities.cancels_attempts {
             self.release(at);
             return self.confirm_dropped(id);
         }
@@ -84,7 +84,7 @@
         self.requests.free_ticket(&attempt.ticket);
         let now_us = self.time.now_us;
         tracing::debug!(ticket = attempt.ticket, number = id.1, now_us, runs_until_us, "confirmed");
-        self.inputs.push(Input::Confirmed(id.0, id.1, runs_until_us));
+        self.inputs.push(Input::AttemptEndConfirmed(id.0, id.1, runs_until_us));
     }
 
     /// The connection for a confirmation is over without an answer.
--- a/gateway/src/net/engines/connections.rs
+++ b/gateway/src/net/engines/connections.rs
@@ -1,6 +1,6 @@
 //! Connections to engines: found, opened, kept idle, timed and closed, within the descriptor budget.
 
-use notchridge::interface::*;
+use workload_manager::interface::*;
 
 use super::attempts::UNHEARD_US;
 use super::confirmation::CONFIRMATION_CONNECT_US;
@@ -33,9 +33,9 @@
         protocol: EngineProtocol,
         prepared: Option<&[u8]>,
     ) -> Result<usize, Outcome> {
-        let Some(e) = self.pools.engines.get_mut(&engine) else { return Err(Outcome::Void) };
-        if matches!(job, Job::Attempt(_)) && e.state != EngineState::Ready {
-            return Err(Outcome::Void);
+        let Some(e) = self.pools.engines.get_mut(&engine) else { return Err(Outcome::NeverSent) };
+        if matches!(job, Job::Attempt(_)) && e.state != EndpointState::Ready {
+            return Err(Outcome::NeverSent);
         }
         let idle = &mut e.idle[protocol as usize];
         let peers = &self.pools.peers;
@@ -86,17 +86,17 @@
         job: Job,
         protocol: EngineProtocol,
     ) -> Result<usize, Outcome> {
-        let Some(e) = self.pools.engines.get(&engine) else { return Err(Outcome::Void) };
+        let Some(e) = self.pools.engines.get(&engine) else { return Err(Outcome::NeverSent) };
         let Some(address) = (if protocol == EngineProtocol::Http { Some(e.address) } else { e.mysql }) else {
-            return Err(Outcome::Void);
+            return Err(Outcome::NeverSent);
         };
         // What has gone may have left its address to another, which knows nothing of its queries.
-        let taken_over = |o: &Engine| o.state != EngineState::Gone && o.address == e.address;
-        if e.state == EngineState::Gone && self.pools.engines.values().any(taken_over) {
-            return Err(Outcome::Void);
+        let taken_over = |o: &Engine| o.state != EndpointState::Removed && o.address == e.address;
+        if e.state == EndpointState::Removed && self.pools.engines.values().any(taken_over) {
+            return Err(Outcome::NeverSent);
         }
         if self.pools.conns >= self.most_engine_conns() && !self.close_an_idle_link() {
-            return Err(Outcome::Void);
+            return Err(Outcome::NeverSent);
         }
         let wire = match (protocol, &self.config.mysql) {
             (EngineProtocol::MySql, Some(m)) => Wire::MySql(Box::new(mysql::Session::new(m.login.clone()))),
@@ -124,7 +124,7 @@
                 tracing::debug!("connect to {address}: {e}");
                 self.pools.unplace(at);
                 let refused = e.kind() == std::io::ErrorKind::ConnectionRefused;
-                Err(if refused { Outcome::Unreachable } else { Outcome::Void })
+                Err(if refused { Outcome::ConnectFailed } else { Outcome::NeverSent })
             }
         }
     }
@@ -301,7 +301,9 @@
             && conn.input.is_empty()
             && conn.output.is_empty();
         match self.pools.engines.get_mut(&link.engine) {
-            Some(e) if clean && e.state != EngineState::Gone => e.idle[link.protocol() as usize].push(at),
+            Some(e) if clean && e.state != EndpointState::Removed => {
+                e.idle[link.protocol() as usize].push(at)
+            }
             _ => {
                 self.pools.close(&self.poll, &mut self.timers, at);
             }
--- a/gateway/src/net/engines/list.rs
+++ b/gateway/src/net/engines/list.rs
@@ -2,15 +2,15 @@
 
 use std::collections::BTreeSet;
 
-use notchridge::interface::*;
+use workload_manager::interface::*;
 
 use super::{Engine, Server};
-use crate::config::{ListEvent, Listed, Names};
+use crate::config::{Endpoint, EndpointListEvent, Names};
 use crate::core::Input;
 
 impl Server {
     /// Takes in an event of the list.
-    pub(in crate::net) fn listed(&mut self, event: &ListEvent) {
+    pub(in crate::net) fn listed(&mut self, event: &EndpointListEvent) {
         self.counters.list_events += 1;
         // One line however many there are: a list of thousands may be wrong throughout.
         if let Some(first) = event.unread.first() {
@@ -28,7 +28,7 @@
     }
 
     /// Takes in news of engines as they count here: who is out by hand drains.
-    pub(in crate::net) fn take_list(&mut self, event: &ListEvent) {
+    pub(in crate::net) fn take_list(&mut self, event: &EndpointListEvent) {
         let mut entries = Vec::with_capacity(event.entries.len());
         let mut stale = Vec::new();
         if event.full {
@@ -36,7 +36,7 @@
                 event.entries.iter().filter_map(|l| self.pools.ids.get(&l.name).copied()).collect();
             for (id, e) in &mut self.pools.engines {
                 if !named.contains(id) {
-                    e.state = EngineState::Gone;
+                    e.state = EndpointState::Removed;
                     stale.extend(e.all_idle());
                 }
             }
@@ -55,10 +55,10 @@
                 idle: Default::default(),
             });
             // Connections to a process that has gone, moved or started anew lead nowhere.
-            if l.state == EngineState::Gone || l.since_ms != e.since_ms || l.address != e.address {
+            if l.state == EndpointState::Removed || l.since_ms != e.since_ms || l.address != e.address {
                 stale.extend(e.all_idle());
             }
-            if l.state != EngineState::Gone {
+            if l.state != EndpointState::Removed {
                 e.address = l.address;
             }
             (e.state, e.since_ms) = (l.state, l.since_ms);
@@ -69,8 +69,8 @@
         for at in stale {
             self.pools.close(&self.poll, &mut self.timers, at);
         }
-        let mode = if event.full { ListMode::Full } else { ListMode::Delta };
-        self.inputs.push(Input::List(mode, entries));
+        let mode = if event.full { EndpointListMode::Full } else { EndpointListMode::Delta };
+        self.inputs.push(Input::EndpointList(mode, entries));
         self.prune_engines();
     }
 
@@ -78,21 +78,21 @@
     pub(super) fn prune_engines(&mut self) {
         let mut used: BTreeSet<EngineId> = self.pools.peers.iter().flatten().map(|p| p.link.engine).collect();
         used.extend(self.pools.attempts.values().map(|a| a.engine));
-        self.pools.engines.retain(|id, e| e.state != EngineState::Gone || used.contains(id));
+        self.pools.engines.retain(|id, e| e.state != EndpointState::Removed || used.contains(id));
         let engines = &self.pools.engines;
         self.pools.ids.retain(|_, id| engines.contains_key(id));
     }
 
-    pub(super) fn entry(&mut self, engine: EngineId, l: &Listed) -> EngineEntry {
+    pub(super) fn entry(&mut self, engine: EngineId, l: &Endpoint) -> EndpointEntry {
         // Unix milliseconds to the core's clock, which started at a known Unix time.
         let started = i128::from(l.since_ms) * 1000 - self.time.unix_offset_us;
-        EngineEntry {
+        EndpointEntry {
             engine,
             zone: ZoneId(Names::number(&mut self.names.zones, &l.zone)),
-            kind: KindId(Names::number(&mut self.names.kinds, &l.kind)),
+            machine_type: MachineTypeId(Names::number(&mut self.names.kinds, &l.kind)),
             cell: l.cell,
             state: l.state,
-            started: (l.since_ms > 0).then_some(started as f64 / 1e6),
+            started_at: (l.since_ms > 0).then_some(started as f64 / 1e6),
         }
     }
 }
--- a/gateway/src/net/engines/tests.rs
+++ b/gateway/src/net/engines/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::config::{self, ListEvent, Listed, Node};
+use crate::config::{self, Endpoint, EndpointListEvent, Node};
 
 #[test]
 fn engines_that_have_gone_are_forgotten_and_their_numbers_not_given_out_again() {
@@ -9,14 +9,14 @@
     let event = |n: u64, state| {
         let (name, address) = (format!("e{n}"), ([127, 0, 0, 1], 9).into());
         let (zone, kind) = ("z".to_owned(), "k".to_owned());
-        let entries = vec![Listed { name, address, zone, kind, cell: 0, state, since_ms: 0 }];
-        ListEvent { index: 2 * n, full: false, entries, unread: Vec::new() }
+        let entries = vec![Endpoint { name, address, zone, kind, cell: 0, state, since_ms: 0 }];
+        EndpointListEvent { index: 2 * n, full: false, entries, unread: Vec::new() }
     };
     for n in 0..100 {
-        server.listed(&event(n, EngineState::Ready));
+        server.listed(&event(n, EndpointState::Ready));
         assert_eq!(server.pools.ids[&format!("e{n}")], EngineId(n as u32));
         if n > 0 {
-            server.listed(&event(n - 1, EngineState::Gone));
+            server.listed(&event(n - 1, EndpointState::Removed));
         }
     }
     assert_eq!((server.pools.engines.len(), server.pools.ids.len()), (1, 1));
--- a/gateway/src/net/handover.rs
+++ b/gateway/src/net/handover.rs
@@ -16,11 +16,11 @@
 
 use super::poll::{Interest, Poll, Told};
 use super::{HANDOVER, HANDOVER_LISTENER, Server};
-use crate::config::{Config, ListEvent};
-use crate::core::{Input, NeighbourNews};
+use crate::config::{Config, EndpointListEvent};
+use crate::core::{Input, PeerProcessEvent};
 use crate::engine::http::ABANDONED_US;
 use crate::handover::{self, Message};
-use crate::key_leases::Neighbour;
+use crate::key_leases::PeerProcessId;
 
 /// The older process tells all it knows within this, or the newer one starts without.
 const PATIENCE: Duration = Duration::from_secs(1);
@@ -256,7 +256,7 @@
             "taken over from the older process"
         );
         if !entries.is_empty() {
-            self.listed(&ListEvent { index: 0, full: true, entries, unread: Vec::new() });
+            self.listed(&EndpointListEvent { index: 0, full: true, entries, unread: Vec::new() });
         }
     }
 
@@ -270,8 +270,8 @@
                     (peer.cancels, peer.leases) = (older.cancels, older.leases);
                     Message::Taking { leases: older.leases }.write(&mut peer.output);
                     if older.leases {
-                        let neighbour = Neighbour(peer.serial);
-                        self.inputs.push(Input::Neighbour(neighbour, NeighbourNews::Followed));
+                        let neighbour = PeerProcessId(peer.serial);
+                        self.inputs.push(Input::PeerProcess(neighbour, PeerProcessEvent::Succeeded));
                     }
                     self.peer_ready(HANDOVER | u64::from(self.family.serials));
                 }
@@ -354,11 +354,11 @@
             }
             (Role::Elder | Role::Taker, Message::Claim(key)) => {
                 tracing::debug!(key = key.0, "another process asks for the lease of a key");
-                self.hear(at, NeighbourNews::Claims(key));
+                self.hear(at, PeerProcessEvent::ClaimsLease(key));
                 true
             }
             (Role::Elder | Role::Taker, Message::Grant(key)) => {
-                self.hear(at, NeighbourNews::Grants(key));
+                self.hear(at, PeerProcessEvent::GrantsLease(key));
                 true
             }
             (Role::Elder | Role::Taker, Message::Settled(ms)) => {
@@ -410,13 +410,13 @@
         }
     }
 
-    fn hear(&mut self, at: usize, news: NeighbourNews) {
-        let neighbour = Neighbour(self.family.peers[at].serial);
-        self.inputs.push(Input::Neighbour(neighbour, news));
+    fn hear(&mut self, at: usize, news: PeerProcessEvent) {
+        let neighbour = PeerProcessId(self.family.peers[at].serial);
+        self.inputs.push(Input::PeerProcess(neighbour, news));
     }
 
     /// Tells another process, if it still lives.
-    pub(super) fn tell_neighbour(&mut self, neighbour: Neighbour, message: &Message) {
+    pub(super) fn tell_neighbour(&mut self, neighbour: PeerProcessId, message: &Message) {
         let Some(at) = self.family.peers.iter().position(|p| p.serial == neighbour.0) else { return };
         message.write(&mut self.family.peers[at].output);
         if self.family.flush(&self.poll, at).is_err() {
@@ -430,7 +430,7 @@
         let rest_us = self.core.keys_rest_until_us(now_us, ABANDONED_US).saturating_sub(now_us);
         let sharing: Vec<u32> = self.family.peers.iter().filter(|p| p.leases).map(|p| p.serial).collect();
         for serial in sharing {
-            self.tell_neighbour(Neighbour(serial), &Message::Settled(rest_us.div_ceil(1000)));
+            self.tell_neighbour(PeerProcessId(serial), &Message::Settled(rest_us.div_ceil(1000)));
         }
     }
 
@@ -440,7 +440,8 @@
         if peer.leases {
             let silent_us = self.core.rests_after(self.time.now_us + ABANDONED_US);
             let over_us = peer.settled_us.unwrap_or(silent_us);
-            self.inputs.push(Input::Neighbour(Neighbour(peer.serial), NeighbourNews::Ended(over_us)));
+            self.inputs
+                .push(Input::PeerProcess(PeerProcessId(peer.serial), PeerProcessEvent::Ended(over_us)));
         }
         // Whoever had taken this one's place, and the path to it, has ended first: all is as it was.
         if peer.role == Role::Taker && !self.shutdown.has_begun() && !self.family.is_followed() {
--- a/gateway/src/net/listeners.rs
+++ b/gateway/src/net/listeners.rs
@@ -5,7 +5,7 @@
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 
 use socket2::{Domain, Protocol, Socket, Type};
-use wrenhatch_sessions::governor::Work;
+use wrenhatch_sessions::read_scheduler::Work;
 
 use super::poll::{Interest, Poll, Told};
 use super::{MYSQL_LISTENER, PG_LISTENER, ServeError, Server, Timer};
--- a/gateway/src/net/mod.rs
+++ b/gateway/src/net/mod.rs
@@ -28,18 +28,18 @@
 use std::os::unix::net::UnixStream;
 use std::time::{Duration, Instant, SystemTime};
 
-use notchridge::interface::*;
-use wrenhatch_sessions::governor::Work;
-use wrenhatch_sessions::table::Handle;
-use wrenhatch_sessions::wheel::Wheel;
+use workload_manager::interface::*;
+use wrenhatch_sessions::read_scheduler::Work;
+use wrenhatch_sessions::session_table::Handle;
+use wrenhatch_sessions::timer_wheel::TimerWheel;
 
 use crate::config::{Config, Names};
 use crate::core::{Command, Core, Input};
 use crate::counters::Counters;
 use crate::engine_registry::EngineRegistry;
 use crate::handover::Message;
-use crate::lateness::Lateness;
 use crate::metrics::Metrics;
+use crate::timer_lag::TimerLag;
 use conn::Conn;
 use listeners::{Front, Listeners};
 use poll::{Interest, Poll, Told};
@@ -129,8 +129,8 @@
     counters: Counters,
     poll: Poll,
     time: Time,
-    timers: Wheel<Timer>,
-    lateness: Lateness,
+    timers: TimerWheel<Timer>,
+    lateness: TimerLag,
     listeners: Listeners,
     sessions: Sessions,
     requests: Requests,
@@ -167,8 +167,8 @@
                 now_us: 0,
                 unix_offset_us: i128::try_from(unix.as_micros()).unwrap_or(0),
             },
-            timers: Wheel::new(),
-            lateness: Lateness::default(),
+            timers: TimerWheel::new(),
+            lateness: TimerLag::default(),
             listeners,
             sessions: Sessions::new(
                 &config,
@@ -353,14 +353,14 @@
 
     fn carry_out(&mut self, command: Command) {
         match command {
-            Command::Start { request, attempt, engine, limits, terms } => {
+            Command::StartAttempt { request, attempt, engine, limits, terms } => {
                 self.start((request, attempt), engine, terms, limits);
             }
-            Command::Rank { request, attempt, priority } => self.rank((request, attempt), priority),
-            Command::Stop(request, attempt) => self.stop((request, attempt)),
-            Command::Serve(..) | Command::Refuse(..) | Command::Fail(_) => self.answer(command),
-            Command::Claim(neighbour, key) => self.tell_neighbour(neighbour, &Message::Claim(key)),
-            Command::Grant(neighbour, key) => self.tell_neighbour(neighbour, &Message::Grant(key)),
+            Command::SetPriority { request, attempt, priority } => self.rank((request, attempt), priority),
+            Command::CancelAttempt(request, attempt) => self.stop((request, attempt)),
+            Command::Serve(..) | Command::Reject(..) | Command::Fail(_) => self.answer(command),
+            Command::ClaimLease(neighbour, key) => self.tell_neighbour(neighbour, &Message::Claim(key)),
+            Command::GrantLease(neighbour, key) => self.tell_neighbour(neighbour, &Message::Grant(key)),
         }
     }
 }
--- a/gateway/src/net/ops.rs
+++ b/gateway/src/net/ops.rs
@@ -4,7 +4,7 @@
 use std::net::{SocketAddr, TcpListener};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-use wrenhatch_sessions::wheel::TimerId;
+use wrenhatch_sessions::timer_wheel::TimerId;
 
 use super::conn::{Conn, Phase, ReadEnd};
 use super::poll::{Interest, Poll, Told};
--- a/gateway/src/net/pools.rs
+++ b/gateway/src/net/pools.rs
@@ -2,8 +2,8 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use notchridge::interface::EngineId;
-use wrenhatch_sessions::wheel::{TimerId, Wheel};
+use workload_manager::interface::EngineId;
+use wrenhatch_sessions::timer_wheel::{TimerId, TimerWheel};
 
 use super::conn::Conn;
 use super::engines::{Attempt, AttemptId, Engine, Link, Unconfirmed};
@@ -81,7 +81,7 @@
     }
 
     /// The one place where a connection to an engine is closed.
-    pub fn close(&mut self, poll: &Poll, timers: &mut Wheel<Timer>, at: usize) -> Option<Link> {
+    pub fn close(&mut self, poll: &Poll, timers: &mut TimerWheel<Timer>, at: usize) -> Option<Link> {
         let peer = self.peers.get_mut(at)?.take()?;
         if let Some((_, timer)) = peer.timer {
             timers.cancel(timer);
--- a/gateway/src/net/reconfigure.rs
+++ b/gateway/src/net/reconfigure.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use notchridge::interface::{Class, ClassId, SettingsError};
+use workload_manager::interface::{Class, ClassId, SettingsError};
 
 use super::{Server, sessions};
 use crate::config::{self, ConfigError, SiteSettings};
@@ -31,7 +31,7 @@
     pub(super) fn reconfigure(&mut self, text: &str) -> Result<(), ReconfigureError> {
         let fresh = config::site_settings_text(text)?;
         let plan = self.plan_change(&fresh)?;
-        let in_force: Vec<Class> = plan.change.in_force().into_iter().cloned().collect();
+        let in_force: Vec<Class> = plan.change.active_classes().into_iter().cloned().collect();
         self.core.reconfigure(plan.change.clone())?;
         // From here on nothing fails.
         self.names = plan.names;
--- a/gateway/src/net/requests.rs
+++ b/gateway/src/net/requests.rs
@@ -2,10 +2,10 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use notchridge::interface::{ClassId, RequestId};
-use wrenhatch_sessions::table::Handle;
+use workload_manager::interface::{ClassId, RequestId};
+use wrenhatch_sessions::session_table::Handle;
 
-use crate::front::Run;
+use crate::front::ExecutionMode;
 
 /// A request that is owed an answer.
 pub struct Request {
@@ -15,15 +15,17 @@
     pub statement: Vec<u8>,
     /// The client's token, by which engines know a repeat of the same work.
     pub token: Option<String>,
-    pub run: Run,
+    pub run: ExecutionMode,
 }
 
 impl Request {
     /// Bytes that it takes, for the ledger.
     pub fn bytes(&self) -> usize {
         let params = match &self.run {
-            Run::Execute(params) => params.iter().map(|p| 64 + p.value.as_ref().map_or(0, Vec::len)).sum(),
-            Run::Simple | Run::Query => 0,
+            ExecutionMode::Execute(params) => {
+                params.iter().map(|p| 64 + p.value.as_ref().map_or(0, Vec::len)).sum()
+            }
+            ExecutionMode::Simple | ExecutionMode::Query => 0,
         };
         // Its copy for an attempt stands beside it until that is written.
         let token = self.token.as_ref().map_or(0, String::len);
--- a/gateway/src/net/sessions.rs
+++ b/gateway/src/net/sessions.rs
@@ -5,17 +5,17 @@
 use std::net::{IpAddr, SocketAddr, TcpStream};
 use std::rc::Rc;
 
-use notchridge::interface::RequestId;
-use wrenhatch_sessions::governor::{Governor, Limits, Standing, Work};
-use wrenhatch_sessions::ledger::{Kind, Ledger};
-use wrenhatch_sessions::table::{Handle, Table, Use};
-use wrenhatch_sessions::wheel::TimerId;
+use workload_manager::interface::RequestId;
+use wrenhatch_sessions::memory_budget::{Kind, MemoryBudget};
+use wrenhatch_sessions::read_scheduler::{Limits, ReadScheduler, Standing, Work};
+use wrenhatch_sessions::session_table::{Handle, Table, Use};
+use wrenhatch_sessions::timer_wheel::TimerId;
 
 use super::conn::{Conn, MOST_UNSENT, Phase};
 use super::listeners::Front;
 use super::{SESSION, own_descriptors};
 use crate::config::Config;
-use crate::front::{Answer, Want, mysql, pg};
+use crate::front::{ClientCommand, FinalAnswer, mysql, pg};
 use crate::mysql::{MAX_PACKET, SqlError, put_packet};
 
 /// How long a client may take to start its session, and to end a message that it began: it is owed a word
@@ -39,7 +39,7 @@
 }
 
 impl Session {
-    pub fn read(&mut self, input: &mut Vec<u8>, out: &mut Vec<u8>) -> Option<Want> {
+    pub fn read(&mut self, input: &mut Vec<u8>, out: &mut Vec<u8>) -> Option<ClientCommand> {
         match self {
             Session::Pg(s) => s.read(input, out),
             Session::MySql(s) => s.read(input, out),
@@ -95,7 +95,7 @@
         }
     }
 
-    pub fn answer(&mut self, answer: Answer<'_>, out: &mut Vec<u8>) {
+    pub fn answer(&mut self, answer: FinalAnswer<'_>, out: &mut Vec<u8>) {
         match self {
             Session::Pg(s) => s.answer(answer, out),
             Session::MySql(s) => s.answer(answer, out),
@@ -239,8 +239,8 @@
 /// The sessions of all clients.
 pub struct Sessions {
     pub table: Table<Parked, Live>,
-    pub governor: Governor,
-    pub ledger: Ledger,
+    pub governor: ReadScheduler,
+    pub ledger: MemoryBudget,
     /// Sessions that something has happened to in this turn.
     pub dirty: Vec<Handle>,
     /// Sessions that are held at most.
@@ -280,7 +280,7 @@
 
 /// The governor's limits. `deadlines` are those of the classes that new requests may have, in seconds.
 pub fn governor_limits(config: &Config, deadlines: impl Iterator<Item = f64>) -> Limits {
-    let most_wait_ms = (config.settings.allowed.max_retry_after * 1e3) as u64;
+    let most_wait_ms = (config.settings.capabilities.max_retry_after * 1e3) as u64;
     let patience = deadlines.fold(f64::INFINITY, f64::min);
     Limits {
         turn_us: config.clients.turn_us,
@@ -302,8 +302,8 @@
         let deadlines = config.settings.classes.iter().map(|c| c.deadline);
         Self {
             table: Table::new(),
-            governor: Governor::new(governor_limits(config, deadlines)),
-            ledger: Ledger::new(config.memory),
+            governor: ReadScheduler::new(governor_limits(config, deadlines)),
+            ledger: MemoryBudget::new(config.memory),
             dirty: Vec::new(),
             most,
             longest_message,
@@ -474,7 +474,7 @@
             (Some(live), _) => (Standing::Begun, live.group),
             (None, Some(parked)) => {
                 let since_us = self.table.used(who).map_or(0, |(_, since_us)| since_us);
-                let active = now_us < since_us + wrenhatch_sessions::governor::ACTIVE_US;
+                let active = now_us < since_us + wrenhatch_sessions::read_scheduler::ACTIVE_US;
                 (if active { Standing::Active } else { Standing::Woken }, parked.group)
             }
             (None, None) => return,
@@ -510,7 +510,7 @@
         }
         let l = &self.ledger;
         write!(f, "held={} most_held={} bound={} ", l.total(), l.most(), l.bound())?;
-        for kind in wrenhatch_sessions::ledger::KINDS {
+        for kind in wrenhatch_sessions::memory_budget::KINDS {
             write!(f, "held_{}={} ", format!("{kind:?}").to_lowercase(), l.held(kind))?;
         }
         let g = &self.governor;
--- a/gateway/src/net/shutdown.rs
+++ b/gateway/src/net/shutdown.rs
@@ -1,7 +1,7 @@
 //! The end of the process: what is still taken after SIGTERM, until when all of it is answered, and how clients'
 //! connections are closed so that nothing is taken and dropped.
 
-use notchridge::interface::Settings;
+use workload_manager::interface::Settings;
 
 use super::conn::Phase;
 use super::listeners::Front;
@@ -91,7 +91,7 @@
         }
         let over = past_us >= self.shutdown.answered_us;
         if over && !std::mem::replace(&mut self.shutdown.given_up, true) {
-            self.inputs.push(Input::Closing);
+            self.inputs.push(Input::ShuttingDown);
         }
         let owed = !self.requests.open.is_empty() || !self.inputs.is_empty() || self.ops.is_answering();
         if owed || (self.sessions.is_writing() && !over && self.shutdown.parting_since_us.is_none()) {
--- a/gateway/src/net/watch.rs
+++ b/gateway/src/net/watch.rs
@@ -2,12 +2,12 @@
 
 use std::net::SocketAddr;
 
-use wrenhatch_sessions::wheel::TimerId;
+use wrenhatch_sessions::timer_wheel::TimerId;
 
 use super::conn::{Conn, Phase, ReadEnd};
 use super::poll::Interest;
 use super::{Server, Timer, WATCH};
-use crate::config::ListEvent;
+use crate::config::EndpointListEvent;
 use crate::coordinator::{self, Rhythm};
 
 /// Between two tries to open the stream, give or take a quarter: all gateways lose theirs in the same moment.
@@ -39,7 +39,7 @@
     after_gap: u64,
     /// What has come since they were asked for, up to that event: told bit by bit, an older word on an engine would
     /// count for a moment though a newer one is known.
-    ahead: Vec<ListEvent>,
+    ahead: Vec<EndpointListEvent>,
 }
 
 impl Watch {
@@ -74,7 +74,7 @@
 
     /// Takes an event in its turn; what is to be listed now, in order. `Err`: events before it are missing. What was
     /// kept ahead of them stays, and is listed when the stream is closed.
-    fn take(&mut self, event: ListEvent) -> Result<Vec<ListEvent>, ()> {
+    fn take(&mut self, event: EndpointListEvent) -> Result<Vec<EndpointListEvent>, ()> {
         if event.index <= self.last {
             // It comes twice, as events may round a broken stream.
             return Ok(Vec::new());
@@ -153,7 +153,7 @@
     }
 
     /// Takes in an event that the configuration holds, unless it is old.
-    pub(super) fn list_event(&mut self, event: &ListEvent) {
+    pub(super) fn list_event(&mut self, event: &EndpointListEvent) {
         if event.index > self.watch.last {
             self.list_ahead();
             self.watch.last = event.index;
--- a/gateway/src/settings_change.rs
+++ b/gateway/src/settings_change.rs
@@ -7,7 +7,7 @@
 
 use std::collections::BTreeSet;
 
-use notchridge::interface::*;
+use workload_manager::interface::*;
 
 use crate::config::Names;
 
@@ -68,7 +68,7 @@
     /// Names by number.
     pub names: Names,
     /// Settings by these numbers, for the core.
-    pub change: Change,
+    pub change: SettingsChange,
 }
 
 /// Gives what `fresh` names the numbers it has in service.
@@ -100,11 +100,11 @@
     let settings = Settings {
         zone: old.settings.zone,
         classes: slots.classes,
-        kinds: kinds(&names, old.settings, fresh),
+        machine_types: kinds(&names, old.settings, fresh),
         tenants,
         ..fresh.settings.clone()
     };
-    let change = Change { settings, origins: slots.origins };
+    let change = SettingsChange { settings, origins: slots.origins };
     change.check(old.settings.classes.len())?;
     Ok(Plan { names, change })
 }
@@ -140,7 +140,7 @@
     if old_zone != new_zone {
         return Err(Refusal::OwnZone { old: old_zone, new: new_zone });
     }
-    let reports = |of: Named<'_>| (of.settings.allowed.reports, of.names.report_extras.clone());
+    let reports = |of: Named<'_>| (of.settings.capabilities.load_reports, of.names.report_extras.clone());
     if reports(old) != reports(fresh) {
         return Err(Refusal::Reports);
     }
@@ -165,24 +165,24 @@
 
 /// The class with the numbers that its kinds and zones have in service.
 fn renumbered(class: &Class, fresh: &Names, names: &mut Names) -> Class {
-    let kind = |kind: &KindId| KindId(Names::number(&mut names.kinds, &fresh.kinds[kind.0]));
-    let only_kinds = class.only_kinds.as_ref().map(|kinds| kinds.iter().map(kind).collect());
+    let kind = |kind: &MachineTypeId| MachineTypeId(Names::number(&mut names.kinds, &fresh.kinds[kind.0]));
+    let only_kinds = class.allowed_machine_types.as_ref().map(|kinds| kinds.iter().map(kind).collect());
     let zone = |zone: &ZoneId| ZoneId(Names::number(&mut names.zones, &fresh.zones[zone.0]));
-    let only_zones = class.only_zones.as_ref().map(|zones| zones.iter().map(zone).collect());
-    Class { only_kinds, only_zones, ..class.clone() }
+    let only_zones = class.allowed_zones.as_ref().map(|zones| zones.iter().map(zone).collect());
+    Class { allowed_machine_types: only_kinds, allowed_zones: only_zones, ..class.clone() }
 }
 
 /// The figures of all kinds. One that is described no longer keeps its figures, as engines of it may serve; one that
 /// was never described has those of a machine of an unknown kind.
-fn kinds(names: &Names, old: &Settings, fresh: Named<'_>) -> Vec<Kind> {
+fn kinds(names: &Names, old: &Settings, fresh: Named<'_>) -> Vec<MachineType> {
     let figures = |(at, name): (usize, &String)| {
         let described = fresh.names.kinds.iter().position(|n| n == name);
-        let now = described.and_then(|at| fresh.settings.kinds.get(at));
-        now.or_else(|| old.kinds.get(at)).cloned()
+        let now = described.and_then(|at| fresh.settings.machine_types.get(at));
+        now.or_else(|| old.machine_types.get(at)).cloned()
     };
-    let figures: Vec<Option<Kind>> = names.kinds.iter().enumerate().map(figures).collect();
+    let figures: Vec<Option<MachineType>> = names.kinds.iter().enumerate().map(figures).collect();
     let described = figures.iter().rposition(Option::is_some).map_or(0, |last| last + 1);
-    let unknown = fresh.settings.machine(KindId(usize::MAX));
+    let unknown = fresh.settings.machine_type(MachineTypeId(usize::MAX));
     figures.into_iter().take(described).map(|kind| kind.unwrap_or_else(|| unknown.clone())).collect()
 }
 
@@ -243,7 +243,7 @@
         for ((name, class), before) in names.iter().zip(classes).zip(before) {
             match before.filter(|at| self.classes[*at] == class) {
                 Some(at) => {
-                    self.origins[at] = ClassOrigin::Kept;
+                    self.origins[at] = ClassOrigin::Unchanged;
                     self.unused.remove(&at);
                     given.insert(at);
                 }
@@ -251,7 +251,7 @@
             }
         }
         for (name, class, before) in changed {
-            let origin = before.map_or(ClassOrigin::New, |at| ClassOrigin::Follows(ClassId(at)));
+            let origin = before.map_or(ClassOrigin::New, |at| ClassOrigin::DerivedFrom(ClassId(at)));
             given.insert(self.put(name, class, origin));
         }
         self.retired = (0..self.classes.len()).filter(|at| !given.contains(at)).collect();
--- a/gateway/src/lateness.rs
+++ b/gateway/src/timer_lag.rs
@@ -9,17 +9,17 @@
 
 /// How late timers have fired since the start.
 #[derive(Clone, Debug)]
-pub struct Lateness {
+pub struct TimerLag {
     histogram: Option<Histogram<u32>>,
 }
 
-impl Default for Lateness {
+impl Default for TimerLag {
     fn default() -> Self {
         Self { histogram: Histogram::new_with_bounds(1, LATEST_US, 2).ok() }
     }
 }
 
-impl Lateness {
+impl TimerLag {
     /// Notes a timer that was due at `due_us` and fires now.
     pub fn note(&mut self, due_us: u64, now_us: u64) {
         if let Some(histogram) = &mut self.histogram {
@@ -38,7 +38,7 @@
     }
 }
 
-impl fmt::Display for Lateness {
+impl fmt::Display for TimerLag {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Some(h) = &self.histogram else { return Ok(()) };
         let (p50, p99) = (h.value_at_quantile(0.5), h.value_at_quantile(0.99));
--- a/lab/src/capacity/error.rs
+++ b/lab/src/capacity/error.rs
@@ -44,7 +44,7 @@
     Config(#[from] wrenhatch::config::ConfigError),
     /// The settings make no sense.
     #[error("settings: {0}")]
-    Settings(#[from] notchridge::interface::SettingsError),
+    Settings(#[from] workload_manager::interface::SettingsError),
     /// The gateway or a stand-in did not do what was waited for.
     #[error("{0}")]
     Peer(String),
--- a/lab/src/capacity/page.rs
+++ b/lab/src/capacity/page.rs
@@ -3,7 +3,7 @@
 use std::fmt::Write;
 
 use super::hollow::{Hollow, HollowFigure};
-use super::reckon::{Carrier, Ledger, Need, Ratio, Role, number};
+use super::reckon::{CapacityEstimate, Carrier, Need, Ratio, Role, number};
 use super::slopes::{Experiment, Measured, Quantity, Slopes};
 use super::target::Target;
 
@@ -24,7 +24,7 @@
 
 /// Makes the page.
 pub fn page(target: &Target, slopes: &Slopes, hollow: &Hollow) -> String {
-    let ledger = Ledger::new(target, slopes);
+    let ledger = CapacityEstimate::new(target, slopes);
     let mut page = String::new();
     // Writing to a string never fails.
     let _ = write_page(&mut page, target, slopes, hollow, &ledger);
@@ -36,7 +36,7 @@
     target: &Target,
     slopes: &Slopes,
     hollow: &Hollow,
-    ledger: &Ledger<'_>,
+    ledger: &CapacityEstimate<'_>,
 ) -> std::fmt::Result {
     intro(page, target, slopes)?;
     for role in Role::ALL {
@@ -127,7 +127,12 @@
 }
 
 /// What was guessed to be missing first, with the figures that speak for it or against.
-fn guesses(page: &mut String, t: &Target, slopes: &Slopes, ledger: &Ledger<'_>) -> std::fmt::Result {
+fn guesses(
+    page: &mut String,
+    t: &Target,
+    slopes: &Slopes,
+    ledger: &CapacityEstimate<'_>,
+) -> std::fmt::Result {
     writeln!(page, "\n## What was guessed to be missing first\n")?;
     writeln!(page, "| guess | figure | against its limit |")?;
     writeln!(page, "| --- | --- | --- |")?;
@@ -236,7 +241,7 @@
     if value == 0.0 || value.abs() >= 0.01 { number(value) } else { format!("{value:.1e}") }
 }
 
-fn missing(page: &mut String, ledger: &Ledger<'_>) -> std::fmt::Result {
+fn missing(page: &mut String, ledger: &CapacityEstimate<'_>) -> std::fmt::Result {
     writeln!(page, "\n## What is missing, by ratio\n")?;
     writeln!(
         page,
@@ -266,7 +271,7 @@
     Ok(())
 }
 
-fn not_measured(page: &mut String, slopes: &Slopes, ledger: &Ledger<'_>) -> std::fmt::Result {
+fn not_measured(page: &mut String, slopes: &Slopes, ledger: &CapacityEstimate<'_>) -> std::fmt::Result {
     writeln!(page, "\n## What was not measured\n")?;
     for what in NOT_MEASURED {
         writeln!(page, "- {what}")?;
--- a/lab/src/capacity/reckon/control.rs
+++ b/lab/src/capacity/reckon/control.rs
@@ -3,7 +3,7 @@
 
 use super::super::slopes::{Experiment as E, Quantity as Q};
 use super::super::stand_ins::COMMENT;
-use super::{Case, DAY_S, Entry, Ledger, Resource, Role, Source, entry, list_events_per_day};
+use super::{CapacityEstimate, Case, DAY_S, Entry, Resource, Role, Source, entry, list_events_per_day};
 
 /// Control machines that are left when one of so many parts of them is gone; one at least.
 pub fn left(machines: f64, parts: f64) -> f64 {
@@ -14,7 +14,7 @@
 const COORDINATOR: &str = "the operators' coordinator, not in this repository";
 
 /// Adds all needs of a control machine.
-pub fn reckon(ledger: &mut Ledger<'_>) {
+pub fn reckon(ledger: &mut CapacityEstimate<'_>) {
     let t = ledger.target;
     let cases = [
         (Case::Ordinary, t.control_machines, String::new()),
--- a/lab/src/capacity/reckon/database.rs
+++ b/lab/src/capacity/reckon/database.rs
@@ -1,13 +1,13 @@
 //! What the target needs of a database, as far as gateways cause it.
 
 use super::super::slopes::{Experiment as E, Quantity as Q};
-use super::{Case, DAY_S, Ledger, Resource, Role, Source, entry};
+use super::{CapacityEstimate, Case, DAY_S, Resource, Role, Source, entry};
 
 /// Databases close a connection that was idle for so long, in seconds (`keepalive-s`).
 const KEPT_S: f64 = 15.0;
 
 /// Adds all needs of a database.
-pub fn reckon(ledger: &mut Ledger<'_>) {
+pub fn reckon(ledger: &mut CapacityEstimate<'_>) {
     let t = ledger.target;
     let calls = entry(Resource::Messages, Case::Ordinary, "statements", "a second");
     let each = t.statements_per_s / t.databases;
@@ -20,7 +20,7 @@
 }
 
 /// Connections and handshakes, from how many a gateway holds to a database.
-fn connections(ledger: &mut Ledger<'_>, each: &Source) {
+fn connections(ledger: &mut CapacityEstimate<'_>, each: &Source) {
     let t = ledger.target;
     let by = "gateway/src/net/pools.rs";
     let held = entry(Resource::State, Case::Ordinary, "connections of all gateways", "");
