--- a/lab/src/capacity/reckon/gateway.rs
+++ b/lab/src/capacity/reckon/gateway.rs
@@ -2,7 +2,8 @@
 
 use super::super::slopes::{Experiment as E, Quantity as Q};
 use super::{
-    Amount, Case, DAY_S, Entry, Ledger, MEGABYTE, Resource, Role, Source, entry, list_events_per_day, number,
+    Amount, CapacityEstimate, Case, DAY_S, Entry, MEGABYTE, Resource, Role, Source, entry,
+    list_events_per_day, number,
 };
 
 /// Microseconds of a second.
@@ -23,7 +24,7 @@
 const COMMENT_BYTES: f64 = super::super::stand_ins::COMMENT.len() as f64;
 
 /// Adds all needs of a gateway.
-pub fn reckon(ledger: &mut Ledger<'_>) {
+pub fn reckon(ledger: &mut CapacityEstimate<'_>) {
     statements(ledger);
     list(ledger);
     configuration(ledger);
@@ -38,7 +39,7 @@
 }
 
 /// Processor time of statements: the whole, and its parts.
-fn statements(ledger: &mut Ledger<'_>) {
+fn statements(ledger: &mut CapacityEstimate<'_>) {
     let t = ledger.target;
     let (rate, cores) = (t.statements_per_gateway() / SECOND_US, t.gateway_cores);
     let Some(whole) = ledger.at(E::StatementEngines, Q::Cpu, t.databases) else { return };
@@ -99,7 +100,7 @@
 }
 
 /// The list of engines: processor time and bytes, against what control may take.
-fn list(ledger: &mut Ledger<'_>) {
+fn list(ledger: &mut CapacityEstimate<'_>) {
     let t = ledger.target;
     let by = "gateway/src/net/watch.rs, gateway/src/coordinator.rs, src/policy.rs";
     let per_day = list_events_per_day(t);
@@ -147,7 +148,7 @@
 }
 
 /// Configuration in service, and what a restart for each change took before.
-fn configuration(ledger: &mut Ledger<'_>) {
+fn configuration(ledger: &mut CapacityEstimate<'_>) {
     let t = ledger.target;
     let (per_day, clients) = (t.configuration_per_day, t.connections_per_gateway());
     versions(ledger);
@@ -176,7 +177,7 @@
 }
 
 /// Versions of the settings taken over in service: what they take, and how long one takes.
-fn versions(ledger: &mut Ledger<'_>) {
+fn versions(ledger: &mut CapacityEstimate<'_>) {
     let t = ledger.target;
     let (per_day, per_s) = (t.configuration_per_day, t.configuration_per_day / DAY_S);
     let by =
@@ -202,7 +203,7 @@
 }
 
 /// The file of configuration read again for each change: what that takes, and what its bytes would.
-fn files(ledger: &mut Ledger<'_>) {
+fn files(ledger: &mut CapacityEstimate<'_>) {
     let t = ledger.target;
     let per_s = t.configuration_per_day / DAY_S;
     let names = [E::ReloadClasses, E::ReloadTenants];
@@ -227,7 +228,7 @@
 
 /// A quantity of the configuration at all engines, with what classes and tenants add by experiments of their own.
 fn with_names(
-    ledger: &mut Ledger<'_>,
+    ledger: &mut CapacityEstimate<'_>,
     experiment: E,
     [by_classes, by_tenants]: [E; 2],
     quantity: Q,
@@ -242,7 +243,7 @@
 }
 
 /// A change of primary: nothing knows one.
-fn primary(ledger: &mut Ledger<'_>) {
+fn primary(ledger: &mut CapacityEstimate<'_>) {
     let t = ledger.target;
     let what =
         format!("{} changes of primary a day, each over within {} s", t.primary_per_day, t.primary_within_s);
@@ -252,7 +253,7 @@
 }
 
 /// Connections and descriptors.
-fn connections(ledger: &mut Ledger<'_>) {
+fn connections(ledger: &mut CapacityEstimate<'_>) {
     let t = ledger.target;
     let clients = t.connections_per_gateway();
     let held = |what: &str| entry(Resource::State, Case::Ordinary, what, "");
@@ -288,7 +289,7 @@
 }
 
 /// Calls over each connection, which rests behind every answer.
-fn calls(ledger: &mut Ledger<'_>, connections: &Source) {
+fn calls(ledger: &mut CapacityEstimate<'_>, connections: &Source) {
     let t = ledger.target;
     let what = "calls over each connection, which rests for 25 ms behind an answer";
     let each = entry(Resource::Messages, Case::Ordinary, what, "a second").limit(1.0 / REST_S);
@@ -300,7 +301,7 @@
 }
 
 /// Memory, for control and in all.
-fn memory(ledger: &mut Ledger<'_>) {
+fn memory(ledger: &mut CapacityEstimate<'_>) {
     let t = ledger.target;
     let mb = |case, what: &str, limit: f64, by: &'static str| {
         entry(Resource::Memory, case, what, "MB").limit(limit).by(by)
@@ -328,7 +329,7 @@
 }
 
 /// The log and the figures.
-fn volume(ledger: &mut Ledger<'_>) {
+fn volume(ledger: &mut CapacityEstimate<'_>) {
     let t = ledger.target;
     let rate = t.statements_per_gateway();
     let log =
--- a/lab/src/capacity/reckon/mod.rs
+++ b/lab/src/capacity/reckon/mod.rs
@@ -231,7 +231,7 @@
 }
 
 /// All needs, and the slopes that were asked for and are not there.
-pub struct Ledger<'a> {
+pub struct CapacityEstimate<'a> {
     target: &'a Target,
     slopes: &'a Slopes,
     /// What is needed.
@@ -269,7 +269,7 @@
     }
 }
 
-impl<'a> Ledger<'a> {
+impl<'a> CapacityEstimate<'a> {
     /// Reckons all needs of a target.
     pub fn new(target: &'a Target, slopes: &'a Slopes) -> Self {
         let mut ledger = Self { target, slopes, needs: Vec::new(), unmeasured: Vec::new() };
--- a/lab/src/classes.rs
+++ b/lab/src/classes.rs
@@ -186,7 +186,7 @@
 0.207 DEBUG wrenhatch::net::engines: ended ticket="a1" number=0 engine=1 now_us=194537 outcome=Success
 0.254 DEBUG wrenhatch::net::clients: answered ticket="a1" now_us=194537 how="served"
 0.300 DEBUG wrenhatch::net::clients: taken ticket="b2" request=2 class=1 wait_us=13921000 now_us=300000
-1.400 DEBUG notchridge::policy::explain: held in vain request=2 class=1 why=threads open=0 threads=80 held=1.10
+1.400 DEBUG workload_manager::policy::explain: held in vain request=2 class=1 why=threads open=0 threads=80 held=1.10
 1.400 DEBUG wrenhatch::net::clients: answered ticket="b2" now_us=1400000 how="refused"
 1.500 DEBUG wrenhatch::net::clients: taken ticket="c3" request=3 class=1 wait_us=13921000 now_us=1500000
 1.500 DEBUG wrenhatch::net::engines: sent ticket="c3" number=0 engine=1 class=1 now_us=1500000
--- a/lab/src/memory.rs
+++ b/lab/src/memory.rs
@@ -5,9 +5,9 @@
 
 use serde::Serialize;
 use wrenhatch::net::{PARKED_BYTES, SESSION_BYTES};
-use wrenhatch_sessions::governor::{Governor, Limits, Standing};
-use wrenhatch_sessions::table::{Handle, Table, Use};
-use wrenhatch_sessions::wheel::Wheel;
+use wrenhatch_sessions::read_scheduler::{Limits, ReadScheduler, Standing};
+use wrenhatch_sessions::session_table::{Handle, Table, Use};
+use wrenhatch_sessions::timer_wheel::TimerWheel;
 
 use crate::fleet::resident_bytes;
 use crate::spread::{Spread, histogram};
@@ -48,7 +48,7 @@
 
 /// Wakes half of all sessions at once, as the governor lets them; how long that takes.
 fn wake_half(table: &mut Sessions, all: &[Handle], now_us: u64) -> Duration {
-    let mut governor = Governor::new(Limits::default());
+    let mut governor = ReadScheduler::new(Limits::default());
     let began = Instant::now();
     for who in all.iter().step_by(2) {
         if table.mark(*who) {
@@ -70,7 +70,7 @@
 
 /// Time-outs of 3 s and 20 s for all, armed over one second, in real time. Each tells how late it was.
 fn drift(n: usize) -> (Spread, u64, f64) {
-    let mut wheel = Wheel::new();
+    let mut wheel = TimerWheel::new();
     let clock = Instant::now();
     let now = || clock.elapsed().as_micros() as u64;
     let span_us = if n > 0 { 1e6 / n as f64 } else { 0.0 };
--- a/sessions/src/lib.rs
+++ b/sessions/src/lib.rs
@@ -4,7 +4,7 @@
 //!
 //! All times are whole microseconds of the caller's monotonic clock, handed in.
 
-pub mod governor;
-pub mod ledger;
-pub mod table;
-pub mod wheel;
+pub mod memory_budget;
+pub mod read_scheduler;
+pub mod session_table;
+pub mod timer_wheel;
--- a/sessions/src/ledger.rs
+++ b/sessions/src/memory_budget.rs
@@ -47,14 +47,14 @@
 
 /// The ledger.
 #[derive(Clone, Debug)]
-pub struct Ledger {
+pub struct MemoryBudget {
     bound: usize,
     shares: [usize; KINDS.len()],
     held: [usize; KINDS.len()],
     most: usize,
 }
 
-impl Ledger {
+impl MemoryBudget {
     /// A ledger for `memory` bytes that the configuration allows the whole process. Half is left to the program,
     /// its decisions and the allocator; prepared statements may have a quarter of the rest, sessions a half,
     /// all others as much as there is.
@@ -136,9 +136,9 @@
 
     #[test]
     fn idle_things_are_turned_away_first_and_open_requests_last() {
-        let mut ledger = Ledger::new(32 * MB);
+        let mut ledger = MemoryBudget::new(32 * MB);
         assert_eq!((ledger.bound(), ledger.pressure()), (16 * MB, Pressure::Calm));
-        let may = |l: &Ledger| KINDS.map(|k| l.allows(k, 4096).is_ok());
+        let may = |l: &MemoryBudget| KINDS.map(|k| l.allows(k, 4096).is_ok());
         assert_eq!(may(&ledger), [true; 5]);
         ledger.book(Kind::Results, 0, 12 * MB);
         assert_eq!((ledger.pressure(), may(&ledger)), (Pressure::Short, [false, true, true, true, false]));
@@ -152,7 +152,7 @@
 
     #[test]
     fn statements_have_a_share_of_their_own() {
-        let mut ledger = Ledger::new(32 * MB);
+        let mut ledger = MemoryBudget::new(32 * MB);
         ledger.book(Kind::Statements, 0, 4 * MB);
         assert_eq!(ledger.allows(Kind::Statements, 1), Err(NoMemory::Share));
         assert_eq!(ledger.allows(Kind::Requests, MB), Ok(()));
--- a/sessions/src/governor.rs
+++ b/sessions/src/read_scheduler.rs
@@ -12,7 +12,7 @@
 
 use std::collections::{HashMap, VecDeque};
 
-use crate::table::Handle;
+use crate::session_table::Handle;
 
 /// How a session that is ready stands to the gateway, in the order in which it matters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -196,7 +196,7 @@
 
 /// The governor.
 #[derive(Debug)]
-pub struct Governor {
+pub struct ReadScheduler {
     limits: Limits,
     costs: CostModel,
     queues: [Queue; QUEUES],
@@ -212,7 +212,7 @@
     longest_turn_us: u64,
 }
 
-impl Governor {
+impl ReadScheduler {
     /// A governor to whom nothing is known yet.
     pub fn new(limits: Limits) -> Self {
         Self {
@@ -356,7 +356,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::table::Table;
+    use crate::session_table::Table;
 
     fn handles(n: usize) -> Vec<Handle> {
         let mut table: Table<(), ()> = Table::new();
@@ -364,8 +364,8 @@
     }
 
     /// A governor that has learned that a read costs `read_us` and nothing else anything.
-    fn learned(read_us: f64) -> Governor {
-        let mut governor = Governor::new(Limits { turn_us: 4_000, ..Limits::default() });
+    fn learned(read_us: f64) -> ReadScheduler {
+        let mut governor = ReadScheduler::new(Limits { turn_us: 4_000, ..Limits::default() });
         for _ in 0..500 {
             governor.charge(Work::Read, 10);
             governor.end_turn((read_us * 10.0) as u64);
@@ -373,7 +373,7 @@
         governor
     }
 
-    fn turn(governor: &mut Governor, now_us: u64) -> Vec<Pick> {
+    fn turn(governor: &mut ReadScheduler, now_us: u64) -> Vec<Pick> {
         std::iter::from_fn(|| governor.pick(now_us)).collect()
     }
 
--- a/sessions/src/wheel.rs
+++ b/sessions/src/timer_wheel.rs
@@ -4,7 +4,7 @@
 //! - Arm, re-arm and cancel take constant time; a timer moves down at most once for each level on its way.
 //! - A cancelled timer is gone at once: no tombstone stays behind.
 //! - Timers fire in the order of their times, those of one microsecond in the order in which they were armed.
-//!   None fires early; how late one fires is the caller's matter alone, as it asks [`Wheel::pop`] when it likes.
+//!   None fires early; how late one fires is the caller's matter alone, as it asks [`TimerWheel::pop`] when it likes.
 //! - One armed for a time that has passed is due at once; where it stands among others that are is not promised.
 
 const BITS: u32 = 12;
@@ -61,7 +61,7 @@
     }
 }
 
-/// A list of timers: two numbers of [`Wheel::slots`], so that slots which were never used are never touched.
+/// A list of timers: two numbers of [`TimerWheel::slots`], so that slots which were never used are never touched.
 #[derive(Clone, Copy, Debug)]
 struct Slot {
     first: u32,
@@ -72,7 +72,7 @@
 
 /// A wheel of timers that carry a `T` each.
 #[derive(Debug)]
-pub struct Wheel<T> {
+pub struct TimerWheel<T> {
     reached_us: u64,
     entries: Vec<Entry<T>>,
     free: u32,
@@ -84,13 +84,13 @@
     slots: Vec<u64>,
 }
 
-impl<T> Default for Wheel<T> {
+impl<T> Default for TimerWheel<T> {
     fn default() -> Self {
         Self::new()
     }
 }
 
-impl<T> Wheel<T> {
+impl<T> TimerWheel<T> {
     /// A wheel at time 0 without timers.
     pub fn new() -> Self {
         Self {
@@ -307,13 +307,13 @@
 mod tests {
     use super::*;
 
-    fn all<T>(wheel: &mut Wheel<T>, now_us: u64) -> Vec<(u64, T)> {
+    fn all<T>(wheel: &mut TimerWheel<T>, now_us: u64) -> Vec<(u64, T)> {
         std::iter::from_fn(|| wheel.pop(now_us)).collect()
     }
 
     #[test]
     fn two_of_one_microsecond_fire_as_they_were_armed_however_long_before() {
-        let mut wheel = Wheel::new();
+        let mut wheel = TimerWheel::new();
         wheel.arm(20_000_000, 'a');
         assert_eq!(wheel.pop(19_999_000), None);
         wheel.arm(20_000_000, 'b');
@@ -323,7 +323,7 @@
 
     #[test]
     fn armed_cancelled_and_armed_again_in_one_turn_fires_once() {
-        let mut wheel = Wheel::new();
+        let mut wheel = TimerWheel::new();
         let first = wheel.arm(500, 1);
         assert_eq!(wheel.cancel(first), Some(1));
         let second = wheel.arm(500, 2);
@@ -336,7 +336,7 @@
 
     #[test]
     fn a_clock_that_stands_still_and_jumps_on_skips_nobody() {
-        let mut wheel = Wheel::new();
+        let mut wheel = TimerWheel::new();
         for n in 0..1000_u64 {
             wheel.arm(5_000_000 + (n * 7919) % 20_000_000, n);
         }
@@ -353,7 +353,7 @@
     #[test]
     fn digits_that_turn_over_keep_the_order() {
         for edge in [63, 64, 4095, 4096, (1 << 18) - 1, 1 << 18, 1 << 36] {
-            let mut wheel = Wheel::new();
+            let mut wheel = TimerWheel::new();
             assert_eq!(wheel.pop(edge - 2), None);
             for at in [edge + 1, edge, edge - 1, edge + 64, edge + 4096] {
                 wheel.arm(at, at);
@@ -369,7 +369,7 @@
 
     #[test]
     fn what_is_late_when_it_is_armed_is_due_at_once_and_the_end_of_time_is_a_time() {
-        let mut wheel = Wheel::new();
+        let mut wheel = TimerWheel::new();
         assert_eq!(wheel.pop(1_000_000), None);
         wheel.arm(1_000_000, 'a');
         wheel.arm(5, 'b');
@@ -383,7 +383,7 @@
 
     #[test]
     fn a_timer_armed_by_one_that_fires_takes_its_place_in_the_order() {
-        let mut wheel = Wheel::new();
+        let mut wheel = TimerWheel::new();
         wheel.arm(10, 'a');
         wheel.arm(30, 'c');
         assert_eq!(wheel.pop(100), Some((10, 'a')));
@@ -393,7 +393,7 @@
 
     #[test]
     fn a_cancelled_first_timer_costs_one_early_look_at_most() {
-        let mut wheel = Wheel::new();
+        let mut wheel = TimerWheel::new();
         let first = wheel.arm(20_000_000, 1);
         wheel.arm(21_000_000, 2);
         wheel.cancel(first);
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -15,9 +15,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ClassId(pub usize);
 
-/// Index into [`Settings::kinds`]; an index past its end is a kind the settings do not describe.
+/// Index into [`Settings::machine_types`]; an index past its end is a kind the settings do not describe.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct KindId(pub usize);
+pub struct MachineTypeId(pub usize);
 
 /// A zone.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
@@ -33,11 +33,11 @@
 
 /// The group of tables (collection) that a request reads or loads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct GroupId(pub u64);
+pub struct TableGroupId(pub u64);
 
 /// Which engines drop the repeats of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RepeatGroup {
+pub enum IdempotencyScope {
     /// Every engine.
     All,
     /// The engines of one zone.
@@ -48,24 +48,24 @@
 
 /// What repeating a request would do.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Effect {
+pub enum Idempotency {
     /// Repeats do no harm.
-    Safe,
+    Idempotent,
     /// Engines of `group` drop repeats sent within `window` seconds of the first send that may have run.
     Keyed {
         /// Which engines remember the request.
-        group: RepeatGroup,
+        scope: IdempotencyScope,
         /// For how long, in seconds.
         window: f64,
     },
     /// Must never run twice.
-    Unsafe,
+    NotIdempotent,
 }
 
-impl Effect {
+impl Idempotency {
     /// Whether a client may repeat a request whose attempt may have run, wherever the repeat goes.
-    pub fn is_harmless_to_repeat(self) -> bool {
-        matches!(self, Self::Safe | Self::Keyed { group: RepeatGroup::All, .. })
+    pub fn client_may_retry(self) -> bool {
+        matches!(self, Self::Idempotent | Self::Keyed { scope: IdempotencyScope::All, .. })
     }
 }
 
@@ -73,36 +73,36 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
     /// Answered within this, a request earns its full worth.
-    pub aim: f64,
+    pub latency_objective: f64,
     /// The aim is longer by this times the request's work over its threads.
-    pub aim_stretch: f64,
+    pub objective_stretch: f64,
     /// The client's whole patience.
     pub deadline: f64,
     /// What a request is worth.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// Share of the worth that an answer past the aim still earns.
-    pub late_value: f64,
+    pub late_weight_ratio: f64,
     /// What repeating it would do.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// Requests with one key run one at a time, in order.
-    pub keep_order: bool,
-    /// The only kinds it may run on, if bound.
-    pub only_kinds: Option<Vec<KindId>>,
+    pub ordered_by_key: bool,
+    /// The only machine_types it may run on, if bound.
+    pub allowed_machine_types: Option<Vec<MachineTypeId>>,
     /// The only zones it may run in, if bound.
-    pub only_zones: Option<Vec<ZoneId>>,
+    pub allowed_zones: Option<Vec<ZoneId>>,
     /// Threads that a request runs on.
     pub threads: u32,
     /// A load: holds its group on its engine while it runs.
-    pub load: bool,
+    pub is_load: bool,
     /// Stands still while a load holds its group.
-    pub yields: bool,
+    pub waits_for_loads: bool,
     /// Answers are streams.
-    pub streaming: bool,
+    pub is_streaming: bool,
 }
 
 /// A kind of machine.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Kind {
+pub struct MachineType {
     /// Cores.
     pub cores: f64,
     /// Memory in MB; 0 if not known.
@@ -113,74 +113,74 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
     /// Requests a second within its share, over all gateways; 0 if not stated.
-    pub quota: f64,
+    pub quota_per_second: f64,
 }
 
 /// What engines do when grants pass their memory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum WhenShort {
+pub enum MemoryShortage {
     /// The query waits in line.
-    Wait,
+    Queue,
     /// It gets what is left and spills.
-    Shrink,
+    Spill,
     /// It is let in and all slow down.
-    Page,
+    Overcommit,
 }
 
 /// The budget of further attempts.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ExtraBudget {
-    /// Allowed however light the traffic.
-    pub floor: f64,
-    /// Allowed for each request taken.
-    pub ratio: f64,
+pub struct RetryBudget {
+    /// Capabilities however light the traffic.
+    pub min_retries: f64,
+    /// Capabilities for each request taken.
+    pub retry_ratio: f64,
     /// Over this span.
-    pub look_back: f64,
+    pub window: f64,
 }
 
 /// Figures of the rules.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Rules {
     /// A final answer still counts this long past the client's deadline.
-    pub answer_slack: f64,
+    pub answer_grace: f64,
     /// Sends to a draining engine must have stopped after this.
     pub drain_grace: f64,
     /// A cold engine starts at this share of its capacity or more.
-    pub cold_share: f64,
+    pub slow_start_min_ratio: f64,
     /// It is warm after this at the latest.
-    pub warm_up: f64,
+    pub slow_start_duration: f64,
     /// It falls when sent this multiple of its capacity
-    pub fall_multiple: f64,
+    pub collapse_load_ratio: f64,
     /// for this long.
-    pub overload_for: f64,
+    pub collapse_window: f64,
     /// How long a key rests after an attempt that might still run.
-    pub order_pause: f64,
+    pub key_cooldown: f64,
     /// The budget of further attempts, where there is one.
-    pub extra: Option<ExtraBudget>,
+    pub retry_budget: Option<RetryBudget>,
 }
 
 /// Where engines' load reports come from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reports {
+pub enum LoadReportSource {
     /// There are none.
     None,
     /// Answers and probes bring them.
-    Answers,
+    Responses,
     /// Probes alone bring them, and are allowed. The module asks for none: its own attempts tell it.
-    Probes,
+    HealthChecks,
 }
 
 /// What the site permits.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Allowed {
+pub struct Capabilities {
     /// Attempts may be cancelled.
-    pub cancel: bool,
+    pub cancels_attempts: bool,
     /// Engines may be probed.
-    pub probe: bool,
+    pub health_checks: bool,
     /// Where load reports come from.
-    pub reports: Reports,
+    pub load_reports: LoadReportSource,
     /// The list of engines must be asked for.
-    pub ask_for_list: bool,
+    pub polls_endpoint_list: bool,
     /// Clients hear a retry-after.
     pub retry_after: bool,
     /// The longest wait that a client obeys.
@@ -188,11 +188,11 @@
     /// Attempts a request may have; 0: no limit.
     pub max_attempts: u32,
     /// Memory grants are heeded.
-    pub grants: bool,
+    pub memory_grants: bool,
     /// Priorities are heeded.
     pub priorities: bool,
     /// Time between notes of progress; 0: none come.
-    pub note_period: f64,
+    pub progress_period: f64,
 }
 
 /// All that a gateway is told at its start.
@@ -205,28 +205,28 @@
     /// Classes of request.
     pub classes: Vec<Class>,
     /// Kinds of machine.
-    pub kinds: Vec<Kind>,
+    pub machine_types: Vec<MachineType>,
     /// Tenants, if any.
     pub tenants: Vec<Tenant>,
     /// What a request past its tenant's share is worth, as a fraction.
-    pub over_share_worth: f64,
+    pub over_quota_weight_ratio: f64,
     /// Figures of the rules.
     pub rules: Rules,
     /// What is permitted.
-    pub allowed: Allowed,
+    pub capabilities: Capabilities,
     /// What engines do when short of memory.
-    pub when_short: WhenShort,
+    pub on_memory_shortage: MemoryShortage,
     /// The smallest gap between two events' times.
-    pub resolution: f64,
+    pub clock_resolution: f64,
 }
 
-/// Where a class of other settings comes from, for a [`Change`].
+/// Where a class of other settings comes from, for a [`SettingsChange`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClassOrigin {
     /// It is the one that had this id, unchanged.
-    Kept,
+    Unchanged,
     /// It follows the class that had this other id, with changes; what was learned of that one is its start.
-    Follows(ClassId),
+    DerivedFrom(ClassId),
     /// Nothing is known of it.
     New,
     /// No new request has it any more; requests that came with it keep it.
@@ -235,10 +235,10 @@
 
 impl ClassOrigin {
     /// The id of the class of the old settings of which something was learned, for the class of this id.
-    pub fn learned_by(self, class: ClassId) -> Option<ClassId> {
+    pub fn learned_from(self, class: ClassId) -> Option<ClassId> {
         match self {
-            ClassOrigin::Kept | ClassOrigin::Retired => Some(class),
-            ClassOrigin::Follows(from) => Some(from),
+            ClassOrigin::Unchanged | ClassOrigin::Retired => Some(class),
+            ClassOrigin::DerivedFrom(from) => Some(from),
             ClassOrigin::New => None,
         }
     }
@@ -255,10 +255,10 @@
     NoGateways,
     /// It is not said of each class where it comes from, or one comes from none that there was.
     #[error("the origins do not fit the classes")]
-    BadOrigins,
+    InvalidOrigins,
     /// A figure is negative or not a number.
     #[error("{what} is {value}, which is negative or not a number")]
-    BadFigure {
+    InvalidValue {
         /// Which figure.
         what: String,
         /// Its value.
@@ -268,36 +268,36 @@
 
 /// Whether an engine may be sent new work.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum EngineState {
+pub enum EndpointState {
     /// It may.
     Ready,
     /// It is finishing its work.
     Draining,
     /// It has left.
     #[default]
-    Gone,
+    Removed,
 }
 
 /// One engine as the list has it.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct EngineEntry {
+pub struct EndpointEntry {
     /// Which engine.
     pub engine: EngineId,
     /// Its zone.
     pub zone: ZoneId,
     /// Its kind.
-    pub kind: KindId,
+    pub machine_type: MachineTypeId,
     /// Its cell.
     pub cell: u64,
     /// Its state.
-    pub state: EngineState,
+    pub state: EndpointState,
     /// When it last started, if that is not long ago.
-    pub started: Option<f64>,
+    pub started_at: Option<f64>,
 }
 
 /// How a change of the list is to be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListMode {
+pub enum EndpointListMode {
     /// Changed entries only.
     Delta,
     /// The whole list: what is absent has left.
@@ -322,13 +322,13 @@
     /// When the client gives up.
     pub deadline: f64,
     /// Estimated work of all its threads.
-    pub estimate: Option<f64>,
+    pub estimated_work: Option<f64>,
     /// Estimated memory in MB.
-    pub need_mb: Option<f64>,
+    pub estimated_memory_mb: Option<f64>,
     /// What it reads.
-    pub group: Option<GroupId>,
+    pub table_group: Option<TableGroupId>,
     /// A client repeats an earlier request.
-    pub retry: bool,
+    pub is_retry: bool,
 }
 
 /// How an attempt or a probe ended.
@@ -337,46 +337,46 @@
     /// Served.
     Success,
     /// An error; it may have run.
-    Failure,
+    Error,
     /// Turned away unseen.
-    Overloaded,
+    Rejected,
     /// No reply in time; it may have run or still run.
     TimedOut,
     /// No connection; it never ran.
-    Unreachable,
+    ConnectFailed,
     /// The connection dropped; it may have run or still run.
-    Broken,
+    ConnectionLost,
     /// Cancelled; it may have run or still run.
-    Withdrawn,
+    Cancelled,
     /// Never sent.
-    Void,
+    NeverSent,
 }
 
 impl Outcome {
     /// Whether the engine may still run the attempt.
-    pub fn may_run_on(self) -> bool {
-        matches!(self, Self::TimedOut | Self::Broken | Self::Withdrawn)
+    pub fn may_still_run(self) -> bool {
+        matches!(self, Self::TimedOut | Self::ConnectionLost | Self::Cancelled)
     }
 }
 
 /// An engine's load report; what it does not state is `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Report {
+pub struct LoadReport {
     /// Queries in hand.
-    pub inflight: Option<f64>,
+    pub in_flight: Option<f64>,
     /// Queries waiting for memory.
-    pub queue: Option<f64>,
+    pub queued: Option<f64>,
     /// Share of its cores in use.
-    pub cores_busy: Option<f64>,
+    pub core_utilization: Option<f64>,
     /// Share of its memory granted.
-    pub memory_granted: Option<f64>,
+    pub memory_utilization: Option<f64>,
     /// Share of its disks busy.
-    pub disks_busy: Option<f64>,
+    pub disk_utilization: Option<f64>,
 }
 
 /// What a query turned out to need.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Cost {
+pub struct QueryCost {
     /// Work of all its threads, in seconds.
     pub work: f64,
     /// Memory in MB.
@@ -385,33 +385,33 @@
 
 /// News of an attempt that is out.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Note {
+pub enum Progress {
     /// Its engine has answered for it: it goes on.
     Running,
     /// Share done, rough.
-    Progress(f64),
+    Fraction(f64),
     /// It spills; MB missing.
-    Spills(f64),
+    Spilling(f64),
     /// It waits for memory.
-    WaitsForMemory,
+    WaitingForMemory,
     /// It waits for a load.
-    WaitsForLoad,
+    WaitingForLoad,
 }
 
 /// What happens to a gateway.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// News of the list of engines.
-    List {
+    EndpointList {
         /// How to read it.
-        mode: ListMode,
+        mode: EndpointListMode,
         /// Its entries.
-        entries: Vec<EngineEntry>,
+        entries: Vec<EndpointEntry>,
     },
     /// A request has been taken.
-    Arrived(Request),
+    RequestArrived(Request),
     /// An attempt has ended.
-    Ended {
+    AttemptEnded {
         /// Its request.
         request: RequestId,
         /// Its number.
@@ -423,42 +423,42 @@
         /// Time since the send.
         elapsed: f64,
         /// The request is finished: by this outcome or before it.
-        settled: bool,
+        request_settled: bool,
         /// Seconds for which it may still run at an engine that says nothing of it; 0 where its end is known,
-        /// infinite until [`Event::Confirmed`] says more.
-        may_run_for: f64,
+        /// infinite until [`Event::AttemptEndConfirmed`] says more.
+        may_still_run_for: f64,
         /// What it needed, where told.
-        cost: Option<Cost>,
+        cost: Option<QueryCost>,
         /// The engine's report, if one came along.
-        report: Option<Report>,
+        load_report: Option<LoadReport>,
     },
     /// An attempt that might have run on without end runs no longer than this.
-    Confirmed {
+    AttemptEndConfirmed {
         /// Its key.
         key: KeyId,
         /// Seconds for which it may still run; 0 where it is over.
-        may_run_for: f64,
+        may_still_run_for: f64,
     },
     /// A stream has started: the client owns the attempt now.
-    Started {
+    StreamStarted {
         /// Its request.
         request: RequestId,
         /// Its number.
         attempt: u32,
     },
     /// News of an attempt that is out.
-    Noted {
+    AttemptProgress {
         /// Its request.
         request: RequestId,
         /// Its number.
         attempt: u32,
         /// The news.
-        note: Note,
+        progress: Progress,
     },
     /// The client has quit; nothing is owed.
-    Aborted(RequestId),
+    RequestAborted(RequestId),
     /// A probe's result.
-    Probed {
+    HealthChecked {
         /// Which engine.
         engine: EngineId,
         /// How it ended.
@@ -466,7 +466,7 @@
         /// Time since it was sent.
         elapsed: f64,
         /// The engine's report, if one came along.
-        report: Option<Report>,
+        load_report: Option<LoadReport>,
     },
     /// A timer set by this gateway is due.
     Timer(u64),
@@ -476,7 +476,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Sets memory (MB, 0: the engine's choice) and priority for the request's sends.
-    Terms {
+    SetAttemptTerms {
         /// Which request.
         request: RequestId,
         /// Memory to grant.
@@ -485,7 +485,7 @@
         priority: u8,
     },
     /// Sends the request to an engine: its next attempt.
-    Send {
+    Forward {
         /// Which request.
         request: RequestId,
         /// Where to.
@@ -494,14 +494,14 @@
         timeout: Option<f64>,
     },
     /// Cancels an attempt.
-    Cancel {
+    CancelAttempt {
         /// Its request.
         request: RequestId,
         /// Its number.
         attempt: u32,
     },
     /// Final answer: refused; trying again is harmless.
-    Refuse {
+    Reject {
         /// Which request.
         request: RequestId,
         /// How long the client should hold off; `None`: no advice.
@@ -516,26 +516,26 @@
         /// Comes back with the event.
         token: u64,
         /// The request that it is for; once that has ended nobody needs it any more.
-        of: Option<RequestId>,
+        request: Option<RequestId>,
     },
-    /// Probes an engine; [`Event::Probed`] tells the result.
-    Probe(EngineId),
+    /// Probes an engine; [`Event::HealthChecked`] tells the result.
+    CheckHealth(EngineId),
     /// Asks for changes of the list from here on.
-    Subscribe,
+    WatchEndpointList,
 }
 
 /// Other settings in service. Ids of classes stay what they were; there may be more of them, never fewer.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Change {
+pub struct SettingsChange {
     /// The settings.
     pub settings: Settings,
     /// For each class of the settings, where it comes from.
     pub origins: Vec<ClassOrigin>,
 }
 
-impl Change {
+impl SettingsChange {
     /// The classes that new requests may have.
-    pub fn in_force(&self) -> Vec<&Class> {
+    pub fn active_classes(&self) -> Vec<&Class> {
         let classes = self.settings.classes.iter().zip(&self.origins);
         classes.filter(|(_, origin)| **origin != ClassOrigin::Retired).map(|(class, _)| class).collect()
     }
@@ -545,10 +545,10 @@
     /// # Errors
     /// The first thing found that no gateway could act on.
     pub fn check(&self, known: usize) -> Result<(), SettingsError> {
-        let learned = |(at, origin): (usize, &ClassOrigin)| origin.learned_by(ClassId(at));
+        let learned = |(at, origin): (usize, &ClassOrigin)| origin.learned_from(ClassId(at));
         let all_known = self.origins.iter().enumerate().filter_map(learned).all(|from| from.0 < known);
         if self.origins.len() != self.settings.classes.len() || self.origins.len() < known || !all_known {
-            return Err(SettingsError::BadOrigins);
+            return Err(SettingsError::InvalidOrigins);
         }
         self.settings.check()
     }
@@ -557,10 +557,10 @@
 impl Settings {
     /// A machine of this kind. One that is not described has the cores of the first kind, a core at the least, and
     /// memory that is not known.
-    pub fn machine(&self, kind: KindId) -> Kind {
-        let described = self.kinds.get(kind.0);
-        let cores = described.or_else(|| self.kinds.first()).map_or(1.0, |k| k.cores).max(1.0);
-        Kind { cores, memory_mb: described.map_or(0.0, |k| k.memory_mb) }
+    pub fn machine_type(&self, id: MachineTypeId) -> MachineType {
+        let described = self.machine_types.get(id.0);
+        let cores = described.or_else(|| self.machine_types.first()).map_or(1.0, |k| k.cores).max(1.0);
+        MachineType { cores, memory_mb: described.map_or(0.0, |k| k.memory_mb) }
     }
 
     /// Checks that the figures make sense.
@@ -574,44 +574,44 @@
         if self.gateways == 0 {
             return Err(SettingsError::NoGateways);
         }
-        let (r, a) = (&self.rules, &self.allowed);
+        let (r, a) = (&self.rules, &self.capabilities);
         let mut figures = vec![
-            ("answer slack".to_owned(), r.answer_slack),
+            ("answer slack".to_owned(), r.answer_grace),
             ("drain grace".to_owned(), r.drain_grace),
-            ("cold share".to_owned(), r.cold_share),
-            ("warm-up".to_owned(), r.warm_up),
-            ("fall multiple".to_owned(), r.fall_multiple),
-            ("overload span".to_owned(), r.overload_for),
-            ("order pause".to_owned(), r.order_pause),
+            ("cold share".to_owned(), r.slow_start_min_ratio),
+            ("warm-up".to_owned(), r.slow_start_duration),
+            ("fall multiple".to_owned(), r.collapse_load_ratio),
+            ("overload span".to_owned(), r.collapse_window),
+            ("order pause".to_owned(), r.key_cooldown),
             ("longest retry-after".to_owned(), a.max_retry_after),
-            ("note period".to_owned(), a.note_period),
-            ("resolution".to_owned(), self.resolution),
-            ("over-share worth".to_owned(), self.over_share_worth),
+            ("note period".to_owned(), a.progress_period),
+            ("resolution".to_owned(), self.clock_resolution),
+            ("over-share worth".to_owned(), self.over_quota_weight_ratio),
         ];
-        if let Some(b) = &r.extra {
-            figures.push(("budget floor".to_owned(), b.floor));
-            figures.push(("budget ratio".to_owned(), b.ratio));
-            figures.push(("budget look-back".to_owned(), b.look_back));
+        if let Some(b) = &r.retry_budget {
+            figures.push(("budget floor".to_owned(), b.min_retries));
+            figures.push(("budget ratio".to_owned(), b.retry_ratio));
+            figures.push(("budget look-back".to_owned(), b.window));
         }
         for (i, c) in self.classes.iter().enumerate() {
-            figures.push((format!("aim of class {i}"), c.aim));
-            figures.push((format!("aim stretch of class {i}"), c.aim_stretch));
+            figures.push((format!("aim of class {i}"), c.latency_objective));
+            figures.push((format!("aim stretch of class {i}"), c.objective_stretch));
             figures.push((format!("deadline of class {i}"), c.deadline));
-            figures.push((format!("worth of class {i}"), c.worth));
-            figures.push((format!("late value of class {i}"), c.late_value));
-            if let Effect::Keyed { window, .. } = c.effect {
+            figures.push((format!("worth of class {i}"), c.priority_weight));
+            figures.push((format!("late value of class {i}"), c.late_weight_ratio));
+            if let Idempotency::Keyed { window, .. } = c.idempotency {
                 figures.push((format!("window of class {i}"), window));
             }
         }
-        for (i, k) in self.kinds.iter().enumerate() {
+        for (i, k) in self.machine_types.iter().enumerate() {
             figures.push((format!("cores of kind {i}"), k.cores));
             figures.push((format!("memory of kind {i}"), k.memory_mb));
         }
         for (i, t) in self.tenants.iter().enumerate() {
-            figures.push((format!("quota of tenant {i}"), t.quota));
+            figures.push((format!("quota_per_second of tenant {i}"), t.quota_per_second));
         }
         match figures.into_iter().find(|(_, v)| !(v.is_finite() && *v >= 0.0)) {
-            Some((what, value)) => Err(SettingsError::BadFigure { what, value }),
+            Some((what, value)) => Err(SettingsError::InvalidValue { what, value }),
             None => Ok(()),
         }
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -3,4 +3,4 @@
 pub mod interface;
 mod policy;
 
-pub use policy::Gateway;
+pub use policy::WorkloadManager;
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -52,14 +52,15 @@
 
 /// Which classes are dashboards, from settings alone: of those that are no loads, the ones with the fewest
 /// threads whose aim is within twice the shortest. One that fills the smallest machine alone is never light.
-fn dashboards(change: &Change) -> Vec<bool> {
-    let (s, in_force) = (&change.settings, change.in_force());
-    let cores = s.kinds.iter().map(|k| k.cores).fold(f64::INFINITY, f64::min);
-    let light = |c: &&Class| !c.load && f64::from(c.threads) < cores.max(2.0);
+fn dashboards(change: &SettingsChange) -> Vec<bool> {
+    let (s, in_force) = (&change.settings, change.active_classes());
+    let cores = s.machine_types.iter().map(|k| k.cores).fold(f64::INFINITY, f64::min);
+    let light = |c: &&Class| !c.is_load && f64::from(c.threads) < cores.max(2.0);
     let threads = in_force.iter().copied().filter(light).map(|c| c.threads).min();
     let fewest = |c: &&Class| light(c) && Some(c.threads) == threads;
-    let aim = in_force.iter().copied().filter(fewest).map(|c| c.aim).fold(f64::INFINITY, f64::min);
-    s.classes.iter().map(|c| fewest(&c) && c.aim <= 2.0 * aim).collect()
+    let aim =
+        in_force.iter().copied().filter(fewest).map(|c| c.latency_objective).fold(f64::INFINITY, f64::min);
+    s.classes.iter().map(|c| fewest(&c) && c.latency_objective <= 2.0 * aim).collect()
 }
 
 /// A drawn number as one from 0 to 1.
@@ -185,7 +186,7 @@
 
 #[derive(Default)]
 struct Engine {
-    entry: EngineEntry,
+    entry: EndpointEntry,
     feedback: Loop,
     health: Health,
     threads: f64, // Threads of this gateway's attempts there: all, and secondary ones.
@@ -210,9 +211,9 @@
 
     /// Share of its capacity that an engine surely has: from the cold share at its start to all when warm.
     fn warmth(&self, now: f64, r: &Rules) -> f64 {
-        let Some(started) = self.entry.started else { return 1.0 };
-        let age = ((now - started) / r.warm_up.max(1e-9)).clamp(0.0, 1.0);
-        r.cold_share + (1.0 - r.cold_share) * age
+        let Some(started) = self.entry.started_at else { return 1.0 };
+        let age = ((now - started) / r.slow_start_duration.max(1e-9)).clamp(0.0, 1.0);
+        r.slow_start_min_ratio + (1.0 - r.slow_start_min_ratio) * age
     }
 
     fn pace(&self, now: f64) -> f64 {
@@ -235,12 +236,13 @@
         if warmth >= 1.0 {
             return true;
         }
-        let span = s.rules.overload_for.max(1e-3);
+        let span = s.rules.collapse_window.max(1e-3);
         let lane = |(at, _, dashboard): &&(f64, f64, bool)| *at > now - span && *dashboard == view.dashboard;
         let spent: f64 = self.cold_sends.iter().filter(lane).map(|(_, w, _)| w).sum();
         let capacity = warmth * self.feedback.cores * 0.85 * span;
-        let budget = 0.5 * COLD_SAFETY * s.rules.fall_multiple * capacity * self.part / f64::from(s.gateways);
-        let age = now - self.entry.started.unwrap_or(now);
+        let budget =
+            0.5 * COLD_SAFETY * s.rules.collapse_load_ratio * capacity * self.part / f64::from(s.gateways);
+        let age = now - self.entry.started_at.unwrap_or(now);
         let window = (age.max(0.0) / span + fraction(self.order)) as u64;
         let chance = if window == 0 { 0 } else { Pcg32::new(u64::from(self.order), window).next_u32() };
         let work = view.weight(c);
@@ -259,9 +261,15 @@
 
 impl ClassView {
     fn new(c: &Class, s: &Settings) -> Self {
-        let work = c.aim * f64::from(c.threads);
-        let lowest = if s.allowed.reports == Reports::None { 1.0 } else { f64::INFINITY };
-        Self { dashboard: false, memory_mb: 0.0, work, latency: 0.5 * c.aim, times: (0.0, lowest) }
+        let work = c.latency_objective * f64::from(c.threads);
+        let lowest = if s.capabilities.load_reports == LoadReportSource::None { 1.0 } else { f64::INFINITY };
+        Self {
+            dashboard: false,
+            memory_mb: 0.0,
+            work,
+            latency: 0.5 * c.latency_objective,
+            times: (0.0, lowest),
+        }
     }
 
     /// The work that a cold engine is charged for; estimates may lie, the time it took bounds it.
@@ -362,8 +370,8 @@
     }
 }
 
-/// One gateway. Feed it events with [`Gateway::on_event`] and carry out what it asks for, in order.
-pub struct Gateway {
+/// One gateway. Feed it events with [`WorkloadManager::on_event`] and carry out what it asks for, in order.
+pub struct WorkloadManager {
     s: Settings,
     rng: Pcg32,
     classes: Vec<ClassView>,
@@ -383,7 +391,7 @@
 const LOOK_TOKEN: u64 = 0;
 const ASK_TOKEN: u64 = u64::MAX;
 
-impl Gateway {
+impl WorkloadManager {
     /// A gateway that has just started and knows nothing but its settings.
     ///
     /// # Errors
@@ -406,7 +414,7 @@
             taken: VecDeque::new(),
             extra: VecDeque::new(),
         };
-        gateway.reconfigure(Change { settings, origins })?;
+        gateway.reconfigure(SettingsChange { settings, origins })?;
         gateway.pooled.mean = gateway.objective;
         Ok(gateway)
     }
@@ -415,23 +423,25 @@
     ///
     /// # Errors
     /// Settings that no gateway could act on: the old ones stay.
-    pub fn reconfigure(&mut self, change: Change) -> Result<(), SettingsError> {
+    pub fn reconfigure(&mut self, change: SettingsChange) -> Result<(), SettingsError> {
         change.check(self.classes.len())?;
         let (old, dashboards, mut views) = (self.loop_terms(), dashboards(&change), Vec::new());
         let s = change.settings;
         for (at, (class, dashboard)) in s.classes.iter().zip(dashboards).enumerate() {
-            let learned = change.origins[at].learned_by(ClassId(at)).map(|from| self.classes[from.0].clone());
+            let learned =
+                change.origins[at].learned_from(ClassId(at)).map(|from| self.classes[from.0].clone());
             views.push(ClassView { dashboard, ..learned.unwrap_or_else(|| ClassView::new(class, &s)) });
         }
-        let aims = s.classes.iter().zip(&views).filter(|(_, view)| view.dashboard).map(|(c, _)| c.aim);
+        let aims =
+            s.classes.iter().zip(&views).filter(|(_, view)| view.dashboard).map(|(c, _)| c.latency_objective);
         let objective = aims.fold(f64::INFINITY, f64::min);
         self.objective = if objective.is_finite() { objective.max(1e-3) } else { 1.0 };
         self.light = self.light.min(self.objective);
         (self.s, self.classes) = (s, views);
-        self.pooled.own_books = self.s.allowed.reports != Reports::Answers;
+        self.pooled.own_books = self.s.capabilities.load_reports != LoadReportSource::Responses;
         let terms = self.loop_terms();
         for e in self.engines.values_mut() {
-            let kind = self.s.machine(e.entry.kind);
+            let kind = self.s.machine_type(e.entry.machine_type);
             e.memory_mb = kind.memory_mb;
             e.feedback.rescale(kind.cores, &old, &terms);
         }
@@ -440,43 +450,55 @@
 
     /// Takes one event; what is to be done about it is added to `actions`.
     pub fn on_event(&mut self, now: f64, event: &Event, actions: &mut Vec<Action>) {
-        let asks = self.pooled.started.is_none() && self.s.allowed.ask_for_list;
-        actions.extend(asks.then_some(Action::Subscribe));
+        let asks = self.pooled.started.is_none() && self.s.capabilities.polls_endpoint_list;
+        actions.extend(asks.then_some(Action::WatchEndpointList));
         let started = *self.pooled.started.get_or_insert(now);
         self.pooled.pass(now);
         match event {
-            Event::List { mode, entries } => self.listed(now, *mode, entries, actions),
-            Event::Arrived(request) => self.arrived(now, request, actions),
-            Event::Ended { .. } => self.ended(now, event, actions),
-            Event::Aborted(id) => self.forget(*id, actions),
+            Event::EndpointList { mode, entries } => self.listed(now, *mode, entries, actions),
+            Event::RequestArrived(request) => self.arrived(now, request, actions),
+            Event::AttemptEnded { .. } => self.ended(now, event, actions),
+            Event::RequestAborted(id) => self.forget(*id, actions),
             Event::Timer(LOOK_TOKEN) => self.look(now, actions),
-            Event::Timer(ASK_TOKEN) => actions.push(Action::Subscribe),
+            Event::Timer(ASK_TOKEN) => actions.push(Action::WatchEndpointList),
             Event::Timer(token) => self.give_up(RequestId(token - 1), false, actions),
-            Event::Noted { request, attempt, note } => self.noted(now, (*request, *attempt), *note, actions),
-            Event::Probed { engine, report, .. } => self.reported(now, *engine, report.as_ref()),
-            Event::Confirmed { key, may_run_for } => self.confirmed(now, *key, *may_run_for),
-            Event::Started { .. } => {}
+            Event::AttemptProgress { request, attempt, progress: note } => {
+                self.noted(now, (*request, *attempt), *note, actions)
+            }
+            Event::HealthChecked { engine, load_report: report, .. } => {
+                self.reported(now, *engine, report.as_ref())
+            }
+            Event::AttemptEndConfirmed { key, may_still_run_for: may_run_for } => {
+                self.confirmed(now, *key, *may_run_for)
+            }
+            Event::StreamStarted { .. } => {}
         }
         self.release(now, actions);
         // Looks keep to their grid, and rest while nothing is asked or out.
         if !(self.pooled.looks || self.jobs.is_empty() && self.attempts.is_empty()) {
             self.pooled.looks = true;
             let next = started + LOOK * (1.0 + ((now - started) / LOOK + 1e-3).floor());
-            actions.push(Action::SetTimer { delay: next - now, token: LOOK_TOKEN, of: None });
+            actions.push(Action::SetTimer { delay: next - now, token: LOOK_TOKEN, request: None });
         }
     }
 
-    fn listed(&mut self, now: f64, mode: ListMode, entries: &[EngineEntry], actions: &mut Vec<Action>) {
-        if mode == ListMode::Failed {
+    fn listed(
+        &mut self,
+        now: f64,
+        mode: EndpointListMode,
+        entries: &[EndpointEntry],
+        actions: &mut Vec<Action>,
+    ) {
+        if mode == EndpointListMode::Failed {
             // Asked again after a while only: a registry that turns calls away has too many.
-            let again = Action::SetTimer { delay: PAUSE.0, token: ASK_TOKEN, of: None };
-            return actions.extend(self.s.allowed.ask_for_list.then_some(again));
+            let again = Action::SetTimer { delay: PAUSE.0, token: ASK_TOKEN, request: None };
+            return actions.extend(self.s.capabilities.polls_endpoint_list.then_some(again));
         }
-        if mode != ListMode::Delta {
-            self.engines.values_mut().for_each(|e| e.entry.state = EngineState::Gone);
+        if mode != EndpointListMode::Delta {
+            self.engines.values_mut().for_each(|e| e.entry.state = EndpointState::Removed);
         }
         for entry in entries {
-            let restarted = |e: &Engine| entry.started.is_some() && entry.started != e.entry.started;
+            let restarted = |e: &Engine| entry.started_at.is_some() && entry.started_at != e.entry.started_at;
             match self.engines.get_mut(&entry.engine) {
                 Some(e) if !restarted(e) => e.entry = entry.clone(),
                 _ => self.meet(now, entry),
@@ -487,7 +509,7 @@
 
     /// Counts the engines that may be sent to, adds up their C, and forgets those gone with no attempt out.
     fn count_pool(&mut self, now: f64) {
-        self.engines.retain(|_, e| e.entry.state != EngineState::Gone || e.threads > 0.0);
+        self.engines.retain(|_, e| e.entry.state != EndpointState::Removed || e.threads > 0.0);
         // The working set: the first fit engines in this gateway's own order, as many as it has requests for.
         let life = now - self.pooled.started.unwrap_or(now);
         let rate = if life < INTERVAL_CAP { f64::INFINITY } else { self.arrivals as f64 / life };
@@ -495,7 +517,7 @@
         let paces: f64 = self.engines.values().map(|e| e.pace(now)).sum();
         self.pooled.pace = if self.engines.is_empty() { 1.0 } else { paces / self.engines.len() as f64 };
         let rules = &self.s.rules;
-        let ready = |e: &Engine| e.entry.state == EngineState::Ready && e.health.admits(now);
+        let ready = |e: &Engine| e.entry.state == EndpointState::Ready && e.health.admits(now);
         let fit = |e: &Engine| ready(e) && e.pace(now) < SLOW_FACTOR * self.pooled.pace;
         let mut order: Vec<u32> = self.engines.values().filter(|e| fit(e)).map(|e| e.order).collect();
         order.sort_unstable();
@@ -505,7 +527,7 @@
         };
         let cores = |e: &Engine| e.feedback.cores * e.warmth(now, rules);
         // Memory counts where secondary work may go: in a cold engine as far as its budget for work goes.
-        let cold = (0.5 * COLD_SAFETY * rules.fall_multiple).min(1.0);
+        let cold = (0.5 * COLD_SAFETY * rules.collapse_load_ratio).min(1.0);
         let open = |warmth: f64| if warmth < 1.0 { cold * warmth } else { 1.0 };
         let room = |e: &Engine| e.memory_mb * open(e.warmth(now, rules)) / f64::from(self.s.gateways);
         let all = |of: &dyn Fn(&Engine) -> f64| self.engines.values().filter(|e| ready(e)).map(of).sum();
@@ -527,8 +549,8 @@
     }
 
     /// A new engine, or one that has restarted. It gets little until it has answered: the list may be stale.
-    fn meet(&mut self, now: f64, entry: &EngineEntry) {
-        let Kind { cores, memory_mb } = self.s.machine(entry.kind);
+    fn meet(&mut self, now: f64, entry: &EndpointEntry) {
+        let MachineType { cores, memory_mb } = self.s.machine_type(entry.machine_type);
         let feedback = Loop::new(now, cores, &self.loop_terms());
         let (limit, spread) = (Some(WELL / 4), 0.5 + fraction(self.rng.next_u32()));
         let health = Health { limit, last_answer: now, spread, ..Health::default() };
@@ -559,15 +581,15 @@
         self.arrivals += 1;
         self.taken.push_back(now);
         let mean = &mut self.classes[request.class.0].work;
-        let work = request.estimate.map_or(*mean, |work| work.min(HEAVY * *mean));
+        let work = request.estimated_work.map_or(*mean, |work| work.min(HEAVY * *mean));
         let size = work / mean.max(1e-6);
         *mean += NEWEST * (work - *mean);
         if let Some(key) = request.key {
             self.keys.entry(key).or_default().order.push_back(request.id);
         }
         // The end is planned at once, whatever becomes of attempts, lists and other timers.
-        let delay = (request.deadline - self.s.resolution - now).max(0.0);
-        actions.push(Action::SetTimer { delay, token: request.id.0 + 1, of: Some(request.id) });
+        let delay = (request.deadline - self.s.clock_resolution - now).max(0.0);
+        actions.push(Action::SetTimer { delay, token: request.id.0 + 1, request: Some(request.id) });
         let (request, place) = (request.clone(), self.arrivals);
         self.held.insert(place, request.id);
         let (attempts, withdrawn, erred, may_have_run) = (0, false, None, None);
@@ -579,11 +601,11 @@
     fn give_up(&mut self, id: RequestId, advises: bool, actions: &mut Vec<Action>) {
         let Some(job) = self.jobs.get(&id) else { return };
         let ran = !self.held.contains_key(&job.place) || job.may_have_run.is_some();
-        if !ran || self.s.classes[job.request.class.0].effect.is_harmless_to_repeat() {
+        if !ran || self.s.classes[job.request.class.0].idempotency.client_may_retry() {
             // Spread, so that clients do not come back in step.
-            let wait = (0.5 + 0.5 * fraction(self.rng.next_u32())) * self.s.allowed.max_retry_after;
-            let retry_after = (advises && self.s.allowed.retry_after).then_some(wait);
-            actions.push(Action::Refuse { request: id, retry_after });
+            let wait = (0.5 + 0.5 * fraction(self.rng.next_u32())) * self.s.capabilities.max_retry_after;
+            let retry_after = (advises && self.s.capabilities.retry_after).then_some(wait);
+            actions.push(Action::Reject { request: id, retry_after });
         } else {
             actions.push(Action::Fail(id));
         }
@@ -592,9 +614,10 @@
 
     /// The request is over; attempts that are still out are taken back, and waited for on their own.
     fn forget(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        if self.s.allowed.cancel {
+        if self.s.capabilities.cancels_attempts {
             let out = self.attempts.range((id, 0)..=(id, u32::MAX));
-            actions.extend(out.map(|(which, _)| Action::Cancel { request: which.0, attempt: which.1 }));
+            actions
+                .extend(out.map(|(which, _)| Action::CancelAttempt { request: which.0, attempt: which.1 }));
         }
         let Some(job) = self.jobs.remove(&id) else { return };
         self.held.remove(&job.place);
@@ -604,26 +627,35 @@
     }
 
     fn ended(&mut self, now: f64, event: &Event, actions: &mut Vec<Action>) {
-        let &Event::Ended { request: id, attempt, engine, outcome, settled, .. } = event else { return };
-        let &Event::Ended { elapsed, may_run_for, cost, report, .. } = event else { return };
+        let &Event::AttemptEnded { request: id, attempt, engine, outcome, request_settled: settled, .. } =
+            event
+        else {
+            return;
+        };
+        let &Event::AttemptEnded {
+            elapsed, may_still_run_for: may_run_for, cost, load_report: report, ..
+        } = event
+        else {
+            return;
+        };
         self.reported(now, engine, report.as_ref());
         let Some(attempt) = self.attempts.remove(&(id, attempt)) else { return };
-        let may_run = outcome.may_run_on();
+        let may_run = outcome.may_still_run();
         if let Some(line) = attempt.request.key.and_then(|k| self.keys.get_mut(&k)) {
             line.out -= 1;
             if may_run {
-                line.rest = Some((now + may_run_for + self.s.rules.order_pause, id));
+                line.rest = Some((now + may_run_for + self.s.rules.key_cooldown, id));
             }
         }
         self.learn(now, &attempt, outcome, elapsed, cost);
         // An error is the engine's fault where another engine does better, and the request's where none does.
         let erred = self.jobs.get_mut(&id).and_then(|job| match outcome {
-            Outcome::Failure => job.erred.replace(engine),
+            Outcome::Error => job.erred.replace(engine),
             Outcome::Success => job.erred,
             _ => None,
         });
         let first = erred.filter(|first| *first != engine);
-        if first.is_some() && outcome == Outcome::Failure && !settled {
+        if first.is_some() && outcome == Outcome::Error && !settled {
             actions.push(Action::Fail(id));
             return self.forget(id, actions);
         }
@@ -634,7 +666,7 @@
             return self.forget(id, actions);
         }
         let Some(job) = self.jobs.get_mut(&id) else { return };
-        if (may_run || outcome == Outcome::Failure) && job.may_have_run.is_none() {
+        if (may_run || outcome == Outcome::Error) && job.may_have_run.is_none() {
             job.may_have_run = Some((attempt.engine, attempt.sent));
         }
         self.held.insert(job.place, id);
@@ -646,21 +678,21 @@
     /// An attempt that rests its key until its end is known runs no longer than this.
     fn confirmed(&mut self, now: f64, key: KeyId, may_run_for: f64) {
         let Some(line) = self.keys.get_mut(&key) else { return };
-        line.rest = line.rest.map(|(_, by)| (now + may_run_for + self.s.rules.order_pause, by));
+        line.rest = line.rest.map(|(_, by)| (now + may_run_for + self.s.rules.key_cooldown, by));
     }
 
     /// News of an attempt. One that will take many times the usual is drawn anew, once a request:
     /// slow again it is truly heavy, and is given up if it cannot end in time.
-    fn noted(&mut self, now: f64, which: (RequestId, u32), note: Note, actions: &mut Vec<Action>) {
+    fn noted(&mut self, now: f64, which: (RequestId, u32), note: Progress, actions: &mut Vec<Action>) {
         let Some(a) = self.attempts.get_mut(&which) else { return };
         a.heard = now;
-        a.noted = if note == Note::Running { a.noted } else { now };
+        a.noted = if note == Progress::Running { a.noted } else { now };
         // An engine that sends news is not silent, even where it answers this gateway nothing for long.
         if let Some(e) = self.engines.get_mut(&a.engine) {
             e.health.last_answer = now;
         }
-        let (Note::Progress(share), engine, class) = (note, a.engine, a.request.class) else { return };
-        let work = a.request.estimate.unwrap_or(0.0);
+        let (Progress::Fraction(share), engine, class) = (note, a.engine, a.request.class) else { return };
+        let work = a.request.estimated_work.unwrap_or(0.0);
         let times = (now - a.sent) * f64::from(self.s.classes[class.0].threads) / (work * share);
         if share > TOLD {
             self.paced(now, engine, class, times);
@@ -670,37 +702,41 @@
         let left = age * (1.0 - share) / share.max(1e-3);
         // On an engine whose dashboards are slow all is slow, and a withdrawn attempt is work lost in a jam.
         let usual = (self.pooled.mean / self.light).max(1.0) * self.classes[class.0].latency;
-        let may_cancel = self.s.allowed.cancel && self.s.classes[class.0].effect == Effect::Safe;
+        let may_cancel = self.s.capabilities.cancels_attempts
+            && self.s.classes[class.0].idempotency == Idempotency::Idempotent;
         let hopeless = now + left > job.request.deadline + age;
         if may_cancel && job.withdrawn && hopeless {
             self.give_up(which.0, false, actions);
         } else if may_cancel && !job.withdrawn && left > RUNAWAY * usual {
             job.withdrawn = true;
-            actions.push(Action::Cancel { request: which.0, attempt: which.1 });
+            actions.push(Action::CancelAttempt { request: which.0, attempt: which.1 });
         }
     }
 
     /// Whether another attempt may follow, by number, effect, outcomes and time left; `may_send` says where.
     fn another_may_follow(&self, job: &Job, now: f64) -> bool {
-        let most = self.s.allowed.max_attempts;
-        let repeatable = match (self.s.classes[job.request.class.0].effect, job.may_have_run) {
-            (_, None) | (Effect::Safe, _) => true,
-            (Effect::Unsafe, Some(_)) => false,
-            (Effect::Keyed { window, .. }, Some((_, sent))) => now < sent + window - self.s.resolution,
+        let most = self.s.capabilities.max_attempts;
+        let repeatable = match (self.s.classes[job.request.class.0].idempotency, job.may_have_run) {
+            (_, None) | (Idempotency::Idempotent, _) => true,
+            (Idempotency::NotIdempotent, Some(_)) => false,
+            (Idempotency::Keyed { window, .. }, Some((_, sent))) => {
+                now < sent + window - self.s.clock_resolution
+            }
         };
         let in_time = now + self.least(job) <= job.request.deadline;
         repeatable && in_time && (most == 0 || job.attempts < most)
     }
 
     /// A load report: the one sight of what other gateways send. Figures that make no sense are skipped.
-    fn reported(&mut self, now: f64, id: EngineId, report: Option<&Report>) {
+    fn reported(&mut self, now: f64, id: EngineId, report: Option<&LoadReport>) {
         let (Some(r), Some(e)) = (report, self.engines.get_mut(&id)) else { return };
         let filled = |queries: f64| e.filled_by(queries, self.pooled.width.max(1.0), self.pooled.memory_mb);
         let figures = [
-            r.inflight.map(filled),
-            r.queue.filter(|q| *q >= 1.0).map(|q| 1.0 + filled(q)),
-            r.cores_busy.map(|u| 0.9 * u),
-            r.memory_granted.map(|m| if self.s.when_short == WhenShort::Shrink { SPILLS * m } else { m }),
+            r.in_flight.map(filled),
+            r.queued.filter(|q| *q >= 1.0).map(|q| 1.0 + filled(q)),
+            r.core_utilization.map(|u| 0.9 * u),
+            r.memory_utilization
+                .map(|m| if self.s.on_memory_shortage == MemoryShortage::Spill { SPILLS * m } else { m }),
         ];
         let sane = figures.into_iter().flatten().filter(|f| (0.0..1e6).contains(f));
         let Some(fullness) = sane.reduce(f64::max).map(|f| f.min(3.0)) else { return };
@@ -727,11 +763,18 @@
     }
 
     /// What an outcome tells of the engine and of the class.
-    fn learn(&mut self, now: f64, attempt: &Attempt, outcome: Outcome, elapsed: f64, cost: Option<Cost>) {
-        let (class, need_mb) = (attempt.request.class, attempt.request.need_mb.unwrap_or(0.0));
+    fn learn(
+        &mut self,
+        now: f64,
+        attempt: &Attempt,
+        outcome: Outcome,
+        elapsed: f64,
+        cost: Option<QueryCost>,
+    ) {
+        let (class, need_mb) = (attempt.request.class, attempt.request.estimated_memory_mb.unwrap_or(0.0));
         let threads = f64::from(self.s.classes[class.0].threads);
         if outcome == Outcome::Success {
-            let work = cost.map_or(attempt.request.estimate.unwrap_or(0.0), |cost| cost.work);
+            let work = cost.map_or(attempt.request.estimated_work.unwrap_or(0.0), |cost| cost.work);
             self.paced(now, attempt.engine, class, elapsed * threads / work);
         }
         let (terms, view) = (self.loop_terms(), &mut self.classes[class.0]);
@@ -749,7 +792,7 @@
         e.health.out_in_spell -= u32::from(in_spell);
         // An attempt waited for in vain counts as one that took so long; else only the lucky are seen.
         // One that stood still says nothing of how full the engine is.
-        if matches!(outcome, Outcome::Success | Outcome::TimedOut | Outcome::Withdrawn) && !attempt.stuck {
+        if matches!(outcome, Outcome::Success | Outcome::TimedOut | Outcome::Cancelled) && !attempt.stuck {
             // Cut short by a client that had little time left, it took longer than it was waited for.
             let cut = if outcome == Outcome::Success { 0.0 } else { 1.0 };
             let sample = (elapsed / view.latency.max(1e-6)).clamp(cut, 2.0 * SLOW_FACTOR);
@@ -776,17 +819,17 @@
                 }
                 e.health.success(now, in_spell);
             }
-            Outcome::Unreachable => e.health.strike(now, 1.0),
-            Outcome::Broken => e.health.strike(now, 0.5),
-            Outcome::Failure => e.health.strike(now, ERRED.0),
+            Outcome::ConnectFailed => e.health.strike(now, 1.0),
+            Outcome::ConnectionLost => e.health.strike(now, 0.5),
+            Outcome::Error => e.health.strike(now, ERRED.0),
             // An engine that turns work away would draw all the more. It is full, not ill: no trial.
-            Outcome::Overloaded => {
+            Outcome::Rejected => {
                 e.health.rest = (2.0 * e.health.rest).clamp(FULL_REST, PAUSE.1);
                 e.health.out_until = e.health.out_until.max(now + e.health.rest * e.health.spread);
                 e.fullness = Some((2.0, now));
             }
             // A time-out may be a load in the way; a hang shows as silence.
-            Outcome::TimedOut | Outcome::Withdrawn | Outcome::Void => {}
+            Outcome::TimedOut | Outcome::Cancelled | Outcome::NeverSent => {}
         }
         e.feedback.close(now, &self.pooled, self.pooled.fullness(e, now), &terms);
     }
@@ -808,13 +851,15 @@
         self.count_pool(now);
         // Silence: an attempt is out for long and its engine has answered nothing since it was sent.
         for ((id, number), a) in &mut self.attempts {
-            let (at, may) = (a.request.class.0, &self.s.allowed);
+            let (at, may) = (a.request.class.0, &self.s.capabilities);
             let (class, view) = (&self.s.classes[at], &self.classes[at]);
-            let patience = if view.dashboard { SILENT * view.latency } else { 2.0 * class.aim };
-            let patience = patience.clamp(0.5 * self.objective, (2.0 * class.aim).max(0.5 * self.objective));
+            let patience = if view.dashboard { SILENT * view.latency } else { 2.0 * class.latency_objective };
+            let patience = patience
+                .clamp(0.5 * self.objective, (2.0 * class.latency_objective).max(0.5 * self.objective));
             // Where news come, an attempt with none is over and its answer lost. Harmful where news get lost.
-            let silent = now - a.heard > LOST.0 * may.note_period || now - a.noted > LOST.1 * may.note_period;
-            let lost = may.note_period > 0.0 && silent;
+            let silent =
+                now - a.heard > LOST.0 * may.progress_period || now - a.noted > LOST.1 * may.progress_period;
+            let lost = may.progress_period > 0.0 && silent;
             // Out for longer than it was charged for, it is charged as it goes.
             let over = now - a.sent - a.charged;
             if !a.dashboard && !a.stuck && over > 0.0 {
@@ -822,7 +867,10 @@
                 a.charged += over;
             }
             let Some(e) = self.engines.get_mut(&a.engine) else { continue };
-            let job = self.jobs.get_mut(id).filter(|_| may.cancel && class.effect == Effect::Safe);
+            let job = self
+                .jobs
+                .get_mut(id)
+                .filter(|_| may.cancels_attempts && class.idempotency == Idempotency::Idempotent);
             let untried = job.as_ref().is_some_and(|job| !job.withdrawn);
             // Some stand still while others beside them run well: drawn anew, most of them end in time.
             let stuck = untried && e.health.last_answer > a.sent && now - a.noted > STUCK * a.due;
@@ -832,7 +880,7 @@
             }
             if let Some(job) = job.filter(|_| lost || stuck) {
                 job.withdrawn |= stuck;
-                actions.push(Action::Cancel { request: *id, attempt: *number });
+                actions.push(Action::CancelAttempt { request: *id, attempt: *number });
             }
             // Out for long, it tells of a slow engine before it ends, as a load in the way may do too.
             if view.dashboard && !untried && now - a.sent > 2.0 * SLOW_FACTOR * view.latency {
@@ -864,8 +912,9 @@
     /// How long a request of this class may be held and still be answered within its aim.
     fn patience(&self, class: ClassId) -> f64 {
         let (c, view) = (&self.s.classes[class.0], &self.classes[class.0]);
-        let aim = c.aim + c.aim_stretch * view.work / f64::from(c.threads);
-        (if view.dashboard { PATIENCE.0 } else { PATIENCE.1 }) * (aim - view.latency).max(0.3 * c.aim)
+        let aim = c.latency_objective + c.objective_stretch * view.work / f64::from(c.threads);
+        (if view.dashboard { PATIENCE.0 } else { PATIENCE.1 })
+            * (aim - view.latency).max(0.3 * c.latency_objective)
     }
 
     /// Whether it came with little time left: one in order is then sent at once, or makes room in its line.
@@ -883,7 +932,7 @@
         let held: Vec<RequestId> = self.held.values().copied().filter(has_turn).collect();
         for id in held {
             let job = &self.jobs[&id];
-            let (class, need_mb) = (job.request.class, job.request.need_mb.unwrap_or(0.0));
+            let (class, need_mb) = (job.request.class, job.request.estimated_memory_mb.unwrap_or(0.0));
             let borne = self.is_borne(job);
             let kind = 2 * class.0 + usize::from(borne);
             if need_mb >= full[kind] || !self.has_turn(&job.request, now) {
@@ -934,9 +983,9 @@
         // While all are full by their reports, dashboards too pass a jam only halfway.
         let jam = if p.fullness.is_some_and(|f| f > BAR) { 0.5 * JAM } else { JAM };
         let jam = |cores: f64| (jam * cores / f64::from(self.s.gateways)).max(1.0);
-        e.entry.state == EngineState::Ready
-            && c.only_kinds.as_ref().is_none_or(|k| k.contains(&e.entry.kind))
-            && c.only_zones.as_ref().is_none_or(|z| z.contains(&e.entry.zone))
+        e.entry.state == EndpointState::Ready
+            && c.allowed_machine_types.as_ref().is_none_or(|k| k.contains(&e.entry.machine_type))
+            && c.allowed_zones.as_ref().is_none_or(|z| z.contains(&e.entry.zone))
             && e.health.admits(now)
             && e.cold_budget_admits(now, view, c, &self.s)
             && if view.dashboard {
@@ -951,10 +1000,11 @@
     /// an own load holds what it reads comes last; ties stay in zone.
     fn choose(&mut self, id: RequestId, open: &[EngineId], now: f64) -> Option<EngineId> {
         let mut best: Option<((bool, f64, f64), EngineId)> = None;
-        let (class, group) = (self.jobs[&id].request.class, self.jobs[&id].request.group);
+        let (class, group) = (self.jobs[&id].request.class, self.jobs[&id].request.table_group);
         let (c, dashboard) = (&self.s.classes[class.0], self.classes[class.0].dashboard);
-        let waits = (c.yields || c.load) && group.is_some();
-        let loads = |a: &&Attempt| a.request.group == group && self.s.classes[a.request.class.0].load;
+        let waits = (c.waits_for_loads || c.is_load) && group.is_some();
+        let loads =
+            |a: &&Attempt| a.request.table_group == group && self.s.classes[a.request.class.0].is_load;
         let attempts = self.attempts.values().take(if waits { usize::MAX } else { 0 });
         let held_on: Vec<EngineId> = attempts.filter(loads).map(|a| a.engine).collect();
         for engine in open {
@@ -996,20 +1046,24 @@
     fn may_send(&self, job: &Job, engine: EngineId, now: f64) -> bool {
         let e = &self.engines[&engine].entry;
         let first = job.may_have_run.map(|(first, _)| self.engines.get(&first).map(|f| &f.entry));
-        let in_group = match (self.s.classes[job.request.class.0].effect, first) {
-            (Effect::Keyed { group: RepeatGroup::Zone, .. }, Some(f)) => f.is_some_and(|f| e.zone == f.zone),
-            (Effect::Keyed { group: RepeatGroup::Cell, .. }, Some(f)) => f.is_some_and(|f| e.cell == f.cell),
+        let in_group = match (self.s.classes[job.request.class.0].idempotency, first) {
+            (Idempotency::Keyed { scope: IdempotencyScope::Zone, .. }, Some(f)) => {
+                f.is_some_and(|f| e.zone == f.zone)
+            }
+            (Idempotency::Keyed { scope: IdempotencyScope::Cell, .. }, Some(f)) => {
+                f.is_some_and(|f| e.cell == f.cell)
+            }
             _ => true,
         };
         let in_budget = job.attempts == 0
-            || self.s.rules.extra.is_none_or(|b| {
+            || self.s.rules.retry_budget.is_none_or(|b| {
                 let within = |q: &VecDeque<f64>, from: f64| q.iter().filter(|at| **at > from).count() as f64;
                 // Counted for our disadvantage at the edge of the window.
-                let edge = now - b.look_back;
-                within(&self.extra, edge - self.s.resolution) + 1.0
-                    <= b.floor + b.ratio * within(&self.taken, edge)
+                let edge = now - b.window;
+                within(&self.extra, edge - self.s.clock_resolution) + 1.0
+                    <= b.min_retries + b.retry_ratio * within(&self.taken, edge)
             });
-        let may_follow = e.state == EngineState::Ready && self.another_may_follow(job, now);
+        let may_follow = e.state == EndpointState::Ready && self.another_may_follow(job, now);
         may_follow && in_group && in_budget
     }
 
@@ -1019,7 +1073,7 @@
         let class = &self.s.classes[job.request.class.0];
         let view = &self.classes[job.request.class.0];
         self.held.remove(&job.place);
-        let need_mb = job.request.need_mb.unwrap_or(0.0);
+        let need_mb = job.request.estimated_memory_mb.unwrap_or(0.0);
         let attempt = Attempt {
             request: job.request.clone(),
             dashboard: view.dashboard,
@@ -1052,15 +1106,15 @@
             self.pooled.debt += threads * view.latency * job.size;
         }
         e.health.out_in_spell += 1;
-        if e.entry.started.is_some_and(|at| now < at + self.s.rules.warm_up) {
+        if e.entry.started_at.is_some_and(|at| now < at + self.s.rules.slow_start_duration) {
             e.cold_sends.push_back((now, view.weight(class), view.dashboard));
         }
-        if self.s.allowed.priorities {
+        if self.s.capabilities.priorities {
             let priority = if view.dashboard { 3 } else { 1 };
-            actions.push(Action::Terms { request: id, memory_mb: 0.0, priority });
+            actions.push(Action::SetAttemptTerms { request: id, memory_mb: 0.0, priority });
         }
-        actions.push(Action::Send { request: id, engine, timeout: None });
-        let kept = now - 2.0 * self.s.rules.extra.map_or(0.0, |b| b.look_back);
+        actions.push(Action::Forward { request: id, engine, timeout: None });
+        let kept = now - 2.0 * self.s.rules.retry_budget.map_or(0.0, |b| b.window);
         for times in [&mut self.taken, &mut self.extra] {
             times.drain(..times.partition_point(|at| *at < kept));
         }
--- a/src/policy/explain.rs
+++ b/src/policy/explain.rs
@@ -2,21 +2,21 @@
 
 use std::fmt;
 
-use super::{BAR, ClassId, Engine, Gateway, JAM, RequestId};
-use crate::interface::EngineState;
+use super::{BAR, ClassId, Engine, JAM, RequestId, WorkloadManager};
+use crate::interface::EndpointState;
 
 /// The guards that keep a request from an engine, in the order in which they are asked.
 const GUARDS: [&str; 7] = ["state", "placed", "health", "cold", "bar", "threads", "memory"];
 
 /// How many engines each guard keeps a request from, and the figures that the guards go by.
 struct Why<'a> {
-    gateway: &'a Gateway,
+    gateway: &'a WorkloadManager,
     request: RequestId,
     now: f64,
 }
 
 /// Tells what kept a request that is given up now; costs nothing where nobody listens.
-pub(super) fn held_in_vain(gateway: &Gateway, request: RequestId, now: f64) {
+pub(super) fn held_in_vain(gateway: &WorkloadManager, request: RequestId, now: f64) {
     if tracing::enabled!(tracing::Level::DEBUG) {
         let class = gateway.jobs.get(&request).map(|job| job.request.class.0);
         tracing::debug!(request = request.0, class, why = %Why { gateway, request, now }, "held in vain");
@@ -28,10 +28,10 @@
     fn guard(&self, e: &Engine, class: ClassId, borne: bool, need_mb: f64) -> Option<usize> {
         let (g, now) = (self.gateway, self.now);
         let (c, view) = (&g.s.classes[class.0], &g.classes[class.0]);
-        let placed = c.only_kinds.as_ref().is_none_or(|k| k.contains(&e.entry.kind))
-            && c.only_zones.as_ref().is_none_or(|z| z.contains(&e.entry.zone));
+        let placed = c.allowed_machine_types.as_ref().is_none_or(|k| k.contains(&e.entry.machine_type))
+            && c.allowed_zones.as_ref().is_none_or(|z| z.contains(&e.entry.zone));
         let open = [
-            e.entry.state == EngineState::Ready,
+            e.entry.state == EndpointState::Ready,
             placed,
             e.health.admits(now),
             e.cold_budget_admits(now, view, c, &g.s),
@@ -47,7 +47,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let g = self.gateway;
         let Some(job) = g.jobs.get(&self.request) else { return Ok(()) };
-        let (class, need_mb) = (job.request.class, job.request.need_mb.unwrap_or(0.0));
+        let (class, need_mb) = (job.request.class, job.request.estimated_memory_mb.unwrap_or(0.0));
         let mut stopped = [0_u32; GUARDS.len()];
         let mut open = 0;
         for e in g.engines.values() {
@@ -79,7 +79,7 @@
     }
 }
 
-impl Gateway {
+impl WorkloadManager {
     /// How many engines are remembered.
     pub fn engines_known(&self) -> usize {
         self.engines.len()
@@ -93,9 +93,9 @@
     /// How many of the listed engines get nothing new: they drain, or pause after silence, errors or being full.
     pub fn engines_avoided(&self, now: f64) -> usize {
         let avoided = |e: &&Engine| match e.entry.state {
-            EngineState::Ready => now < e.health.out_until,
-            EngineState::Draining => true,
-            EngineState::Gone => false,
+            EndpointState::Ready => now < e.health.out_until,
+            EndpointState::Draining => true,
+            EndpointState::Removed => false,
         };
         self.engines.values().filter(avoided).count()
     }
