--- a/src/policy/explain.rs
+++ b/src/policy/explain.rs
@@ -90,7 +90,7 @@
         self.keys.len()
     }
 
-    /// How many of the listed engines get nothing new: they drain, or pause after silence, errors or being full.
+    /// How many of the listed engines get nothing new: they drain, are ejected, or said that they are full.
     pub fn engines_avoided(&self, now: f64) -> usize {
         let avoided = |e: &&Engine| match e.entry.state {
             EndpointState::Ready => now < e.health.out_until,
