--- /dev/null
+++ b/gateway/src/core/attempts.rs
@@ -0,0 +1,232 @@
+//! Attempts: started, cancelled, ended, lost, and ended without confirmation.
+
+use std::collections::BTreeMap;
+
+use workload_manager::interface::*;
+use wrenhatch_sessions::timer_wheel::TimerId;
+
+use super::command::{AttemptLimits, AttemptTerms};
+use super::requests::Unserved;
+use super::rules::{self, MayRunUntil, remaining_seconds};
+use super::time::{micros, seconds};
+use super::timers::Timer;
+use super::{Command, Core};
+
+/// An attempt's id.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct AttemptId {
+    /// Its request.
+    pub request: RequestId,
+    /// Its number among the attempts of its request, from 0.
+    pub number: u32,
+}
+
+/// An attempt that has started and not ended.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct InFlightAttempt {
+    pub(super) class: ClassId,
+    engine: EngineId,
+    pub(super) key: Option<KeyId>,
+    started_us: u64,
+    is_cancelled: bool,
+    timeout: Option<TimerId>,
+}
+
+/// The attempts in flight.
+#[derive(Debug, Default)]
+pub(super) struct InFlightAttempts(BTreeMap<AttemptId, InFlightAttempt>);
+
+impl InFlightAttempts {
+    pub(super) fn contains(&self, id: AttemptId) -> bool {
+        self.0.contains_key(&id)
+    }
+
+    pub(super) fn iter(&self) -> impl Iterator<Item = &InFlightAttempt> {
+        self.0.values()
+    }
+
+    /// The attempts of a request.
+    fn of(&self, request: RequestId) -> impl Iterator<Item = (AttemptId, &InFlightAttempt)> {
+        let attempt = |number| AttemptId { request, number };
+        self.0.range(attempt(0)..=attempt(u32::MAX)).map(|(id, attempt)| (*id, attempt))
+    }
+
+    /// Whether a request has an attempt in flight.
+    pub(super) fn has_any_of(&self, request: RequestId) -> bool {
+        self.of(request).next().is_some()
+    }
+}
+
+/// How an attempt has ended.
+struct AttemptEnd {
+    outcome: Outcome,
+    /// The request is finished.
+    request_settled: bool,
+    may_run_until: MayRunUntil,
+    load_report: Option<LoadReport>,
+}
+
+impl Core {
+    /// Starts the next attempt of a request. One that would break a rule, whatever the workload manager asks for, is
+    /// never sent: beside another attempt in flight, to an engine that is not ready, past the limit of attempts, or
+    /// past the deadline.
+    pub(super) fn start_attempt(
+        &mut self,
+        now_us: u64,
+        request: RequestId,
+        engine: EngineId,
+        timeout: Option<f64>,
+        commands: &mut Vec<Command>,
+    ) {
+        let has_attempt_in_flight = self.in_flight.has_any_of(request);
+        let is_ready = self.endpoint_states.get(&engine) == Some(&EndpointState::Ready);
+        let Some(open) = self.open_requests.get_mut(&request) else { return };
+        let id = AttemptId { request, number: open.next_attempt };
+        open.next_attempt += 1;
+        let until_us = timeout.map_or(open.answer_by_us, |span| open.answer_by_us.min(now_us + micros(span)));
+        let (class, key, terms) = (open.class, open.key, open.terms);
+        let attempt =
+            InFlightAttempt { class, engine, key, started_us: now_us, is_cancelled: false, timeout: None };
+        let may_have_run_since_us = open.may_have_run_since_us;
+        self.in_flight.0.insert(id, attempt);
+        if let Some(key) = key {
+            self.leases.attempt_began(key);
+        }
+        let exhausted = self.rules.attempts_exhausted(id.number);
+        if has_attempt_in_flight || !is_ready || exhausted || until_us <= now_us {
+            self.on_attempt_ended(now_us, id, Outcome::NeverSent, None, commands);
+            return;
+        }
+        if timeout.is_some() {
+            let timer = self.timers.arm(until_us, Timer::AttemptTimeout(id));
+            if let Some(attempt) = self.in_flight.0.get_mut(&id) {
+                attempt.timeout = Some(timer);
+            }
+        }
+        let begin_by_us = until_us.min(self.rules.retry_window_end_us(class, may_have_run_since_us));
+        let limits = AttemptLimits { until_us, begin_by_us, in_order: key.is_some() };
+        commands.push(Command::StartAttempt { attempt: id, engine, terms, limits });
+    }
+
+    /// Sets the terms of a request's attempts; one in flight gets the new priority.
+    pub(super) fn set_attempt_terms(
+        &mut self,
+        request: RequestId,
+        terms: AttemptTerms,
+        commands: &mut Vec<Command>,
+    ) {
+        let Some(open) = self.open_requests.get_mut(&request) else { return };
+        let priority = terms.priority;
+        let has_changed = open.terms.priority != priority;
+        open.terms = terms;
+        if has_changed {
+            let attempts = self.in_flight.of(request).filter(|(_, attempt)| !attempt.is_cancelled);
+            commands.extend(attempts.map(|(attempt, _)| Command::SetPriority { attempt, priority }));
+        }
+    }
+
+    /// Cancels an attempt, once; its end is still awaited.
+    pub(super) fn cancel_attempt(&mut self, id: AttemptId, commands: &mut Vec<Command>) {
+        if let Some(attempt) = self.in_flight.0.get_mut(&id).filter(|attempt| !attempt.is_cancelled) {
+            attempt.is_cancelled = true;
+            commands.push(Command::CancelAttempt(id));
+        }
+    }
+
+    pub(super) fn on_attempt_ended(
+        &mut self,
+        now_us: u64,
+        id: AttemptId,
+        outcome: Outcome,
+        load_report: Option<LoadReport>,
+        commands: &mut Vec<Command>,
+    ) {
+        let Some(attempt) = self.remove_in_flight(id) else { return };
+        let mut request_settled = true;
+        if let Some(open) = self.open_requests.get_mut(&id.request) {
+            request_settled = outcome == Outcome::Success;
+            if request_settled {
+                self.close_request(now_us, id.request);
+                commands.push(Command::Serve(id));
+            } else if rules::may_have_run(outcome) {
+                open.may_have_run(attempt.started_us);
+            }
+        }
+        let may_run_until = MayRunUntil::Time(now_us);
+        let end = AttemptEnd { outcome, request_settled, may_run_until, load_report };
+        self.report_attempt_end(now_us, id, attempt, end);
+    }
+
+    /// The engine of an attempt is silent and may still run it. A retry would be a second attempt beside it, so the
+    /// request gets its final answer; where a retry is safe its client may send it again.
+    pub(super) fn on_attempt_lost(
+        &mut self,
+        now_us: u64,
+        id: AttemptId,
+        may_run_until: MayRunUntil,
+        commands: &mut Vec<Command>,
+    ) {
+        let Some(attempt) = self.remove_in_flight(id) else { return };
+        if let Some(open) = self.open_requests.get_mut(&id.request) {
+            open.may_have_run(attempt.started_us);
+        }
+        let retry_after = self.rules.retry_after_seconds();
+        self.answer_unserved(now_us, id.request, Unserved::RejectIfRetryIsSafe { retry_after }, commands);
+        let end = AttemptEnd {
+            outcome: Outcome::TimedOut,
+            request_settled: true,
+            may_run_until,
+            load_report: None,
+        };
+        self.report_attempt_end(now_us, id, attempt, end);
+    }
+
+    /// An attempt without a known end runs no longer than `runs_until_us`: its key cools down from then on.
+    pub(super) fn on_attempt_end_confirmed(&mut self, now_us: u64, id: AttemptId, runs_until_us: u64) {
+        let Some(key) = self.unconfirmed_attempts.remove(&id) else { return };
+        let cooldown_until_us = self.rules.key_cooldown_end_us(runs_until_us);
+        self.leases.ended(now_us, key, cooldown_until_us, &mut self.lease_effects);
+        let may_still_run_for = remaining_seconds(now_us, runs_until_us);
+        self.events.push_back(Event::AttemptEndConfirmed { key, may_still_run_for });
+    }
+
+    fn remove_in_flight(&mut self, id: AttemptId) -> Option<InFlightAttempt> {
+        let attempt = self.in_flight.0.remove(&id)?;
+        if let Some(timer) = attempt.timeout {
+            self.timers.cancel(timer);
+        }
+        Some(attempt)
+    }
+
+    /// Reports the end of an attempt to the lease of its key and to the workload manager.
+    fn report_attempt_end(&mut self, now_us: u64, id: AttemptId, attempt: InFlightAttempt, end: AttemptEnd) {
+        let may_still_run_for = match (end.may_run_until, attempt.key) {
+            (MayRunUntil::Time(until_us), key) => {
+                let may_still_run = end.outcome.may_still_run();
+                let cooldown_until_us =
+                    if may_still_run { self.rules.key_cooldown_end_us(until_us) } else { 0 };
+                if let Some(key) = key {
+                    self.leases.ended(now_us, key, cooldown_until_us, &mut self.lease_effects);
+                }
+                remaining_seconds(now_us, until_us)
+            }
+            // The lease stays in use until the end is confirmed.
+            (MayRunUntil::Unconfirmed, Some(key)) => {
+                self.unconfirmed_attempts.insert(id, key);
+                f64::INFINITY
+            }
+            (MayRunUntil::Unconfirmed, None) => 0.0,
+        };
+        self.events.push_back(Event::AttemptEnded {
+            request: id.request,
+            attempt: id.number,
+            engine: attempt.engine,
+            outcome: end.outcome,
+            elapsed: seconds(now_us.saturating_sub(attempt.started_us)),
+            request_settled: end.request_settled,
+            may_still_run_for,
+            cost: None,
+            load_report: end.load_report,
+        });
+    }
+}
--- /dev/null
+++ b/gateway/src/core/mod.rs
@@ -0,0 +1,219 @@
+//! The core of a gateway: open requests, attempts in flight, deadlines, and the one final answer of each request.
+//!
+//! It stands between the front ends and engine connections, which do I/O, and the [`WorkloadManager`], which decides.
+//! A caller collects [`Input`]s, hands them to [`Core::turn`] with the time, and carries out the [`Command`]s that
+//! come back; where nothing happens, it calls again at [`Core::next_timer_us`]. The core does no I/O, knows no
+//! protocol and reads no clock: times are whole microseconds of the caller's clock.
+//!
+//! Invariants, whatever the workload manager asks for:
+//!
+//! - A request gets one final answer, before its client's deadline, and none once its client has left (`requests`).
+//! - A request never has two attempts in flight, and a lost attempt is never followed by another (`attempts`).
+//! - A request is rejected only where a retry by its client is safe (`rules`).
+//! - Requests of one order key reach the workload manager only while this process holds the key's lease (`leases`).
+
+mod attempts;
+mod command;
+mod input;
+mod leases;
+mod requests;
+mod rules;
+mod time;
+mod timers;
+
+pub use attempts::AttemptId;
+pub use command::{AttemptLimits, AttemptTerms, Command};
+pub use input::{Input, NewRequest, PeerProcessEvent};
+
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+
+use workload_manager::WorkloadManager;
+use workload_manager::interface::*;
+
+use crate::key_leases::{KeyLeases, LeaseEffect};
+use crate::timer_lag::TimerLag;
+use attempts::InFlightAttempts;
+use requests::{OpenRequest, Unserved};
+use rules::{MayRunUntil, RequestRules};
+use time::{micros, seconds};
+use timers::Timers;
+
+/// The core of one gateway.
+pub struct Core {
+    workload_manager: WorkloadManager,
+    rules: RequestRules,
+    endpoint_states: BTreeMap<EngineId, EndpointState>,
+    open_requests: BTreeMap<RequestId, OpenRequest>,
+    in_flight: InFlightAttempts,
+    /// Attempts that have ended for the gateway, and that engines may run without bound; with their keys.
+    unconfirmed_attempts: BTreeMap<AttemptId, KeyId>,
+    leases: KeyLeases,
+    /// Not carried out yet.
+    lease_effects: Vec<LeaseEffect>,
+    timers: Timers,
+    /// Not handed to the workload manager yet.
+    events: VecDeque<Event>,
+    /// Empty between calls; kept for its memory.
+    actions: Vec<Action>,
+}
+
+impl Core {
+    /// A core with a workload manager that has just started.
+    ///
+    /// # Errors
+    /// The settings are contradictory or out of range.
+    pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
+        Ok(Self {
+            rules: RequestRules::new(&settings),
+            workload_manager: WorkloadManager::new(settings, seed)?,
+            endpoint_states: BTreeMap::new(),
+            open_requests: BTreeMap::new(),
+            in_flight: InFlightAttempts::default(),
+            unconfirmed_attempts: BTreeMap::new(),
+            leases: KeyLeases::default(),
+            lease_effects: Vec::new(),
+            timers: Timers::default(),
+            events: VecDeque::new(),
+            actions: Vec::new(),
+        })
+    }
+
+    /// Takes over changed settings between two turns. Open requests and attempts in flight keep the class that they
+    /// came with, and keys their leases; settings that belong to no class hold for all from here on.
+    ///
+    /// # Errors
+    /// The settings are contradictory or out of range; the old ones stay.
+    pub fn reconfigure(&mut self, change: SettingsChange) -> Result<(), SettingsError> {
+        let rules = RequestRules::new(&change.settings);
+        self.workload_manager.reconfigure(change)?;
+        self.rules = rules;
+        Ok(())
+    }
+
+    /// The classes of open requests and of attempts in flight.
+    pub fn classes_in_use(&self) -> BTreeSet<ClassId> {
+        let open = self.open_requests.values().map(|open| open.class);
+        open.chain(self.in_flight.iter().map(|attempt| attempt.class)).collect()
+    }
+
+    /// Requests that are owed an answer.
+    pub fn open_requests(&self) -> usize {
+        self.open_requests.len()
+    }
+
+    /// Engines of the endpoint list that get nothing new: they are draining, or ejected.
+    pub fn engines_avoided(&self, now_us: u64) -> usize {
+        self.workload_manager.engines_avoided(seconds(now_us))
+    }
+
+    /// When the next turn is due if no input comes before, in microseconds.
+    pub fn next_timer_us(&self) -> Option<u64> {
+        self.timers.next_us()
+    }
+
+    /// How late the core's timers have fired.
+    pub fn timer_lag(&self) -> &TimerLag {
+        self.timers.lag()
+    }
+
+    /// Armed timers: one for each open request, one for each attempt with a timeout, and the workload manager's.
+    pub fn timers(&self) -> usize {
+        self.timers.len()
+    }
+
+    /// One turn: handles all inputs in order, then the timers that are due. What the workload manager decides on each
+    /// of them is carried out before the next one.
+    pub fn turn(&mut self, now_us: u64, inputs: &mut Vec<Input>, commands: &mut Vec<Command>) {
+        for input in inputs.drain(..) {
+            self.on_input(now_us, input, commands);
+            self.run_workload_manager(now_us, commands);
+        }
+        while let Some(timer) = self.timers.pop(now_us) {
+            self.on_timer(now_us, timer, commands);
+            self.run_workload_manager(now_us, commands);
+        }
+    }
+
+    fn on_input(&mut self, now_us: u64, input: Input, commands: &mut Vec<Command>) {
+        match input {
+            Input::EndpointList { mode, entries } => self.on_endpoint_list(mode, entries),
+            Input::RequestArrived { id, request } => self.on_request_arrived(now_us, id, request),
+            Input::AttemptEnded { attempt, outcome, load_report } => {
+                self.on_attempt_ended(now_us, attempt, outcome, load_report, commands);
+            }
+            Input::AttemptLost { attempt, runs_until_us } => {
+                self.on_attempt_lost(now_us, attempt, MayRunUntil::Time(runs_until_us), commands);
+            }
+            Input::AttemptUnconfirmed(attempt) => {
+                self.on_attempt_lost(now_us, attempt, MayRunUntil::Unconfirmed, commands);
+            }
+            Input::AttemptEndConfirmed { attempt, runs_until_us } => {
+                self.on_attempt_end_confirmed(now_us, attempt, runs_until_us);
+            }
+            Input::AttemptProgress { attempt: AttemptId { request, number }, progress } => {
+                if self.in_flight.contains(AttemptId { request, number }) {
+                    self.events.push_back(Event::AttemptProgress { request, attempt: number, progress });
+                }
+            }
+            Input::ClientLeft(id) => self.on_client_left(now_us, id),
+            Input::ShuttingDown => self.on_shutting_down(now_us, commands),
+            Input::PeerProcess { peer, event } => self.on_peer_event(now_us, peer, event),
+        }
+        self.carry_out_lease_effects(commands);
+    }
+
+    fn on_endpoint_list(&mut self, mode: EndpointListMode, entries: Vec<EndpointEntry>) {
+        let states = &mut self.endpoint_states;
+        if matches!(mode, EndpointListMode::Full | EndpointListMode::Cached) {
+            states.clear();
+        }
+        states.extend(entries.iter().map(|entry| (entry.engine, entry.state)));
+        // Nothing is sent to an unknown engine, as to a removed one.
+        states.retain(|_, state| *state != EndpointState::Removed);
+        self.events.push_back(Event::EndpointList { mode, entries });
+    }
+
+    /// Hands pending events to the workload manager and carries out its actions, until no event is left.
+    fn run_workload_manager(&mut self, now_us: u64, commands: &mut Vec<Command>) {
+        while let Some(event) = self.events.pop_front() {
+            let mut actions = std::mem::take(&mut self.actions);
+            self.workload_manager.on_event(seconds(now_us), &event, &mut actions);
+            for action in actions.drain(..) {
+                self.carry_out(now_us, action, commands);
+            }
+            self.actions = actions;
+            self.carry_out_lease_effects(commands);
+        }
+    }
+
+    fn carry_out(&mut self, now_us: u64, action: Action, commands: &mut Vec<Command>) {
+        match action {
+            Action::SetAttemptTerms { request, memory_mb, priority } => {
+                self.set_attempt_terms(request, AttemptTerms { memory_mb, priority }, commands);
+            }
+            Action::Forward { request, engine, timeout } => {
+                self.start_attempt(now_us, request, engine, timeout, commands);
+            }
+            Action::CancelAttempt { request, attempt: number } => {
+                self.cancel_attempt(AttemptId { request, number }, commands);
+            }
+            Action::Reject { request, retry_after } => {
+                self.answer_unserved(
+                    now_us,
+                    request,
+                    Unserved::RejectIfRetryIsSafe { retry_after },
+                    commands,
+                );
+            }
+            Action::Fail(request) => self.answer_unserved(now_us, request, Unserved::Fail, commands),
+            Action::SetTimer { delay, token, request } => {
+                self.arm_for_workload_manager(now_us + micros(delay), token, request);
+            }
+            // The endpoint list is pushed and health checks are not permitted, so neither is ever asked for.
+            Action::CheckHealth(_) | Action::WatchEndpointList => {}
+        }
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/gateway/src/core/tests.rs
+++ b/gateway/src/core/tests.rs
@@ -2,6 +2,7 @@
 
 use quickcheck::quickcheck;
 
+use super::rules::CLIENT_DEADLINE_MARGIN_US;
 use super::*;
 use crate::config::{self, Node};
 
@@ -9,6 +10,10 @@
 const LOAD: ClassId = ClassId(2);
 const SECOND: u64 = 1_000_000;
 
+fn ended(attempt: AttemptId, outcome: Outcome) -> Input {
+    Input::AttemptEnded { attempt, outcome, load_report: None }
+}
+
 fn entry(engine: u32, state: EndpointState) -> EndpointEntry {
     EndpointEntry {
         engine: EngineId(engine),
@@ -49,7 +54,7 @@
     }
 
     fn list(&mut self, entries: &[EndpointEntry]) {
-        self.turn(vec![Input::EndpointList(EndpointListMode::Delta, entries.to_vec())]);
+        self.turn(vec![Input::EndpointList { mode: EndpointListMode::Delta, entries: entries.to_vec() }]);
     }
 
     fn turn(&mut self, mut inputs: Vec<Input>) -> Vec<Command> {
@@ -64,17 +69,17 @@
 
     fn ask_in_order(&mut self, id: u64, class: ClassId, wait_us: u64, key: Option<KeyId>) -> Vec<Command> {
         let deadline_us = self.now_us + wait_us;
-        let ask = NewRequest {
+        let request = NewRequest {
             class,
             tenant: None,
             deadline_us,
-            estimate: Some(0.02),
-            need_mb: None,
-            group: Some(TableGroupId(1)),
+            estimated_work: Some(0.02),
+            estimated_memory_mb: None,
+            table_group: Some(TableGroupId(1)),
             key,
-            retry: false,
+            is_retry: false,
         };
-        self.turn(vec![Input::RequestArrived(RequestId(id), ask)])
+        self.turn(vec![Input::RequestArrived { id: RequestId(id), request }])
     }
 
     /// Lets time pass, alarm by alarm.
@@ -90,16 +95,24 @@
     }
 }
 
-fn started(commands: &[Command]) -> Option<(RequestId, u32, EngineId)> {
+fn started(commands: &[Command]) -> Option<(AttemptId, EngineId)> {
     commands.iter().find_map(|c| match c {
-        Command::StartAttempt { request, attempt, engine, .. } => Some((*request, *attempt, *engine)),
+        Command::StartAttempt { attempt, engine, .. } => Some((*attempt, *engine)),
         _ => None,
     })
 }
 
+/// The attempt that was started, which has to be the first of its request.
+fn first_attempt(commands: &[Command]) -> AttemptId {
+    let (attempt, _) = started(commands).expect("an attempt is started");
+    assert_eq!(attempt.number, 0);
+    attempt
+}
+
 fn answered(command: &Command) -> Option<RequestId> {
     match command {
-        Command::Serve(id, _) | Command::Reject(id, _) | Command::Fail(id) => Some(*id),
+        Command::Serve(attempt) => Some(attempt.request),
+        Command::Reject { request, .. } | Command::Fail(request) => Some(*request),
         _ => None,
     }
 }
@@ -107,9 +120,9 @@
 #[test]
 fn a_request_is_sent_and_served_once() {
     let mut b = Bench::new();
-    let (id, attempt, _) = started(&b.ask(1, LOOKUP, 3 * SECOND)).unwrap();
-    let end = Input::AttemptEnded(id, attempt, Outcome::Success, None);
-    assert_eq!(b.turn(vec![end.clone()]), [Command::Serve(id, 0)]);
+    let attempt = first_attempt(&b.ask(1, LOOKUP, 3 * SECOND));
+    let end = ended(attempt, Outcome::Success);
+    assert_eq!(b.turn(vec![end.clone()]), [Command::Serve(attempt)]);
     assert_eq!(b.turn(vec![end]), [], "an end that comes twice says nothing new");
     assert_eq!(b.pass(10 * SECOND).iter().find_map(answered), None);
     assert_eq!(b.core.open_requests(), 0);
@@ -118,11 +131,11 @@
 #[test]
 fn the_answer_comes_before_the_client_gives_up() {
     let mut b = Bench::new();
-    let (id, ..) = started(&b.ask(1, LOAD, 2 * SECOND)).unwrap();
-    assert_eq!(b.pass(2 * SECOND - MARGIN_US - 10_000), []);
-    let commands = b.pass(MARGIN_US / 2 + 10_000);
+    let attempt = first_attempt(&b.ask(1, LOAD, 2 * SECOND));
+    assert_eq!(b.pass(2 * SECOND - CLIENT_DEADLINE_MARGIN_US - 10_000), []);
+    let commands = b.pass(CLIENT_DEADLINE_MARGIN_US / 2 + 10_000);
     // It may be running: a refusal would promise too much.
-    assert_eq!(commands, [Command::Fail(id), Command::CancelAttempt(id, 0)]);
+    assert_eq!(commands, [Command::Fail(attempt.request), Command::CancelAttempt(attempt)]);
 }
 
 #[test]
@@ -137,13 +150,13 @@
         (Outcome::Cancelled, false),
     ] {
         let mut b = Bench::new();
-        let (id, ..) = started(&b.ask(1, LOAD, 20 * SECOND)).unwrap();
-        let commands = b.turn(vec![Input::AttemptEnded(id, 0, outcome, None)]);
+        let attempt = first_attempt(&b.ask(1, LOAD, 20 * SECOND));
+        let commands = b.turn(vec![ended(attempt, outcome)]);
         if again {
-            assert!(commands.iter().all(|c| *c != Command::Fail(id)), "{outcome:?}");
+            assert!(commands.iter().all(|c| *c != Command::Fail(attempt.request)), "{outcome:?}");
             assert!(started(&commands).or_else(|| started(&b.pass(SECOND))).is_some(), "{outcome:?}");
         } else {
-            assert_eq!(commands, [Command::Fail(id)], "{outcome:?}");
+            assert_eq!(commands, [Command::Fail(attempt.request)], "{outcome:?}");
         }
     }
 }
@@ -151,12 +164,13 @@
 /// Guards against the second copies of fleet-1: an engine fell silent, a retry met the attempt still out.
 #[test]
 fn an_attempt_that_may_run_on_unheard_is_never_followed_by_another() {
-    for (class, answer) in
-        [(LOOKUP, Command::Reject(RequestId(1), Some(50))), (LOAD, Command::Fail(RequestId(1)))]
-    {
+    for (class, answer) in [
+        (LOOKUP, Command::Reject { request: RequestId(1), retry_after_ms: Some(50) }),
+        (LOAD, Command::Fail(RequestId(1))),
+    ] {
         let mut b = Bench::new();
-        let (id, ..) = started(&b.ask(1, class, 20 * SECOND)).unwrap();
-        assert_eq!(b.turn(vec![Input::AttemptLost(id, 0, b.now_us)]), [answer]);
+        let attempt = first_attempt(&b.ask(1, class, 20 * SECOND));
+        assert_eq!(b.turn(vec![Input::AttemptLost { attempt, runs_until_us: b.now_us }]), [answer]);
         assert_eq!(b.pass(30 * SECOND), [], "that was all");
     }
 }
@@ -165,12 +179,12 @@
 fn requests_of_one_key_run_one_at_a_time() {
     let mut b = Bench::ordered();
     let key = Some(KeyId(5));
-    let (first, ..) = started(&b.ask_in_order(1, LOAD, 20 * SECOND, key)).unwrap();
+    let first = first_attempt(&b.ask_in_order(1, LOAD, 20 * SECOND, key));
     assert_eq!(started(&b.ask_in_order(2, LOAD, 20 * SECOND, key)), None, "the key is taken");
     assert!(started(&b.ask_in_order(3, LOAD, 20 * SECOND, Some(KeyId(6)))).is_some(), "another key is free");
     assert!(started(&b.ask(4, LOAD, 20 * SECOND)).is_some(), "as is who has none");
-    let commands = b.turn(vec![Input::AttemptEnded(first, 0, Outcome::Success, None)]);
-    assert_eq!(started(&commands).map(|s| s.0), Some(RequestId(2)));
+    let commands = b.turn(vec![ended(first, Outcome::Success)]);
+    assert_eq!(started(&commands).map(|s| s.0.request), Some(RequestId(2)));
     let mut b = Bench::ordered();
     assert!(started(&b.ask_in_order(1, LOOKUP, SECOND, key)).is_some());
     assert!(started(&b.ask_in_order(2, LOOKUP, SECOND, key)).is_some(), "a class without order heeds no key");
@@ -180,32 +194,39 @@
 fn the_next_of_a_key_waits_till_a_lost_attempt_is_surely_over() {
     let mut b = Bench::ordered();
     let key = Some(KeyId(5));
-    let (first, ..) = started(&b.ask_in_order(1, LOAD, 20 * SECOND, key)).unwrap();
+    let first = first_attempt(&b.ask_in_order(1, LOAD, 20 * SECOND, key));
     b.ask_in_order(2, LOAD, 20 * SECOND, key);
     let runs_until_us = b.now_us + 2 * SECOND;
-    assert_eq!(b.turn(vec![Input::AttemptLost(first, 0, runs_until_us)]), [Command::Fail(first)]);
+    assert_eq!(
+        b.turn(vec![Input::AttemptLost { attempt: first, runs_until_us }]),
+        [Command::Fail(first.request)]
+    );
     assert_eq!(started(&b.pass(2 * SECOND + 290_000)), None, "it may run, and then the key rests");
-    assert_eq!(started(&b.pass(100_000)).map(|s| s.0), Some(RequestId(2)));
+    assert_eq!(started(&b.pass(100_000)).map(|s| s.0.request), Some(RequestId(2)));
 }
 
 #[test]
 fn the_next_of_a_key_waits_till_the_end_of_a_lost_attempt_is_confirmed() {
     let mut b = Bench::ordered();
     let key = Some(KeyId(5));
-    let (first, ..) = started(&b.ask_in_order(1, LOAD, 20 * SECOND, key)).unwrap();
+    let first = first_attempt(&b.ask_in_order(1, LOAD, 20 * SECOND, key));
     b.ask_in_order(2, LOAD, 20 * SECOND, key);
     assert_eq!(
-        b.turn(vec![Input::AttemptUnconfirmed(first, 0)]),
-        [Command::Fail(first)],
+        b.turn(vec![Input::AttemptUnconfirmed(first)]),
+        [Command::Fail(first.request)],
         "its client hears at once"
     );
-    assert!(b.core.keys_rest_until_us(b.now_us, SECOND) > b.now_us, "a newer process must wait as well");
+    assert!(b.core.cooldown_after_exit_us(b.now_us, SECOND) > b.now_us, "a newer process must wait as well");
     assert_eq!(started(&b.pass(3 * SECOND)), None, "nothing bounds how long it runs");
     let runs_until_us = b.now_us + 200_000;
-    b.turn(vec![Input::AttemptEndConfirmed(first, 0, runs_until_us)]);
+    b.turn(vec![Input::AttemptEndConfirmed { attempt: first, runs_until_us }]);
     assert_eq!(started(&b.pass(490_000)), None, "it may run, and then the key rests");
-    assert_eq!(started(&b.pass(100_000)).map(|s| s.0), Some(RequestId(2)));
-    assert_eq!(b.turn(vec![Input::AttemptEndConfirmed(first, 0, 0)]), [], "a second word says nothing new");
+    assert_eq!(started(&b.pass(100_000)).map(|s| s.0.request), Some(RequestId(2)));
+    assert_eq!(
+        b.turn(vec![Input::AttemptEndConfirmed { attempt: first, runs_until_us: 0 }]),
+        [],
+        "a second word says nothing new"
+    );
 }
 
 #[test]
@@ -215,17 +236,17 @@
     let mut commands = b.ask(1, LOOKUP, 3 * SECOND);
     commands.extend(b.pass(4 * SECOND));
     assert_eq!(started(&commands), None);
-    assert!(matches!(commands[..], [Command::Reject(RequestId(1), _)]), "{commands:?}");
+    assert!(matches!(commands[..], [Command::Reject { request: RequestId(1), .. }]), "{commands:?}");
     b.list(&[entry(1, EndpointState::Ready)]);
-    assert_eq!(started(&b.ask(2, LOOKUP, 3 * SECOND)).unwrap().2, EngineId(1));
+    assert_eq!(started(&b.ask(2, LOOKUP, 3 * SECOND)).unwrap().1, EngineId(1));
 }
 
 #[test]
 fn a_client_that_left_is_owed_nothing_but_its_attempt_is_stopped() {
     let mut b = Bench::new();
-    let (id, ..) = started(&b.ask(1, LOOKUP, 3 * SECOND)).unwrap();
-    assert_eq!(b.turn(vec![Input::ClientLeft(id)]), [Command::CancelAttempt(id, 0)]);
-    let mut commands = b.turn(vec![Input::AttemptEnded(id, 0, Outcome::Cancelled, None)]);
+    let attempt = first_attempt(&b.ask(1, LOOKUP, 3 * SECOND));
+    assert_eq!(b.turn(vec![Input::ClientLeft(attempt.request)]), [Command::CancelAttempt(attempt)]);
+    let mut commands = b.turn(vec![ended(attempt, Outcome::Cancelled)]);
     commands.extend(b.pass(10 * SECOND));
     assert_eq!(commands, []);
 }
@@ -236,13 +257,13 @@
     fn every_request_gets_one_answer_in_time(steps: Vec<(u8, u8, u16)>) -> bool {
         let mut b = Bench::new();
         let mut deadlines = BTreeMap::new();
-        let mut out: BTreeMap<RequestId, u32> = BTreeMap::new();
+        let mut out: BTreeMap<RequestId, AttemptId> = BTreeMap::new();
         let mut tainted: Vec<RequestId> = Vec::new();
         let mut answers: BTreeMap<RequestId, u64> = BTreeMap::new();
         let (mut left, mut lost) = (Vec::new(), Vec::new());
         let mut next = 1;
         for (what, which, span) in steps.into_iter().chain([(9, 0, 0)]) {
-            let pick = out.iter().nth(usize::from(which) % out.len().max(1)).map(|(id, n)| (*id, *n));
+            let pick = out.iter().nth(usize::from(which) % out.len().max(1)).map(|(_, attempt)| *attempt);
             let commands = match what % 10 {
                 0..=2 => {
                     let class = if which % 2 == 0 { LOOKUP } else { LOAD };
@@ -252,21 +273,21 @@
                     b.ask(next - 1, class, wait)
                 }
                 3..=5 => match pick {
-                    Some((id, attempt)) if which % 8 == 7 => {
-                        out.remove(&id);
-                        tainted.push(id);
-                        lost.push(id);
-                        b.turn(vec![Input::AttemptLost(id, attempt, b.now_us)])
+                    Some(attempt) if which % 8 == 7 => {
+                        out.remove(&attempt.request);
+                        tainted.push(attempt.request);
+                        lost.push(attempt.request);
+                        b.turn(vec![Input::AttemptLost { attempt, runs_until_us: b.now_us }])
                     }
-                    Some((id, attempt)) => {
+                    Some(attempt) => {
                         let outcomes = [Outcome::Success, Outcome::Error, Outcome::Rejected,
                             Outcome::ConnectFailed, Outcome::ConnectionLost, Outcome::Cancelled, Outcome::NeverSent];
                         let outcome = outcomes[usize::from(span) % outcomes.len()];
-                        out.remove(&id);
+                        out.remove(&attempt.request);
                         if matches!(outcome, Outcome::Error | Outcome::ConnectionLost | Outcome::Cancelled) {
-                            tainted.push(id);
+                            tainted.push(attempt.request);
                         }
-                        b.turn(vec![Input::AttemptEnded(id, attempt, outcome, None)])
+                        b.turn(vec![ended(attempt, outcome)])
                     }
                     None => Vec::new(),
                 },
@@ -276,7 +297,7 @@
                     Vec::new()
                 }
                 7 => match pick {
-                    Some((id, _)) => {
+                    Some(AttemptId { request: id, .. }) => {
                         left.push(id);
                         b.turn(vec![Input::ClientLeft(id)])
                     }
@@ -287,13 +308,14 @@
             };
             for c in &commands {
                 match c {
-                    Command::StartAttempt { request, attempt, .. } => {
+                    Command::StartAttempt { attempt, .. } => {
+                        let request = &attempt.request;
                         let load = deadlines[request].0 == LOAD;
                         if out.insert(*request, *attempt).is_some() || (load && tainted.contains(request)) || lost.contains(request) {
                             return false;
                         }
                     }
-                    Command::Reject(id, _) => {
+                    Command::Reject { request: id, .. } => {
                         let ran = tainted.contains(id) || out.contains_key(id);
                         if deadlines[id].0 == LOAD && ran {
                             return false;
@@ -319,32 +341,33 @@
 #[test]
 fn all_that_is_open_gets_its_answer_when_the_gateway_closes() {
     let mut b = Bench::new();
-    let lookup = started(&b.ask(1, LOOKUP, 3 * SECOND)).unwrap().0;
-    let load = started(&b.ask(2, LOAD, 20 * SECOND)).unwrap().0;
+    let lookup = first_attempt(&b.ask(1, LOOKUP, 3 * SECOND));
+    let load = first_attempt(&b.ask(2, LOAD, 20 * SECOND));
     b.list(&[entry(0, EndpointState::Draining), entry(1, EndpointState::Draining)]);
     assert_eq!(started(&b.ask(3, LOAD, 20 * SECOND)), None, "it is held");
     let commands = b.turn(vec![Input::ShuttingDown]);
     let answers: Vec<_> = commands.iter().filter(|c| answered(c).is_some()).collect();
     assert_eq!(answers.len(), 3, "{commands:?}");
-    assert!(matches!(answers[0], Command::Reject(id, Some(_)) if *id == lookup));
-    assert!(matches!(answers[1], Command::Fail(id) if *id == load));
-    assert!(matches!(answers[2], Command::Reject(RequestId(3), Some(_))));
+    assert!(
+        matches!(answers[0], Command::Reject { request, retry_after_ms: Some(_) } if *request == lookup.request)
+    );
+    assert!(matches!(answers[1], Command::Fail(request) if *request == load.request));
+    assert!(matches!(answers[2], Command::Reject { request: RequestId(3), retry_after_ms: Some(_) }));
     for out in [lookup, load] {
-        assert!(commands.contains(&Command::CancelAttempt(out, 0)), "engines are told");
+        assert!(commands.contains(&Command::CancelAttempt(out)), "engines are told");
     }
-    assert_eq!(b.turn(vec![Input::ShuttingDown, Input::ClientLeft(lookup)]), []);
+    assert_eq!(b.turn(vec![Input::ShuttingDown, Input::ClientLeft(lookup.request)]), []);
     assert_eq!(b.core.open_requests(), 0);
 }
 
 /// An end and the client's, an end and the deadline, in one turn: one answer, and no attempt after it.
 #[test]
 fn ends_that_cross_in_one_turn_give_one_answer() {
-    let ended = |id, outcome| Input::AttemptEnded(id, 0, outcome, None);
     for outcome in [Outcome::Success, Outcome::ConnectionLost, Outcome::Rejected] {
         for left_first in [true, false] {
             let mut b = Bench::new();
-            let (id, ..) = started(&b.ask(1, LOOKUP, 3 * SECOND)).unwrap();
-            let mut inputs = vec![ended(id, outcome), Input::ClientLeft(id)];
+            let attempt = first_attempt(&b.ask(1, LOOKUP, 3 * SECOND));
+            let mut inputs = vec![ended(attempt, outcome), Input::ClientLeft(attempt.request)];
             if left_first {
                 inputs.reverse();
             }
@@ -356,14 +379,14 @@
             // An attempt that was wanted before the client's end was read is taken back in the same turn.
             let again = started(&commands);
             assert!(
-                again.is_none_or(|(id, n, _)| commands.contains(&Command::CancelAttempt(id, n))),
+                again.is_none_or(|(attempt, _)| commands.contains(&Command::CancelAttempt(attempt))),
                 "{commands:?}"
             );
         }
         let mut b = Bench::new();
-        let (id, ..) = started(&b.ask(1, LOOKUP, SECOND)).unwrap();
+        let attempt = first_attempt(&b.ask(1, LOOKUP, SECOND));
         b.now_us += SECOND;
-        let mut commands = b.turn(vec![ended(id, outcome)]);
+        let mut commands = b.turn(vec![ended(attempt, outcome)]);
         commands.extend(b.pass(10 * SECOND));
         assert_eq!(
             commands.iter().filter(|c| answered(c).is_some()).count(),
@@ -379,9 +402,9 @@
 fn a_core_with_nothing_asked_wants_no_turn() {
     let mut bench = Bench::new();
     assert_eq!(bench.core.next_timer_us(), None, "engines alone need no look");
-    let (id, attempt, _) = started(&bench.ask(1, LOOKUP, 3 * SECOND)).unwrap();
+    let attempt = first_attempt(&bench.ask(1, LOOKUP, 3 * SECOND));
     assert!(bench.core.timers() >= 2, "its deadline, and the module's look");
-    bench.turn(vec![Input::AttemptEnded(id, attempt, Outcome::Success, None)]);
+    bench.turn(vec![ended(attempt, Outcome::Success)]);
     bench.pass(100_000);
     assert_eq!((bench.core.timers(), bench.core.next_timer_us()), (0, None));
     assert!(started(&bench.ask(2, LOOKUP, 3 * SECOND)).is_some());
@@ -412,25 +435,25 @@
 #[test]
 fn keys_keep_their_leases_and_their_order_when_the_class_orders_no_longer() {
     let mut b = Bench::ordered();
-    let (first, attempt, _) = started(&b.ask_in_order(1, LOAD, 20 * SECOND, Some(KeyId(9)))).unwrap();
+    let first = first_attempt(&b.ask_in_order(1, LOAD, 20 * SECOND, Some(KeyId(9))));
     assert_eq!(started(&b.ask_in_order(2, LOAD, 20 * SECOND, Some(KeyId(9)))), None);
     b.core.reconfigure(with_changed_loads(|class| class.ordered_by_key = false)).unwrap();
     assert_eq!(started(&b.pass(SECOND)), None, "the second waits for the first");
     let third = b.ask_in_order(3, CHANGED_LOAD, 20 * SECOND, Some(KeyId(9)));
-    assert_eq!(started(&third).unwrap().0, RequestId(3), "a new one takes no turn");
-    let commands = b.turn(vec![Input::AttemptEnded(first, attempt, Outcome::Success, None)]);
-    assert_eq!(started(&commands).unwrap().0, RequestId(2));
+    assert_eq!(started(&third).unwrap().0.request, RequestId(3), "a new one takes no turn");
+    let commands = b.turn(vec![ended(first, Outcome::Success)]);
+    assert_eq!(started(&commands).unwrap().0.request, RequestId(2));
 }
 
 #[test]
 fn a_request_that_is_out_keeps_its_effect_when_its_class_gets_another() {
     let mut b = Bench::ordered();
-    let (id, attempt, _) = started(&b.ask(1, LOAD, 20 * SECOND)).unwrap();
+    let attempt = first_attempt(&b.ask(1, LOAD, 20 * SECOND));
     b.core.reconfigure(with_changed_loads(|class| class.idempotency = Idempotency::Idempotent)).unwrap();
-    let commands = b.turn(vec![Input::AttemptEnded(id, attempt, Outcome::ConnectionLost, None)]);
-    assert_eq!(commands, [Command::Fail(id)], "no second attempt, and no promise");
-    let (id, attempt, _) = started(&b.ask(2, CHANGED_LOAD, 20 * SECOND)).unwrap();
-    let commands = b.turn(vec![Input::AttemptEnded(id, attempt, Outcome::ConnectionLost, None)]);
+    let commands = b.turn(vec![ended(attempt, Outcome::ConnectionLost)]);
+    assert_eq!(commands, [Command::Fail(attempt.request)], "no second attempt, and no promise");
+    let attempt = first_attempt(&b.ask(2, CHANGED_LOAD, 20 * SECOND));
+    let commands = b.turn(vec![ended(attempt, Outcome::ConnectionLost)]);
     assert!(started(&commands).is_some(), "a new one may be repeated");
 }
 
@@ -442,22 +465,26 @@
     settings.capabilities.retry_after = false;
     settings.rules.key_cooldown = 7.0;
     let origins = vec![ClassOrigin::Unchanged; settings.classes.len()];
-    let (id, attempt, _) = started(&b.ask(1, LOOKUP, 3 * SECOND)).unwrap();
+    let attempt = first_attempt(&b.ask(1, LOOKUP, 3 * SECOND));
     b.core.reconfigure(SettingsChange { settings, origins }).unwrap();
-    assert_eq!(b.core.rests_after(SECOND), 8 * SECOND);
-    let commands = b.turn(vec![Input::AttemptEnded(id, attempt, Outcome::ConnectionLost, None)]);
-    assert_eq!(commands, [Command::Reject(id, None)], "one attempt, and no advice");
+    assert_eq!(b.core.key_cooldown_end_us(SECOND), 8 * SECOND);
+    let commands = b.turn(vec![ended(attempt, Outcome::ConnectionLost)]);
+    assert_eq!(
+        commands,
+        [Command::Reject { request: attempt.request, retry_after_ms: None }],
+        "one attempt, and no advice"
+    );
 }
 
 #[test]
 fn a_class_is_in_use_until_its_last_attempt_has_ended() {
     let mut b = Bench::new();
     assert!(b.core.classes_in_use().is_empty());
-    let (id, attempt, _) = started(&b.ask(1, LOAD, 20 * SECOND)).unwrap();
-    b.turn(vec![Input::ClientLeft(id)]);
+    let attempt = first_attempt(&b.ask(1, LOAD, 20 * SECOND));
+    b.turn(vec![Input::ClientLeft(attempt.request)]);
     assert_eq!(b.core.open_requests(), 0);
     assert!(b.core.classes_in_use().contains(&LOAD), "its engine runs it on");
-    b.turn(vec![Input::AttemptEnded(id, attempt, Outcome::Cancelled, None)]);
+    b.turn(vec![ended(attempt, Outcome::Cancelled)]);
     assert!(b.core.classes_in_use().is_empty());
 }
 
@@ -467,5 +494,5 @@
     let mut bad = with_changed_loads(|class| class.deadline = -1.0);
     bad.settings.rules.key_cooldown = 7.0;
     assert!(b.core.reconfigure(bad).is_err());
-    assert_eq!(b.core.rests_after(0), 300_000);
+    assert_eq!(b.core.key_cooldown_end_us(0), 300_000);
 }
--- a/gateway/src/net/clients.rs
+++ b/gateway/src/net/clients.rs
@@ -427,15 +427,15 @@
             self.sessions.set_tenant(who, tenant.0);
         }
         self.sessions.governor.charge(Work::Request, 1);
-        let ask = NewRequest {
+        let new_request = NewRequest {
             class,
             tenant,
             deadline_us,
-            estimate: fields.estimate_ms.map(|ms| ms / 1000.0),
-            need_mb: fields.need_mb.filter(|mb| *mb > 0.0),
-            group: fields::table_group(&request.statement).map(TableGroupId),
+            estimated_work: fields.estimate_ms.map(|ms| ms / 1000.0),
+            estimated_memory_mb: fields.need_mb.filter(|mb| *mb > 0.0),
+            table_group: fields::table_group(&request.statement).map(TableGroupId),
             key: fields.order_key.as_deref().map(fields::key_id),
-            retry: fields.retry,
+            is_retry: fields.retry,
         };
         self.counters.taken += 1;
         let (estimate_ms, need_mb) = (fields.estimate_ms, fields.need_mb);
@@ -453,7 +453,7 @@
         );
         self.sessions.ledger.book(Kind::Requests, 0, request.bytes());
         self.requests.insert(id, request);
-        self.inputs.push(Input::RequestArrived(id, ask));
+        self.inputs.push(Input::RequestArrived { id, request: new_request });
     }
 
     /// Ends the request of the session that a CancelRequest names; its client waits no longer.
@@ -511,12 +511,12 @@
     /// Passes the core's final answer on.
     pub(super) fn answer(&mut self, command: Command) {
         let (id, answer) = match command {
-            Command::Serve(id, attempt) => match self.pools.results.get(&(id, attempt)) {
-                Some(payload) => (id, FinalAnswer::Served(payload)),
-                None => (id, FinalAnswer::Failed("the result is lost")),
+            Command::Serve(attempt) => match self.pools.results.get(&attempt) {
+                Some(payload) => (attempt.request, FinalAnswer::Served(payload)),
+                None => (attempt.request, FinalAnswer::Failed("the result is lost")),
             },
-            Command::Reject(id, wait) => (id, FinalAnswer::Rejected(wait)),
-            Command::Fail(id) => (id, FinalAnswer::Failed("the engines could not answer")),
+            Command::Reject { request, retry_after_ms } => (request, FinalAnswer::Rejected(retry_after_ms)),
+            Command::Fail(request) => (request, FinalAnswer::Failed("the engines could not answer")),
             _ => return,
         };
         let Some(request) = self.requests.remove(id) else { return };
--- a/gateway/src/net/engines.rs
+++ b/gateway/src/net/engines.rs
@@ -19,7 +19,7 @@
 pub use confirmation::Unconfirmed;
 
 /// Which attempt.
-pub type AttemptId = (RequestId, u32);
+pub use crate::core::AttemptId;
 
 /// How a connection to an engine ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/gateway/src/net/engines/answers.rs
+++ b/gateway/src/net/engines/answers.rs
@@ -99,7 +99,7 @@
                         let soon = now_us < link.asked_us + REST_US;
                         link.doubtful |= response.status == 202 && response.note.is_none() && soon;
                         let note = response.note.unwrap_or(Progress::Running);
-                        self.inputs.push(Input::AttemptProgress(id.0, id.1, note));
+                        self.inputs.push(Input::AttemptProgress { attempt: id, progress: note });
                         if response.close {
                             return self.engine_gone(at, End::Broken);
                         }
--- a/gateway/src/net/engines/attempts.rs
+++ b/gateway/src/net/engines/attempts.rs
@@ -27,7 +27,7 @@
         limits: AttemptLimits,
     ) {
         let AttemptLimits { until_us, begin_by_us, in_order } = limits;
-        let Some(request) = self.requests.open.get(&id.0) else {
+        let Some(request) = self.requests.open.get(&id.request) else {
             return self.never_sent(id, Outcome::NeverSent);
         };
         let max_ms = (until_us.saturating_sub(self.time.now_us) / 1000).max(1);
@@ -79,7 +79,7 @@
 
     pub(super) fn never_sent(&mut self, id: AttemptId, outcome: Outcome) {
         self.counters.ended(outcome);
-        self.inputs.push(Input::AttemptEnded(id.0, id.1, outcome, None));
+        self.inputs.push(Input::AttemptEnded { attempt: id, outcome, load_report: None });
     }
 
     /// Whether the first byte of an attempt may still leave, which is asked when it would: while its connection
@@ -87,7 +87,7 @@
     pub(super) fn may_begin(&self, id: AttemptId, engine: EngineId) -> bool {
         let ready = self.pools.engines.get(&engine).is_some_and(|e| e.state == EndpointState::Ready);
         let in_time = self.pools.attempts.get(&id).is_some_and(|a| self.time.now_us < a.begin_by_us);
-        ready && in_time && self.requests.open.contains_key(&id.0)
+        ready && in_time && self.requests.open.contains_key(&id.request)
     }
 
     /// Writes what a connection was opened for once it is up.
@@ -121,13 +121,13 @@
                 let (link, out) = (&mut peer.link, &mut peer.conn.output);
                 attempt.asked_us = now_us;
                 self.counters.sent += 1;
-                let class = self.requests.open.get(&id.0).map(|r| r.class);
+                let class = self.requests.open.get(&id.request).map(|r| r.class);
                 if let Some(class) = class {
                     self.metrics.class(class).attempts += 1;
                 }
                 tracing::debug!(
                     ticket = attempt.ticket,
-                    number = id.1,
+                    number = id.number,
                     engine = engine.0,
                     class = class.map(|c| c.0),
                     now_us,
@@ -180,14 +180,14 @@
         self.detach(attempt.link, id);
         tracing::debug!(
             ticket = attempt.ticket,
-            number = id.1,
+            number = id.number,
             engine = attempt.engine.0,
             now_us = self.time.now_us,
             ?outcome,
             "ended"
         );
         self.counters.ended(outcome);
-        self.inputs.push(Input::AttemptEnded(id.0, id.1, outcome, report));
+        self.inputs.push(Input::AttemptEnded { attempt: id, outcome, load_report: report });
     }
 
     /// Whether no byte that runs this attempt has been written.
@@ -246,7 +246,7 @@
         let Some(attempt) = self.pools.attempts.get_mut(&id).filter(|a| a.retries < MOST_RETRIES) else {
             return;
         };
-        tracing::debug!(ticket = attempt.ticket, number = id.1, ?end, "not told that it was given up");
+        tracing::debug!(ticket = attempt.ticket, number = id.number, ?end, "not told that it was given up");
         attempt.retries += 1;
         if end == End::Refused {
             return;
@@ -262,7 +262,7 @@
     pub(in crate::net) fn unheard(&mut self, id: AttemptId) {
         let Some(attempt) = self.forget_attempt(id) else { return };
         self.detach(attempt.link, id);
-        tracing::debug!(ticket = attempt.ticket, number = id.1, engine = attempt.engine.0, "unheard");
+        tracing::debug!(ticket = attempt.ticket, number = id.number, engine = attempt.engine.0, "unheard");
         self.counters.ended(Outcome::TimedOut);
         let runs_until_us = attempt.runs_until_us(self.time.now_us);
         match attempt.course {
@@ -270,7 +270,7 @@
                 let unconfirmed = Unconfirmed::new(attempt.engine, attempt.ticket, runs_until_us);
                 self.begin_confirmation(id, unconfirmed);
             }
-            _ => self.inputs.push(Input::AttemptLost(id.0, id.1, runs_until_us)),
+            _ => self.inputs.push(Input::AttemptLost { attempt: id, runs_until_us }),
         }
     }
 
@@ -311,7 +311,7 @@
         let Some(attempt) = self.pools.attempts.get_mut(&id) else { return };
         attempt.thread = thread;
         attempt.retries = 0;
-        tracing::debug!(ticket = attempt.ticket, number = id.1, now_us = self.time.now_us, "given up");
+        tracing::debug!(ticket = attempt.ticket, number = id.number, now_us = self.time.now_us, "given up");
         attempt.stopping = true;
         if let Course::Http { exchange, .. } = &mut attempt.course {
             exchange.give_up();
@@ -320,7 +320,7 @@
         match self.link(engine, Job::Delete(id), protocol, None) {
             Ok(at) => self.post_if_up(at),
             Err(outcome) => {
-                tracing::debug!(number = id.1, ?outcome, "no connection to give an attempt up over");
+                tracing::debug!(number = id.number, ?outcome, "no connection to give an attempt up over");
             }
         }
     }
--- a/gateway/src/net/engines/confirmation.rs
+++ b/gateway/src/net/engines/confirmation.rs
@@ -35,7 +35,7 @@
     pub(super) fn begin_confirmation(&mut self, id: AttemptId, attempt: Unconfirmed) {
         self.requests.take_ticket(&attempt.ticket);
         self.pools.unconfirmed.insert(id, attempt);
-        self.inputs.push(Input::AttemptUnconfirmed(id.0, id.1));
+        self.inputs.push(Input::AttemptUnconfirmed(id));
         self.ask_for_confirmation(id);
     }
 
@@ -83,8 +83,8 @@
         let Some(attempt) = self.pools.unconfirmed.remove(&id) else { return };
         self.requests.free_ticket(&attempt.ticket);
         let now_us = self.time.now_us;
-        tracing::debug!(ticket = attempt.ticket, number = id.1, now_us, runs_until_us, "confirmed");
-        self.inputs.push(Input::AttemptEndConfirmed(id.0, id.1, runs_until_us));
+        tracing::debug!(ticket = attempt.ticket, number = id.number, now_us, runs_until_us, "confirmed");
+        self.inputs.push(Input::AttemptEndConfirmed { attempt: id, runs_until_us });
     }
 
     /// The connection for a confirmation is over without an answer.
--- a/gateway/src/net/engines/list.rs
+++ b/gateway/src/net/engines/list.rs
@@ -70,7 +70,7 @@
             self.pools.close(&self.poll, &mut self.timers, at);
         }
         let mode = if event.full { EndpointListMode::Full } else { EndpointListMode::Delta };
-        self.inputs.push(Input::EndpointList(mode, entries));
+        self.inputs.push(Input::EndpointList { mode, entries });
         self.prune_engines();
     }
 
--- a/gateway/src/net/handover.rs
+++ b/gateway/src/net/handover.rs
@@ -271,7 +271,8 @@
                     Message::Taking { leases: older.leases }.write(&mut peer.output);
                     if older.leases {
                         let neighbour = PeerProcessId(peer.serial);
-                        self.inputs.push(Input::PeerProcess(neighbour, PeerProcessEvent::Succeeded));
+                        self.inputs
+                            .push(Input::PeerProcess { peer: neighbour, event: PeerProcessEvent::Succeeded });
                     }
                     self.peer_ready(HANDOVER | u64::from(self.family.serials));
                 }
@@ -412,7 +413,7 @@
 
     fn hear(&mut self, at: usize, news: PeerProcessEvent) {
         let neighbour = PeerProcessId(self.family.peers[at].serial);
-        self.inputs.push(Input::PeerProcess(neighbour, news));
+        self.inputs.push(Input::PeerProcess { peer: neighbour, event: news });
     }
 
     /// Tells another process, if it still lives.
@@ -427,7 +428,7 @@
     /// This process ends: others that share its keys learn when what it leaves running is over.
     pub(super) fn settle_leases(&mut self) {
         let now_us = self.time.now_us;
-        let rest_us = self.core.keys_rest_until_us(now_us, ABANDONED_US).saturating_sub(now_us);
+        let rest_us = self.core.cooldown_after_exit_us(now_us, ABANDONED_US).saturating_sub(now_us);
         let sharing: Vec<u32> = self.family.peers.iter().filter(|p| p.leases).map(|p| p.serial).collect();
         for serial in sharing {
             self.tell_neighbour(PeerProcessId(serial), &Message::Settled(rest_us.div_ceil(1000)));
@@ -438,10 +439,12 @@
         let peer = self.family.peers.remove(at);
         self.poll.remove(&peer.stream);
         if peer.leases {
-            let silent_us = self.core.rests_after(self.time.now_us + ABANDONED_US);
+            let silent_us = self.core.key_cooldown_end_us(self.time.now_us + ABANDONED_US);
             let over_us = peer.settled_us.unwrap_or(silent_us);
-            self.inputs
-                .push(Input::PeerProcess(PeerProcessId(peer.serial), PeerProcessEvent::Ended(over_us)));
+            self.inputs.push(Input::PeerProcess {
+                peer: PeerProcessId(peer.serial),
+                event: PeerProcessEvent::Ended { cooldown_until_us: over_us },
+            });
         }
         // Whoever had taken this one's place, and the path to it, has ended first: all is as it was.
         if peer.role == Role::Taker && !self.shutdown.has_begun() && !self.family.is_followed() {
--- a/gateway/src/net/mod.rs
+++ b/gateway/src/net/mod.rs
@@ -284,7 +284,7 @@
             open = self.core.open_requests(),
             timers = self.timers.len() + self.core.timers(),
             sessions = %self.sessions,
-            lateness = %self.lateness.with(self.core.lateness()),
+            lateness = %self.lateness.with(self.core.timer_lag()),
         );
     }
 
@@ -353,14 +353,14 @@
 
     fn carry_out(&mut self, command: Command) {
         match command {
-            Command::StartAttempt { request, attempt, engine, limits, terms } => {
-                self.start((request, attempt), engine, terms, limits);
+            Command::StartAttempt { attempt, engine, limits, terms } => {
+                self.start(attempt, engine, terms, limits);
             }
-            Command::SetPriority { request, attempt, priority } => self.rank((request, attempt), priority),
-            Command::CancelAttempt(request, attempt) => self.stop((request, attempt)),
-            Command::Serve(..) | Command::Reject(..) | Command::Fail(_) => self.answer(command),
-            Command::ClaimLease(neighbour, key) => self.tell_neighbour(neighbour, &Message::Claim(key)),
-            Command::GrantLease(neighbour, key) => self.tell_neighbour(neighbour, &Message::Grant(key)),
+            Command::SetPriority { attempt, priority } => self.rank(attempt, priority),
+            Command::CancelAttempt(attempt) => self.stop(attempt),
+            Command::Serve(..) | Command::Reject { .. } | Command::Fail(_) => self.answer(command),
+            Command::ClaimLease { key, holder } => self.tell_neighbour(holder, &Message::Claim(key)),
+            Command::GrantLease { key, to } => self.tell_neighbour(to, &Message::Grant(key)),
         }
     }
 }
--- a/lab/src/capacity/decisions.rs
+++ b/lab/src/capacity/decisions.rs
@@ -5,7 +5,7 @@
 
 use rustix::time::{ClockId, clock_gettime};
 use workload_manager::interface::*;
-use wrenhatch::core::{Command, Core, Input, NewRequest};
+use wrenhatch::core::{AttemptId, Command, Core, Input, NewRequest};
 
 use super::error::CapacityError;
 use super::site::Site;
@@ -24,8 +24,7 @@
 /// An attempt that its engine answers at a time.
 struct Running {
     done_us: u64,
-    request: RequestId,
-    attempt: u32,
+    attempt: AttemptId,
 }
 
 /// A core with a closed loop of requests.
@@ -102,17 +101,17 @@
 
     fn ask(&mut self) -> Input {
         self.asked += 1;
-        let ask = NewRequest {
+        let request = NewRequest {
             class: ClassId(0),
             tenant: Some(TenantId(0)),
             deadline_us: self.now_us + PATIENCE_US,
-            estimate: Some(0.002),
-            need_mb: None,
-            group: Some(TableGroupId(1)),
+            estimated_work: Some(0.002),
+            estimated_memory_mb: None,
+            table_group: Some(TableGroupId(1)),
             key: None,
-            retry: false,
+            is_retry: false,
         };
-        Input::RequestArrived(RequestId(self.asked), ask)
+        Input::RequestArrived { id: RequestId(self.asked), request }
     }
 
     /// One turn of the core; attempts that start are answered later.
@@ -121,16 +120,16 @@
         self.core.turn(self.now_us, &mut inputs, &mut commands);
         for command in commands.drain(..) {
             match command {
-                Command::StartAttempt { request, attempt, .. } => {
+                Command::StartAttempt { attempt, .. } => {
                     let done_us = self.now_us + self.service_us;
-                    self.running.push_back(Running { done_us, request, attempt });
+                    self.running.push_back(Running { done_us, attempt });
                 }
                 Command::Serve(..) => self.served += 1,
-                Command::Reject(..) | Command::Fail(_) => self.unserved += 1,
+                Command::Reject { .. } | Command::Fail(_) => self.unserved += 1,
                 Command::SetPriority { .. }
                 | Command::CancelAttempt(..)
-                | Command::ClaimLease(..)
-                | Command::GrantLease(..) => {}
+                | Command::ClaimLease { .. }
+                | Command::GrantLease { .. } => {}
             }
         }
         self.commands = commands;
@@ -153,7 +152,11 @@
         let Some(next) = self.running.pop_front() else { return };
         self.look_until(next.done_us);
         let report = LoadReport { queued: Some(0.0), ..LoadReport::default() };
-        let ended = Input::AttemptEnded(next.request, next.attempt, Outcome::Success, Some(report));
+        let ended = Input::AttemptEnded {
+            attempt: next.attempt,
+            outcome: Outcome::Success,
+            load_report: Some(report),
+        };
         let ask = self.ask();
         self.turn(vec![ended, ask]);
     }
@@ -189,7 +192,10 @@
             self.pass(CHANGE_US);
             let engine = (change / 2) as usize % self.engines;
             let state = if change % 2 == 0 { EndpointState::Draining } else { EndpointState::Ready };
-            let list = Input::EndpointList(EndpointListMode::Delta, vec![self.entry(engine, state)]);
+            let list = Input::EndpointList {
+                mode: EndpointListMode::Delta,
+                entries: vec![self.entry(engine, state)],
+            };
             let began_us = thread_cpu_us();
             self.turn(vec![list]);
             cpu_us += thread_cpu_us() - began_us;
@@ -209,7 +215,7 @@
 
     fn whole_list(&mut self) -> f64 {
         let entries = (0..self.engines).map(|engine| self.entry(engine, EndpointState::Ready)).collect();
-        let list = vec![Input::EndpointList(EndpointListMode::Full, entries)];
+        let list = vec![Input::EndpointList { mode: EndpointListMode::Full, entries }];
         let began_us = thread_cpu_us();
         self.turn(list);
         thread_cpu_us() - began_us
--- a/lab/src/hollow/model/gateway.rs
+++ b/lab/src/hollow/model/gateway.rs
@@ -79,10 +79,10 @@
         for gone in event.entries.iter().filter(|listed| listed.state == EndpointState::Removed) {
             self.ids.remove(&gone.name);
         }
-        Input::EndpointList(
-            if event.full { EndpointListMode::Full } else { EndpointListMode::Delta },
+        Input::EndpointList {
+            mode: if event.full { EndpointListMode::Full } else { EndpointListMode::Delta },
             entries,
-        )
+        }
     }
 
     fn entry(&mut self, listed: &Endpoint) -> EndpointEntry {
