--- a/src/interface.rs
+++ b/src/interface.rs
@@ -555,8 +555,8 @@
 }
 
 impl Settings {
-    /// A machine of this kind. One that is not described has the cores of the first kind, a core at the least, and
-    /// memory that is not known.
+    /// The described machine type. One that is not described has the cores of the first type, at least one,
+    /// and unknown memory.
     pub fn machine_type(&self, id: MachineTypeId) -> MachineType {
         let described = self.machine_types.get(id.0);
         let cores = described.or_else(|| self.machine_types.first()).map_or(1.0, |k| k.cores).max(1.0);
