--- a/adapter/src/wire.rs
+++ b/adapter/src/wire.rs
@@ -273,7 +273,6 @@
     pub report_x0: String,
     pub report_x1: String,
     pub takes_priority: bool,
-    pub tells_cost: bool,
     pub when_short: WhenShort,
     pub yields_to_loads: Vec<bool>,
 }
