--- a/gateway/src/core/attempts.rs
+++ b/gateway/src/core/attempts.rs
@@ -90,7 +90,7 @@
         let may_have_run_since_us = open.may_have_run_since_us;
         self.in_flight.0.insert(id, attempt);
         if let Some(key) = key {
-            self.leases.attempt_began(key);
+            self.leases.on_attempt_started(key);
         }
         let exhausted = self.rules.attempts_exhausted(id.number);
         if has_attempt_in_flight || !is_ready || exhausted || until_us <= now_us {
@@ -185,7 +185,7 @@
     pub(super) fn on_attempt_end_confirmed(&mut self, now_us: u64, id: AttemptId, runs_until_us: u64) {
         let Some(key) = self.unconfirmed_attempts.remove(&id) else { return };
         let cooldown_until_us = self.rules.key_cooldown_end_us(runs_until_us);
-        self.leases.ended(now_us, key, cooldown_until_us, &mut self.lease_effects);
+        self.leases.release(now_us, key, cooldown_until_us, &mut self.lease_effects);
         let may_still_run_for = remaining_seconds(now_us, runs_until_us);
         self.events.push_back(Event::AttemptEndConfirmed { key, may_still_run_for });
     }
@@ -206,7 +206,7 @@
                 let cooldown_until_us =
                     if may_still_run { self.rules.key_cooldown_end_us(until_us) } else { 0 };
                 if let Some(key) = key {
-                    self.leases.ended(now_us, key, cooldown_until_us, &mut self.lease_effects);
+                    self.leases.release(now_us, key, cooldown_until_us, &mut self.lease_effects);
                 }
                 remaining_seconds(now_us, until_us)
             }
--- a/gateway/src/core/command.rs
+++ b/gateway/src/core/command.rs
@@ -2,8 +2,7 @@
 
 use workload_manager::interface::*;
 
-use super::AttemptId;
-use crate::key_leases::PeerProcessId;
+use super::{AttemptId, PeerProcessId};
 
 /// What an engine is asked to grant an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/gateway/src/core/input.rs
+++ b/gateway/src/core/input.rs
@@ -2,8 +2,7 @@
 
 use workload_manager::interface::*;
 
-use super::AttemptId;
-use crate::key_leases::PeerProcessId;
+use super::{AttemptId, PeerProcessId};
 
 /// A request as a front end hands it over.
 #[derive(Clone, Debug, PartialEq)]
--- a/gateway/src/core/leases.rs
+++ b/gateway/src/core/leases.rs
@@ -1,10 +1,10 @@
-//! Leases of order keys, as far as requests and peer processes use them; see [`crate::key_leases`].
+//! Leases of order keys, as far as requests and peer processes use them; see [`super::key_leases`].
 
 use workload_manager::interface::*;
 
+use super::key_leases::LeaseEffect;
 use super::timers::Timer;
-use super::{Command, Core, PeerProcessEvent};
-use crate::key_leases::{LeaseEffect, PeerProcessId};
+use super::{Command, Core, PeerProcessEvent, PeerProcessId};
 
 impl Core {
     /// Until when peer processes must leave all keys alone that this process has used, should it end now, in
@@ -14,7 +14,7 @@
             || self.in_flight.iter().any(|attempt| attempt.key.is_some());
         let left_until_us =
             if may_leave_attempts { self.key_cooldown_end_us(now_us + abandoned_us) } else { now_us };
-        left_until_us.max(self.leases.rest_until_us())
+        left_until_us.max(self.leases.last_cooldown_end_us())
     }
 
     /// When the cooldown of a key ends after an attempt that may run until `runs_until_us`, in microseconds.
@@ -25,11 +25,11 @@
     pub(super) fn on_peer_event(&mut self, now_us: u64, peer: PeerProcessId, event: PeerProcessEvent) {
         let effects = &mut self.lease_effects;
         match event {
-            PeerProcessEvent::Succeeded => self.leases.follow(peer),
-            PeerProcessEvent::ClaimsLease(key) => self.leases.claimed(now_us, key, peer, effects),
-            PeerProcessEvent::GrantsLease(key) => self.leases.granted(now_us, key, peer, effects),
+            PeerProcessEvent::Succeeded => self.leases.set_predecessor(peer),
+            PeerProcessEvent::ClaimsLease(key) => self.leases.on_peer_claim(now_us, key, peer, effects),
+            PeerProcessEvent::GrantsLease(key) => self.leases.on_peer_grant(now_us, key, peer, effects),
             PeerProcessEvent::Ended { cooldown_until_us } => {
-                self.leases.left(now_us, peer, cooldown_until_us, effects);
+                self.leases.on_peer_ended(now_us, peer, cooldown_until_us, effects);
             }
         }
     }
@@ -37,9 +37,9 @@
     pub(super) fn carry_out_lease_effects(&mut self, commands: &mut Vec<Command>) {
         for effect in std::mem::take(&mut self.lease_effects) {
             match effect {
-                LeaseEffect::Claim(key, holder) => commands.push(Command::ClaimLease { key, holder }),
-                LeaseEffect::Grant(key, to) => commands.push(Command::GrantLease { key, to }),
-                LeaseEffect::WakeAt(key, at_us) => drop(self.timers.arm(at_us, Timer::KeyCooldown(key))),
+                LeaseEffect::Claim { key, holder } => commands.push(Command::ClaimLease { key, holder }),
+                LeaseEffect::Grant { key, to } => commands.push(Command::GrantLease { key, to }),
+                LeaseEffect::WakeAt { key, at_us } => drop(self.timers.arm(at_us, Timer::KeyCooldown(key))),
                 LeaseEffect::Admit(id) => {
                     let open = self.open_requests.get_mut(&id);
                     let request = open.and_then(|open| open.awaiting_lease.take());
--- a/gateway/src/core/mod.rs
+++ b/gateway/src/core/mod.rs
@@ -15,6 +15,7 @@
 mod attempts;
 mod command;
 mod input;
+mod key_leases;
 mod leases;
 mod requests;
 mod rules;
@@ -24,15 +25,16 @@
 pub use attempts::AttemptId;
 pub use command::{AttemptLimits, AttemptTerms, Command};
 pub use input::{Input, NewRequest, PeerProcessEvent};
+pub use key_leases::PeerProcessId;
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use workload_manager::WorkloadManager;
 use workload_manager::interface::*;
 
-use crate::key_leases::{KeyLeases, LeaseEffect};
 use crate::timer_lag::TimerLag;
 use attempts::InFlightAttempts;
+use key_leases::{KeyLeases, LeaseEffect};
 use requests::{OpenRequest, Unserved};
 use rules::{MayRunUntil, RequestRules};
 use time::{micros, seconds};
--- a/gateway/src/core/requests.rs
+++ b/gateway/src/core/requests.rs
@@ -76,7 +76,7 @@
         if let Some(key) = key {
             open.awaiting_lease = Some(request);
             self.open_requests.insert(id, open);
-            self.leases.request(now_us, key, id, &mut self.lease_effects);
+            self.leases.claim(now_us, key, id, &mut self.lease_effects);
         } else {
             self.open_requests.insert(id, open);
             self.events.push_back(Event::RequestArrived(request));
@@ -117,9 +117,9 @@
         let open = self.open_requests.remove(&id)?;
         match open.key {
             Some(key) if open.awaiting_lease.is_some() => {
-                self.leases.withdraw(now_us, key, id, &mut self.lease_effects);
+                self.leases.cancel_claim(now_us, key, id, &mut self.lease_effects);
             }
-            Some(key) => self.leases.ended(now_us, key, 0, &mut self.lease_effects),
+            Some(key) => self.leases.release(now_us, key, 0, &mut self.lease_effects),
             None => {}
         }
         for timer in &open.timers {
--- a/gateway/src/core/timers.rs
+++ b/gateway/src/core/timers.rs
@@ -61,7 +61,7 @@
             Timer::WorkloadManager(token) => self.events.push_back(Event::Timer(token)),
             Timer::AttemptTimeout(attempt) => self.cancel_attempt(attempt, commands),
             Timer::RequestDeadline(request) => self.on_request_deadline(now_us, request, commands),
-            Timer::KeyCooldown(key) => self.leases.wake(now_us, key, &mut self.lease_effects),
+            Timer::KeyCooldown(key) => self.leases.on_cooldown_end(now_us, key, &mut self.lease_effects),
         }
         self.carry_out_lease_effects(commands);
     }
--- a/gateway/src/lib.rs
+++ b/gateway/src/lib.rs
@@ -11,7 +11,6 @@
 pub mod event_stream;
 pub mod front;
 pub mod handover;
-pub mod key_leases;
 pub mod metrics;
 pub mod mysql;
 pub mod net;
--- a/gateway/src/net/handover.rs
+++ b/gateway/src/net/handover.rs
@@ -17,10 +17,9 @@
 use super::poll::{Interest, Poll, Told};
 use super::{HANDOVER, HANDOVER_LISTENER, Server};
 use crate::config::{Config, EndpointListEvent};
-use crate::core::{Input, PeerProcessEvent};
+use crate::core::{Input, PeerProcessEvent, PeerProcessId};
 use crate::engine::http::ABANDONED_US;
 use crate::handover::{self, Message};
-use crate::key_leases::PeerProcessId;
 
 /// The older process tells all it knows within this, or the newer one starts without.
 const PATIENCE: Duration = Duration::from_secs(1);
