--- a/lab/src/capacity/bounds.rs
+++ b/lab/src/capacity/bounds.rs
@@ -1,30 +1,8 @@
 //! What a run may use: memory, processes and time. A run that outgrows a bound is stopped and says so.
 
-use std::fmt;
 use std::time::{Duration, Instant};
 
-use super::error::CapacityError;
-
-/// What is bounded.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Bound {
-    /// Memory of all processes together, in MB.
-    Memory,
-    /// Processes, and threads of this one.
-    Processes,
-    /// Time since the start, in seconds.
-    Time,
-}
-
-impl fmt::Display for Bound {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(match self {
-            Bound::Memory => "MB of memory",
-            Bound::Processes => "processes and threads",
-            Bound::Time => "seconds",
-        })
-    }
-}
+use super::error::{Bound, CapacityError};
 
 /// The bounds of a run.
 #[derive(Clone, Copy, Debug, clap::Args)]
--- a/lab/src/capacity/error.rs
+++ b/lab/src/capacity/error.rs
@@ -1,12 +1,33 @@
 //! Why a measurement or a page was not made.
 
+use std::fmt;
 use std::io;
 use std::path::{Path, PathBuf};
 
-use super::bounds::Bound;
-use super::slopes::Experiment;
+use super::experiment::Experiment;
 use super::target::Mistake;
 
+/// What is bounded.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Bound {
+    /// Memory of all processes together, in MB.
+    Memory,
+    /// Processes, and threads of this one.
+    Processes,
+    /// Time since the start, in seconds.
+    Time,
+}
+
+impl fmt::Display for Bound {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            Bound::Memory => "MB of memory",
+            Bound::Processes => "processes and threads",
+            Bound::Time => "seconds",
+        })
+    }
+}
+
 /// Why a measurement or a page was not made.
 #[derive(Debug, thiserror::Error)]
 pub enum CapacityError {
--- a/lab/src/capacity/reckon/control.rs
+++ b/lab/src/capacity/estimate/control.rs
@@ -1,7 +1,7 @@
 //! What the target needs of a control machine. None of its programs is in this repository: what gateways cause is
 //! reckoned, what it costs there is not measured.
 
-use super::super::slopes::{Experiment as E, Quantity as Q};
+use super::super::experiment::{Experiment as E, Quantity as Q};
 use super::super::stand_ins::COMMENT;
 use super::{CapacityEstimate, Case, DAY_S, Entry, Resource, Role, Source, entry, list_events_per_day};
 
@@ -14,8 +14,8 @@
 const COORDINATOR: &str = "the operators' coordinator, not in this repository";
 
 /// Adds all needs of a control machine.
-pub fn reckon(ledger: &mut CapacityEstimate<'_>) {
-    let t = ledger.target;
+pub fn add_needs(estimate: &mut CapacityEstimate<'_>) {
+    let t = estimate.target;
     let cases = [
         (Case::Ordinary, t.control_machines, String::new()),
         (Case::Worst, left(t.control_machines, t.zones), ", those of a zone gone".to_owned()),
@@ -26,23 +26,27 @@
         let need = |resource, what: &str, unit| -> Entry {
             entry(resource, case, format!("{what}{gone}"), unit).by(COORDINATOR)
         };
-        ledger.add(Role::Control, need(Resource::State, "streams", ""), Source::target(streams));
-        if let Some(event) = ledger.at(E::ChangeEngines, Q::StreamBytes, t.databases) {
+        estimate.add(Role::Control, need(Resource::State, "streams", ""), Source::target(streams));
+        if let Some(event) = estimate.at(E::ChangeEngines, Q::StreamBytes, t.databases) {
             let changes = event.times(streams * list_events_per_day(t) / DAY_S);
             let all = changes.plus(&Source::target(streams * COMMENT.len() as f64));
-            ledger.add(Role::Control, need(Resource::Messages, "bytes out for the list", "bytes/s"), all);
+            estimate.add(Role::Control, need(Resource::Messages, "bytes out for the list", "bytes/s"), all);
         }
-        if let Some(list) = ledger.at(E::ListEngines, Q::StreamBytes, t.databases) {
+        if let Some(list) = estimate.at(E::ListEngines, Q::StreamBytes, t.databases) {
             let what = "a whole list to each gateway that comes back";
-            ledger.add(Role::Control, need(Resource::Messages, what, "bytes at once"), list.times(streams));
+            estimate.add(Role::Control, need(Resource::Messages, what, "bytes at once"), list.times(streams));
         }
     }
-    if let Some(list) = ledger.at(E::ListEngines, Q::StreamBytes, t.databases) {
+    if let Some(list) = estimate.at(E::ListEngines, Q::StreamBytes, t.databases) {
         let kept = entry(Resource::Memory, Case::Ordinary, "the list, as text", "bytes").by(COORDINATOR);
-        ledger.add(Role::Control, kept, list);
+        estimate.add(Role::Control, kept, list);
     }
     let what = "processor time for a change and for a watcher that comes back";
     let none = entry(Resource::Processor, Case::Ordinary, what, "machines");
     let instead = "no program for control machines is ours, so that nothing can be measured";
-    ledger.add(Role::Control, none.by_nothing(instead.to_owned(), None), Source::target(t.control_machines));
+    estimate.add(
+        Role::Control,
+        none.by_nothing(instead.to_owned(), None),
+        Source::target(t.control_machines),
+    );
 }
--- a/lab/src/capacity/reckon/database.rs
+++ b/lab/src/capacity/estimate/database.rs
@@ -1,37 +1,37 @@
 //! What the target needs of a database, as far as gateways cause it.
 
-use super::super::slopes::{Experiment as E, Quantity as Q};
+use super::super::experiment::{Experiment as E, Quantity as Q};
 use super::{CapacityEstimate, Case, DAY_S, Resource, Role, Source, entry};
 
 /// Databases close a connection that was idle for so long, in seconds (`keepalive-s`).
 const KEPT_S: f64 = 15.0;
 
 /// Adds all needs of a database.
-pub fn reckon(ledger: &mut CapacityEstimate<'_>) {
-    let t = ledger.target;
+pub fn add_needs(estimate: &mut CapacityEstimate<'_>) {
+    let t = estimate.target;
     let calls = entry(Resource::Messages, Case::Ordinary, "statements", "a second");
     let each = t.statements_per_s / t.databases;
-    ledger.add(Role::Database, calls.by("src/policy.rs"), Source::target(each));
+    estimate.add(Role::Database, calls.by("src/policy.rs"), Source::target(each));
     let probes = entry(Resource::Messages, Case::Ordinary, "probes", "a second");
     let none = Source { from: "gateways send none".to_owned(), ..Source::target(0.0) };
-    ledger.add(Role::Database, probes.by("src/policy.rs"), none);
-    let Some(held) = ledger.at(E::StatementEngines, Q::Connections, t.databases) else { return };
-    connections(ledger, &held.times(1.0 / t.databases));
+    estimate.add(Role::Database, probes.by("src/policy.rs"), none);
+    let Some(held) = estimate.at(E::StatementEngines, Q::Connections, t.databases) else { return };
+    connections(estimate, &held.times(1.0 / t.databases));
 }
 
 /// Connections and handshakes, from how many a gateway holds to a database.
-fn connections(ledger: &mut CapacityEstimate<'_>, each: &Source) {
-    let t = ledger.target;
+fn connections(estimate: &mut CapacityEstimate<'_>, each: &Source) {
+    let t = estimate.target;
     let by = "gateway/src/net/pools.rs";
     let held = entry(Resource::State, Case::Ordinary, "connections of all gateways", "");
-    ledger.add(Role::Database, held.by(by), each.times(t.gateways));
+    estimate.add(Role::Database, held.by(by), each.times(t.gateways));
     let per_pair = t.statements_per_s / t.pairs();
     let reopened = t.gateways * per_pair * (-KEPT_S * per_pair).exp() * DAY_S;
     let restarts = t.gateway_restarts_per_day() + t.gateways * t.database_restarts_per_day() / t.databases;
     let handshakes = entry(Resource::Messages, Case::Ordinary, "handshakes", "a day").by(by);
-    ledger.add(Role::Database, handshakes, each.times(restarts).plus(&Source::target(reopened)));
+    estimate.add(Role::Database, handshakes, each.times(restarts).plus(&Source::target(reopened)));
     let back = entry(Resource::Messages, Case::Worst, "handshakes when it comes back", "at once").by(by);
-    ledger.add(Role::Database, back, each.times(t.gateways));
+    estimate.add(Role::Database, back, each.times(t.gateways));
     let zone = entry(
         Resource::Messages,
         Case::Worst,
@@ -41,10 +41,10 @@
     // Where a gateway holds no more connections than its zone has databases, those are the ones.
     let share = each.amount.value.max((each.amount.value * t.databases / t.databases_per_zone()).min(1.0));
     let at_home = each.times(share / each.amount.value.max(f64::MIN_POSITIVE));
-    ledger.add(Role::Database, zone.by(by), at_home.times(t.gateways_per_zone()));
+    estimate.add(Role::Database, zone.by(by), at_home.times(t.gateways_per_zone()));
     let per_s = t.configuration_per_day * t.gateways / DAY_S;
     let what = "handshakes, were each change of configuration a restart";
     let restarts =
         entry(Resource::Messages, Case::Ordinary, what, "a second").by("gateway/src/net/reload.rs");
-    ledger.add(Role::Database, restarts, each.times(per_s));
+    estimate.add(Role::Database, restarts, each.times(per_s));
 }
--- a/lab/src/capacity/reckon/gateway.rs
+++ b/lab/src/capacity/estimate/gateway.rs
@@ -1,6 +1,6 @@
 //! What the target needs of a gateway.
 
-use super::super::slopes::{Experiment as E, Quantity as Q};
+use super::super::experiment::{Experiment as E, Quantity as Q};
 use super::{
     Amount, CapacityEstimate, Case, DAY_S, Entry, MEGABYTE, Resource, Role, Source, entry,
     list_events_per_day, number,
@@ -24,14 +24,14 @@
 const COMMENT_BYTES: f64 = super::super::stand_ins::COMMENT.len() as f64;
 
 /// Adds all needs of a gateway.
-pub fn reckon(ledger: &mut CapacityEstimate<'_>) {
-    statements(ledger);
-    list(ledger);
-    configuration(ledger);
-    primary(ledger);
-    connections(ledger);
-    memory(ledger);
-    volume(ledger);
+pub fn add_needs(estimate: &mut CapacityEstimate<'_>) {
+    statements(estimate);
+    list(estimate);
+    configuration(estimate);
+    primary(estimate);
+    connections(estimate);
+    memory(estimate);
+    volume(estimate);
 }
 
 fn processor(case: Case, what: impl Into<String>) -> Entry {
@@ -39,69 +39,69 @@
 }
 
 /// Processor time of statements: the whole, and its parts.
-fn statements(ledger: &mut CapacityEstimate<'_>) {
-    let t = ledger.target;
+fn statements(estimate: &mut CapacityEstimate<'_>) {
+    let t = estimate.target;
     let (rate, cores) = (t.statements_per_gateway() / SECOND_US, t.gateway_cores);
-    let Some(whole) = ledger.at(E::StatementEngines, Q::Cpu, t.databases) else { return };
+    let Some(whole) = estimate.at(E::StatementEngines, Q::Cpu, t.databases) else { return };
     let by = "gateway/src/net/mod.rs, src/policy.rs";
     let mut total = whole.clone();
-    ledger.add(
+    estimate.add(
         Role::Gateway,
         processor(Case::Ordinary, "statements, few open at once").limit(cores).by(by),
         whole.times(rate),
     );
-    if let Some(few) = ledger.at(E::StatementEngines, Q::Cpu, FEWEST_ENGINES) {
+    if let Some(few) = estimate.at(E::StatementEngines, Q::Cpu, FEWEST_ENGINES) {
         let grown = entry(Resource::Processor, Case::Ordinary, "of these, what grows with engines", "cores");
-        ledger.add(Role::Gateway, grown.limit(cores).by("src/policy.rs"), whole.minus(&few).times(rate));
+        estimate.add(Role::Gateway, grown.limit(cores).by("src/policy.rs"), whole.minus(&few).times(rate));
     }
-    if let Some(decided) = ledger.at(E::DecideStatementEngines, Q::Cpu, t.databases) {
+    if let Some(decided) = estimate.at(E::DecideStatementEngines, Q::Cpu, t.databases) {
         let what = "of these, decisions alone";
-        ledger.add(
+        estimate.add(
             Role::Gateway,
             processor(Case::Ordinary, what).limit(cores).by("src/policy.rs"),
             decided.times(rate),
         );
     }
-    let few = ledger.at(E::StatementOpen, Q::Cpu, FIXED_OPEN);
-    let open = ledger.at(E::StatementOpen, Q::Cpu, t.open_per_gateway);
+    let few = estimate.at(E::StatementOpen, Q::Cpu, FIXED_OPEN);
+    let open = estimate.at(E::StatementOpen, Q::Cpu, t.open_per_gateway);
     if let (Some(few), Some(open)) = (few, open) {
         let more = open.minus(&few);
         total = total.plus(&more);
         let what =
             format!("beside that, {} requests open at once, which share turns", number(t.open_per_gateway));
-        ledger.add(
+        estimate.add(
             Role::Gateway,
             processor(Case::Ordinary, what).limit(cores).by("gateway/src/core.rs, src/policy.rs"),
             more.times(rate),
         );
     }
-    if let Some(idle) = ledger.slope(E::StatementSessions, Q::Cpu) {
+    if let Some(idle) = estimate.slope(E::StatementSessions, Q::Cpu) {
         let more = idle.times(t.connections_per_gateway());
         total = total.plus(&more);
         let what = format!("beside that, {} sessions that are idle", number(t.connections_per_gateway()));
-        ledger.add(
+        estimate.add(
             Role::Gateway,
             processor(Case::Ordinary, what).limit(cores).by("gateway/src/net/sessions.rs"),
             more.times(rate),
         );
     }
-    if let Some(together) = ledger.at(E::StatementTogether, Q::Cpu, t.databases) {
+    if let Some(together) = estimate.at(E::StatementTogether, Q::Cpu, t.databases) {
         let what = "to hold against it: 64 open and 3,455 idle, played together";
         let need = processor(Case::Ordinary, what).limit(cores).by(by);
-        ledger.add(Role::Gateway, need, together.times(rate));
+        estimate.add(Role::Gateway, need, together.times(rate));
     }
     let all = processor(Case::Ordinary, "statements, all of it").limit(cores).by(by);
-    ledger.add(Role::Gateway, all, total.times(rate));
+    estimate.add(Role::Gateway, all, total.times(rate));
     if t.zones > 1.0 {
         let rate = rate * t.zones / (t.zones - 1.0);
         let what = "statements, with the gateways of a zone gone";
-        ledger.add(Role::Gateway, processor(Case::Worst, what).limit(cores).by(by), total.times(rate));
+        estimate.add(Role::Gateway, processor(Case::Worst, what).limit(cores).by(by), total.times(rate));
     }
 }
 
 /// The list of engines: processor time and bytes, against what control may take.
-fn list(ledger: &mut CapacityEstimate<'_>) {
-    let t = ledger.target;
+fn list(estimate: &mut CapacityEstimate<'_>) {
+    let t = estimate.target;
     let by = "gateway/src/net/watch.rs, gateway/src/coordinator.rs, src/policy.rs";
     let per_day = list_events_per_day(t);
     let share = |cpu: &Source, events: f64, over_s: f64| cpu.times(100.0 * events / (over_s * SECOND_US));
@@ -112,49 +112,57 @@
         entry(Resource::Messages, case, what, "bytes/s").limit(t.control_bytes_per_s).by(by)
     };
     let (within_s, zone) = (t.configuration_within_s, t.databases_per_zone());
-    if let Some(cpu) = ledger.at(E::ChangeEngines, Q::Cpu, t.databases) {
+    if let Some(cpu) = estimate.at(E::ChangeEngines, Q::Cpu, t.databases) {
         let what = format!("changes of the list, {} a day", number(per_day));
-        ledger.add(Role::Gateway, percent(Case::Ordinary, what), share(&cpu, per_day, DAY_S));
+        estimate.add(Role::Gateway, percent(Case::Ordinary, what), share(&cpu, per_day, DAY_S));
         let what = format!("all {zone} databases of a zone change, over {within_s} s");
-        ledger.add(Role::Gateway, percent(Case::Worst, what), share(&cpu, zone, within_s));
+        estimate.add(Role::Gateway, percent(Case::Worst, what), share(&cpu, zone, within_s));
     }
-    if let Some(cpu) = ledger.at(E::ListEngines, Q::Cpu, t.databases) {
+    if let Some(cpu) = estimate.at(E::ListEngines, Q::Cpu, t.databases) {
         let what = format!("a whole list, over {within_s} s");
-        ledger.add(Role::Gateway, percent(Case::Worst, what), share(&cpu, 1.0, within_s));
+        estimate.add(Role::Gateway, percent(Case::Worst, what), share(&cpu, 1.0, within_s));
     }
-    if let Some(event) = ledger.at(E::ChangeEngines, Q::StreamBytes, t.databases) {
+    if let Some(event) = estimate.at(E::ChangeEngines, Q::StreamBytes, t.databases) {
         let day = event.times(per_day / DAY_S).plus(&Source::target(COMMENT_BYTES));
-        ledger.add(Role::Gateway, bytes(Case::Ordinary, "the list, with a comment a second".to_owned()), day);
+        estimate.add(
+            Role::Gateway,
+            bytes(Case::Ordinary, "the list, with a comment a second".to_owned()),
+            day,
+        );
         let what = format!("all {zone} databases of a zone change, over {within_s} s");
-        ledger.add(Role::Gateway, bytes(Case::Worst, what), event.times(zone / within_s));
+        estimate.add(Role::Gateway, bytes(Case::Worst, what), event.times(zone / within_s));
     }
-    if let Some(list) = ledger.at(E::ListEngines, Q::StreamBytes, t.databases) {
+    if let Some(list) = estimate.at(E::ListEngines, Q::StreamBytes, t.databases) {
         let what = format!("a whole list, over {within_s} s");
-        ledger.add(Role::Gateway, bytes(Case::Worst, what), list.times(1.0 / within_s));
+        estimate.add(Role::Gateway, bytes(Case::Worst, what), list.times(1.0 / within_s));
         let room = t.gateway_memory_mb * MEGABYTE * EVENT_SHARE;
         let text = entry(Resource::Memory, Case::Worst, "the text of a whole list", "bytes").limit(room);
-        ledger.add(Role::Gateway, text.by("gateway/src/coordinator.rs"), list);
+        estimate.add(Role::Gateway, text.by("gateway/src/coordinator.rs"), list);
     }
     for (experiment, what) in
         [(E::ChangeEngines, "time to take a change"), (E::ListEngines, "time to take a whole list")]
     {
-        let Some(taken) = ledger.at(experiment, Q::Taken, t.databases) else { continue };
+        let Some(taken) = estimate.at(experiment, Q::Taken, t.databases) else { continue };
         let time = entry(Resource::Messages, Case::Ordinary, what, "ms").limit(within_s * 1e3).by(by);
-        ledger.add(Role::Gateway, time, taken);
+        estimate.add(Role::Gateway, time, taken);
     }
-    if let Some(idle) = ledger.at(E::IdleEngines, Q::IdleCpu, t.databases) {
-        ledger.add(Role::Gateway, percent(Case::Ordinary, "to follow the list, no changes".to_owned()), idle);
+    if let Some(idle) = estimate.at(E::IdleEngines, Q::IdleCpu, t.databases) {
+        estimate.add(
+            Role::Gateway,
+            percent(Case::Ordinary, "to follow the list, no changes".to_owned()),
+            idle,
+        );
     }
 }
 
 /// Configuration in service, and what a restart for each change took before.
-fn configuration(ledger: &mut CapacityEstimate<'_>) {
-    let t = ledger.target;
+fn configuration(estimate: &mut CapacityEstimate<'_>) {
+    let t = estimate.target;
     let (per_day, clients) = (t.configuration_per_day, t.connections_per_gateway());
-    versions(ledger);
-    files(ledger);
+    versions(estimate);
+    files(estimate);
     let (start, session) =
-        (ledger.at(E::StartEngines, Q::Cpu, t.databases), ledger.at(E::IdleSessions, Q::Cpu, clients));
+        (estimate.at(E::StartEngines, Q::Cpu, t.databases), estimate.at(E::IdleSessions, Q::Cpu, clients));
     let (Some(start), Some(session)) = (start, session) else { return };
     let restart = start.plus(&session.times(clients));
     let share = restart.times(100.0 * per_day / (DAY_S * SECOND_US));
@@ -166,110 +174,110 @@
     let changes = entry(Resource::Messages, Case::Ordinary, what, "a day");
     let by =
         "configuration/src/subscriber.rs, gateway/src/net/configuration.rs, gateway/src/settings_change.rs";
-    ledger.add(Role::Gateway, changes.by(by), Source::target(per_day));
+    estimate.add(Role::Gateway, changes.by(by), Source::target(per_day));
     let what = "were each change of configuration a restart, as before it could be taken over in service";
     let restarted = entry(Resource::Processor, Case::Ordinary, what, "% of a core");
-    ledger.add(Role::Gateway, restarted.limit(t.control_core_percent).by("gateway/src/main.rs"), share);
+    estimate.add(Role::Gateway, restarted.limit(t.control_core_percent).by("gateway/src/main.rs"), share);
     let what = "a version of the configuration to all gateways, and who has it";
     let versions = entry(Resource::State, Case::Ordinary, what, "gateways");
     let by = "configuration/src/publisher.rs; the program around it is not in this repository";
-    ledger.add(Role::Control, versions.by(by), Source::target(t.gateways));
+    estimate.add(Role::Control, versions.by(by), Source::target(t.gateways));
 }
 
 /// Versions of the settings taken over in service: what they take, and how long one takes.
-fn versions(ledger: &mut CapacityEstimate<'_>) {
-    let t = ledger.target;
+fn versions(estimate: &mut CapacityEstimate<'_>) {
+    let t = estimate.target;
     let (per_day, per_s) = (t.configuration_per_day, t.configuration_per_day / DAY_S);
     let by =
         "configuration/src/subscriber.rs, gateway/src/net/configuration.rs, gateway/src/net/reconfigure.rs";
     let names = [E::VersionClasses, E::VersionTenants];
-    if let Some(cpu) = with_names(ledger, E::VersionEngines, names, Q::Cpu) {
+    if let Some(cpu) = with_names(estimate, E::VersionEngines, names, Q::Cpu) {
         let what = format!("versions of the settings taken over in service, {} a day", number(per_day));
         let share = entry(Resource::Processor, Case::Ordinary, what, "% of a core");
         let share = share.limit(t.control_core_percent).by(by);
-        ledger.add(Role::Gateway, share, cpu.times(100.0 * per_s / SECOND_US));
+        estimate.add(Role::Gateway, share, cpu.times(100.0 * per_s / SECOND_US));
     }
-    if let Some(difference) = with_names(ledger, E::VersionEngines, names, Q::StreamBytes) {
+    if let Some(difference) = with_names(estimate, E::VersionEngines, names, Q::StreamBytes) {
         let what = "their differences, each of one class";
         let bytes = entry(Resource::Messages, Case::Ordinary, what, "bytes/s").limit(t.control_bytes_per_s);
-        ledger.add(Role::Gateway, bytes.by(by), difference.times(per_s));
+        estimate.add(Role::Gateway, bytes.by(by), difference.times(per_s));
     }
-    if let Some(taken) = with_names(ledger, E::VersionEngines, names, Q::Taken) {
+    if let Some(taken) = with_names(estimate, E::VersionEngines, names, Q::Taken) {
         let what = "time to take a version over, with its report";
         let time =
             entry(Resource::Messages, Case::Ordinary, what, "ms").limit(t.configuration_within_s * 1e3);
-        ledger.add(Role::Gateway, time.by(by), taken);
+        estimate.add(Role::Gateway, time.by(by), taken);
     }
 }
 
 /// The file of configuration read again for each change: what that takes, and what its bytes would.
-fn files(ledger: &mut CapacityEstimate<'_>) {
-    let t = ledger.target;
+fn files(estimate: &mut CapacityEstimate<'_>) {
+    let t = estimate.target;
     let per_s = t.configuration_per_day / DAY_S;
     let names = [E::ReloadClasses, E::ReloadTenants];
-    if let Some(read) = with_names(ledger, E::ReloadEngines, names, Q::Cpu) {
+    if let Some(read) = with_names(estimate, E::ReloadEngines, names, Q::Cpu) {
         let what = format!(
             "the file read again {} times a day, by signal; classes, shares and limits don't count",
             number(t.configuration_per_day)
         );
         let share = entry(Resource::Processor, Case::Ordinary, what, "% of a core");
-        ledger.add(
+        estimate.add(
             Role::Gateway,
             share.limit(t.control_core_percent).by("gateway/src/net/reload.rs"),
             read.times(100.0 * per_s / SECOND_US),
         );
     }
-    if let Some(file) = with_names(ledger, E::ReloadEngines, names, Q::FileBytes) {
+    if let Some(file) = with_names(estimate, E::ReloadEngines, names, Q::FileBytes) {
         let what = "the whole file, were it sent for each change";
         let bytes = entry(Resource::Messages, Case::Ordinary, what, "bytes/s").limit(t.control_bytes_per_s);
-        ledger.add(Role::Gateway, bytes.by("gateway/src/net/reload.rs"), file.times(per_s));
+        estimate.add(Role::Gateway, bytes.by("gateway/src/net/reload.rs"), file.times(per_s));
     }
 }
 
 /// A quantity of the configuration at all engines, with what classes and tenants add by experiments of their own.
 fn with_names(
-    ledger: &mut CapacityEstimate<'_>,
+    estimate: &mut CapacityEstimate<'_>,
     experiment: E,
     [by_classes, by_tenants]: [E; 2],
     quantity: Q,
 ) -> Option<Source> {
-    let t = ledger.target;
-    let mut all = ledger.at(experiment, quantity, t.databases)?;
+    let t = estimate.target;
+    let mut all = estimate.at(experiment, quantity, t.databases)?;
     for (experiment, count) in [(by_classes, t.classes), (by_tenants, t.tenants)] {
-        let Some(each) = ledger.slope(experiment, quantity) else { continue };
+        let Some(each) = estimate.slope(experiment, quantity) else { continue };
         all = all.plus(&each.times(count));
     }
     Some(all)
 }
 
 /// A change of primary: nothing knows one.
-fn primary(ledger: &mut CapacityEstimate<'_>) {
-    let t = ledger.target;
+fn primary(estimate: &mut CapacityEstimate<'_>) {
+    let t = estimate.target;
     let what =
         format!("{} changes of primary a day, each over within {} s", t.primary_per_day, t.primary_within_s);
     let instead = "no primary, epoch or fencing is known; a list event moves all statements alike";
     let none = entry(Resource::State, Case::Worst, what, "a day");
-    ledger.add(Role::Gateway, none.by_nothing(instead.to_owned(), None), Source::target(t.primary_per_day));
+    estimate.add(Role::Gateway, none.by_nothing(instead.to_owned(), None), Source::target(t.primary_per_day));
 }
 
 /// Connections and descriptors.
-fn connections(ledger: &mut CapacityEstimate<'_>) {
-    let t = ledger.target;
+fn connections(estimate: &mut CapacityEstimate<'_>) {
+    let t = estimate.target;
     let clients = t.connections_per_gateway();
     let held = |what: &str| entry(Resource::State, Case::Ordinary, what, "");
-    let Some(engines) = ledger.at(E::StatementEngines, Q::Connections, t.databases) else { return };
+    let Some(engines) = estimate.at(E::StatementEngines, Q::Connections, t.databases) else { return };
     let to_engines = held("connections to databases").by("gateway/src/net/pools.rs, src/policy.rs");
-    ledger.add(Role::Gateway, to_engines, engines.clone());
+    estimate.add(Role::Gateway, to_engines, engines.clone());
     let all = engines.plus(&Source::target(clients + OWN_DESCRIPTORS));
     let descriptors = held("descriptors, with those of clients").limit(t.gateway_descriptors);
-    ledger.add(Role::Gateway, descriptors.by("gateway/src/net/pools.rs, gateway/src/net/sessions.rs"), all);
+    estimate.add(Role::Gateway, descriptors.by("gateway/src/net/pools.rs, gateway/src/net/sessions.rs"), all);
     let places = held("sessions, of a third of the descriptors").limit(t.gateway_descriptors / 3.0);
-    ledger.add(Role::Gateway, places.by("gateway/src/net/sessions.rs"), Source::target(clients));
-    calls(ledger, &engines);
+    estimate.add(Role::Gateway, places.by("gateway/src/net/sessions.rs"), Source::target(clients));
+    calls(estimate, &engines);
     let elsewhere = t.databases - t.databases_per_zone();
     let moved =
         entry(Resource::State, Case::Worst, "descriptors, its zone's databases gone, one to each other", "");
-    ledger.add(
+    estimate.add(
         Role::Gateway,
         moved.limit(t.gateway_descriptors).by("gateway/src/net/pools.rs, src/policy.rs"),
         Source::target(elsewhere + clients + OWN_DESCRIPTORS),
@@ -285,34 +293,34 @@
     );
     let descriptors_share = engines.amount.value / t.gateway_descriptors;
     let none = entry(Resource::State, Case::Ordinary, what, "databases");
-    ledger.add(Role::Gateway, none.by_nothing(instead, Some(descriptors_share)), engines);
+    estimate.add(Role::Gateway, none.by_nothing(instead, Some(descriptors_share)), engines);
 }
 
 /// Calls over each connection, which rests behind every answer.
-fn calls(ledger: &mut CapacityEstimate<'_>, connections: &Source) {
-    let t = ledger.target;
+fn calls(estimate: &mut CapacityEstimate<'_>, connections: &Source) {
+    let t = estimate.target;
     let what = "calls over each connection, which rests for 25 ms behind an answer";
     let each = entry(Resource::Messages, Case::Ordinary, what, "a second").limit(1.0 / REST_S);
     let rate = Source {
         amount: Amount::exact(t.statements_per_gateway() / connections.amount.value),
         ..connections.times(1.0)
     };
-    ledger.add(Role::Gateway, each.by("gateway/src/net/engines/connections.rs"), rate);
+    estimate.add(Role::Gateway, each.by("gateway/src/net/engines/connections.rs"), rate);
 }
 
 /// Memory, for control and in all.
-fn memory(ledger: &mut CapacityEstimate<'_>) {
-    let t = ledger.target;
+fn memory(estimate: &mut CapacityEstimate<'_>) {
+    let t = estimate.target;
     let mb = |case, what: &str, limit: f64, by: &'static str| {
         entry(Resource::Memory, case, what, "MB").limit(limit).by(by)
     };
     let to_mb = 1.0 / MEGABYTE;
-    if let Some(kept) = ledger.at(E::StartEngines, Q::Resident, t.databases) {
+    if let Some(kept) = estimate.at(E::StartEngines, Q::Resident, t.databases) {
         let what = "resident with the list and no client";
         let by = "gateway/src/net/pools.rs, src/policy.rs";
-        ledger.add(Role::Gateway, mb(Case::Ordinary, what, t.control_memory_mb, by), kept.in_unit(to_mb));
+        estimate.add(Role::Gateway, mb(Case::Ordinary, what, t.control_memory_mb, by), kept.in_unit(to_mb));
     }
-    let Some(worked) = ledger.at(E::StatementEngines, Q::Resident, t.databases) else { return };
+    let Some(worked) = estimate.at(E::StatementEngines, Q::Resident, t.databases) else { return };
     let mut total = worked.clone();
     let parts = [
         (E::IdleSessions, t.connections_per_gateway()),
@@ -320,29 +328,29 @@
         (E::StartTenants, t.tenants),
     ];
     for (experiment, count) in parts {
-        let Some(each) = ledger.slope(experiment, Q::Resident) else { continue };
+        let Some(each) = estimate.slope(experiment, Q::Resident) else { continue };
         total = total.plus(&each.times(count));
     }
     let by = "sessions/src/table.rs, gateway/src/net/pools.rs, src/policy.rs";
     let what = "resident with all sessions, classes, tenants and connections";
-    ledger.add(Role::Gateway, mb(Case::Ordinary, what, t.gateway_memory_mb, by), total.times(to_mb));
+    estimate.add(Role::Gateway, mb(Case::Ordinary, what, t.gateway_memory_mb, by), total.times(to_mb));
 }
 
 /// The log and the figures.
-fn volume(ledger: &mut CapacityEstimate<'_>) {
-    let t = ledger.target;
+fn volume(estimate: &mut CapacityEstimate<'_>) {
+    let t = estimate.target;
     let rate = t.statements_per_gateway();
     let log =
         |what: &str| entry(Resource::Messages, Case::Ordinary, what, "bytes/s").by("gateway/src/main.rs");
-    if let Some(info) = ledger.at(E::StatementEngines, Q::LogBytes, t.databases) {
-        ledger.add(Role::Gateway, log("the log of statements"), info.times(rate));
+    if let Some(info) = estimate.at(E::StatementEngines, Q::LogBytes, t.databases) {
+        estimate.add(Role::Gateway, log("the log of statements"), info.times(rate));
     }
-    if let Some(debug) = ledger.at(E::StatementEngines, Q::DebugLogBytes, t.databases) {
-        ledger.add(Role::Gateway, log("the log of statements, at debug"), debug.times(rate));
+    if let Some(debug) = estimate.at(E::StatementEngines, Q::DebugLogBytes, t.databases) {
+        estimate.add(Role::Gateway, log("the log of statements, at debug"), debug.times(rate));
     }
-    if let Some(metrics) = ledger.at(E::StartClasses, Q::MetricsBytes, t.classes) {
+    if let Some(metrics) = estimate.at(E::StartClasses, Q::MetricsBytes, t.classes) {
         let each =
             entry(Resource::Messages, Case::Ordinary, "all figures, each time they are fetched", "bytes");
-        ledger.add(Role::Gateway, each.by("gateway/src/metrics.rs"), metrics);
+        estimate.add(Role::Gateway, each.by("gateway/src/metrics.rs"), metrics);
     }
 }
--- a/lab/src/capacity/reckon/mod.rs
+++ b/lab/src/capacity/estimate/mod.rs
@@ -6,7 +6,8 @@
 
 use std::fmt;
 
-use super::slopes::{Estimate, Experiment, Mark, Measured, Quantity, Slopes};
+use super::experiment::{Experiment, Quantity};
+use super::slopes::{Estimate, Mark, Measured, Slopes};
 use super::target::Target;
 
 /// Seconds of a day.
@@ -272,11 +273,11 @@
 impl<'a> CapacityEstimate<'a> {
     /// Reckons all needs of a target.
     pub fn new(target: &'a Target, slopes: &'a Slopes) -> Self {
-        let mut ledger = Self { target, slopes, needs: Vec::new(), unmeasured: Vec::new() };
-        gateway::reckon(&mut ledger);
-        database::reckon(&mut ledger);
-        control::reckon(&mut ledger);
-        ledger
+        let mut estimate = Self { target, slopes, needs: Vec::new(), unmeasured: Vec::new() };
+        gateway::add_needs(&mut estimate);
+        database::add_needs(&mut estimate);
+        control::add_needs(&mut estimate);
+        estimate
     }
 
     /// The needs of a role.
--- a/lab/src/capacity/experiments.rs
+++ b/lab/src/capacity/experiments.rs
@@ -9,11 +9,12 @@
 use super::control_machine::ControlMachine;
 use super::decisions::Decisions;
 use super::error::CapacityError;
+use super::experiment::{Experiment, Quantity, Variable};
 use super::fit::Point;
 use super::process::Gateway;
 use super::sessions::{Session, Tally, closed_loop};
 use super::site::Site;
-use super::slopes::{Experiment, Measured, Quantity, Variable};
+use super::slopes::Measured;
 use super::stand_ins::{Coordinator, Engines, Stream};
 
 /// Requests that are open, and sessions that ask, where that is not what is varied.
--- a/lab/src/capacity/mod.rs
+++ b/lab/src/capacity/mod.rs
@@ -4,12 +4,13 @@
 pub mod control_machine;
 pub mod decisions;
 pub mod error;
+pub mod estimate;
+pub mod experiment;
 pub mod experiments;
 pub mod fit;
 pub mod hollow;
 pub mod page;
 pub mod process;
-pub mod reckon;
 pub mod sessions;
 pub mod site;
 pub mod slopes;
@@ -23,9 +24,10 @@
 
 use bounds::{Guard, Limits};
 use error::CapacityError;
+use experiment::Experiment;
 use experiments::{Bench, Effort};
 use hollow::Hollow;
-use slopes::{Experiment, Machine, Measured, Slopes};
+use slopes::{Machine, Measured, Slopes};
 use target::Target;
 
 /// What the gateway costs by size, and the page that holds it against a target.
--- a/lab/src/capacity/page.rs
+++ b/lab/src/capacity/page.rs
@@ -2,9 +2,10 @@
 
 use std::fmt::Write;
 
+use super::estimate::{CapacityEstimate, Carrier, Need, Ratio, Role, number};
+use super::experiment::{Experiment, Quantity};
 use super::hollow::{Hollow, HollowFigure};
-use super::reckon::{CapacityEstimate, Carrier, Need, Ratio, Role, number};
-use super::slopes::{Experiment, Measured, Quantity, Slopes};
+use super::slopes::{Measured, Slopes};
 use super::target::Target;
 
 /// What the tool does not measure, whatever stands in its files.
@@ -24,10 +25,10 @@
 
 /// Makes the page.
 pub fn page(target: &Target, slopes: &Slopes, hollow: &Hollow) -> String {
-    let ledger = CapacityEstimate::new(target, slopes);
+    let estimate = CapacityEstimate::new(target, slopes);
     let mut page = String::new();
     // Writing to a string never fails.
-    let _ = write_page(&mut page, target, slopes, hollow, &ledger);
+    let _ = write_page(&mut page, target, slopes, hollow, &estimate);
     page
 }
 
@@ -36,18 +37,18 @@
     target: &Target,
     slopes: &Slopes,
     hollow: &Hollow,
-    ledger: &CapacityEstimate<'_>,
+    estimate: &CapacityEstimate<'_>,
 ) -> std::fmt::Result {
     intro(page, target, slopes)?;
     for role in Role::ALL {
         writeln!(page, "\n## {role}\n")?;
-        needs(page, ledger.of(role))?;
+        needs(page, estimate.of(role))?;
         hollow_figures(page, role, hollow)?;
     }
-    guesses(page, target, slopes, ledger)?;
+    guesses(page, target, slopes, estimate)?;
     slope_table(page, slopes)?;
-    missing(page, ledger)?;
-    not_measured(page, slopes, ledger)
+    missing(page, estimate)?;
+    not_measured(page, slopes, estimate)
 }
 
 fn intro(page: &mut String, t: &Target, slopes: &Slopes) -> std::fmt::Result {
@@ -131,7 +132,7 @@
     page: &mut String,
     t: &Target,
     slopes: &Slopes,
-    ledger: &CapacityEstimate<'_>,
+    estimate: &CapacityEstimate<'_>,
 ) -> std::fmt::Result {
     writeln!(page, "\n## What was guessed to be missing first\n")?;
     writeln!(page, "| guess | figure | against its limit |")?;
@@ -153,7 +154,7 @@
         ("a change of primary", "changes of primary"),
     ];
     for (guess, what) in rows {
-        let Some(need) = ledger.needs.iter().find(|need| need.what.contains(what)) else { continue };
+        let Some(need) = estimate.needs.iter().find(|need| need.what.contains(what)) else { continue };
         let (figure, against) = match &need.carrier {
             Carrier::File(_) => (amount(need), need.ratio().to_string()),
             Carrier::Nothing(i) => {
@@ -241,7 +242,7 @@
     if value == 0.0 || value.abs() >= 0.01 { number(value) } else { format!("{value:.1e}") }
 }
 
-fn missing(page: &mut String, ledger: &CapacityEstimate<'_>) -> std::fmt::Result {
+fn missing(page: &mut String, estimate: &CapacityEstimate<'_>) -> std::fmt::Result {
     writeln!(page, "\n## What is missing, by ratio\n")?;
     writeln!(
         page,
@@ -250,7 +251,7 @@
     )?;
     writeln!(page, "| | what | ratio | today's way | times its limit |")?;
     writeln!(page, "| --- | --- | --- | --- | --- |")?;
-    for (at, need) in ledger.missing().into_iter().enumerate() {
+    for (at, need) in estimate.missing().into_iter().enumerate() {
         let (way, of) = match (&need.carrier, need.ratio()) {
             (Carrier::Nothing(i), _) => {
                 (i.what.clone(), i.ratio.map_or_else(|| "can't be said".to_owned(), number))
@@ -271,12 +272,12 @@
     Ok(())
 }
 
-fn not_measured(page: &mut String, slopes: &Slopes, ledger: &CapacityEstimate<'_>) -> std::fmt::Result {
+fn not_measured(page: &mut String, slopes: &Slopes, estimate: &CapacityEstimate<'_>) -> std::fmt::Result {
     writeln!(page, "\n## What was not measured\n")?;
     for what in NOT_MEASURED {
         writeln!(page, "- {what}")?;
     }
-    for name in &ledger.unmeasured {
+    for name in &estimate.unmeasured {
         writeln!(page, "- {name}: no play has given it yet")?;
     }
     for m in &slopes.measured {
--- a/lab/tests/capacity.rs
+++ b/lab/tests/capacity.rs
@@ -3,15 +3,16 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use wrenhatch_lab::capacity::bounds::{Bound, Limits, Usage};
+use wrenhatch_lab::capacity::bounds::{Limits, Usage};
 use wrenhatch_lab::capacity::decisions::Decisions;
-use wrenhatch_lab::capacity::error::CapacityError;
+use wrenhatch_lab::capacity::error::{Bound, CapacityError};
+use wrenhatch_lab::capacity::estimate::{CapacityEstimate, Ratio, Role, number};
+use wrenhatch_lab::capacity::experiment::{Experiment, Quantity};
 use wrenhatch_lab::capacity::experiments::fell_behind;
 use wrenhatch_lab::capacity::fit::{Point, fit};
 use wrenhatch_lab::capacity::hollow::Hollow;
 use wrenhatch_lab::capacity::page::page;
-use wrenhatch_lab::capacity::reckon::{CapacityEstimate, Ratio, Role, number};
-use wrenhatch_lab::capacity::slopes::{Experiment, Mark, Measured, Quantity, Slopes};
+use wrenhatch_lab::capacity::slopes::{Mark, Measured, Slopes};
 use wrenhatch_lab::capacity::target::Target;
 
 fn docs(file: &str) -> PathBuf {
@@ -197,8 +198,8 @@
 #[test]
 fn needs_are_reckoned_from_slopes_and_target() {
     let (target, slopes) = (Target::parse("t", &target_text()).unwrap(), round_slopes());
-    let ledger = CapacityEstimate::new(&target, &slopes);
-    let need = |what: &str| ledger.needs.iter().find(|n| n.what.contains(what)).unwrap();
+    let estimate = CapacityEstimate::new(&target, &slopes);
+    let need = |what: &str| estimate.needs.iter().find(|n| n.what.contains(what)).unwrap();
     // 2,363.6 statements of 810 us.
     let statements = need("statements, few open at once");
     assert!((statements.amount.value - 1.914_545).abs() < 1e-5, "{statements:?}");
@@ -211,27 +212,30 @@
     let share = 100.0 * 3_100.0 * (0.081 + 0.3455) / 86_400.0;
     assert!(matches!(restarts.ratio(), Ratio::Of(ratio) if (ratio - share / 2.3).abs() < 1e-9));
     // Something carries changes now; the target states no limit for how many.
-    let missing = ledger.missing();
+    let missing = estimate.missing();
     assert_eq!(need("changes of classes").ratio(), Ratio::NoLimit);
     assert!(missing.iter().all(|n| !n.what.contains("changes of classes")));
     // Nothing chooses a subset of databases: 810 connections, as the plays have them, of 20,000 descriptors.
     let subset = missing.iter().find(|n| n.what.contains("a stable, even subset")).unwrap();
     assert_eq!(subset.ratio(), Ratio::None);
-    let wrenhatch_lab::capacity::reckon::Carrier::Nothing(instead) = &subset.carrier else {
+    let wrenhatch_lab::capacity::estimate::Carrier::Nothing(instead) = &subset.carrier else {
         panic!("something carries it")
     };
     assert!((instead.ratio.unwrap() - 810.0 / 20_000.0).abs() < 1e-9);
     // 7 machines, 3 of them when a region is gone.
-    let streams: Vec<f64> =
-        ledger.of(Role::Control).filter(|n| n.what.starts_with("streams")).map(|n| n.amount.value).collect();
+    let streams: Vec<f64> = estimate
+        .of(Role::Control)
+        .filter(|n| n.what.starts_with("streams"))
+        .map(|n| n.amount.value)
+        .collect();
     assert_eq!(streams, [79.0, 110.0, 184.0]);
 }
 
 #[test]
 fn what_has_no_mechanism_comes_before_what_passes_its_limit() {
     let (target, slopes) = (Target::parse("t", &target_text()).unwrap(), round_slopes());
-    let ledger = CapacityEstimate::new(&target, &slopes);
-    let missing = ledger.missing();
+    let estimate = CapacityEstimate::new(&target, &slopes);
+    let missing = estimate.missing();
     let none = missing.iter().take_while(|n| n.ratio() == Ratio::None).count();
     assert!(
         none > 0 && missing[none..].iter().all(|n| matches!(n.ratio(), Ratio::Of(ratio) if ratio >= 0.5))
--- a/lab/tests/capacity_process.rs
+++ b/lab/tests/capacity_process.rs
@@ -7,11 +7,11 @@
 
 use wrenhatch_lab::capacity::bounds::{Guard, Limits};
 use wrenhatch_lab::capacity::error::CapacityError;
+use wrenhatch_lab::capacity::experiment::{Experiment, Quantity};
 use wrenhatch_lab::capacity::experiments::{Bench, Effort, MOST, Play};
 use wrenhatch_lab::capacity::process::Gateway;
 use wrenhatch_lab::capacity::sessions::{Session, closed_loop};
 use wrenhatch_lab::capacity::site::Site;
-use wrenhatch_lab::capacity::slopes::{Experiment, Quantity};
 use wrenhatch_lab::capacity::stand_ins::{Coordinator, Engines};
 
 /// The gateway's program, beside the tests'. It is built here where the tests of this package run alone.
