--- /dev/null
+++ b/gateway/tests/recorded_messages.rs
@@ -0,0 +1,297 @@
+//! What the gateway says and hears, as recorded: between two processes of one gateway, to the coordinator and to
+//! control machines, and to operators. Programs of two releases talk to each other during a replacement.
+//!
+//! Object members have no fixed order in what is written as JSON here; such lines are compared as JSON values.
+
+use std::net::SocketAddr;
+
+use notchridge::interface::{ClassId, EngineState, KeyId, Outcome};
+use serde_json::Value;
+use wrenhatch::config::{ListEvent, Listed, Unread, list_event_text};
+use wrenhatch::counters::Counters;
+use wrenhatch::event_stream::{EventStream, SentEvent};
+use wrenhatch::handover::{self, Message, MessageError};
+use wrenhatch::metrics::{Ending, Metrics, Now};
+use wrenhatch::ops::{self, Call, No};
+use wrenhatch::{control, coordinator};
+use wrenhatch_configuration::{Digest, Position, Report, Version};
+
+const HANDOVER: &str = include_str!("recorded_messages/handover.txt");
+const LIST_EVENTS: &str = include_str!("recorded_messages/list_events.txt");
+const CALLS: &str = include_str!("recorded_messages/calls.txt");
+const STREAM: &str = include_str!("recorded_messages/stream.txt");
+const METRICS: &str = include_str!("recorded_messages/metrics.txt");
+const COUNTERS: &str = include_str!("recorded_messages/counters.txt");
+
+fn address(text: &str) -> SocketAddr {
+    text.parse().unwrap()
+}
+
+fn listed(name: &str, at: &str, state: EngineState, since_ms: u64) -> Listed {
+    let (zone, kind) = ("east".to_owned(), "std".to_owned());
+    Listed { name: name.to_owned(), address: address(at), zone, kind, cell: 7, state, since_ms }
+}
+
+/// The messages of the file, in its order.
+fn handover_messages() -> Vec<Message> {
+    let since_ms = 1_796_166_000_123;
+    vec![
+        Message::Hello { name: "n0".into(), listen: address("127.0.0.1:5432") },
+        Message::Hello { name: "a \"b\"\n\u{e9}".into(), listen: address("[::1]:80") },
+        Message::Known("s-1".into(), 0),
+        Message::Known("s-1".into(), since_ms),
+        Message::Listed(listed("s-1", "127.0.0.2:80", EngineState::Ready, since_ms)),
+        Message::Listed(listed("s-2", "[fe80::1]:10080", EngineState::Draining, 0)),
+        Message::Listed(listed("s-3", "127.0.0.1:0", EngineState::Gone, 0)),
+        Message::Listed(Listed {
+            zone: String::new(),
+            kind: String::new(),
+            cell: 1 << 53,
+            ..listed("", "0.0.0.0:1", EngineState::Ready, 1)
+        }),
+        Message::Enter("s-1".into()),
+        Message::Exit("s-1".into(), since_ms),
+        Message::End { cancels: true, leases: true },
+        Message::End { cancels: false, leases: false },
+        Message::Cancel { session: 7, secret: u32::MAX },
+        Message::Taking { leases: true },
+        Message::Taking { leases: false },
+        Message::Claim(KeyId(0xfedc_ba98_7654_3210)),
+        Message::Claim(KeyId(0)),
+        Message::Grant(KeyId(u64::MAX)),
+        Message::Grant(KeyId(0x2a)),
+        Message::Settled(0),
+        Message::Settled(2_600),
+    ]
+}
+
+fn read_handover(line: &str) -> Result<Option<Message>, MessageError> {
+    let mut input = format!("{line}\n").into_bytes();
+    let message = handover::next(&mut input);
+    assert!(message.is_err() || input.is_empty(), "{line}");
+    message
+}
+
+#[test]
+fn handover_messages_are_read_as_recorded() {
+    assert_eq!(HANDOVER.lines().count(), handover_messages().len());
+    for (line, message) in HANDOVER.lines().zip(handover_messages()) {
+        assert_eq!(read_handover(line), Ok(Some(message)), "{line}");
+    }
+}
+
+#[test]
+fn handover_messages_are_written_as_recorded() {
+    assert_eq!(HANDOVER.lines().count(), handover_messages().len());
+    for (line, message) in HANDOVER.lines().zip(handover_messages()) {
+        let mut written = Vec::new();
+        message.write(&mut written);
+        let text = String::from_utf8(written).unwrap();
+        let text = text.strip_suffix('\n').unwrap();
+        assert!(!text.contains('\n'), "{text}");
+        let json = |text: &str| serde_json::from_str::<Value>(text).unwrap();
+        assert_eq!(json(text), json(line));
+        // The same bytes but for the order of members.
+        assert_eq!(text.len(), line.len(), "{text} for {line}");
+    }
+}
+
+#[test]
+fn earlier_and_other_handover_messages_are_read_as_before() {
+    let end = |cancels| Message::End { cancels, leases: false };
+    assert_eq!(read_handover("{\"end\":true}"), Ok(Some(end(false))));
+    assert_eq!(read_handover("{\"end\":true,\"cancels\":true}"), Ok(Some(end(true))));
+    assert_eq!(read_handover("{\"taking\":true}"), Ok(Some(Message::Taking { leases: false })));
+    let later = "{\"enter\":\"s-1\",\"why\":{\"more\":[1]}}";
+    assert_eq!(read_handover(later), Ok(Some(Message::Enter("s-1".into()))));
+    let hello = "{\"hello\":\"n0\",\"listen\":\"127.0.0.1:1\",\"form\":2}";
+    assert_eq!(read_handover(hello), Err(MessageError::Form(2)));
+    for foreign in [
+        "{}",
+        "x",
+        "{\"enter\":7}",
+        "{\"claim\":\"no key\"}",
+        "{\"settled\":true}",
+        "{\"hello\":\"n0\",\"form\":1}",
+    ] {
+        assert_eq!(read_handover(foreign), Err(MessageError::Foreign), "{foreign}");
+    }
+}
+
+/// What the events of the file say, in its order.
+fn list_events() -> Vec<ListEvent> {
+    let whole = [
+        listed("s-1", "10.0.0.1:10080", EngineState::Ready, 0),
+        listed("s-2", "10.0.0.2:10080", EngineState::Draining, 1_796_166_000_123),
+    ];
+    let gone = Listed {
+        zone: String::new(),
+        kind: String::new(),
+        cell: 0,
+        ..listed("s-3", "127.0.0.1:0", EngineState::Gone, 0)
+    };
+    let unread =
+        |name: Option<&str>, why: &str| Unread { name: name.map(str::to_owned), why: why.to_owned() };
+    let event = |index, full, entries: &[Listed]| ListEvent {
+        index,
+        full,
+        entries: entries.to_vec(),
+        unread: Vec::new(),
+    };
+    let bad = vec![
+        unread(Some("s-4"), "event.endpoints.endpoints[0].status: Ready, Terminating or Gone expected"),
+        unread(None, "event.endpoints.endpoints[2].status: a text expected"),
+        unread(Some("s-5"), "event.endpoints.endpoints[3].address: an address with a port expected"),
+    ];
+    vec![
+        event(41, true, &whole),
+        event(42, false, &[gone]),
+        event(43, false, &[]),
+        event(44, true, &[]),
+        ListEvent { unread: bad, ..event(45, false, &whole[..1]) },
+    ]
+}
+
+#[test]
+fn list_events_are_read_as_recorded() {
+    assert_eq!(LIST_EVENTS.lines().count(), list_events().len());
+    for (line, event) in LIST_EVENTS.lines().zip(list_events()) {
+        assert_eq!(list_event_text(line).unwrap(), event, "{line}");
+    }
+}
+
+#[test]
+fn texts_that_were_no_list_events_are_none() {
+    for (text, why) in [
+        ("{}", "event.index: a number expected"),
+        ("{\"index\":\"4\"}", "event.index: a number expected"),
+        ("{\"index\":4,\"endpoints\":{\"snapshot\":1}}", "event.endpoints.snapshot: true or false expected"),
+        ("{\"index\":4,\"endpoints\":{\"endpoints\":{}}}", "event.endpoints.endpoints: an array expected"),
+    ] {
+        assert_eq!(list_event_text(text).unwrap_err().to_string(), why, "{text}");
+    }
+}
+
+/// The recorded stream as HTTP has it, plain or in chunks.
+fn stream_bytes(chunked: bool) -> Vec<u8> {
+    let head = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n";
+    if !chunked {
+        return format!("{head}\r\n{STREAM}").into_bytes();
+    }
+    let (first, second) = STREAM.split_at(STREAM.len() / 2);
+    let chunk = |text: &str| format!("{:x}\r\n{text}\r\n", text.len());
+    format!("{head}Transfer-Encoding: chunked\r\n\r\n{}{}", chunk(first), chunk(second)).into_bytes()
+}
+
+#[test]
+fn a_recorded_stream_is_read_as_before() {
+    let sent = |id, data: &str| SentEvent { id, data: data.to_owned() };
+    let wanted = [
+        sent(7, "{\"current\":3}"),
+        sent(0, "{\"current\":\n4}"),
+        sent(0, "no number"),
+        sent(9, "without a blank"),
+    ];
+    for chunked in [false, true] {
+        let (mut stream, mut input) = (EventStream::new(10_000), stream_bytes(chunked));
+        stream.take(&mut input).unwrap();
+        let events: Vec<SentEvent> = std::iter::from_fn(|| stream.next_event()).collect();
+        assert_eq!(events, wanted, "chunked: {chunked}");
+        assert_eq!(stream.lines(), 1 + STREAM.lines().count() as u64);
+    }
+}
+
+/// The calls and answers that are written, in the order of the file.
+fn written_calls() -> Vec<Vec<u8>> {
+    let write = |with: &dyn Fn(&mut Vec<u8>)| {
+        let mut out = Vec::new();
+        with(&mut out);
+        out
+    };
+    let position = Position { version: Version(7), digest: Digest(0x2a) };
+    let refused = Report::refused(Version(8), "settings: it \"can't\"\n", Version(7));
+    vec![
+        write(&|out| coordinator::open(0, out)),
+        write(&|out| coordinator::open(u64::MAX, out)),
+        write(&|out| control::open(&"g 1\r\nX: y\u{e9}".into(), position, out)),
+        write(&|out| control::open(&"g1".into(), Position::default(), out)),
+        write(&|out| control::report(&"g1".into(), &Report::Applied { version: Version(8) }, out)),
+        write(&|out| control::report(&"g\u{e9}".into(), &refused, out)),
+        write(&|out| ops::answer(Ok("serving\n"), out)),
+        write(&|out| ops::answer(Ok(""), out)),
+        write(&|out| ops::answer(Err(No::Unreadable), out)),
+        write(&|out| ops::answer(Err(No::TooLong), out)),
+        write(&|out| ops::answer(Err(No::Body), out)),
+        write(&|out| ops::answer(Err(No::Path), out)),
+        write(&|out| ops::answer(Err(No::Method), out)),
+        write(&|out| ops::answer(Err(No::Engine), out)),
+        write(&|out| ops::answer(Err(No::Leaving), out)),
+    ]
+}
+
+#[test]
+fn calls_and_answers_are_written_as_recorded() {
+    let lines: Vec<&str> = CALLS.lines().collect();
+    assert_eq!(lines.len(), written_calls().len());
+    for (line, written) in lines.iter().zip(written_calls()) {
+        // Line ends and the like stand in the file as Rust escapes them.
+        assert_eq!(String::from_utf8(written).unwrap().escape_debug().to_string(), **line);
+    }
+}
+
+#[test]
+fn a_report_s_answer_is_read_as_before() {
+    let answer = |text: &str| control::is_taken(text.as_bytes());
+    assert_eq!(answer("HTTP/1.1 204 No Content\r\nContent-Length: 0\r\n\r\n"), Some(true));
+    assert_eq!(answer("HTTP/1.1 204 No Content\r\n"), None);
+    assert_eq!(answer("HTTP/1.1 200 OK\r\n\r\n"), Some(false));
+    assert_eq!(answer("HTTP/1.1 409 Conflict\r\n\r\n"), Some(false));
+}
+
+#[test]
+fn calls_of_operators_are_read_as_before() {
+    let read = |line: &str| ops::read(format!("{line} HTTP/1.1\r\nHost: g\r\n\r\n").as_bytes());
+    assert_eq!(read("GET /status"), Ok(Some(Call::Status)));
+    assert_eq!(read("GET /status/metrics"), Ok(Some(Call::Metrics)));
+    assert_eq!(read("PUT /maintenance/enter/s-00c4"), Ok(Some(Call::Enter("s-00c4".into()))));
+    assert_eq!(read("PUT /maintenance/exit/a%20b%3A1"), Ok(Some(Call::Exit("a b:1".into()))));
+    assert_eq!(read("PUT /maintenance/enter/a%2Fb"), Err(No::Path));
+    assert_eq!(read("PUT /maintenance/enter/"), Err(No::Path));
+    assert_eq!(read("GET /maintenance/enter/a"), Err(No::Method));
+    assert_eq!(read("PUT /status"), Err(No::Method));
+    assert_eq!(read("GET /"), Err(No::Path));
+}
+
+#[test]
+fn figures_for_operators_are_written_as_recorded() {
+    let mut metrics = Metrics::new(["lookup", "load", "lookup"]);
+    metrics.class(ClassId(0)).attempts = 5;
+    metrics.class(ClassId(1)).attempts = u64::MAX;
+    metrics.ended(ClassId(2), Ending::Served);
+    metrics.ended(ClassId(0), Ending::Refused);
+    metrics.ended(ClassId(0), Ending::Refused);
+    metrics.ended(ClassId(1), Ending::Failed);
+    let before = metrics.text(Now::default());
+    metrics.rename(["new", "lookup"]);
+    let after = metrics.text(Now { in_flight: 3, engines_known: 12, engines_excluded: 1 });
+    assert_eq!(before + &after, METRICS);
+}
+
+#[test]
+fn counters_are_written_as_recorded() {
+    let mut counters = Counters { turns: 1, clients: 2, sent: 3, reloads: u64::MAX, ..Counters::default() };
+    let outcomes = [
+        Outcome::Success,
+        Outcome::Overloaded,
+        Outcome::Failure,
+        Outcome::Unreachable,
+        Outcome::Broken,
+        Outcome::Withdrawn,
+        Outcome::TimedOut,
+        Outcome::Void,
+    ];
+    for (place, outcome) in outcomes.into_iter().enumerate() {
+        (0..=place).for_each(|_| counters.ended(outcome));
+    }
+    assert_eq!(format!("{counters}\n"), COUNTERS);
+}
