--- a/gateway/tests/recorded_messages.rs
+++ b/gateway/tests/recorded_messages.rs
@@ -5,9 +5,9 @@
 
 use std::net::SocketAddr;
 
-use notchridge::interface::{ClassId, EngineState, KeyId, Outcome};
 use serde_json::Value;
-use wrenhatch::config::{ListEvent, Listed, Unread, list_event_text};
+use workload_manager::interface::{ClassId, EndpointState, KeyId, Outcome};
+use wrenhatch::config::{Endpoint, EndpointListEvent, UnreadableEntry, list_event_text};
 use wrenhatch::counters::Counters;
 use wrenhatch::event_stream::{EventStream, SentEvent};
 use wrenhatch::handover::{self, Message, MessageError};
@@ -27,9 +27,9 @@
     text.parse().unwrap()
 }
 
-fn listed(name: &str, at: &str, state: EngineState, since_ms: u64) -> Listed {
+fn listed(name: &str, at: &str, state: EndpointState, since_ms: u64) -> Endpoint {
     let (zone, kind) = ("east".to_owned(), "std".to_owned());
-    Listed { name: name.to_owned(), address: address(at), zone, kind, cell: 7, state, since_ms }
+    Endpoint { name: name.to_owned(), address: address(at), zone, kind, cell: 7, state, since_ms }
 }
 
 /// The messages of the file, in its order.
@@ -40,14 +40,14 @@
         Message::Hello { name: "a \"b\"\n\u{e9}".into(), listen: address("[::1]:80") },
         Message::Known("s-1".into(), 0),
         Message::Known("s-1".into(), since_ms),
-        Message::Listed(listed("s-1", "127.0.0.2:80", EngineState::Ready, since_ms)),
-        Message::Listed(listed("s-2", "[fe80::1]:10080", EngineState::Draining, 0)),
-        Message::Listed(listed("s-3", "127.0.0.1:0", EngineState::Gone, 0)),
-        Message::Listed(Listed {
+        Message::Listed(listed("s-1", "127.0.0.2:80", EndpointState::Ready, since_ms)),
+        Message::Listed(listed("s-2", "[fe80::1]:10080", EndpointState::Draining, 0)),
+        Message::Listed(listed("s-3", "127.0.0.1:0", EndpointState::Removed, 0)),
+        Message::Listed(Endpoint {
             zone: String::new(),
             kind: String::new(),
             cell: 1 << 53,
-            ..listed("", "0.0.0.0:1", EngineState::Ready, 1)
+            ..listed("", "0.0.0.0:1", EndpointState::Ready, 1)
         }),
         Message::Enter("s-1".into()),
         Message::Exit("s-1".into(), since_ms),
@@ -119,20 +119,22 @@
 }
 
 /// What the events of the file say, in its order.
-fn list_events() -> Vec<ListEvent> {
+fn list_events() -> Vec<EndpointListEvent> {
     let whole = [
-        listed("s-1", "10.0.0.1:10080", EngineState::Ready, 0),
-        listed("s-2", "10.0.0.2:10080", EngineState::Draining, 1_796_166_000_123),
+        listed("s-1", "10.0.0.1:10080", EndpointState::Ready, 0),
+        listed("s-2", "10.0.0.2:10080", EndpointState::Draining, 1_796_166_000_123),
     ];
-    let gone = Listed {
+    let gone = Endpoint {
         zone: String::new(),
         kind: String::new(),
         cell: 0,
-        ..listed("s-3", "127.0.0.1:0", EngineState::Gone, 0)
+        ..listed("s-3", "127.0.0.1:0", EndpointState::Removed, 0)
     };
-    let unread =
-        |name: Option<&str>, why: &str| Unread { name: name.map(str::to_owned), why: why.to_owned() };
-    let event = |index, full, entries: &[Listed]| ListEvent {
+    let unread = |name: Option<&str>, why: &str| UnreadableEntry {
+        name: name.map(str::to_owned),
+        why: why.to_owned(),
+    };
+    let event = |index, full, entries: &[Endpoint]| EndpointListEvent {
         index,
         full,
         entries: entries.to_vec(),
@@ -148,7 +150,7 @@
         event(42, false, &[gone]),
         event(43, false, &[]),
         event(44, true, &[]),
-        ListEvent { unread: bad, ..event(45, false, &whole[..1]) },
+        EndpointListEvent { unread: bad, ..event(45, false, &whole[..1]) },
     ]
 }
 
@@ -282,13 +284,13 @@
     let mut counters = Counters { turns: 1, clients: 2, sent: 3, reloads: u64::MAX, ..Counters::default() };
     let outcomes = [
         Outcome::Success,
-        Outcome::Overloaded,
-        Outcome::Failure,
-        Outcome::Unreachable,
-        Outcome::Broken,
-        Outcome::Withdrawn,
+        Outcome::Rejected,
+        Outcome::Error,
+        Outcome::ConnectFailed,
+        Outcome::ConnectionLost,
+        Outcome::Cancelled,
         Outcome::TimedOut,
-        Outcome::Void,
+        Outcome::NeverSent,
     ];
     for (place, outcome) in outcomes.into_iter().enumerate() {
         (0..=place).for_each(|_| counters.ended(outcome));
--- a/lab/tests/recorded_files.rs
+++ b/lab/tests/recorded_files.rs
@@ -5,9 +5,10 @@
 
 use std::path::{Path, PathBuf};
 
+use wrenhatch_lab::capacity::experiment::{Experiment, Quantity};
 use wrenhatch_lab::capacity::hollow::Hollow;
 use wrenhatch_lab::capacity::page::page;
-use wrenhatch_lab::capacity::slopes::{Experiment, Quantity, Slopes};
+use wrenhatch_lab::capacity::slopes::Slopes;
 use wrenhatch_lab::capacity::target::Target;
 use wrenhatch_lab::hollow::compare::{self, Comparison};
 use wrenhatch_lab::hollow::figures::FigureFile;
--- a/tests/recorded_decisions/settings.rs
+++ b/tests/recorded_decisions/settings.rs
@@ -1,6 +1,6 @@
 //! The settings of each stream, and the changes of them in mid-stream.
 
-use notchridge::interface::*;
+use workload_manager::interface::*;
 
 use super::draws::Draws;
 
@@ -22,13 +22,14 @@
             gateways: [1, 3, 100, 300][(stream / 3) % 4],
             zone: [None, Some(ZoneId(1))][(stream / 2) % 2],
             classes: classes(stream),
-            kinds: kinds(stream),
-            tenants: vec![Tenant { quota: 0.0 }, Tenant { quota: 2.0 }],
-            over_share_worth: 0.5,
+            machine_types: kinds(stream),
+            tenants: vec![Tenant { quota_per_second: 0.0 }, Tenant { quota_per_second: 2.0 }],
+            over_quota_weight_ratio: 0.5,
             rules: rules(stream),
-            allowed: allowed(stream),
-            when_short: [WhenShort::Wait, WhenShort::Shrink, WhenShort::Page][(stream + stream / 3) % 3],
-            resolution: if stream % 5 == 3 { 0.25 } else { 0.005 },
+            capabilities: allowed(stream),
+            on_memory_shortage: [MemoryShortage::Queue, MemoryShortage::Spill, MemoryShortage::Overcommit]
+                [(stream + stream / 3) % 3],
+            clock_resolution: if stream % 5 == 3 { 0.25 } else { 0.005 },
         };
         let engines = [5, 12, 40, 24][(stream / 3) % 4];
         Self { settings, engines, mute: stream / 12 == 2 }
@@ -36,77 +37,78 @@
 
     /// The settings in a few words, for who reads a failure.
     pub fn describe(&self) -> String {
-        let (s, a) = (&self.settings, &self.settings.allowed);
+        let (s, a) = (&self.settings, &self.settings.capabilities);
         format!(
             "{} gateways, {} engines, reports {} (mute: {}), cancel {}, ask {}, attempts {}, notes {}, budget {}",
             s.gateways,
             self.engines,
-            match a.reports {
-                Reports::None => "none",
-                Reports::Answers => "in answers",
-                Reports::Probes => "from probes",
+            match a.load_reports {
+                LoadReportSource::None => "none",
+                LoadReportSource::Responses => "in answers",
+                LoadReportSource::HealthChecks => "from probes",
             },
             self.mute,
-            a.cancel,
-            a.ask_for_list,
+            a.cancels_attempts,
+            a.polls_endpoint_list,
             a.max_attempts,
-            a.note_period,
-            s.rules.extra.is_some(),
+            a.progress_period,
+            s.rules.retry_budget.is_some(),
         )
     }
 }
 
 fn rules(stream: usize) -> Rules {
-    let budget = ExtraBudget { floor: 1.0, ratio: 0.05, look_back: 4.0 };
+    let budget = RetryBudget { min_retries: 1.0, retry_ratio: 0.05, window: 4.0 };
     Rules {
-        answer_slack: 0.02,
+        answer_grace: 0.02,
         drain_grace: 1.0,
-        cold_share: [0.3, 0.1][stream % 2],
-        warm_up: [10.0, 30.0, 4.0][stream % 3],
-        fall_multiple: 2.0,
-        overload_for: [2.0, 0.5][(stream / 2) % 2],
-        order_pause: 0.3,
-        extra: (stream % 4 < 2).then_some(budget),
+        slow_start_min_ratio: [0.3, 0.1][stream % 2],
+        slow_start_duration: [10.0, 30.0, 4.0][stream % 3],
+        collapse_load_ratio: 2.0,
+        collapse_window: [2.0, 0.5][(stream / 2) % 2],
+        key_cooldown: 0.3,
+        retry_budget: (stream % 4 < 2).then_some(budget),
     }
 }
 
-fn allowed(stream: usize) -> Allowed {
-    let reports = [Reports::None, Reports::Answers, Reports::Probes][stream % 3];
-    Allowed {
-        cancel: (stream + stream / 12) % 2 == 0,
-        probe: reports == Reports::Probes,
-        reports,
-        ask_for_list: (stream / 4) % 2 == 1,
+fn allowed(stream: usize) -> Capabilities {
+    let reports =
+        [LoadReportSource::None, LoadReportSource::Responses, LoadReportSource::HealthChecks][stream % 3];
+    Capabilities {
+        cancels_attempts: (stream + stream / 12) % 2 == 0,
+        health_checks: reports == LoadReportSource::HealthChecks,
+        load_reports: reports,
+        polls_endpoint_list: (stream / 4) % 2 == 1,
         retry_after: stream % 5 != 0,
         max_retry_after: 1.5,
         max_attempts: [3, 0, 1, 3, 0][stream % 5],
-        grants: stream % 2 == 1,
+        memory_grants: stream % 2 == 1,
         priorities: stream % 3 != 1,
-        note_period: [1.0, 0.0, 0.5, 2.0][(stream / 2) % 4],
+        progress_period: [1.0, 0.0, 0.5, 2.0][(stream / 2) % 4],
     }
 }
 
-fn kinds(stream: usize) -> Vec<Kind> {
+fn kinds(stream: usize) -> Vec<MachineType> {
     let memory_mb = [0.0, 16_000.0, 4_000.0][(stream / 2) % 3];
     let cores = if has_small_machines(stream) { 2.0 } else { 8.0 };
-    vec![Kind { cores, memory_mb }, Kind { cores: 16.0, memory_mb: 2.0 * memory_mb }]
+    vec![MachineType { cores, memory_mb }, MachineType { cores: 16.0, memory_mb: 2.0 * memory_mb }]
 }
 
-fn class(aim: f64, threads: u32, deadline: f64, effect: Effect) -> Class {
+fn class(aim: f64, threads: u32, deadline: f64, effect: Idempotency) -> Class {
     Class {
-        aim,
-        aim_stretch: 0.0,
+        latency_objective: aim,
+        objective_stretch: 0.0,
         deadline,
-        worth: 1.0,
-        late_value: 0.0,
-        effect,
-        keep_order: false,
-        only_kinds: None,
-        only_zones: None,
+        priority_weight: 1.0,
+        late_weight_ratio: 0.0,
+        idempotency: effect,
+        ordered_by_key: false,
+        allowed_machine_types: None,
+        allowed_zones: None,
         threads,
-        load: false,
-        yields: false,
-        streaming: false,
+        is_load: false,
+        waits_for_loads: false,
+        is_streaming: false,
     }
 }
 
@@ -117,24 +119,37 @@
 
 fn classes(stream: usize) -> Vec<Class> {
     let least = if has_small_machines(stream) { 2 } else { 1 };
-    let keyed =
-        |group, window| Effect::Keyed { group, window: if stream % 2 == 0 { window } else { 0.2 * window } };
+    let keyed = |group, window| Idempotency::Keyed {
+        scope: group,
+        window: if stream % 2 == 0 { window } else { 0.2 * window },
+    };
     let zone = vec![ZoneId(stream % ZONES)];
     vec![
-        Class { yields: stream % 2 == 0, ..class(1.0, least, 4.0, Effect::Safe) },
-        class(1.8, least, 6.0, keyed(RepeatGroup::All, 3.0)),
-        Class { aim_stretch: 1.0, yields: true, ..class(4.0, 4, 20.0, Effect::Safe) },
-        Class { keep_order: true, load: true, ..class(3.0, 2, 30.0, Effect::Unsafe) },
-        Class { keep_order: true, ..class(3.0, 2, 10.0, keyed(RepeatGroup::Zone, 4.0)) },
-        Class { streaming: true, ..class(6.0, 3, 15.0, keyed(RepeatGroup::Cell, 2.5)) },
-        Class { only_kinds: Some(vec![KindId(1)]), ..class(2.0, 2, 8.0, Effect::Safe) },
-        Class { only_zones: Some(zone), late_value: 0.5, ..class(5.0, 8, 25.0, Effect::Unsafe) },
+        Class { waits_for_loads: stream % 2 == 0, ..class(1.0, least, 4.0, Idempotency::Idempotent) },
+        class(1.8, least, 6.0, keyed(IdempotencyScope::All, 3.0)),
+        Class {
+            objective_stretch: 1.0,
+            waits_for_loads: true,
+            ..class(4.0, 4, 20.0, Idempotency::Idempotent)
+        },
+        Class { ordered_by_key: true, is_load: true, ..class(3.0, 2, 30.0, Idempotency::NotIdempotent) },
+        Class { ordered_by_key: true, ..class(3.0, 2, 10.0, keyed(IdempotencyScope::Zone, 4.0)) },
+        Class { is_streaming: true, ..class(6.0, 3, 15.0, keyed(IdempotencyScope::Cell, 2.5)) },
+        Class {
+            allowed_machine_types: Some(vec![MachineTypeId(1)]),
+            ..class(2.0, 2, 8.0, Idempotency::Idempotent)
+        },
+        Class {
+            allowed_zones: Some(zone),
+            late_weight_ratio: 0.5,
+            ..class(5.0, 8, 25.0, Idempotency::NotIdempotent)
+        },
     ]
 }
 
 /// Seconds that an attempt of a class of these settings takes on an idle engine, in the mean.
 pub fn usual_seconds(class: &Class) -> f64 {
-    0.15 * class.aim * f64::from(class.threads.min(4)).sqrt()
+    0.15 * class.latency_objective * f64::from(class.threads.min(4)).sqrt()
 }
 
 /// The settings in force and what has become of their classes.
@@ -155,44 +170,48 @@
     }
 
     /// The next change. Every fifth is none that a gateway may accept.
-    pub fn change(&self, number: usize, draws: &mut Draws) -> Change {
+    pub fn change(&self, number: usize, draws: &mut Draws) -> SettingsChange {
         let mut settings = self.settings.clone();
-        let kept = |retired: &bool| if *retired { ClassOrigin::Retired } else { ClassOrigin::Kept };
+        let kept = |retired: &bool| if *retired { ClassOrigin::Retired } else { ClassOrigin::Unchanged };
         let mut origins: Vec<ClassOrigin> = self.retired.iter().map(kept).collect();
         let class = 1 + draws.below(settings.classes.len() as u32 - 1) as usize;
         match number % 5 {
             0 => {
                 settings.gateways += 1 + draws.below(20);
-                settings.kinds[0].cores += 4.0;
-                settings.kinds[1].memory_mb *= 0.5;
-                settings.allowed.max_attempts = 2;
+                settings.machine_types[0].cores += 4.0;
+                settings.machine_types[1].memory_mb *= 0.5;
+                settings.capabilities.max_attempts = 2;
             }
             1 => {
                 let aim = draws.between(0.5, 4.0);
-                settings.classes.push(Class { aim, ..settings.classes[class].clone() });
+                settings.classes.push(Class { latency_objective: aim, ..settings.classes[class].clone() });
                 origins.push(ClassOrigin::New);
             }
             2 => {
                 let old = &settings.classes[class];
-                let changed = Class { aim: 1.25 * old.aim, threads: old.threads + 1, ..old.clone() };
+                let changed = Class {
+                    latency_objective: 1.25 * old.latency_objective,
+                    threads: old.threads + 1,
+                    ..old.clone()
+                };
                 settings.classes.push(changed);
                 origins[class] = ClassOrigin::Retired;
-                origins.push(ClassOrigin::Follows(ClassId(class)));
+                origins.push(ClassOrigin::DerivedFrom(ClassId(class)));
             }
             3 => {
                 origins[class] = ClassOrigin::Retired;
-                settings.when_short = WhenShort::Shrink;
-                settings.rules.order_pause = 0.8;
+                settings.on_memory_shortage = MemoryShortage::Spill;
+                settings.rules.key_cooldown = 0.8;
             }
             _ => {
                 settings.classes.pop();
                 origins.pop();
             }
         }
-        Change { settings, origins }
+        SettingsChange { settings, origins }
     }
 
-    pub fn accepted(&mut self, change: Change) {
+    pub fn accepted(&mut self, change: SettingsChange) {
         self.retired = change.origins.iter().map(|origin| *origin == ClassOrigin::Retired).collect();
         self.settings = change.settings;
     }
--- a/tests/recorded_decisions/wording.rs
+++ b/tests/recorded_decisions/wording.rs
@@ -1,27 +1,27 @@
 //! What a gateway asks for, in short fixed words: they stay when types and fields get other names.
 
-use notchridge::interface::*;
+use workload_manager::interface::*;
 
 /// One action. Numbers with a fraction are told by their bits.
 pub fn words(action: &Action) -> String {
     match action {
-        Action::Terms { request, memory_mb, priority } => {
+        Action::SetAttemptTerms { request, memory_mb, priority } => {
             format!("terms {} {} {priority}", request.0, bits(*memory_mb))
         }
-        Action::Send { request, engine, timeout } => {
+        Action::Forward { request, engine, timeout } => {
             format!("send {} {} {}", request.0, engine.0, bits_if_any(*timeout))
         }
-        Action::Cancel { request, attempt } => format!("cancel {} {attempt}", request.0),
-        Action::Refuse { request, retry_after } => {
+        Action::CancelAttempt { request, attempt } => format!("cancel {} {attempt}", request.0),
+        Action::Reject { request, retry_after } => {
             format!("refuse {} {}", request.0, bits_if_any(*retry_after))
         }
         Action::Fail(request) => format!("fail {}", request.0),
-        Action::SetTimer { delay, token, of } => {
+        Action::SetTimer { delay, token, request: of } => {
             let of = of.map_or("-".to_owned(), |request| request.0.to_string());
             format!("timer {} {token} {of}", bits(*delay))
         }
-        Action::Probe(engine) => format!("probe {}", engine.0),
-        Action::Subscribe => "subscribe".to_owned(),
+        Action::CheckHealth(engine) => format!("probe {}", engine.0),
+        Action::WatchEndpointList => "subscribe".to_owned(),
     }
 }
 
--- a/tests/recorded_decisions/world.rs
+++ b/tests/recorded_decisions/world.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeMap;
 
-use notchridge::Gateway;
-use notchridge::interface::*;
+use workload_manager::WorkloadManager;
+use workload_manager::interface::*;
 
 use super::draws::Draws;
 use super::journal::Journal;
@@ -45,7 +45,7 @@
 }
 
 struct Machine {
-    entry: EngineEntry,
+    entry: EndpointEntry,
     mood: Mood,
 }
 
@@ -75,14 +75,14 @@
 }
 
 pub struct World {
-    gateway: Gateway,
+    gateway: WorkloadManager,
     in_force: InForce,
     draws: Draws,
     now_us: u64,
     agenda: BTreeMap<(u64, u64), Due>,
     scheduled: u64,
     machines: BTreeMap<u32, Machine>,
-    stale: Vec<EngineEntry>,
+    stale: Vec<EndpointEntry>,
     requests: BTreeMap<u64, Asked>,
     out: BTreeMap<(u64, u32), Attempt>,
     /// How busy clients are, and how full others keep the engines.
@@ -98,20 +98,20 @@
         let mut draws = Draws::new(seed);
         let machine = |id: u32| {
             let (started, mood) = ((id % 5 == 4).then_some(EPOCH - 1.0), Mood::Well);
-            let entry = EngineEntry {
+            let entry = EndpointEntry {
                 engine: EngineId(id),
                 zone: ZoneId(id as usize % ZONES),
-                kind: KindId(id as usize / 2 % 2),
+                machine_type: MachineTypeId(id as usize / 2 % 2),
                 cell: u64::from(id % 4),
-                state: EngineState::Ready,
-                started,
+                state: EndpointState::Ready,
+                started_at: started,
             };
             (id, Machine { entry, mood })
         };
         let machines: BTreeMap<u32, Machine> = (0..setup.engines).map(machine).collect();
         let gateway_seed = u64::from(draws.below(u32::MAX));
         let mut world = Self {
-            gateway: Gateway::new(setup.settings.clone(), gateway_seed)
+            gateway: WorkloadManager::new(setup.settings.clone(), gateway_seed)
                 .expect("settings that can be acted on"),
             in_force: InForce::new(setup.settings),
             draws,
@@ -136,8 +136,8 @@
 
     /// Plays so many events.
     pub fn play(mut self, events: usize, stream: usize) -> Journal {
-        if !self.in_force.settings.allowed.ask_for_list {
-            let mode = if stream % 2 == 0 { ListMode::Full } else { ListMode::Cached };
+        if !self.in_force.settings.capabilities.polls_endpoint_list {
+            let mode = if stream % 2 == 0 { EndpointListMode::Full } else { EndpointListMode::Cached };
             self.tell_list(mode, self.stale.clone());
         }
         let mut changes = 0;
@@ -202,15 +202,15 @@
 
     fn act(&mut self, action: &Action) {
         match action {
-            Action::Send { request, engine, .. } => self.start(request.0, engine.0),
-            Action::Cancel { request, attempt } => self.cancel((request.0, *attempt)),
-            Action::Refuse { request, .. } | Action::Fail(request) => {
+            Action::Forward { request, engine, .. } => self.start(request.0, engine.0),
+            Action::CancelAttempt { request, attempt } => self.cancel((request.0, *attempt)),
+            Action::Reject { request, .. } | Action::Fail(request) => {
                 self.requests.get_mut(&request.0).expect("asked").over = true;
             }
             Action::SetTimer { delay, token, .. } => self.plan(*delay, Due::Timer(*token)),
-            Action::Probe(engine) => self.plan(0.02, Due::Probed(engine.0)),
-            Action::Subscribe => self.plan(0.05, Due::Subscribed),
-            Action::Terms { .. } => {}
+            Action::CheckHealth(engine) => self.plan(0.02, Due::Probed(engine.0)),
+            Action::WatchEndpointList => self.plan(0.05, Due::Subscribed),
+            Action::SetAttemptTerms { .. } => {}
         }
     }
 
@@ -223,11 +223,11 @@
         let attempt = Attempt { engine, sent_us: self.now_us, due_us: 0, outcome, notes };
         self.out.insert((id, number), attempt);
         self.plan_end((id, number), seconds);
-        let period = self.in_force.settings.allowed.note_period;
+        let period = self.in_force.settings.capabilities.progress_period;
         if period > 0.0 {
             self.plan(period, Due::Note(id, number));
         }
-        if self.in_force.settings.classes[self.requests[&id].class].streaming {
+        if self.in_force.settings.classes[self.requests[&id].class].is_streaming {
             self.plan(0.5 * seconds, Due::Stream(id, number));
         }
     }
@@ -240,25 +240,25 @@
         let beside = self.out.values().filter(|a| a.engine == engine).count() as f64;
         let loads = self.held_by_load(request.group, engine);
         let left = request.deadline_us.saturating_sub(self.now_us) as f64 / SECOND as f64;
-        let mood = if machine.entry.state == EngineState::Gone { Mood::Away } else { machine.mood };
+        let mood = if machine.entry.state == EndpointState::Removed { Mood::Away } else { machine.mood };
         let crowd = 1.0 + 0.1 * beside + if self.fullness > 1.0 { self.fullness } else { 0.0 };
-        let wait = if loads && class.yields { 2.0 } else { 0.0 };
+        let wait = if loads && class.waits_for_loads { 2.0 } else { 0.0 };
         let usual = usual_seconds(class);
         let slow = if mood == Mood::Slow { 5.0 } else { 1.0 };
         let takes = wait + usual * crowd * slow * self.draws.between(0.4, 1.8);
         let (fortune, hit) = (self.draws.below(120), self.draws.percent(60));
         match (mood, fortune) {
-            (Mood::Away, _) | (_, 0) => (Outcome::Unreachable, 0.001),
-            (Mood::Full, _) if hit => (Outcome::Overloaded, 0.002),
-            (Mood::Erring, fortune) if fortune > 4 => (Outcome::Failure, 0.1 * takes),
-            (Mood::Breaking, _) if hit => (Outcome::Broken, 0.2 * takes),
+            (Mood::Away, _) | (_, 0) => (Outcome::ConnectFailed, 0.001),
+            (Mood::Full, _) if hit => (Outcome::Rejected, 0.002),
+            (Mood::Erring, fortune) if fortune > 4 => (Outcome::Error, 0.1 * takes),
+            (Mood::Breaking, _) if hit => (Outcome::ConnectionLost, 0.2 * takes),
             (Mood::Hanging, _) => (Outcome::TimedOut, left + 0.3),
-            (_, 1) => (Outcome::Overloaded, 0.002),
-            (_, 2 | 3) => (Outcome::Failure, 0.5 * takes),
-            (_, 4) => (Outcome::Broken, 0.5 * takes),
+            (_, 1) => (Outcome::Rejected, 0.002),
+            (_, 2 | 3) => (Outcome::Error, 0.5 * takes),
+            (_, 4) => (Outcome::ConnectionLost, 0.5 * takes),
             (_, 5) => (Outcome::TimedOut, 2.0 * takes),
-            (_, 6) => (Outcome::Void, 0.0),
-            (_, 7) => (Outcome::Withdrawn, 0.3 * takes),
+            (_, 6) => (Outcome::NeverSent, 0.0),
+            (_, 7) => (Outcome::Cancelled, 0.3 * takes),
             // Some stand still for long.
             (_, 8) => (Outcome::Success, 20.0 * takes),
             _ if takes > left + 1.0 => (Outcome::TimedOut, left + 0.05),
@@ -269,7 +269,7 @@
     fn held_by_load(&self, group: Option<u64>, engine: u32) -> bool {
         let loads = |id: &u64| {
             let request = &self.requests[id];
-            request.group == group && self.in_force.settings.classes[request.class].load
+            request.group == group && self.in_force.settings.classes[request.class].is_load
         };
         group.is_some() && self.out.iter().any(|((id, _), a)| a.engine == engine && loads(id))
     }
@@ -279,7 +279,7 @@
         if self.out.contains_key(&which) && self.draws.percent(75) {
             let attempt = self.out.get_mut(&which).expect("out");
             if attempt.due_us > self.now_us + SECOND / 50 {
-                attempt.outcome = Outcome::Withdrawn;
+                attempt.outcome = Outcome::Cancelled;
                 self.plan_end(which, 0.02);
             }
         }
@@ -291,7 +291,7 @@
             Due::End(id, number) => self.end((id, number)),
             Due::Note(id, number) => self.note((id, number)),
             Due::Stream(id, number) if self.out.contains_key(&(id, number)) => {
-                self.tell(&Event::Started { request: RequestId(id), attempt: number });
+                self.tell(&Event::StreamStarted { request: RequestId(id), attempt: number });
             }
             Due::Stream(..) => {}
             Due::Timer(token) => self.tell(&Event::Timer(token)),
@@ -301,14 +301,18 @@
                 if let Some(request) = self.requests.get_mut(&id) {
                     request.over = true;
                 }
-                self.tell(&Event::Aborted(RequestId(id)));
+                self.tell(&Event::RequestAborted(RequestId(id)));
             }
             Due::Confirm(key) => {
                 let may_run_for = self.draws.pick(&[0.0, 0.0, 0.7]);
-                self.tell(&Event::Confirmed { key: KeyId(key), may_run_for });
+                self.tell(&Event::AttemptEndConfirmed { key: KeyId(key), may_still_run_for: may_run_for });
             }
             Due::Subscribed => {
-                let mode = self.draws.pick(&[ListMode::Failed, ListMode::Full, ListMode::Full]);
+                let mode = self.draws.pick(&[
+                    EndpointListMode::Failed,
+                    EndpointListMode::Full,
+                    EndpointListMode::Full,
+                ]);
                 self.tell_whole_list(mode);
             }
             Due::News => self.news(),
@@ -321,7 +325,7 @@
         let classes = self.in_force.classes();
         let class = if self.draws.percent(45) { LOOKUP } else { self.draws.pick(&classes) };
         let c = self.in_force.settings.classes[class].clone();
-        let key = c.keep_order.then(|| u64::from(self.draws.below(5)));
+        let key = c.ordered_by_key.then(|| u64::from(self.draws.below(5)));
         let group = self.draws.percent(40).then(|| u64::from(self.draws.below(3)));
         let patience = c.deadline * self.draws.between(0.15, 1.1);
         let mean_work = usual_seconds(&c) * f64::from(c.threads);
@@ -342,14 +346,14 @@
             tenant: self.draws.percent(50).then(|| TenantId(self.draws.below(2) as usize)),
             key: key.map(KeyId),
             deadline: self.now() + patience,
-            estimate,
-            need_mb,
-            group: group.map(GroupId),
-            retry: self.draws.percent(5),
+            estimated_work: estimate,
+            estimated_memory_mb: need_mb,
+            table_group: group.map(TableGroupId),
+            is_retry: self.draws.percent(5),
         };
         let gap = self.draws.between(0.1, 1.9) / self.rate();
         self.plan(gap, Due::Arrival);
-        self.tell(&Event::Arrived(request));
+        self.tell(&Event::RequestArrived(request));
     }
 
     /// Requests a second: by the gateway's part of the engines, and some more where that is little.
@@ -365,33 +369,33 @@
         let attempt = self.out.remove(&which).expect("out");
         let outcome = attempt.outcome;
         let class = self.in_force.settings.classes[self.requests[&which.0].class].clone();
-        let finished = outcome == Outcome::Success || (outcome == Outcome::Failure && self.draws.percent(10));
+        let finished = outcome == Outcome::Success || (outcome == Outcome::Error && self.draws.percent(10));
         let request = self.requests.get_mut(&which.0).expect("asked");
         request.over |= finished;
         let (settled, key) = (request.over, request.key);
         let elapsed = (self.now_us - attempt.sent_us) as f64 / SECOND as f64;
-        let cost = (outcome == Outcome::Success && self.draws.percent(50)).then(|| Cost {
+        let cost = (outcome == Outcome::Success && self.draws.percent(50)).then(|| QueryCost {
             work: elapsed * f64::from(class.threads) * 0.8,
             memory_mb: self.draws.between(50.0, 2500.0),
         });
-        let answers = self.in_force.settings.allowed.reports == Reports::Answers;
+        let answers = self.in_force.settings.capabilities.load_reports == LoadReportSource::Responses;
         let report = (answers && !self.mute && self.draws.percent(80)).then(|| self.report());
         let may_run_for = self.may_run_for(outcome, key);
-        self.tell(&Event::Ended {
+        self.tell(&Event::AttemptEnded {
             request: RequestId(which.0),
             attempt: which.1,
             engine: EngineId(attempt.engine),
             outcome,
             elapsed,
-            settled,
-            may_run_for,
+            request_settled: settled,
+            may_still_run_for: may_run_for,
             cost,
-            report,
+            load_report: report,
         });
     }
 
     fn may_run_for(&mut self, outcome: Outcome, key: Option<u64>) -> f64 {
-        let Some(key) = key.filter(|_| outcome.may_run_on()) else { return 0.0 };
+        let Some(key) = key.filter(|_| outcome.may_still_run()) else { return 0.0 };
         let span = self.draws.pick(&[0.0, 0.6, f64::INFINITY]);
         if span.is_infinite() {
             let after = self.draws.between(0.2, 4.0);
@@ -400,7 +404,7 @@
         span
     }
 
-    fn report(&mut self) -> Report {
+    fn report(&mut self) -> LoadReport {
         let level = self.fullness * self.draws.between(0.7, 1.3);
         let queries = (16.0 * level).floor();
         let mut figure = |value: f64| match self.draws.below(20) {
@@ -409,12 +413,12 @@
             7 => Some(-value),
             _ => Some(value),
         };
-        Report {
-            inflight: figure(queries),
-            queue: figure((queries - 14.0).max(0.0)),
-            cores_busy: figure(level.min(1.0)),
-            memory_granted: figure(0.8 * level),
-            disks_busy: figure(0.1),
+        LoadReport {
+            in_flight: figure(queries),
+            queued: figure((queries - 14.0).max(0.0)),
+            core_utilization: figure(level.min(1.0)),
+            memory_utilization: figure(0.8 * level),
+            disk_utilization: figure(0.1),
         }
     }
 
@@ -422,25 +426,25 @@
         let Some(attempt) = self.out.get(&which) else { return };
         let (notes, age) = (attempt.notes, self.now_us - attempt.sent_us);
         let share = age as f64 / (attempt.due_us - attempt.sent_us).max(1) as f64;
-        let after = self.in_force.settings.allowed.note_period * self.draws.between(0.9, 1.1);
+        let after = self.in_force.settings.capabilities.progress_period * self.draws.between(0.9, 1.1);
         self.plan(after, Due::Note(which.0, which.1));
         if notes == Notes::Lost {
             return;
         }
         let note = match self.draws.below(10) {
-            _ if notes == Notes::Bare => Note::Running,
-            0 => Note::Running,
-            1 => Note::Spills(200.0),
-            2 => Note::WaitsForMemory,
-            3 => Note::WaitsForLoad,
-            _ => Note::Progress(share * self.draws.between(0.3, 1.0)),
+            _ if notes == Notes::Bare => Progress::Running,
+            0 => Progress::Running,
+            1 => Progress::Spilling(200.0),
+            2 => Progress::WaitingForMemory,
+            3 => Progress::WaitingForLoad,
+            _ => Progress::Fraction(share * self.draws.between(0.3, 1.0)),
         };
-        self.tell(&Event::Noted { request: RequestId(which.0), attempt: which.1, note });
+        self.tell(&Event::AttemptProgress { request: RequestId(which.0), attempt: which.1, progress: note });
     }
 
     fn probe(&mut self) {
         self.plan(0.4, Due::Probe);
-        if self.in_force.settings.allowed.reports == Reports::Probes {
+        if self.in_force.settings.capabilities.load_reports == LoadReportSource::HealthChecks {
             let engine = self.draws.below(self.machines.len() as u32);
             self.plan(0.01, Due::Probed(engine));
         }
@@ -448,20 +452,25 @@
 
     fn probed(&mut self, engine: u32) {
         let away = self.machines.get(&engine).is_none_or(|machine| machine.mood == Mood::Away);
-        let outcome = if away { Outcome::Unreachable } else { Outcome::Success };
+        let outcome = if away { Outcome::ConnectFailed } else { Outcome::Success };
         let report = (!away).then(|| self.report());
-        self.tell(&Event::Probed { engine: EngineId(engine), outcome, elapsed: 0.01, report });
+        self.tell(&Event::HealthChecked {
+            engine: EngineId(engine),
+            outcome,
+            elapsed: 0.01,
+            load_report: report,
+        });
     }
 
-    fn tell_list(&mut self, mode: ListMode, entries: Vec<EngineEntry>) {
-        self.tell(&Event::List { mode, entries });
+    fn tell_list(&mut self, mode: EndpointListMode, entries: Vec<EndpointEntry>) {
+        self.tell(&Event::EndpointList { mode, entries });
     }
 
-    fn tell_whole_list(&mut self, mode: ListMode) {
-        let present = |m: &&Machine| m.entry.state != EngineState::Gone;
+    fn tell_whole_list(&mut self, mode: EndpointListMode) {
+        let present = |m: &&Machine| m.entry.state != EndpointState::Removed;
         let entries = match mode {
-            ListMode::Failed => Vec::new(),
-            ListMode::Cached => self.stale.clone(),
+            EndpointListMode::Failed => Vec::new(),
+            EndpointListMode::Cached => self.stale.clone(),
             _ => self.machines.values().filter(present).map(|m| m.entry.clone()).collect(),
         };
         self.tell_list(mode, entries);
@@ -472,9 +481,9 @@
         let after = self.draws.between(0.3, 3.0);
         self.plan(after, Due::News);
         match self.draws.below(12) {
-            0 => self.tell_whole_list(ListMode::Full),
-            1 => self.tell_whole_list(ListMode::Cached),
-            2 => self.tell_whole_list(ListMode::Failed),
+            0 => self.tell_whole_list(EndpointListMode::Full),
+            1 => self.tell_whole_list(EndpointListMode::Cached),
+            2 => self.tell_whole_list(EndpointListMode::Failed),
             3 => self.stale = self.machines.values().map(|m| m.entry.clone()).collect(),
             4 => self.add_machine(),
             _ => self.change_machines(),
@@ -486,12 +495,13 @@
         let model = self.draws.below(id);
         let started = Some(self.now());
         // Some are of a kind that the settings do not describe.
-        let kind = KindId(self.draws.below(3) as usize);
-        let state = EngineState::Ready;
+        let kind = MachineTypeId(self.draws.below(3) as usize);
+        let state = EndpointState::Ready;
         let old = self.machines[&model].entry.clone();
-        let entry = EngineEntry { engine: EngineId(id), kind, started, state, ..old };
+        let entry =
+            EndpointEntry { engine: EngineId(id), machine_type: kind, started_at: started, state, ..old };
         self.machines.insert(id, Machine { entry: entry.clone(), mood: Mood::Well });
-        self.tell_list(ListMode::Delta, vec![entry]);
+        self.tell_list(EndpointListMode::Delta, vec![entry]);
     }
 
     fn change_machines(&mut self) {
@@ -503,14 +513,14 @@
             let machine = self.machines.get_mut(&id).expect("there");
             let entry = &mut machine.entry;
             entry.state = match next {
-                0 | 1 => EngineState::Draining,
-                2 => EngineState::Gone,
-                _ => EngineState::Ready,
+                0 | 1 => EndpointState::Draining,
+                2 => EndpointState::Removed,
+                _ => EndpointState::Ready,
             };
-            entry.started = if next == 3 { Some(now) } else { entry.started };
+            entry.started_at = if next == 3 { Some(now) } else { entry.started_at };
             entries.push(entry.clone());
         }
-        self.tell_list(ListMode::Delta, entries);
+        self.tell_list(EndpointListMode::Delta, entries);
     }
 
     /// How engines and clients fare changes from time to time.
