--- /dev/null
+++ b/gateway/src/admission/tests.rs
@@ -0,0 +1,131 @@
+use super::*;
+
+fn names() -> Names {
+    Names {
+        classes: vec!["lookup".into(), "report".into()],
+        tenants: vec!["north".into()],
+        ..Names::default()
+    }
+}
+
+fn fields(class: &str, tenant: Option<&str>) -> Fields {
+    Fields { class: class.to_owned(), tenant: tenant.map(str::to_owned), ..Fields::default() }
+}
+
+/// A request that passes all guards: ready at 1 s, read at 2 s, its client waits for 3 s.
+fn admissible() -> AdmissionInput {
+    AdmissionInput {
+        now_us: 2_000_000,
+        ready_us: 1_000_000,
+        wait_us: 3_000_000,
+        work_ahead_us: 0,
+        shutting_down: false,
+        open_requests: 9,
+        max_open_requests: 10,
+        memory: Ok(()),
+    }
+}
+
+fn rejection(input: AdmissionInput) -> Rejection {
+    admit(&input).expect_err("a request that a guard rejects")
+}
+
+fn guards(input: AdmissionInput) -> Vec<Guard> {
+    rejection(input).guards().collect()
+}
+
+#[test]
+fn a_request_is_named_by_its_class_and_its_tenant() {
+    let named = subject(&names(), &fields("report", Some("north")));
+    assert_eq!(named, Ok(Subject { class: ClassId(1), tenant: Some(TenantId(0)) }));
+    let without_tenant = subject(&names(), &fields("lookup", None));
+    assert_eq!(without_tenant, Ok(Subject { class: ClassId(0), tenant: None }));
+}
+
+#[test]
+fn a_duplicate_id_goes_before_an_unknown_class_before_an_unknown_tenant() {
+    let all_wrong = fields("none", Some("none"));
+    assert_eq!(validate(&names(), &all_wrong, true), Err(InvalidRequest::DuplicateId));
+    assert_eq!(validate(&names(), &all_wrong, false), Err(InvalidRequest::UnknownClass));
+    let wrong_tenant = fields("lookup", Some("none"));
+    assert_eq!(validate(&names(), &wrong_tenant, false), Err(InvalidRequest::UnknownTenant));
+}
+
+#[test]
+fn the_texts_on_the_wire_stay() {
+    assert_eq!(InvalidRequest::UnknownClass.to_string(), "unknown class");
+    assert_eq!(InvalidRequest::UnknownTenant.to_string(), "unknown tenant");
+    assert_eq!(InvalidRequest::DuplicateId.to_string(), "the id is that of a request that is open");
+}
+
+#[test]
+fn nobody_waits_for_longer_than_the_deadline_of_its_class() {
+    assert_eq!(wait_us(None, 3.0), 3_000_000);
+    assert_eq!(wait_us(Some(500), 3.0), 500_000);
+    assert_eq!(wait_us(Some(86_400_000), 3.0), 3_000_000);
+    assert_eq!(wait_us(Some(u64::MAX), 3.0), 3_000_000);
+}
+
+#[test]
+fn the_deadline_of_an_admitted_request_counts_from_when_it_was_ready() {
+    assert_eq!(admit(&admissible()), Ok(Admitted { deadline_us: 4_000_000 }));
+}
+
+#[test]
+fn a_process_that_shuts_down_rejects_without_a_retry_after() {
+    let rejected = rejection(AdmissionInput { shutting_down: true, ..admissible() });
+    assert_eq!(rejected.guards().collect::<Vec<_>>(), [Guard::ShuttingDown]);
+    assert_eq!((rejected.sends_retry_after(), rejected.counters().next()), (false, None));
+}
+
+#[test]
+fn too_many_open_requests_reject_without_a_retry_after() {
+    let rejected = rejection(AdmissionInput { open_requests: 10, ..admissible() });
+    assert_eq!(rejected.guards().collect::<Vec<_>>(), [Guard::TooManyOpenRequests]);
+    assert_eq!((rejected.sends_retry_after(), rejected.counters().next()), (false, None));
+}
+
+#[test]
+fn short_memory_rejects_with_a_retry_after_whichever_bound_is_reached() {
+    for bound in [NoMemory::Whole, NoMemory::Share] {
+        let rejected = rejection(AdmissionInput { memory: Err(bound), ..admissible() });
+        assert_eq!(rejected.guards().collect::<Vec<_>>(), [Guard::MemoryShort]);
+        assert!(rejected.sends_retry_after());
+        assert_eq!(rejected.counters().collect::<Vec<_>>(), [RejectionCounter::NoMemory]);
+    }
+}
+
+#[test]
+fn a_request_that_would_be_reached_at_its_deadline_is_rejected_with_a_retry_after() {
+    let just_in_time = AdmissionInput { work_ahead_us: 1_999_999, ..admissible() };
+    assert!(admit(&just_in_time).is_ok());
+    let rejected = rejection(AdmissionInput { work_ahead_us: 2_000_000, ..admissible() });
+    assert_eq!(rejected.guards().collect::<Vec<_>>(), [Guard::TooLate]);
+    assert!(rejected.sends_retry_after());
+    assert_eq!(rejected.counters().collect::<Vec<_>>(), [RejectionCounter::TooLate]);
+}
+
+#[test]
+fn a_request_that_has_waited_past_its_deadline_is_rejected_without_work_before_it() {
+    assert_eq!(guards(AdmissionInput { now_us: 4_000_000, ..admissible() }), [Guard::TooLate]);
+}
+
+#[test]
+fn guards_are_told_together_and_in_their_order() {
+    let worst = AdmissionInput {
+        work_ahead_us: 2_000_000,
+        shutting_down: true,
+        open_requests: 11,
+        memory: Err(NoMemory::Whole),
+        ..admissible()
+    };
+    assert_eq!(guards(worst), Guard::ALL);
+    let rejected = rejection(worst);
+    assert_eq!(
+        rejected.counters().collect::<Vec<_>>(),
+        [RejectionCounter::NoMemory, RejectionCounter::TooLate],
+        "each guard is counted, also beside others"
+    );
+    let ends_and_late = AdmissionInput { memory: Ok(()), open_requests: 0, ..worst };
+    assert!(rejection(ends_and_late).sends_retry_after(), "one guard that asks for it is enough");
+}
--- a/gateway/src/counters.rs
+++ b/gateway/src/counters.rs
@@ -2,6 +2,8 @@
 
 use std::fmt;
 
+use crate::admission::RejectionCounter;
+
 macro_rules! counters {
     ($($(#[$doc:meta])* $name:ident),* $(,)?) => {
         /// One number for each thing counted since the start.
@@ -81,6 +83,14 @@
 }
 
 impl Counters {
+    /// The counter of rejections for a reason.
+    pub fn rejected_for(&mut self, counter: RejectionCounter) -> &mut u64 {
+        match counter {
+            RejectionCounter::NoMemory => &mut self.no_memory,
+            RejectionCounter::TooLate => &mut self.too_late,
+        }
+    }
+
     /// Counts the end of an attempt.
     pub fn ended(&mut self, outcome: workload_manager::interface::Outcome) {
         use workload_manager::interface::Outcome as O;
--- a/gateway/src/lib.rs
+++ b/gateway/src/lib.rs
@@ -1,6 +1,7 @@
 //! The gateway as a library: configuration, core, codecs and the loop, so that tools of the workspace drive the
 //! same code as the program.
 
+pub mod admission;
 pub mod config;
 pub mod control;
 pub mod coordinator;
--- a/gateway/src/net/clients.rs
+++ b/gateway/src/net/clients.rs
@@ -12,9 +12,10 @@
 use super::poll::Interest;
 use super::sessions::{CLOSE_US, Session, Sessions, UNFINISHED_US};
 use super::{Request, Server, Timer};
-use crate::config::Names;
+use crate::admission::{self, AdmissionInput, Admitted, Rejection, Subject};
 use crate::core::{Command, Input, NewRequest};
-use crate::front::{ClientCommand, ClientRequest, FinalAnswer, Payload, fields};
+use crate::front::fields::{self, Fields};
+use crate::front::{ClientCommand, ClientRequest, FinalAnswer, Payload};
 use crate::metrics::Ending;
 use crate::mysql::ResultSet;
 
@@ -25,13 +26,6 @@
 /// Sessions closed in one turn to make memory free.
 const RELIEVED: usize = 64;
 
-/// What the settings call these fields.
-fn judge(names: &Names, fields: &fields::Fields) -> Result<(ClassId, Option<TenantId>), &'static str> {
-    let class = names.class(&fields.class).ok_or("unknown class")?;
-    let tenant = |t: &String| names.tenant(t).ok_or("unknown tenant");
-    Ok((class, fields.tenant.as_ref().map(tenant).transpose()?))
-}
-
 impl Server {
     /// Gives a new client a place, if need be that of another which has less use for it. One that gets none is
     /// told so; it may have sent a request behind its start already, which thereby is refused.
@@ -213,8 +207,8 @@
             None => return false,
             Some(ClientCommand::Handled) => {}
             Some(ClientCommand::Invalid) => self.counters.invalid += 1,
-            Some(ClientCommand::Request(demand)) => self.demand(who, demand),
-            Some(ClientCommand::Prepare(fields)) => self.judge(who, &fields),
+            Some(ClientCommand::Request(request)) => self.request_read(who, request),
+            Some(ClientCommand::Prepare(fields)) => self.prepare(who, &fields),
             Some(ClientCommand::Cancel { session, secret }) => {
                 self.close_soon(who);
                 self.cancel(session, secret);
@@ -225,18 +219,18 @@
     }
 
     /// Says whether a statement may be prepared: the settings must know what it names, and there must be memory.
-    fn judge(&mut self, who: Handle, fields: &fields::Fields) {
-        let wrong = judge(&self.names, fields).err();
+    fn prepare(&mut self, who: Handle, fields: &Fields) {
+        let invalid = admission::subject(&self.names, fields).err();
         // What it takes is told with the rest of its session's when the turn is over; till then it counts twice.
         let Some(live) = self.sessions.table.hot(who) else { return };
         let Session::MySql(session) = &live.session else { return };
         let room = self.sessions.ledger.allows(Kind::Statements, session.pending_bytes()).is_ok();
-        self.counters.invalid += u64::from(wrong.is_some());
-        self.counters.no_memory += u64::from(wrong.is_none() && !room);
+        self.counters.invalid += u64::from(invalid.is_some());
+        self.counters.no_memory += u64::from(invalid.is_none() && !room);
         let Some(live) = self.sessions.table.hot_mut(who) else { return };
         let out = &mut live.conn.output;
-        match (&mut live.session, wrong) {
-            (session, Some(wrong)) => session.reject(wrong, out),
+        match (&mut live.session, invalid) {
+            (session, Some(invalid)) => session.reject(&invalid.to_string(), out),
             (Session::MySql(session), None) if room => session.judged(out),
             (Session::MySql(session), None) => session.no_room(out),
             (Session::Pg(_), None) => {}
@@ -367,93 +361,101 @@
         }
     }
 
-    /// Takes a request, or turns it down where its fields name nothing that the settings know, and where it would
-    /// not be served: the gateway ends, is full, or would come to it too late.
-    fn demand(&mut self, who: Handle, demand: ClientRequest) {
-        let now_us = self.time.now_us;
-        let fields = demand.fields;
-        let judged = judge(&self.names, &fields);
-        let (going, full) = (self.is_going(), self.requests.open.len() >= self.config.max_open);
-        let taken = fields.id.as_ref().is_some_and(|id| self.requests.is_under_way(id));
-        let secrets = fields.id.is_none().then(|| (self.sessions.secret(), self.sessions.secret()));
-        let backlog_us = self.sessions.governor.backlog_us();
+    /// Has a request admitted, rejected, or turned down as invalid: gathers what [`admission`] weighs, and carries out
+    /// its verdict.
+    fn request_read(&mut self, who: Handle, read: ClientRequest) {
+        let ClientRequest { mut fields, statement, run } = read;
+        let id_in_use = fields.id.as_ref().is_some_and(|id| self.requests.is_under_way(id));
+        let query_id = fields.id.take().unwrap_or_else(|| self.sessions.new_query_id());
         let Some(live) = self.sessions.table.hot_mut(who) else { return };
-        // Engines know a query by its id alone: calls for one of two with the same would strike the other.
-        let judged = if taken { Err("the id is that of a request that is open") } else { judged };
-        let (class, tenant) = match judged {
-            Ok(named) => named,
-            Err(wrong) => {
+        let Subject { class, tenant } = match admission::validate(&self.names, &fields, id_in_use) {
+            Ok(subject) => subject,
+            Err(invalid) => {
                 self.counters.invalid += 1;
-                live.session.reject(wrong, &mut live.conn.output);
+                live.session.reject(&invalid.to_string(), &mut live.conn.output);
                 return;
             }
         };
-        let class_wait = (self.config.settings.classes[class.0].deadline * 1e6) as u64;
-        // Nobody waits for longer than its class does, and timers of a day would be kept for a day.
-        let wait_us = fields.wait_ms.map_or(class_wait, |ms| ms.saturating_mul(1000)).min(class_wait);
-        // Its client has waited since the request was there to be read.
-        let deadline_us = live.ready_us.saturating_add(wait_us);
-        let work_us = if live.early { backlog_us } else { 0 };
-        let (ticket, run) = match (fields.id, secrets) {
-            (Some(id), _) => (id, demand.run),
-            (None, secrets) => {
-                let (a, b) = secrets.unwrap_or_default();
-                (format!("{a:08x}{b:08x}"), demand.run)
-            }
+        let (ready_us, early) = (live.ready_us, live.early);
+        let token = fields.token.take();
+        let request = Request { client: who, ticket: query_id, class, statement, token, run };
+        let input = AdmissionInput {
+            now_us: self.time.now_us,
+            ready_us,
+            wait_us: admission::wait_us(fields.wait_ms, self.config.settings.classes[class.0].deadline),
+            work_ahead_us: if early { self.sessions.governor.backlog_us() } else { 0 },
+            shutting_down: self.is_going(),
+            open_requests: self.requests.open.len(),
+            max_open_requests: self.config.max_open,
+            memory: self.sessions.ledger.allows(Kind::Requests, request.bytes()),
         };
-        let request =
-            Request { client: who, ticket, class, statement: demand.statement, token: fields.token, run };
-        let short = self.sessions.ledger.allows(Kind::Requests, request.bytes()).is_err();
-        let late = !self.sessions.governor.in_time(now_us, work_us, deadline_us);
-        if going || full || short || late {
-            // Nothing was sent: trying again, elsewhere for one that ends, is harmless.
-            self.counters.refused += 1;
-            self.metrics.ended(class, Ending::Refused);
-            self.counters.too_late += u64::from(late);
-            self.counters.no_memory += u64::from(short);
-            let tells = self.config.settings.capabilities.retry_after && (short || late);
-            let wait_ms = tells.then(|| self.sessions.governor.come_back_ms(now_us));
-            if let Some(live) = self.sessions.table.hot_mut(who) {
-                live.session.answer(FinalAnswer::Rejected(wait_ms), &mut live.conn.output);
+        match admission::admit(&input) {
+            Ok(Admitted { deadline_us }) => {
+                self.request_admitted(request, tenant, &fields, input.wait_us, deadline_us);
             }
-            return;
+            Err(rejection) => self.request_rejected(who, class, &rejection),
         }
+    }
+
+    fn request_rejected(&mut self, who: Handle, class: ClassId, rejection: &Rejection) {
+        self.counters.refused += 1;
+        self.metrics.ended(class, Ending::Refused);
+        for counter in rejection.counters() {
+            *self.counters.rejected_for(counter) += 1;
+        }
+        let retry_after = self.config.settings.capabilities.retry_after && rejection.sends_retry_after();
+        let retry_after_ms = retry_after.then(|| self.sessions.governor.come_back_ms(self.time.now_us));
+        if let Some(live) = self.sessions.table.hot_mut(who) {
+            live.session.answer(FinalAnswer::Rejected(retry_after_ms), &mut live.conn.output);
+        }
+    }
+
+    /// Hands a request to the core; from here on its client is owed an answer.
+    fn request_admitted(
+        &mut self,
+        request: Request,
+        tenant: Option<TenantId>,
+        fields: &Fields,
+        wait_us: u64,
+        deadline_us: u64,
+    ) {
+        let now_us = self.time.now_us;
+        let who = request.client;
         let id = self.requests.next();
         let Some(live) = self.sessions.table.hot_mut(who) else { return };
         live.opens(id);
-        // It is owed an answer: from here on its place is nobody else's.
+        // A session that is owed an answer is never evicted.
         self.sessions.table.set_use(who, Use::Busy, now_us);
         if let Some(tenant) = tenant {
             self.sessions.set_tenant(who, tenant.0);
         }
         self.sessions.governor.charge(Work::Request, 1);
-        let ask = NewRequest {
-            class,
-            tenant,
-            deadline_us,
-            estimate: fields.estimate_ms.map(|ms| ms / 1000.0),
-            need_mb: fields.need_mb.filter(|mb| *mb > 0.0),
-            group: fields::table_group(&request.statement).map(TableGroupId),
-            key: fields.order_key.as_deref().map(fields::key_id),
-            retry: fields.retry,
-        };
         self.counters.taken += 1;
-        let (estimate_ms, need_mb) = (fields.estimate_ms, fields.need_mb);
         tracing::debug!(
             ticket = request.ticket,
             request = id.0,
-            class = class.0,
+            class = request.class.0,
             wait_us,
-            estimate_ms,
-            need_mb,
+            estimate_ms = fields.estimate_ms,
+            need_mb = fields.need_mb,
             key = fields.order_key.as_deref(),
             retry = fields.retry,
             now_us,
             "taken"
         );
+        let input = NewRequest {
+            class: request.class,
+            tenant,
+            deadline_us,
+            estimate: fields.estimate_ms.map(|ms| ms / 1000.0),
+            need_mb: fields.need_mb.filter(|mb| *mb > 0.0),
+            group: fields::table_group(&request.statement).map(TableGroupId),
+            key: fields.order_key.as_deref().map(fields::key_id),
+            retry: fields.retry,
+        };
         self.sessions.ledger.book(Kind::Requests, 0, request.bytes());
         self.requests.insert(id, request);
-        self.inputs.push(Input::RequestArrived(id, ask));
+        self.inputs.push(Input::RequestArrived(id, input));
     }
 
     /// Ends the request of the session that a CancelRequest names; its client waits no longer.
--- a/gateway/src/net/sessions.rs
+++ b/gateway/src/net/sessions.rs
@@ -324,6 +324,12 @@
         (self.secrets >> 32) as u32
     }
 
+    /// An id for a query whose client gave none, as 16 hex digits.
+    pub fn new_query_id(&mut self) -> String {
+        let (high, low) = (self.secret(), self.secret());
+        format!("{high:08x}{low:08x}")
+    }
+
     /// Whether whoever comes next needs another's place.
     pub fn is_full(&self) -> bool {
         self.table.len() >= self.most
--- a/sessions/src/read_scheduler.rs
+++ b/sessions/src/read_scheduler.rs
@@ -332,7 +332,7 @@
 
     /// Whether a request that has just been read will be served in time, if `work_us` stand before it and its
     /// client waits until `deadline_us`.
-    pub fn in_time(&self, now_us: u64, work_us: u64, deadline_us: u64) -> bool {
+    pub fn in_time(now_us: u64, work_us: u64, deadline_us: u64) -> bool {
         now_us + work_us < deadline_us
     }
 
@@ -517,7 +517,7 @@
         }
         assert!(early.len() >= 80, "{}: half of every turn", early.len());
         assert!(early.iter().all(|p| p.who.index as usize + 10 >= behind));
-        assert!(!governor.in_time(0, governor.backlog_us(), 1_000_000));
+        assert!(!ReadScheduler::in_time(0, governor.backlog_us(), 1_000_000));
     }
 
     #[test]
@@ -526,7 +526,7 @@
         handles(1000).iter().for_each(|h| governor.ready(*h, Standing::Woken, 1, 0));
         let work = governor.backlog_us();
         assert!(work >= 1000 * 40);
-        assert!(governor.in_time(500, work, 501 + work));
-        assert!(!governor.in_time(500, work, 500 + work));
+        assert!(ReadScheduler::in_time(500, work, 501 + work));
+        assert!(!ReadScheduler::in_time(500, work, 500 + work));
     }
 }
--- a/sessions/tests/crowd.rs
+++ b/sessions/tests/crowd.rs
@@ -61,7 +61,7 @@
             let since_us = self.ready.remove(&pick.who).unwrap();
             assert_eq!(since_us, pick.ready_us);
             let backlog_us = if pick.early { self.governor.backlog_us() } else { 0 };
-            if self.governor.in_time(self.now_us, backlog_us, since_us + patience_us) {
+            if ReadScheduler::in_time(self.now_us, backlog_us, since_us + patience_us) {
                 self.governor.charge(Work::Request, 1);
                 took_us += REQUEST_US;
                 // Which of them it was is told by its group.
