--- a/gateway/src/config/tests.rs
+++ b/gateway/src/config/config_file/tests.rs
@@ -1,25 +1,30 @@
+use workload_manager::interface::*;
+
 use super::*;
 
 fn try_read(change: impl Fn(String) -> String) -> Result<Config, ConfigError> {
-    let text = change(include_str!("../../tests/common/config.json").replace("LIST", ""));
-    read(&Node::root(&text.parse().unwrap(), "config"))
+    let text = change(include_str!("../../../tests/common/config.json").replace("LIST", ""));
+    read(&JsonField::root(&text.parse().unwrap(), "config"))
 }
 
 #[test]
-fn settings_are_read_into_the_module_s_own() {
+fn settings_are_read_into_those_of_the_workload_manager() {
     let c = try_read(|t| t).unwrap();
     assert_eq!(c.names.classes, ["lookup", "report", "load"]);
     assert_eq!(c.settings.classes[2].idempotency, Idempotency::NotIdempotent);
     assert!(c.settings.classes[2].is_load && c.settings.capabilities.cancels_attempts);
     assert_eq!(
-        (c.settings.on_memory_shortage, c.sockets, c.connect_us),
+        (c.settings.on_memory_shortage, c.max_descriptors, c.connect_timeout_us),
         (MemoryShortage::Overcommit, 256, 250_000)
     );
-    assert_eq!((c.known.0, c.known.1.len(), c.known.1[0].full), (1, 1, true));
+    assert_eq!(
+        (c.known_list.last_index, c.known_list.events.len(), c.known_list.events[0].is_full),
+        (1, 1, true)
+    );
 }
 
 #[test]
-fn where_reports_come_from_is_read_as_it_stands() {
+fn the_source_of_load_reports_is_read() {
     for (how, reports) in [
         ("answers", LoadReportSource::Responses),
         ("probe", LoadReportSource::HealthChecks),
@@ -34,26 +39,7 @@
 }
 
 #[test]
-fn a_list_is_read_by_its_good_part() {
-    let entry = |n: usize| {
-        let status = if n % 1000 == 7 { "Sick" } else { "Ready" };
-        format!("{{\"name\":\"e{n}\",\"address\":\"127.0.0.1:9\",\"status\":\"{status}\"}}")
-    };
-    let list: Vec<String> = (0..3000).map(entry).chain(["7".to_owned()]).collect();
-    let event = |list: &str| {
-        list_event_text(&format!("{{\"index\":4,\"endpoints\":{{\"snapshot\":true,\"endpoints\":{list}}}}}"))
-    };
-    let read = event(&format!("[{}]", list.join(","))).unwrap();
-    assert_eq!((read.index, read.full, read.entries.len()), (4, true, 2997));
-    let names: Vec<_> = read.unread.iter().map(|u| u.name.as_deref()).collect();
-    assert_eq!(names, [Some("e7"), Some("e1007"), Some("e2007"), None]);
-    let why = "event.endpoints.endpoints[1007].status: Ready, Terminating or Gone expected";
-    assert_eq!(read.unread[1].why, why);
-    assert!(event("7").is_err(), "nothing of it can be read");
-}
-
-#[test]
-fn a_list_that_can_t_be_read_to_its_end_keeps_nobody_from_starting() {
+fn an_unreadable_event_of_the_known_list_does_not_prevent_the_start() {
     let known = |events: &str| {
         let from = "\"known\":{\"index\":1,\"updates\":[{\"index\":1,\"endpoints\":{\"index\":1,\"snapshot\":true,\"endpoints\":[]}}";
         let read = try_read(|t| {
@@ -63,19 +49,23 @@
                 &format!("{}{events}", from.replace("\"index\":1,\"updates", "\"index\":9,\"updates")),
             )
         });
-        read.unwrap().known
+        read.unwrap().known_list
     };
-    assert_eq!((known("").0, known("").1.len()), (9, 1));
-    let (last, events) = known(
+    assert_eq!((known("").last_index, known("").events.len()), (9, 1));
+    let list = known(
         ",{\"index\":2,\"endpoints\":{\"endpoints\":7}},{\"index\":3,\"endpoints\":{\"endpoints\":[]}}",
     );
-    assert_eq!((last, events.len()), (1, 1), "the rest is asked for behind the last good one");
+    assert_eq!(
+        (list.last_index, list.events.len()),
+        (1, 1),
+        "the rest is requested from the discovery service"
+    );
 }
 
 #[test]
-fn mistakes_are_named() {
+fn errors_name_the_place_and_the_expected_value() {
     let error = |from: &str, to: &str| {
-        assert!(include_str!("../../tests/common/config.json").contains(from));
+        assert!(include_str!("../../../tests/common/config.json").contains(from));
         try_read(|t| t.replace(from, to)).unwrap_err().to_string()
     };
     assert_eq!(error("127.0.0.1:0", "here"), "config.listen: an address with a port expected");
--- a/gateway/src/operator/tests.rs
+++ b/gateway/src/config/operator_file/tests.rs
@@ -1,19 +1,20 @@
 use super::*;
-use crate::config::{self, Node};
+use crate::config;
+use crate::json::JsonField;
 
 fn config() -> Config {
-    let text = include_str!("../../tests/common/config.json").replace("LIST", "");
-    config::read(&Node::root(&text.parse().unwrap(), "config")).unwrap()
+    let text = include_str!("../../../tests/common/config.json").replace("LIST", "");
+    config::read(&JsonField::root(&text.parse().unwrap(), "config")).unwrap()
 }
 
-const EXAMPLE: &str = include_str!("../../../deploy/wrenhatch.example.toml");
+const EXAMPLE: &str = include_str!("../../../../deploy/wrenhatch.example.toml");
 
 #[test]
 fn the_example_shows_every_key_with_its_default() {
     let mut config = config();
-    apply_text("f", EXAMPLE, &mut config).unwrap();
-    assert_eq!((config.clients, config.mysql, config.control), (Clients::default(), None, None));
-    // What is off stands there as a comment; taken in, it must be understood, and nothing may be missing.
+    apply_text(&TomlFile { path: "f", text: EXAMPLE }, &mut config).unwrap();
+    assert_eq!((config.clients, config.mysql, config.control_plane), (ClientSettings::default(), None, None));
+    // What is off by default stands there as a comment: uncommented it must parse, and no key may be missing.
     let uncommented: String = EXAMPLE
         .lines()
         .map(|l| match l.strip_prefix("# ") {
@@ -21,7 +22,7 @@
             _ => format!("{l}\n"),
         })
         .collect();
-    let file: File = toml::from_str(&uncommented).unwrap();
+    let file: OperatorFile = toml::from_str(&uncommented).unwrap();
     let ClientsTable { most_sessions, idle_limit_s, keepalive, .. } = &file.clients;
     assert!(most_sessions.is_some() && idle_limit_s.is_some() && keepalive.is_some());
     let mysql = file.mysql.unwrap();
@@ -33,8 +34,9 @@
 }
 
 #[test]
-fn mistakes_name_file_line_and_key() {
-    let error = |text: &str| apply_text("f.toml", text, &mut config()).unwrap_err().to_string();
+fn errors_name_file_line_and_key() {
+    let error =
+        |text: &str| apply_text(&TomlFile { path: "f.toml", text }, &mut config()).unwrap_err().to_string();
     assert_eq!(
         error("[clients]\nbacklog = 10\nturn_ms = 0\n"),
         "f.toml:3: turn_ms: 0 is not within 1 and 100"
@@ -63,14 +65,14 @@
 }
 
 #[test]
-fn what_it_says_is_taken_over() {
+fn its_settings_are_put_into_the_configuration() {
     let mut config = config();
     let text = "[clients]\nmost_sessions = 100\nidle_limit_s = 60\n\
         keepalive = { idle_s = 30, interval_s = 5, probes = 3 }\n\
         [mysql]\nlisten = \"127.0.0.1:1\"\nlogin = { user = \"g\" }\n\
         [mysql.users]\nu = { tenant = \"acme\" }\n[mysql.engines]\ne = \"127.0.0.1:2\"\n";
-    apply_text("f", text, &mut config).unwrap();
-    assert_eq!((config.clients.most, config.clients.idle_limit_us), (Some(100), Some(60_000_000)));
+    apply_text(&TomlFile { path: "f", text }, &mut config).unwrap();
+    assert_eq!((config.clients.max_sessions, config.clients.idle_limit_us), (Some(100), Some(60_000_000)));
     assert_eq!(config.clients.keepalive.unwrap().probes, 3);
     let mysql = config.mysql.unwrap();
     assert_eq!(mysql.directory.look_up("u").unwrap().tenant.as_ref(), "acme");
--- a/gateway/src/core/tests.rs
+++ b/gateway/src/core/tests.rs
@@ -3,7 +3,8 @@
 use quickcheck::quickcheck;
 
 use super::*;
-use crate::config::{self, Node};
+use crate::config;
+use crate::json::JsonField;
 
 const LOOKUP: ClassId = ClassId(0);
 const LOAD: ClassId = ClassId(2);
@@ -42,7 +43,7 @@
     fn with(change: impl Fn(String) -> String) -> Self {
         let text = change(include_str!("../../tests/common/config.json").replace("LIST", ""));
         let json = text.parse().unwrap();
-        let settings = config::read(&Node::root(&json, "config")).unwrap().settings;
+        let settings = config::read(&JsonField::root(&json, "config")).unwrap().settings;
         let mut bench = Self { core: Core::new(settings, 7).unwrap(), now_us: SECOND };
         bench.list(&[entry(0, EndpointState::Ready), entry(1, EndpointState::Ready)]);
         bench
@@ -404,7 +405,7 @@
     let text = include_str!("../../tests/common/config.json").replace("LIST", "");
     let text = text.replace("\"name\":\"load\",", "\"name\":\"load\",\"keep-order\":true,");
     let text = text.replace("\"warm-up-s\"", "\"order-pause-s\":0.3,\"warm-up-s\"");
-    config::read(&Node::root(&text.parse().unwrap(), "config")).unwrap().settings
+    config::read(&JsonField::root(&text.parse().unwrap(), "config")).unwrap().settings
 }
 
 const CHANGED_LOAD: ClassId = ClassId(3);
--- /dev/null
+++ b/gateway/src/discovery/endpoint.rs
@@ -0,0 +1,108 @@
+//! Endpoints, events of the endpoint list, and how both are read from JSON.
+
+use std::net::SocketAddr;
+
+use workload_manager::interface::EndpointState;
+
+use crate::json::{self, JsonError, JsonField};
+
+/// One engine as the endpoint list has it.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Endpoint {
+    /// Its name, which identifies the engine.
+    pub name: String,
+    /// Where it listens.
+    pub address: SocketAddr,
+    /// Its zone; may be empty.
+    pub zone: String,
+    /// The name of its machine type; may be empty.
+    pub machine_type: String,
+    /// Its cell.
+    pub cell: u64,
+    /// Its state.
+    pub state: EndpointState,
+    /// Start of its process in Unix milliseconds; 0: long ago.
+    pub started_ms: u64,
+}
+
+/// One event of the endpoint list.
+#[derive(Clone, Debug, PartialEq)]
+pub struct EndpointListEvent {
+    /// Its number.
+    pub index: u64,
+    /// Whether it holds the whole list; otherwise it holds what has changed.
+    pub is_full: bool,
+    /// Its entries.
+    pub entries: Vec<Endpoint>,
+    /// Entries that can't be read; the others count all the same.
+    pub unreadable: Vec<UnreadableEntry>,
+}
+
+/// An entry of an event that can't be read.
+#[derive(Clone, Debug, PartialEq)]
+pub struct UnreadableEntry {
+    /// The engine's name, if that can be read.
+    pub name: Option<String>,
+    /// The error, with the place in the event.
+    pub error: String,
+}
+
+/// Reads an event, `{"index":N,"endpoints":{"snapshot":..,"endpoints":[..]}}`. Entries that can't be read are set
+/// aside.
+///
+/// # Errors
+/// Its number, whether it is the whole list, or the array of entries can't be read.
+pub fn read_event(event: &JsonField<'_>) -> Result<EndpointListEvent, JsonError> {
+    let body = event.get("endpoints");
+    let (mut entries, mut unreadable) = (Vec::new(), Vec::new());
+    for entry in body.get("endpoints").elements()? {
+        match read_endpoint(&entry) {
+            Ok(endpoint) => entries.push(endpoint),
+            Err(e) => unreadable
+                .push(UnreadableEntry { name: entry.get("name").string().ok(), error: e.to_string() }),
+        }
+    }
+    let (index, is_full) = (event.get("index").number()? as u64, body.get("snapshot").flag()?);
+    Ok(EndpointListEvent { index, is_full, entries, unreadable })
+}
+
+/// Reads an event from its text.
+///
+/// # Errors
+/// The text is not JSON, or not an event; see [`read_event`].
+pub fn parse_event(text: &str) -> Result<EndpointListEvent, JsonError> {
+    read_event(&JsonField::root(&json::parse(text, "event")?, "event"))
+}
+
+/// Reads an entry of the list.
+///
+/// # Errors
+/// What is missing or can't be read.
+pub fn read_endpoint(entry: &JsonField<'_>) -> Result<Endpoint, JsonError> {
+    let status = entry.get("status");
+    let state = match status.string()?.as_str() {
+        "Ready" => EndpointState::Ready,
+        "Terminating" => EndpointState::Draining,
+        "Gone" => EndpointState::Removed,
+        _ => return Err(status.expected("Ready, Terminating or Gone")),
+    };
+    let address = entry.get("address");
+    // A removed endpoint needs no address.
+    let address = if state == EndpointState::Removed && !address.is_present() {
+        SocketAddr::from(([127, 0, 0, 1], 0))
+    } else {
+        address.socket_address()?
+    };
+    Ok(Endpoint {
+        name: entry.get("name").string()?,
+        address,
+        zone: entry.get("zone").string_or_empty()?,
+        machine_type: entry.get("type").string_or_empty()?,
+        cell: entry.get("group").number_or(0.0)? as u64,
+        state,
+        started_ms: entry.get("since_ms").number_or(0.0)? as u64,
+    })
+}
+
+#[cfg(test)]
+mod tests;
--- a/gateway/src/coordinator/tests.rs
+++ b/gateway/src/discovery/stream/tests.rs
@@ -5,7 +5,7 @@
     \"address\":\"127.0.0.1:80\",\"zone\":\"z\",\"type\":\"k\",\"group\":2,\"status\":\"Terminating\",\"since_ms\":0}]}}";
 
 fn read_in_pieces(text: &str, size: usize) -> Vec<EndpointListEvent> {
-    let mut stream = Stream::new(0);
+    let mut stream = EndpointStream::new(0);
     let (mut input, mut events) = (Vec::new(), Vec::new());
     for piece in text.as_bytes().chunks(size) {
         input.extend(piece);
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn events_come_whole_however_they_are_cut() {
+fn events_are_read_from_pieces_of_any_size() {
     let block = format!(": hello\n\nid: 41\ndata: {EVENT}\n\n");
     let plain = format!("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n{block}");
     let (a, b) = block.split_at(30);
@@ -28,24 +28,24 @@
         for size in 1..40 {
             let events = read_in_pieces(&text, size);
             assert_eq!(events.len(), 1, "pieces of {size}");
-            assert_eq!((events[0].index, events[0].full), (41, false));
+            assert_eq!((events[0].index, events[0].is_full), (41, false));
             assert_eq!(events[0].entries[0].state, EndpointState::Draining);
         }
     }
 }
 
 #[test]
-fn events_before_one_that_can_t_be_read_count() {
+fn events_before_an_unreadable_one_are_returned() {
     let mut input =
         format!("HTTP/1.1 200 OK\r\n\r\nid: 41\ndata: {EVENT}\n\nid: 42\ndata: {{\n\n").into_bytes();
     let mut events = Vec::new();
-    let end = Stream::new(0).read(&mut input, &mut events);
-    assert!(matches!(end, Err(StreamError::BadEvent(42, _))));
+    let end = EndpointStream::new(0).read(&mut input, &mut events);
+    assert!(matches!(end, Err(EndpointStreamError::UnreadableEvent(42, _))));
     assert_eq!(events.iter().map(|e| e.index).collect::<Vec<_>>(), [41]);
 }
 
 #[test]
-fn events_of_a_thousand_engines_are_read_and_endless_ones_are_not() {
+fn event_size_is_bounded_by_memory_with_a_minimum() {
     let name = "s-".to_owned() + &"0".repeat(60);
     let entry = |n: usize| {
         format!(
@@ -60,51 +60,18 @@
         )
         .into_bytes();
         let mut events = Vec::new();
-        Stream::new(memory)
+        EndpointStream::new(memory)
             .read(&mut input, &mut events)
             .map(|()| events.iter().map(|e| e.entries.len()).sum())
     };
     assert_eq!(read(1024, 0).ok(), Some(1024), "however little memory there is");
     assert_eq!(read(8192, 64 << 20).ok(), Some(8192));
-    assert!(matches!(read(8192, 1 << 20), Err(StreamError::NoStream)));
+    assert!(matches!(read(8192, 1 << 20), Err(EndpointStreamError::NotAStream)));
 }
 
 #[test]
-fn silence_is_told_by_the_stream_s_own_rhythm() {
-    let second = 1_000_000;
-    let patience = |rhythm: &Rhythm, heard_us: u64| rhythm.due_us() - heard_us;
-    for chance in [0.0, 1.0] {
-        let mut rhythm = Rhythm::new(chance);
-        rhythm.begins(second);
-        let first = patience(&rhythm, second);
-        assert!((2 * second..=3 * second).contains(&first), "as the protocol says: {first}");
-        // A slower one, whose first comment comes later than that: it is given longer, and then known.
-        rhythm.was_silent();
-        rhythm.begins(10 * second);
-        assert!(patience(&rhythm, 10 * second) > first);
-        for n in 1..4 {
-            rhythm.heard((10 + 3 * n) * second, true);
-        }
-        let slow = patience(&rhythm, 19 * second);
-        assert!((4 * second..=5 * second).contains(&slow), "{slow}, and never so long that 7 s are over");
-        // One that shows its rhythm is not given longer for falling silent.
-        rhythm.was_silent();
-        assert_eq!(patience(&rhythm, 19 * second), slow);
-        // Events between tell no rhythm; a faster one is learned again.
-        rhythm.begins(20 * second);
-        for n in 1..80 {
-            rhythm.heard((20 + n) * second, true);
-            rhythm.heard((20 + n) * second + 1000, false);
-        }
-        assert!(patience(&rhythm, 99 * second + 1000) <= 3 * second);
-    }
-    let due = |chance| Rhythm::new(chance).due_us();
-    assert!(due(0.0) < due(0.5) && due(0.5) < due(1.0), "each gateway has its own moment");
-}
-
-#[test]
-fn only_whole_lines_are_signs_of_life() {
-    let mut stream = Stream::new(0);
+fn only_whole_lines_count() {
+    let mut stream = EndpointStream::new(0);
     let mut read = |text: &str| {
         stream.read(&mut text.as_bytes().to_vec(), &mut Vec::new()).unwrap();
         stream.lines()
@@ -116,7 +83,10 @@
 }
 
 #[test]
-fn what_is_no_stream_is_told() {
+fn another_response_is_an_error() {
     let mut input = b"HTTP/1.1 404 no\r\n\r\n".to_vec();
-    assert!(matches!(Stream::new(0).read(&mut input, &mut Vec::new()), Err(StreamError::NoStream)));
+    assert!(matches!(
+        EndpointStream::new(0).read(&mut input, &mut Vec::new()),
+        Err(EndpointStreamError::NotAStream)
+    ));
 }
--- a/gateway/src/event_stream.rs
+++ b/gateway/src/event_stream.rs
@@ -1,57 +1,62 @@
-//! Server-sent events over HTTP/1.1, read from bytes without a socket.
+//! Server-sent events over HTTP/1.1, read from bytes without a socket. Discovery and the control plane both send them.
 
-/// The answer is no stream that can be followed: no HTTP, another status than 200, or an event that is too long.
+/// The response is no event stream that can be followed: no HTTP, a status other than 200, or an event that is too long.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("no stream of events")]
-pub struct NoStream;
+pub struct EventStreamError;
 
-/// One event as it was sent.
+/// One server-sent event.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct SentEvent {
-    /// Its number; 0 where it has none.
+pub struct ServerSentEvent {
+    /// Its id; 0 where it has none.
     pub id: u64,
-    /// Its data, lines joined.
+    /// Its data; several lines are joined by line feeds.
     pub data: String,
 }
 
-/// What has been read of one stream.
+/// Reads one event stream.
 pub struct EventStream {
-    /// Bytes of an event at most.
-    most: usize,
-    started: bool,
-    chunked: bool,
-    /// Bytes of the chunk that is being read.
-    chunk: usize,
+    max_event_bytes: usize,
+    is_head_read: bool,
+    is_chunked: bool,
+    /// Bytes of the current chunk that have not been read.
+    chunk_bytes_left: usize,
     body: Vec<u8>,
-    /// Lines that were read to their end.
     lines: u64,
 }
 
 impl EventStream {
-    /// A stream whose events have so many bytes at most.
-    pub fn new(most: usize) -> Self {
-        Self { most, started: false, chunked: false, chunk: 0, body: Vec::new(), lines: 0 }
+    /// A stream whose events may have up to `max_event_bytes` bytes.
+    pub fn new(max_event_bytes: usize) -> Self {
+        Self {
+            max_event_bytes,
+            is_head_read: false,
+            is_chunked: false,
+            chunk_bytes_left: 0,
+            body: Vec::new(),
+            lines: 0,
+        }
     }
 
-    /// Lines read to their end so far, the head being one: bytes that never end a line are no sign of life.
+    /// Whole lines read so far; the head counts as one. Bytes that never end a line are no sign of life.
     pub fn lines(&self) -> u64 {
         self.lines
     }
 
-    /// Takes what has come.
+    /// Takes bytes from `input`.
     ///
     /// # Errors
-    /// It can't be followed; nothing that comes later can be understood.
-    pub fn take(&mut self, input: &mut Vec<u8>) -> Result<(), NoStream> {
-        if !self.started && !self.head(input)? {
+    /// The stream can't be followed; bytes that come later can't be understood.
+    pub fn read(&mut self, input: &mut Vec<u8>) -> Result<(), EventStreamError> {
+        if !self.is_head_read && !self.read_head(input)? {
             return Ok(());
         }
-        if self.body.len() + input.len() > self.most {
-            return Err(NoStream);
+        if self.body.len() + input.len() > self.max_event_bytes {
+            return Err(EventStreamError);
         }
         let before = self.body.len();
-        if self.chunked {
-            self.chunks(input)?
+        if self.is_chunked {
+            self.read_chunks(input)?
         } else {
             self.body.append(input)
         }
@@ -59,29 +64,29 @@
         Ok(())
     }
 
-    /// The next event that is whole. Comments are passed over.
-    pub fn next_event(&mut self) -> Option<SentEvent> {
+    /// The next complete event. Comments are skipped.
+    pub fn next_event(&mut self) -> Option<ServerSentEvent> {
         while let Some((end, width)) = blank_line(&self.body) {
             let block: Vec<u8> = self.body.drain(..end + width).take(end).collect();
-            if let Some(event) = event(&block) {
+            if let Some(event) = parse_block(&block) {
                 return Some(event);
             }
         }
         None
     }
 
-    fn head(&mut self, input: &mut Vec<u8>) -> Result<bool, NoStream> {
+    fn read_head(&mut self, input: &mut Vec<u8>) -> Result<bool, EventStreamError> {
         let mut headers = [httparse::EMPTY_HEADER; 32];
         let mut head = httparse::Response::new(&mut headers);
-        match head.parse(input).map_err(|_| NoStream)? {
+        match head.parse(input).map_err(|_| EventStreamError)? {
             httparse::Status::Partial => Ok(false),
-            httparse::Status::Complete(_) if head.code != Some(200) => Err(NoStream),
+            httparse::Status::Complete(_) if head.code != Some(200) => Err(EventStreamError),
             httparse::Status::Complete(at) => {
-                self.chunked = head.headers.iter().any(|h| {
+                self.is_chunked = head.headers.iter().any(|h| {
                     h.name.eq_ignore_ascii_case("transfer-encoding")
                         && h.value.eq_ignore_ascii_case(b"chunked")
                 });
-                self.started = true;
+                self.is_head_read = true;
                 self.lines += 1;
                 input.drain(..at);
                 Ok(true)
@@ -89,20 +94,20 @@
         }
     }
 
-    fn chunks(&mut self, input: &mut Vec<u8>) -> Result<(), NoStream> {
+    fn read_chunks(&mut self, input: &mut Vec<u8>) -> Result<(), EventStreamError> {
         loop {
-            let n = self.chunk.min(input.len());
+            let n = self.chunk_bytes_left.min(input.len());
             self.body.extend(input.drain(..n));
-            self.chunk -= n;
-            if self.chunk > 0 || input.is_empty() {
+            self.chunk_bytes_left -= n;
+            if self.chunk_bytes_left > 0 || input.is_empty() {
                 return Ok(());
             }
-            // The line end behind a chunk is read with the next chunk's size.
+            // The line end behind a chunk is read together with the next chunk's size.
             let skip = if input.starts_with(b"\r\n") { 2 } else { 0 };
-            match httparse::parse_chunk_size(&input[skip..]).map_err(|_| NoStream)? {
+            match httparse::parse_chunk_size(&input[skip..]).map_err(|_| EventStreamError)? {
                 httparse::Status::Complete((start, length)) => {
                     input.drain(..skip + start);
-                    self.chunk = length as usize;
+                    self.chunk_bytes_left = length as usize;
                 }
                 httparse::Status::Partial => return Ok(()),
             }
@@ -115,8 +120,8 @@
     [find(b"\n\n"), find(b"\r\n\r\n")].into_iter().flatten().min()
 }
 
-/// Reads one block of lines; comments hold no event.
-fn event(block: &[u8]) -> Option<SentEvent> {
+/// Parses the lines between two blank lines; without data, as of comments, there is no event.
+fn parse_block(block: &[u8]) -> Option<ServerSentEvent> {
     let text = String::from_utf8_lossy(block);
     let (mut id, mut data) = (0, String::new());
     for line in text.lines() {
@@ -133,7 +138,7 @@
             _ => {}
         }
     }
-    (!data.is_empty()).then_some(SentEvent { id, data })
+    (!data.is_empty()).then_some(ServerSentEvent { id, data })
 }
 
 #[cfg(test)]
--- a/gateway/src/handover.rs
+++ b/gateway/src/handover.rs
@@ -8,7 +8,8 @@
 use tinyjson::JsonValue;
 use workload_manager::interface::{EndpointState, KeyId};
 
-use crate::config::{Endpoint, Node, list_entry};
+use crate::discovery::{Endpoint, read_endpoint};
+use crate::json::JsonField;
 
 /// The form of what is told. Another one is not understood.
 pub const FORM: u32 = 1;
@@ -97,10 +98,10 @@
                     ("name", text(&l.name)),
                     ("address", text(&l.address.to_string())),
                     ("zone", text(&l.zone)),
-                    ("type", text(&l.kind)),
+                    ("type", text(&l.machine_type)),
                     ("group", number(l.cell)),
                     ("status", text(status)),
-                    ("since_ms", number(l.since_ms)),
+                    ("since_ms", number(l.started_ms)),
                 ];
                 let entry = entry.map(|(key, value)| (key.to_owned(), value));
                 vec![("listed", JsonValue::Object(HashMap::from(entry)))]
@@ -132,10 +133,10 @@
     fn parse(line: &[u8]) -> Result<Self, MessageError> {
         let text = std::str::from_utf8(line).map_err(|_| MessageError::Foreign)?;
         let json: JsonValue = text.parse().map_err(|_| MessageError::Foreign)?;
-        let root = Node::root(&json, "message");
-        let is = |key: &str| root.get(key).is_there();
+        let root = JsonField::root(&json, "message");
+        let is = |key: &str| root.get(key).is_present();
         let foreign = |_| MessageError::Foreign;
-        let name = |key: &str| root.get(key).text().map_err(foreign);
+        let name = |key: &str| root.get(key).string().map_err(foreign);
         let flag = |name: &str| root.get(name).flag().map_err(foreign);
         let key = |member: &str| {
             let digits = name(member)?;
@@ -150,11 +151,11 @@
                 }
                 Ok(Message::Hello {
                     name: name("hello")?,
-                    listen: root.get("listen").address().map_err(foreign)?,
+                    listen: root.get("listen").socket_address().map_err(foreign)?,
                 })
             }
             () if is("known") => Ok(Message::Known(name("known")?, ms()?)),
-            () if is("listed") => Ok(Message::Listed(list_entry(&root.get("listed")).map_err(foreign)?)),
+            () if is("listed") => Ok(Message::Listed(read_endpoint(&root.get("listed")).map_err(foreign)?)),
             () if is("enter") => Ok(Message::Enter(name("enter")?)),
             () if is("exit") => Ok(Message::Exit(name("exit")?, ms()?)),
             () if is("end") => Ok(Message::End { cancels: flag("cancels")?, leases: flag("leases")? }),
--- a/gateway/src/handover/tests.rs
+++ b/gateway/src/handover/tests.rs
@@ -5,10 +5,10 @@
         name: "s-1".into(),
         address: ([127, 0, 0, 2], 80).into(),
         zone: "east".into(),
-        kind: "std".into(),
+        machine_type: "std".into(),
         cell: 7,
         state: EndpointState::Draining,
-        since_ms: 1_796_166_000_123,
+        started_ms: 1_796_166_000_123,
     };
     vec![
         Message::Hello { name: "n0".into(), listen: ([127, 0, 0, 1], 5432).into() },
--- a/gateway/src/lib.rs
+++ b/gateway/src/lib.rs
@@ -3,19 +3,18 @@
 
 pub mod config;
 pub mod control;
-pub mod coordinator;
 pub mod core;
 pub mod counters;
+pub mod discovery;
 pub mod engine;
-pub mod engine_registry;
 pub mod event_stream;
 pub mod front;
 pub mod handover;
+pub mod json;
 pub mod key_leases;
 pub mod metrics;
 pub mod mysql;
 pub mod net;
-pub mod operator;
 pub mod ops;
 pub mod settings_change;
 pub mod tenants;
--- a/gateway/src/main.rs
+++ b/gateway/src/main.rs
@@ -62,15 +62,15 @@
                 c.listen,
                 c.names.classes.len(),
                 c.names.tenants.len(),
-                c.known.1.len(),
-                c.sockets,
+                c.known_list.events.len(),
+                c.max_descriptors,
                 net::most_sessions(&c)
             );
             if let Some(m) = &c.mysql {
                 println!("MySQL on {}: {} engines", m.listen, m.engines.len());
             }
-            if let Some(control) = &c.control {
-                println!("settings in service from {} control machines", control.machines.len());
+            if let Some(control) = &c.control_plane {
+                println!("settings in service from {} control machines", control.servers.len());
             }
             Ok(())
         }
--- a/gateway/src/net/clients.rs
+++ b/gateway/src/net/clients.rs
@@ -12,7 +12,7 @@
 use super::poll::Interest;
 use super::sessions::{CLOSE_US, Session, Sessions, UNFINISHED_US};
 use super::{Request, Server, Timer};
-use crate::config::Names;
+use crate::config::SettingsNames;
 use crate::core::{Command, Input, NewRequest};
 use crate::front::{ClientCommand, ClientRequest, FinalAnswer, Payload, fields};
 use crate::metrics::Ending;
@@ -26,7 +26,10 @@
 const RELIEVED: usize = 64;
 
 /// What the settings call these fields.
-fn judge(names: &Names, fields: &fields::Fields) -> Result<(ClassId, Option<TenantId>), &'static str> {
+fn judge(
+    names: &SettingsNames,
+    fields: &fields::Fields,
+) -> Result<(ClassId, Option<TenantId>), &'static str> {
     let class = names.class(&fields.class).ok_or("unknown class")?;
     let tenant = |t: &String| names.tenant(t).ok_or("unknown tenant");
     Ok((class, fields.tenant.as_ref().map(tenant).transpose()?))
@@ -373,7 +376,7 @@
         let now_us = self.time.now_us;
         let fields = demand.fields;
         let judged = judge(&self.names, &fields);
-        let (going, full) = (self.is_going(), self.requests.open.len() >= self.config.max_open);
+        let (going, full) = (self.is_going(), self.requests.open.len() >= self.config.max_open_requests);
         let taken = fields.id.as_ref().is_some_and(|id| self.requests.is_under_way(id));
         let secrets = fields.id.is_none().then(|| (self.sessions.secret(), self.sessions.secret()));
         let backlog_us = self.sessions.governor.backlog_us();
--- a/gateway/src/net/configuration.rs
+++ b/gateway/src/net/configuration.rs
@@ -10,7 +10,7 @@
 use super::conn::{Conn, Phase, ReadEnd};
 use super::poll::Interest;
 use super::{CONTROL, REPORT, Server, Timer};
-use crate::config::{Config, Control};
+use crate::config::{Config, ControlPlaneSettings};
 use crate::control;
 use crate::event_stream::EventStream;
 
@@ -61,10 +61,10 @@
 
 impl Follower {
     /// Nothing is open yet.
-    pub(super) fn new(control: Control, config: &Config) -> Self {
-        let machines = control.machines.len();
+    pub(super) fn new(control: ControlPlaneSettings, config: &Config) -> Self {
+        let machines = control.servers.len();
         Self {
-            machines: control.machines,
+            machines: control.servers,
             gateway: GatewayId(config.name.clone()),
             subscriber: Subscriber::new(machines, config.seed, Version::NONE, control.document),
             up: None,
@@ -229,7 +229,7 @@
         let Some(follower) = &mut self.control else { return };
         let Some((conn, stream)) = &mut follower.up else { return };
         let before = stream.lines();
-        let read = stream.take(&mut conn.input);
+        let read = stream.read(&mut conn.input);
         if stream.lines() > before {
             follower.subscriber.heard(now_us);
         }
--- a/gateway/src/net/engines/answers.rs
+++ b/gateway/src/net/engines/answers.rs
@@ -30,7 +30,7 @@
                 return self.engine_gone(at, End::Broken);
             }
             let read = match &mut link.wire {
-                Wire::Http => match http::read(&mut conn.input, &self.names.report_extras) {
+                Wire::Http => match http::read(&mut conn.input, &self.names.load_report_extras) {
                     Ok(None) => break,
                     Ok(Some(response)) => {
                         self.response(at, response);
--- a/gateway/src/net/engines/connections.rs
+++ b/gateway/src/net/engines/connections.rs
@@ -155,13 +155,13 @@
         if link.is_coming_up(peer.conn.phase) {
             // Whatever else there is may go another way; only this engine can confirm what it runs.
             let patience_us = if matches!(link.job, Job::Confirm(_)) { CONFIRMATION_CONNECT_US } else { 0 };
-            return Some(link.asked_us + self.config.connect_us.max(patience_us));
+            return Some(link.asked_us + self.config.connect_timeout_us.max(patience_us));
         }
         if link.is_resting() {
             return Some(link.rests_until_us);
         }
         match (link.job, &link.wire) {
-            (Job::Idle { since_us }, _) => Some(since_us + self.config.keepalive_us * 6 / 10),
+            (Job::Idle { since_us }, _) => Some(since_us + self.config.engine_idle_timeout_us * 6 / 10),
             (Job::Attempt(_), Wire::Http) => Some(link.asked_us + ANSWER_US + 1),
             (Job::Attempt(_), Wire::MySql(_)) => None,
             (Job::Discarding { since_us }, _) => Some(since_us + DISCARD_US + 1),
--- a/gateway/src/net/engines/list.rs
+++ b/gateway/src/net/engines/list.rs
@@ -5,22 +5,23 @@
 use workload_manager::interface::*;
 
 use super::{Engine, Server};
-use crate::config::{Endpoint, EndpointListEvent, Names};
+use crate::config::SettingsNames;
 use crate::core::Input;
+use crate::discovery::{Endpoint, EndpointListEvent};
 
 impl Server {
     /// Takes in an event of the list.
     pub(in crate::net) fn listed(&mut self, event: &EndpointListEvent) {
         self.counters.list_events += 1;
         // One line however many there are: a list of thousands may be wrong throughout.
-        if let Some(first) = event.unread.first() {
-            let (engine, unread) = (first.name.as_deref().unwrap_or("unnamed"), event.unread.len());
+        if let Some(first) = event.unreadable.first() {
+            let (engine, unread) = (first.name.as_deref().unwrap_or("unnamed"), event.unreadable.len());
             tracing::warn!(
                 event = event.index,
                 engine,
                 unread,
                 "an entry of the list can't be read: {}",
-                first.why
+                first.error
             );
         }
         let event = self.registry.apply(event);
@@ -31,7 +32,7 @@
     pub(in crate::net) fn take_list(&mut self, event: &EndpointListEvent) {
         let mut entries = Vec::with_capacity(event.entries.len());
         let mut stale = Vec::new();
-        if event.full {
+        if event.is_full {
             let named: BTreeSet<EngineId> =
                 event.entries.iter().filter_map(|l| self.pools.ids.get(&l.name).copied()).collect();
             for (id, e) in &mut self.pools.engines {
@@ -51,25 +52,25 @@
                 address: l.address,
                 mysql,
                 state: l.state,
-                since_ms: l.since_ms,
+                since_ms: l.started_ms,
                 idle: Default::default(),
             });
             // Connections to a process that has gone, moved or started anew lead nowhere.
-            if l.state == EndpointState::Removed || l.since_ms != e.since_ms || l.address != e.address {
+            if l.state == EndpointState::Removed || l.started_ms != e.since_ms || l.address != e.address {
                 stale.extend(e.all_idle());
             }
             if l.state != EndpointState::Removed {
                 e.address = l.address;
             }
-            (e.state, e.since_ms) = (l.state, l.since_ms);
+            (e.state, e.since_ms) = (l.state, l.started_ms);
             let now_us = self.time.now_us;
-            tracing::debug!(engine = id.0, name = l.name, state = ?l.state, since_ms = l.since_ms, now_us, "engine listed");
+            tracing::debug!(engine = id.0, name = l.name, state = ?l.state, since_ms = l.started_ms, now_us, "engine listed");
             entries.push(self.entry(id, l));
         }
         for at in stale {
             self.pools.close(&self.poll, &mut self.timers, at);
         }
-        let mode = if event.full { EndpointListMode::Full } else { EndpointListMode::Delta };
+        let mode = if event.is_full { EndpointListMode::Full } else { EndpointListMode::Delta };
         self.inputs.push(Input::EndpointList(mode, entries));
         self.prune_engines();
     }
@@ -85,14 +86,17 @@
 
     pub(super) fn entry(&mut self, engine: EngineId, l: &Endpoint) -> EndpointEntry {
         // Unix milliseconds to the core's clock, which started at a known Unix time.
-        let started = i128::from(l.since_ms) * 1000 - self.time.unix_offset_us;
+        let started = i128::from(l.started_ms) * 1000 - self.time.unix_offset_us;
         EndpointEntry {
             engine,
-            zone: ZoneId(Names::number(&mut self.names.zones, &l.zone)),
-            machine_type: MachineTypeId(Names::number(&mut self.names.kinds, &l.kind)),
+            zone: ZoneId(SettingsNames::find_or_add(&mut self.names.zones, &l.zone)),
+            machine_type: MachineTypeId(SettingsNames::find_or_add(
+                &mut self.names.machine_types,
+                &l.machine_type,
+            )),
             cell: l.cell,
             state: l.state,
-            started_at: (l.since_ms > 0).then_some(started as f64 / 1e6),
+            started_at: (l.started_ms > 0).then_some(started as f64 / 1e6),
         }
     }
 }
--- a/gateway/src/net/engines/tests.rs
+++ b/gateway/src/net/engines/tests.rs
@@ -1,16 +1,18 @@
 use super::*;
-use crate::config::{self, Endpoint, EndpointListEvent, Node};
+use crate::config;
+use crate::discovery::{Endpoint, EndpointListEvent};
+use crate::json::JsonField;
 
 #[test]
 fn engines_that_have_gone_are_forgotten_and_their_numbers_not_given_out_again() {
     let text = include_str!("../../../tests/common/config.json").replace("LIST", "");
-    let config = config::read(&Node::root(&text.parse().unwrap(), "config")).unwrap();
+    let config = config::read(&JsonField::root(&text.parse().unwrap(), "config")).unwrap();
     let mut server = Server::new(config, crate::net::Signals::catch().unwrap()).unwrap();
     let event = |n: u64, state| {
         let (name, address) = (format!("e{n}"), ([127, 0, 0, 1], 9).into());
-        let (zone, kind) = ("z".to_owned(), "k".to_owned());
-        let entries = vec![Endpoint { name, address, zone, kind, cell: 0, state, since_ms: 0 }];
-        EndpointListEvent { index: 2 * n, full: false, entries, unread: Vec::new() }
+        let (zone, machine_type) = ("z".to_owned(), "k".to_owned());
+        let entries = vec![Endpoint { name, address, zone, machine_type, cell: 0, state, started_ms: 0 }];
+        EndpointListEvent { index: 2 * n, is_full: false, entries, unreadable: Vec::new() }
     };
     for n in 0..100 {
         server.listed(&event(n, EndpointState::Ready));
--- a/gateway/src/net/handover.rs
+++ b/gateway/src/net/handover.rs
@@ -16,8 +16,9 @@
 
 use super::poll::{Interest, Poll, Told};
 use super::{HANDOVER, HANDOVER_LISTENER, Server};
-use crate::config::{Config, EndpointListEvent};
+use crate::config::Config;
 use crate::core::{Input, PeerProcessEvent};
+use crate::discovery::EndpointListEvent;
 use crate::engine::http::ABANDONED_US;
 use crate::handover::{self, Message};
 use crate::key_leases::PeerProcessId;
@@ -45,7 +46,7 @@
 /// Where the older process listens: under the folder that the platform gives this gateway alone. None without an
 /// operators' door, as nobody asks for an upgrade then.
 fn path(config: &Config) -> Option<PathBuf> {
-    config.ops?;
+    config.admin?;
     let folder = std::env::var_os("TMPDIR").filter(|folder| !folder.is_empty())?;
     let name: String = config.name.chars().filter(|c| c.is_ascii_alphanumeric() || *c == '-').collect();
     Some(PathBuf::from(folder).join(format!("wrenhatch-{name}.sock")))
@@ -245,18 +246,18 @@
                 Message::Enter(name) => {
                     self.registry.remember(&name);
                     // Its entry in the list comes behind, and is seen as it counts then.
-                    let _ = self.registry.enter(&name);
+                    let _ = self.registry.begin_maintenance(&name);
                 }
                 _ => {}
             }
         }
         tracing::info!(
             engines = entries.len(),
-            out = self.registry.out().count(),
+            out = self.registry.in_maintenance().count(),
             "taken over from the older process"
         );
         if !entries.is_empty() {
-            self.listed(&EndpointListEvent { index: 0, full: true, entries, unread: Vec::new() });
+            self.listed(&EndpointListEvent { index: 0, is_full: true, entries, unreadable: Vec::new() });
         }
     }
 
@@ -375,9 +376,11 @@
     /// Tells a newer process all that it must know, with the listeners beside the first byte.
     fn bequeath(&mut self, at: usize) -> bool {
         let mut out = Vec::new();
-        self.registry.names().for_each(|(name, ms)| Message::Known(name.to_owned(), ms).write(&mut out));
-        self.registry.listed().for_each(|l| Message::Listed(l.clone()).write(&mut out));
-        self.registry.out().for_each(|name| Message::Enter(name.to_owned()).write(&mut out));
+        self.registry
+            .known_names()
+            .for_each(|(name, ms)| Message::Known(name.to_owned(), ms).write(&mut out));
+        self.registry.endpoints().for_each(|l| Message::Listed(l.clone()).write(&mut out));
+        self.registry.in_maintenance().for_each(|name| Message::Enter(name.to_owned()).write(&mut out));
         Message::End { cancels: true, leases: true }.write(&mut out);
         let peer = &mut self.family.peers[at];
         let fds: Vec<_> = self.listeners.all().map(AsFd::as_fd).collect();
--- a/gateway/src/net/listeners.rs
+++ b/gateway/src/net/listeners.rs
@@ -58,7 +58,7 @@
             let inherited = left.iter().position(|l| l.local_addr().is_ok_and(|a| a == address));
             let listener = match inherited {
                 Some(at) => left.swap_remove(at),
-                None => listener(address, backlog, config.ops.is_some())
+                None => listener(address, backlog, config.admin.is_some())
                     .map_err(|e| ServeError::Listen(address, e))?,
             };
             poll.add(&listener, front.key(), ACCEPTS, Told::Always)?;
--- a/gateway/src/net/listeners/tests.rs
+++ b/gateway/src/net/listeners/tests.rs
@@ -1,17 +1,18 @@
 use super::*;
-use crate::config::{self, Keepalive, Node};
+use crate::config::{self, TcpKeepalive};
+use crate::json::JsonField;
 
 #[test]
 fn ends_that_vanish_without_a_word_are_asked_for_where_the_operator_wants_that() {
     let text = include_str!("../../../tests/common/config.json").replace("LIST", "");
-    let mut config = config::read(&Node::root(&text.parse().unwrap(), "config")).unwrap();
+    let mut config = config::read(&JsonField::root(&text.parse().unwrap(), "config")).unwrap();
     let listener = listener(([127, 0, 0, 1], 0).into(), 8, false).unwrap();
     let stream = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     let socket = socket2::SockRef::from(&stream);
     keep_alive(&stream, &config).unwrap();
     assert!(!socket.keepalive().unwrap(), "off by default");
     let (idle, interval) = (std::time::Duration::from_secs(30), std::time::Duration::from_secs(5));
-    config.clients.keepalive = Some(Keepalive { idle, interval, probes: 3 });
+    config.clients.keepalive = Some(TcpKeepalive { idle, interval, probes: 3 });
     keep_alive(&stream, &config).unwrap();
     assert!(socket.keepalive().unwrap());
     let set = (socket.tcp_keepalive_time(), socket.tcp_keepalive_interval(), socket.tcp_keepalive_retries());
--- a/gateway/src/net/mod.rs
+++ b/gateway/src/net/mod.rs
@@ -33,10 +33,10 @@
 use wrenhatch_sessions::session_table::Handle;
 use wrenhatch_sessions::timer_wheel::TimerWheel;
 
-use crate::config::{Config, Names};
+use crate::config::{Config, OWN_DESCRIPTORS, SettingsNames};
 use crate::core::{Command, Core, Input};
 use crate::counters::Counters;
-use crate::engine_registry::EngineRegistry;
+use crate::discovery::EngineRegistry;
 use crate::handover::Message;
 use crate::metrics::Metrics;
 use crate::timer_lag::TimerLag;
@@ -63,14 +63,11 @@
 const LINK: u64 = 2 << 62;
 const WATCH: u64 = 3 << 62;
 
-/// Descriptors beside connections: listeners, poller, signals, standard streams, one being accepted, the spare.
-pub const OWN_DESCRIPTORS: usize = 32;
-
 /// Those, and where operators call, their door and who stands in it; where control machines are asked, the stream and
 /// a report.
 fn own_descriptors(config: &Config) -> usize {
-    let ops = config.ops.map_or(0, |_| 1 + ops::MOST_CALLERS);
-    let control = config.control.as_ref().map_or(0, |_| 2);
+    let ops = config.admin.map_or(0, |_| 1 + ops::MOST_CALLERS);
+    let control = config.control_plane.as_ref().map_or(0, |_| 2);
     OWN_DESCRIPTORS + ops + control
 }
 
@@ -124,7 +121,7 @@
 /// The running gateway.
 pub struct Server {
     config: Config,
-    names: Names,
+    names: SettingsNames,
     core: Core,
     counters: Counters,
     poll: Poll,
@@ -153,8 +150,8 @@
         let mut inheritance = handover::inherit(&config);
         let left = inheritance.as_mut().map(|i| std::mem::take(&mut i.listeners)).unwrap_or_default();
         let listeners = Listeners::open(&config, &poll, left)?;
-        let ops = ops::Ops::open(config.ops, &poll)?;
-        let (last, known) = std::mem::take(&mut config.known);
+        let ops = ops::Ops::open(config.admin, &poll)?;
+        let known_list = std::mem::take(&mut config.known_list);
         let unix = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
         let metrics = Metrics::new(config.names.classes.iter().map(String::as_str));
         let mut server = Self {
@@ -176,11 +173,14 @@
             ),
             requests: Requests::default(),
             pools: pools::Pools::default(),
-            watch: watch::Watch::new(last, config.seed as u32 as f64 / f64::from(u32::MAX)),
-            control: config.control.clone().map(|control| configuration::Follower::new(control, &config)),
+            watch: watch::Watch::new(known_list.last_index, config.seed as u32 as f64 / f64::from(u32::MAX)),
+            control: config
+                .control_plane
+                .clone()
+                .map(|control| configuration::Follower::new(control, &config)),
             ops,
             family: handover::Family::default(),
-            registry: EngineRegistry::new(config.memory),
+            registry: EngineRegistry::new(config.memory_bytes),
             metrics,
             shutdown: shutdown::Shutdown::new(&config.settings),
             signals,
@@ -189,7 +189,7 @@
         };
         server.timers.arm(0, Timer::Watch);
         server.check_control();
-        known.iter().for_each(|event| server.listed(event));
+        known_list.events.iter().for_each(|event| server.listed(event));
         let older = inheritance.map(|i| {
             server.take_over(i.messages);
             handover::Older { stream: i.stream, rest: i.rest, cancels: i.cancels, leases: i.leases }
--- a/gateway/src/net/ops.rs
+++ b/gateway/src/net/ops.rs
@@ -9,7 +9,7 @@
 use super::conn::{Conn, Phase, ReadEnd};
 use super::poll::{Interest, Poll, Told};
 use super::{OPS, OPS_LISTENER, ServeError, Server, Timer};
-use crate::engine_registry::NeverListed;
+use crate::discovery::UnknownEngine;
 use crate::handover::Message;
 use crate::metrics::Now;
 use crate::ops::{self, Call, No};
@@ -140,7 +140,7 @@
             Call::Metrics => {
                 let now = Now {
                     in_flight: self.requests.open.len(),
-                    engines_known: self.registry.known(),
+                    engines_known: self.registry.endpoint_count(),
                     engines_excluded: self.core.engines_avoided(self.time.now_us),
                 };
                 Ok(self.metrics.text(now))
@@ -151,7 +151,7 @@
     }
 
     /// Takes an engine out, or lets it serve again.
-    fn by_hand(&mut self, name: &str, out: bool) -> Result<String, NeverListed> {
+    fn by_hand(&mut self, name: &str, out: bool) -> Result<String, UnknownEngine> {
         let now_ms = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64);
         self.change_by_hand(name, (!out).then_some(now_ms))?;
         let message =
@@ -161,10 +161,10 @@
     }
 
     /// The same without a word to other processes: one is back since a Unix millisecond, or else out.
-    pub(super) fn change_by_hand(&mut self, name: &str, back_ms: Option<u64>) -> Result<(), NeverListed> {
+    pub(super) fn change_by_hand(&mut self, name: &str, back_ms: Option<u64>) -> Result<(), UnknownEngine> {
         let changed = match back_ms {
-            None => self.registry.enter(name)?,
-            Some(ms) => self.registry.exit(name, ms)?,
+            None => self.registry.begin_maintenance(name)?,
+            Some(ms) => self.registry.end_maintenance(name, ms)?,
         };
         tracing::info!(engine = name, out = back_ms.is_none(), changed = changed.is_some(), "by hand");
         if let Some(event) = changed {
--- a/gateway/src/net/reconfigure.rs
+++ b/gateway/src/net/reconfigure.rs
@@ -29,16 +29,16 @@
     /// # Errors
     /// Why nothing was changed.
     pub(super) fn reconfigure(&mut self, text: &str) -> Result<(), ReconfigureError> {
-        let fresh = config::site_settings_text(text)?;
+        let fresh = config::parse_site_settings(text)?;
         let plan = self.plan_change(&fresh)?;
         let in_force: Vec<Class> = plan.change.active_classes().into_iter().cloned().collect();
         self.core.reconfigure(plan.change.clone())?;
         // From here on nothing fails.
         self.names = plan.names;
         self.config.settings = plan.change.settings;
-        self.config.keepalive_us = fresh.keepalive_us;
-        self.config.connect_us = fresh.connect_us;
-        self.config.max_open = fresh.max_open;
+        self.config.engine_idle_timeout_us = fresh.engine_idle_timeout_us;
+        self.config.connect_timeout_us = fresh.connect_timeout_us;
+        self.config.max_open_requests = fresh.max_open_requests;
         self.metrics.rename(self.names.classes.iter().map(String::as_str));
         let deadlines = || in_force.iter().map(|class| class.deadline);
         self.sessions.governor.set_limits(sessions::governor_limits(&self.config, deadlines()));
--- a/gateway/src/net/reload.rs
+++ b/gateway/src/net/reload.rs
@@ -17,11 +17,11 @@
         let Some(path) = self.config.path.clone() else { return };
         match config::from_file(&path) {
             Ok(fresh) => {
-                tracing::info!(coordinator = ?fresh.coordinator, "configuration read again");
+                tracing::info!(coordinator = ?fresh.discovery, "configuration read again");
                 self.counters.reloads += 1;
                 self.tell_differences(&fresh);
-                fresh.known.1.iter().for_each(|event| self.list_event(event));
-                match fresh.coordinator {
+                fresh.known_list.events.iter().for_each(|event| self.list_event(event));
+                match fresh.discovery {
                     Some(to) => self.move_watch(to),
                     None => tracing::warn!("no coordinator is named any more: the old one is kept"),
                 }
--- a/gateway/src/net/sessions.rs
+++ b/gateway/src/net/sessions.rs
@@ -257,14 +257,14 @@
 /// Clients hold a third of the descriptors at most by contract; a few more are let in, and what is left is enough
 /// for an attempt of each of them with its calls beside.
 pub fn most_clients(config: &Config) -> usize {
-    config.clients.most.unwrap_or(config.sockets / 3 + 16)
+    config.clients.max_sessions.unwrap_or(config.max_descriptors / 3 + 16)
 }
 
 /// Connections that engines may have. Two processes of one gateway share its descriptors: clients are at one or the
 /// other, and of what is left each has half.
 pub fn most_engine_conns(config: &Config, alone: bool) -> usize {
     let own = own_descriptors(config);
-    let most = config.sockets.saturating_sub(most_clients(config) + own);
+    let most = config.max_descriptors.saturating_sub(most_clients(config) + own);
     if alone { most } else { most.saturating_sub(own) / 2 }
 }
 
@@ -284,8 +284,8 @@
     let patience = deadlines.fold(f64::INFINITY, f64::min);
     Limits {
         turn_us: config.clients.turn_us,
-        messages: config.clients.messages,
-        bytes: config.clients.bytes,
+        messages: config.clients.messages_per_turn,
+        bytes: config.clients.bytes_per_turn,
         least_wait_ms: Limits::default().least_wait_ms.min(most_wait_ms),
         most_wait_ms,
         patience_us: (patience.min(1e6) * 1e6) as u64,
@@ -297,13 +297,13 @@
     /// not name a session of each.
     pub fn new(config: &Config, salt: u64) -> Self {
         let most = most_clients(config);
-        let share = config.memory / MESSAGES / most.max(1);
+        let share = config.memory_bytes / MESSAGES / most.max(1);
         let longest_message = share.clamp(*LONGEST_MESSAGE.start(), *LONGEST_MESSAGE.end());
         let deadlines = config.settings.classes.iter().map(|c| c.deadline);
         Self {
             table: Table::new(),
             governor: ReadScheduler::new(governor_limits(config, deadlines)),
-            ledger: MemoryBudget::new(config.memory),
+            ledger: MemoryBudget::new(config.memory_bytes),
             dirty: Vec::new(),
             most,
             longest_message,
--- a/gateway/src/net/watch.rs
+++ b/gateway/src/net/watch.rs
@@ -7,8 +7,9 @@
 use super::conn::{Conn, Phase, ReadEnd};
 use super::poll::Interest;
 use super::{Server, Timer, WATCH};
-use crate::config::EndpointListEvent;
-use crate::coordinator::{self, Rhythm};
+use crate::discovery::{
+    EndpointListEvent, EndpointStream, EndpointStreamError, SilenceDetector, write_stream_request,
+};
 
 /// Between two tries to open the stream, give or take a quarter: all gateways lose theirs in the same moment.
 const RETRY_US: u64 = 200_000;
@@ -24,10 +25,10 @@
 /// Where the stream stands.
 pub struct Watch {
     last: u64,
-    up: Option<(Conn, coordinator::Stream)>,
+    up: Option<(Conn, EndpointStream)>,
     /// Tells this stream from others before it, for the poller.
     serial: u32,
-    rhythm: Rhythm,
+    silence: SilenceDetector,
     opened_us: u64,
     /// When it may be opened again.
     again_us: u64,
@@ -49,7 +50,7 @@
             last,
             up: None,
             serial: 0,
-            rhythm: Rhythm::new(chance),
+            silence: SilenceDetector::new(chance),
             opened_us: 0,
             again_us: 0,
             timer: None,
@@ -67,7 +68,7 @@
     fn due_us(&self) -> u64 {
         match &self.up {
             Some((conn, _)) if conn.phase == Phase::Connecting => self.opened_us + CONNECT_US,
-            Some(_) => self.rhythm.due_us(),
+            Some(_) => self.silence.deadline_us(),
             None => self.again_us,
         }
     }
@@ -79,7 +80,7 @@
             // It comes twice, as events may round a broken stream.
             return Ok(Vec::new());
         }
-        if event.index > self.last + 1 && !event.full && self.after_gap != event.index {
+        if event.index > self.last + 1 && !event.is_full && self.after_gap != event.index {
             self.after_gap = event.index;
             return Err(());
         }
@@ -102,13 +103,13 @@
             }
             tracing::warn!("the coordinator is silent");
             if self.watch.up.as_ref().is_some_and(|(_, stream)| stream.lines() > 0) {
-                self.watch.rhythm.was_silent();
+                self.watch.silence.on_silence();
             }
             self.close_watch();
             // Its silence was noticed at a time of this gateway's own.
             self.watch.again_us = now_us;
         }
-        let Some(address) = self.config.coordinator else { return };
+        let Some(address) = self.config.discovery else { return };
         // A coordinator that ends its streams at once is not asked without a pause.
         if now_us < self.watch.again_us {
             return self.await_watch();
@@ -117,9 +118,9 @@
         self.watch.serial = self.watch.serial.wrapping_add(1);
         match self.dial(address, self.watch.key(), 1 << 20) {
             Ok(mut conn) => {
-                coordinator::open(self.watch.last, &mut conn.output);
-                self.watch.up = Some((conn, coordinator::Stream::new(self.config.memory)));
-                self.watch.rhythm.begins(now_us);
+                write_stream_request(self.watch.last, &mut conn.output);
+                self.watch.up = Some((conn, EndpointStream::new(self.config.memory_bytes)));
+                self.watch.silence.on_open(now_us);
                 self.watch.opened_us = now_us;
                 self.counters.list_connects += 1;
             }
@@ -144,7 +145,7 @@
 
     /// Follows another coordinator from now on, behind the last event: the numbers go on.
     pub(super) fn move_watch(&mut self, to: SocketAddr) {
-        if self.config.coordinator.replace(to) == Some(to) {
+        if self.config.discovery.replace(to) == Some(to) {
             return;
         }
         self.close_watch();
@@ -179,7 +180,7 @@
             if conn.finish_connect().is_err() {
                 return self.watch_lost();
             }
-            self.watch.rhythm.begins(self.time.now_us);
+            self.watch.silence.on_open(self.time.now_us);
             self.await_watch();
         }
         let Some((conn, _)) = &mut self.watch.up else { return };
@@ -208,11 +209,11 @@
         let (mut events, before) = (Vec::new(), stream.lines());
         let read = stream.read(&mut conn.input, &mut events);
         if stream.lines() > before {
-            self.watch.rhythm.heard(now_us, events.is_empty() && before > 0);
+            self.watch.silence.on_lines(now_us, events.is_empty() && before > 0);
         }
         for event in events {
             // The same as for one of which nothing can be read; meanwhile its good part counts.
-            if !event.unread.is_empty()
+            if !event.unreadable.is_empty()
                 && event.index > self.watch.last
                 && self.watch.unreadable != event.index
             {
@@ -240,7 +241,7 @@
             tracing::warn!("{e}");
             // It may have been spoilt on its way and is asked for once more. One that still can't be read is
             // passed over, or no later one would ever come through.
-            if let coordinator::StreamError::BadEvent(id, _) = e {
+            if let EndpointStreamError::UnreadableEvent(id, _) = e {
                 if self.watch.unreadable == id {
                     self.watch.last = self.watch.last.max(id);
                 }
--- a/gateway/src/settings_change.rs
+++ b/gateway/src/settings_change.rs
@@ -9,7 +9,7 @@
 
 use workload_manager::interface::*;
 
-use crate::config::Names;
+use crate::config::SettingsNames;
 
 /// Names of kinds, and of zones, that are remembered at most: engines of the list are known by them.
 pub const MOST_PLACES: usize = 1024;
@@ -57,7 +57,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Named<'a> {
     /// What their numbers are called.
-    pub names: &'a Names,
+    pub names: &'a SettingsNames,
     /// The settings.
     pub settings: &'a Settings,
 }
@@ -66,7 +66,7 @@
 #[derive(Clone, Debug)]
 pub struct Plan {
     /// Names by number.
-    pub names: Names,
+    pub names: SettingsNames,
     /// Settings by these numbers, for the core.
     pub change: SettingsChange,
 }
@@ -109,10 +109,10 @@
     Ok(Plan { names, change })
 }
 
-fn check_names(names: &Names) -> Result<(), Refusal> {
+fn check_names(names: &SettingsNames) -> Result<(), Refusal> {
     let lists = [
         ("classes", &names.classes),
-        ("kinds", &names.kinds),
+        ("kinds", &names.machine_types),
         ("zones", &names.zones),
         ("projects", &names.tenants),
     ];
@@ -140,7 +140,8 @@
     if old_zone != new_zone {
         return Err(Refusal::OwnZone { old: old_zone, new: new_zone });
     }
-    let reports = |of: Named<'_>| (of.settings.capabilities.load_reports, of.names.report_extras.clone());
+    let reports =
+        |of: Named<'_>| (of.settings.capabilities.load_reports, of.names.load_report_extras.clone());
     if reports(old) != reports(fresh) {
         return Err(Refusal::Reports);
     }
@@ -148,13 +149,13 @@
 }
 
 /// Numbers for kinds and zones that have none yet. The others keep theirs: engines of the list go by them.
-fn add_places(names: &mut Names, fresh: &Names) -> Result<(), Refusal> {
+fn add_places(names: &mut SettingsNames, fresh: &SettingsNames) -> Result<(), Refusal> {
     for (list, known, new) in
-        [("kinds", &mut names.kinds, &fresh.kinds), ("zones", &mut names.zones, &fresh.zones)]
+        [("kinds", &mut names.machine_types, &fresh.machine_types), ("zones", &mut names.zones, &fresh.zones)]
     {
         let known_before = known.len();
         for name in new {
-            Names::number(known, name);
+            SettingsNames::find_or_add(known, name);
         }
         if known.len() > known_before && known.len() > MOST_PLACES {
             return Err(Refusal::TooManyNames { list });
@@ -164,30 +165,32 @@
 }
 
 /// The class with the numbers that its kinds and zones have in service.
-fn renumbered(class: &Class, fresh: &Names, names: &mut Names) -> Class {
-    let kind = |kind: &MachineTypeId| MachineTypeId(Names::number(&mut names.kinds, &fresh.kinds[kind.0]));
+fn renumbered(class: &Class, fresh: &SettingsNames, names: &mut SettingsNames) -> Class {
+    let kind = |kind: &MachineTypeId| {
+        MachineTypeId(SettingsNames::find_or_add(&mut names.machine_types, &fresh.machine_types[kind.0]))
+    };
     let only_kinds = class.allowed_machine_types.as_ref().map(|kinds| kinds.iter().map(kind).collect());
-    let zone = |zone: &ZoneId| ZoneId(Names::number(&mut names.zones, &fresh.zones[zone.0]));
+    let zone = |zone: &ZoneId| ZoneId(SettingsNames::find_or_add(&mut names.zones, &fresh.zones[zone.0]));
     let only_zones = class.allowed_zones.as_ref().map(|zones| zones.iter().map(zone).collect());
     Class { allowed_machine_types: only_kinds, allowed_zones: only_zones, ..class.clone() }
 }
 
 /// The figures of all kinds. One that is described no longer keeps its figures, as engines of it may serve; one that
 /// was never described has those of a machine of an unknown kind.
-fn kinds(names: &Names, old: &Settings, fresh: Named<'_>) -> Vec<MachineType> {
+fn kinds(names: &SettingsNames, old: &Settings, fresh: Named<'_>) -> Vec<MachineType> {
     let figures = |(at, name): (usize, &String)| {
-        let described = fresh.names.kinds.iter().position(|n| n == name);
+        let described = fresh.names.machine_types.iter().position(|n| n == name);
         let now = described.and_then(|at| fresh.settings.machine_types.get(at));
         now.or_else(|| old.machine_types.get(at)).cloned()
     };
-    let figures: Vec<Option<MachineType>> = names.kinds.iter().enumerate().map(figures).collect();
+    let figures: Vec<Option<MachineType>> = names.machine_types.iter().enumerate().map(figures).collect();
     let described = figures.iter().rposition(Option::is_some).map_or(0, |last| last + 1);
     let unknown = fresh.settings.machine_type(MachineTypeId(usize::MAX));
     figures.into_iter().take(described).map(|kind| kind.unwrap_or_else(|| unknown.clone())).collect()
 }
 
 /// Tenants by name: one that stays keeps its number, a new one gets a number that is free.
-fn tenants(names: &mut Names, old: &Settings, fresh: Named<'_>) -> Vec<Tenant> {
+fn tenants(names: &mut SettingsNames, old: &Settings, fresh: Named<'_>) -> Vec<Tenant> {
     let mut tenants = old.tenants.clone();
     let stays = |at: &usize| fresh.names.tenant(&names.tenants[*at]).is_some();
     let mut free: BTreeSet<usize> = (0..tenants.len()).filter(|at| !stays(at)).collect();
--- a/gateway/src/settings_change/tests.rs
+++ b/gateway/src/settings_change/tests.rs
@@ -1,7 +1,7 @@
 //! Numbers of classes, kinds, zones and tenants through changes, against what names say.
 
 use super::*;
-use crate::config::{SiteSettings, site_settings_text};
+use crate::config::{SiteSettings, parse_site_settings};
 
 const BASE: &str = r#"{
   "allowed":{"cancelling":true,"max-attempts":3,"max-retry-after-s":0.5,"retry-after":true},
@@ -20,12 +20,12 @@
 "#;
 
 fn site(text: &str) -> SiteSettings {
-    site_settings_text(text).unwrap()
+    parse_site_settings(text).unwrap()
 }
 
 /// Settings in force and what is under way, as the gateway has them.
 struct InForce {
-    names: Names,
+    names: SettingsNames,
     settings: Settings,
     in_use: BTreeSet<ClassId>,
 }
@@ -135,7 +135,7 @@
 fn kinds_and_zones_keep_the_numbers_that_engines_go_by() {
     let mut in_force = InForce::new();
     // The list names a kind that the settings don't.
-    assert_eq!(Names::number(&mut in_force.names.kinds, "of-the-list"), 1);
+    assert_eq!(SettingsNames::find_or_add(&mut in_force.names.machine_types, "of-the-list"), 1);
     let text = BASE.replace("\"kinds\":[\"k\"]", "\"kinds\":[\"big\",\"k\"]");
     let text = text.replace(
         "\"kind-cores\":[16],\"memory-by-kind-mb\":[32768.0]",
@@ -143,7 +143,7 @@
     );
     let origins = in_force.take(&text);
     assert_eq!(origins, [ClassOrigin::Unchanged; 3], "a class bound to a kind is the same class");
-    assert_eq!(in_force.names.kinds, ["k", "of-the-list", "big"]);
+    assert_eq!(in_force.names.machine_types, ["k", "of-the-list", "big"]);
     let kind = |at: usize| {
         (in_force.settings.machine_types[at].cores, in_force.settings.machine_types[at].memory_mb)
     };
--- a/lab/src/hollow/model/gateway.rs
+++ b/lab/src/hollow/model/gateway.rs
@@ -7,9 +7,9 @@
 use workload_manager::interface::{
     EndpointEntry, EndpointListMode, EndpointState, EngineId, MachineTypeId, ZoneId,
 };
-use wrenhatch::config::{Config, Endpoint, EndpointListEvent, Names};
+use wrenhatch::config::{Config, SettingsNames};
 use wrenhatch::core::{Core, Input};
-use wrenhatch::engine_registry::EngineRegistry;
+use wrenhatch::discovery::{Endpoint, EndpointListEvent, EngineRegistry};
 
 use super::watch::{Watch, WatchRequest};
 use crate::hollow::error::HollowError;
@@ -22,7 +22,7 @@
     pub list_events: u64,
     registry: EngineRegistry,
     core: Core,
-    names: Names,
+    names: SettingsNames,
     ids: HashMap<String, EngineId>,
     next_id: u32,
 }
@@ -36,9 +36,9 @@
         let chance = f64::from(config.seed as u32) / f64::from(u32::MAX);
         let random = Pcg32::seed_from_u64(config.seed ^ random_seed);
         Ok(Self {
-            watch: Watch::new(config.memory, chance, random),
+            watch: Watch::new(config.memory_bytes, chance, random),
             list_events: 0,
-            registry: EngineRegistry::new(config.memory),
+            registry: EngineRegistry::new(config.memory_bytes),
             core: Core::new(config.settings, config.seed)?,
             names: config.names,
             ids: HashMap::new(),
@@ -80,7 +80,7 @@
             self.ids.remove(&gone.name);
         }
         Input::EndpointList(
-            if event.full { EndpointListMode::Full } else { EndpointListMode::Delta },
+            if event.is_full { EndpointListMode::Full } else { EndpointListMode::Delta },
             entries,
         )
     }
@@ -92,12 +92,15 @@
         });
         EndpointEntry {
             engine,
-            zone: ZoneId(Names::number(&mut self.names.zones, &listed.zone)),
-            machine_type: MachineTypeId(Names::number(&mut self.names.kinds, &listed.kind)),
+            zone: ZoneId(SettingsNames::find_or_add(&mut self.names.zones, &listed.zone)),
+            machine_type: MachineTypeId(SettingsNames::find_or_add(
+                &mut self.names.machine_types,
+                &listed.machine_type,
+            )),
             cell: listed.cell,
             state: listed.state,
             // The clock of a run begins at the Unix epoch.
-            started_at: (listed.since_ms > 0).then_some(listed.since_ms as f64 / 1e3),
+            started_at: (listed.started_ms > 0).then_some(listed.started_ms as f64 / 1e3),
         }
     }
 }
--- a/lab/src/hollow/model/mod.rs
+++ b/lab/src/hollow/model/mod.rs
@@ -18,8 +18,8 @@
 
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
-use tinyjson::JsonValue;
 use wrenhatch::config::{self, Config, ConfigError};
+use wrenhatch::json::{self, JsonField};
 
 use super::bounds::Bounds;
 use super::error::HollowError;
@@ -619,7 +619,6 @@
     let nowhere = SocketAddr::from(([127, 0, 0, 1], 1));
     let text = settings::configuration(size, number, seed, nowhere).to_string();
     let path = "configuration";
-    let json: JsonValue =
-        text.parse().map_err(|source| ConfigError::Json { path: path.to_owned(), source })?;
-    Ok(config::read(&config::Node::root(&json, path))?)
+    let json = json::parse(&text, path).map_err(ConfigError::from)?;
+    Ok(config::read(&JsonField::root(&json, path))?)
 }
--- a/lab/src/hollow/model/watch.rs
+++ b/lab/src/hollow/model/watch.rs
@@ -6,8 +6,7 @@
 
 use rand_core::RngCore;
 use rand_pcg::Pcg32;
-use wrenhatch::config::EndpointListEvent;
-use wrenhatch::coordinator::{Rhythm, Stream, StreamError};
+use wrenhatch::discovery::{EndpointListEvent, EndpointStream, EndpointStreamError, SilenceDetector};
 
 use super::ConnectionId;
 
@@ -21,7 +20,7 @@
 struct Connection {
     id: ConnectionId,
     is_up: bool,
-    stream: Stream,
+    stream: EndpointStream,
     input: Vec<u8>,
 }
 
@@ -38,7 +37,7 @@
 pub struct Watch {
     last: u64,
     connection: Option<Connection>,
-    rhythm: Rhythm,
+    silence: SilenceDetector,
     random: Pcg32,
     memory: usize,
     opened_us: u64,
@@ -53,7 +52,7 @@
         Self {
             last: 0,
             connection: None,
-            rhythm: Rhythm::new(chance),
+            silence: SilenceDetector::new(chance),
             random,
             memory,
             opened_us: 0,
@@ -82,7 +81,7 @@
     pub fn due_us(&self) -> u64 {
         match &self.connection {
             Some(connection) if !connection.is_up => self.opened_us + CONNECT_US,
-            Some(_) => self.rhythm.due_us(),
+            Some(_) => self.silence.deadline_us(),
             None => self.again_us,
         }
     }
@@ -95,7 +94,7 @@
                 return events;
             }
             if connection.stream.lines() > 0 {
-                self.rhythm.was_silent();
+                self.silence.on_silence();
             }
             events = self.close(requests);
             self.again_us = now_us;
@@ -104,7 +103,7 @@
             let pause_us = RETRY_US as f64 * (0.75 + 0.5 * self.chance());
             self.again_us = now_us + pause_us as u64;
             self.opened_us = now_us;
-            self.rhythm.begins(now_us);
+            self.silence.on_open(now_us);
             requests.push(WatchRequest::Dial);
         }
         events
@@ -112,7 +111,7 @@
 
     /// The connection that was asked for is being opened.
     pub fn dialled(&mut self, id: ConnectionId) {
-        let stream = Stream::new(self.memory);
+        let stream = EndpointStream::new(self.memory);
         self.connection = Some(Connection { id, is_up: false, stream, input: Vec::new() });
     }
 
@@ -120,7 +119,7 @@
     pub fn connected(&mut self, now_us: u64) {
         if let Some(connection) = &mut self.connection {
             connection.is_up = true;
-            self.rhythm.begins(now_us);
+            self.silence.on_open(now_us);
         }
     }
 
@@ -136,7 +135,7 @@
         let (mut events, before) = (Vec::new(), connection.stream.lines());
         let read = connection.stream.read(&mut connection.input, &mut events);
         if connection.stream.lines() > before {
-            self.rhythm.heard(now_us, events.is_empty() && before > 0);
+            self.silence.on_lines(now_us, events.is_empty() && before > 0);
         }
         let mut listed = Vec::new();
         for event in events {
@@ -149,7 +148,7 @@
                 }
             }
         }
-        if let Err(StreamError::NoStream | StreamError::BadEvent(..)) = read {
+        if let Err(EndpointStreamError::NotAStream | EndpointStreamError::UnreadableEvent(..)) = read {
             listed.extend(self.lost(now_us, requests));
         }
         listed
@@ -174,7 +173,7 @@
         if event.index <= self.last {
             return Ok(Vec::new());
         }
-        if event.index > self.last + 1 && !event.full && self.after_gap != event.index {
+        if event.index > self.last + 1 && !event.is_full && self.after_gap != event.index {
             self.after_gap = event.index;
             return Err(());
         }
--- a/lab/tests/hollow.rs
+++ b/lab/tests/hollow.rs
@@ -67,7 +67,7 @@
 #[test]
 fn the_call_of_a_gateway_is_read() {
     let mut call = Vec::new();
-    wrenhatch::coordinator::open(41, &mut call);
+    wrenhatch::discovery::write_stream_request(41, &mut call);
     assert_eq!(last_event_id(&call), Some(41));
     assert_eq!(last_event_id(&call[..call.len() - 1]), None);
     assert_eq!(last_event_id(b"GET / HTTP/1.1\r\n\r\n"), None);
