--- a/gateway/src/admission/tests.rs
+++ b/gateway/src/admission/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
 
-fn names() -> Names {
-    Names {
+fn names() -> SettingsNames {
+    SettingsNames {
         classes: vec!["lookup".into(), "report".into()],
         tenants: vec!["north".into()],
-        ..Names::default()
+        ..SettingsNames::default()
     }
 }
 
--- a/gateway/src/net/clients.rs
+++ b/gateway/src/net/clients.rs
@@ -386,7 +386,7 @@
             work_ahead_us: if early { self.sessions.governor.backlog_us() } else { 0 },
             shutting_down: self.is_going(),
             open_requests: self.requests.open.len(),
-            max_open_requests: self.config.max_open,
+            max_open_requests: self.config.max_open_requests,
             memory: self.sessions.ledger.allows(Kind::Requests, request.bytes()),
         };
         match admission::admit(&input) {
