--- a/gateway/src/discovery/endpoint.rs
+++ b/gateway/src/discovery/endpoint.rs
@@ -2,6 +2,7 @@
 
 use std::net::SocketAddr;
 
+use tinyjson::JsonValue;
 use workload_manager::interface::EndpointState;
 
 use crate::json::{self, JsonError, JsonField};
@@ -74,18 +75,40 @@
     read_event(&JsonField::root(&json::parse(text, "event")?, "event"))
 }
 
+/// The states as JSON names them.
+const STATES: [(EndpointState, &str); 3] = [
+    (EndpointState::Ready, "Ready"),
+    (EndpointState::Draining, "Terminating"),
+    (EndpointState::Removed, "Gone"),
+];
+
+/// An entry of the list as [`read_endpoint`] reads it.
+pub fn endpoint_to_json(endpoint: &Endpoint) -> JsonValue {
+    let string = |text: &str| JsonValue::String(text.to_owned());
+    // Exact up to 2^53.
+    let number = |n: u64| JsonValue::Number(n as f64);
+    let state = STATES.iter().find(|(state, _)| *state == endpoint.state).map_or("", |(_, name)| *name);
+    let members = [
+        ("name", string(&endpoint.name)),
+        ("address", string(&endpoint.address.to_string())),
+        ("zone", string(&endpoint.zone)),
+        ("type", string(&endpoint.machine_type)),
+        ("group", number(endpoint.cell)),
+        ("status", string(state)),
+        ("since_ms", number(endpoint.started_ms)),
+    ];
+    JsonValue::Object(members.map(|(name, value)| (name.to_owned(), value)).into())
+}
+
 /// Reads an entry of the list.
 ///
 /// # Errors
 /// What is missing or can't be read.
 pub fn read_endpoint(entry: &JsonField<'_>) -> Result<Endpoint, JsonError> {
     let status = entry.get("status");
-    let state = match status.string()?.as_str() {
-        "Ready" => EndpointState::Ready,
-        "Terminating" => EndpointState::Draining,
-        "Gone" => EndpointState::Removed,
-        _ => return Err(status.expected("Ready, Terminating or Gone")),
-    };
+    let name = status.string()?;
+    let state = STATES.iter().find(|(_, state_name)| *state_name == name).map(|(state, _)| *state);
+    let state = state.ok_or_else(|| status.expected("Ready, Terminating or Gone"))?;
     let address = entry.get("address");
     // A removed endpoint needs no address.
     let address = if state == EndpointState::Removed && !address.is_present() {
--- a/gateway/src/discovery/mod.rs
+++ b/gateway/src/discovery/mod.rs
@@ -9,7 +9,9 @@
 mod silence;
 mod stream;
 
-pub use endpoint::{Endpoint, EndpointListEvent, UnreadableEntry, parse_event, read_endpoint, read_event};
+pub use endpoint::{
+    Endpoint, EndpointListEvent, UnreadableEntry, endpoint_to_json, parse_event, read_endpoint, read_event,
+};
 pub use engine_registry::{EngineRegistry, UnknownEngine};
 pub use silence::SilenceDetector;
 pub use stream::{EndpointStream, EndpointStreamError, write_stream_request};
--- a/gateway/src/net/clients.rs
+++ b/gateway/src/net/clients.rs
@@ -462,7 +462,7 @@
     pub(super) fn cancel(&mut self, session: u32, secret: u32) {
         let who = session.checked_sub(1).and_then(|index| self.sessions.table.tenant(index));
         let Some(who) = who.filter(|who| self.sessions.secret_of(*who) == Some(secret)) else {
-            return self.pass_cancel(session, secret);
+            return self.forward_cancel_request(session, secret);
         };
         // What it names may have come before it over the other connection and still wait for its turn there.
         self.read_now(who);
--- a/gateway/src/net/mod.rs
+++ b/gateway/src/net/mod.rs
@@ -10,10 +10,10 @@
 mod clients;
 mod configuration;
 mod engines;
-mod handover;
 mod listeners;
 mod ops;
 mod pools;
+mod process_replacement;
 mod reconfigure;
 mod reload;
 mod requests;
@@ -37,8 +37,8 @@
 use crate::core::{Command, Core, Input};
 use crate::counters::Counters;
 use crate::discovery::EngineRegistry;
-use crate::handover::Message;
 use crate::metrics::Metrics;
+use crate::process_replacement::Message;
 use crate::timer_lag::TimerLag;
 use conn::Conn;
 use listeners::{Front, Listeners};
@@ -55,8 +55,8 @@
 const RELOAD: u64 = 4;
 const OPS_LISTENER: u64 = 5;
 const OPS: u64 = 1 << 61;
-const HANDOVER_LISTENER: u64 = 6;
-const HANDOVER: u64 = 1 << 60;
+const PEER_LISTENER: u64 = 6;
+const PEER_PROCESS: u64 = 1 << 60;
 const CONTROL: u64 = 1 << 59;
 const REPORT: u64 = 1 << 58;
 const SESSION: u64 = 1 << 62;
@@ -135,7 +135,7 @@
     watch: watch::Watch,
     control: Option<configuration::Follower>,
     ops: ops::Ops,
-    family: handover::Family,
+    peer_processes: process_replacement::PeerProcesses,
     registry: EngineRegistry,
     metrics: Metrics,
     shutdown: shutdown::Shutdown,
@@ -147,9 +147,10 @@
     /// Listens and takes in the list of engines known so far.
     pub fn new(mut config: Config, signals: Signals) -> Result<Self, ServeError> {
         let poll = Poll::new()?;
-        let mut inheritance = handover::inherit(&config);
-        let left = inheritance.as_mut().map(|i| std::mem::take(&mut i.listeners)).unwrap_or_default();
-        let listeners = Listeners::open(&config, &poll, left)?;
+        let mut predecessor = process_replacement::receive_state(&config);
+        let inherited =
+            predecessor.as_mut().map(|state| std::mem::take(&mut state.listeners)).unwrap_or_default();
+        let listeners = Listeners::open(&config, &poll, inherited)?;
         let ops = ops::Ops::open(config.admin, &poll)?;
         let known_list = std::mem::take(&mut config.known_list);
         let unix = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
@@ -179,7 +180,7 @@
                 .clone()
                 .map(|control| configuration::Follower::new(control, &config)),
             ops,
-            family: handover::Family::default(),
+            peer_processes: process_replacement::PeerProcesses::default(),
             registry: EngineRegistry::new(config.memory_bytes),
             metrics,
             shutdown: shutdown::Shutdown::new(&config.settings),
@@ -190,13 +191,13 @@
         server.timers.arm(0, Timer::Watch);
         server.check_control();
         known_list.events.iter().for_each(|event| server.listed(event));
-        let older = inheritance.map(|i| {
-            server.take_over(i.messages);
-            handover::Older { stream: i.stream, rest: i.rest, cancels: i.cancels, leases: i.leases }
+        let predecessor = predecessor.map(|state| {
+            server.restore_state(state.messages);
+            state.connection
         });
         // Whoever calls first finds the core with all that is known.
         server.turn();
-        server.found_family(older);
+        server.start_peer_processes(predecessor);
         Ok(server)
     }
 
@@ -234,7 +235,7 @@
                         self.stop_taking();
                     }
                     (OPS_LISTENER, _) => self.accept_callers(),
-                    (HANDOVER_LISTENER, _) => self.accept_peers(),
+                    (PEER_LISTENER, _) => self.accept_peer_processes(),
                     (PRINT, _) => {
                         drain(&self.signals.print);
                         self.print();
@@ -252,7 +253,7 @@
                     (_, WATCH) => self.watch_ready(key, interest),
                     (_, SESSION) => self.session_ready(key, interest),
                     (key, _) if key & OPS != 0 => self.caller_ready(key),
-                    (key, _) if key & HANDOVER != 0 => self.peer_ready(key),
+                    (key, _) if key & PEER_PROCESS != 0 => self.peer_process_ready(key),
                     (key, _) if key & CONTROL != 0 => self.control_ready(key, interest),
                     (key, _) if key & REPORT != 0 => self.report_ready(key, interest),
                     _ => {}
@@ -271,7 +272,7 @@
             self.read_sessions();
             self.turn();
             if self.has_ended() {
-                self.settle_leases();
+                self.announce_exit_to_peers();
                 self.print();
                 return Ok(self.counters);
             }
@@ -359,8 +360,8 @@
             Command::SetPriority { attempt, priority } => self.rank(attempt, priority),
             Command::CancelAttempt(attempt) => self.stop(attempt),
             Command::Serve(..) | Command::Reject { .. } | Command::Fail(_) => self.answer(command),
-            Command::ClaimLease { key, holder } => self.tell_neighbour(holder, &Message::Claim(key)),
-            Command::GrantLease { key, to } => self.tell_neighbour(to, &Message::Grant(key)),
+            Command::ClaimLease { key, holder } => self.send_to_peer(holder, &Message::ClaimLease(key)),
+            Command::GrantLease { key, to } => self.send_to_peer(to, &Message::GrantLease(key)),
         }
     }
 }
--- a/gateway/src/net/ops.rs
+++ b/gateway/src/net/ops.rs
@@ -10,9 +10,9 @@
 use super::poll::{Interest, Poll, Told};
 use super::{OPS, OPS_LISTENER, ServeError, Server, Timer};
 use crate::discovery::UnknownEngine;
-use crate::handover::Message;
 use crate::metrics::Now;
 use crate::ops::{self, Call, No};
+use crate::process_replacement::Message;
 
 /// Callers at once. Where there are more, the one that has owed a whole call for longest makes room.
 pub const MOST_CALLERS: usize = 16;
@@ -154,9 +154,13 @@
     fn by_hand(&mut self, name: &str, out: bool) -> Result<String, UnknownEngine> {
         let now_ms = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64);
         self.change_by_hand(name, (!out).then_some(now_ms))?;
-        let message =
-            if out { Message::Enter(name.to_owned()) } else { Message::Exit(name.to_owned(), now_ms) };
-        self.tell_family(&message);
+        let engine = name.to_owned();
+        let message = if out {
+            Message::MaintenanceBegan { engine }
+        } else {
+            Message::MaintenanceEnded { engine, end_ms: now_ms }
+        };
+        self.send_to_all_peers(&message);
         Ok(format!("{name} {}\n", if out { "is out" } else { "may serve" }))
     }
 
--- /dev/null
+++ b/gateway/src/net/process_replacement/mod.rs
@@ -0,0 +1,196 @@
+//! Process replacement on sockets: how a process finds its predecessor, gets its listeners and state, and how both go
+//! on as one gateway until the predecessor has ended.
+
+mod listener_passing;
+mod peers;
+mod state_transfer;
+
+pub use peers::PeerProcesses;
+pub use state_transfer::{PredecessorConnection, receive_state};
+
+use peers::{PeerProcess, PeerRole};
+
+use super::Server;
+use crate::core::{Input, PeerProcessEvent, PeerProcessId};
+use crate::engine::http::ABANDONED_US;
+use crate::process_replacement::Message;
+
+impl Server {
+    /// This process serves from here on: the predecessor learns it, and a successor may connect.
+    pub(super) fn start_peer_processes(&mut self, predecessor: Option<PredecessorConnection>) {
+        self.peer_processes.socket_path = listener_passing::socket_path(&self.config);
+        if let Some(predecessor) = predecessor {
+            self.connect_predecessor(predecessor);
+        }
+        self.peer_processes.listen(&self.poll);
+    }
+
+    fn connect_predecessor(&mut self, predecessor: PredecessorConnection) {
+        let PredecessorConnection { stream, input, features } = predecessor;
+        let at = match self.peer_processes.add(&self.poll, stream, PeerRole::Predecessor, input) {
+            Ok(at) => at,
+            Err(error) => return tracing::warn!(%error, "connecting to the predecessor failed"),
+        };
+        let peer = self.peer_processes.peer_mut(at);
+        peer.features = features;
+        peer.queue(&Message::AcceptingClients { key_leases: features.key_leases });
+        if features.key_leases {
+            self.push_peer_event(at, PeerProcessEvent::Succeeded);
+        }
+        self.handle_peer_input(at);
+    }
+
+    pub(super) fn accept_peer_processes(&mut self) {
+        self.peer_processes.accept(&self.poll);
+    }
+
+    /// The poller has an event for this key.
+    pub(super) fn peer_process_ready(&mut self, key: u64) {
+        if let Some(at) = self.peer_processes.position_of_key(key) {
+            self.handle_peer_input(at);
+        }
+    }
+
+    fn handle_peer_input(&mut self, at: usize) {
+        let mut is_useful = self.peer_processes.peer_mut(at).read();
+        loop {
+            match self.peer_processes.peer_mut(at).next_message() {
+                Ok(Some(message)) => is_useful &= self.on_peer_message(at, message),
+                Ok(None) => break,
+                Err(error) => {
+                    tracing::error!(%error, "message of a peer process is invalid");
+                    is_useful = false;
+                    break;
+                }
+            }
+        }
+        if !is_useful || self.peer_processes.flush(&self.poll, at).is_err() {
+            self.remove_peer_process(at);
+        }
+    }
+
+    /// False if the connection is of no more use.
+    fn on_peer_message(&mut self, at: usize, message: Message) -> bool {
+        use PeerRole::{Predecessor, StartingSuccessor, Successor, Unidentified};
+        let role = self.peer_processes.peer_mut(at).role;
+        match (role, message) {
+            (Unidentified, Message::Hello { gateway, listen_address }) => {
+                let is_same_address =
+                    listen_address.port() == 0 || Some(listen_address) == self.listeners.pg_address();
+                if gateway != self.config.name || !is_same_address {
+                    tracing::error!(%gateway, %listen_address, "replacement by another gateway rejected");
+                    return false;
+                }
+                self.send_state(at)
+            }
+            (StartingSuccessor, Message::AcceptingClients { key_leases }) => {
+                tracing::info!("successor accepts clients");
+                let peer = self.peer_processes.peer_mut(at);
+                peer.role = Successor;
+                peer.features.key_leases = key_leases;
+                self.listeners.hand_over(&self.poll);
+                true
+            }
+            (Predecessor | StartingSuccessor | Successor, Message::MaintenanceBegan { engine }) => {
+                self.registry.remember(&engine);
+                self.change_by_hand(&engine, None).is_ok()
+            }
+            (Predecessor | StartingSuccessor | Successor, Message::MaintenanceEnded { engine, end_ms }) => {
+                self.registry.remember(&engine);
+                self.change_by_hand(&engine, Some(end_ms)).is_ok()
+            }
+            (Successor, Message::CancelRequest { session, secret }) => {
+                self.cancel(session, secret);
+                true
+            }
+            (Predecessor | Successor, Message::ClaimLease(key)) => {
+                tracing::debug!(key = key.0, "peer process claims the lease of a key");
+                self.push_peer_event(at, PeerProcessEvent::ClaimsLease(key));
+                true
+            }
+            (Predecessor | Successor, Message::GrantLease(key)) => {
+                self.push_peer_event(at, PeerProcessEvent::GrantsLease(key));
+                true
+            }
+            (Predecessor | Successor, Message::Exiting { cooldown_ms }) => {
+                let cooldown_until_us = self.time.now_us + cooldown_ms.saturating_mul(1000);
+                self.peer_processes.peer_mut(at).cooldown_until_us = Some(cooldown_until_us);
+                true
+            }
+            (role, _) => {
+                tracing::error!(?role, "message of a peer process is not expected in its role");
+                false
+            }
+        }
+    }
+
+    fn push_peer_event(&mut self, at: usize, event: PeerProcessEvent) {
+        let peer = self.peer_processes.peer_mut(at).id();
+        self.inputs.push(Input::PeerProcess { peer, event });
+    }
+
+    /// A CancelRequest names no session of this process; the predecessor, whose clients connect here too, may have it.
+    pub(super) fn forward_cancel_request(&mut self, session: u32, secret: u32) {
+        let forwards_to =
+            |peer: &PeerProcess| peer.role == PeerRole::Predecessor && peer.features.cancel_requests;
+        let at = self.peer_processes.iter().position(forwards_to);
+        if let Some(at) = at {
+            self.send_to_peer_at(at, &Message::CancelRequest { session, secret });
+        }
+    }
+
+    /// Sends a message to a peer process, if it still runs.
+    pub(super) fn send_to_peer(&mut self, peer: PeerProcessId, message: &Message) {
+        if let Some(at) = self.peer_processes.position_of(peer) {
+            self.send_to_peer_at(at, message);
+        }
+    }
+
+    /// Sends a message to all peer processes of this gateway.
+    pub(super) fn send_to_all_peers(&mut self, message: &Message) {
+        // From the last to the first, as one that is gone is removed.
+        for at in (0..self.peer_processes.len()).rev() {
+            if self.peer_processes.peer_mut(at).role != PeerRole::Unidentified {
+                self.send_to_peer_at(at, message);
+            }
+        }
+    }
+
+    fn send_to_peer_at(&mut self, at: usize, message: &Message) {
+        self.peer_processes.peer_mut(at).queue(message);
+        if self.peer_processes.flush(&self.poll, at).is_err() {
+            self.remove_peer_process(at);
+        }
+    }
+
+    /// This process exits: peers that share its keys learn when what it leaves running is over.
+    pub(super) fn announce_exit_to_peers(&mut self) {
+        let now_us = self.time.now_us;
+        let cooldown_us = self.core.cooldown_after_exit_us(now_us, ABANDONED_US).saturating_sub(now_us);
+        let peers = self.peer_processes.iter().filter(|peer| peer.features.key_leases);
+        let peers: Vec<PeerProcessId> = peers.map(|peer| peer.id()).collect();
+        for peer in peers {
+            self.send_to_peer(peer, &Message::Exiting { cooldown_ms: cooldown_us.div_ceil(1000) });
+        }
+    }
+
+    fn remove_peer_process(&mut self, at: usize) {
+        let peer = self.peer_processes.remove(&self.poll, at);
+        if peer.features.key_leases {
+            // One that died without a word may have left attempts that run as long as engines allow.
+            let latest_us = self.core.key_cooldown_end_us(self.time.now_us + ABANDONED_US);
+            let cooldown_until_us = peer.cooldown_until_us.unwrap_or(latest_us);
+            let event = PeerProcessEvent::Ended { cooldown_until_us };
+            self.inputs.push(Input::PeerProcess { peer: peer.id(), event });
+        }
+        // The successor ended before this process: it serves again, and waits for the next successor.
+        if peer.role == PeerRole::Successor
+            && !self.shutdown.has_begun()
+            && !self.peer_processes.has_successor()
+        {
+            tracing::warn!("successor ended; accepting clients again");
+            self.listeners.take_back(&self.poll);
+            self.peer_processes.listen(&self.poll);
+        }
+    }
+}
--- /dev/null
+++ b/gateway/src/net/process_replacement/peers.rs
@@ -0,0 +1,220 @@
+//! Connections to the peer processes of this gateway: its predecessor and its successor.
+
+use std::io::{self, ErrorKind, Read, Write};
+use std::os::unix::net::{UnixListener, UnixStream};
+use std::path::PathBuf;
+
+use super::listener_passing::listen_at;
+use crate::core::PeerProcessId;
+use crate::net::poll::{Interest, Poll, Told};
+use crate::net::{PEER_LISTENER, PEER_PROCESS};
+use crate::process_replacement::messages::{self, Message, MessageError, PeerFeatures};
+
+/// Connections at once. One process replaces another, or two do where the platform has started one too many; others
+/// are closed at once.
+const MAX_PEERS: usize = 4;
+
+const READABLE: Interest = Interest { read: true, write: false };
+
+/// What a peer process is to this one.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum PeerRole {
+    /// This process replaces it.
+    Predecessor,
+    /// It has connected and sent no valid hello.
+    Unidentified,
+    /// It has got the state, and doesn't accept clients yet.
+    StartingSuccessor,
+    /// It accepts clients.
+    Successor,
+}
+
+/// A peer process and the connection to it.
+pub(super) struct PeerProcess {
+    stream: UnixStream,
+    id: PeerProcessId,
+    pub(super) role: PeerRole,
+    pub(super) features: PeerFeatures,
+    /// What it has left running is over then, with the key cooldown; known once it has said that it exits.
+    pub(super) cooldown_until_us: Option<u64>,
+    input: Vec<u8>,
+    output: Vec<u8>,
+}
+
+impl PeerProcess {
+    pub(super) fn id(&self) -> PeerProcessId {
+        self.id
+    }
+
+    pub(super) fn stream(&self) -> &UnixStream {
+        &self.stream
+    }
+
+    /// The key of its events in the poller.
+    fn poll_key(&self) -> u64 {
+        poll_key(self.id)
+    }
+
+    /// Reads once; what is left comes with the next turn. False once the connection is closed or broken.
+    pub(super) fn read(&mut self) -> bool {
+        let mut chunk = [0; 4096];
+        match self.stream.read(&mut chunk) {
+            Ok(0) => false,
+            Ok(bytes) => {
+                self.input.extend(&chunk[..bytes]);
+                true
+            }
+            Err(e) => matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted),
+        }
+    }
+
+    /// The next message that was read.
+    ///
+    /// # Errors
+    /// The input can't be read.
+    pub(super) fn next_message(&mut self) -> Result<Option<Message>, MessageError> {
+        messages::read_next(&mut self.input)
+    }
+
+    pub(super) fn queue(&mut self, message: &Message) {
+        message.write(&mut self.output);
+    }
+
+    /// What is left of output of which a part was sent.
+    pub(super) fn queue_rest(&mut self, bytes: Vec<u8>) {
+        self.output = bytes;
+    }
+
+    fn flush(&mut self, poll: &Poll) -> io::Result<()> {
+        while !self.output.is_empty() {
+            match self.stream.write(&self.output) {
+                Ok(0) => return Err(ErrorKind::WriteZero.into()),
+                Ok(bytes) => drop(self.output.drain(..bytes)),
+                Err(e) if e.kind() == ErrorKind::WouldBlock => break,
+                Err(e) if e.kind() == ErrorKind::Interrupted => {}
+                Err(e) => return Err(e),
+            }
+        }
+        let interest = Interest { read: true, write: !self.output.is_empty() };
+        poll.change(&self.stream, self.poll_key(), interest, Told::Always)
+    }
+}
+
+fn poll_key(id: PeerProcessId) -> u64 {
+    PEER_PROCESS | u64::from(id.0)
+}
+
+/// The peer processes, and the socket at which this process waits for a successor.
+#[derive(Default)]
+pub struct PeerProcesses {
+    pub(super) socket_path: Option<PathBuf>,
+    listener: Option<UnixListener>,
+    peers: Vec<PeerProcess>,
+    last_id: u32,
+}
+
+impl PeerProcesses {
+    /// Waits for a successor, in place of whoever did before.
+    pub(super) fn listen(&mut self, poll: &Poll) {
+        let Some(path) = &self.socket_path else { return };
+        let failed = |error: io::Error| {
+            tracing::warn!(path = %path.display(), %error, "listening for a successor failed");
+        };
+        match listen_at(path) {
+            Ok(listener) => {
+                if let Some(old) = self.listener.take() {
+                    poll.remove(&old);
+                }
+                if let Err(error) = poll.add(&listener, PEER_LISTENER, READABLE, Told::Always) {
+                    return failed(error);
+                }
+                self.listener = Some(listener);
+            }
+            Err(error) => failed(error),
+        }
+    }
+
+    /// Accepts all connections that wait.
+    pub(super) fn accept(&mut self, poll: &Poll) {
+        while let Some(Ok((stream, _))) = self.listener.as_ref().map(UnixListener::accept) {
+            if self.peers.len() >= MAX_PEERS {
+                continue;
+            }
+            if let Err(error) = self.add(poll, stream, PeerRole::Unidentified, Vec::new()) {
+                tracing::warn!(%error, "accepting a peer process failed");
+            }
+        }
+    }
+
+    /// Adds a connection, with input that was read from it already; its place among the peers.
+    ///
+    /// # Errors
+    /// The poller or the socket refuses.
+    pub(super) fn add(
+        &mut self,
+        poll: &Poll,
+        stream: UnixStream,
+        role: PeerRole,
+        input: Vec<u8>,
+    ) -> io::Result<usize> {
+        stream.set_nonblocking(true)?;
+        self.last_id = self.last_id.wrapping_add(1);
+        let id = PeerProcessId(self.last_id);
+        poll.add(&stream, poll_key(id), READABLE, Told::Always)?;
+        self.peers.push(PeerProcess {
+            stream,
+            id,
+            role,
+            features: PeerFeatures::default(),
+            cooldown_until_us: None,
+            input,
+            output: Vec::new(),
+        });
+        Ok(self.peers.len() - 1)
+    }
+
+    pub(super) fn remove(&mut self, poll: &Poll, at: usize) -> PeerProcess {
+        let peer = self.peers.remove(at);
+        poll.remove(&peer.stream);
+        peer
+    }
+
+    pub(super) fn len(&self) -> usize {
+        self.peers.len()
+    }
+
+    pub(super) fn iter(&self) -> impl Iterator<Item = &PeerProcess> {
+        self.peers.iter()
+    }
+
+    pub(super) fn peer_mut(&mut self, at: usize) -> &mut PeerProcess {
+        &mut self.peers[at]
+    }
+
+    /// The place of the peer with this key in the poller.
+    pub(super) fn position_of_key(&self, key: u64) -> Option<usize> {
+        self.peers.iter().position(|peer| peer.poll_key() == key)
+    }
+
+    pub(super) fn position_of(&self, id: PeerProcessId) -> Option<usize> {
+        self.peers.iter().position(|peer| peer.id == id)
+    }
+
+    /// Writes what is queued for a peer, as far as that goes now.
+    ///
+    /// # Errors
+    /// The connection is broken.
+    pub(super) fn flush(&mut self, poll: &Poll, at: usize) -> io::Result<()> {
+        self.peers[at].flush(poll)
+    }
+
+    /// Whether no other process of this gateway is known.
+    pub fn is_empty(&self) -> bool {
+        self.peers.iter().all(|peer| peer.role == PeerRole::Unidentified)
+    }
+
+    /// Whether a successor accepts the clients.
+    pub(super) fn has_successor(&self) -> bool {
+        self.peers.iter().any(|peer| peer.role == PeerRole::Successor)
+    }
+}
--- a/gateway/src/net/shutdown.rs
+++ b/gateway/src/net/shutdown.rs
@@ -66,7 +66,7 @@
         }
         let now_us = self.time.now_us;
         self.shutdown.since_us = Some(now_us);
-        let most = if self.family.is_alone() { LONGEST_DEADLINE_US.0 } else { LONGEST_DEADLINE_US.1 };
+        let most = if self.peer_processes.is_empty() { LONGEST_DEADLINE_US.0 } else { LONGEST_DEADLINE_US.1 };
         let killed_us = TAKING_US + self.shutdown.longest_deadline_us.min(most);
         self.shutdown.answered_us = killed_us.saturating_sub(SPARE_US).max(TAKING_US);
         self.timers.arm(now_us + TAKING_US, Timer::Going);
--- a/gateway/tests/operation.rs
+++ b/gateway/tests/operation.rs
@@ -205,7 +205,7 @@
     let mut client = pg::Client::connect(gateway.pg);
     for round in 0..3 {
         let new = gateway.successor();
-        gateway.logged("takes the clients");
+        gateway.logged("successor accepts clients");
         new.kill();
         let mut back = pg::Client::connect(gateway.pg);
         ask(&mut back, "lookup", 1_000 * (round + 1), 5);
@@ -235,7 +235,7 @@
         std::thread::sleep(Duration::from_millis(1));
     }
     let new = gateway.successor();
-    gateway.logged("a newer process takes the clients");
+    gateway.logged("successor accepts clients");
     pg::Client::cancel(new.pg, client.key);
     match client.answer() {
         pg::Answer::Error(code, _) => assert_eq!(code, "57014", "{} {}", gateway.log(), new.log()),
--- a/gateway/tests/order.rs
+++ b/gateway/tests/order.rs
@@ -279,9 +279,9 @@
     let mut held = pg::Client::connect(old.pg);
     let out = engines.next_start(&id(1));
     let new = old.successor();
-    old.logged("a newer process takes the clients");
+    old.logged("successor accepts clients");
     let mut third = ask(&new, 3, "k1");
-    old.logged("asks for the lease of a key");
+    old.logged("peer process claims the lease of a key");
     held.send(&load(4, "k1"));
     old.logged(&format!("taken ticket=\"{}\"", id(4)));
     // Another key goes out at once, which shows that the new process has had its turns.
@@ -303,9 +303,9 @@
     let _first = ask(&old, 1, "k1");
     let _out = engines.next_start(&id(1));
     let new = old.successor();
-    old.logged("a newer process takes the clients");
+    old.logged("successor accepts clients");
     let mut second = ask(&new, 2, "k1");
-    old.logged("asks for the lease of a key");
+    old.logged("peer process claims the lease of a key");
     let died = Instant::now();
     old.kill();
     let out = engines.next_start(&id(2));
@@ -325,9 +325,9 @@
     let mut first = ask(&old, 1, "k1");
     let out = engines.next_start(&id(1));
     let new = old.successor();
-    old.logged("a newer process takes the clients");
+    old.logged("successor accepts clients");
     let mut second = ask(&new, 2, "k1");
-    old.logged("asks for the lease of a key");
+    old.logged("peer process claims the lease of a key");
     old.terminate();
     old.signal("-HUP");
     out.row();
--- a/gateway/tests/recorded_messages.rs
+++ b/gateway/tests/recorded_messages.rs
@@ -11,9 +11,9 @@
 use wrenhatch::counters::Counters;
 use wrenhatch::discovery::{Endpoint, EndpointListEvent, UnreadableEntry, parse_event, write_stream_request};
 use wrenhatch::event_stream::{EventStream, ServerSentEvent};
-use wrenhatch::handover::{self, Message, MessageError};
 use wrenhatch::metrics::{Ending, Metrics, Now};
 use wrenhatch::ops::{self, Call, No};
+use wrenhatch::process_replacement::{Message, MessageError, PeerFeatures, messages};
 use wrenhatch_configuration::{Digest, Position, Report, Version};
 
 const HANDOVER: &str = include_str!("recorded_messages/handover.txt");
@@ -44,38 +44,38 @@
 fn handover_messages() -> Vec<Message> {
     let since_ms = 1_796_166_000_123;
     vec![
-        Message::Hello { name: "n0".into(), listen: address("127.0.0.1:5432") },
-        Message::Hello { name: "a \"b\"\n\u{e9}".into(), listen: address("[::1]:80") },
-        Message::Known("s-1".into(), 0),
-        Message::Known("s-1".into(), since_ms),
-        Message::Listed(listed("s-1", "127.0.0.2:80", EndpointState::Ready, since_ms)),
-        Message::Listed(listed("s-2", "[fe80::1]:10080", EndpointState::Draining, 0)),
-        Message::Listed(listed("s-3", "127.0.0.1:0", EndpointState::Removed, 0)),
-        Message::Listed(Endpoint {
+        Message::Hello { gateway: "n0".into(), listen_address: address("127.0.0.1:5432") },
+        Message::Hello { gateway: "a \"b\"\n\u{e9}".into(), listen_address: address("[::1]:80") },
+        Message::KnownEngine { name: "s-1".into(), maintenance_end_ms: 0 },
+        Message::KnownEngine { name: "s-1".into(), maintenance_end_ms: since_ms },
+        Message::Endpoint(listed("s-1", "127.0.0.2:80", EndpointState::Ready, since_ms)),
+        Message::Endpoint(listed("s-2", "[fe80::1]:10080", EndpointState::Draining, 0)),
+        Message::Endpoint(listed("s-3", "127.0.0.1:0", EndpointState::Removed, 0)),
+        Message::Endpoint(Endpoint {
             zone: String::new(),
             machine_type: String::new(),
             cell: 1 << 53,
             ..listed("", "0.0.0.0:1", EndpointState::Ready, 1)
         }),
-        Message::Enter("s-1".into()),
-        Message::Exit("s-1".into(), since_ms),
-        Message::End { cancels: true, leases: true },
-        Message::End { cancels: false, leases: false },
-        Message::Cancel { session: 7, secret: u32::MAX },
-        Message::Taking { leases: true },
-        Message::Taking { leases: false },
-        Message::Claim(KeyId(0xfedc_ba98_7654_3210)),
-        Message::Claim(KeyId(0)),
-        Message::Grant(KeyId(u64::MAX)),
-        Message::Grant(KeyId(0x2a)),
-        Message::Settled(0),
-        Message::Settled(2_600),
+        Message::MaintenanceBegan { engine: "s-1".into() },
+        Message::MaintenanceEnded { engine: "s-1".into(), end_ms: since_ms },
+        Message::EndOfState(PeerFeatures { cancel_requests: true, key_leases: true }),
+        Message::EndOfState(PeerFeatures { cancel_requests: false, key_leases: false }),
+        Message::CancelRequest { session: 7, secret: u32::MAX },
+        Message::AcceptingClients { key_leases: true },
+        Message::AcceptingClients { key_leases: false },
+        Message::ClaimLease(KeyId(0xfedc_ba98_7654_3210)),
+        Message::ClaimLease(KeyId(0)),
+        Message::GrantLease(KeyId(u64::MAX)),
+        Message::GrantLease(KeyId(0x2a)),
+        Message::Exiting { cooldown_ms: 0 },
+        Message::Exiting { cooldown_ms: 2_600 },
     ]
 }
 
 fn read_handover(line: &str) -> Result<Option<Message>, MessageError> {
     let mut input = format!("{line}\n").into_bytes();
-    let message = handover::next(&mut input);
+    let message = messages::read_next(&mut input);
     assert!(message.is_err() || input.is_empty(), "{line}");
     message
 }
@@ -106,14 +106,14 @@
 
 #[test]
 fn earlier_and_other_handover_messages_are_read_as_before() {
-    let end = |cancels| Message::End { cancels, leases: false };
+    let end = |cancels| Message::EndOfState(PeerFeatures { cancel_requests: cancels, key_leases: false });
     assert_eq!(read_handover("{\"end\":true}"), Ok(Some(end(false))));
     assert_eq!(read_handover("{\"end\":true,\"cancels\":true}"), Ok(Some(end(true))));
-    assert_eq!(read_handover("{\"taking\":true}"), Ok(Some(Message::Taking { leases: false })));
+    assert_eq!(read_handover("{\"taking\":true}"), Ok(Some(Message::AcceptingClients { key_leases: false })));
     let later = "{\"enter\":\"s-1\",\"why\":{\"more\":[1]}}";
-    assert_eq!(read_handover(later), Ok(Some(Message::Enter("s-1".into()))));
+    assert_eq!(read_handover(later), Ok(Some(Message::MaintenanceBegan { engine: "s-1".into() })));
     let hello = "{\"hello\":\"n0\",\"listen\":\"127.0.0.1:1\",\"form\":2}";
-    assert_eq!(read_handover(hello), Err(MessageError::Form(2)));
+    assert_eq!(read_handover(hello), Err(MessageError::UnsupportedVersion(2)));
     for foreign in [
         "{}",
         "x",
@@ -122,7 +122,7 @@
         "{\"settled\":true}",
         "{\"hello\":\"n0\",\"form\":1}",
     ] {
-        assert_eq!(read_handover(foreign), Err(MessageError::Foreign), "{foreign}");
+        assert_eq!(read_handover(foreign), Err(MessageError::Malformed), "{foreign}");
     }
 }
 
