--- a/lab/src/classes.rs
+++ b/lab/src/classes.rs
@@ -73,7 +73,7 @@
     for line in log.lines() {
         let line = line?;
         let Some(now) = at(&line) else { continue };
-        if line.contains("held in vain") {
+        if line.contains("queued request shed") {
             let class = field(&line, "class").and_then(|c| c.parse().ok());
             if let (Some(class), Some(guard)) = (class, field(&line, "why")) {
                 let count = seconds.entry((class, now as u64)).or_default();
@@ -152,7 +152,7 @@
         gateway.iter().for_each(|(key, count)| all.entry(*key).or_default().add(count));
     }
     println!(
-        "class, second      taken  served refused  failed attempts given up  held s  took s  held in vain by guard"
+        "class, second      taken  served refused  failed attempts given up  held s  took s  shed by guard"
     );
     for ((class, second), count) in all.iter().filter(|_| !options.sums) {
         print(&format!("{class}, {second}"), count);
@@ -186,7 +186,7 @@
 0.207 DEBUG wrenhatch::net::engines: ended ticket="a1" number=0 engine=1 now_us=194537 outcome=Success
 0.254 DEBUG wrenhatch::net::clients: answered ticket="a1" now_us=194537 how="served"
 0.300 DEBUG wrenhatch::net::clients: taken ticket="b2" request=2 class=1 wait_us=13921000 now_us=300000
-1.400 DEBUG workload_manager::policy::explain: held in vain request=2 class=1 why=threads open=0 threads=80 held=1.10
+1.400 DEBUG workload_manager::decisions::explain: queued request shed request=2 class=1 why=concurrency_limit open=0 concurrency_limit=80 queued_seconds=1.10
 1.400 DEBUG wrenhatch::net::clients: answered ticket="b2" now_us=1400000 how="refused"
 1.500 DEBUG wrenhatch::net::clients: taken ticket="c3" request=3 class=1 wait_us=13921000 now_us=1500000
 1.500 DEBUG wrenhatch::net::engines: sent ticket="c3" number=0 engine=1 class=1 now_us=1500000
@@ -203,7 +203,7 @@
         assert_eq!(seconds[&(1, 0)].taken, 1);
         let second = &seconds[&(1, 1)];
         assert_eq!((second.taken, second.refused, second.attempts, second.given_up), (1, 1, 2, 1));
-        assert_eq!(second.guards, BTreeMap::from([("threads".to_owned(), 1)]));
+        assert_eq!(second.guards, BTreeMap::from([("concurrency_limit".to_owned(), 1)]));
         assert_eq!((second.sent, sums(&seconds)[&1].taken), (1, 2));
     }
 }
--- /dev/null
+++ b/src/decisions/fleet.rs
@@ -0,0 +1,89 @@
+//! Sums over all engines: what they have for this gateway, and what it uses.
+
+use crate::interface::*;
+
+use super::WorkloadManager;
+use super::engine::Engine;
+use super::slow_start::usable_memory_ratio;
+
+/// Sums over engines. Capacity counts engines that may be sent to, each by its warmth.
+#[derive(Default)]
+pub(super) struct Fleet {
+    /// Cores of the engines.
+    pub(super) cores: f64,
+    /// This gateway's share of their memory.
+    pub(super) memory_mb: f64,
+    /// Threads of this gateway's attempts in flight: all, and those of background work.
+    pub(super) threads: f64,
+    pub(super) background_threads: f64,
+    /// Memory that its attempts in flight need by their estimates.
+    pub(super) needed_memory_mb: f64,
+    /// Mean relative latency of the engines.
+    pub(super) mean_relative_latency: f64,
+}
+
+impl Fleet {
+    /// Nothing is known of any engine.
+    pub(super) fn new() -> Self {
+        Self { mean_relative_latency: 1.0, ..Self::default() }
+    }
+
+    /// Threads of interactive attempts in flight.
+    pub(super) fn interactive_threads(&self) -> f64 {
+        self.threads - self.background_threads
+    }
+
+    /// Counts an attempt that is sent.
+    pub(super) fn add_attempt(&mut self, threads: u32, needed_memory_mb: f64, interactive: bool) {
+        let threads = f64::from(threads);
+        self.needed_memory_mb += needed_memory_mb;
+        self.threads += threads;
+        if !interactive {
+            self.background_threads += threads;
+        }
+    }
+
+    /// Takes out an attempt that has ended. It is background work if it was that when it was sent.
+    pub(super) fn remove_attempt(&mut self, threads: f64, needed_memory_mb: f64, interactive: bool) {
+        self.needed_memory_mb -= needed_memory_mb;
+        self.threads -= threads;
+        if !interactive {
+            self.background_threads -= threads;
+        }
+    }
+}
+
+impl WorkloadManager {
+    /// Brings sums and the active subset up to date, and forgets engines that have left with no attempt in
+    /// flight. Called at each change of the endpoint list and once a control tick.
+    pub(super) fn update_fleet(&mut self, now: f64) {
+        self.engines.retain(|_, engine| engine.entry.state != EndpointState::Removed || engine.threads > 0.0);
+        let latencies: f64 = self.engines.values().map(|engine| engine.relative_latency.ratio(now)).sum();
+        self.fleet.mean_relative_latency =
+            if self.engines.is_empty() { 1.0 } else { latencies / self.engines.len() as f64 };
+        self.update_capacity(now);
+        self.update_active_subset(now);
+    }
+
+    fn update_capacity(&mut self, now: f64) {
+        let rules = &self.settings.rules;
+        let gateways = f64::from(self.settings.gateways);
+        let mean_relative_latency = self.fleet.mean_relative_latency;
+        // A slow engine counts for as much less of its limit.
+        let limit = |engine: &Engine| {
+            let slowness = (engine.relative_latency.ratio(now) / mean_relative_latency).max(1.0);
+            engine.limit.threads * engine.warmth_ratio(now, rules) / slowness
+        };
+        let cores = |engine: &Engine| engine.cores() * engine.warmth_ratio(now, rules);
+        let memory = |engine: &Engine| {
+            engine.memory_mb * usable_memory_ratio(engine.warmth_ratio(now, rules), rules) / gateways
+        };
+        self.tokens.rate_threads = self.sum_available(now, limit);
+        self.fleet.cores = self.sum_available(now, cores);
+        self.fleet.memory_mb = self.sum_available(now, memory);
+    }
+
+    fn sum_available(&self, now: f64, figure: impl Fn(&Engine) -> f64) -> f64 {
+        self.engines.values().filter(|engine| engine.is_available(now)).map(figure).sum()
+    }
+}
--- /dev/null
+++ b/src/decisions/outcome.rs
@@ -0,0 +1,91 @@
+//! What the end of an attempt tells: of its engine, of its class, and of the latency that the limits go by.
+
+use crate::interface::*;
+
+use super::WorkloadManager;
+use super::class_profile::ClassProfile;
+use super::engine::Engine;
+use super::interactive_latency::InteractiveLatency;
+use super::supervision::{Attempt, AttemptId};
+
+/// How an attempt ended, as [`Event::AttemptEnded`] has it.
+pub(super) struct AttemptEnd {
+    pub(super) id: AttemptId,
+    pub(super) engine: EngineId,
+    pub(super) outcome: Outcome,
+    pub(super) elapsed_seconds: f64,
+    pub(super) request_settled: bool,
+    pub(super) may_still_run_for_seconds: f64,
+    pub(super) cost: Option<QueryCost>,
+    pub(super) load_report: Option<LoadReport>,
+}
+
+impl WorkloadManager {
+    /// Takes the attempt out of all sums and learns from its outcome.
+    pub(super) fn record_outcome(&mut self, now: f64, attempt: &Attempt, end: &AttemptEnd) {
+        let class = attempt.request.class;
+        let threads = f64::from(self.settings.classes[class.0].threads);
+        if end.outcome == Outcome::Success {
+            let work = end.cost.map_or(attempt.request.estimated_work.unwrap_or(0.0), |cost| cost.work);
+            self.on_time_for_work(now, attempt.engine, class, end.elapsed_seconds * threads / work);
+        }
+        let terms = self.controller_terms();
+        let Some(engine) = self.engines.get_mut(&attempt.engine) else { return };
+        let memory_mb = attempt.request.estimated_memory_mb.unwrap_or(0.0);
+        engine.remove_attempt(threads, memory_mb, attempt.interactive);
+        self.fleet.remove_attempt(threads, memory_mb, attempt.interactive);
+        if !attempt.interactive {
+            self.tokens.charge_excess(threads * (end.elapsed_seconds - attempt.charged_seconds));
+        }
+        let profile = &mut self.profiles[class.0];
+        record_latency(now, engine, &mut self.latency, profile, attempt, end);
+        if end.outcome == Outcome::Success {
+            if !attempt.stalled {
+                engine.stalled.record(now, false);
+            }
+            profile.record_success(end.elapsed_seconds, end.cost);
+        }
+        engine.health.attempt_ended(now, attempt.health_epoch, end.outcome);
+        if end.outcome == Outcome::Rejected {
+            engine.record_rejecting(now);
+        }
+        let utilization = self.load.utilization(engine, now);
+        engine.limit.close_interval_if_over(now, &self.latency, &self.load, utilization, &terms);
+    }
+
+    /// Closes the control intervals that are over.
+    pub(super) fn close_control_intervals(&mut self, now: f64) {
+        let terms = self.controller_terms();
+        for engine in self.engines.values_mut() {
+            let utilization = self.load.utilization(engine, now);
+            engine.limit.close_interval_if_over(now, &self.latency, &self.load, utilization, &terms);
+        }
+    }
+}
+
+/// Counts the attempt's latency. One that was given up counts as one that took so long: else only the lucky
+/// are seen. One that stalled does not show how full its engine is.
+fn record_latency(
+    now: f64,
+    engine: &mut Engine,
+    interactive_latency: &mut InteractiveLatency,
+    profile: &ClassProfile,
+    attempt: &Attempt,
+    end: &AttemptEnd,
+) {
+    let cut_short = match end.outcome {
+        Outcome::Success => false,
+        Outcome::TimedOut | Outcome::Cancelled => true,
+        _ => return,
+    };
+    if attempt.stalled {
+        return;
+    }
+    engine.relative_latency.record(now, end.elapsed_seconds, profile.latency_seconds, cut_short);
+    if attempt.interactive {
+        let least = if cut_short { interactive_latency.mean_seconds } else { 0.0 };
+        let latency = end.elapsed_seconds.max(least);
+        engine.limit.record_completion(latency);
+        interactive_latency.record(now, latency);
+    }
+}
--- /dev/null
+++ b/src/decisions/request_path.rs
@@ -0,0 +1,226 @@
+//! The way of a request through the decisions, from top to bottom: it arrives and is queued; it is
+//! released, which asks for admission and selects an engine; it is forwarded; its attempt ends; it is
+//! answered or queued again.
+
+use std::collections::BTreeMap;
+
+use crate::interface::*;
+
+use super::WorkloadManager;
+use super::admission::{Admission, Guard, Needs};
+use super::outcome::AttemptEnd;
+use super::outlier::CONFIRMED_ERROR_FAULTS;
+use super::release::Release;
+use super::supervision::{Attempt, AttemptId};
+
+/// Attempts are expected to take this part of their class's usual latency at least, however small.
+const MIN_EXPECTED_RATIO: f64 = 0.5;
+/// Priorities of attempts, from 0 to 3.
+const INTERACTIVE_PRIORITY: u8 = 3;
+const BACKGROUND_PRIORITY: u8 = 1;
+
+/// An attempt that may have run.
+#[derive(Clone, Copy)]
+pub(super) struct EarlierAttempt {
+    pub(super) engine: EngineId,
+    pub(super) sent_at: f64,
+}
+
+/// A request without its final answer.
+pub(super) struct PendingRequest {
+    pub(super) request: Request,
+    pub(super) arrived_at: f64,
+    /// Its key in the queue: its number in order of arrival.
+    pub(super) queue_place: u64,
+    /// Its estimated work, in times its class's mean.
+    pub(super) relative_size: f64,
+    /// Attempts sent so far.
+    pub(super) attempts: u32,
+    /// Whether an attempt was cancelled for being slow.
+    pub(super) cancelled_as_slow: bool,
+    /// The engine that last answered it with an error.
+    pub(super) erred_at: Option<EngineId>,
+    /// The first attempt that may have run.
+    pub(super) may_have_run: Option<EarlierAttempt>,
+}
+
+impl PendingRequest {
+    /// Its estimated memory; 0 if there is no estimate.
+    pub(super) fn needed_memory_mb(&self) -> f64 {
+        self.request.estimated_memory_mb.unwrap_or(0.0)
+    }
+}
+
+impl WorkloadManager {
+    /// Queues a new request.
+    pub(super) fn on_request_arrived(&mut self, now: f64, request: &Request, actions: &mut Vec<Action>) {
+        self.arrivals += 1;
+        self.retry_history.record_request(now);
+        self.key_queues.enqueue(request);
+        // Its end is planned at once, whatever becomes of attempts, the endpoint list and other timers.
+        let delay = (request.deadline - self.settings.clock_resolution - now).max(0.0);
+        let token = super::deadline_token(request.id);
+        actions.push(Action::SetTimer { delay, token, request: Some(request.id) });
+        let pending = PendingRequest {
+            request: request.clone(),
+            arrived_at: now,
+            queue_place: self.arrivals,
+            relative_size: self.profiles[request.class.0].record_estimate(request.estimated_work),
+            attempts: 0,
+            cancelled_as_slow: false,
+            erred_at: None,
+            may_have_run: None,
+        };
+        self.queue.insert(pending.queue_place, request.id);
+        self.requests.insert(request.id, pending);
+    }
+
+    /// Forwards what may leave the queue, oldest first. A request that finds no engine holds up only those
+    /// of its class that need as much memory.
+    pub(super) fn release_queued(&mut self, now: f64, actions: &mut Vec<Action>) {
+        let mut release = Release::new(self.profiles.len());
+        let has_turn = |id: &RequestId| self.key_queues.has_turn(&self.requests[id].request, now);
+        let queued: Vec<RequestId> = self.queue.values().copied().filter(has_turn).collect();
+        for id in queued {
+            let pending = &self.requests[&id];
+            let needs = self.needs(pending);
+            // An earlier request of its key may have left in this very round.
+            if release.is_blocked(&needs) || !self.key_queues.has_turn(&pending.request, now) {
+                continue;
+            }
+            if let Some(engine) = self.admit(&mut release, id, &needs, now) {
+                self.forward(now, id, engine, actions);
+                release.forget_admitting();
+            }
+        }
+    }
+
+    /// The engine that a request may go to now: of the active subset, else of the others.
+    fn admit(&mut self, release: &mut Release, id: RequestId, needs: &Needs, now: f64) -> Option<EngineId> {
+        let (mut selected, mut least_blocked_mb) = (None, 0.0_f64);
+        for active in [true, false] {
+            let search = || Admission::new(self, *needs, now).admitting_engines(active);
+            let admitting = release.admitting(needs, active, search);
+            let any_admits = !admitting.is_empty();
+            let mut candidates = admitting.to_vec();
+            let admission = Admission::new(self, *needs, now);
+            candidates.retain(|engine| admission.passes(Guard::Memory, &self.engines[engine]));
+            if any_admits {
+                let blocked_mb = if candidates.is_empty() { needs.memory_mb } else { f64::INFINITY };
+                least_blocked_mb = least_blocked_mb.max(blocked_mb);
+            }
+            selected = self.select_engine(id, &candidates, now);
+            if selected.is_some() {
+                break;
+            }
+        }
+        release.block(needs, least_blocked_mb);
+        selected
+    }
+
+    /// Sends the next attempt of a request to an engine. Nothing is sent anywhere else.
+    fn forward(&mut self, now: f64, id: RequestId, engine_id: EngineId, actions: &mut Vec<Action>) {
+        let (Some(pending), Some(engine)) = (self.requests.get_mut(&id), self.engines.get_mut(&engine_id))
+        else {
+            return;
+        };
+        let class = &self.settings.classes[pending.request.class.0];
+        let profile = &self.profiles[pending.request.class.0];
+        let usual = profile.latency_seconds;
+        let warmth = engine.warmth_ratio(now, &self.settings.rules);
+        let attempt = Attempt {
+            request: pending.request.clone(),
+            interactive: profile.interactive,
+            engine: engine_id,
+            sent_at: now,
+            reported_at: now,
+            progressed_at: now,
+            stalled: false,
+            health_epoch: engine.health.epoch(),
+            expected_seconds: usual * pending.relative_size.max(MIN_EXPECTED_RATIO) / warmth,
+            charged_seconds: usual * pending.relative_size,
+        };
+        self.queue.remove(&pending.queue_place);
+        if pending.attempts > 0 {
+            self.retry_history.record_retry(now);
+        }
+        let number = pending.attempts;
+        pending.attempts += 1;
+        self.key_queues.attempt_started(&pending.request);
+        engine.record_slow_start_work(now, profile, class, &self.settings.rules);
+        if self.settings.capabilities.priorities {
+            let priority = if profile.interactive { INTERACTIVE_PRIORITY } else { BACKGROUND_PRIORITY };
+            actions.push(Action::SetAttemptTerms { request: id, memory_mb: 0.0, priority });
+        }
+        let thread_seconds = f64::from(class.threads) * usual * pending.relative_size;
+        let needed_memory_mb = pending.needed_memory_mb();
+        engine.add_attempt(class.threads, needed_memory_mb, profile);
+        self.fleet.add_attempt(class.threads, needed_memory_mb, profile.interactive);
+        if !profile.interactive {
+            self.tokens.charge_expected(thread_seconds);
+        }
+        self.attempts.insert(AttemptId { request: id, number }, attempt);
+        actions.push(Action::Forward { request: id, engine: engine_id, timeout: None });
+        self.retry_history.forget_old(now, self.settings.rules.retry_budget.as_ref());
+    }
+
+    /// Takes the end of an attempt: its request is settled, fails, is queued for a retry, or is given up.
+    pub(super) fn on_attempt_ended(&mut self, now: f64, end: &AttemptEnd, actions: &mut Vec<Action>) {
+        self.on_load_report(now, end.engine, end.load_report.as_ref());
+        let Some(attempt) = self.attempts.remove(&end.id) else { return };
+        let id = end.id.request;
+        let may_still_run = end.outcome.may_still_run();
+        let cooldown_until = self.cooldown_end(now, end.may_still_run_for_seconds);
+        self.key_queues.attempt_ended(&attempt.request, may_still_run.then_some(cooldown_until));
+        self.record_outcome(now, &attempt, end);
+        let erred_elsewhere =
+            self.requests.get_mut(&id).and_then(|pending| pending.erred_elsewhere(end.engine, end.outcome));
+        if erred_elsewhere.is_some() && end.outcome == Outcome::Error && !end.request_settled {
+            actions.push(Action::Fail(id));
+            return self.forget_request(id, actions);
+        }
+        if let Some(engine) = erred_elsewhere.and_then(|engine| self.engines.get_mut(&engine)) {
+            engine.health.record_fault(now, CONFIRMED_ERROR_FAULTS);
+        }
+        if end.request_settled {
+            return self.forget_request(id, actions);
+        }
+        self.queue_again(now, &attempt, end.outcome, actions);
+    }
+
+    /// Queues a request in its old place for a retry, or gives it up where none may follow.
+    fn queue_again(&mut self, now: f64, attempt: &Attempt, outcome: Outcome, actions: &mut Vec<Action>) {
+        let id = attempt.request.id;
+        let Some(pending) = self.requests.get_mut(&id) else { return };
+        if outcome.may_still_run() || outcome == Outcome::Error {
+            let this = EarlierAttempt { engine: attempt.engine, sent_at: attempt.sent_at };
+            pending.may_have_run.get_or_insert(this);
+        }
+        self.queue.insert(pending.queue_place, id);
+        if !self.another_attempt_may_follow(&self.requests[&id], now) {
+            self.give_up(id, false, actions);
+        }
+    }
+
+    /// Until when a key cools down behind an attempt that may still run for so many seconds.
+    pub(super) fn cooldown_end(&self, now: f64, may_still_run_for_seconds: f64) -> f64 {
+        now + may_still_run_for_seconds + self.settings.rules.key_cooldown
+    }
+
+    /// Ends a request that is answered or needs no answer. Attempts still in flight are cancelled where
+    /// that is permitted; they stay counted until their own end.
+    pub(super) fn forget_request(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        if self.settings.capabilities.cancels_attempts {
+            let all = AttemptId { request: id, number: 0 }..=AttemptId { request: id, number: u32::MAX };
+            let cancel = |id: &AttemptId| Action::CancelAttempt { request: id.request, attempt: id.number };
+            actions.extend(self.attempts.range(all).map(|(id, _)| cancel(id)));
+        }
+        if let Some(pending) = self.requests.remove(&id) {
+            self.queue.remove(&pending.queue_place);
+            self.key_queues.remove(&pending.request);
+        }
+    }
+}
+
+/// Requests that wait for an engine, by their place in order of arrival.
+pub(super) type Queue = BTreeMap<u64, RequestId>;
--- /dev/null
+++ b/src/decisions/retry.rs
@@ -0,0 +1,93 @@
+//! Retries: whether another attempt of a request may follow, where, and within which budget.
+
+use std::collections::VecDeque;
+
+use crate::interface::*;
+
+use super::WorkloadManager;
+use super::request_path::PendingRequest;
+
+/// Windows of the retry budget for which requests and retries are remembered.
+const REMEMBERED_WINDOWS: f64 = 2.0;
+
+/// When requests arrived and retries were sent, for the retry budget. Times are seconds, oldest first.
+#[derive(Default)]
+pub(super) struct RetryHistory {
+    requests: VecDeque<f64>,
+    retries: VecDeque<f64>,
+}
+
+impl RetryHistory {
+    pub(super) fn record_request(&mut self, now: f64) {
+        self.requests.push_back(now);
+    }
+
+    pub(super) fn record_retry(&mut self, now: f64) {
+        self.retries.push_back(now);
+    }
+
+    /// Whether the budget allows a retry now. A retry at the very edge of the window still counts.
+    fn allows_retry(&self, now: f64, budget: &RetryBudget, clock_resolution: f64) -> bool {
+        let since = |times: &VecDeque<f64>, from: f64| times.iter().filter(|at| **at > from).count() as f64;
+        let window_start = now - budget.window;
+        since(&self.retries, window_start - clock_resolution) + 1.0
+            <= budget.min_retries + budget.retry_ratio * since(&self.requests, window_start)
+    }
+
+    /// Forgets what no budget counts any more.
+    pub(super) fn forget_old(&mut self, now: f64, budget: Option<&RetryBudget>) {
+        let kept_from = now - REMEMBERED_WINDOWS * budget.map_or(0.0, |budget| budget.window);
+        for times in [&mut self.requests, &mut self.retries] {
+            times.drain(..times.partition_point(|at| *at < kept_from));
+        }
+    }
+}
+
+impl WorkloadManager {
+    /// Whether another attempt of the request may follow, by number, effect, earlier attempts and time left.
+    pub(super) fn another_attempt_may_follow(&self, pending: &PendingRequest, now: f64) -> bool {
+        let most = self.settings.capabilities.max_attempts;
+        let idempotency = self.settings.classes[pending.request.class.0].idempotency;
+        let repeatable = match (idempotency, pending.may_have_run) {
+            (_, None) | (Idempotency::Idempotent, _) => true,
+            (Idempotency::NotIdempotent, Some(_)) => false,
+            (Idempotency::Keyed { window, .. }, Some(first)) => {
+                now < first.sent_at + window - self.settings.clock_resolution
+            }
+        };
+        let in_time = now + self.least_latency_seconds(pending) <= pending.request.deadline;
+        repeatable && in_time && (most == 0 || pending.attempts < most)
+    }
+
+    /// Whether the next attempt may go to this engine, by the rules that bind every attempt: the engine's
+    /// state, the effect of a repeat, and number and budget of attempts.
+    pub(super) fn attempt_may_go_to(&self, pending: &PendingRequest, engine: EngineId, now: f64) -> bool {
+        let entry = &self.engines[&engine].entry;
+        entry.state == EndpointState::Ready
+            && self.another_attempt_may_follow(pending, now)
+            && self.drops_repeats(pending, entry)
+            && (pending.attempts == 0 || self.retry_budget_allows(now))
+    }
+
+    /// Whether the engine would drop a repeat of an attempt that may have run, where the class relies on
+    /// that.
+    fn drops_repeats(&self, pending: &PendingRequest, entry: &EndpointEntry) -> bool {
+        let Some(first) = pending.may_have_run else { return true };
+        let first = self.engines.get(&first.engine).map(|engine| &engine.entry);
+        match self.settings.classes[pending.request.class.0].idempotency {
+            Idempotency::Keyed { scope: IdempotencyScope::Zone, .. } => {
+                first.is_some_and(|first| entry.zone == first.zone)
+            }
+            Idempotency::Keyed { scope: IdempotencyScope::Cell, .. } => {
+                first.is_some_and(|first| entry.cell == first.cell)
+            }
+            _ => true,
+        }
+    }
+
+    fn retry_budget_allows(&self, now: f64) -> bool {
+        let resolution = self.settings.clock_resolution;
+        let allows = |budget| self.retry_history.allows_retry(now, &budget, resolution);
+        self.settings.rules.retry_budget.is_none_or(allows)
+    }
+}
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,6 +1,6 @@
 #![doc = include_str!("../README.md")]
 
+mod decisions;
 pub mod interface;
-mod policy;
 
-pub use policy::WorkloadManager;
+pub use decisions::WorkloadManager;
