--- a/gateway/src/lib.rs
+++ b/gateway/src/lib.rs
@@ -12,7 +12,6 @@
 pub mod front;
 pub mod handover;
 pub mod json;
-pub mod key_leases;
 pub mod metrics;
 pub mod mysql;
 pub mod net;
