--- a/gateway/src/admission.rs
+++ b/gateway/src/admission.rs
@@ -10,7 +10,7 @@
 //! There is no I/O and no state here: the event loop gathers the [`AdmissionInput`] and carries out the verdict.
 
 use workload_manager::interface::{ClassId, TenantId};
-use wrenhatch_sessions::memory_budget::NoMemory;
+use wrenhatch_sessions::memory_budget::InsufficientMemory;
 use wrenhatch_sessions::read_scheduler::ReadScheduler;
 
 use crate::config::Names;
@@ -82,7 +82,7 @@
     /// Requests that may be open.
     pub max_open_requests: usize,
     /// Whether the memory budget has the bytes of the request.
-    pub memory: Result<(), NoMemory>,
+    pub memory: Result<(), InsufficientMemory>,
 }
 
 impl AdmissionInput {
@@ -114,7 +114,9 @@
             Guard::ShuttingDown => input.shutting_down,
             Guard::TooManyOpenRequests => input.open_requests >= input.max_open_requests,
             Guard::MemoryShort => input.memory.is_err(),
-            Guard::TooLate => !ReadScheduler::in_time(input.now_us, input.work_ahead_us, input.deadline_us()),
+            Guard::TooLate => {
+                !ReadScheduler::can_meet_deadline(input.now_us, input.work_ahead_us, input.deadline_us())
+            }
         }
     }
 
--- a/gateway/src/admission/tests.rs
+++ b/gateway/src/admission/tests.rs
@@ -87,7 +87,7 @@
 
 #[test]
 fn short_memory_rejects_with_a_retry_after_whichever_bound_is_reached() {
-    for bound in [NoMemory::Whole, NoMemory::Share] {
+    for bound in [InsufficientMemory::Budget, InsufficientMemory::Purpose] {
         let rejected = rejection(AdmissionInput { memory: Err(bound), ..admissible() });
         assert_eq!(rejected.guards().collect::<Vec<_>>(), [Guard::MemoryShort]);
         assert!(rejected.sends_retry_after());
@@ -116,7 +116,7 @@
         work_ahead_us: 2_000_000,
         shutting_down: true,
         open_requests: 11,
-        memory: Err(NoMemory::Whole),
+        memory: Err(InsufficientMemory::Budget),
         ..admissible()
     };
     assert_eq!(guards(worst), Guard::ALL);
--- a/gateway/src/config.rs
+++ b/gateway/src/config.rs
@@ -308,15 +308,15 @@
 
 impl Default for Clients {
     fn default() -> Self {
-        let limits = wrenhatch_sessions::read_scheduler::Limits::default();
+        let limits = wrenhatch_sessions::read_scheduler::ReadLimits::default();
         Self {
             most: None,
             idle_limit_us: None,
             backlog: 1024,
             keepalive: None,
             turn_us: limits.turn_us,
-            messages: limits.messages,
-            bytes: limits.bytes,
+            messages: limits.messages_per_turn,
+            bytes: limits.bytes_per_turn,
         }
     }
 }
--- a/gateway/src/net/clients.rs
+++ b/gateway/src/net/clients.rs
@@ -3,9 +3,9 @@
 use std::net::{SocketAddr, TcpStream};
 
 use workload_manager::interface::*;
-use wrenhatch_sessions::memory_budget::{Kind, Pressure};
-use wrenhatch_sessions::read_scheduler::{Pick, Work};
-use wrenhatch_sessions::session_table::{Ended, Handle, Use};
+use wrenhatch_sessions::memory_budget::{MemoryPressure, MemoryPurpose};
+use wrenhatch_sessions::read_scheduler::{ScheduledRead, Work};
+use wrenhatch_sessions::session_table::{Activity, Handle, RemovedSession};
 
 use super::conn::{Conn, MOST_UNSENT, Phase, ReadEnd};
 use super::listeners::{self, Front};
@@ -33,7 +33,7 @@
         let now_us = self.time.now_us;
         let mut is_away = false;
         let full = self.sessions.is_full();
-        let short = self.sessions.ledger.allows(Kind::Sessions, Sessions::bytes_of_one()).is_err();
+        let short = self.sessions.memory.check(MemoryPurpose::Sessions, Sessions::bytes_of_one()).is_err();
         if full || short {
             match self.make_room() {
                 true => {}
@@ -50,7 +50,7 @@
                 let who = self.sessions.insert(conn, front, from, &self.config, now_us);
                 self.counters.clients += 1;
                 if is_away {
-                    if let Some(live) = self.sessions.table.hot_mut(who) {
+                    if let Some(live) = self.sessions.table.active_mut(who) {
                         live.session.turn_away(&mut live.conn.output);
                     }
                     self.counters.turned_away += 1;
@@ -69,7 +69,7 @@
             self.sessions.touch(who);
         }
         if interest.read {
-            if self.sessions.table.hot(who).is_some_and(|live| live.conn.is_cut_off()) {
+            if self.sessions.table.active(who).is_some_and(|live| live.conn.is_cut_off()) {
                 return self.client_lost(who);
             }
             self.sessions.queue(who, self.time.now_us);
@@ -78,8 +78,8 @@
 
     /// Reads those whose turn it is.
     pub(super) fn read_sessions(&mut self) {
-        while let Some(pick) = self.sessions.governor.pick(self.time.now_us) {
-            if self.sessions.table.unmark(pick.who) {
+        while let Some(pick) = self.sessions.scheduler.next_read(self.time.now_us) {
+            if self.sessions.table.clear_queued(pick.handle) {
                 self.visit(pick);
             }
         }
@@ -87,8 +87,8 @@
 
     /// Reads a session now, whether or not its turn has come.
     pub(super) fn read_now(&mut self, who: Handle) {
-        self.sessions.table.unmark(who);
-        self.visit(Pick { who, ready_us: self.time.now_us, early: false });
+        self.sessions.table.clear_queued(who);
+        self.visit(ScheduledRead { handle: who, ready_us: self.time.now_us, read_ahead: false });
     }
 
     /// Closes whoever has the least use for its place, so that another may have it; false if nobody yields.
@@ -106,13 +106,16 @@
     /// Whether a session that is to be closed has nothing to say: looks once more for what has come over it. A
     /// request that crosses the close would be taken and dropped, and a close over unread bytes resets the connection.
     fn is_silent(&mut self, who: Handle) -> bool {
-        let idle =
-            |s: &Sessions| s.table.used(who).is_some_and(|(u, _)| matches!(u, Use::Idle | Use::Keeping));
+        let idle = |s: &Sessions| {
+            s.table
+                .activity(who)
+                .is_some_and(|(u, _)| matches!(u, Activity::Idle | Activity::IdleWithStatements))
+        };
         if idle(&self.sessions) {
             self.read_now(who);
-            if let Some(live) = self.sessions.table.hot(who) {
-                if live.used() != Use::Idle && live.used() != Use::Keeping {
-                    self.sessions.table.set_use(who, live.used(), self.time.now_us);
+            if let Some(live) = self.sessions.table.active(who) {
+                if live.used() != Activity::Idle && live.used() != Activity::IdleWithStatements {
+                    self.sessions.table.set_activity(who, live.used(), self.time.now_us);
                     return false;
                 }
             }
@@ -129,27 +132,27 @@
         silent
     }
 
-    fn visit(&mut self, pick: Pick) {
-        let who = pick.who;
+    fn visit(&mut self, pick: ScheduledRead) {
+        let who = pick.handle;
         if !self.sessions.wake(who, &self.config, self.time.now_us) {
             return;
         }
-        let most = self.sessions.governor.limits().bytes;
-        let Some(live) = self.sessions.table.hot_mut(who) else { return };
-        (live.ready_us, live.early, live.more) = (pick.ready_us, pick.early, false);
+        let most = self.sessions.scheduler.limits().bytes_per_turn;
+        let Some(live) = self.sessions.table.active_mut(who) else { return };
+        (live.ready_us, live.early, live.more) = (pick.ready_us, pick.read_ahead, false);
         let before = live.conn.input.len();
         let end = live.conn.fill(most);
         let read = live.conn.input.len().saturating_sub(before);
         live.more = end == ReadEnd::More;
         let open = live.conn.phase == Phase::Open;
-        self.sessions.governor.charge(Work::Bytes, read);
+        self.sessions.scheduler.charge(Work::Bytes, read);
         if open {
             self.client_messages(who);
         }
         if matches!(end, ReadEnd::Eof | ReadEnd::Broken) {
             return self.client_lost(who);
         }
-        if let Some(live) = self.sessions.table.hot_mut(who) {
+        if let Some(live) = self.sessions.table.active_mut(who) {
             live.early = false;
         }
         self.sessions.touch(who);
@@ -159,7 +162,7 @@
     fn client_moved(&mut self, who: Handle, moved: bool) {
         let now_us = self.time.now_us;
         self.sessions.touch(who);
-        let Some(live) = self.sessions.table.hot_mut(who) else { return };
+        let Some(live) = self.sessions.table.active_mut(who) else { return };
         if live.conn.phase == Phase::Closing {
             return;
         }
@@ -176,13 +179,13 @@
     /// Reads messages until more must come, a request is open, the client has answers to read, or others have
     /// their turn.
     fn client_messages(&mut self, who: Handle) {
-        let mut left = self.sessions.governor.limits().messages;
+        let mut left = self.sessions.scheduler.limits().messages_per_turn;
         let mut moved = false;
         while left > 0 && self.client_message(who) {
             (left, moved) = (left - 1, true);
         }
         if left == 0 {
-            if let Some(live) = self.sessions.table.hot_mut(who) {
+            if let Some(live) = self.sessions.table.active_mut(who) {
                 live.more |= !live.conn.input.is_empty();
             }
         }
@@ -191,7 +194,7 @@
 
     /// Reads one message; whether there was one.
     fn client_message(&mut self, who: Handle) -> bool {
-        let Some(live) = self.sessions.table.hot_mut(who) else { return false };
+        let Some(live) = self.sessions.table.active_mut(who) else { return false };
         let conn = &mut live.conn;
         if conn.phase != Phase::Open || conn.output.len() > MOST_UNSENT {
             return false;
@@ -222,12 +225,12 @@
     fn prepare(&mut self, who: Handle, fields: &Fields) {
         let invalid = admission::subject(&self.names, fields).err();
         // What it takes is told with the rest of its session's when the turn is over; till then it counts twice.
-        let Some(live) = self.sessions.table.hot(who) else { return };
+        let Some(live) = self.sessions.table.active(who) else { return };
         let Session::MySql(session) = &live.session else { return };
-        let room = self.sessions.ledger.allows(Kind::Statements, session.pending_bytes()).is_ok();
+        let room = self.sessions.memory.check(MemoryPurpose::Statements, session.pending_bytes()).is_ok();
         self.counters.invalid += u64::from(invalid.is_some());
         self.counters.no_memory += u64::from(invalid.is_none() && !room);
-        let Some(live) = self.sessions.table.hot_mut(who) else { return };
+        let Some(live) = self.sessions.table.active_mut(who) else { return };
         let out = &mut live.conn.output;
         match (&mut live.session, invalid) {
             (session, Some(invalid)) => session.reject(&invalid.to_string(), out),
@@ -242,7 +245,7 @@
     /// takes too long.
     pub(super) fn close_soon(&mut self, who: Handle) {
         let now_us = self.time.now_us;
-        if let Some(live) = self.sessions.table.hot_mut(who) {
+        if let Some(live) = self.sessions.table.active_mut(who) {
             live.conn.phase = Phase::Closing;
             live.conn.input = Vec::new();
             live.owes_us = Some(now_us);
@@ -254,7 +257,7 @@
     /// and keeps others out no longer; nor does one that takes no more bytes.
     pub(super) fn client_late(&mut self, who: Handle) {
         let now_us = self.time.now_us;
-        let Some(live) = self.sessions.table.hot_mut(who) else { return };
+        let Some(live) = self.sessions.table.active_mut(who) else { return };
         live.timer = None;
         let Some(since_us) = live.owes_us else { return };
         if live.conn.phase == Phase::Closing {
@@ -273,7 +276,7 @@
     /// gets its timer, what it holds is booked, and if it is idle it is parked.
     pub(super) fn settle_session(&mut self, who: Handle) {
         let now_us = self.time.now_us;
-        let Some(live) = self.sessions.table.hot_mut(who) else { return };
+        let Some(live) = self.sessions.table.active_mut(who) else { return };
         live.dirty = false;
         let conn = &mut live.conn;
         let waited = conn.output.len() > MOST_UNSENT;
@@ -286,7 +289,7 @@
             return self.client_messages(who);
         }
         let due_us = live.due_us();
-        self.timers.keep(&mut live.timer, due_us, Timer::Client(who));
+        self.timers.reschedule(&mut live.timer, due_us, Timer::Client(who));
         let (used, since_us) = (live.used(), live.owes_us.unwrap_or(now_us));
         if live.has_more() {
             live.more = false;
@@ -294,10 +297,11 @@
         }
         self.sessions.book(who);
         // One that waits for its turn may have a request to be read.
-        let waits = matches!(used, Use::Idle | Use::Keeping) && self.sessions.table.is_marked(who);
-        let used = if waits { Use::Busy } else { used };
-        self.sessions.table.set_use(who, used, since_us);
-        if matches!(used, Use::Idle | Use::Keeping) {
+        let waits = matches!(used, Activity::Idle | Activity::IdleWithStatements)
+            && self.sessions.table.is_queued(who);
+        let used = if waits { Activity::Busy } else { used };
+        self.sessions.table.set_activity(who, used, since_us);
+        if matches!(used, Activity::Idle | Activity::IdleWithStatements) {
             self.sessions.park(who);
             self.await_idle_limit();
         }
@@ -309,7 +313,8 @@
         if self.sessions.idle_timer.is_some() {
             return;
         }
-        let oldest = [Use::Idle, Use::Keeping].map(|used| self.sessions.table.oldest(used));
+        let oldest =
+            [Activity::Idle, Activity::IdleWithStatements].map(|used| self.sessions.table.oldest(used));
         if let Some(since_us) = oldest.into_iter().flatten().map(|(_, since_us)| since_us).min() {
             self.sessions.idle_timer = Some(self.timers.arm(since_us + limit_us, Timer::IdleLimit));
         }
@@ -319,7 +324,7 @@
     pub(super) fn close_long_idle(&mut self) {
         self.sessions.idle_timer = None;
         let Some(limit_us) = self.config.clients.idle_limit_us else { return };
-        for used in [Use::Idle, Use::Keeping] {
+        for used in [Activity::Idle, Activity::IdleWithStatements] {
             while let Some((who, since_us)) = self.sessions.table.oldest(used) {
                 if self.time.now_us < since_us + limit_us {
                     break;
@@ -327,7 +332,7 @@
                 if self.is_silent(who) {
                     // Nobody waits for its place: it ends when its client has seen that this side does.
                     self.close_soon(who);
-                    self.sessions.table.set_use(who, Use::Told, self.time.now_us);
+                    self.sessions.table.set_activity(who, Activity::Closing, self.time.now_us);
                     self.counters.idle_closed += 1;
                 }
             }
@@ -339,18 +344,26 @@
     /// hold a part of a message, then those that don't read their answers. Open requests are never ended for it.
     pub(super) fn relieve(&mut self) {
         for _ in 0..RELIEVED {
-            let pressure = self.sessions.ledger.pressure();
+            let pressure = self.sessions.memory.pressure();
             let oldest = |used| self.sessions.table.oldest(used).map(|(who, _)| who);
             let goes = match pressure {
-                Pressure::Calm => return,
-                Pressure::Short => oldest(Use::Keeping),
-                Pressure::Scarce => oldest(Use::Keeping).or(oldest(Use::Unfinished)),
-                Pressure::Out => oldest(Use::Keeping).or(oldest(Use::Unfinished)).or(oldest(Use::Unread)),
+                MemoryPressure::Normal => return,
+                MemoryPressure::Elevated => oldest(Activity::IdleWithStatements),
+                MemoryPressure::High => {
+                    oldest(Activity::IdleWithStatements).or(oldest(Activity::IncompleteMessage))
+                }
+                MemoryPressure::Exhausted => oldest(Activity::IdleWithStatements)
+                    .or(oldest(Activity::IncompleteMessage))
+                    .or(oldest(Activity::UnreadOutput)),
             };
             let Some(who) = goes else { return };
             self.counters.no_memory += 1;
-            let unfinished = self.sessions.table.used(who).is_some_and(|(used, _)| used == Use::Unfinished);
-            match self.sessions.table.hot_mut(who) {
+            let unfinished = self
+                .sessions
+                .table
+                .activity(who)
+                .is_some_and(|(used, _)| used == Activity::IncompleteMessage);
+            match self.sessions.table.active_mut(who) {
                 Some(live) if unfinished => {
                     live.session.out_of_memory(&mut live.conn.output);
                     self.close_soon(who);
@@ -367,7 +380,7 @@
         let ClientRequest { mut fields, statement, run } = read;
         let id_in_use = fields.id.as_ref().is_some_and(|id| self.requests.is_under_way(id));
         let query_id = fields.id.take().unwrap_or_else(|| self.sessions.new_query_id());
-        let Some(live) = self.sessions.table.hot_mut(who) else { return };
+        let Some(live) = self.sessions.table.active_mut(who) else { return };
         let Subject { class, tenant } = match admission::validate(&self.names, &fields, id_in_use) {
             Ok(subject) => subject,
             Err(invalid) => {
@@ -383,11 +396,11 @@
             now_us: self.time.now_us,
             ready_us,
             wait_us: admission::wait_us(fields.wait_ms, self.config.settings.classes[class.0].deadline),
-            work_ahead_us: if early { self.sessions.governor.backlog_us() } else { 0 },
+            work_ahead_us: if early { self.sessions.scheduler.backlog_us() } else { 0 },
             shutting_down: self.is_going(),
             open_requests: self.requests.open.len(),
             max_open_requests: self.config.max_open,
-            memory: self.sessions.ledger.allows(Kind::Requests, request.bytes()),
+            memory: self.sessions.memory.check(MemoryPurpose::Requests, request.bytes()),
         };
         match admission::admit(&input) {
             Ok(Admitted { deadline_us }) => {
@@ -404,8 +417,8 @@
             *self.counters.rejected_for(counter) += 1;
         }
         let retry_after = self.config.settings.capabilities.retry_after && rejection.sends_retry_after();
-        let retry_after_ms = retry_after.then(|| self.sessions.governor.come_back_ms(self.time.now_us));
-        if let Some(live) = self.sessions.table.hot_mut(who) {
+        let retry_after_ms = retry_after.then(|| self.sessions.scheduler.retry_after_ms(self.time.now_us));
+        if let Some(live) = self.sessions.table.active_mut(who) {
             live.session.answer(FinalAnswer::Rejected(retry_after_ms), &mut live.conn.output);
         }
     }
@@ -422,14 +435,14 @@
         let now_us = self.time.now_us;
         let who = request.client;
         let id = self.requests.next();
-        let Some(live) = self.sessions.table.hot_mut(who) else { return };
+        let Some(live) = self.sessions.table.active_mut(who) else { return };
         live.opens(id);
         // A session that is owed an answer is never evicted.
-        self.sessions.table.set_use(who, Use::Busy, now_us);
+        self.sessions.table.set_activity(who, Activity::Busy, now_us);
         if let Some(tenant) = tenant {
             self.sessions.set_tenant(who, tenant.0);
         }
-        self.sessions.governor.charge(Work::Request, 1);
+        self.sessions.scheduler.charge(Work::Request, 1);
         self.counters.taken += 1;
         tracing::debug!(
             ticket = request.ticket,
@@ -453,20 +466,20 @@
             key: fields.order_key.as_deref().map(fields::key_id),
             retry: fields.retry,
         };
-        self.sessions.ledger.book(Kind::Requests, 0, request.bytes());
+        self.sessions.memory.reserve(MemoryPurpose::Requests, request.bytes());
         self.requests.insert(id, request);
         self.inputs.push(Input::RequestArrived(id, input));
     }
 
     /// Ends the request of the session that a CancelRequest names; its client waits no longer.
     pub(super) fn cancel(&mut self, session: u32, secret: u32) {
-        let who = session.checked_sub(1).and_then(|index| self.sessions.table.tenant(index));
+        let who = session.checked_sub(1).and_then(|index| self.sessions.table.handle_of_slot(index));
         let Some(who) = who.filter(|who| self.sessions.secret_of(*who) == Some(secret)) else {
             return self.pass_cancel(session, secret);
         };
         // What it names may have come before it over the other connection and still wait for its turn there.
         self.read_now(who);
-        let Some(live) = self.sessions.table.hot_mut(who) else { return };
+        let Some(live) = self.sessions.table.active_mut(who) else { return };
         if let Some(id) = live.closes() {
             live.session.answer(FinalAnswer::Cancelled, &mut live.conn.output);
             live.ready_us = self.time.now_us;
@@ -477,7 +490,7 @@
 
     fn close_request(&mut self, id: RequestId) -> Option<Request> {
         let request = self.requests.remove(id)?;
-        self.sessions.ledger.book(Kind::Requests, request.bytes(), 0);
+        self.sessions.memory.release(MemoryPurpose::Requests, request.bytes());
         Some(request)
     }
 
@@ -492,7 +505,7 @@
     /// The one place where a client's connection is closed.
     pub(super) fn client_lost(&mut self, who: Handle) {
         match self.sessions.table.remove(who) {
-            Some(Ended::Hot(live)) => {
+            Some(RemovedSession::Active(live)) => {
                 self.sessions.unbook_live(&live);
                 if let Some((_, timer)) = live.timer {
                     self.timers.cancel(timer);
@@ -502,7 +515,7 @@
                     self.left(id);
                 }
             }
-            Some(Ended::Cold(parked)) => {
+            Some(RemovedSession::Suspended(parked)) => {
                 self.sessions.unbook_parked(&parked);
                 self.poll.remove(parked.into_stream());
             }
@@ -522,7 +535,7 @@
             _ => return,
         };
         let Some(request) = self.requests.remove(id) else { return };
-        self.sessions.ledger.book(Kind::Requests, request.bytes(), 0);
+        self.sessions.memory.release(MemoryPurpose::Requests, request.bytes());
         tracing::debug!(ticket = request.ticket, now_us = self.time.now_us, how = answer.name(), "answered");
         let (counter, ending) = match answer {
             FinalAnswer::Served(Payload::MySql(ResultSet::Wrong(_))) => {
@@ -535,7 +548,7 @@
         *counter += 1;
         self.metrics.ended(request.class, ending);
         let who = request.client;
-        let Some(live) = self.sessions.table.hot_mut(who) else { return };
+        let Some(live) = self.sessions.table.active_mut(who) else { return };
         if live.open == Some(id) {
             live.closes();
             live.ready_us = self.time.now_us;
--- a/gateway/src/net/engines/answers.rs
+++ b/gateway/src/net/engines/answers.rs
@@ -1,7 +1,7 @@
 //! What comes over connections to engines, and what it means for the attempt or the call that waits for it.
 
 use workload_manager::interface::*;
-use wrenhatch_sessions::memory_budget::Kind;
+use wrenhatch_sessions::memory_budget::MemoryPurpose;
 
 use super::connections::REST_US;
 use super::{Course, End, Job, Wire};
@@ -89,7 +89,11 @@
                 let step = exchange.on_response(&mut response, &mut next);
                 let asked_again = attempt.retries > 0;
                 let held = exchange.held_bytes();
-                self.sessions.ledger.book(Kind::Results, std::mem::replace(&mut attempt.booked, held), held);
+                self.sessions.memory.resize(
+                    MemoryPurpose::Results,
+                    std::mem::replace(&mut attempt.booked, held),
+                    held,
+                );
                 if step != http::Step::Spoilt {
                     attempt.retries = 0;
                 }
--- a/gateway/src/net/engines/attempts.rs
+++ b/gateway/src/net/engines/attempts.rs
@@ -1,7 +1,7 @@
 //! Attempts at engines: begun, asked for again, given up, and how the core is told of their end.
 
 use workload_manager::interface::*;
-use wrenhatch_sessions::memory_budget::Kind;
+use wrenhatch_sessions::memory_budget::MemoryPurpose;
 
 use super::{Attempt, AttemptId, Course, End, EngineProtocol, Job, Link, Unconfirmed, Wire};
 use crate::core::{AttemptLimits, AttemptTerms, Input};
@@ -162,7 +162,7 @@
     pub(super) fn forget_attempt(&mut self, id: AttemptId) -> Option<Attempt> {
         let attempt = self.pools.attempts.remove(&id)?;
         self.requests.free_ticket(&attempt.ticket);
-        self.sessions.ledger.book(Kind::Results, attempt.booked, 0);
+        self.sessions.memory.release(MemoryPurpose::Results, attempt.booked);
         if let Some(timer) = attempt.unheard {
             self.timers.cancel(timer);
         }
--- a/gateway/src/net/engines/connections.rs
+++ b/gateway/src/net/engines/connections.rs
@@ -183,7 +183,7 @@
         let due_us = self.link_due_us(peer);
         if let Some(peer) = self.pools.peer(at) {
             let what = Timer::Link(at, peer.serial);
-            self.timers.keep(&mut peer.timer, due_us, what);
+            self.timers.reschedule(&mut peer.timer, due_us, what);
         }
     }
 
--- a/gateway/src/net/listeners.rs
+++ b/gateway/src/net/listeners.rs
@@ -176,11 +176,11 @@
 impl Server {
     /// Accepts as many as the turn can carry; the rest is told of again at the next. False once nobody knocks.
     pub(super) fn accept(&mut self, front: Front) -> bool {
-        for _ in 0..self.sessions.governor.accepts() {
+        for _ in 0..self.sessions.scheduler.accepts() {
             let Some(listener) = self.listeners.listener(front) else { return false };
             match listener.accept() {
                 Ok((stream, from)) => {
-                    self.sessions.governor.charge(Work::Accept, 1);
+                    self.sessions.scheduler.charge(Work::Accept, 1);
                     self.take_in(stream, from, front);
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return false,
--- a/gateway/src/net/mod.rs
+++ b/gateway/src/net/mod.rs
@@ -244,7 +244,7 @@
                         self.reload(0);
                     }
                     (_, LINK) => {
-                        self.sessions.governor.charge(Work::Event, 1);
+                        self.sessions.scheduler.charge(Work::Event, 1);
                         if let Some(at) = self.pools.at(key) {
                             self.link_ready(at, interest);
                         }
@@ -306,13 +306,13 @@
         self.pools.end_turn();
     }
 
-    /// How long to wait, at the end of a turn: the second of its two looks at the clock, which tells the governor
+    /// How long to wait, at the end of a turn: the second of its two looks at the clock, which tells the scheduler
     /// what the turn has cost.
     fn timeout(&mut self) -> Option<Duration> {
         let now_us = self.time.clock.elapsed().as_micros() as u64;
-        self.sessions.governor.end_turn(now_us.saturating_sub(self.time.now_us));
+        self.sessions.scheduler.end_turn(now_us.saturating_sub(self.time.now_us));
         let unsettled = !self.sessions.dirty.is_empty() || !self.pools.dirty.is_empty();
-        if unsettled || !self.inputs.is_empty() || self.sessions.governor.waiting() > 0 {
+        if unsettled || !self.inputs.is_empty() || self.sessions.scheduler.waiting() > 0 {
             return Some(Duration::ZERO);
         }
         let next_us = [self.timers.next_us(), self.core.next_timer_us()].into_iter().flatten().min()?;
@@ -333,7 +333,7 @@
     fn ring(&mut self) {
         while let Some((due_us, timer)) = self.timers.pop(self.time.now_us) {
             self.lateness.note(due_us, self.time.now_us);
-            self.sessions.governor.charge(Work::Event, 1);
+            self.sessions.scheduler.charge(Work::Event, 1);
             match timer {
                 Timer::Link(at, serial) => self.link_late(at, serial),
                 Timer::Unheard(id) => self.unheard(id),
--- a/gateway/src/net/sessions.rs
+++ b/gateway/src/net/sessions.rs
@@ -6,9 +6,9 @@
 use std::rc::Rc;
 
 use workload_manager::interface::RequestId;
-use wrenhatch_sessions::memory_budget::{Kind, MemoryBudget};
-use wrenhatch_sessions::read_scheduler::{Limits, ReadScheduler, Standing, Work};
-use wrenhatch_sessions::session_table::{Handle, Table, Use};
+use wrenhatch_sessions::memory_budget::{MemoryBudget, MemoryPurpose};
+use wrenhatch_sessions::read_scheduler::{ReadLimits, ReadPriority, ReadScheduler, Work};
+use wrenhatch_sessions::session_table::{Activity, Handle, SessionTable};
 use wrenhatch_sessions::timer_wheel::TimerId;
 
 use super::conn::{Conn, MOST_UNSENT, Phase};
@@ -182,14 +182,14 @@
     }
 
     /// What it is there for.
-    pub fn used(&self) -> Use {
+    pub fn used(&self) -> Activity {
         match self.owes_us {
-            Some(_) if self.conn.phase == Phase::Closing => Use::Told,
-            _ if self.open.is_some() => Use::Busy,
-            Some(_) => Use::Unfinished,
-            None if !self.conn.output.is_empty() => Use::Unread,
-            None if self.session.statement_bytes() > 0 => Use::Keeping,
-            None => Use::Idle,
+            Some(_) if self.conn.phase == Phase::Closing => Activity::Closing,
+            _ if self.open.is_some() => Activity::Busy,
+            Some(_) => Activity::IncompleteMessage,
+            None if !self.conn.output.is_empty() => Activity::UnreadOutput,
+            None if self.session.statement_bytes() > 0 => Activity::IdleWithStatements,
+            None => Activity::Idle,
         }
     }
 
@@ -238,9 +238,9 @@
 
 /// The sessions of all clients.
 pub struct Sessions {
-    pub table: Table<Parked, Live>,
-    pub governor: ReadScheduler,
-    pub ledger: MemoryBudget,
+    pub table: SessionTable<Parked, Live>,
+    pub scheduler: ReadScheduler,
+    pub memory: MemoryBudget,
     /// Sessions that something has happened to in this turn.
     pub dirty: Vec<Handle>,
     /// Sessions that are held at most.
@@ -278,17 +278,17 @@
     bits & !TENANT
 }
 
-/// The governor's limits. `deadlines` are those of the classes that new requests may have, in seconds.
-pub fn governor_limits(config: &Config, deadlines: impl Iterator<Item = f64>) -> Limits {
-    let most_wait_ms = (config.settings.capabilities.max_retry_after * 1e3) as u64;
+/// The scheduler's limits. `deadlines` are those of the classes that new requests may have, in seconds.
+pub fn governor_limits(config: &Config, deadlines: impl Iterator<Item = f64>) -> ReadLimits {
+    let max_retry_after_ms = (config.settings.capabilities.max_retry_after * 1e3) as u64;
     let patience = deadlines.fold(f64::INFINITY, f64::min);
-    Limits {
+    ReadLimits {
         turn_us: config.clients.turn_us,
-        messages: config.clients.messages,
-        bytes: config.clients.bytes,
-        least_wait_ms: Limits::default().least_wait_ms.min(most_wait_ms),
-        most_wait_ms,
-        patience_us: (patience.min(1e6) * 1e6) as u64,
+        messages_per_turn: config.clients.messages,
+        bytes_per_turn: config.clients.bytes,
+        min_retry_after_ms: ReadLimits::default().min_retry_after_ms.min(max_retry_after_ms),
+        max_retry_after_ms,
+        shortest_deadline_us: (patience.min(1e6) * 1e6) as u64,
     }
 }
 
@@ -301,9 +301,9 @@
         let longest_message = share.clamp(*LONGEST_MESSAGE.start(), *LONGEST_MESSAGE.end());
         let deadlines = config.settings.classes.iter().map(|c| c.deadline);
         Self {
-            table: Table::new(),
-            governor: ReadScheduler::new(governor_limits(config, deadlines)),
-            ledger: MemoryBudget::new(config.memory),
+            table: SessionTable::new(),
+            scheduler: ReadScheduler::new(governor_limits(config, deadlines)),
+            memory: MemoryBudget::new(config.memory),
             dirty: Vec::new(),
             most,
             longest_message,
@@ -337,7 +337,7 @@
 
     /// Whose place another may have.
     pub fn yields(&self, now_us: u64) -> Option<Handle> {
-        self.table.yields(now_us, (self.most / 4).max(LEAST_CROWD))
+        self.table.eviction_candidate(now_us, (self.most / 4).max(LEAST_CROWD))
     }
 
     /// No more than this is read ahead from a client.
@@ -347,7 +347,7 @@
 
     /// Bytes that one more session takes.
     pub const fn bytes_of_one() -> usize {
-        Table::<Parked, Live>::slot_bytes() + size_of::<Live>()
+        SessionTable::<Parked, Live>::slot_bytes() + size_of::<Live>()
     }
 
     /// Takes a session in.
@@ -374,16 +374,16 @@
             }
             _ => Session::Pg(pg::Session::new(key, self.longest_message)),
         };
-        self.ledger.book(Kind::Sessions, 0, Self::bytes_of_one());
+        self.memory.reserve(MemoryPurpose::Sessions, Self::bytes_of_one());
         self.table.insert(now_us, Box::new(Live::new(conn, session, key.1, group(from))))
     }
 
     /// Sees to it that a session is at work; false if it has ended.
     pub fn wake(&mut self, who: Handle, config: &Config, now_us: u64) -> bool {
         let (longest, ahead) = (self.longest_message, self.read_ahead());
-        let ledger = &mut self.ledger;
+        let memory = &mut self.memory;
         let handles = &self.handles;
-        self.table.wake(who, now_us, |parked| {
+        self.table.resume(who, now_us, |parked| {
             let statements = parked.statement_bytes();
             let session = match (parked.asleep, &config.mysql) {
                 (Asleep::MySql(p), Some(m)) => {
@@ -391,7 +391,7 @@
                 }
                 _ => Session::Pg(pg::Session::resume((who.index + 1, parked.secret), longest)),
             };
-            ledger.book(Kind::Sessions, 0, size_of::<Live>());
+            memory.reserve(MemoryPurpose::Sessions, size_of::<Live>());
             let conn = Conn::resume(parked.stream, ahead);
             let mut live = Live::new(conn, session, parked.secret, parked.group);
             live.booked.statements = statements;
@@ -402,7 +402,7 @@
     /// Parks a session if it is idle. What it held beyond its slot is given back.
     pub fn park(&mut self, who: Handle) -> bool {
         let mut buffers = 0;
-        let parked = self.table.park(who, |live| {
+        let parked = self.table.suspend(who, |live| {
             let idle = match &live.session {
                 Session::Pg(s) => s.is_idle(),
                 Session::MySql(s) => s.is_idle(),
@@ -427,43 +427,43 @@
             }
         });
         if parked {
-            self.ledger.book(Kind::Sessions, size_of::<Live>(), 0);
-            self.ledger.book(Kind::Buffers, buffers, 0);
+            self.memory.release(MemoryPurpose::Sessions, size_of::<Live>());
+            self.memory.release(MemoryPurpose::Buffers, buffers);
         }
         parked
     }
 
     /// Books what a session at work holds now.
     pub fn book(&mut self, who: Handle) {
-        let Some(live) = self.table.hot_mut(who) else { return };
+        let Some(live) = self.table.active_mut(who) else { return };
         let now = Booked { buffers: live.conn.buffered(), statements: live.session.statement_bytes() };
         let before = std::mem::replace(&mut live.booked, now);
-        self.ledger.book(Kind::Buffers, before.buffers, now.buffers);
-        self.ledger.book(Kind::Statements, before.statements, now.statements);
+        self.memory.resize(MemoryPurpose::Buffers, before.buffers, now.buffers);
+        self.memory.resize(MemoryPurpose::Statements, before.statements, now.statements);
     }
 
     /// Books that a session has ended.
     pub fn unbook_live(&mut self, live: &Live) {
-        self.ledger.book(Kind::Sessions, Self::bytes_of_one(), 0);
-        self.ledger.book(Kind::Buffers, live.booked.buffers, 0);
-        self.ledger.book(Kind::Statements, live.booked.statements, 0);
+        self.memory.release(MemoryPurpose::Sessions, Self::bytes_of_one());
+        self.memory.release(MemoryPurpose::Buffers, live.booked.buffers);
+        self.memory.release(MemoryPurpose::Statements, live.booked.statements);
     }
 
     /// Books that a parked session has ended.
     pub fn unbook_parked(&mut self, parked: &Parked) {
-        self.ledger.book(Kind::Sessions, Table::<Parked, Live>::slot_bytes(), 0);
-        self.ledger.book(Kind::Statements, parked.statement_bytes(), 0);
+        self.memory.release(MemoryPurpose::Sessions, SessionTable::<Parked, Live>::slot_bytes());
+        self.memory.release(MemoryPurpose::Statements, parked.statement_bytes());
     }
 
     /// What a CancelRequest for this session must carry.
     pub fn secret_of(&self, who: Handle) -> Option<u32> {
-        let parked = || self.table.parked(who).map(|parked| parked.secret);
-        self.table.hot(who).map(|live| live.secret).or_else(parked)
+        let parked = || self.table.suspended(who).map(|parked| parked.secret);
+        self.table.active(who).map(|live| live.secret).or_else(parked)
     }
 
     /// Something has happened to a session at work.
     pub fn touch(&mut self, who: Handle) {
-        if let Some(live) = self.table.hot_mut(who) {
+        if let Some(live) = self.table.active_mut(who) {
             if !std::mem::replace(&mut live.dirty, true) {
                 self.dirty.push(who);
             }
@@ -472,62 +472,63 @@
 
     /// A session can be read: it waits for its turn.
     pub fn queue(&mut self, who: Handle, now_us: u64) {
-        let (standing, group) = match (self.table.hot(who), self.table.parked(who)) {
+        let (standing, group) = match (self.table.active(who), self.table.suspended(who)) {
             (Some(live), _) if live.open.is_some() || live.conn.phase == Phase::Closing => {
-                (Standing::Open, live.group)
+                (ReadPriority::OpenRequest, live.group)
             }
-            (Some(live), _) if live.session.is_starting() => (Standing::New, live.group),
-            (Some(live), _) => (Standing::Begun, live.group),
+            (Some(live), _) if live.session.is_starting() => (ReadPriority::Starting, live.group),
+            (Some(live), _) => (ReadPriority::PartialMessage, live.group),
             (None, Some(parked)) => {
-                let since_us = self.table.used(who).map_or(0, |(_, since_us)| since_us);
-                let active = now_us < since_us + wrenhatch_sessions::read_scheduler::ACTIVE_US;
-                (if active { Standing::Active } else { Standing::Woken }, parked.group)
+                let since_us = self.table.activity(who).map_or(0, |(_, since_us)| since_us);
+                let active = now_us < since_us + wrenhatch_sessions::read_scheduler::RECENTLY_ACTIVE_US;
+                (if active { ReadPriority::RecentlyActive } else { ReadPriority::LongIdle }, parked.group)
             }
             (None, None) => return,
         };
-        if self.table.mark(who) {
-            self.governor.ready(who, standing, group, now_us);
+        if self.table.set_queued(who) {
+            self.scheduler.enqueue(who, standing, group, now_us);
             // What has come may be a request: until it is read the place is nobody else's.
-            if self.table.used(who).is_some_and(|(used, _)| matches!(used, Use::Idle | Use::Keeping)) {
-                self.table.set_use(who, Use::Busy, now_us);
+            if self
+                .table
+                .activity(who)
+                .is_some_and(|(used, _)| matches!(used, Activity::Idle | Activity::IdleWithStatements))
+            {
+                self.table.set_activity(who, Activity::Busy, now_us);
             }
         }
     }
 
     /// Notes the tenant of a session's request: its turns count as that tenant's from now on.
     pub fn set_tenant(&mut self, who: Handle, tenant: usize) {
-        if let Some(live) = self.table.hot_mut(who) {
+        if let Some(live) = self.table.active_mut(who) {
             live.group = TENANT | tenant as u32;
         }
     }
 
     /// Whether answers are still being written.
     pub fn is_writing(&self) -> bool {
-        self.table.all_hot().any(|live| !live.conn.output.is_empty())
+        self.table.all_active().any(|live| !live.conn.output.is_empty())
     }
 }
 
 impl fmt::Display for Sessions {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let uses = [Use::Told, Use::Unfinished, Use::Unread, Use::Idle, Use::Keeping];
-        write!(f, "all={} parked={} ", self.table.len(), self.table.cold())?;
-        for used in uses {
-            write!(f, "{}={} ", format!("{used:?}").to_lowercase(), self.table.count(used))?;
+        write!(f, "all={} parked={} ", self.table.len(), self.table.suspended_count())?;
+        for activity in Activity::LISTED {
+            write!(f, "{}={} ", activity.name(), self.table.count(activity))?;
         }
-        let l = &self.ledger;
-        write!(f, "held={} most_held={} bound={} ", l.total(), l.most(), l.bound())?;
-        for kind in wrenhatch_sessions::memory_budget::KINDS {
-            write!(f, "held_{}={} ", format!("{kind:?}").to_lowercase(), l.held(kind))?;
+        let Self { memory, scheduler, .. } = self;
+        write!(f, "held={} most_held={} bound={} ", memory.total(), memory.peak(), memory.limit())?;
+        for purpose in MemoryPurpose::ALL {
+            write!(f, "held_{}={} ", purpose.name(), memory.held(purpose))?;
         }
-        let g = &self.governor;
-        write!(f, "waiting={} deferred={}", g.waiting(), g.deferred())?;
-        write!(f, " longest_turn_us={}", g.longest_turn_us())?;
-        for standing in [Standing::Open, Standing::Begun, Standing::Active, Standing::Woken, Standing::New] {
-            let name = format!("{standing:?}").to_lowercase();
-            write!(f, " longest_{name}_us={}", g.longest_wait_us(standing))?;
+        write!(f, "waiting={} deferred={}", scheduler.waiting(), scheduler.deferred())?;
+        write!(f, " longest_turn_us={}", scheduler.longest_turn_us())?;
+        for priority in ReadPriority::ALL {
+            write!(f, " longest_{}_us={}", priority.name(), scheduler.longest_wait_us(priority))?;
         }
         for work in [Work::Accept, Work::Read, Work::Request, Work::Event] {
-            write!(f, " {}_us={:.1}", format!("{work:?}").to_lowercase(), g.costs().cost_us(work))?;
+            write!(f, " {}_us={:.1}", work.name(), scheduler.costs().cost_us(work))?;
         }
         Ok(())
     }
--- a/gateway/src/net/sessions/tests.rs
+++ b/gateway/src/net/sessions/tests.rs
@@ -1,10 +1,25 @@
 use super::*;
 use crate::config::{self, Node};
 
+fn config() -> Config {
+    let text = include_str!("../../../tests/common/config.json").replace("LIST", "");
+    config::read(&Node::root(&text.parse().unwrap(), "config")).unwrap()
+}
+
+/// Operators' tools and the lab read these names.
+#[test]
+fn printed_figures_keep_their_names_and_their_order() {
+    let sessions = Sessions::new(&Config { memory: 64 << 20, ..config() }, 0);
+    let wanted = "all=0 parked=0 told=0 unfinished=0 unread=0 idle=0 keeping=0 held=0 most_held=0 bound=33554432 \
+        held_sessions=0 held_buffers=0 held_requests=0 held_results=0 held_statements=0 waiting=0 deferred=0 \
+        longest_turn_us=0 longest_open_us=0 longest_begun_us=0 longest_active_us=0 longest_woken_us=0 \
+        longest_new_us=0 accept_us=30.0 read_us=15.0 request_us=40.0 event_us=10.0";
+    assert_eq!(sessions.to_string(), wanted);
+}
+
 #[test]
 fn two_processes_of_one_gateway_stay_within_its_descriptors() {
-    let text = include_str!("../../../tests/common/config.json").replace("LIST", "");
-    let mut config = config::read(&Node::root(&text.parse().unwrap(), "config")).unwrap();
+    let mut config = config();
     config.ops = Some(([127, 0, 0, 1], 1).into());
     for sockets in 256..=1024 {
         config.sockets = sockets;
--- a/gateway/src/net/shutdown.rs
+++ b/gateway/src/net/shutdown.rs
@@ -126,7 +126,7 @@
         let all: Vec<_> = self.sessions.table.handles().collect();
         for who in all {
             self.read_now(who);
-            let Some(live) = self.sessions.table.hot_mut(who) else { continue };
+            let Some(live) = self.sessions.table.active_mut(who) else { continue };
             if live.conn.phase != Phase::Open {
                 continue;
             }
--- a/lab/src/memory.rs
+++ b/lab/src/memory.rs
@@ -1,19 +1,19 @@
-//! The session table, the wheel and the governor without sockets, at sizes that sockets don't reach.
+//! The session table, the wheel and the scheduler without sockets, at sizes that sockets don't reach.
 
 use std::hint::black_box;
 use std::time::{Duration, Instant};
 
 use serde::Serialize;
 use wrenhatch::net::{PARKED_BYTES, SESSION_BYTES};
-use wrenhatch_sessions::read_scheduler::{Limits, ReadScheduler, Standing};
-use wrenhatch_sessions::session_table::{Handle, Table, Use};
+use wrenhatch_sessions::read_scheduler::{ReadLimits, ReadPriority, ReadScheduler};
+use wrenhatch_sessions::session_table::{Activity, Handle, SessionTable};
 use wrenhatch_sessions::timer_wheel::TimerWheel;
 
 use crate::fleet::resident_bytes;
 use crate::spread::{Spread, histogram};
 
 /// As large as the gateway's own parts.
-type Sessions = Table<[u64; PARKED_BYTES / 8], [u64; SESSION_BYTES / 8]>;
+type Sessions = SessionTable<[u64; PARKED_BYTES / 8], [u64; SESSION_BYTES / 8]>;
 
 /// What was found.
 #[derive(Debug, Serialize)]
@@ -32,8 +32,8 @@
 }
 
 fn park(table: &mut Sessions, who: Handle, now_us: u64) {
-    table.set_use(who, Use::Idle, now_us);
-    table.park(who, |hot| Ok([hot[0]; PARKED_BYTES / 8]));
+    table.set_activity(who, Activity::Idle, now_us);
+    table.suspend(who, |hot| Ok([hot[0]; PARKED_BYTES / 8]));
 }
 
 fn take_in(table: &mut Sessions, n: usize) -> Vec<Handle> {
@@ -46,24 +46,24 @@
         .collect()
 }
 
-/// Wakes half of all sessions at once, as the governor lets them; how long that takes.
+/// Wakes half of all sessions at once, as the scheduler lets them; how long that takes.
 fn wake_half(table: &mut Sessions, all: &[Handle], now_us: u64) -> Duration {
-    let mut governor = ReadScheduler::new(Limits::default());
+    let mut scheduler = ReadScheduler::new(ReadLimits::default());
     let began = Instant::now();
     for who in all.iter().step_by(2) {
-        if table.mark(*who) {
-            governor.ready(*who, Standing::Woken, who.index % 1000, now_us);
+        if table.set_queued(*who) {
+            scheduler.enqueue(*who, ReadPriority::LongIdle, who.index % 1000, now_us);
         }
     }
-    while governor.waiting() > 0 {
+    while scheduler.waiting() > 0 {
         let turn = Instant::now();
-        while let Some(pick) = governor.pick(now_us) {
-            if table.unmark(pick.who) {
-                table.wake(pick.who, now_us, |cold| Box::new([cold[0]; SESSION_BYTES / 8]));
-                park(table, pick.who, now_us);
+        while let Some(read) = scheduler.next_read(now_us) {
+            if table.clear_queued(read.handle) {
+                table.resume(read.handle, now_us, |cold| Box::new([cold[0]; SESSION_BYTES / 8]));
+                park(table, read.handle, now_us);
             }
         }
-        governor.end_turn(turn.elapsed().as_micros() as u64);
+        scheduler.end_turn(turn.elapsed().as_micros() as u64);
     }
     began.elapsed()
 }
@@ -110,7 +110,7 @@
     let began = Instant::now();
     let rounds = 100_000;
     for _ in 0..rounds {
-        black_box(table.yields(black_box(n as u64), n / 4));
+        black_box(table.eviction_candidate(black_box(n as u64), n / 4));
     }
     let yield_ns = began.elapsed().as_nanos() as f64 / f64::from(rounds);
     for who in all.drain(..) {
--- a/sessions/benches/structures.rs
+++ b/sessions/benches/structures.rs
@@ -1,5 +1,4 @@
-//! The wheel against a binary heap with tombstones, and the place to yield against a scan of all sessions: the
-//! plain ones are what the gateway had before.
+//! The timer wheel against a binary heap with tombstones, and the eviction candidate against a scan of all sessions.
 //!
 //! `cargo bench -p wrenhatch-sessions`
 
@@ -7,7 +6,7 @@
 use std::collections::BinaryHeap;
 
 use divan::{Bencher, black_box};
-use wrenhatch_sessions::session_table::{Table, Use};
+use wrenhatch_sessions::session_table::{Activity, SessionTable};
 use wrenhatch_sessions::timer_wheel::{TimerId, TimerWheel};
 
 fn main() {
@@ -191,33 +190,33 @@
     }
 }
 
-/// Whose place is given up, among so many sessions.
-mod place_to_yield {
+/// The session to evict, among so many.
+mod eviction_candidate {
     use super::*;
 
-    type Peer = Option<(u64, Use, [u64; 40])>;
+    type Peer = Option<(u64, Activity, [u64; 40])>;
 
     const SESSIONS: [usize; 3] = [1_000, 10_000, 100_000];
 
     #[divan::bench(args = SESSIONS)]
     fn lists(bencher: Bencher, n: usize) {
-        let mut table: Table<u64, [u64; 40]> = Table::new();
+        let mut table: SessionTable<u64, [u64; 40]> = SessionTable::new();
         for i in 0..n as u64 {
             let who = table.insert(i, Box::new([i; 40]));
-            table.set_use(who, Use::Idle, i);
-            table.park(who, |hot| Ok(hot[0]));
+            table.set_activity(who, Activity::Idle, i);
+            table.suspend(who, |active| Ok(active[0]));
         }
-        bencher.bench_local(|| table.yields(black_box(10_000_000), n / 4));
+        bencher.bench_local(|| table.eviction_candidate(black_box(10_000_000), n / 4));
     }
 
     #[divan::bench(args = SESSIONS)]
     fn scan(bencher: Bencher, n: usize) {
         // A peer as it was: connection, role and session in one place, most of it of no use here.
-        let peers: Vec<Peer> = (0..n as u64).map(|i| Some((i, Use::Idle, [i; 40]))).collect();
+        let peers: Vec<Peer> = (0..n as u64).map(|i| Some((i, Activity::Idle, [i; 40]))).collect();
         bencher.bench_local(|| {
             let rank = |(at, p): (usize, &Peer)| match p {
-                Some((since, Use::Idle, _)) => Some((2, *since, at)),
-                Some((since, Use::Unfinished, _)) if black_box(10_000_000) - since > 100_000 => {
+                Some((since, Activity::Idle, _)) => Some((2, *since, at)),
+                Some((since, Activity::IncompleteMessage, _)) if black_box(10_000_000) - since > 100_000 => {
                     Some((1, *since, at))
                 }
                 _ => None,
--- a/sessions/src/lib.rs
+++ b/sessions/src/lib.rs
@@ -1,6 +1,6 @@
-//! What the gateway keeps of its clients, without sockets and without a clock of its own: a table of sessions
-//! whose idle ones cost a slot and nothing else, a timing wheel, a ledger of memory, and the governor that
-//! decides who is read when more are ready than a turn can carry.
+//! What the gateway keeps of its clients, without sockets and without a clock of its own: the
+//! [`session_table`], whose idle sessions cost a slot each, a [`timer_wheel`], a [`memory_budget`], and the
+//! [`read_scheduler`], which decides which sessions are read when more are ready than a turn can carry.
 //!
 //! All times are whole microseconds of the caller's monotonic clock, handed in.
 
--- a/sessions/src/memory_budget.rs
+++ b/sessions/src/memory_budget.rs
@@ -1,84 +1,105 @@
-//! The ledger of memory: what clients make the gateway hold, by kind, kept within a bound that the
-//! configuration gives. Where it runs short, idle things go first and open requests last.
+//! The memory budget: how many bytes the gateway holds for clients, by purpose, and how many it may hold.
+//!
+//! Owners report each change of what they hold; [`MemoryBudget::check`] says beforehand whether more may be
+//! held. The nearer the limit, the fewer purposes may take more, so that open requests always end.
 
 /// What memory is held for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[repr(u8)]
-pub enum Kind {
-    /// Slots and hot parts of sessions.
+pub enum MemoryPurpose {
+    /// Slots of sessions, and the state of active ones.
     Sessions,
-    /// Bytes read from clients and not yet understood, and bytes to be written to them.
+    /// Bytes read from clients and not yet parsed, and bytes to be written to them.
     Buffers,
     /// Statements of open requests.
     Requests,
-    /// Results that are being gathered from engines or written out.
+    /// Results that are being read from engines or written to clients.
     Results,
     /// Prepared statements.
     Statements,
 }
 
-/// All kinds, in the order of their numbers.
-pub const KINDS: [Kind; 5] = [Kind::Sessions, Kind::Buffers, Kind::Requests, Kind::Results, Kind::Statements];
+impl MemoryPurpose {
+    /// All of them, in the order of their numbers.
+    pub const ALL: [MemoryPurpose; 5] = [
+        MemoryPurpose::Sessions,
+        MemoryPurpose::Buffers,
+        MemoryPurpose::Requests,
+        MemoryPurpose::Results,
+        MemoryPurpose::Statements,
+    ];
+
+    /// Its name among the printed figures.
+    pub fn name(self) -> &'static str {
+        match self {
+            MemoryPurpose::Sessions => "sessions",
+            MemoryPurpose::Buffers => "buffers",
+            MemoryPurpose::Requests => "requests",
+            MemoryPurpose::Results => "results",
+            MemoryPurpose::Statements => "statements",
+        }
+    }
+}
+
+const PURPOSES: usize = MemoryPurpose::ALL.len();
 
-/// How much of the bound is left.
+/// How much of the budget is held.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Pressure {
-    /// Enough for all.
-    Calm,
-    /// More than three quarters is held: what is only kept for speed goes, and idle sessions that hold more
-    /// than their slot.
-    Short,
-    /// More than seven eighths is held: nothing new is begun.
-    Scarce,
-    /// All is held: nothing more is read but for requests that are open.
-    Out,
+pub enum MemoryPressure {
+    /// Up to three quarters.
+    Normal,
+    /// Three quarters or more: no new sessions and prepared statements, and idle sessions with statements are evicted.
+    Elevated,
+    /// Seven eighths or more: no new requests, and no more is read from clients.
+    High,
+    /// All of it: not even results of open requests may take more.
+    Exhausted,
 }
 
-/// Why memory is not to be had.
+/// Why more memory may not be held.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum NoMemory {
-    /// The bound of the whole is reached, or near enough that this kind may take no more.
+pub enum InsufficientMemory {
+    /// The budget is exhausted, or near enough that what is left is kept for other purposes.
     #[error("memory is short")]
-    Whole,
-    /// The bound of this kind is reached.
+    Budget,
+    /// The purpose has reached its own limit.
     #[error("the share for this is used up")]
-    Share,
+    Purpose,
 }
 
-/// The ledger.
+/// The memory budget.
 #[derive(Clone, Debug)]
 pub struct MemoryBudget {
-    bound: usize,
-    shares: [usize; KINDS.len()],
-    held: [usize; KINDS.len()],
-    most: usize,
+    limit: usize,
+    purpose_limits: [usize; PURPOSES],
+    held: [usize; PURPOSES],
+    peak: usize,
 }
 
 impl MemoryBudget {
-    /// A ledger for `memory` bytes that the configuration allows the whole process. Half is left to the program,
-    /// its decisions and the allocator; prepared statements may have a quarter of the rest, sessions a half,
-    /// all others as much as there is.
+    /// A budget for a process that may have `memory` bytes. Half of them is left to the program, the workload manager
+    /// and the allocator; of the budget prepared statements may have a quarter and sessions a half, the others all.
     pub fn new(memory: usize) -> Self {
-        let bound = memory / 2;
-        let mut shares = [bound; KINDS.len()];
-        shares[Kind::Sessions as usize] = bound / 2;
-        shares[Kind::Statements as usize] = bound / 4;
-        Self { bound, shares, held: [0; KINDS.len()], most: 0 }
+        let limit = memory / 2;
+        let mut purpose_limits = [limit; PURPOSES];
+        purpose_limits[MemoryPurpose::Sessions as usize] = limit / 2;
+        purpose_limits[MemoryPurpose::Statements as usize] = limit / 4;
+        Self { limit, purpose_limits, held: [0; PURPOSES], peak: 0 }
     }
 
     /// Bytes that may be held.
-    pub fn bound(&self) -> usize {
-        self.bound
+    pub fn limit(&self) -> usize {
+        self.limit
     }
 
-    /// Bytes of one kind that may be held.
-    pub fn share(&self, kind: Kind) -> usize {
-        self.shares[kind as usize]
+    /// Bytes that may be held for one purpose.
+    pub fn purpose_limit(&self, purpose: MemoryPurpose) -> usize {
+        self.purpose_limits[purpose as usize]
     }
 
-    /// Bytes held for one kind.
-    pub fn held(&self, kind: Kind) -> usize {
-        self.held[kind as usize]
+    /// Bytes held for one purpose.
+    pub fn held(&self, purpose: MemoryPurpose) -> usize {
+        self.held[purpose as usize]
     }
 
     /// Bytes held in all.
@@ -87,76 +108,63 @@
     }
 
     /// The most bytes that were held at once.
-    pub fn most(&self) -> usize {
-        self.most
+    pub fn peak(&self) -> usize {
+        self.peak
+    }
+
+    fn elevated(&self) -> usize {
+        self.limit / 4 * 3
+    }
+
+    fn high(&self) -> usize {
+        self.limit / 8 * 7
     }
 
-    /// How short memory is.
-    pub fn pressure(&self) -> Pressure {
+    /// How much of the budget is held.
+    pub fn pressure(&self) -> MemoryPressure {
         let total = self.total();
         match () {
-            () if total >= self.bound => Pressure::Out,
-            () if total >= self.bound / 8 * 7 => Pressure::Scarce,
-            () if total >= self.bound / 4 * 3 => Pressure::Short,
-            () => Pressure::Calm,
+            () if total >= self.limit => MemoryPressure::Exhausted,
+            () if total >= self.high() => MemoryPressure::High,
+            () if total >= self.elevated() => MemoryPressure::Elevated,
+            () => MemoryPressure::Normal,
         }
     }
 
-    /// Whether `bytes` more of a kind may be taken.
+    /// Whether `bytes` more may be held for a purpose.
     ///
     /// # Errors
-    /// The kind's share is used up, or so little is left that what is open needs it.
-    pub fn allows(&self, kind: Kind, bytes: usize) -> Result<(), NoMemory> {
-        if self.held(kind) + bytes > self.share(kind) {
-            return Err(NoMemory::Share);
+    /// The purpose has reached its limit, or what is left is kept for purposes that end open requests.
+    pub fn check(&self, purpose: MemoryPurpose, bytes: usize) -> Result<(), InsufficientMemory> {
+        if self.held(purpose) + bytes > self.purpose_limit(purpose) {
+            return Err(InsufficientMemory::Purpose);
         }
-        // What is open already is served out of what nobody else may touch.
-        let reach = match kind {
-            Kind::Results => self.bound,
-            Kind::Buffers | Kind::Requests => self.bound / 8 * 7,
-            Kind::Sessions | Kind::Statements => self.bound / 4 * 3,
+        let total_limit = match purpose {
+            MemoryPurpose::Results => self.limit,
+            MemoryPurpose::Buffers | MemoryPurpose::Requests => self.high(),
+            MemoryPurpose::Sessions | MemoryPurpose::Statements => self.elevated(),
         };
-        if self.total() + bytes > reach { Err(NoMemory::Whole) } else { Ok(()) }
+        if self.total() + bytes > total_limit { Err(InsufficientMemory::Budget) } else { Ok(()) }
     }
 
-    /// Books that something which held `before` bytes holds `after` now.
-    pub fn book(&mut self, kind: Kind, before: usize, after: usize) {
-        let held = &mut self.held[kind as usize];
-        debug_assert!(*held >= before, "{kind:?}: {held} held, {before} given back");
-        *held = held.saturating_sub(before) + after;
-        self.most = self.most.max(self.total());
+    /// Reserves `bytes` more. Never fails: whoever may be refused asks [`MemoryBudget::check`] before.
+    pub fn reserve(&mut self, purpose: MemoryPurpose, bytes: usize) {
+        self.resize(purpose, 0, bytes);
     }
-}
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    const MB: usize = 1 << 20;
-
-    #[test]
-    fn idle_things_are_turned_away_first_and_open_requests_last() {
-        let mut ledger = MemoryBudget::new(32 * MB);
-        assert_eq!((ledger.bound(), ledger.pressure()), (16 * MB, Pressure::Calm));
-        let may = |l: &MemoryBudget| KINDS.map(|k| l.allows(k, 4096).is_ok());
-        assert_eq!(may(&ledger), [true; 5]);
-        ledger.book(Kind::Results, 0, 12 * MB);
-        assert_eq!((ledger.pressure(), may(&ledger)), (Pressure::Short, [false, true, true, true, false]));
-        ledger.book(Kind::Results, 0, 2 * MB);
-        assert_eq!((ledger.pressure(), may(&ledger)), (Pressure::Scarce, [false, false, false, true, false]));
-        ledger.book(Kind::Results, 0, 2 * MB);
-        assert_eq!((ledger.pressure(), may(&ledger)), (Pressure::Out, [false; 5]));
-        ledger.book(Kind::Results, 16 * MB, 0);
-        assert_eq!((ledger.pressure(), ledger.most()), (Pressure::Calm, 16 * MB));
+    /// Gives back `bytes` that were reserved.
+    pub fn release(&mut self, purpose: MemoryPurpose, bytes: usize) {
+        self.resize(purpose, bytes, 0);
     }
 
-    #[test]
-    fn statements_have_a_share_of_their_own() {
-        let mut ledger = MemoryBudget::new(32 * MB);
-        ledger.book(Kind::Statements, 0, 4 * MB);
-        assert_eq!(ledger.allows(Kind::Statements, 1), Err(NoMemory::Share));
-        assert_eq!(ledger.allows(Kind::Requests, MB), Ok(()));
-        ledger.book(Kind::Statements, 100, 0);
-        assert_eq!(ledger.allows(Kind::Statements, 100), Ok(()));
+    /// Changes a reservation of `before` bytes into one of `after` bytes.
+    pub fn resize(&mut self, purpose: MemoryPurpose, before: usize, after: usize) {
+        let held = &mut self.held[purpose as usize];
+        debug_assert!(*held >= before, "{purpose:?}: {held} held, {before} given back");
+        *held = held.saturating_sub(before) + after;
+        self.peak = self.peak.max(self.total());
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/sessions/src/session_table.rs
+++ b/sessions/src/session_table.rs
@@ -1,14 +1,16 @@
-//! The table of sessions: a slot for each, with a cold part for one that is idle and a hot part on the heap for
-//! one at work, and lists of them by use and age that are threaded through the slots.
+//! The table of sessions: a slot for each, which holds all of a suspended session and a pointer to an active one,
+//! and intrusive lists of the sessions by activity and age, threaded through the slots.
 //!
-//! A [`Handle`] carries its slot's generation: once a session has ended, its handles reach nobody, also after the
-//! slot has another tenant. The lists tell in constant time whose place may be given to another.
+//! - A [`Handle`] carries its slot's generation: once a session has ended, its handles reach none, also after the
+//!   slot was reused.
+//! - The lists name the session to evict in constant time.
+//! - `S` is the state of a suspended session, `A` that of an active one.
 
 use std::num::NonZeroU32;
 
 const NONE: u32 = u32::MAX;
 
-/// Names a session, for as long as it lasts.
+/// Identifies a session until it ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Handle {
     /// The number of its slot.
@@ -16,7 +18,7 @@
     generation: NonZeroU32,
 }
 
-/// Bits of a generation; after so many tenants of one slot a handle could be met again.
+/// Bits of a generation; after so many sessions in one slot a handle is given out again.
 const GENERATION_BITS: u32 = 30;
 
 impl Handle {
@@ -31,53 +33,79 @@
     }
 }
 
-/// What a session is there for.
+/// What a session is doing, for eviction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[repr(u8)]
-pub enum Use {
-    /// Its last word is said; what it still sends is thrown away.
-    Told,
+pub enum Activity {
+    /// It is being closed: its client has still to read the last message, and what it sends is discarded.
+    Closing,
     /// It has not started, or has sent a part of a message.
-    Unfinished,
+    IncompleteMessage,
     /// It has not read all of its answer.
-    Unread,
-    /// It has its answers and says nothing.
+    UnreadOutput,
+    /// It has its answers and sends nothing.
     Idle,
-    /// The same, and it holds more than its slot: prepared statements.
-    Keeping,
-    /// A request is open, or it is being looked at in this turn.
+    /// The same, and it holds prepared statements beside its slot.
+    IdleWithStatements,
+    /// A request is open, or it is being read in this turn.
     Busy,
 }
 
-const LISTS: usize = 5;
+impl Activity {
+    /// Those that are kept in lists, which is all but [`Activity::Busy`].
+    pub const LISTED: [Activity; 5] = [
+        Activity::Closing,
+        Activity::IncompleteMessage,
+        Activity::UnreadOutput,
+        Activity::Idle,
+        Activity::IdleWithStatements,
+    ];
+
+    /// Its name among the printed figures.
+    pub fn name(self) -> &'static str {
+        match self {
+            Activity::Closing => "told",
+            Activity::IncompleteMessage => "unfinished",
+            Activity::UnreadOutput => "unread",
+            Activity::Idle => "idle",
+            Activity::IdleWithStatements => "keeping",
+            Activity::Busy => "busy",
+        }
+    }
 
-/// One that was told its last word keeps its place for so long while others need it, to read that word; one
-/// that has begun a message may end it. Both need a round trip or two. In microseconds.
-pub const SPARED_US: u64 = 100_000;
-/// Where a crowd comes and says nothing, its oldest is spared for this only, as else the crowd would take the places
-/// of all that are idle before any of it could be told from who is slow.
-pub const CROWDED_US: u64 = 20_000;
-/// The same for one that has an answer of many rows to read.
-pub const READING_US: u64 = 2_000_000;
+    /// Whether the session waits for nothing and nothing waits for it.
+    pub fn is_idle(self) -> bool {
+        matches!(self, Activity::Idle | Activity::IdleWithStatements)
+    }
+}
+
+/// A session that is closing, or has sent a part of a message, is not evicted for this time: its client needs a
+/// round trip or two to read the last message or to end its own.
+pub const EVICTION_GRACE_US: u64 = 100_000;
+/// The same for an incomplete message during a connection surge, which would else evict all idle sessions before any
+/// of its own could be recognised as silent.
+pub const SURGE_GRACE_US: u64 = 20_000;
+/// The same for a session that has an answer to read.
+pub const OUTPUT_READ_GRACE_US: u64 = 2_000_000;
 
 #[derive(Debug)]
-enum Body<C, H> {
+enum Body<S, A> {
     Free,
-    Cold(C),
-    Hot(Box<H>),
-    /// Between two of these; never seen from outside.
-    Moving,
+    Suspended(S),
+    Active(Box<A>),
+    /// Between two of these; never visible outside.
+    Transition,
 }
 
 #[derive(Debug)]
-struct Slot<C, H> {
+struct Slot<S, A> {
     generation: NonZeroU32,
-    used: Use,
-    marked: bool,
+    activity: Activity,
+    queued: bool,
     since_us: u64,
     previous: u32,
     next: u32,
-    body: Body<C, H>,
+    body: Body<S, A>,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -87,41 +115,41 @@
     len: usize,
 }
 
-/// A session as it was when it ended.
+/// The state of a session that was removed.
 #[derive(Debug)]
-pub enum Ended<C, H> {
-    /// It was idle.
-    Cold(C),
-    /// It was at work.
-    Hot(Box<H>),
+pub enum RemovedSession<S, A> {
+    /// It was suspended.
+    Suspended(S),
+    /// It was active.
+    Active(Box<A>),
 }
 
-/// Sessions, each cold (`C`, in its slot) or hot (`H`, boxed).
+/// The sessions, each suspended (`S`, in its slot) or active (`A`, boxed).
 #[derive(Debug)]
-pub struct Table<C, H> {
-    slots: Vec<Slot<C, H>>,
+pub struct SessionTable<S, A> {
+    slots: Vec<Slot<S, A>>,
     free: u32,
-    lists: [List; LISTS],
-    cold: usize,
-    hot: usize,
+    lists: [List; Activity::LISTED.len()],
+    suspended: usize,
+    active: usize,
 }
 
-impl<C, H> Default for Table<C, H> {
+impl<S, A> Default for SessionTable<S, A> {
     fn default() -> Self {
         Self::new()
     }
 }
 
-impl<C, H> Table<C, H> {
+impl<S, A> SessionTable<S, A> {
     /// An empty table.
     pub fn new() -> Self {
         let list = List { first: NONE, last: NONE, len: 0 };
-        Self { slots: Vec::new(), free: NONE, lists: [list; LISTS], cold: 0, hot: 0 }
+        Self { slots: Vec::new(), free: NONE, lists: [list; Activity::LISTED.len()], suspended: 0, active: 0 }
     }
 
     /// Sessions in all.
     pub fn len(&self) -> usize {
-        self.cold + self.hot
+        self.suspended + self.active
     }
 
     /// Whether there is none.
@@ -129,19 +157,19 @@
         self.len() == 0
     }
 
-    /// Sessions that are parked.
-    pub fn cold(&self) -> usize {
-        self.cold
+    /// Sessions that are suspended.
+    pub fn suspended_count(&self) -> usize {
+        self.suspended
     }
 
-    /// Sessions of one use; busy ones are in no list and are not counted.
-    pub fn count(&self, used: Use) -> usize {
-        self.lists.get(used as usize).map_or(0, |l| l.len)
+    /// Sessions of one activity; busy ones are in no list and are not counted.
+    pub fn count(&self, activity: Activity) -> usize {
+        self.lists.get(activity as usize).map_or(0, |l| l.len)
     }
 
-    /// Bytes of one slot, which is all that a parked session holds here.
+    /// Bytes of one slot, which is all that a suspended session takes.
     pub const fn slot_bytes() -> usize {
-        size_of::<Slot<C, H>>()
+        size_of::<Slot<S, A>>()
     }
 
     /// The handle that the next session will have, so that a socket can be registered under it.
@@ -152,14 +180,14 @@
         }
     }
 
-    /// Takes a session in; it is hot and busy.
-    pub fn insert(&mut self, now_us: u64, hot: Box<H>) -> Handle {
+    /// Adds a session; it is active and busy.
+    pub fn insert(&mut self, now_us: u64, active: Box<A>) -> Handle {
         let handle = self.next_handle();
         if self.free == NONE {
             self.slots.push(Slot {
                 generation: handle.generation,
-                used: Use::Busy,
-                marked: false,
+                activity: Activity::Busy,
+                queued: false,
                 since_us: now_us,
                 previous: NONE,
                 next: NONE,
@@ -169,152 +197,152 @@
             self.free = self.slots[handle.index as usize].next;
         }
         let slot = &mut self.slots[handle.index as usize];
-        (slot.used, slot.since_us, slot.previous, slot.next) = (Use::Busy, now_us, NONE, NONE);
-        (slot.marked, slot.body) = (false, Body::Hot(hot));
-        self.hot += 1;
+        (slot.activity, slot.since_us, slot.previous, slot.next) = (Activity::Busy, now_us, NONE, NONE);
+        (slot.queued, slot.body) = (false, Body::Active(active));
+        self.active += 1;
         handle
     }
 
-    fn slot(&self, handle: Handle) -> Option<&Slot<C, H>> {
+    fn slot(&self, handle: Handle) -> Option<&Slot<S, A>> {
         let slot = self.slots.get(handle.index as usize)?;
         (slot.generation == handle.generation && !matches!(slot.body, Body::Free)).then_some(slot)
     }
 
-    fn slot_mut(&mut self, handle: Handle) -> Option<&mut Slot<C, H>> {
+    fn slot_mut(&mut self, handle: Handle) -> Option<&mut Slot<S, A>> {
         let slot = self.slots.get_mut(handle.index as usize)?;
         (slot.generation == handle.generation && !matches!(slot.body, Body::Free)).then_some(slot)
     }
 
-    /// The handle of the session that has this slot now.
-    pub fn tenant(&self, index: u32) -> Option<Handle> {
+    /// The handle of the session that is in this slot now.
+    pub fn handle_of_slot(&self, index: u32) -> Option<Handle> {
         let slot = self.slots.get(index as usize).filter(|s| !matches!(s.body, Body::Free))?;
         Some(Handle { index, generation: slot.generation })
     }
 
-    /// Whether the session lasts.
+    /// Whether the session has not ended.
     pub fn contains(&self, handle: Handle) -> bool {
         self.slot(handle).is_some()
     }
 
-    /// The hot part of a session; `None` if it is parked or has ended.
-    pub fn hot(&self, handle: Handle) -> Option<&H> {
+    /// The state of an active session; `None` if it is suspended or has ended.
+    pub fn active(&self, handle: Handle) -> Option<&A> {
         match &self.slot(handle)?.body {
-            Body::Hot(hot) => Some(hot),
+            Body::Active(active) => Some(active),
             _ => None,
         }
     }
 
     /// The same, to change it.
-    pub fn hot_mut(&mut self, handle: Handle) -> Option<&mut H> {
+    pub fn active_mut(&mut self, handle: Handle) -> Option<&mut A> {
         match &mut self.slot_mut(handle)?.body {
-            Body::Hot(hot) => Some(hot),
+            Body::Active(active) => Some(active),
             _ => None,
         }
     }
 
-    /// The cold part of a session; `None` if it is at work or has ended.
-    pub fn parked(&self, handle: Handle) -> Option<&C> {
+    /// The state of a suspended session; `None` if it is active or has ended.
+    pub fn suspended(&self, handle: Handle) -> Option<&S> {
         match &self.slot(handle)?.body {
-            Body::Cold(cold) => Some(cold),
+            Body::Suspended(suspended) => Some(suspended),
             _ => None,
         }
     }
 
     /// All sessions.
     pub fn handles(&self) -> impl Iterator<Item = Handle> {
-        let taken = |(index, s): (usize, &Slot<C, H>)| {
+        let taken = |(index, s): (usize, &Slot<S, A>)| {
             let handle = Handle { index: index as u32, generation: s.generation };
             (!matches!(s.body, Body::Free)).then_some(handle)
         };
         self.slots.iter().enumerate().filter_map(taken)
     }
 
-    /// All hot parts.
-    pub fn all_hot(&self) -> impl Iterator<Item = &H> {
+    /// The states of all active sessions.
+    pub fn all_active(&self) -> impl Iterator<Item = &A> {
         self.slots.iter().filter_map(|s| match &s.body {
-            Body::Hot(hot) => Some(hot.as_ref()),
+            Body::Active(active) => Some(active.as_ref()),
             _ => None,
         })
     }
 
-    /// What a session is there for, and since when.
-    pub fn used(&self, handle: Handle) -> Option<(Use, u64)> {
-        self.slot(handle).map(|s| (s.used, s.since_us))
+    /// What a session is doing, and since when, in microseconds.
+    pub fn activity(&self, handle: Handle) -> Option<(Activity, u64)> {
+        self.slot(handle).map(|s| (s.activity, s.since_us))
     }
 
-    /// Wakes a parked session; it is busy from now on. One at work stays as it is. False if it has ended.
-    pub fn wake(&mut self, handle: Handle, now_us: u64, warm: impl FnOnce(C) -> Box<H>) -> bool {
+    /// Makes a suspended session active and busy. An active one stays as it is. False if it has ended.
+    pub fn resume(&mut self, handle: Handle, now_us: u64, activate: impl FnOnce(S) -> Box<A>) -> bool {
         match self.slot(handle).map(|s| &s.body) {
-            Some(Body::Cold(_)) => {}
+            Some(Body::Suspended(_)) => {}
             other => return other.is_some(),
         }
-        self.set_use(handle, Use::Busy, now_us);
+        self.set_activity(handle, Activity::Busy, now_us);
         let slot = &mut self.slots[handle.index as usize];
-        if let Body::Cold(cold) = std::mem::replace(&mut slot.body, Body::Moving) {
-            (self.cold, self.hot) = (self.cold - 1, self.hot + 1);
-            slot.body = Body::Hot(warm(cold));
+        if let Body::Suspended(suspended) = std::mem::replace(&mut slot.body, Body::Transition) {
+            (self.suspended, self.active) = (self.suspended - 1, self.active + 1);
+            slot.body = Body::Active(activate(suspended));
         }
         true
     }
 
-    /// Parks a session that is at work: `cool` makes its cold part of it, or hands it back where it can't be
-    /// parked. True if it is parked now.
-    pub fn park(&mut self, handle: Handle, cool: impl FnOnce(Box<H>) -> Result<C, Box<H>>) -> bool {
-        let Some(slot) = self.slot_mut(handle).filter(|s| matches!(s.body, Body::Hot(_))) else {
+    /// Suspends an active session: `suspend` turns its state into that of a suspended one, or hands it back where it
+    /// can't be suspended. True if it is suspended now.
+    pub fn suspend(&mut self, handle: Handle, suspend: impl FnOnce(Box<A>) -> Result<S, Box<A>>) -> bool {
+        let Some(slot) = self.slot_mut(handle).filter(|s| matches!(s.body, Body::Active(_))) else {
             return false;
         };
-        let mut parked = false;
-        if let Body::Hot(hot) = std::mem::replace(&mut slot.body, Body::Moving) {
-            slot.body = match cool(hot) {
-                Ok(cold) => {
-                    parked = true;
-                    Body::Cold(cold)
+        let mut is_suspended = false;
+        if let Body::Active(active) = std::mem::replace(&mut slot.body, Body::Transition) {
+            slot.body = match suspend(active) {
+                Ok(suspended) => {
+                    is_suspended = true;
+                    Body::Suspended(suspended)
                 }
-                Err(hot) => Body::Hot(hot),
+                Err(active) => Body::Active(active),
             };
         }
-        if parked {
-            (self.cold, self.hot) = (self.cold + 1, self.hot - 1);
+        if is_suspended {
+            (self.suspended, self.active) = (self.suspended + 1, self.active - 1);
         }
-        parked
+        is_suspended
     }
 
-    /// Marks a session as waiting for its turn; false if it was marked already, or has ended.
-    pub fn mark(&mut self, handle: Handle) -> bool {
-        self.slot_mut(handle).is_some_and(|s| !std::mem::replace(&mut s.marked, true))
+    /// Notes that a session waits to be read; false if it did already, or has ended.
+    pub fn set_queued(&mut self, handle: Handle) -> bool {
+        self.slot_mut(handle).is_some_and(|s| !std::mem::replace(&mut s.queued, true))
     }
 
-    /// Whether a session waits for its turn.
-    pub fn is_marked(&self, handle: Handle) -> bool {
-        self.slot(handle).is_some_and(|s| s.marked)
+    /// Whether a session waits to be read.
+    pub fn is_queued(&self, handle: Handle) -> bool {
+        self.slot(handle).is_some_and(|s| s.queued)
     }
 
-    /// Its turn has come; false if it was not marked, or has ended.
-    pub fn unmark(&mut self, handle: Handle) -> bool {
-        self.slot_mut(handle).is_some_and(|s| std::mem::replace(&mut s.marked, false))
+    /// Its turn has come; false if it did not wait, or has ended.
+    pub fn clear_queued(&mut self, handle: Handle) -> bool {
+        self.slot_mut(handle).is_some_and(|s| std::mem::replace(&mut s.queued, false))
     }
 
-    /// Notes what a session is there for from now on; where that is what it was, its age goes on.
-    pub fn set_use(&mut self, handle: Handle, used: Use, now_us: u64) {
+    /// Notes what a session is doing from now on. Its age goes on where that is what it did before.
+    pub fn set_activity(&mut self, handle: Handle, activity: Activity, now_us: u64) {
         match self.slot(handle) {
-            Some(slot) if slot.used != used => {}
+            Some(slot) if slot.activity != activity => {}
             _ => return,
         }
         self.unlink(handle.index);
-        self.link(handle.index, used, now_us);
+        self.link(handle.index, activity, now_us);
     }
 
-    /// Begins a session's age anew: it has got on.
-    pub fn renew(&mut self, handle: Handle, now_us: u64) {
-        let Some(used) = self.slot(handle).map(|s| s.used) else { return };
+    /// Lets a session's age begin anew, as it has made progress.
+    pub fn restart_age(&mut self, handle: Handle, now_us: u64) {
+        let Some(activity) = self.slot(handle).map(|s| s.activity) else { return };
         self.unlink(handle.index);
-        self.link(handle.index, used, now_us);
+        self.link(handle.index, activity, now_us);
     }
 
-    fn link(&mut self, index: u32, used: Use, now_us: u64) {
+    fn link(&mut self, index: u32, activity: Activity, now_us: u64) {
         let slot = &mut self.slots[index as usize];
-        (slot.used, slot.since_us, slot.previous, slot.next) = (used, now_us, NONE, NONE);
-        let Some(list) = self.lists.get_mut(used as usize) else { return };
+        (slot.activity, slot.since_us, slot.previous, slot.next) = (activity, now_us, NONE, NONE);
+        let Some(list) = self.lists.get_mut(activity as usize) else { return };
         slot.previous = list.last;
         list.len += 1;
         let last = std::mem::replace(&mut list.last, index);
@@ -325,8 +353,8 @@
     }
 
     fn unlink(&mut self, index: u32) {
-        let Slot { used, previous, next, .. } = self.slots[index as usize];
-        let Some(list) = self.lists.get_mut(used as usize) else { return };
+        let Slot { activity, previous, next, .. } = self.slots[index as usize];
+        let Some(list) = self.lists.get_mut(activity as usize) else { return };
         list.len -= 1;
         match self.slots.get_mut(previous as usize) {
             Some(previous) => previous.next = next,
@@ -338,8 +366,8 @@
         }
     }
 
-    /// Ends a session and hands out what it held.
-    pub fn remove(&mut self, handle: Handle) -> Option<Ended<C, H>> {
+    /// Removes a session that ends, and returns its state.
+    pub fn remove(&mut self, handle: Handle) -> Option<RemovedSession<S, A>> {
         self.slot(handle)?;
         self.unlink(handle.index);
         let free = self.free;
@@ -347,44 +375,59 @@
         let body = std::mem::replace(&mut slot.body, Body::Free);
         let next = (slot.generation.get() + 1) & ((1 << GENERATION_BITS) - 1);
         slot.generation = NonZeroU32::new(next).unwrap_or(NonZeroU32::MIN);
-        (slot.used, slot.next) = (Use::Busy, free);
+        (slot.activity, slot.next) = (Activity::Busy, free);
         self.free = handle.index;
         match body {
-            Body::Cold(cold) => {
-                self.cold -= 1;
-                Some(Ended::Cold(cold))
+            Body::Suspended(suspended) => {
+                self.suspended -= 1;
+                Some(RemovedSession::Suspended(suspended))
             }
-            Body::Hot(hot) => {
-                self.hot -= 1;
-                Some(Ended::Hot(hot))
+            Body::Active(active) => {
+                self.active -= 1;
+                Some(RemovedSession::Active(active))
             }
-            Body::Free | Body::Moving => None,
+            Body::Free | Body::Transition => None,
         }
     }
 
-    /// The session that has been of this use for longest, and since when.
-    pub fn oldest(&self, used: Use) -> Option<(Handle, u64)> {
-        let index = self.lists.get(used as usize)?.first;
+    /// The session that has had this activity for longest, and since when, in microseconds.
+    pub fn oldest(&self, activity: Activity) -> Option<(Handle, u64)> {
+        let index = self.lists.get(activity as usize)?.first;
         let slot = self.slots.get(index as usize)?;
         Some((Handle { index, generation: slot.generation }, slot.since_us))
     }
 
-    /// Whose place is given to another session, if anyone's: of those that were told all the oldest, else of
-    /// those that don't get on the oldest, else the one idle for longest, whose next request comes over a new
-    /// connection. Where as many as `crowd` have not got on, the oldest of them goes sooner, unless it is this side
-    /// that has yet to read it. Constant time.
-    pub fn yields(&self, now_us: u64, crowd: usize) -> Option<Handle> {
-        let over = |used, spared_us: u64| {
-            self.oldest(used).filter(|(_, since)| now_us.saturating_sub(*since) >= spared_us)
+    /// The session that is evicted so that another may have its place, if there is one. In this order:
+    ///
+    /// 1. the oldest that is closing, past [`EVICTION_GRACE_US`];
+    /// 2. the oldest with an incomplete message or with unread output, past [`EVICTION_GRACE_US`] or
+    ///    [`OUTPUT_READ_GRACE_US`];
+    /// 3. during a surge, which is `surge_size` sessions with incomplete messages, the oldest of these past
+    ///    [`SURGE_GRACE_US`], unless it is this side that has yet to read it;
+    /// 4. the one idle for longest.
+    ///
+    /// Constant time.
+    pub fn eviction_candidate(&self, now_us: u64, surge_size: usize) -> Option<Handle> {
+        let past_grace = |activity, grace_us: u64| {
+            self.oldest(activity).filter(|(_, since_us)| now_us.saturating_sub(*since_us) >= grace_us)
         };
-        let crowded = self.count(Use::Unfinished) >= crowd;
-        let pressed = || over(Use::Unfinished, CROWDED_US).filter(|(it, _)| crowded && !self.is_marked(*it));
         let older = |of: [Option<(Handle, u64)>; 2]| {
-            of.into_iter().flatten().min_by_key(|(handle, since)| (*since, handle.index))
+            of.into_iter().flatten().min_by_key(|(handle, since_us)| (*since_us, handle.index))
+        };
+        let slow = || {
+            older([
+                past_grace(Activity::IncompleteMessage, EVICTION_GRACE_US),
+                past_grace(Activity::UnreadOutput, OUTPUT_READ_GRACE_US),
+            ])
+        };
+        let is_surge = self.count(Activity::IncompleteMessage) >= surge_size;
+        let of_surge = || {
+            past_grace(Activity::IncompleteMessage, SURGE_GRACE_US)
+                .filter(|(handle, _)| is_surge && !self.is_queued(*handle))
         };
-        let slow = || older([over(Use::Unfinished, SPARED_US), over(Use::Unread, READING_US)]);
-        let idle = || older([self.oldest(Use::Idle), self.oldest(Use::Keeping)]);
-        over(Use::Told, SPARED_US).or_else(slow).or_else(pressed).or_else(idle).map(|(handle, _)| handle)
+        let idle = || older([self.oldest(Activity::Idle), self.oldest(Activity::IdleWithStatements)]);
+        let closing = past_grace(Activity::Closing, EVICTION_GRACE_US);
+        closing.or_else(slow).or_else(of_surge).or_else(idle).map(|(handle, _)| handle)
     }
 }
 
--- a/sessions/tests/model.rs
+++ b/sessions/tests/model.rs
@@ -1,27 +1,36 @@
-//! Random steps on the table, its lists, the wheel and the ledger against plain maps: no handle ever reaches
-//! another session, no timer fires for one that has ended, and sums always agree.
+//! Random steps on the session table, its lists, the timer wheel and the memory budget against plain maps: no handle
+//! ever reaches another session, no timer fires for one that has ended, and sums always agree.
 
 use std::collections::{BTreeMap, HashMap};
 
 use proptest::prelude::*;
-use wrenhatch_sessions::memory_budget::{KINDS, MemoryBudget};
-use wrenhatch_sessions::session_table::{Ended, Handle, READING_US, SPARED_US, Table, Use};
+use wrenhatch_sessions::memory_budget::{MemoryBudget, MemoryPurpose};
+use wrenhatch_sessions::session_table::{
+    Activity, EVICTION_GRACE_US, Handle, OUTPUT_READ_GRACE_US, RemovedSession, SessionTable,
+};
 use wrenhatch_sessions::timer_wheel::{TimerId, TimerWheel};
 
-const USES: [Use; 6] = [Use::Told, Use::Unfinished, Use::Unread, Use::Idle, Use::Keeping, Use::Busy];
+const ACTIVITIES: [Activity; 6] = [
+    Activity::Closing,
+    Activity::IncompleteMessage,
+    Activity::UnreadOutput,
+    Activity::Idle,
+    Activity::IdleWithStatements,
+    Activity::Busy,
+];
 
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Insert,
     Remove(usize),
-    Park(usize),
-    Wake(usize),
-    Use(usize, usize),
-    Renew(usize),
-    Mark(usize),
+    Suspend(usize),
+    Resume(usize),
+    Activity(usize, usize),
+    RestartAge(usize),
+    Queue(usize),
     Arm(usize, u64),
     Cancel(usize),
-    Hold(usize, usize, usize),
+    Reserve(usize, usize, usize),
     Pass(u64),
 }
 
@@ -32,14 +41,14 @@
     prop_oneof![
         4 => Just(Step::Insert),
         2 => n.clone().prop_map(Step::Remove),
-        3 => n.clone().prop_map(Step::Park),
-        2 => n.clone().prop_map(Step::Wake),
-        3 => (n.clone(), 0..USES.len()).prop_map(|(n, u)| Step::Use(n, u)),
-        1 => n.clone().prop_map(Step::Renew),
-        1 => n.clone().prop_map(Step::Mark),
+        3 => n.clone().prop_map(Step::Suspend),
+        2 => n.clone().prop_map(Step::Resume),
+        3 => (n.clone(), 0..ACTIVITIES.len()).prop_map(|(n, u)| Step::Activity(n, u)),
+        1 => n.clone().prop_map(Step::RestartAge),
+        1 => n.clone().prop_map(Step::Queue),
         3 => (n.clone(), span.clone()).prop_map(|(n, span)| Step::Arm(n, span)),
         1 => n.clone().prop_map(Step::Cancel),
-        2 => (n, 0..KINDS.len(), 0..100_000_usize).prop_map(|(n, kind, bytes)| Step::Hold(n, kind, bytes)),
+        2 => (n, 0..MemoryPurpose::ALL.len(), 0..100_000_usize).prop_map(|(n, kind, bytes)| Step::Reserve(n, kind, bytes)),
         2 => span.prop_map(Step::Pass),
     ]
 }
@@ -48,19 +57,19 @@
 #[derive(Debug)]
 struct Known {
     name: u64,
-    cold: bool,
-    used: Use,
-    /// When it took this use up, and which change that was: the order within its list.
+    suspended: bool,
+    activity: Activity,
+    /// When it took this activity up, and which change that was: the order within its list.
     since_us: u64,
     changed: u64,
-    marked: bool,
+    queued: bool,
     timer: Option<(TimerId, u64, u64)>,
-    held: [usize; KINDS.len()],
+    held: [usize; MemoryPurpose::ALL.len()],
 }
 
 #[derive(Default)]
 struct World {
-    table: Table<u64, u64>,
+    table: SessionTable<u64, u64>,
     wheel: TimerWheel<Handle>,
     known: HashMap<Handle, Known>,
     /// All handles ever given out, also of those that have ended.
@@ -70,25 +79,25 @@
 }
 
 impl World {
-    /// Whose place is given up, found the plain way.
-    fn yields(&self) -> Option<Handle> {
-        let over = |k: &Known, spared_us| self.now_us.saturating_sub(k.since_us) >= spared_us;
-        let rank = |k: &Known| match k.used {
-            Use::Told if over(k, SPARED_US) => Some(0),
-            Use::Unfinished if over(k, SPARED_US) => Some(1),
-            Use::Unread if over(k, READING_US) => Some(1),
-            Use::Idle | Use::Keeping => Some(2),
+    /// The session to evict, found by a scan.
+    fn eviction_candidate(&self) -> Option<Handle> {
+        let over = |k: &Known, grace_us| self.now_us.saturating_sub(k.since_us) >= grace_us;
+        let rank = |k: &Known| match k.activity {
+            Activity::Closing if over(k, EVICTION_GRACE_US) => Some(0),
+            Activity::IncompleteMessage if over(k, EVICTION_GRACE_US) => Some(1),
+            Activity::UnreadOutput if over(k, OUTPUT_READ_GRACE_US) => Some(1),
+            Activity::Idle | Activity::IdleWithStatements => Some(2),
             _ => None,
         };
         let all = self.known.iter().filter_map(|(h, k)| Some((rank(k)?, k.since_us, k.changed, h)));
         all.min_by_key(|(rank, since, changed, _)| (*rank, *since, *changed)).map(|(.., handle)| *handle)
     }
 
-    fn set_use(&mut self, handle: Handle, used: Use) {
-        self.table.set_use(handle, used, self.now_us);
+    fn set_activity(&mut self, handle: Handle, activity: Activity) {
+        self.table.set_activity(handle, activity, self.now_us);
         self.changes += 1;
-        if let Some(k) = self.known.get_mut(&handle).filter(|k| k.used != used) {
-            (k.used, k.since_us, k.changed) = (used, self.now_us, self.changes);
+        if let Some(k) = self.known.get_mut(&handle).filter(|k| k.activity != activity) {
+            (k.activity, k.since_us, k.changed) = (activity, self.now_us, self.changes);
         }
     }
 
@@ -115,7 +124,7 @@
 
 fn play(steps: &[Step]) -> Result<(), TestCaseError> {
     let mut w = World::default();
-    let mut ledger = MemoryBudget::new(1 << 30);
+    let mut memory = MemoryBudget::new(1 << 30);
     for step in steps {
         let pick = |n: usize| w.given.get(n % w.given.len().max(1)).copied();
         match *step {
@@ -128,11 +137,11 @@
                 w.given.push(handle);
                 let known = Known {
                     name,
-                    cold: false,
-                    used: Use::Busy,
+                    suspended: false,
+                    activity: Activity::Busy,
                     since_us: w.now_us,
                     changed: w.changes,
-                    marked: false,
+                    queued: false,
                     timer: None,
                     held: Default::default(),
                 };
@@ -145,56 +154,56 @@
                     prop_assert!(ended.is_none());
                     continue;
                 };
-                let (name, cold) = match ended {
-                    Some(Ended::Cold(name)) => (name, true),
-                    Some(Ended::Hot(name)) => (*name, false),
+                let (name, suspended) = match ended {
+                    Some(RemovedSession::Suspended(name)) => (name, true),
+                    Some(RemovedSession::Active(name)) => (*name, false),
                     None => return Err(TestCaseError::fail("a session is lost")),
                 };
-                prop_assert_eq!((name, cold), (known.name, known.cold));
+                prop_assert_eq!((name, suspended), (known.name, known.suspended));
                 if let Some((timer, ..)) = known.timer {
                     prop_assert_eq!(w.wheel.cancel(timer), Some(handle));
                 }
-                for (kind, bytes) in KINDS.into_iter().zip(known.held) {
-                    ledger.book(kind, bytes, 0);
+                for (kind, bytes) in MemoryPurpose::ALL.into_iter().zip(known.held) {
+                    memory.release(kind, bytes);
                 }
             }
-            Step::Park(n) => {
+            Step::Suspend(n) => {
                 let Some(handle) = pick(n) else { continue };
-                let parked = w.table.park(handle, |hot| Ok(*hot));
-                let may = w.known.get_mut(&handle).filter(|k| !k.cold);
-                prop_assert_eq!(parked, may.is_some());
+                let suspended = w.table.suspend(handle, |active| Ok(*active));
+                let may = w.known.get_mut(&handle).filter(|k| !k.suspended);
+                prop_assert_eq!(suspended, may.is_some());
                 if let Some(k) = may {
-                    k.cold = true;
+                    k.suspended = true;
                 }
             }
-            Step::Wake(n) => {
+            Step::Resume(n) => {
                 let Some(handle) = pick(n) else { continue };
-                let woken = w.table.wake(handle, w.now_us, Box::new);
+                let woken = w.table.resume(handle, w.now_us, Box::new);
                 prop_assert_eq!(woken, w.known.contains_key(&handle));
-                if w.known.get(&handle).is_some_and(|k| k.cold) {
-                    w.set_use(handle, Use::Busy);
-                    w.known.entry(handle).and_modify(|k| k.cold = false);
+                if w.known.get(&handle).is_some_and(|k| k.suspended) {
+                    w.set_activity(handle, Activity::Busy);
+                    w.known.entry(handle).and_modify(|k| k.suspended = false);
                 }
             }
-            Step::Use(n, used) => {
+            Step::Activity(n, activity) => {
                 let Some(handle) = pick(n) else { continue };
-                w.set_use(handle, USES[used]);
+                w.set_activity(handle, ACTIVITIES[activity]);
             }
-            Step::Renew(n) => {
+            Step::RestartAge(n) => {
                 let Some(handle) = pick(n) else { continue };
-                w.table.renew(handle, w.now_us);
+                w.table.restart_age(handle, w.now_us);
                 w.changes += 1;
                 if let Some(k) = w.known.get_mut(&handle) {
                     (k.since_us, k.changed) = (w.now_us, w.changes);
                 }
             }
-            Step::Mark(n) => {
+            Step::Queue(n) => {
                 let Some(handle) = pick(n) else { continue };
-                let marked = w.table.mark(handle);
-                let fresh = w.known.get_mut(&handle).filter(|k| !k.marked);
-                prop_assert_eq!(marked, fresh.is_some());
+                let queued = w.table.set_queued(handle);
+                let fresh = w.known.get_mut(&handle).filter(|k| !k.queued);
+                prop_assert_eq!(queued, fresh.is_some());
                 if let Some(k) = fresh {
-                    k.marked = true;
+                    k.queued = true;
                 }
             }
             Step::Arm(n, span_us) => {
@@ -218,43 +227,47 @@
                     prop_assert_eq!(w.wheel.cancel(timer), None);
                 }
             }
-            Step::Hold(n, kind, bytes) => {
+            Step::Reserve(n, kind, bytes) => {
                 let Some(handle) = pick(n) else { continue };
                 if let Some(k) = w.known.get_mut(&handle) {
-                    ledger.book(KINDS[kind], std::mem::replace(&mut k.held[kind], bytes), bytes);
+                    memory.resize(
+                        MemoryPurpose::ALL[kind],
+                        std::mem::replace(&mut k.held[kind], bytes),
+                        bytes,
+                    );
                 }
             }
             Step::Pass(span_us) => w.pass(span_us)?,
         }
-        agree(&w, &ledger)?;
+        agree(&w, &memory)?;
     }
     w.pass(1 << 50)?;
     prop_assert!(w.wheel.is_empty());
     Ok(())
 }
 
-fn agree(w: &World, ledger: &MemoryBudget) -> Result<(), TestCaseError> {
+fn agree(w: &World, memory: &MemoryBudget) -> Result<(), TestCaseError> {
     prop_assert_eq!(w.table.len(), w.known.len());
-    prop_assert_eq!(w.table.cold(), w.known.values().filter(|k| k.cold).count());
+    prop_assert_eq!(w.table.suspended_count(), w.known.values().filter(|k| k.suspended).count());
     for handle in &w.given {
         let known = w.known.get(handle);
         prop_assert_eq!(w.table.contains(*handle), known.is_some());
-        prop_assert_eq!(w.table.used(*handle), known.map(|k| (k.used, k.since_us)));
-        prop_assert_eq!(w.table.hot(*handle), known.filter(|k| !k.cold).map(|k| &k.name));
-        prop_assert_eq!(w.table.parked(*handle), known.filter(|k| k.cold).map(|k| &k.name));
-        prop_assert_eq!(w.table.is_marked(*handle), known.is_some_and(|k| k.marked));
+        prop_assert_eq!(w.table.activity(*handle), known.map(|k| (k.activity, k.since_us)));
+        prop_assert_eq!(w.table.active(*handle), known.filter(|k| !k.suspended).map(|k| &k.name));
+        prop_assert_eq!(w.table.suspended(*handle), known.filter(|k| k.suspended).map(|k| &k.name));
+        prop_assert_eq!(w.table.is_queued(*handle), known.is_some_and(|k| k.queued));
         prop_assert_eq!(Handle::from_bits(handle.to_bits()), Some(*handle));
     }
-    let mut counts: BTreeMap<Use, usize> = BTreeMap::new();
-    w.known.values().for_each(|k| *counts.entry(k.used).or_default() += 1);
-    for used in USES.into_iter().filter(|u| *u != Use::Busy) {
-        prop_assert_eq!(w.table.count(used), counts.get(&used).copied().unwrap_or(0));
+    let mut counts: BTreeMap<Activity, usize> = BTreeMap::new();
+    w.known.values().for_each(|k| *counts.entry(k.activity).or_default() += 1);
+    for activity in ACTIVITIES.into_iter().filter(|u| *u != Activity::Busy) {
+        prop_assert_eq!(w.table.count(activity), counts.get(&activity).copied().unwrap_or(0));
     }
-    // Of two that took the same use up in the same microsecond either may yield.
-    let since = |h: Option<Handle>| h.and_then(|h| w.table.used(h)).map(|(_, since_us)| since_us);
-    prop_assert_eq!(since(w.table.yields(w.now_us, usize::MAX)), since(w.yields()));
-    for (at, kind) in KINDS.into_iter().enumerate() {
-        prop_assert_eq!(ledger.held(kind), w.known.values().map(|k| k.held[at]).sum::<usize>());
+    // Of two that took the same activity up in the same microsecond either may be evicted.
+    let since = |h: Option<Handle>| h.and_then(|h| w.table.activity(h)).map(|(_, since_us)| since_us);
+    prop_assert_eq!(since(w.table.eviction_candidate(w.now_us, usize::MAX)), since(w.eviction_candidate()));
+    for (at, kind) in MemoryPurpose::ALL.into_iter().enumerate() {
+        prop_assert_eq!(memory.held(kind), w.known.values().map(|k| k.held[at]).sum::<usize>());
     }
     let next = w.known.values().filter_map(|k| k.timer.map(|(_, at_us, _)| at_us)).min();
     // It may say a time that is too early, where a timer was cancelled, and never one that is too late.
@@ -273,23 +286,23 @@
     })]
 
     #[test]
-    fn all_that_is_kept_of_sessions_agrees_with_plain_maps(steps in prop::collection::vec(step(), 1..200)) {
+    fn sessions_timers_and_memory_agree_with_plain_maps(steps in prop::collection::vec(step(), 1..200)) {
         play(&steps)?;
     }
 }
 
 /// The table and the wheel as the gateway uses them, at a size that sockets don't reach: while nothing is due
-/// nothing wakes up, and time-outs of 3 s and 20 s fire at their microsecond among 100,000 parked sessions.
+/// nothing wakes up, and time-outs of 3 s and 20 s fire at their microsecond among 100,000 suspended sessions.
 #[test]
-fn time_outs_among_100_000_parked_sessions_fire_at_their_time() {
-    let mut table: Table<u64, u64> = Table::new();
+fn time_outs_among_100_000_suspended_sessions_fire_at_their_time() {
+    let mut table: SessionTable<u64, u64> = SessionTable::new();
     let mut wheel = TimerWheel::new();
     let all: Vec<Handle> = (0..100_000).map(|n| table.insert(n, Box::new(n))).collect();
     for (n, handle) in all.iter().enumerate() {
-        table.set_use(*handle, Use::Idle, n as u64);
-        assert!(table.park(*handle, |hot| Ok(*hot)));
+        table.set_activity(*handle, Activity::Idle, n as u64);
+        assert!(table.suspend(*handle, |active| Ok(*active)));
     }
-    assert_eq!(wheel.next_us(), None, "parked sessions have no timer");
+    assert_eq!(wheel.next_us(), None, "suspended sessions have no timer");
     let mut wanted = Vec::new();
     for (n, handle) in all.iter().enumerate().step_by(100) {
         let now_us = 100_000 + n as u64;
