--- a/gateway/src/config/mod.rs
+++ b/gateway/src/config/mod.rs
@@ -103,15 +103,15 @@
 
 impl Default for ClientSettings {
     fn default() -> Self {
-        let limits = wrenhatch_sessions::read_scheduler::Limits::default();
+        let limits = wrenhatch_sessions::read_scheduler::ReadLimits::default();
         Self {
             max_sessions: None,
             idle_limit_us: None,
             backlog: 1024,
             keepalive: None,
             turn_us: limits.turn_us,
-            messages_per_turn: limits.messages,
-            bytes_per_turn: limits.bytes,
+            messages_per_turn: limits.messages_per_turn,
+            bytes_per_turn: limits.bytes_per_turn,
         }
     }
 }
