--- a/gateway/src/net/mod.rs
+++ b/gateway/src/net/mod.rs
@@ -36,7 +36,7 @@
 use crate::config::{Config, OWN_DESCRIPTORS, SettingsNames};
 use crate::core::{Command, Core, Input};
 use crate::counters::Counters;
-use crate::discovery::EngineRegistry;
+use crate::discovery::{EndpointWatch, EngineRegistry};
 use crate::handover::Message;
 use crate::metrics::Metrics;
 use crate::timer_lag::TimerLag;
@@ -173,7 +173,11 @@
             ),
             requests: Requests::default(),
             pools: pools::Pools::default(),
-            watch: watch::Watch::new(known_list.last_index, config.seed as u32 as f64 / f64::from(u32::MAX)),
+            watch: watch::Watch::new(EndpointWatch::new(
+                known_list.last_index,
+                config.memory_bytes,
+                config.seed as u32 as f64 / f64::from(u32::MAX),
+            )),
             control: config
                 .control_plane
                 .clone()
--- a/gateway/src/net/reload.rs
+++ b/gateway/src/net/reload.rs
@@ -20,7 +20,7 @@
                 tracing::info!(coordinator = ?fresh.discovery, "configuration read again");
                 self.counters.reloads += 1;
                 self.tell_differences(&fresh);
-                fresh.known_list.events.iter().for_each(|event| self.list_event(event));
+                fresh.known_list.events.iter().for_each(|event| self.known_list_event(event));
                 match fresh.discovery {
                     Some(to) => self.move_watch(to),
                     None => tracing::warn!("no coordinator is named any more: the old one is kept"),
--- a/gateway/src/net/sessions.rs
+++ b/gateway/src/net/sessions.rs
@@ -324,6 +324,11 @@
         (self.secrets >> 32) as u32
     }
 
+    /// A random number from 0 to 1.
+    pub fn chance(&mut self) -> f64 {
+        f64::from(self.secret()) / f64::from(u32::MAX)
+    }
+
     /// Whether whoever comes next needs another's place.
     pub fn is_full(&self) -> bool {
         self.table.len() >= self.most
--- a/lab/src/hollow/model/mod.rs
+++ b/lab/src/hollow/model/mod.rs
@@ -400,7 +400,7 @@
         slot.loads.calls.add(self.now_us, 1);
         self.calls_in_step.add(self.now_us, 1);
         if let Some(running) = &mut slot.running {
-            running.watch.dialled(connection);
+            running.watch.dialled(self.now_us, connection);
         }
         if machine.is_some() && self.is_path_open(connection) {
             let latency_us = self.way(connection);
