--- a/gateway/src/core/timers.rs
+++ b/gateway/src/core/timers.rs
@@ -38,7 +38,7 @@
     /// The next timer that is due.
     pub(super) fn pop(&mut self, now_us: u64) -> Option<Timer> {
         let (due_us, timer) = self.wheel.pop(now_us)?;
-        self.lag.note(due_us, now_us);
+        self.lag.record(due_us, now_us);
         Some(timer)
     }
 
--- a/gateway/src/counters.rs
+++ b/gateway/src/counters.rs
@@ -1,4 +1,4 @@
-//! Counters of what the gateway takes in, sends and answers.
+//! Counters of connections, requests, attempts and turns of the event loop. Their names are printed as they are here.
 
 use std::fmt;
 
@@ -6,7 +6,7 @@
 
 macro_rules! counters {
     ($($(#[$doc:meta])* $name:ident),* $(,)?) => {
-        /// One number for each thing counted since the start.
+        /// Counts since the start.
         #[derive(Clone, Debug, Default, PartialEq, Eq)]
         pub struct Counters {
             $($(#[$doc])* pub $name: u64,)*
@@ -22,63 +22,63 @@
 }
 
 counters! {
-    /// Turns of the loop.
+    /// Turns of the event loop.
     turns,
     /// Client connections accepted.
     clients,
-    /// Client connections for which there was no place.
+    /// Client connections rejected, as there were no descriptors or no memory for more.
     turned_away,
-    /// Client connections closed to make room for others.
+    /// Idle client connections closed to make room for others.
     evicted,
-    /// Client connections closed for a start or a message that did not end.
+    /// Client connections closed as the start of a session or a message was not complete in time.
     timed_out,
-    /// Client connections closed for being idle for longer than the operator lets them.
+    /// Client connections closed for being idle for longer than the configuration allows.
     idle_closed,
-    /// Client connections closed, or requests and statements turned down, as memory was short.
+    /// Client connections closed, or requests and statements rejected, as memory was short.
     no_memory,
-    /// Requests told to come back, as they would not have been reached in time.
+    /// Requests rejected with Retry-After, as they would not have been read in time.
     too_late,
-    /// Requests taken and handed to the core.
+    /// Requests handed to the core.
     taken,
-    /// Requests turned down before the core: bad fields, oversized messages.
+    /// Requests rejected before the core as invalid: fields, size.
     invalid,
-    /// Final answers: all rows.
+    /// Final answers: served.
     served,
-    /// Final answers: refused.
+    /// Final answers: rejected.
     refused,
     /// Final answers: failed.
     failed,
     /// Requests whose client left first.
     left,
-    /// Attempts written to an engine.
+    /// Attempts forwarded to an engine.
     sent,
-    /// Attempts taken back.
+    /// Attempts cancelled.
     stopped,
-    /// Calls to engines made again, as their answers were spoilt or did not come.
+    /// Calls to engines repeated, as their responses were invalid or did not come.
     asked_again,
     /// Connections opened to engines.
     engine_connects,
-    /// Attempts that ended well.
+    /// Attempts that ended with success.
     ended_success,
-    /// Turned away by a full engine.
+    /// Attempts rejected by their engine.
     ended_overloaded,
-    /// An error of the engine.
+    /// Attempts that ended with an error of their engine.
     ended_failure,
-    /// No connection came up.
+    /// Attempts for which no connection could be opened.
     ended_unreachable,
-    /// The connection broke.
+    /// Attempts whose connection broke.
     ended_broken,
-    /// Taken back.
+    /// Attempts that ended after they were cancelled.
     ended_withdrawn,
-    /// Nothing was heard of their end.
+    /// Attempts whose end is not known.
     ended_timed_out,
-    /// Never sent.
+    /// Attempts that were never sent.
     ended_void,
-    /// Events of the coordinator.
+    /// Events of the discovery service.
     list_events,
-    /// Times the coordinator's stream was opened.
+    /// Streams opened to the discovery service.
     list_connects,
-    /// Times the configuration was read again.
+    /// Reloads of the configuration.
     reloads,
 }
 
--- a/gateway/src/main.rs
+++ b/gateway/src/main.rs
@@ -1,9 +1,10 @@
-//! The gateway's command line.
+//! The command line of the gateway.
 
 use std::process::ExitCode;
 
 use lexopt::prelude::*;
-use wrenhatch::{config, net};
+use wrenhatch::config::{self, Config, ConfigError};
+use wrenhatch::net::{self, ServeError};
 
 const HELP: &str = "\
 wrenhatch, a gateway in front of query engines
@@ -20,89 +21,112 @@
     --log LEVEL          error, warn, info (the default), debug or trace
 ";
 
+/// Why the program ends with a failure.
+#[derive(Debug, thiserror::Error)]
+enum CommandError {
+    #[error("{0}")]
+    Arguments(#[from] lexopt::Error),
+    #[error("--log: an unknown level")]
+    UnknownLogLevel,
+    #[error("unknown command {0}; see wrenhatch help")]
+    UnknownCommand(String),
+    #[error("a command is missing; see wrenhatch help")]
+    MissingCommand,
+    #[error("signals: {0}")]
+    Signals(std::io::Error),
+    #[error("{0}")]
+    Configuration(#[from] ConfigError),
+    #[error("{0}")]
+    Serve(#[from] ServeError),
+}
+
+/// What the command line says.
+struct CommandLine {
+    command: Option<String>,
+    operator_file: Option<String>,
+    log_level: tracing::Level,
+}
+
 fn main() -> ExitCode {
     match run() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(message) => {
-            eprintln!("wrenhatch: {message}");
+        Err(error) => {
+            eprintln!("wrenhatch: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
-fn run() -> Result<(), String> {
-    let mut parser = lexopt::Parser::from_env();
-    let (mut command, mut operator, mut level) = (None, None, tracing::Level::INFO);
-    while let Some(arg) = parser.next().map_err(|e| e.to_string())? {
-        match arg {
-            Short('h') | Long("help") => command = Some("help".to_owned()),
-            Short('V') | Long("version") => command = Some("version".to_owned()),
-            Long("config") => operator = Some(text(&mut parser)?),
-            Long("log") => level = text(&mut parser)?.parse().map_err(|_| "--log: an unknown level")?,
-            Value(word) if command.is_none() => command = Some(word.to_string_lossy().into_owned()),
-            other => return Err(other.unexpected().to_string()),
-        }
-    }
+fn run() -> Result<(), CommandError> {
+    let CommandLine { command, operator_file, log_level } = parse_command_line()?;
     tracing_subscriber::fmt()
         .with_writer(std::io::stderr)
         .with_ansi(false)
-        .with_max_level(level)
+        .with_max_level(log_level)
         .without_time()
         .init();
+    let operator_file = operator_file.as_deref();
     match command.as_deref() {
         Some("serve") => {
-            let signals = net::Signals::catch().map_err(|e| format!("signals: {e}"))?;
-            serve(configuration(operator.as_deref())?, signals)
-        }
-        Some("check") => {
-            let c = configuration(operator.as_deref())?;
-            println!(
-                "{} on {}: {} classes, {} tenants, {} events of the list known, {} descriptors, {} sessions at most",
-                c.name,
-                c.listen,
-                c.names.classes.len(),
-                c.names.tenants.len(),
-                c.known_list.events.len(),
-                c.max_descriptors,
-                net::most_sessions(&c)
-            );
-            if let Some(m) = &c.mysql {
-                println!("MySQL on {}: {} engines", m.listen, m.engines.len());
-            }
-            if let Some(control) = &c.control_plane {
-                println!("settings in service from {} control machines", control.servers.len());
-            }
-            Ok(())
+            // Before anything that takes time: a signal that is not caught yet would end the process.
+            let signals = net::Signals::catch().map_err(CommandError::Signals)?;
+            serve(config::from_environment(operator_file)?, signals)?;
         }
-        Some("version") => {
-            println!("wrenhatch {}", env!("CARGO_PKG_VERSION"));
-            Ok(())
-        }
-        Some("help") => {
-            print!("{HELP}");
-            Ok(())
-        }
-        Some(other) => Err(format!("unknown command {other}; see wrenhatch help")),
-        None => Err("a command is missing; see wrenhatch help".to_owned()),
+        Some("check") => print_configuration(&config::from_environment(operator_file)?),
+        Some("version") => println!("wrenhatch {}", env!("CARGO_PKG_VERSION")),
+        Some("help") => print!("{HELP}"),
+        Some(other) => return Err(CommandError::UnknownCommand(other.to_owned())),
+        None => return Err(CommandError::MissingCommand),
     }
+    Ok(())
 }
 
-fn text(parser: &mut lexopt::Parser) -> Result<String, String> {
-    parser.value().and_then(|v| v.string()).map_err(|e| e.to_string())
+fn parse_command_line() -> Result<CommandLine, CommandError> {
+    let mut parser = lexopt::Parser::from_env();
+    let (mut command, mut operator_file, mut log_level) = (None, None, tracing::Level::INFO);
+    while let Some(argument) = parser.next()? {
+        match argument {
+            Short('h') | Long("help") => command = Some("help".to_owned()),
+            Short('V') | Long("version") => command = Some("version".to_owned()),
+            Long("config") => operator_file = Some(parser.value()?.string()?),
+            Long("log") => {
+                let level = parser.value()?.string()?;
+                log_level = level.parse().map_err(|_| CommandError::UnknownLogLevel)?;
+            }
+            Value(value) if command.is_none() => command = Some(value.to_string_lossy().into_owned()),
+            other => return Err(other.unexpected().into()),
+        }
+    }
+    Ok(CommandLine { command, operator_file, log_level })
 }
 
-fn configuration(operator: Option<&str>) -> Result<config::Config, String> {
-    config::from_environment(operator).map_err(|e| e.to_string())
+fn print_configuration(config: &Config) {
+    println!(
+        "{} on {}: {} classes, {} tenants, {} events of the list known, {} descriptors, {} sessions at most",
+        config.name,
+        config.listen,
+        config.names.classes.len(),
+        config.names.tenants.len(),
+        config.known_list.events.len(),
+        config.max_descriptors,
+        net::most_sessions(config)
+    );
+    if let Some(mysql) = &config.mysql {
+        println!("MySQL on {}: {} engines", mysql.listen, mysql.engines.len());
+    }
+    if let Some(control_plane) = &config.control_plane {
+        println!("settings in service from {} control machines", control_plane.servers.len());
+    }
 }
 
-fn serve(config: config::Config, signals: net::Signals) -> Result<(), String> {
+fn serve(config: Config, signals: net::Signals) -> Result<(), ServeError> {
     let name = config.name.clone();
-    let server = net::Server::new(config, signals).map_err(|e| e.to_string())?;
-    let (pg, mysql) = server.addresses();
-    let ops = server.ops_address().map(|a| a.to_string());
-    let [listen, mysql, ops] = [pg, mysql, ops].map(|a| a.unwrap_or_else(|| "-".to_owned()));
+    let server = net::Server::new(config, signals)?;
+    let (listen, mysql) = server.addresses();
+    let ops = server.ops_address().map(|address| address.to_string());
+    let [listen, mysql, ops] = [listen, mysql, ops].map(|address| address.unwrap_or_else(|| "-".to_owned()));
     tracing::info!(%name, %listen, %mysql, %ops, "serving");
-    let counters = server.run().map_err(|e| e.to_string())?;
+    let counters = server.run()?;
     tracing::info!(%counters, "ended");
     Ok(())
 }
--- a/gateway/src/net/clients.rs
+++ b/gateway/src/net/clients.rs
@@ -397,7 +397,7 @@
             ready_us,
             wait_us: admission::wait_us(fields.wait_ms, self.config.settings.classes[class.0].deadline),
             work_ahead_us: if early { self.sessions.scheduler.backlog_us() } else { 0 },
-            shutting_down: self.is_going(),
+            shutting_down: self.is_shutting_down(),
             open_requests: self.requests.open.len(),
             max_open_requests: self.config.max_open_requests,
             memory: self.sessions.memory.check(MemoryPurpose::Requests, request.bytes()),
--- a/gateway/src/net/mod.rs
+++ b/gateway/src/net/mod.rs
@@ -107,8 +107,8 @@
     Listeners,
     /// Who calls for operators may have been there for too long.
     Callers,
-    /// The time for taking new work is over.
-    Going,
+    /// The next phase of the graceful shutdown may begin.
+    Shutdown,
 }
 
 /// The clock, read once a turn.
@@ -127,7 +127,7 @@
     poll: Poll,
     time: Time,
     timers: TimerWheel<Timer>,
-    lateness: TimerLag,
+    timer_lag: TimerLag,
     listeners: Listeners,
     sessions: Sessions,
     requests: Requests,
@@ -166,7 +166,7 @@
                 unix_offset_us: i128::try_from(unix.as_micros()).unwrap_or(0),
             },
             timers: TimerWheel::new(),
-            lateness: TimerLag::default(),
+            timer_lag: TimerLag::default(),
             listeners,
             sessions: Sessions::new(
                 &config,
@@ -236,7 +236,7 @@
                     (MYSQL_LISTENER, _) => connecting[1] = true,
                     (TERM, _) => {
                         drain(&self.signals.term);
-                        self.stop_taking();
+                        self.begin_shutdown();
                     }
                     (OPS_LISTENER, _) => self.accept_callers(),
                     (PEER_LISTENER, _) => self.accept_peer_processes(),
@@ -275,7 +275,7 @@
             }
             self.read_sessions();
             self.turn();
-            if self.has_ended() {
+            if self.advance_shutdown() {
                 self.announce_exit_to_peers();
                 self.print();
                 return Ok(self.counters);
@@ -289,7 +289,7 @@
             open = self.core.open_requests(),
             timers = self.timers.len() + self.core.timers(),
             sessions = %self.sessions,
-            lateness = %self.lateness.with(self.core.timer_lag()),
+            timer_lag = %self.timer_lag.merged(self.core.timer_lag()),
         );
     }
 
@@ -337,7 +337,7 @@
 
     fn ring(&mut self) {
         while let Some((due_us, timer)) = self.timers.pop(self.time.now_us) {
-            self.lateness.note(due_us, self.time.now_us);
+            self.timer_lag.record(due_us, self.time.now_us);
             self.sessions.scheduler.charge(Work::Event, 1);
             match timer {
                 Timer::Link(at, serial) => self.link_late(at, serial),
@@ -350,8 +350,8 @@
                 Timer::Reload(failures) => self.reload(failures),
                 Timer::Listeners => self.listeners.resume(&self.poll),
                 Timer::Callers => self.callers_late(),
-                // The loop wakes up, and looks how far the end has come.
-                Timer::Going => {}
+                // It only wakes the loop, which advances the shutdown at the end of each turn.
+                Timer::Shutdown => {}
             }
         }
     }
--- a/gateway/src/net/shutdown.rs
+++ b/gateway/src/net/shutdown.rs
@@ -1,5 +1,13 @@
-//! The end of the process: what is still taken after SIGTERM, until when all of it is answered, and how clients'
-//! connections are closed so that nothing is taken and dropped.
+//! Graceful shutdown: after SIGTERM new work is accepted for a while and then rejected, open requests get their final
+//! answers before SIGKILL may come, and clients' connections are closed so that no request that arrived is lost.
+//!
+//! Counted from SIGTERM:
+//!
+//! 1. For [`ACCEPT_US`] all goes on as before, as clients may not know yet.
+//! 2. The listeners are closed; new requests are rejected, and open ones are waited for.
+//! 3. [`ANSWER_MARGIN_US`] before SIGKILL may come, requests that are still open get their final answers.
+//! 4. Once all answers are written, the gateway ends its side of all connections and discards what clients still send,
+//!    for [`LINGER_US`] at most. Then the process may exit.
 
 use workload_manager::interface::Settings;
 
@@ -8,110 +16,127 @@
 use super::{Server, Timer};
 use crate::core::Input;
 
-/// How long new work is still taken after SIGTERM, in microseconds.
-const TAKING_US: u64 = 700_000;
-/// SIGKILL comes no sooner after that than the longest deadline, which counts as this at most: at a restart, and where
-/// a newer process has taken the place.
-const LONGEST_DEADLINE_US: (u64, u64) = (3_000_000, 5_000_000);
-/// What is not answered so long before is given up: the answer must be written and read by then.
-const SPARE_US: u64 = 300_000;
-/// How long clients may take to end their side once this one has ended: bytes that cross the end are read and
-/// thrown away so long, as a close over them would reset the connection under an answer on its way.
-const PARTING_US: u64 = 250_000;
-
-/// How far the end has come.
+/// How long new work is accepted after SIGTERM.
+const ACCEPT_US: u64 = 700_000;
+
+/// SIGKILL comes no sooner than the longest deadline of a class after [`ACCEPT_US`]; that counts as this at most where
+/// the process has no peer,
+const MAX_DEADLINE_ALONE_US: u64 = 3_000_000;
+
+/// and as this at most where another process of the gateway runs beside it.
+const MAX_DEADLINE_WITH_PEER_US: u64 = 5_000_000;
+
+/// Open requests get their final answers this long before SIGKILL may come: the time to write and read them.
+const ANSWER_MARGIN_US: u64 = 300_000;
+
+/// How long clients have to end their side of a connection after the gateway has ended its own. A close with input
+/// unread would reset the connection, and an answer on its way would be lost.
+const LINGER_US: u64 = 250_000;
+
+/// How far the shutdown has come.
 pub struct Shutdown {
-    since_us: Option<u64>,
+    began_us: Option<u64>,
+    /// Of all classes that new requests may have.
     longest_deadline_us: u64,
-    /// From SIGTERM till everything must have its answer.
-    answered_us: u64,
-    listeners_closed: bool,
-    given_up: bool,
-    parting_since_us: Option<u64>,
+    /// From SIGTERM until all open requests must have their final answers.
+    answer_within_us: u64,
+    has_closed_listeners: bool,
+    has_answered_all: bool,
+    lingers_since_us: Option<u64>,
 }
 
-fn longest_deadline_us(deadlines: impl Iterator<Item = f64>) -> u64 {
-    (deadlines.fold(0.0, f64::max) * 1e6) as u64
+fn longest_deadline_us(deadlines_seconds: impl Iterator<Item = f64>) -> u64 {
+    (deadlines_seconds.fold(0.0, f64::max) * 1e6) as u64
 }
 
 impl Shutdown {
     pub(super) fn new(settings: &Settings) -> Self {
         Self {
-            since_us: None,
-            longest_deadline_us: longest_deadline_us(settings.classes.iter().map(|c| c.deadline)),
-            answered_us: TAKING_US,
-            listeners_closed: false,
-            given_up: false,
-            parting_since_us: None,
+            began_us: None,
+            longest_deadline_us: longest_deadline_us(settings.classes.iter().map(|class| class.deadline)),
+            answer_within_us: ACCEPT_US,
+            has_closed_listeners: false,
+            has_answered_all: false,
+            lingers_since_us: None,
         }
     }
 
-    /// The classes that new requests may have got other deadlines, in seconds. An end that has begun goes on as it
-    /// was planned.
-    pub(super) fn set_deadlines(&mut self, deadlines: impl Iterator<Item = f64>) {
-        self.longest_deadline_us = longest_deadline_us(deadlines);
+    /// Sets the deadlines, in seconds, of the classes that new requests may have. A shutdown that has begun goes on as
+    /// it was planned.
+    pub(super) fn set_deadlines(&mut self, deadlines_seconds: impl Iterator<Item = f64>) {
+        self.longest_deadline_us = longest_deadline_us(deadlines_seconds);
     }
 
     /// Whether SIGTERM has come.
     pub(super) fn has_begun(&self) -> bool {
-        self.since_us.is_some()
+        self.began_us.is_some()
     }
 }
 
 impl Server {
-    /// SIGTERM has come. A second one says nothing new.
-    pub(super) fn stop_taking(&mut self) {
+    /// SIGTERM has come. Another one changes nothing.
+    pub(super) fn begin_shutdown(&mut self) {
         if self.shutdown.has_begun() {
             return;
         }
         let now_us = self.time.now_us;
-        self.shutdown.since_us = Some(now_us);
-        let most = if self.peer_processes.is_empty() { LONGEST_DEADLINE_US.0 } else { LONGEST_DEADLINE_US.1 };
-        let killed_us = TAKING_US + self.shutdown.longest_deadline_us.min(most);
-        self.shutdown.answered_us = killed_us.saturating_sub(SPARE_US).max(TAKING_US);
-        self.timers.arm(now_us + TAKING_US, Timer::Going);
-        self.timers.arm(now_us + self.shutdown.answered_us, Timer::Going);
-        tracing::info!("SIGTERM: taking for 0.7 s more");
+        self.shutdown.began_us = Some(now_us);
+        let max_deadline_us =
+            if self.peer_processes.is_empty() { MAX_DEADLINE_ALONE_US } else { MAX_DEADLINE_WITH_PEER_US };
+        let kill_after_us = ACCEPT_US + self.shutdown.longest_deadline_us.min(max_deadline_us);
+        let answer_within_us = kill_after_us.saturating_sub(ANSWER_MARGIN_US).max(ACCEPT_US);
+        self.shutdown.answer_within_us = answer_within_us;
+        self.timers.arm(now_us + ACCEPT_US, Timer::Shutdown);
+        self.timers.arm(now_us + answer_within_us, Timer::Shutdown);
+        tracing::info!(accept_us = ACCEPT_US, answer_within_us, "graceful shutdown begins");
     }
 
-    fn since_term_us(&self) -> Option<u64> {
-        self.shutdown.since_us.map(|at| self.time.now_us.saturating_sub(at))
+    fn since_sigterm_us(&self) -> Option<u64> {
+        self.shutdown.began_us.map(|began_us| self.time.now_us.saturating_sub(began_us))
     }
 
-    /// Whether nothing new is taken any more.
-    pub(super) fn is_going(&self) -> bool {
-        self.since_term_us().is_some_and(|past| past >= TAKING_US)
+    /// Whether new work is rejected.
+    pub(super) fn is_shutting_down(&self) -> bool {
+        self.since_sigterm_us().is_some_and(|since_us| since_us >= ACCEPT_US)
     }
 
-    /// Takes the end as far as it goes in this turn; true once the process may end.
-    pub(super) fn has_ended(&mut self) -> bool {
-        let Some(past_us) = self.since_term_us().filter(|past| *past >= TAKING_US) else { return false };
-        if !std::mem::replace(&mut self.shutdown.listeners_closed, true) {
-            self.empty_listeners();
+    /// Carries the shutdown on as far as it goes in this turn; true once the process may exit.
+    pub(super) fn advance_shutdown(&mut self) -> bool {
+        let Some(since_us) = self.since_sigterm_us().filter(|since_us| *since_us >= ACCEPT_US) else {
+            return false;
+        };
+        if !std::mem::replace(&mut self.shutdown.has_closed_listeners, true) {
+            self.close_listeners();
         }
-        let over = past_us >= self.shutdown.answered_us;
-        if over && !std::mem::replace(&mut self.shutdown.given_up, true) {
+        let must_answer = since_us >= self.shutdown.answer_within_us;
+        if must_answer && !std::mem::replace(&mut self.shutdown.has_answered_all, true) {
             self.inputs.push(Input::ShuttingDown);
         }
-        let owed = !self.requests.open.is_empty() || !self.inputs.is_empty() || self.ops.is_answering();
-        if owed || (self.sessions.is_writing() && !over && self.shutdown.parting_since_us.is_none()) {
+        let owes_answers =
+            !self.requests.open.is_empty() || !self.inputs.is_empty() || self.ops.is_answering();
+        let waits_for_writes =
+            self.sessions.is_writing() && !must_answer && self.shutdown.lingers_since_us.is_none();
+        if owes_answers || waits_for_writes {
             return false;
         }
+        self.linger()
+    }
+
+    /// Ends the gateway's side of all connections, and waits for clients to end theirs; true once that is over.
+    fn linger(&mut self) -> bool {
         let now_us = self.time.now_us;
-        match self.shutdown.parting_since_us {
-            None => {
-                self.shutdown.parting_since_us = Some(now_us);
-                self.timers.arm(now_us + PARTING_US, Timer::Going);
-                self.part();
-                false
-            }
-            Some(since_us) => self.sessions.table.is_empty() || now_us >= since_us + PARTING_US,
-        }
+        let Some(since_us) = self.shutdown.lingers_since_us else {
+            self.shutdown.lingers_since_us = Some(now_us);
+            self.timers.arm(now_us + LINGER_US, Timer::Shutdown);
+            self.end_sessions();
+            return false;
+        };
+        self.sessions.table.is_empty() || now_us >= since_us + LINGER_US
     }
 
-    /// Who has connected and was not accepted yet is: closed with the listener, the connection would be reset
-    /// under a request that the machine has taken. A newer process that listens at the same queue takes them itself.
-    fn empty_listeners(&mut self) {
+    /// Accepts the connections that wait, before the listeners close: a close would reset them, and with them requests
+    /// that have arrived. A successor that listens at the same queues accepts them itself.
+    fn close_listeners(&mut self) {
         if !self.listeners.is_handed_over() {
             for front in [Front::Pg, Front::MySql] {
                 while self.accept(front) {}
@@ -120,20 +145,20 @@
         self.listeners.close(&self.poll);
     }
 
-    /// Looks once more at every client for what has come, which is refused now, and ends this side. One that
-    /// has begun something is told why; one at rest finds its connection ended, and sends what it has elsewhere.
-    fn part(&mut self) {
-        let all: Vec<_> = self.sessions.table.handles().collect();
-        for who in all {
-            self.read_now(who);
-            let Some(live) = self.sessions.table.active_mut(who) else { continue };
-            if live.conn.phase != Phase::Open {
+    /// Reads once more from every client, whose new requests are rejected, and ends the gateway's side. A client that
+    /// has begun a message or its session is told why; to an idle one the connection just ends.
+    fn end_sessions(&mut self) {
+        let sessions: Vec<_> = self.sessions.table.handles().collect();
+        for handle in sessions {
+            self.read_now(handle);
+            let Some(active) = self.sessions.table.active_mut(handle) else { continue };
+            if active.conn.phase != Phase::Open {
                 continue;
             }
-            if live.session.is_starting() || !live.conn.input.is_empty() {
-                live.session.shut_down(&mut live.conn.output);
+            if active.session.is_starting() || !active.conn.input.is_empty() {
+                active.session.shut_down(&mut active.conn.output);
             }
-            self.close_soon(who);
+            self.close_soon(handle);
         }
     }
 }
--- a/gateway/src/timer_lag.rs
+++ b/gateway/src/timer_lag.rs
@@ -1,13 +1,15 @@
-//! How late timers fire: what an engineer on call looks at first when a gateway seems slow.
+//! Timer lag: how late timers fire. It is the first figure to look at when a gateway seems slow.
 
 use std::fmt;
 
 use hdrhistogram::Histogram;
 
-/// Later than this counts as this, in microseconds.
-const LATEST_US: u64 = 60_000_000;
+/// A longer lag is recorded as this.
+const MAX_LAG_US: u64 = 60_000_000;
 
-/// How late timers have fired since the start.
+const SIGNIFICANT_DIGITS: u8 = 2;
+
+/// The lag of all timers that have fired since the start.
 #[derive(Clone, Debug)]
 pub struct TimerLag {
     histogram: Option<Histogram<u32>>,
@@ -15,23 +17,23 @@
 
 impl Default for TimerLag {
     fn default() -> Self {
-        Self { histogram: Histogram::new_with_bounds(1, LATEST_US, 2).ok() }
+        Self { histogram: Histogram::new_with_bounds(1, MAX_LAG_US, SIGNIFICANT_DIGITS).ok() }
     }
 }
 
 impl TimerLag {
-    /// Notes a timer that was due at `due_us` and fires now.
-    pub fn note(&mut self, due_us: u64, now_us: u64) {
+    /// Records a timer that was due at `due_us` and fires now.
+    pub fn record(&mut self, due_us: u64, now_us: u64) {
         if let Some(histogram) = &mut self.histogram {
             histogram.saturating_record(now_us.saturating_sub(due_us));
         }
     }
 
-    /// Those of both.
-    pub fn with(&self, other: &Self) -> Self {
+    /// The timers of both.
+    pub fn merged(&self, other: &Self) -> Self {
         let mut both = self.clone();
         if let (Some(a), Some(b)) = (&mut both.histogram, &other.histogram) {
-            // They have the same bounds, so that nothing is out of range.
+            // Both have the same bounds, so no value is out of range.
             let _ = a.add(b);
         }
         both
--- a/gateway/tests/crossings.rs
+++ b/gateway/tests/crossings.rs
@@ -603,7 +603,7 @@
     starting.raw(&[0, 0, 0, 40, 0, 3]);
     assert_eq!(half.clone().key, half.key);
     gateway.terminate();
-    gateway.logged("taking for 0.7 s more");
+    gateway.logged("graceful shutdown begins");
     gateway.terminate();
     // All of this is there when the time for taking is over.
     let late = gateway.paused(|| {
--- a/lab/src/idle.rs
+++ b/lab/src/idle.rs
@@ -350,7 +350,7 @@
         bytes_after,
         timers_late: format!(
             "n={} p50={} p99={} max={} us",
-            figure(&counters, "lateness=timers_rung="),
+            figure(&counters, "timer_lag=timers_rung="),
             figure(&counters, "late_p50_us="),
             figure(&counters, "late_p99_us="),
             figure(&counters, "late_max_us=")
