--- a/gateway/src/core/tests.rs
+++ b/gateway/src/core/tests.rs
@@ -1,4 +1,4 @@
-//! The core on a fake clock: no sockets, no waiting.
+//! Tests of the core on a simulated clock.
 
 use quickcheck::quickcheck;
 
@@ -7,6 +7,7 @@
 use crate::config;
 use crate::json::JsonField;
 
+const CONFIG: &str = include_str!("../../tests/common/config.json");
 const LOOKUP: ClassId = ClassId(0);
 const LOAD: ClassId = ClassId(2);
 const SECOND: u64 = 1_000_000;
@@ -26,35 +27,40 @@
     }
 }
 
+fn settings(text: &str) -> Settings {
+    let json = text.replace("LIST", "").parse().unwrap();
+    config::read(&JsonField::root(&json, "config")).unwrap().settings
+}
+
+/// With a class of loads that is ordered by key.
+fn ordered_settings() -> Settings {
+    let text = CONFIG.replace("\"name\":\"load\",", "\"name\":\"load\",\"keep-order\":true,");
+    settings(&text.replace("\"warm-up-s\"", "\"order-pause-s\":0.3,\"warm-up-s\""))
+}
+
 /// A core with two ready engines, on the clock's first second.
-struct Bench {
+struct Fixture {
     core: Core,
     now_us: u64,
 }
 
-impl Bench {
+impl Fixture {
     fn new() -> Self {
-        Self::with(|text| text)
+        Self::with(settings(CONFIG))
     }
 
-    /// One whose class of loads keeps order.
+    /// One whose class of loads is ordered by key.
     fn ordered() -> Self {
-        Self::with(|text| {
-            let text = text.replace("\"name\":\"load\",", "\"name\":\"load\",\"keep-order\":true,");
-            text.replace("\"warm-up-s\"", "\"order-pause-s\":0.3,\"warm-up-s\"")
-        })
+        Self::with(ordered_settings())
     }
 
-    fn with(change: impl Fn(String) -> String) -> Self {
-        let text = change(include_str!("../../tests/common/config.json").replace("LIST", ""));
-        let json = text.parse().unwrap();
-        let settings = config::read(&JsonField::root(&json, "config")).unwrap().settings;
-        let mut bench = Self { core: Core::new(settings, 7).unwrap(), now_us: SECOND };
-        bench.list(&[entry(0, EndpointState::Ready), entry(1, EndpointState::Ready)]);
-        bench
+    fn with(settings: Settings) -> Self {
+        let mut fixture = Self { core: Core::new(settings, 7).unwrap(), now_us: SECOND };
+        fixture.update_endpoints(&[entry(0, EndpointState::Ready), entry(1, EndpointState::Ready)]);
+        fixture
     }
 
-    fn list(&mut self, entries: &[EndpointEntry]) {
+    fn update_endpoints(&mut self, entries: &[EndpointEntry]) {
         self.turn(vec![Input::EndpointList { mode: EndpointListMode::Delta, entries: entries.to_vec() }]);
     }
 
@@ -64,11 +70,17 @@
         commands
     }
 
-    fn ask(&mut self, id: u64, class: ClassId, wait_us: u64) -> Vec<Command> {
-        self.ask_in_order(id, class, wait_us, None)
+    fn request(&mut self, id: u64, class: ClassId, wait_us: u64) -> Vec<Command> {
+        self.request_with_key(id, class, wait_us, None)
     }
 
-    fn ask_in_order(&mut self, id: u64, class: ClassId, wait_us: u64, key: Option<KeyId>) -> Vec<Command> {
+    fn request_with_key(
+        &mut self,
+        id: u64,
+        class: ClassId,
+        wait_us: u64,
+        key: Option<KeyId>,
+    ) -> Vec<Command> {
         let deadline_us = self.now_us + wait_us;
         let request = NewRequest {
             class,
@@ -83,8 +95,8 @@
         self.turn(vec![Input::RequestArrived { id: RequestId(id), request }])
     }
 
-    /// Lets time pass, alarm by alarm.
-    fn pass(&mut self, span_us: u64) -> Vec<Command> {
+    /// Lets time pass, timer by timer.
+    fn advance(&mut self, span_us: u64) -> Vec<Command> {
         let end = self.now_us + span_us;
         let mut commands = Vec::new();
         while let Some(at) = self.core.next_timer_us().filter(|at| *at <= end) {
@@ -119,28 +131,28 @@
 }
 
 #[test]
-fn a_request_is_sent_and_served_once() {
-    let mut b = Bench::new();
-    let attempt = first_attempt(&b.ask(1, LOOKUP, 3 * SECOND));
+fn a_request_is_forwarded_and_served_once() {
+    let mut fixture = Fixture::new();
+    let attempt = first_attempt(&fixture.request(1, LOOKUP, 3 * SECOND));
     let end = ended(attempt, Outcome::Success);
-    assert_eq!(b.turn(vec![end.clone()]), [Command::Serve(attempt)]);
-    assert_eq!(b.turn(vec![end]), [], "an end that comes twice says nothing new");
-    assert_eq!(b.pass(10 * SECOND).iter().find_map(answered), None);
-    assert_eq!(b.core.open_requests(), 0);
+    assert_eq!(fixture.turn(vec![end.clone()]), [Command::Serve(attempt)]);
+    assert_eq!(fixture.turn(vec![end]), [], "a second end changes nothing");
+    assert_eq!(fixture.advance(10 * SECOND).iter().find_map(answered), None);
+    assert_eq!(fixture.core.open_requests(), 0);
 }
 
 #[test]
-fn the_answer_comes_before_the_client_gives_up() {
-    let mut b = Bench::new();
-    let attempt = first_attempt(&b.ask(1, LOAD, 2 * SECOND));
-    assert_eq!(b.pass(2 * SECOND - CLIENT_DEADLINE_MARGIN_US - 10_000), []);
-    let commands = b.pass(CLIENT_DEADLINE_MARGIN_US / 2 + 10_000);
-    // It may be running: a refusal would promise too much.
+fn the_final_answer_comes_before_the_client_deadline() {
+    let mut fixture = Fixture::new();
+    let attempt = first_attempt(&fixture.request(1, LOAD, 2 * SECOND));
+    assert_eq!(fixture.advance(2 * SECOND - CLIENT_DEADLINE_MARGIN_US - 10_000), []);
+    let commands = fixture.advance(CLIENT_DEADLINE_MARGIN_US / 2 + 10_000);
+    // It may be running, so a retry is not known to be safe.
     assert_eq!(commands, [Command::Fail(attempt.request), Command::CancelAttempt(attempt)]);
 }
 
 #[test]
-fn a_load_goes_on_only_where_it_provably_never_ran() {
+fn a_request_that_is_not_idempotent_is_retried_only_if_it_never_ran() {
     for (outcome, again) in [
         (Outcome::ConnectFailed, true),
         (Outcome::Rejected, true),
@@ -150,174 +162,196 @@
         (Outcome::TimedOut, false),
         (Outcome::Cancelled, false),
     ] {
-        let mut b = Bench::new();
-        let attempt = first_attempt(&b.ask(1, LOAD, 20 * SECOND));
-        let commands = b.turn(vec![ended(attempt, outcome)]);
+        let mut fixture = Fixture::new();
+        let attempt = first_attempt(&fixture.request(1, LOAD, 20 * SECOND));
+        let commands = fixture.turn(vec![ended(attempt, outcome)]);
         if again {
             assert!(commands.iter().all(|c| *c != Command::Fail(attempt.request)), "{outcome:?}");
-            assert!(started(&commands).or_else(|| started(&b.pass(SECOND))).is_some(), "{outcome:?}");
+            assert!(
+                started(&commands).or_else(|| started(&fixture.advance(SECOND))).is_some(),
+                "{outcome:?}"
+            );
         } else {
             assert_eq!(commands, [Command::Fail(attempt.request)], "{outcome:?}");
         }
     }
 }
 
-/// Guards against the second copies of fleet-1: an engine fell silent, a retry met the attempt still out.
+/// Guards against a second execution: a retry while a silent engine still runs the first attempt.
 #[test]
-fn an_attempt_that_may_run_on_unheard_is_never_followed_by_another() {
+fn a_lost_attempt_is_never_followed_by_another() {
     for (class, answer) in [
         (LOOKUP, Command::Reject { request: RequestId(1), retry_after_ms: Some(50) }),
         (LOAD, Command::Fail(RequestId(1))),
     ] {
-        let mut b = Bench::new();
-        let attempt = first_attempt(&b.ask(1, class, 20 * SECOND));
-        assert_eq!(b.turn(vec![Input::AttemptLost { attempt, runs_until_us: b.now_us }]), [answer]);
-        assert_eq!(b.pass(30 * SECOND), [], "that was all");
+        let mut fixture = Fixture::new();
+        let attempt = first_attempt(&fixture.request(1, class, 20 * SECOND));
+        assert_eq!(
+            fixture.turn(vec![Input::AttemptLost { attempt, runs_until_us: fixture.now_us }]),
+            [answer]
+        );
+        assert_eq!(fixture.advance(30 * SECOND), [], "nothing follows");
     }
 }
 
 #[test]
 fn requests_of_one_key_run_one_at_a_time() {
-    let mut b = Bench::ordered();
+    let mut fixture = Fixture::ordered();
     let key = Some(KeyId(5));
-    let first = first_attempt(&b.ask_in_order(1, LOAD, 20 * SECOND, key));
-    assert_eq!(started(&b.ask_in_order(2, LOAD, 20 * SECOND, key)), None, "the key is taken");
-    assert!(started(&b.ask_in_order(3, LOAD, 20 * SECOND, Some(KeyId(6)))).is_some(), "another key is free");
-    assert!(started(&b.ask(4, LOAD, 20 * SECOND)).is_some(), "as is who has none");
-    let commands = b.turn(vec![ended(first, Outcome::Success)]);
+    let first = first_attempt(&fixture.request_with_key(1, LOAD, 20 * SECOND, key));
+    assert_eq!(started(&fixture.request_with_key(2, LOAD, 20 * SECOND, key)), None, "the key is in use");
+    assert!(
+        started(&fixture.request_with_key(3, LOAD, 20 * SECOND, Some(KeyId(6)))).is_some(),
+        "another key is free"
+    );
+    assert!(
+        started(&fixture.request(4, LOAD, 20 * SECOND)).is_some(),
+        "a request without a key is not ordered"
+    );
+    let commands = fixture.turn(vec![ended(first, Outcome::Success)]);
     assert_eq!(started(&commands).map(|s| s.0.request), Some(RequestId(2)));
-    let mut b = Bench::ordered();
-    assert!(started(&b.ask_in_order(1, LOOKUP, SECOND, key)).is_some());
-    assert!(started(&b.ask_in_order(2, LOOKUP, SECOND, key)).is_some(), "a class without order heeds no key");
+    let mut fixture = Fixture::ordered();
+    assert!(started(&fixture.request_with_key(1, LOOKUP, SECOND, key)).is_some());
+    assert!(
+        started(&fixture.request_with_key(2, LOOKUP, SECOND, key)).is_some(),
+        "a class that is not ordered ignores keys"
+    );
 }
 
 #[test]
-fn the_next_of_a_key_waits_till_a_lost_attempt_is_surely_over() {
-    let mut b = Bench::ordered();
+fn the_next_request_of_a_key_waits_until_a_lost_attempt_is_over() {
+    let mut fixture = Fixture::ordered();
     let key = Some(KeyId(5));
-    let first = first_attempt(&b.ask_in_order(1, LOAD, 20 * SECOND, key));
-    b.ask_in_order(2, LOAD, 20 * SECOND, key);
-    let runs_until_us = b.now_us + 2 * SECOND;
+    let first = first_attempt(&fixture.request_with_key(1, LOAD, 20 * SECOND, key));
+    fixture.request_with_key(2, LOAD, 20 * SECOND, key);
+    let runs_until_us = fixture.now_us + 2 * SECOND;
     assert_eq!(
-        b.turn(vec![Input::AttemptLost { attempt: first, runs_until_us }]),
+        fixture.turn(vec![Input::AttemptLost { attempt: first, runs_until_us }]),
         [Command::Fail(first.request)]
     );
-    assert_eq!(started(&b.pass(2 * SECOND + 290_000)), None, "it may run, and then the key rests");
-    assert_eq!(started(&b.pass(100_000)).map(|s| s.0.request), Some(RequestId(2)));
+    assert_eq!(
+        started(&fixture.advance(2 * SECOND + 290_000)),
+        None,
+        "it may run, and then the key cools down"
+    );
+    assert_eq!(started(&fixture.advance(100_000)).map(|s| s.0.request), Some(RequestId(2)));
 }
 
 #[test]
-fn the_next_of_a_key_waits_till_the_end_of_a_lost_attempt_is_confirmed() {
-    let mut b = Bench::ordered();
+fn the_next_request_of_a_key_waits_until_the_end_of_a_lost_attempt_is_confirmed() {
+    let mut fixture = Fixture::ordered();
     let key = Some(KeyId(5));
-    let first = first_attempt(&b.ask_in_order(1, LOAD, 20 * SECOND, key));
-    b.ask_in_order(2, LOAD, 20 * SECOND, key);
+    let first = first_attempt(&fixture.request_with_key(1, LOAD, 20 * SECOND, key));
+    fixture.request_with_key(2, LOAD, 20 * SECOND, key);
     assert_eq!(
-        b.turn(vec![Input::AttemptUnconfirmed(first)]),
+        fixture.turn(vec![Input::AttemptUnconfirmed(first)]),
         [Command::Fail(first.request)],
-        "its client hears at once"
+        "its client is answered at once"
+    );
+    assert!(
+        fixture.core.cooldown_after_exit_us(fixture.now_us, SECOND) > fixture.now_us,
+        "a successor must wait as well"
     );
-    assert!(b.core.cooldown_after_exit_us(b.now_us, SECOND) > b.now_us, "a newer process must wait as well");
-    assert_eq!(started(&b.pass(3 * SECOND)), None, "nothing bounds how long it runs");
-    let runs_until_us = b.now_us + 200_000;
-    b.turn(vec![Input::AttemptEndConfirmed { attempt: first, runs_until_us }]);
-    assert_eq!(started(&b.pass(490_000)), None, "it may run, and then the key rests");
-    assert_eq!(started(&b.pass(100_000)).map(|s| s.0.request), Some(RequestId(2)));
+    assert_eq!(started(&fixture.advance(3 * SECOND)), None, "nothing bounds how long it runs");
+    let runs_until_us = fixture.now_us + 200_000;
+    fixture.turn(vec![Input::AttemptEndConfirmed { attempt: first, runs_until_us }]);
+    assert_eq!(started(&fixture.advance(490_000)), None, "it may run, and then the key cools down");
+    assert_eq!(started(&fixture.advance(100_000)).map(|s| s.0.request), Some(RequestId(2)));
     assert_eq!(
-        b.turn(vec![Input::AttemptEndConfirmed { attempt: first, runs_until_us: 0 }]),
+        fixture.turn(vec![Input::AttemptEndConfirmed { attempt: first, runs_until_us: 0 }]),
         [],
-        "a second word says nothing new"
+        "a second confirmation changes nothing"
     );
 }
 
 #[test]
-fn nothing_is_sent_to_an_engine_that_drains_or_has_gone() {
-    let mut b = Bench::new();
-    b.list(&[entry(0, EndpointState::Draining), entry(1, EndpointState::Removed)]);
-    let mut commands = b.ask(1, LOOKUP, 3 * SECOND);
-    commands.extend(b.pass(4 * SECOND));
+fn nothing_is_forwarded_to_a_draining_or_removed_engine() {
+    let mut fixture = Fixture::new();
+    fixture.update_endpoints(&[entry(0, EndpointState::Draining), entry(1, EndpointState::Removed)]);
+    let mut commands = fixture.request(1, LOOKUP, 3 * SECOND);
+    commands.extend(fixture.advance(4 * SECOND));
     assert_eq!(started(&commands), None);
     assert!(matches!(commands[..], [Command::Reject { request: RequestId(1), .. }]), "{commands:?}");
-    b.list(&[entry(1, EndpointState::Ready)]);
-    assert_eq!(started(&b.ask(2, LOOKUP, 3 * SECOND)).unwrap().1, EngineId(1));
+    fixture.update_endpoints(&[entry(1, EndpointState::Ready)]);
+    assert_eq!(started(&fixture.request(2, LOOKUP, 3 * SECOND)).unwrap().1, EngineId(1));
 }
 
 #[test]
-fn a_client_that_left_is_owed_nothing_but_its_attempt_is_stopped() {
-    let mut b = Bench::new();
-    let attempt = first_attempt(&b.ask(1, LOOKUP, 3 * SECOND));
-    assert_eq!(b.turn(vec![Input::ClientLeft(attempt.request)]), [Command::CancelAttempt(attempt)]);
-    let mut commands = b.turn(vec![ended(attempt, Outcome::Cancelled)]);
-    commands.extend(b.pass(10 * SECOND));
+fn a_client_that_left_gets_no_answer_and_its_attempt_is_cancelled() {
+    let mut fixture = Fixture::new();
+    let attempt = first_attempt(&fixture.request(1, LOOKUP, 3 * SECOND));
+    assert_eq!(fixture.turn(vec![Input::ClientLeft(attempt.request)]), [Command::CancelAttempt(attempt)]);
+    let mut commands = fixture.turn(vec![ended(attempt, Outcome::Cancelled)]);
+    commands.extend(fixture.advance(10 * SECOND));
     assert_eq!(commands, []);
 }
 
 quickcheck! {
-    /// Whatever happens to attempts and engines: one final answer each, in time; one attempt at a time;
-    /// no load after one that may have run; refused only where that is harmless.
+    /// Whatever happens to attempts and engines: one final answer each, in time; one attempt in flight at a time;
+    /// no retry of a load that may have run; rejected only where a retry is safe.
     fn every_request_gets_one_answer_in_time(steps: Vec<(u8, u8, u16)>) -> bool {
-        let mut b = Bench::new();
+        let mut fixture = Fixture::new();
         let mut deadlines = BTreeMap::new();
-        let mut out: BTreeMap<RequestId, AttemptId> = BTreeMap::new();
-        let mut tainted: Vec<RequestId> = Vec::new();
+        let mut in_flight: BTreeMap<RequestId, AttemptId> = BTreeMap::new();
+        let mut may_have_run: Vec<RequestId> = Vec::new();
         let mut answers: BTreeMap<RequestId, u64> = BTreeMap::new();
         let (mut left, mut lost) = (Vec::new(), Vec::new());
         let mut next = 1;
         for (what, which, span) in steps.into_iter().chain([(9, 0, 0)]) {
-            let pick = out.iter().nth(usize::from(which) % out.len().max(1)).map(|(_, attempt)| *attempt);
+            let pick = in_flight.iter().nth(usize::from(which) % in_flight.len().max(1)).map(|(_, attempt)| *attempt);
             let commands = match what % 10 {
                 0..=2 => {
                     let class = if which % 2 == 0 { LOOKUP } else { LOAD };
                     let wait = 100_000 + u64::from(span) * 20;
-                    deadlines.insert(RequestId(next), (class, b.now_us + wait));
+                    deadlines.insert(RequestId(next), (class, fixture.now_us + wait));
                     next += 1;
-                    b.ask(next - 1, class, wait)
+                    fixture.request(next - 1, class, wait)
                 }
                 3..=5 => match pick {
                     Some(attempt) if which % 8 == 7 => {
-                        out.remove(&attempt.request);
-                        tainted.push(attempt.request);
+                        in_flight.remove(&attempt.request);
+                        may_have_run.push(attempt.request);
                         lost.push(attempt.request);
-                        b.turn(vec![Input::AttemptLost { attempt, runs_until_us: b.now_us }])
+                        fixture.turn(vec![Input::AttemptLost { attempt, runs_until_us: fixture.now_us }])
                     }
                     Some(attempt) => {
                         let outcomes = [Outcome::Success, Outcome::Error, Outcome::Rejected,
                             Outcome::ConnectFailed, Outcome::ConnectionLost, Outcome::Cancelled, Outcome::NeverSent];
                         let outcome = outcomes[usize::from(span) % outcomes.len()];
-                        out.remove(&attempt.request);
+                        in_flight.remove(&attempt.request);
                         if matches!(outcome, Outcome::Error | Outcome::ConnectionLost | Outcome::Cancelled) {
-                            tainted.push(attempt.request);
+                            may_have_run.push(attempt.request);
                         }
-                        b.turn(vec![ended(attempt, outcome)])
+                        fixture.turn(vec![ended(attempt, outcome)])
                     }
                     None => Vec::new(),
                 },
                 6 => {
                     let state = [EndpointState::Ready, EndpointState::Draining, EndpointState::Removed][usize::from(which) % 3];
-                    b.list(&[entry(u32::from(span) % 2, state)]);
+                    fixture.update_endpoints(&[entry(u32::from(span) % 2, state)]);
                     Vec::new()
                 }
                 7 => match pick {
                     Some(AttemptId { request: id, .. }) => {
                         left.push(id);
-                        b.turn(vec![Input::ClientLeft(id)])
+                        fixture.turn(vec![Input::ClientLeft(id)])
                     }
                     None => Vec::new(),
                 },
-                8 => b.pass(u64::from(span) * 20),
-                _ => b.pass(30 * SECOND),
+                8 => fixture.advance(u64::from(span) * 20),
+                _ => fixture.advance(30 * SECOND),
             };
             for c in &commands {
                 match c {
                     Command::StartAttempt { attempt, .. } => {
                         let request = &attempt.request;
                         let load = deadlines[request].0 == LOAD;
-                        if out.insert(*request, *attempt).is_some() || (load && tainted.contains(request)) || lost.contains(request) {
+                        if in_flight.insert(*request, *attempt).is_some() || (load && may_have_run.contains(request)) || lost.contains(request) {
                             return false;
                         }
                     }
                     Command::Reject { request: id, .. } => {
-                        let ran = tainted.contains(id) || out.contains_key(id);
+                        let ran = may_have_run.contains(id) || in_flight.contains_key(id);
                         if deadlines[id].0 == LOAD && ran {
                             return false;
                         }
@@ -325,7 +359,7 @@
                     _ => {}
                 }
                 if let Some(id) = answered(c) {
-                    if answers.insert(id, b.now_us).is_some() || left.contains(&id) && !matches!(c, Command::Serve(..)) {
+                    if answers.insert(id, fixture.now_us).is_some() || left.contains(&id) && !matches!(c, Command::Serve(..)) {
                         return false;
                     }
                 }
@@ -333,20 +367,20 @@
         }
         // The last step let all deadlines pass. Within a long step the clock shows only its end, so the
         // time of an answer is checked by the turn after it: none may be open.
-        b.core.open_requests() == 0 && deadlines.keys().all(|id| answers.contains_key(id) != left.contains(id)
+        fixture.core.open_requests() == 0 && deadlines.keys().all(|id| answers.contains_key(id) != left.contains(id)
             || left.contains(id))
     }
 }
 
-/// Once the gateway must end, nobody waits for an engine any more; only who may have run is failed.
+/// At shutdown no request waits for an engine any more; only one that may have run fails.
 #[test]
-fn all_that_is_open_gets_its_answer_when_the_gateway_closes() {
-    let mut b = Bench::new();
-    let lookup = first_attempt(&b.ask(1, LOOKUP, 3 * SECOND));
-    let load = first_attempt(&b.ask(2, LOAD, 20 * SECOND));
-    b.list(&[entry(0, EndpointState::Draining), entry(1, EndpointState::Draining)]);
-    assert_eq!(started(&b.ask(3, LOAD, 20 * SECOND)), None, "it is held");
-    let commands = b.turn(vec![Input::ShuttingDown]);
+fn open_requests_get_their_final_answers_at_shutdown() {
+    let mut fixture = Fixture::new();
+    let lookup = first_attempt(&fixture.request(1, LOOKUP, 3 * SECOND));
+    let load = first_attempt(&fixture.request(2, LOAD, 20 * SECOND));
+    fixture.update_endpoints(&[entry(0, EndpointState::Draining), entry(1, EndpointState::Draining)]);
+    assert_eq!(started(&fixture.request(3, LOAD, 20 * SECOND)), None, "it is queued");
+    let commands = fixture.turn(vec![Input::ShuttingDown]);
     let answers: Vec<_> = commands.iter().filter(|c| answered(c).is_some()).collect();
     assert_eq!(answers.len(), 3, "{commands:?}");
     assert!(
@@ -354,41 +388,41 @@
     );
     assert!(matches!(answers[1], Command::Fail(request) if *request == load.request));
     assert!(matches!(answers[2], Command::Reject { request: RequestId(3), retry_after_ms: Some(_) }));
-    for out in [lookup, load] {
-        assert!(commands.contains(&Command::CancelAttempt(out)), "engines are told");
+    for attempt in [lookup, load] {
+        assert!(commands.contains(&Command::CancelAttempt(attempt)), "attempts are cancelled");
     }
-    assert_eq!(b.turn(vec![Input::ShuttingDown, Input::ClientLeft(lookup.request)]), []);
-    assert_eq!(b.core.open_requests(), 0);
+    assert_eq!(fixture.turn(vec![Input::ShuttingDown, Input::ClientLeft(lookup.request)]), []);
+    assert_eq!(fixture.core.open_requests(), 0);
 }
 
-/// An end and the client's, an end and the deadline, in one turn: one answer, and no attempt after it.
+/// The end of an attempt with that of the client, or with the deadline: one answer, and no attempt after it.
 #[test]
-fn ends_that_cross_in_one_turn_give_one_answer() {
+fn ends_in_the_same_turn_give_one_answer() {
     for outcome in [Outcome::Success, Outcome::ConnectionLost, Outcome::Rejected] {
         for left_first in [true, false] {
-            let mut b = Bench::new();
-            let attempt = first_attempt(&b.ask(1, LOOKUP, 3 * SECOND));
+            let mut fixture = Fixture::new();
+            let attempt = first_attempt(&fixture.request(1, LOOKUP, 3 * SECOND));
             let mut inputs = vec![ended(attempt, outcome), Input::ClientLeft(attempt.request)];
             if left_first {
                 inputs.reverse();
             }
-            let mut commands = b.turn(inputs);
-            commands.extend(b.pass(10 * SECOND));
+            let mut commands = fixture.turn(inputs);
+            commands.extend(fixture.advance(10 * SECOND));
             let served = outcome == Outcome::Success && !left_first;
             let answers = commands.iter().filter(|c| answered(c).is_some()).count();
             assert_eq!(answers, usize::from(served), "{outcome:?}, {left_first}");
-            // An attempt that was wanted before the client's end was read is taken back in the same turn.
+            // An attempt that was started before the client's end is cancelled in the same turn.
             let again = started(&commands);
             assert!(
                 again.is_none_or(|(attempt, _)| commands.contains(&Command::CancelAttempt(attempt))),
                 "{commands:?}"
             );
         }
-        let mut b = Bench::new();
-        let attempt = first_attempt(&b.ask(1, LOOKUP, SECOND));
-        b.now_us += SECOND;
-        let mut commands = b.turn(vec![ended(attempt, outcome)]);
-        commands.extend(b.pass(10 * SECOND));
+        let mut fixture = Fixture::new();
+        let attempt = first_attempt(&fixture.request(1, LOOKUP, SECOND));
+        fixture.now_us += SECOND;
+        let mut commands = fixture.turn(vec![ended(attempt, outcome)]);
+        commands.extend(fixture.advance(10 * SECOND));
         assert_eq!(
             commands.iter().filter(|c| answered(c).is_some()).count(),
             1,
@@ -398,21 +432,24 @@
     }
 }
 
-/// Guards the sleep of an idle gateway: once all is answered, neither the core nor the module wants to be woken.
+/// Guards against an idle gateway that wakes: once all is answered, no timer is armed.
 #[test]
-fn a_core_with_nothing_asked_wants_no_turn() {
-    let mut bench = Bench::new();
-    assert_eq!(bench.core.next_timer_us(), None, "engines alone need no look");
-    let attempt = first_attempt(&bench.ask(1, LOOKUP, 3 * SECOND));
-    assert!(bench.core.timers() >= 2, "its deadline, and the module's look");
-    bench.turn(vec![ended(attempt, Outcome::Success)]);
-    bench.pass(100_000);
-    assert_eq!((bench.core.timers(), bench.core.next_timer_us()), (0, None));
-    assert!(started(&bench.ask(2, LOOKUP, 3 * SECOND)).is_some());
-    assert!(bench.core.next_timer_us().is_some_and(|at| at <= bench.now_us + 50_000), "it looks again");
+fn an_idle_core_arms_no_timer() {
+    let mut fixture = Fixture::new();
+    assert_eq!(fixture.core.next_timer_us(), None, "engines alone need no control tick");
+    let attempt = first_attempt(&fixture.request(1, LOOKUP, 3 * SECOND));
+    assert!(fixture.core.timers() >= 2, "its deadline, and the control tick");
+    fixture.turn(vec![ended(attempt, Outcome::Success)]);
+    fixture.advance(100_000);
+    assert_eq!((fixture.core.timers(), fixture.core.next_timer_us()), (0, None));
+    assert!(started(&fixture.request(2, LOOKUP, 3 * SECOND)).is_some());
+    assert!(
+        fixture.core.next_timer_us().is_some_and(|at| at <= fixture.now_us + 50_000),
+        "the control tick runs again"
+    );
 }
 
-/// Settings of the bench, ordered, with the class of loads followed by a changed one with the next number.
+/// The settings of [`Fixture::ordered`] with the class of loads retired, and a changed one derived from it.
 fn with_changed_loads(to: impl Fn(&mut Class)) -> SettingsChange {
     let mut settings = ordered_settings();
     let mut origins = vec![ClassOrigin::Unchanged; settings.classes.len()];
@@ -424,76 +461,72 @@
     SettingsChange { settings, origins }
 }
 
-fn ordered_settings() -> Settings {
-    let text = include_str!("../../tests/common/config.json").replace("LIST", "");
-    let text = text.replace("\"name\":\"load\",", "\"name\":\"load\",\"keep-order\":true,");
-    let text = text.replace("\"warm-up-s\"", "\"order-pause-s\":0.3,\"warm-up-s\"");
-    config::read(&JsonField::root(&text.parse().unwrap(), "config")).unwrap().settings
-}
-
 const CHANGED_LOAD: ClassId = ClassId(3);
 
 #[test]
-fn keys_keep_their_leases_and_their_order_when_the_class_orders_no_longer() {
-    let mut b = Bench::ordered();
-    let first = first_attempt(&b.ask_in_order(1, LOAD, 20 * SECOND, Some(KeyId(9))));
-    assert_eq!(started(&b.ask_in_order(2, LOAD, 20 * SECOND, Some(KeyId(9)))), None);
-    b.core.reconfigure(with_changed_loads(|class| class.ordered_by_key = false)).unwrap();
-    assert_eq!(started(&b.pass(SECOND)), None, "the second waits for the first");
-    let third = b.ask_in_order(3, CHANGED_LOAD, 20 * SECOND, Some(KeyId(9)));
-    assert_eq!(started(&third).unwrap().0.request, RequestId(3), "a new one takes no turn");
-    let commands = b.turn(vec![ended(first, Outcome::Success)]);
+fn keys_keep_their_order_when_their_class_is_no_longer_ordered_by_key() {
+    let mut fixture = Fixture::ordered();
+    let first = first_attempt(&fixture.request_with_key(1, LOAD, 20 * SECOND, Some(KeyId(9))));
+    assert_eq!(started(&fixture.request_with_key(2, LOAD, 20 * SECOND, Some(KeyId(9)))), None);
+    fixture.core.reconfigure(with_changed_loads(|class| class.ordered_by_key = false)).unwrap();
+    assert_eq!(started(&fixture.advance(SECOND)), None, "the second waits for the first");
+    let third = fixture.request_with_key(3, CHANGED_LOAD, 20 * SECOND, Some(KeyId(9)));
+    assert_eq!(started(&third).unwrap().0.request, RequestId(3), "a new one is not ordered");
+    let commands = fixture.turn(vec![ended(first, Outcome::Success)]);
     assert_eq!(started(&commands).unwrap().0.request, RequestId(2));
 }
 
 #[test]
-fn a_request_that_is_out_keeps_its_effect_when_its_class_gets_another() {
-    let mut b = Bench::ordered();
-    let attempt = first_attempt(&b.ask(1, LOAD, 20 * SECOND));
-    b.core.reconfigure(with_changed_loads(|class| class.idempotency = Idempotency::Idempotent)).unwrap();
-    let commands = b.turn(vec![ended(attempt, Outcome::ConnectionLost)]);
-    assert_eq!(commands, [Command::Fail(attempt.request)], "no second attempt, and no promise");
-    let attempt = first_attempt(&b.ask(2, CHANGED_LOAD, 20 * SECOND));
-    let commands = b.turn(vec![ended(attempt, Outcome::ConnectionLost)]);
-    assert!(started(&commands).is_some(), "a new one may be repeated");
+fn a_request_keeps_its_idempotency_when_its_class_changes() {
+    let mut fixture = Fixture::ordered();
+    let attempt = first_attempt(&fixture.request(1, LOAD, 20 * SECOND));
+    fixture
+        .core
+        .reconfigure(with_changed_loads(|class| class.idempotency = Idempotency::Idempotent))
+        .unwrap();
+    let commands = fixture.turn(vec![ended(attempt, Outcome::ConnectionLost)]);
+    assert_eq!(commands, [Command::Fail(attempt.request)], "no retry, and no promise that one is safe");
+    let attempt = first_attempt(&fixture.request(2, CHANGED_LOAD, 20 * SECOND));
+    let commands = fixture.turn(vec![ended(attempt, Outcome::ConnectionLost)]);
+    assert!(started(&commands).is_some(), "a new one is retried");
 }
 
 #[test]
-fn limits_of_the_site_hold_for_all_at_once() {
-    let mut b = Bench::new();
+fn changed_rules_and_capabilities_apply_to_open_requests() {
+    let mut fixture = Fixture::new();
     let mut settings = ordered_settings();
     settings.capabilities.max_attempts = 1;
     settings.capabilities.retry_after = false;
     settings.rules.key_cooldown = 7.0;
     let origins = vec![ClassOrigin::Unchanged; settings.classes.len()];
-    let attempt = first_attempt(&b.ask(1, LOOKUP, 3 * SECOND));
-    b.core.reconfigure(SettingsChange { settings, origins }).unwrap();
-    assert_eq!(b.core.key_cooldown_end_us(SECOND), 8 * SECOND);
-    let commands = b.turn(vec![ended(attempt, Outcome::ConnectionLost)]);
+    let attempt = first_attempt(&fixture.request(1, LOOKUP, 3 * SECOND));
+    fixture.core.reconfigure(SettingsChange { settings, origins }).unwrap();
+    assert_eq!(fixture.core.key_cooldown_end_us(SECOND), 8 * SECOND);
+    let commands = fixture.turn(vec![ended(attempt, Outcome::ConnectionLost)]);
     assert_eq!(
         commands,
         [Command::Reject { request: attempt.request, retry_after_ms: None }],
-        "one attempt, and no advice"
+        "one attempt, and no Retry-After"
     );
 }
 
 #[test]
 fn a_class_is_in_use_until_its_last_attempt_has_ended() {
-    let mut b = Bench::new();
-    assert!(b.core.classes_in_use().is_empty());
-    let attempt = first_attempt(&b.ask(1, LOAD, 20 * SECOND));
-    b.turn(vec![Input::ClientLeft(attempt.request)]);
-    assert_eq!(b.core.open_requests(), 0);
-    assert!(b.core.classes_in_use().contains(&LOAD), "its engine runs it on");
-    b.turn(vec![ended(attempt, Outcome::Cancelled)]);
-    assert!(b.core.classes_in_use().is_empty());
+    let mut fixture = Fixture::new();
+    assert!(fixture.core.classes_in_use().is_empty());
+    let attempt = first_attempt(&fixture.request(1, LOAD, 20 * SECOND));
+    fixture.turn(vec![Input::ClientLeft(attempt.request)]);
+    assert_eq!(fixture.core.open_requests(), 0);
+    assert!(fixture.core.classes_in_use().contains(&LOAD), "its attempt is still in flight");
+    fixture.turn(vec![ended(attempt, Outcome::Cancelled)]);
+    assert!(fixture.core.classes_in_use().is_empty());
 }
 
 #[test]
-fn settings_that_are_refused_change_nothing_in_the_core() {
-    let mut b = Bench::ordered();
+fn rejected_settings_change_nothing_in_the_core() {
+    let mut fixture = Fixture::ordered();
     let mut bad = with_changed_loads(|class| class.deadline = -1.0);
     bad.settings.rules.key_cooldown = 7.0;
-    assert!(b.core.reconfigure(bad).is_err());
-    assert_eq!(b.core.key_cooldown_end_us(0), 300_000);
+    assert!(fixture.core.reconfigure(bad).is_err());
+    assert_eq!(fixture.core.key_cooldown_end_us(0), 300_000);
 }
--- a/gateway/tests/operation.rs
+++ b/gateway/tests/operation.rs
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn a_new_process_takes_the_place_and_no_request_is_lost() {
+fn a_successor_replaces_its_predecessor_without_a_lost_request() {
     let seen = Seen::default();
     let engines = ["e1", "e2", "e3"].map(|name| Engine::start(name, &seen, 5));
     let mut gateway = Gateway::start_with_door(&[&engines[0], &engines[1], &engines[2]]);
@@ -156,33 +156,37 @@
     let stop = Arc::new(AtomicBool::new(false));
     let clients: Vec<_> =
         (0..4).map(|n| come_and_go(gateway.pg, 1_000_000 * (n + 1), stop.clone())).collect();
-    // A load that is under way at the old process, and ends there.
+    // A load that is in flight at the predecessor, and ends there.
     let mut long = pg::Client::connect(gateway.pg);
     for round in 0..3 {
         engines.iter().for_each(|e| e.set_work_ms(300));
         long.send(&text("load", round));
         let began = Instant::now();
         while seen.engines_of(&format!("{round:016x}")).is_empty() {
-            assert!(began.elapsed() < Duration::from_secs(30), "it is under way");
+            assert!(began.elapsed() < Duration::from_secs(30), "it is in flight");
             std::thread::sleep(Duration::from_millis(1));
         }
         engines.iter().for_each(|e| e.set_work_ms(5));
-        let new = gateway.successor();
-        assert_eq!(new.pg, gateway.pg);
-        assert_eq!(new.call("GET /status").0, 200);
-        assert_eq!(new.told("engines_excluded"), if round < 2 { 1 } else { 2 }, "it knows who is out");
+        let successor = gateway.successor();
+        assert_eq!(successor.pg, gateway.pg);
+        assert_eq!(successor.call("GET /status").0, 200);
+        assert_eq!(
+            successor.told("engines_excluded"),
+            if round < 2 { 1 } else { 2 },
+            "it knows the engines in maintenance"
+        );
         if round == 1 {
-            // Told to one, it holds for both.
-            assert_eq!(new.call("PUT /maintenance/enter/e3").0, 200);
+            // A call to one process holds for both.
+            assert_eq!(successor.call("PUT /maintenance/enter/e3").0, 200);
             let began = Instant::now();
             while gateway.told("engines_excluded") != 2 {
-                assert!(began.elapsed() < Duration::from_secs(30), "the older one hears of it");
+                assert!(began.elapsed() < Duration::from_secs(30), "the predecessor learns it");
             }
         }
-        assert!(matches!(long.answer(), pg::Answer::Rows(_)), "what the old one had taken it answers");
+        assert!(matches!(long.answer(), pg::Answer::Rows(_)), "the predecessor answers what it had accepted");
         let ran = seen.engines_of(&format!("{round:016x}"));
-        assert!(ran.len() == 1 && ran[0] != "e1", "once, and not where nothing goes: {ran:?}");
-        let (exit, log) = std::mem::replace(&mut gateway, new).end();
+        assert!(ran.len() == 1 && ran[0] != "e1", "once, and not at the engine in maintenance: {ran:?}");
+        let (exit, log) = std::mem::replace(&mut gateway, successor).end();
         assert_eq!(exit, Some(0), "{log}");
         long = pg::Client::connect(gateway.pg);
     }
@@ -193,39 +197,42 @@
         assert!(served > 0 && refused == others.len(), "{served} served, and {others:?}");
     }
     let e1 = (1..5).flat_map(|n| 1_000_000 * n..1_000_000 * n + 20_000);
-    assert!(e1.flat_map(|n| seen.engines_of(&format!("{n:016x}"))).all(|e| e != "e1"), "out is out");
+    assert!(
+        e1.flat_map(|n| seen.engines_of(&format!("{n:016x}"))).all(|e| e != "e1"),
+        "in maintenance throughout"
+    );
 }
 
 #[test]
-fn a_new_process_that_dies_leaves_the_old_one_serving_and_the_next_one_its_place() {
+fn a_killed_successor_leaves_the_predecessor_serving_and_replaceable() {
     let seen = Seen::default();
     let engines = [Engine::start("e1", &seen, 1), Engine::start("e2", &seen, 1)];
     let gateway = Gateway::start_with_door(&[&engines[0], &engines[1]]);
     assert_eq!(gateway.call("PUT /maintenance/enter/e2").0, 200);
     let mut client = pg::Client::connect(gateway.pg);
     for round in 0..3 {
-        let new = gateway.successor();
+        let successor = gateway.successor();
         gateway.logged("successor accepts clients");
-        new.kill();
+        successor.kill();
         let mut back = pg::Client::connect(gateway.pg);
         ask(&mut back, "lookup", 1_000 * (round + 1), 5);
         ask(&mut client, "lookup", 1_000 * (round + 1) + 500, 5);
     }
-    // Somebody who is no newer process asks for its place, and is not given it.
+    // A process of another gateway asks to replace it, and is rejected.
     let mut foreign = UnixStream::connect(gateway.socket()).unwrap();
     foreign.write_all(b"{\"hello\":\"other\",\"listen\":\"127.0.0.1:1\",\"form\":1}\n").unwrap();
     assert_eq!(foreign.read(&mut [0; 64]).unwrap(), 0);
-    let new = gateway.successor();
-    assert_eq!(new.told("engines_excluded"), 1);
+    let successor = gateway.successor();
+    assert_eq!(successor.told("engines_excluded"), 1);
     assert_eq!(gateway.end().0, Some(0));
-    let mut client = pg::Client::connect(new.pg);
+    let mut client = pg::Client::connect(successor.pg);
     ask(&mut client, "lookup", 9_000, 5);
-    assert_eq!(new.call("PUT /maintenance/exit/e2").0, 200);
+    assert_eq!(successor.call("PUT /maintenance/exit/e2").0, 200);
 }
 
-/// Clients call one address, whichever process holds their session.
+/// Clients connect to one address, whichever process has their session.
 #[test]
-fn a_cancel_reaches_the_process_that_has_the_request() {
+fn a_cancel_request_reaches_the_process_that_has_the_session() {
     let seen = Seen::default();
     let engine = Engine::start("e1", &seen, 20_000);
     let gateway = Gateway::start_with_door(&[&engine]);
@@ -234,11 +241,11 @@
     while seen.count() == 0 {
         std::thread::sleep(Duration::from_millis(1));
     }
-    let new = gateway.successor();
+    let successor = gateway.successor();
     gateway.logged("successor accepts clients");
-    pg::Client::cancel(new.pg, client.key);
+    pg::Client::cancel(successor.pg, client.key);
     match client.answer() {
-        pg::Answer::Error(code, _) => assert_eq!(code, "57014", "{} {}", gateway.log(), new.log()),
+        pg::Answer::Error(code, _) => assert_eq!(code, "57014", "{} {}", gateway.log(), successor.log()),
         other => panic!("{other:?}"),
     }
 }
--- a/gateway/tests/order.rs
+++ b/gateway/tests/order.rs
@@ -1,5 +1,5 @@
-//! Requests of one key in a class that keeps order: one at a time, in the order in which they were taken, and none
-//! beside an attempt that its engine may still run. Engines are scripted; times are lower bounds only.
+//! Requests of one order key in a class that is ordered by key: one at a time, in order of arrival, and none beside an
+//! attempt that its engine may still run. Engines are scripted; times are lower bounds only.
 
 mod common;
 
@@ -12,8 +12,8 @@
 
 /// An engine drops a query that it has not been asked for in this time.
 const ABANDONED: Duration = Duration::from_millis(2_000);
-/// The rest of a key behind an attempt that might still run.
-const REST: Duration = Duration::from_millis(300);
+/// The cooldown of a key after an attempt that may still run.
+const KEY_COOLDOWN: Duration = Duration::from_millis(300);
 
 fn id(n: u64) -> String {
     format!("{n:016x}")
@@ -28,7 +28,7 @@
     config.replace("\"warm-up-s\"", "\"order-pause-s\":0.3,\"warm-up-s\"")
 }
 
-/// Sends a request and waits until it is taken.
+/// Sends a request and waits until it has arrived.
 fn ask(gateway: &Gateway, n: u64, key: &str) -> pg::Client {
     let mut client = pg::Client::connect(gateway.pg);
     client.send(&load(n, key));
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn requests_of_one_key_go_out_one_at_a_time_in_the_order_taken() {
+fn requests_of_one_key_are_forwarded_one_at_a_time_in_order_of_arrival() {
     let engines = Engines::start(&["e1", "e2"]);
     let gateway = Gateway::scripted(&engines.entries, None, "", None, keeps_order);
     let mut clients: Vec<_> = (1..=3).map(|n| ask(&gateway, n, "k1")).collect();
@@ -61,7 +61,7 @@
 
 /// Two requests of a key over one session, the second behind the first, and one of another session between them.
 #[test]
-fn a_request_behind_another_of_its_session_takes_its_turn_when_it_is_read() {
+fn a_pipelined_request_gets_its_place_in_the_order_when_it_is_read() {
     let engines = Engines::start(&["e1", "e2"]);
     let gateway = Gateway::scripted(&engines.entries, None, "", None, keeps_order);
     let mut first = pg::Client::connect(gateway.pg);
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn the_next_of_a_key_waits_for_an_attempt_that_may_run_on_unheard() {
+fn the_next_request_of_a_key_waits_for_a_lost_attempt_that_may_still_run() {
     let (e1, e2, coordinator) = (Peer::new("e1"), Peer::new("e2"), Peer::new("c"));
     let gateway = Gateway::scripted(&e1.entry("Ready"), Some(coordinator.address), "", None, keeps_order);
     let (mut watch, _) = coordinator.watch();
@@ -89,25 +89,25 @@
     assert_eq!(wire.call().ticket(), id(1));
     let began = Instant::now();
     watch.event(2, &e2.entry("Ready"));
-    // The first engine lets nobody in any more: whether it runs on is not to be known.
+    // The first engine accepts no connections any more: whether it still runs the attempt can't be known.
     drop(e1);
     wire.reset();
     assert!(matches!(first.answer(), pg::Answer::Error(code, _) if !code.starts_with("53")));
     let mut wire = e2.accept();
     assert_eq!(wire.call().ticket(), id(2));
-    assert!(began.elapsed() >= ABANDONED + REST, "after {:?}", began.elapsed());
+    assert!(began.elapsed() >= ABANDONED + KEY_COOLDOWN, "after {:?}", began.elapsed());
     wire.row(&id(2));
     is_served(&mut second, 2);
 }
 
-/// Loads may be held for as long as their clients wait.
+/// Loads may be queued for as long as their clients wait.
 fn keeps_order_for_long(config: String) -> String {
     keeps_order(config).replace("\"aim-s\":4.0", "\"aim-s\":40.0")
 }
 
-/// A gateway whose first engine was cut off with the first request of a key out there, while a second one waits. There
-/// is another engine, and the first request's client has its answer.
-struct Cut {
+/// A gateway whose first engine is partitioned from it with the first request of a key in flight, while a second one
+/// waits. There is another engine, and the first request's client has its answer.
+struct Partition {
     e1: Peer,
     e2: Peer,
     watch: Wire,
@@ -115,7 +115,7 @@
     second: pg::Client,
 }
 
-impl Cut {
+impl Partition {
     fn new() -> Self {
         let (mut e1, e2, coordinator) = (Peer::narrow("e1"), Peer::new("e2"), Peer::new("c"));
         let address = Some(coordinator.address);
@@ -129,16 +129,16 @@
         e1.cut_off();
         watch.event(2, &e2.entry("Ready"));
         assert!(matches!(first.answer(), pg::Answer::Error(code, _) if !code.starts_with("53")));
-        assert!(!wire.is_ended(), "it is reset, so that nothing of it arrives once the cut heals");
+        assert!(!wire.is_ended(), "it is reset, so that nothing of it arrives once the partition ends");
         Self { e1, e2, watch, gateway, second }
     }
 }
 
-/// Calls and closes to an engine that is cut off arrive late or never: it may run what it was sent to the end.
+/// Calls and closes to a partitioned engine arrive late or never: it may run an attempt to the end.
 #[test]
-fn the_next_of_a_key_waits_till_an_engine_behind_a_cut_is_reached() {
-    let Cut { mut e1, e2, watch: _watch, gateway, mut second } = Cut::new();
-    thread::sleep(ABANDONED + REST + Duration::from_secs(1));
+fn the_next_request_of_a_key_waits_until_a_partitioned_engine_is_reached() {
+    let Partition { mut e1, e2, watch: _watch, gateway, mut second } = Partition::new();
+    thread::sleep(ABANDONED + KEY_COOLDOWN + Duration::from_secs(1));
     // What another key does meanwhile shows that the gateway has had its turns, and that this engine is open.
     let mut other = ask(&gateway, 3, "k2");
     let mut wire = e2.accept();
@@ -152,14 +152,14 @@
     let given_up = Instant::now();
     healed.say("HTTP/1.1 204 No Content\r\n\r\n");
     assert_eq!(wire.call().ticket(), id(2));
-    assert!(given_up.elapsed() >= REST, "after {:?}", given_up.elapsed());
+    assert!(given_up.elapsed() >= KEY_COOLDOWN, "after {:?}", given_up.elapsed());
     wire.row(&id(2));
     is_served(&mut second, 2);
 }
 
 #[test]
-fn the_next_of_a_key_goes_on_when_the_list_says_that_an_engine_behind_a_cut_has_gone() {
-    let Cut { e1, e2, mut watch, gateway: _gateway, mut second } = Cut::new();
+fn the_next_request_of_a_key_starts_once_the_list_removes_a_partitioned_engine() {
+    let Partition { e1, e2, mut watch, gateway: _gateway, mut second } = Partition::new();
     watch.event(3, &e1.entry("Gone"));
     let mut wire = e2.accept();
     assert_eq!(wire.call().ticket(), id(2));
@@ -168,8 +168,8 @@
 }
 
 #[test]
-fn the_next_of_a_key_goes_on_when_an_engine_behind_a_cut_says_nothing_once_it_is_reached() {
-    let Cut { mut e1, e2, watch: _watch, gateway: _gateway, mut second } = Cut::new();
+fn the_next_request_of_a_key_starts_once_a_partitioned_engine_is_reached_but_silent() {
+    let Partition { mut e1, e2, watch: _watch, gateway: _gateway, mut second } = Partition::new();
     e1.let_in();
     let mut healed = e1.accept();
     assert_eq!(healed.call().verb, "DELETE");
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn a_key_whose_first_request_is_never_sent_goes_on_at_once() {
+fn a_key_whose_first_request_was_never_sent_has_no_cooldown() {
     let (engine, coordinator) = (Peer::new("e1"), Peer::new("c"));
     let draining = engine.entry("Terminating");
     let gateway = Gateway::scripted(&draining, Some(coordinator.address), "", None, keeps_order);
@@ -198,7 +198,7 @@
 }
 
 #[test]
-fn an_attempt_whose_client_has_left_holds_its_key_till_it_is_given_up() {
+fn an_attempt_whose_client_has_left_holds_its_key_until_it_is_cancelled() {
     let engines = Engines::start(&["e1", "e2"]);
     let gateway = Gateway::scripted(&engines.entries, None, "", None, keeps_order);
     let first = ask(&gateway, 1, "k1");
@@ -214,13 +214,13 @@
     let given_up = Instant::now();
     delete.given_up();
     let out = engines.next_start(&id(2));
-    assert!(given_up.elapsed() >= REST, "after {:?}", given_up.elapsed());
+    assert!(given_up.elapsed() >= KEY_COOLDOWN, "after {:?}", given_up.elapsed());
     out.row();
     is_served(&mut second, 2);
 }
 
 #[test]
-fn a_key_without_effect_or_none_at_all_holds_nobody() {
+fn requests_without_an_effective_key_are_not_ordered() {
     let engines = Engines::start(&["e1", "e2"]);
     let gateway = Gateway::scripted(&engines.entries, None, "", None, keeps_order);
     let send = |text: &str| {
@@ -269,23 +269,23 @@
     assert!(matches!(wrong, mysql::Answer::Error(1210, ..)), "{wrong:?}");
 }
 
-/// The old process has one request of a key out and one waiting when the new process takes another: that one goes last,
-/// and what the old process takes behind it goes behind it.
+/// The predecessor has one request of a key in flight and one waiting when the successor gets another: that one comes
+/// after both, and what the predecessor gets later comes after that one.
 #[test]
-fn a_key_keeps_its_order_over_both_processes_of_an_upgrade() {
+fn a_key_keeps_its_order_across_both_processes_of_a_replacement() {
     let engines = Engines::start(&["e1", "e2"]);
-    let old = Gateway::scripted_with_door(&engines.entries, keeps_order);
-    let (mut first, mut second) = (ask(&old, 1, "k1"), ask(&old, 2, "k1"));
-    let mut held = pg::Client::connect(old.pg);
+    let predecessor = Gateway::scripted_with_door(&engines.entries, keeps_order);
+    let (mut first, mut second) = (ask(&predecessor, 1, "k1"), ask(&predecessor, 2, "k1"));
+    let mut held = pg::Client::connect(predecessor.pg);
     let out = engines.next_start(&id(1));
-    let new = old.successor();
-    old.logged("successor accepts clients");
-    let mut third = ask(&new, 3, "k1");
-    old.logged("peer process claims the lease of a key");
+    let successor = predecessor.successor();
+    predecessor.logged("successor accepts clients");
+    let mut third = ask(&successor, 3, "k1");
+    predecessor.logged("peer process claims the lease of a key");
     held.send(&load(4, "k1"));
-    old.logged(&format!("taken ticket=\"{}\"", id(4)));
-    // Another key goes out at once, which shows that the new process has had its turns.
-    let mut other = ask(&new, 9, "k2");
+    predecessor.logged(&format!("taken ticket=\"{}\"", id(4)));
+    // A request of another key is forwarded at once, which shows that the successor has had its turns.
+    let mut other = ask(&successor, 9, "k2");
     engines.next_start(&id(9)).row();
     is_served(&mut other, 9);
     out.row();
@@ -297,45 +297,45 @@
 }
 
 #[test]
-fn a_key_is_free_once_a_process_that_died_can_have_nothing_running() {
+fn a_key_is_free_once_nothing_of_a_killed_predecessor_can_run() {
     let engines = Engines::start(&["e1", "e2"]);
-    let old = Gateway::scripted_with_door(&engines.entries, keeps_order);
-    let _first = ask(&old, 1, "k1");
+    let predecessor = Gateway::scripted_with_door(&engines.entries, keeps_order);
+    let _first = ask(&predecessor, 1, "k1");
     let _out = engines.next_start(&id(1));
-    let new = old.successor();
-    old.logged("successor accepts clients");
-    let mut second = ask(&new, 2, "k1");
-    old.logged("peer process claims the lease of a key");
+    let successor = predecessor.successor();
+    predecessor.logged("successor accepts clients");
+    let mut second = ask(&successor, 2, "k1");
+    predecessor.logged("peer process claims the lease of a key");
     let died = Instant::now();
-    old.kill();
+    predecessor.kill();
     let out = engines.next_start(&id(2));
-    assert!(died.elapsed() >= ABANDONED + REST, "after {:?}", died.elapsed());
+    assert!(died.elapsed() >= ABANDONED + KEY_COOLDOWN, "after {:?}", died.elapsed());
     out.row();
     is_served(&mut second, 2);
-    let mut third = ask(&new, 3, "k1");
+    let mut third = ask(&successor, 3, "k1");
     engines.next_start(&id(3)).row();
     is_served(&mut third, 3);
 }
 
-/// The old process ends while the new one waits for a key of its.
+/// The predecessor exits while the successor waits for a lease that it holds.
 #[test]
-fn a_process_that_ends_in_order_hands_its_keys_over() {
+fn a_predecessor_that_exits_grants_its_leases() {
     let engines = Engines::start(&["e1", "e2"]);
-    let old = Gateway::scripted_with_door(&engines.entries, keeps_order);
-    let mut first = ask(&old, 1, "k1");
+    let predecessor = Gateway::scripted_with_door(&engines.entries, keeps_order);
+    let mut first = ask(&predecessor, 1, "k1");
     let out = engines.next_start(&id(1));
-    let new = old.successor();
-    old.logged("successor accepts clients");
-    let mut second = ask(&new, 2, "k1");
-    old.logged("peer process claims the lease of a key");
-    old.terminate();
-    old.signal("-HUP");
+    let successor = predecessor.successor();
+    predecessor.logged("successor accepts clients");
+    let mut second = ask(&successor, 2, "k1");
+    predecessor.logged("peer process claims the lease of a key");
+    predecessor.terminate();
+    predecessor.signal("-HUP");
     out.row();
     is_served(&mut first, 1);
     engines.next_start(&id(2)).row();
     is_served(&mut second, 2);
-    assert_eq!(old.wait().0, Some(0));
-    let mut third = ask(&new, 3, "k1");
+    assert_eq!(predecessor.wait().0, Some(0));
+    let mut third = ask(&successor, 3, "k1");
     engines.next_start(&id(3)).row();
     is_served(&mut third, 3);
 }
