--- a/gateway/tests/crossings.rs
+++ b/gateway/tests/crossings.rs
@@ -344,6 +344,8 @@
     gateway.logged("name=\"e1\" state=Draining");
     wire.say("HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n");
     gateway.logged("ended ticket=\"0000000000000001\"");
+    // Only a connection that was begun before can have been kept out.
+    gateway.logged("connection opened engine=1");
     // A connection that was not let in is tried again by the kernel after a second, twice the window.
     two.let_in();
     assert!(code(&client.answer()).starts_with("53"), "repeats are known as such everywhere");
