--- a/gateway/src/engine/http.rs
+++ b/gateway/src/engine/http.rs
@@ -175,7 +175,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Start<'a> {
     /// The client's id.
-    pub ticket: &'a str,
+    pub query_id: &'a str,
     /// The class's name.
     pub class: &'a str,
     /// The statement.
@@ -195,7 +195,7 @@
     let _ = write!(
         out,
         "POST /data HTTP/1.1\r\nHost: engine\r\nX-Ticket: {}\r\nX-Queue: {}\r\nX-Max-Ms: {}\r\nRank: {}\r\n",
-        s.ticket, s.class, s.max_ms, s.rank
+        s.query_id, s.class, s.max_ms, s.rank
     );
     if s.grant_mb > 0.0 {
         let _ = write!(out, "Grant-Mb: {}\r\n", s.grant_mb.ceil() as u64);
@@ -208,25 +208,25 @@
 }
 
 /// Writes the call that asks for news (page 0) or for a page.
-pub fn get(ticket: &str, page: u32, out: &mut Vec<u8>) {
-    let _ = write!(out, "GET /data/{ticket}/{page} HTTP/1.1\r\nHost: engine\r\n\r\n");
+pub fn get(query_id: &str, page: u32, out: &mut Vec<u8>) {
+    let _ = write!(out, "GET /data/{query_id}/{page} HTTP/1.1\r\nHost: engine\r\n\r\n");
 }
 
 /// Writes the call that changes a priority.
-pub fn put(ticket: &str, rank: u8, out: &mut Vec<u8>) {
-    let _ = write!(out, "PUT /data/{ticket} HTTP/1.1\r\nHost: engine\r\nContent-Length: 1\r\n\r\n{rank}");
+pub fn put(query_id: &str, rank: u8, out: &mut Vec<u8>) {
+    let _ = write!(out, "PUT /data/{query_id} HTTP/1.1\r\nHost: engine\r\nContent-Length: 1\r\n\r\n{rank}");
 }
 
 /// Writes the call that gives a query up.
-pub fn delete(ticket: &str, out: &mut Vec<u8>) {
-    let _ = write!(out, "DELETE /data/{ticket} HTTP/1.1\r\nHost: engine\r\n\r\n");
+pub fn delete(query_id: &str, out: &mut Vec<u8>) {
+    let _ = write!(out, "DELETE /data/{query_id} HTTP/1.1\r\nHost: engine\r\n\r\n");
 }
 
 /// The course of one attempt: asked for till it ends, then page after page. Only when all are here has it
 /// ended well, so that an engine lost between pages leaves the request whole for another try.
 #[derive(Debug)]
 pub struct Exchange {
-    ticket: String,
+    query_id: String,
     pages: Vec<Vec<u8>>,
     /// Columns of the rows so far.
     width: Option<usize>,
@@ -253,9 +253,9 @@
 
 impl Exchange {
     /// An attempt whose start is being sent.
-    pub fn new(ticket: &str) -> Self {
+    pub fn new(query_id: &str) -> Self {
         Self {
-            ticket: ticket.to_owned(),
+            query_id: query_id.to_owned(),
             pages: Vec::new(),
             width: None,
             page_count: 0,
@@ -268,7 +268,7 @@
     /// Writes the call whose answer was lost once more: for news, or for the page that is next.
     pub fn ask_again(&mut self, out: &mut Vec<u8>) {
         self.starting = false;
-        get(&self.ticket, self.pages.len() as u32, out);
+        get(&self.query_id, self.pages.len() as u32, out);
     }
 
     /// Bytes of the result that are held so far.
@@ -289,7 +289,7 @@
         match r.status {
             202 if self.given_up => Step::Quiet,
             202 if wanted == 0 => {
-                get(&self.ticket, 0, out);
+                get(&self.query_id, 0, out);
                 Step::Asked
             }
             200 if self.is_wanted(r) => {
@@ -299,7 +299,7 @@
                 self.width = self.width.or(width(&r.body));
                 self.pages.push(std::mem::take(&mut r.body));
                 if wanted + 1 < self.page_count {
-                    get(&self.ticket, wanted + 1, out);
+                    get(&self.query_id, wanted + 1, out);
                     Step::Asked
                 } else {
                     Step::Ended(Outcome::Success)
--- a/gateway/src/engine/http/tests.rs
+++ b/gateway/src/engine/http/tests.rs
@@ -24,9 +24,9 @@
 #[test]
 fn a_client_s_token_goes_on_beside_its_id() {
     let start = |token| {
-        let (ticket, class, statement) = ("9b1f03aa5c7e2d41", "batch", b"SELECT 1".as_slice());
+        let (query_id, class, statement) = ("9b1f03aa5c7e2d41", "batch", b"SELECT 1".as_slice());
         let mut out = Vec::new();
-        post(&Start { ticket, class, statement, max_ms: 9, grant_mb: 0.0, rank: 1, token }, &mut out);
+        post(&Start { query_id, class, statement, max_ms: 9, grant_mb: 0.0, rank: 1, token }, &mut out);
         String::from_utf8(out).unwrap()
     };
     assert!(start(Some("16d2cf6d")).contains("\r\nX-Nonce: 16d2cf6d\r\n"));
--- a/gateway/src/net/clients.rs
+++ b/gateway/src/net/clients.rs
@@ -394,7 +394,7 @@
         // Its client has waited since the request was there to be read.
         let deadline_us = live.ready_us.saturating_add(wait_us);
         let work_us = if live.early { backlog_us } else { 0 };
-        let (ticket, run) = match (fields.id, secrets) {
+        let (query_id, run) = match (fields.id, secrets) {
             (Some(id), _) => (id, demand.run),
             (None, secrets) => {
                 let (a, b) = secrets.unwrap_or_default();
@@ -402,7 +402,7 @@
             }
         };
         let request =
-            Request { client: who, ticket, class, statement: demand.statement, token: fields.token, run };
+            Request { client: who, query_id, class, statement: demand.statement, token: fields.token, run };
         let short = self.sessions.ledger.allows(Kind::Requests, request.bytes()).is_err();
         let late = !self.sessions.governor.in_time(now_us, work_us, deadline_us);
         if going || full || short || late {
@@ -440,7 +440,7 @@
         self.counters.taken += 1;
         let (estimate_ms, need_mb) = (fields.estimate_ms, fields.need_mb);
         tracing::debug!(
-            ticket = request.ticket,
+            query_id = request.query_id,
             request = id.0,
             class = class.0,
             wait_us,
@@ -481,7 +481,7 @@
 
     fn left(&mut self, id: RequestId) {
         if let Some(request) = self.close_request(id) {
-            tracing::debug!(ticket = request.ticket, now_us = self.time.now_us, "left");
+            tracing::debug!(query_id = request.query_id, now_us = self.time.now_us, "left");
             self.counters.left += 1;
             self.inputs.push(Input::ClientLeft(id));
         }
@@ -521,7 +521,12 @@
         };
         let Some(request) = self.requests.remove(id) else { return };
         self.sessions.ledger.book(Kind::Requests, request.bytes(), 0);
-        tracing::debug!(ticket = request.ticket, now_us = self.time.now_us, how = answer.name(), "answered");
+        tracing::debug!(
+            query_id = request.query_id,
+            now_us = self.time.now_us,
+            how = answer.name(),
+            "answered"
+        );
         let (counter, ending) = match answer {
             FinalAnswer::Served(Payload::MySql(ResultSet::Wrong(_))) => {
                 (&mut self.counters.failed, Ending::Failed)
--- a/gateway/src/net/engines.rs
+++ b/gateway/src/net/engines.rs
@@ -123,7 +123,7 @@
     /// The connection that its calls go over.
     link: usize,
     course: Course,
-    ticket: String,
+    query_id: String,
     /// Its first byte must leave before this.
     begin_by_us: u64,
     /// It is not waited for beyond this, and its engine was told so.
--- a/gateway/src/net/engines/answers.rs
+++ b/gateway/src/net/engines/answers.rs
@@ -109,7 +109,11 @@
                         self.pools.dirty.push(at);
                     }
                     http::Step::Spoilt => {
-                        tracing::debug!(ticket = attempt.ticket, status = response.status, "a spoilt answer");
+                        tracing::debug!(
+                            query_id = attempt.query_id,
+                            status = response.status,
+                            "a spoilt answer"
+                        );
                         self.engine_gone(at, End::Broken);
                     }
                     http::Step::Quiet => {
--- a/gateway/src/net/engines/attempts.rs
+++ b/gateway/src/net/engines/attempts.rs
@@ -36,7 +36,7 @@
             ExecutionMode::Simple => {
                 let mut start = Vec::with_capacity(256 + request.statement.len());
                 let call = http::Start {
-                    ticket: &request.ticket,
+                    query_id: &request.query_id,
                     class,
                     statement: &request.statement,
                     max_ms,
@@ -45,12 +45,12 @@
                     token: request.token.as_deref(),
                 };
                 http::post(&call, &mut start);
-                let exchange = http::Exchange::new(&request.ticket);
+                let exchange = http::Exchange::new(&request.query_id);
                 (Course::Http { exchange, start: Some(start) }, EngineProtocol::Http)
             }
             _ => (Course::MySql { work: Some(work(request, class, max_ms)) }, EngineProtocol::MySql),
         };
-        let ticket = request.ticket.clone();
+        let query_id = request.query_id.clone();
         let prepared = matches!(request.run, ExecutionMode::Execute(_)).then(|| request.statement.clone());
         match self.link(engine, Job::Attempt(id), protocol, prepared.as_deref()) {
             Ok(link) => {
@@ -58,7 +58,7 @@
                     engine,
                     link,
                     course,
-                    ticket,
+                    query_id,
                     begin_by_us,
                     until_us,
                     in_order,
@@ -69,7 +69,7 @@
                     retries: 0,
                     asked_us: self.time.now_us,
                 };
-                self.requests.take_ticket(&attempt.ticket);
+                self.requests.retain_query_id(&attempt.query_id);
                 self.pools.attempts.insert(id, attempt);
                 self.post_if_up(link);
             }
@@ -126,7 +126,7 @@
                     self.metrics.class(class).attempts += 1;
                 }
                 tracing::debug!(
-                    ticket = attempt.ticket,
+                    query_id = attempt.query_id,
                     number = id.1,
                     engine = engine.0,
                     class = class.map(|c| c.0),
@@ -147,10 +147,10 @@
             }
             Job::Delete(id) => {
                 let Some(attempt) = self.pools.attempts.get(&id) else { return self.release(at) };
-                let (ticket, thread) = (attempt.ticket.clone(), attempt.thread);
+                let (query_id, thread) = (attempt.query_id.clone(), attempt.thread);
                 let Some(Peer { conn, link, .. }) = self.pools.peer(at) else { return };
                 match &mut link.wire {
-                    Wire::Http => http::delete(&ticket, &mut conn.output),
+                    Wire::Http => http::delete(&query_id, &mut conn.output),
                     Wire::MySql(session) => session.kill(thread, &mut conn.output),
                 }
             }
@@ -161,7 +161,7 @@
 
     pub(super) fn forget_attempt(&mut self, id: AttemptId) -> Option<Attempt> {
         let attempt = self.pools.attempts.remove(&id)?;
-        self.requests.free_ticket(&attempt.ticket);
+        self.requests.release_query_id(&attempt.query_id);
         self.sessions.ledger.book(Kind::Results, attempt.booked, 0);
         if let Some(timer) = attempt.unheard {
             self.timers.cancel(timer);
@@ -179,7 +179,7 @@
         let Some(attempt) = self.forget_attempt(id) else { return };
         self.detach(attempt.link, id);
         tracing::debug!(
-            ticket = attempt.ticket,
+            query_id = attempt.query_id,
             number = id.1,
             engine = attempt.engine.0,
             now_us = self.time.now_us,
@@ -246,7 +246,7 @@
         let Some(attempt) = self.pools.attempts.get_mut(&id).filter(|a| a.retries < MOST_RETRIES) else {
             return;
         };
-        tracing::debug!(ticket = attempt.ticket, number = id.1, ?end, "not told that it was given up");
+        tracing::debug!(query_id = attempt.query_id, number = id.1, ?end, "not told that it was given up");
         attempt.retries += 1;
         if end == End::Refused {
             return;
@@ -262,12 +262,12 @@
     pub(in crate::net) fn unheard(&mut self, id: AttemptId) {
         let Some(attempt) = self.forget_attempt(id) else { return };
         self.detach(attempt.link, id);
-        tracing::debug!(ticket = attempt.ticket, number = id.1, engine = attempt.engine.0, "unheard");
+        tracing::debug!(query_id = attempt.query_id, number = id.1, engine = attempt.engine.0, "unheard");
         self.counters.ended(Outcome::TimedOut);
         let runs_until_us = attempt.runs_until_us(self.time.now_us);
         match attempt.course {
             Course::Http { .. } if attempt.in_order => {
-                let unconfirmed = Unconfirmed::new(attempt.engine, attempt.ticket, runs_until_us);
+                let unconfirmed = Unconfirmed::new(attempt.engine, attempt.query_id, runs_until_us);
                 self.begin_confirmation(id, unconfirmed);
             }
             _ => self.inputs.push(Input::AttemptLost(id.0, id.1, runs_until_us)),
@@ -311,7 +311,7 @@
         let Some(attempt) = self.pools.attempts.get_mut(&id) else { return };
         attempt.thread = thread;
         attempt.retries = 0;
-        tracing::debug!(ticket = attempt.ticket, number = id.1, now_us = self.time.now_us, "given up");
+        tracing::debug!(query_id = attempt.query_id, number = id.1, now_us = self.time.now_us, "given up");
         attempt.stopping = true;
         if let Course::Http { exchange, .. } = &mut attempt.course {
             exchange.give_up();
@@ -331,7 +331,7 @@
         if !matches!(attempt.course, Course::Http { start: None, .. }) {
             return;
         }
-        let (engine, ticket) = (attempt.engine, attempt.ticket.clone());
+        let (engine, query_id) = (attempt.engine, attempt.query_id.clone());
         // Only over an idle connection: a new one for each would cost more than the change is worth.
         let idle =
             self.pools.engines.get_mut(&engine).and_then(|e| e.idle[EngineProtocol::Http as usize].pop());
@@ -339,7 +339,7 @@
         let now_us = self.time.now_us;
         if let Some(Peer { conn, link, .. }) = self.pools.peer(at) {
             link.job = Job::Discarding { since_us: now_us };
-            http::put(&ticket, priority, &mut conn.output);
+            http::put(&query_id, priority, &mut conn.output);
         }
         self.pools.dirty.push(at);
     }
@@ -348,7 +348,7 @@
 /// A request as work for a MySQL engine; id, class and what is left of the wait go beside it as attributes.
 fn work(request: &Request, class: &str, max_ms: u64) -> mysql::Work {
     let mut attributes = vec![
-        Param::text("i", &request.ticket),
+        Param::text("i", &request.query_id),
         Param::text("c", class),
         Param::text("d", &max_ms.to_string()),
     ];
--- a/gateway/src/net/engines/confirmation.rs
+++ b/gateway/src/net/engines/confirmation.rs
@@ -18,22 +18,22 @@
 /// An attempt that is asked for no more, and whose engine may still run it.
 pub struct Unconfirmed {
     pub engine: EngineId,
-    ticket: String,
+    query_id: String,
     /// The engine drops it by then, if calls reach the engine, in microseconds.
     dropped_by_us: u64,
 }
 
 impl Unconfirmed {
     /// One whose last call was written so long ago that its engine drops it by then.
-    pub fn new(engine: EngineId, ticket: String, dropped_by_us: u64) -> Self {
-        Self { engine, ticket, dropped_by_us }
+    pub fn new(engine: EngineId, query_id: String, dropped_by_us: u64) -> Self {
+        Self { engine, query_id, dropped_by_us }
     }
 }
 
 impl Server {
     /// Nothing was heard of the end of an attempt that others of its key wait for: its engine is asked.
     pub(super) fn begin_confirmation(&mut self, id: AttemptId, attempt: Unconfirmed) {
-        self.requests.take_ticket(&attempt.ticket);
+        self.requests.retain_query_id(&attempt.query_id);
         self.pools.unconfirmed.insert(id, attempt);
         self.inputs.push(Input::AttemptUnconfirmed(id.0, id.1));
         self.ask_for_confirmation(id);
@@ -57,14 +57,14 @@
 
     /// The connection is up: the engine is told, where that is allowed.
     pub(super) fn write_confirmation(&mut self, at: usize, id: AttemptId) {
-        let ticket = self.pools.unconfirmed.get(&id).map(|attempt| attempt.ticket.clone());
-        let Some(ticket) = ticket else { return self.release(at) };
+        let query_id = self.pools.unconfirmed.get(&id).map(|attempt| attempt.query_id.clone());
+        let Some(query_id) = query_id else { return self.release(at) };
         if !self.config.settings.capabilities.cancels_attempts {
             self.release(at);
             return self.confirm_dropped(id);
         }
         if let Some(peer) = self.pools.peer(at) {
-            http::delete(&ticket, &mut peer.conn.output);
+            http::delete(&query_id, &mut peer.conn.output);
         }
     }
 
@@ -81,9 +81,9 @@
 
     fn confirm(&mut self, id: AttemptId, runs_until_us: u64) {
         let Some(attempt) = self.pools.unconfirmed.remove(&id) else { return };
-        self.requests.free_ticket(&attempt.ticket);
+        self.requests.release_query_id(&attempt.query_id);
         let now_us = self.time.now_us;
-        tracing::debug!(ticket = attempt.ticket, number = id.1, now_us, runs_until_us, "confirmed");
+        tracing::debug!(query_id = attempt.query_id, number = id.1, now_us, runs_until_us, "confirmed");
         self.inputs.push(Input::AttemptEndConfirmed(id.0, id.1, runs_until_us));
     }
 
--- a/gateway/src/net/requests.rs
+++ b/gateway/src/net/requests.rs
@@ -10,7 +10,7 @@
 /// A request that is owed an answer.
 pub struct Request {
     pub client: Handle,
-    pub ticket: String,
+    pub query_id: String,
     pub class: ClassId,
     pub statement: Vec<u8>,
     /// The client's token, by which engines know a repeat of the same work.
@@ -29,7 +29,7 @@
         };
         // Its copy for an attempt stands beside it until that is written.
         let token = self.token.as_ref().map_or(0, String::len);
-        size_of::<Self>() + self.ticket.len() + 2 * token + 2 * self.statement.len() + params
+        size_of::<Self>() + self.query_id.len() + 2 * token + 2 * self.statement.len() + params
     }
 }
 
@@ -39,11 +39,11 @@
     pub open: BTreeMap<RequestId, Request>,
     given: u64,
     /// How many requests and attempts go by an id; engines know a query by nothing else.
-    tickets: HashMap<u64, u32>,
+    query_ids: HashMap<u64, u32>,
 }
 
-fn number(ticket: &str) -> u64 {
-    u64::from_str_radix(ticket, 16).unwrap_or(u64::MAX)
+fn number(query_id: &str) -> u64 {
+    u64::from_str_radix(query_id, 16).unwrap_or(u64::MAX)
 }
 
 impl Requests {
@@ -54,31 +54,31 @@
     }
 
     pub fn insert(&mut self, id: RequestId, request: Request) {
-        self.take_ticket(&request.ticket);
+        self.retain_query_id(&request.query_id);
         self.open.insert(id, request);
     }
 
     pub fn remove(&mut self, id: RequestId) -> Option<Request> {
         let request = self.open.remove(&id)?;
-        self.free_ticket(&request.ticket);
+        self.release_query_id(&request.query_id);
         Some(request)
     }
 
     /// Whether a request or an attempt with this id is under way.
-    pub fn is_under_way(&self, ticket: &str) -> bool {
-        self.tickets.contains_key(&number(ticket))
+    pub fn is_under_way(&self, query_id: &str) -> bool {
+        self.query_ids.contains_key(&number(query_id))
     }
 
-    pub fn take_ticket(&mut self, ticket: &str) {
-        *self.tickets.entry(number(ticket)).or_default() += 1;
+    pub fn retain_query_id(&mut self, query_id: &str) {
+        *self.query_ids.entry(number(query_id)).or_default() += 1;
     }
 
-    pub fn free_ticket(&mut self, ticket: &str) {
-        let number = number(ticket);
-        if let Some(n) = self.tickets.get_mut(&number) {
+    pub fn release_query_id(&mut self, query_id: &str) {
+        let number = number(query_id);
+        if let Some(n) = self.query_ids.get_mut(&number) {
             *n -= 1;
             if *n == 0 {
-                self.tickets.remove(&number);
+                self.query_ids.remove(&number);
             }
         }
     }
--- a/gateway/tests/auditor.rs
+++ b/gateway/tests/auditor.rs
@@ -79,7 +79,7 @@
     Event::Arrived(
         engine,
         Call {
-            ticket: asked.id.clone(),
+            query_id: asked.id.clone(),
             class: Some(terms.classes[asked.class].name.clone()),
             max_ms: Some("1900".to_owned()),
             token: asked.token.clone(),
@@ -381,8 +381,8 @@
     clean(&[6], &with(&|call| call.grant_mb = Some("96".to_owned())));
     let text = |text: &str| Some(text.to_owned());
     let wrong: [&dyn Fn(&mut Call); 12] = [
-        &|call| call.ticket = None,
-        &|call| call.ticket = text("0000000000000007"),
+        &|call| call.query_id = None,
+        &|call| call.query_id = text("0000000000000007"),
         &|call| call.class = text("ledger"),
         &|call| call.class = None,
         &|call| call.max_ms = text("2001"),
@@ -406,7 +406,7 @@
     );
     let mut terms = terms();
     terms.requests[7].id = None;
-    let own = |id: &str| [(50, changed(0, 7, |call| call.ticket = text(id))), (60, Event::Left(7))];
+    let own = |id: &str| [(50, changed(0, 7, |call| call.query_id = text(id))), (60, Event::Left(7))];
     assert_eq!(told(&terms, &[7], &own("00000000000000ff")), []);
     assert_eq!(told(&terms, &[7], &own("ff")), [(Rule::Fields, Some(7))]);
     // What no client sent.
--- a/gateway/tests/common/held.rs
+++ b/gateway/tests/common/held.rs
@@ -15,14 +15,14 @@
 
 /// A query that runs until it is ended.
 pub struct Held {
-    ticket: String,
+    query_id: String,
     ended: Ended,
 }
 
 impl Held {
     /// The end of the query: one row with its own id.
     pub fn row(self) {
-        self.ended.lock().unwrap().insert(self.ticket);
+        self.ended.lock().unwrap().insert(self.query_id);
     }
 }
 
@@ -52,9 +52,9 @@
     }
 
     /// The next query that is started, which must be this one.
-    pub fn next_start(&self, ticket: &str) -> Held {
-        assert_eq!(self.starts.recv_timeout(PATIENCE).expect("a query"), ticket);
-        Held { ticket: ticket.to_owned(), ended: self.ended.clone() }
+    pub fn next_start(&self, query_id: &str) -> Held {
+        assert_eq!(self.starts.recv_timeout(PATIENCE).expect("a query"), query_id);
+        Held { query_id: query_id.to_owned(), ended: self.ended.clone() }
     }
 
     /// Whether no query was started that was not asked for by [`HeldEngines::next_start`].
@@ -68,12 +68,12 @@
         let said = match call.verb.as_str() {
             "POST" => {
                 // The test may be over.
-                let _ = starts.send(call.ticket().to_owned());
+                let _ = starts.send(call.query_id().to_owned());
                 wire.try_say("HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n")
             }
             "GET" => {
-                let ticket = call.path.split('/').nth(2).unwrap_or_default().to_owned();
-                wire.try_say(&news(&ticket, ended))
+                let query_id = call.path.split('/').nth(2).unwrap_or_default().to_owned();
+                wire.try_say(&news(&query_id, ended))
             }
             _ => wire.try_say("HTTP/1.1 204 No Content\r\n\r\n"),
         };
@@ -83,11 +83,11 @@
     }
 }
 
-fn news(ticket: &str, ended: &Ended) -> String {
+fn news(query_id: &str, ended: &Ended) -> String {
     let began = Instant::now();
     while began.elapsed() < NEWS {
-        if ended.lock().unwrap().contains(ticket) {
-            return row(ticket);
+        if ended.lock().unwrap().contains(query_id) {
+            return row(query_id);
         }
         thread::sleep(Duration::from_millis(2));
     }
--- a/gateway/tests/common/manual.rs
+++ b/gateway/tests/common/manual.rs
@@ -12,7 +12,7 @@
 /// A call that starts a query or gives one up, and awaits its answer.
 pub struct Pending {
     pub verb: String,
-    pub ticket: String,
+    pub query_id: String,
     wire: Wire,
     calls: Sender<Pending>,
 }
@@ -20,7 +20,7 @@
 impl Pending {
     /// The end of the query: one row with its own id.
     pub fn row(self) {
-        let text = row(&self.ticket);
+        let text = row(&self.query_id);
         self.answer(&text);
     }
 
@@ -65,9 +65,9 @@
     }
 
     /// The next call, which must start this query.
-    pub fn next_start(&self, ticket: &str) -> Pending {
+    pub fn next_start(&self, query_id: &str) -> Pending {
         let call = self.next();
-        assert_eq!((call.verb.as_str(), call.ticket.as_str()), ("POST", ticket));
+        assert_eq!((call.verb.as_str(), call.query_id.as_str()), ("POST", query_id));
         call
     }
 }
@@ -84,11 +84,11 @@
                 }
                 continue;
             }
-            let ticket = match call.verb.as_str() {
-                "POST" => call.ticket().to_owned(),
+            let query_id = match call.verb.as_str() {
+                "POST" => call.query_id().to_owned(),
                 _ => call.path.rsplit('/').next().unwrap_or_default().to_owned(),
             };
-            let pending = Pending { verb: call.verb, ticket, wire, calls: calls.clone() };
+            let pending = Pending { verb: call.verb, query_id, wire, calls: calls.clone() };
             // The test may be over.
             let _ = calls.send(pending);
             return;
--- a/gateway/tests/common/mod.rs
+++ b/gateway/tests/common/mod.rs
@@ -28,16 +28,16 @@
 }
 
 impl Seen {
-    pub fn ran(&self, engine: &str, ticket: &str) {
-        self.runs.lock().unwrap().push((engine.to_owned(), ticket.to_owned()));
+    pub fn ran(&self, engine: &str, query_id: &str) {
+        self.runs.lock().unwrap().push((engine.to_owned(), query_id.to_owned()));
     }
 
-    /// Engines that began to run this ticket, in order.
-    pub fn engines_of(&self, ticket: &str) -> Vec<String> {
-        self.runs.lock().unwrap().iter().filter(|(_, t)| t == ticket).map(|(e, _)| e.clone()).collect()
+    /// Engines that began to run this query_id, in order.
+    pub fn engines_of(&self, query_id: &str) -> Vec<String> {
+        self.runs.lock().unwrap().iter().filter(|(_, t)| t == query_id).map(|(e, _)| e.clone()).collect()
     }
 
-    /// Tickets that were given up over HTTP.
+    /// Query ids that were cancelled over HTTP.
     pub fn deletes(&self) -> Vec<String> {
         self.deletes.lock().unwrap().clone()
     }
@@ -336,13 +336,13 @@
                 }
             }
             "GET" if path.ends_with("/0") => {
-                let ticket = path.split('/').nth(2).unwrap();
-                news(&host, ticket, &first)
+                let query_id = path.split('/').nth(2).unwrap();
+                news(&host, query_id, &first)
             }
             "GET" => page("Page-No: 1", &format!("{}\tc\t\n", host.name)),
             _ => {
-                let ticket = path.split('/').nth(2).unwrap().to_owned();
-                host.seen.deletes.lock().unwrap().push(ticket);
+                let query_id = path.split('/').nth(2).unwrap().to_owned();
+                host.seen.deletes.lock().unwrap().push(query_id);
                 "HTTP/1.1 204 No Content\r\n\r\n".to_owned()
             }
         };
@@ -370,8 +370,8 @@
     }
 }
 
-fn news(host: &Host, ticket: &str, first: &dyn Fn(&Host) -> String) -> String {
-    let done = host.queries.lock().unwrap().get(ticket).copied();
+fn news(host: &Host, query_id: &str, first: &dyn Fn(&Host) -> String) -> String {
+    let done = host.queries.lock().unwrap().get(query_id).copied();
     let Some(done) = done else { return "HTTP/1.1 500 unknown\r\nContent-Length: 0\r\n\r\n".to_owned() };
     let left = done.saturating_duration_since(Instant::now());
     thread::sleep(left.min(Duration::from_millis(250)));
--- a/gateway/tests/common/mysql.rs
+++ b/gateway/tests/common/mysql.rs
@@ -269,8 +269,8 @@
         write_packet(stream, 1, &[0, 0, 0, 2, 0, 0, 0]);
         return;
     }
-    let ticket = values.iter().find(|(n, _)| n == "i").map_or("", |(_, v)| v);
-    host.seen.ran(&host.name, ticket);
+    let query_id = values.iter().find(|(n, _)| n == "i").map_or("", |(_, v)| v);
+    host.seen.ran(&host.name, query_id);
     if !host.work() {
         return;
     }
--- a/gateway/tests/common/script.rs
+++ b/gateway/tests/common/script.rs
@@ -123,7 +123,7 @@
 }
 
 impl Call {
-    pub fn ticket(&self) -> &str {
+    pub fn query_id(&self) -> &str {
         &self.headers["x-ticket"]
     }
 }
@@ -212,7 +212,7 @@
     format!("HTTP/1.1 200 OK\r\nPage-Count: 1\r\nContent-Length: {}\r\n\r\n{body}", body.len())
 }
 
-/// An engine that runs each query at once and answers with the ticket that it ran, over any connection.
+/// An engine that runs each query at once and answers with the query_id that it ran, over any connection.
 pub fn run_all(peer: Peer, ran: std::sync::Arc<std::sync::Mutex<Vec<String>>>) {
     thread::spawn(move || {
         loop {
@@ -222,8 +222,8 @@
                 while let Some(call) = wire.next_call() {
                     match call.verb.as_str() {
                         "POST" => {
-                            ran.lock().unwrap().push(call.ticket().to_owned());
-                            wire.row(call.ticket());
+                            ran.lock().unwrap().push(call.query_id().to_owned());
+                            wire.row(call.query_id());
                         }
                         "GET" => wire.say("HTTP/1.1 500 no\r\nContent-Length: 0\r\n\r\n"),
                         _ => wire.say("HTTP/1.1 204 No Content\r\n\r\n"),
--- a/gateway/tests/configuration.rs
+++ b/gateway/tests/configuration.rs
@@ -24,7 +24,7 @@
 fn ask(gateway: &Gateway, n: u64, class: &str, more: &str) -> pg::Client {
     let mut client = pg::Client::connect(gateway.pg);
     client.send(&query(n, class, more));
-    gateway.logged(&format!("taken ticket=\"{}\"", id(n)));
+    gateway.logged(&format!("taken query_id=\"{}\"", id(n)));
     client
 }
 
@@ -93,7 +93,7 @@
     let mut stream = machine.stream();
     let mut client = ask(&gateway, 1, "load", "");
     let mut wire = e1.accept();
-    assert_eq!(wire.call().ticket(), id(1));
+    assert_eq!(wire.call().query_id(), id(1));
     let pure = changed(|text| text.replace("\"repeat\":\"side_effect\"", "\"repeat\":\"pure\""));
     stream.send(&snapshot(1, &pure));
     machine.applied(1);
@@ -106,7 +106,7 @@
     // The same of one that came later may be repeated, which shows that the change counts.
     let mut client = ask(&gateway, 2, "load", "");
     let mut wire = e2.accept();
-    assert_eq!(wire.call().ticket(), id(2));
+    assert_eq!(wire.call().query_id(), id(2));
     wire.row(&id(2));
     is_served(&mut client, 2);
 }
@@ -173,12 +173,12 @@
     let (gateway, _machine, _stream) = with_longer_times(&engine);
     let mut first = ask(&gateway, 1, "report", "");
     let mut wire = engine.accept();
-    assert_eq!(wire.call().ticket(), id(1));
+    assert_eq!(wire.call().query_id(), id(1));
     wire.row(&id(1));
     is_served(&mut first, 1);
     thread::sleep(LONGER);
     let mut second = ask(&gateway, 2, "report", "");
-    assert_eq!(wire.call().ticket(), id(2), "over the same connection");
+    assert_eq!(wire.call().query_id(), id(2), "over the same connection");
     wire.row(&id(2));
     is_served(&mut second, 2);
     assert!(engine.is_left_alone());
@@ -193,10 +193,10 @@
     thread::sleep(LONGER);
     engine.let_in();
     let mut wire = engine.accept();
-    assert_eq!(wire.call().ticket(), id(1));
+    assert_eq!(wire.call().query_id(), id(1));
     wire.row(&id(1));
     is_served(&mut client, 1);
-    gateway.logged(&format!("answered ticket=\"{}\"", id(1)));
+    gateway.logged(&format!("answered query_id=\"{}\"", id(1)));
     assert_eq!(gateway.log().matches("connection opened engine=").count(), 1, "none was given up");
 }
 
@@ -213,7 +213,7 @@
     is_served(&mut client, 1);
     assert!(turned_down(&gateway, &query(2, "report", "")).contains("unknown class"));
     assert!(status(&gateway).contains("configuration.in_force=1\n"));
-    gateway.logged(&format!("answered ticket=\"{}\"", id(1)));
+    gateway.logged(&format!("answered query_id=\"{}\"", id(1)));
     assert!(!gateway.log().contains("the settings have changed"), "what is in force is not the file's");
 }
 
--- a/gateway/tests/crossings.rs
+++ b/gateway/tests/crossings.rs
@@ -50,16 +50,16 @@
     client.send(&text(class, 1));
     let mut wire = engine.accept();
     let call = wire.call();
-    assert_eq!((call.verb.as_str(), call.ticket()), ("POST", id(1).as_str()));
+    assert_eq!((call.verb.as_str(), call.query_id()), ("POST", id(1).as_str()));
     (client, wire)
 }
 
 fn taken(gateway: &Gateway, n: u64) {
-    gateway.logged(&format!("taken ticket=\"{}\"", id(n)));
+    gateway.logged(&format!("taken query_id=\"{}\"", id(n)));
 }
 
 fn left(gateway: &Gateway, n: u64) {
-    gateway.logged(&format!("left ticket=\"{}\"", id(n)));
+    gateway.logged(&format!("left query_id=\"{}\"", id(n)));
 }
 
 /// What ran at engines that run all.
@@ -152,8 +152,8 @@
             move || {
                 let Some(mut wire) = wire else { return };
                 while let Some(call) = wire.next_call() {
-                    ran.lock().unwrap().push(call.ticket().to_owned());
-                    wire.row(call.ticket());
+                    ran.lock().unwrap().push(call.query_id().to_owned());
+                    wire.row(call.query_id());
                 }
             }
         });
@@ -172,7 +172,7 @@
     let (client, mut wire) = out_at(&engine, &gateway, "load");
     // Full, so that it rests before the next attempt.
     wire.say("HTTP/1.1 503 x\r\nX-Shed: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
-    gateway.logged("ended ticket=\"0000000000000001\"");
+    gateway.logged("ended query_id=\"0000000000000001\"");
     drop(client);
     left(&gateway, 1);
     let ran = ran();
@@ -252,9 +252,9 @@
             thread::spawn(move || {
                 while let Some(call) = wire.next_call() {
                     if call.verb == "POST" {
-                        wire.row(call.ticket());
+                        wire.row(call.query_id());
                         thread::sleep(Duration::from_millis(5));
-                        wire.row(call.ticket());
+                        wire.row(call.query_id());
                     }
                 }
             });
@@ -275,7 +275,7 @@
     let (mut client, mut other) = (pg::Client::connect(gateway.pg), pg::Client::connect(gateway.pg));
     client.send(&text("lookup", 1));
     let mut wire = engine.accept();
-    assert_eq!(wire.call().ticket(), id(1));
+    assert_eq!(wire.call().query_id(), id(1));
     let later = "HTTP/1.1 202 x\r\nContent-Length: 0\r\n\r\n";
     wire.say(later);
     assert_eq!(wire.call().verb, "GET");
@@ -317,7 +317,7 @@
     for attempt in 0..2 {
         let call = wire.call();
         assert_eq!(call.headers["x-nonce"], "16d2cf6db534bf77e12ba3280ca951ca", "attempt {attempt}");
-        assert_eq!(call.ticket(), id(1));
+        assert_eq!(call.query_id(), id(1));
         if attempt == 0 {
             wire.say("HTTP/1.1 503 x\r\nX-Shed: 1\r\nContent-Length: 0\r\n\r\n");
         }
@@ -339,11 +339,11 @@
     let mut client = pg::Client::connect(gateway.pg);
     client.send(&text("lookup", 1));
     let mut wire = one.accept();
-    assert_eq!(wire.call().ticket(), id(1));
+    assert_eq!(wire.call().query_id(), id(1));
     watch.event(2, &format!("{},{}", two.entry("Ready"), one.entry("Terminating")));
     gateway.logged("name=\"e1\" state=Draining");
     wire.say("HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n");
-    gateway.logged("ended ticket=\"0000000000000001\"");
+    gateway.logged("ended query_id=\"0000000000000001\"");
     // A connection that was not let in is tried again by the kernel after a second, twice the window.
     two.let_in();
     assert!(code(&client.answer()).starts_with("53"), "repeats are known as such everywhere");
@@ -375,8 +375,8 @@
     let n = served(&gateway, "load", 100);
     assert_eq!(*elsewhere.lock().unwrap(), [id(1), id(n)]);
     // The log is read as it comes; up to this line it is whole.
-    gateway.logged(&format!("answered ticket=\"{}\"", id(n)));
-    assert!(gateway.log().matches("sent ticket=").count() == 2, "{}", gateway.log());
+    gateway.logged(&format!("answered query_id=\"{}\"", id(n)));
+    assert!(gateway.log().matches("sent query_id=").count() == 2, "{}", gateway.log());
 }
 
 #[test]
@@ -411,7 +411,7 @@
     client.send(&text("report", 2));
     let mut wire = engine.accept();
     let call = wire.call();
-    assert_eq!((call.verb.as_str(), call.ticket()), ("POST", id(2).as_str()));
+    assert_eq!((call.verb.as_str(), call.query_id()), ("POST", id(2).as_str()));
     wire.row(&id(2));
     assert_eq!(client.answer(), rows(2));
 }
@@ -432,13 +432,13 @@
         if again {
             let mut second = engine.accept();
             let call = second.call();
-            assert_eq!((call.verb.as_str(), call.ticket()), ("POST", id(1).as_str()));
+            assert_eq!((call.verb.as_str(), call.query_id()), ("POST", id(1).as_str()));
             second.row(&id(1));
             assert_eq!(client.answer(), rows(1));
         } else {
             assert_eq!(code(&client.answer()), "58000");
             client.send(&text(class, 2));
-            assert_eq!(engine.accept().call().ticket(), id(2));
+            assert_eq!(engine.accept().call().query_id(), id(2));
         }
     }
 }
@@ -643,7 +643,7 @@
         client.send(&text(class, n as u64 + 1).replace("d=20000", "d=300000"));
         if n < 2 {
             let mut wire = engine.accept();
-            assert_eq!(wire.call().ticket(), id(n as u64 + 1));
+            assert_eq!(wire.call().query_id(), id(n as u64 + 1));
             // It hangs, and says so.
             wire.say("HTTP/1.1 202 x\r\nContent-Length: 0\r\n\r\n");
             wires.push(wire);
@@ -691,8 +691,8 @@
     // All of them are out at once, each over a connection of its own.
     let mut wires: Vec<_> = (0..asking.len()).map(|_| engine.accept()).collect();
     for wire in &mut wires {
-        let ticket = wire.call().ticket().to_owned();
-        wire.row(&ticket);
+        let query_id = wire.call().query_id().to_owned();
+        wire.row(&query_id);
     }
     for (n, client) in asking.iter_mut().enumerate() {
         assert_eq!(client.answer(), rows(n as u64), "an engine is reached");
--- a/gateway/tests/deployments/auditor.rs
+++ b/gateway/tests/deployments/auditor.rs
@@ -85,7 +85,7 @@
 /// The fields of a call that starts a query, as the engine got them.
 #[derive(Clone, Debug, Default)]
 pub struct Call {
-    pub ticket: Option<String>,
+    pub query_id: Option<String>,
     pub class: Option<String>,
     pub max_ms: Option<String>,
     pub token: Option<String>,
@@ -365,10 +365,10 @@
     fn wrong_fields(&self, request: Serial, call: &Call) -> Vec<String> {
         let (asked, class) = (&self.terms.requests[request], self.class(request));
         let mut wrong = Vec::new();
-        let ticket = call.ticket.as_deref().unwrap_or("");
-        let is_id = ticket.len() == 16 && ticket.bytes().all(|b| b.is_ascii_hexdigit());
-        if !is_id || asked.id.as_deref().is_some_and(|id| id != ticket) {
-            wrong.push(format!("X-Ticket {ticket:?} for the id {:?}", asked.id));
+        let query_id = call.query_id.as_deref().unwrap_or("");
+        let is_id = query_id.len() == 16 && query_id.bytes().all(|b| b.is_ascii_hexdigit());
+        if !is_id || asked.id.as_deref().is_some_and(|id| id != query_id) {
+            wrong.push(format!("X-Ticket {query_id:?} for the id {:?}", asked.id));
         }
         if call.class.as_deref() != Some(&class.name) {
             wrong.push(format!("X-Queue {:?} for the class {}", call.class, class.name));
--- a/gateway/tests/deployments/engine.rs
+++ b/gateway/tests/deployments/engine.rs
@@ -120,7 +120,7 @@
     fn start(&self) -> Call {
         let header = |name: &str| self.headers.get(name).cloned();
         Call {
-            ticket: header("x-ticket"),
+            query_id: header("x-ticket"),
             class: header("x-queue"),
             max_ms: header("x-max-ms"),
             token: header("x-nonce"),
@@ -138,7 +138,7 @@
         let mut reader = BufReader::new(stream.try_clone()?);
         while let Some(call) = HttpCall::read(&mut reader)? {
             let mut parts = call.path.split('/').skip(2);
-            let ticket = parts.next().unwrap_or_default().to_owned();
+            let query_id = parts.next().unwrap_or_default().to_owned();
             let page = parts.next().and_then(|page| page.parse::<usize>().ok());
             let answer = match (call.verb.as_str(), call.path.as_str()) {
                 ("GET", "/healthz" | "/busy") => {
@@ -147,13 +147,13 @@
                 }
                 ("POST", "/data") => match self.started(&call) {
                     Started::Answer(answer) => Some(answer),
-                    Started::News(ticket) => self.news(&ticket),
+                    Started::News(query_id) => self.news(&query_id),
                     Started::Reset => return reset(&stream),
                 },
-                ("GET", _) if page == Some(0) => self.news(&ticket),
-                ("GET", _) => self.page(&ticket, page.unwrap_or(0)),
+                ("GET", _) if page == Some(0) => self.news(&query_id),
+                ("GET", _) => self.page(&query_id, page.unwrap_or(0)),
                 ("PUT", _) => Some(no_content()),
-                ("DELETE", _) => self.given_up(&ticket),
+                ("DELETE", _) => self.given_up(&query_id),
                 _ => Some(self.answer("400 no", "", "")),
             };
             if self.dead.load(Ordering::SeqCst) {
@@ -185,7 +185,7 @@
     /// An attempt has come whole.
     fn started(&self, call: &HttpCall) -> Started {
         let start = call.start();
-        let ticket = start.ticket.clone().unwrap_or_default();
+        let query_id = start.query_id.clone().unwrap_or_default();
         let request = serial_of(&start.statement);
         self.world.log(Event::Arrived(self.number, start));
         let Some(request) = request else { return Started::Answer(self.unknown()) };
@@ -202,15 +202,15 @@
             errs: false,
             pages,
         };
-        let keep = |query: Query| drop(locked(&self.queries).insert(ticket.clone(), query));
+        let keep = |query: Query| drop(locked(&self.queries).insert(query_id.clone(), query));
         match fate {
             Fate::Served { after_ms, pages: count, noted } => {
                 keep(Query { noted, ..query(after_ms, pages(count)) });
-                Started::News(ticket)
+                Started::News(query_id)
             }
             Fate::Silent => {
                 keep(Query { silent: true, ..query(0, Vec::new()) });
-                Started::News(ticket)
+                Started::News(query_id)
             }
             Fate::Reset { after_ms } => {
                 keep(query(after_ms, pages(2)));
@@ -227,7 +227,7 @@
             }
             Fate::Error { after_ms } => {
                 keep(Query { errs: true, ..query(after_ms, Vec::new()) });
-                Started::News(ticket)
+                Started::News(query_id)
             }
             Fate::Shed => {
                 self.ending(request, End::NeverRan);
@@ -241,14 +241,14 @@
     }
 
     /// What there is to tell of a query; nothing of one that is silent.
-    fn news(&self, ticket: &str) -> Option<String> {
+    fn news(&self, query_id: &str) -> Option<String> {
         let asked = Instant::now();
-        if let Some(query) = locked(&self.queries).get(ticket) {
+        if let Some(query) = locked(&self.queries).get(query_id) {
             self.world.log(Event::Asked(self.number, query.request));
         }
         loop {
             let queries = locked(&self.queries);
-            let Some(query) = queries.get(ticket) else { return Some(self.unknown()) };
+            let Some(query) = queries.get(query_id) else { return Some(self.unknown()) };
             if query.silent {
                 return None;
             }
@@ -287,17 +287,17 @@
         }
     }
 
-    fn page(&self, ticket: &str, page: usize) -> Option<String> {
+    fn page(&self, query_id: &str, page: usize) -> Option<String> {
         let queries = locked(&self.queries);
-        let Some(query) = queries.get(ticket) else { return Some(self.unknown()) };
+        let Some(query) = queries.get(query_id) else { return Some(self.unknown()) };
         self.world.log(Event::Asked(self.number, query.request));
         let Some(body) = query.pages.get(page) else { return Some(self.unknown()) };
         Some(self.answer("200 OK", &format!("Page-No: {page}\r\n"), body))
     }
 
-    fn given_up(&self, ticket: &str) -> Option<String> {
+    fn given_up(&self, query_id: &str) -> Option<String> {
         let mut queries = locked(&self.queries);
-        let Some(query) = queries.remove(ticket) else { return Some(no_content()) };
+        let Some(query) = queries.remove(query_id) else { return Some(no_content()) };
         self.world.log(Event::GivenUp(self.number, query.request));
         (!query.silent).then(no_content)
     }
--- a/gateway/tests/order.rs
+++ b/gateway/tests/order.rs
@@ -32,7 +32,7 @@
 fn ask(gateway: &Gateway, n: u64, key: &str) -> pg::Client {
     let mut client = pg::Client::connect(gateway.pg);
     client.send(&load(n, key));
-    gateway.logged(&format!("taken ticket=\"{}\"", id(n)));
+    gateway.logged(&format!("taken query_id=\"{}\"", id(n)));
     client
 }
 
@@ -86,7 +86,7 @@
     let mut first = ask(&gateway, 1, "k1");
     let mut second = ask(&gateway, 2, "k1");
     let mut wire = e1.accept();
-    assert_eq!(wire.call().ticket(), id(1));
+    assert_eq!(wire.call().query_id(), id(1));
     let began = Instant::now();
     watch.event(2, &e2.entry("Ready"));
     // The first engine lets nobody in any more: whether it runs on is not to be known.
@@ -94,7 +94,7 @@
     wire.reset();
     assert!(matches!(first.answer(), pg::Answer::Error(code, _) if !code.starts_with("53")));
     let mut wire = e2.accept();
-    assert_eq!(wire.call().ticket(), id(2));
+    assert_eq!(wire.call().query_id(), id(2));
     assert!(began.elapsed() >= ABANDONED + REST, "after {:?}", began.elapsed());
     wire.row(&id(2));
     is_served(&mut second, 2);
@@ -125,7 +125,7 @@
         let mut first = ask(&gateway, 1, "k1");
         let second = ask(&gateway, 2, "k1");
         let mut wire = e1.accept();
-        assert_eq!(wire.call().ticket(), id(1));
+        assert_eq!(wire.call().query_id(), id(1));
         e1.cut_off();
         watch.event(2, &e2.entry("Ready"));
         assert!(matches!(first.answer(), pg::Answer::Error(code, _) if !code.starts_with("53")));
@@ -142,7 +142,7 @@
     // What another key does meanwhile shows that the gateway has had its turns, and that this engine is open.
     let mut other = ask(&gateway, 3, "k2");
     let mut wire = e2.accept();
-    assert_eq!(wire.call().ticket(), id(3));
+    assert_eq!(wire.call().query_id(), id(3));
     wire.row(&id(3));
     is_served(&mut other, 3);
     e1.let_in();
@@ -151,7 +151,7 @@
     assert_eq!((call.verb.as_str(), call.path), ("DELETE", format!("/data/{}", id(1))));
     let given_up = Instant::now();
     healed.say("HTTP/1.1 204 No Content\r\n\r\n");
-    assert_eq!(wire.call().ticket(), id(2));
+    assert_eq!(wire.call().query_id(), id(2));
     assert!(given_up.elapsed() >= REST, "after {:?}", given_up.elapsed());
     wire.row(&id(2));
     is_served(&mut second, 2);
@@ -162,7 +162,7 @@
     let Cut { e1, e2, mut watch, gateway: _gateway, mut second } = Cut::new();
     watch.event(3, &e1.entry("Gone"));
     let mut wire = e2.accept();
-    assert_eq!(wire.call().ticket(), id(2));
+    assert_eq!(wire.call().query_id(), id(2));
     wire.row(&id(2));
     is_served(&mut second, 2);
 }
@@ -174,7 +174,7 @@
     let mut healed = e1.accept();
     assert_eq!(healed.call().verb, "DELETE");
     let mut wire = e2.accept();
-    assert_eq!(wire.call().ticket(), id(2));
+    assert_eq!(wire.call().query_id(), id(2));
     wire.row(&id(2));
     is_served(&mut second, 2);
 }
@@ -189,10 +189,10 @@
     let first = ask(&gateway, 1, "k1");
     let mut second = ask(&gateway, 2, "k1");
     drop(first);
-    gateway.logged(&format!("left ticket=\"{}\"", id(1)));
+    gateway.logged(&format!("left query_id=\"{}\"", id(1)));
     watch.event(2, &engine.entry("Ready"));
     let mut wire = engine.accept();
-    assert_eq!(wire.call().ticket(), id(2));
+    assert_eq!(wire.call().query_id(), id(2));
     wire.row(&id(2));
     is_served(&mut second, 2);
 }
@@ -206,7 +206,7 @@
     let _out = engines.next_start(&id(1));
     drop(first);
     let delete = engines.next();
-    assert_eq!((delete.verb.as_str(), delete.ticket.as_str()), ("DELETE", id(1).as_str()));
+    assert_eq!((delete.verb.as_str(), delete.query_id.as_str()), ("DELETE", id(1).as_str()));
     // What another key does meanwhile shows that the gateway has had its turns.
     let mut other = ask(&gateway, 4, "k2");
     engines.next_start(&id(4)).row();
@@ -283,7 +283,7 @@
     let mut third = ask(&new, 3, "k1");
     old.logged("asks for the lease of a key");
     held.send(&load(4, "k1"));
-    old.logged(&format!("taken ticket=\"{}\"", id(4)));
+    old.logged(&format!("taken query_id=\"{}\"", id(4)));
     // Another key goes out at once, which shows that the new process has had its turns.
     let mut other = ask(&new, 9, "k2");
     engines.next_start(&id(9)).row();
--- a/lab/src/classes.rs
+++ b/lab/src/classes.rs
@@ -68,7 +68,7 @@
 /// Counts one gateway's log.
 pub fn count(log: impl BufRead) -> std::io::Result<Seconds> {
     let mut seconds = Seconds::new();
-    // By ticket: class, when it was taken, whether it was sent.
+    // By query_id: class, when it was taken, whether it was sent.
     let mut open: HashMap<String, (usize, f64, bool)> = HashMap::new();
     for line in log.lines() {
         let line = line?;
@@ -81,14 +81,14 @@
             }
             continue;
         }
-        let Some(ticket) = field(&line, "ticket") else { continue };
+        let Some(query_id) = field(&line, "query_id") else { continue };
         if line.contains(" taken ") {
             let Some(class) = field(&line, "class").and_then(|c| c.parse().ok()) else { continue };
-            open.insert(ticket.to_owned(), (class, now, false));
+            open.insert(query_id.to_owned(), (class, now, false));
             seconds.entry((class, now as u64)).or_default().taken += 1;
             continue;
         }
-        let Some((class, taken, sent)) = open.get_mut(ticket) else { continue };
+        let Some((class, taken, sent)) = open.get_mut(query_id) else { continue };
         let count = seconds.entry((*class, now as u64)).or_default();
         if line.contains(" sent ") {
             count.attempts += 1;
@@ -181,17 +181,17 @@
     use super::*;
 
     const LOG: &str = r#"0.000  INFO wrenhatch: serving name=n1
-0.054 DEBUG wrenhatch::net::clients: taken ticket="a1" request=1 class=0 wait_us=2087000 now_us=41676
-0.104 DEBUG wrenhatch::net::engines: sent ticket="a1" number=0 engine=1 class=0 now_us=42104
-0.207 DEBUG wrenhatch::net::engines: ended ticket="a1" number=0 engine=1 now_us=194537 outcome=Success
-0.254 DEBUG wrenhatch::net::clients: answered ticket="a1" now_us=194537 how="served"
-0.300 DEBUG wrenhatch::net::clients: taken ticket="b2" request=2 class=1 wait_us=13921000 now_us=300000
+0.054 DEBUG wrenhatch::net::clients: taken query_id="a1" request=1 class=0 wait_us=2087000 now_us=41676
+0.104 DEBUG wrenhatch::net::engines: sent query_id="a1" number=0 engine=1 class=0 now_us=42104
+0.207 DEBUG wrenhatch::net::engines: ended query_id="a1" number=0 engine=1 now_us=194537 outcome=Success
+0.254 DEBUG wrenhatch::net::clients: answered query_id="a1" now_us=194537 how="served"
+0.300 DEBUG wrenhatch::net::clients: taken query_id="b2" request=2 class=1 wait_us=13921000 now_us=300000
 1.400 DEBUG workload_manager::policy::explain: held in vain request=2 class=1 why=threads open=0 threads=80 held=1.10
-1.400 DEBUG wrenhatch::net::clients: answered ticket="b2" now_us=1400000 how="refused"
-1.500 DEBUG wrenhatch::net::clients: taken ticket="c3" request=3 class=1 wait_us=13921000 now_us=1500000
-1.500 DEBUG wrenhatch::net::engines: sent ticket="c3" number=0 engine=1 class=1 now_us=1500000
-1.700 DEBUG wrenhatch::net::engines: given up ticket="c3" number=0 now_us=1700000
-1.800 DEBUG wrenhatch::net::engines: sent ticket="c3" number=1 engine=2 class=1 now_us=1800000
+1.400 DEBUG wrenhatch::net::clients: answered query_id="b2" now_us=1400000 how="refused"
+1.500 DEBUG wrenhatch::net::clients: taken query_id="c3" request=3 class=1 wait_us=13921000 now_us=1500000
+1.500 DEBUG wrenhatch::net::engines: sent query_id="c3" number=0 engine=1 class=1 now_us=1500000
+1.700 DEBUG wrenhatch::net::engines: given up query_id="c3" number=0 now_us=1700000
+1.800 DEBUG wrenhatch::net::engines: sent query_id="c3" number=1 engine=2 class=1 now_us=1800000
 "#;
 
     #[test]
--- a/lab/src/engines.rs
+++ b/lab/src/engines.rs
@@ -188,13 +188,13 @@
 
     const ONE: &str = r#"0.000 DEBUG wrenhatch::net::engines: engine listed engine=0 name="e1" state=Ready since_ms=0 now_us=10
 0.100 DEBUG wrenhatch::net::engines: connection opened engine=0 give_up=false now_us=100000
-0.110 DEBUG wrenhatch::net::engines: sent ticket="a" number=0 engine=0 class=0 now_us=110000
+0.110 DEBUG wrenhatch::net::engines: sent query_id="a" number=0 engine=0 class=0 now_us=110000
 0.200 DEBUG wrenhatch::net::engines: connection opened engine=0 give_up=false now_us=200000
-0.300 DEBUG wrenhatch::net::engines: ended ticket="a" number=0 engine=0 now_us=300000 outcome=Success
+0.300 DEBUG wrenhatch::net::engines: ended query_id="a" number=0 engine=0 now_us=300000 outcome=Success
 0.900 DEBUG wrenhatch::net::pools: connection closed engine=0
 1.000 DEBUG wrenhatch::net::pools: connection closed engine=0
 1.100 DEBUG wrenhatch::net::engines: connection opened engine=0 give_up=true now_us=1100000
-1.200 DEBUG wrenhatch::net::engines: ended ticket="b" number=0 engine=0 now_us=1200000 outcome=Broken
+1.200 DEBUG wrenhatch::net::engines: ended query_id="b" number=0 engine=0 now_us=1200000 outcome=Broken
 1.300 DEBUG wrenhatch::net::engines: engine listed engine=0 name="e1" state=Draining since_ms=0 now_us=1300000
 1.400 DEBUG wrenhatch::net::engines: connection opened engine=7 give_up=false now_us=1400000
 "#;
