--- a/gateway/src/engine/http.rs
+++ b/gateway/src/engine/http.rs
@@ -7,7 +7,7 @@
 use crate::front::Rows;
 
 /// An answer whose head or body is longer than this is broken: pages hold 6,000 bytes.
-pub const MAX_ANSWER: usize = 16 * 1024;
+pub const MAX_RESPONSE: usize = 16 * 1024;
 /// A page holds at most so many bytes.
 const MAX_PAGE: usize = 6_000;
 /// A result holds at most 48,000 bytes, on pages of at least one row each.
@@ -19,7 +19,7 @@
 const UNASKED_US: u64 = 2_050_000;
 /// An engine that says nothing more may run a query for so long behind the last call for it, in microseconds: while
 /// that call stands there the query is being asked for.
-pub const ABANDONED_US: u64 = NEWS_US + UNASKED_US;
+pub const MAX_RUN_AFTER_LAST_CALL_US: u64 = NEWS_US + UNASKED_US;
 
 /// An answer.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -33,9 +33,9 @@
     /// `Page-No`.
     pub page_no: Option<u32>,
     /// `X-Remark` with `Figure`.
-    pub note: Option<Progress>,
+    pub progress: Option<Progress>,
     /// `X-Meter`.
-    pub report: Option<LoadReport>,
+    pub load_report: Option<LoadReport>,
     /// The body.
     pub body: Vec<u8>,
     /// The engine closes the connection behind it.
@@ -63,7 +63,7 @@
     let mut head = httparse::Response::new(&mut headers);
     let at = match head.parse(input).map_err(|_| NotHttp)? {
         httparse::Status::Complete(at) => at,
-        httparse::Status::Partial if input.len() > MAX_ANSWER => return Err(NotHttp),
+        httparse::Status::Partial if input.len() > MAX_RESPONSE => return Err(NotHttp),
         httparse::Status::Partial => return Ok(None),
     };
     let mut r =
@@ -93,10 +93,10 @@
         } else if is("figure") {
             figure = value.parse().unwrap_or(0.0);
         } else if is("x-meter") {
-            r.report = Some(report(value, extras));
+            r.load_report = Some(load_report(value, extras));
         }
     }
-    r.note = remark.and_then(|kind| note(&kind, figure));
+    r.progress = remark.and_then(|kind| progress(&kind, figure));
     let end = if chunked {
         match chunks(&input[at..], &mut r.body)? {
             Some(n) => at + n,
@@ -109,7 +109,7 @@
             (200, None) => return Err(NotHttp),
             (_, length) => length.unwrap_or(0),
         };
-        if length > MAX_ANSWER {
+        if length > MAX_RESPONSE {
             return Err(NotHttp);
         }
         let Some(body) = input.get(at..at + length) else { return Ok(None) };
@@ -128,7 +128,7 @@
             httparse::Status::Complete((start, length)) => (at + start, length as usize),
             httparse::Status::Partial => return Ok(None),
         };
-        if length > MAX_ANSWER || body.len() + length > MAX_ANSWER {
+        if length > MAX_RESPONSE || body.len() + length > MAX_RESPONSE {
             return Err(NotHttp);
         }
         let Some(chunk) = input.get(start..start + length + 2) else { return Ok(None) };
@@ -140,7 +140,7 @@
     }
 }
 
-fn note(kind: &str, figure: f64) -> Option<Progress> {
+fn progress(kind: &str, figure: f64) -> Option<Progress> {
     match kind {
         "progress" => Some(Progress::Fraction(figure)),
         "spill_mb" => Some(Progress::Spilling(figure)),
@@ -151,7 +151,7 @@
 }
 
 /// Reads a load report such as `inflight:7;util:0.61`; x0 and x1 stand for what the settings say.
-fn report(text: &str, extras: &[String; 2]) -> LoadReport {
+fn load_report(text: &str, extras: &[String; 2]) -> LoadReport {
     let mut report = LoadReport::default();
     for (name, value) in text.split(';').filter_map(|p| p.split_once(':')) {
         let Ok(value) = value.trim().parse::<f64>() else { continue };
@@ -183,11 +183,11 @@
     /// How long it is waited for.
     pub max_ms: u64,
     /// Memory to grant; 0: the engine's choice.
-    pub grant_mb: f64,
+    pub memory_mb: f64,
     /// Its priority.
-    pub rank: u8,
-    /// The client's token, by which engines know a repeat of the same work.
-    pub token: Option<&'a str>,
+    pub priority: u8,
+    /// The client's idempotency_key, by which engines know a repeat of the same work.
+    pub idempotency_key: Option<&'a str>,
 }
 
 /// Writes the call that starts a query.
@@ -195,13 +195,13 @@
     let _ = write!(
         out,
         "POST /data HTTP/1.1\r\nHost: engine\r\nX-Ticket: {}\r\nX-Queue: {}\r\nX-Max-Ms: {}\r\nRank: {}\r\n",
-        s.query_id, s.class, s.max_ms, s.rank
+        s.query_id, s.class, s.max_ms, s.priority
     );
-    if s.grant_mb > 0.0 {
-        let _ = write!(out, "Grant-Mb: {}\r\n", s.grant_mb.ceil() as u64);
+    if s.memory_mb > 0.0 {
+        let _ = write!(out, "Grant-Mb: {}\r\n", s.memory_mb.ceil() as u64);
     }
-    if let Some(token) = s.token {
-        let _ = write!(out, "X-Nonce: {token}\r\n");
+    if let Some(idempotency_key) = s.idempotency_key {
+        let _ = write!(out, "X-Nonce: {idempotency_key}\r\n");
     }
     let _ = write!(out, "Content-Length: {}\r\n\r\n", s.statement.len());
     out.extend(s.statement);
@@ -213,8 +213,9 @@
 }
 
 /// Writes the call that changes a priority.
-pub fn put(query_id: &str, rank: u8, out: &mut Vec<u8>) {
-    let _ = write!(out, "PUT /data/{query_id} HTTP/1.1\r\nHost: engine\r\nContent-Length: 1\r\n\r\n{rank}");
+pub fn put_priority(query_id: &str, priority: u8, out: &mut Vec<u8>) {
+    let _ =
+        write!(out, "PUT /data/{query_id} HTTP/1.1\r\nHost: engine\r\nContent-Length: 1\r\n\r\n{priority}");
 }
 
 /// Writes the call that gives a query up.
@@ -231,22 +232,22 @@
     /// Columns of the rows so far.
     width: Option<usize>,
     page_count: u32,
-    given_up: bool,
+    cancelled: bool,
     /// The answer that is awaited is that to the call that starts it, on its first way.
     starting: bool,
     /// The newest load report that came along: further pages bring none.
-    pub report: Option<LoadReport>,
+    pub load_report: Option<LoadReport>,
 }
 
 /// What an answer means for the attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
     /// The next call has been written.
-    Asked,
+    CallWritten,
     /// It goes on, but is asked for no more: it was given up.
-    Quiet,
+    StillRunning,
     /// This can't have been the engine's answer as it was meant. The query itself may be well.
-    Spoilt,
+    Unusable,
     /// It is over.
     Ended(Outcome),
 }
@@ -259,14 +260,14 @@
             pages: Vec::new(),
             width: None,
             page_count: 0,
-            given_up: false,
+            cancelled: false,
             starting: true,
-            report: None,
+            load_report: None,
         }
     }
 
     /// Writes the call whose answer was lost once more: for news, or for the page that is next.
-    pub fn ask_again(&mut self, out: &mut Vec<u8>) {
+    pub fn repeat_call(&mut self, out: &mut Vec<u8>) {
         self.starting = false;
         get(&self.query_id, self.pages.len() as u32, out);
     }
@@ -277,20 +278,20 @@
     }
 
     /// It is being given up: it is asked for no more.
-    pub fn give_up(&mut self) {
-        self.given_up = true;
+    pub fn cancel(&mut self) {
+        self.cancelled = true;
     }
 
     /// Takes an answer, writes the next call to `out` if there is one.
     pub fn on_response(&mut self, r: &mut Response, out: &mut Vec<u8>) -> Step {
         let wanted = self.pages.len() as u32;
-        self.report = r.report.or(self.report);
+        self.load_report = r.load_report.or(self.load_report);
         let starting = std::mem::replace(&mut self.starting, false);
         match r.status {
-            202 if self.given_up => Step::Quiet,
+            202 if self.cancelled => Step::StillRunning,
             202 if wanted == 0 => {
                 get(&self.query_id, 0, out);
-                Step::Asked
+                Step::CallWritten
             }
             200 if self.is_wanted(r) => {
                 if wanted == 0 {
@@ -300,7 +301,7 @@
                 self.pages.push(std::mem::take(&mut r.body));
                 if wanted + 1 < self.page_count {
                     get(&self.query_id, wanted + 1, out);
-                    Step::Asked
+                    Step::CallWritten
                 } else {
                     Step::Ended(Outcome::Success)
                 }
@@ -310,12 +311,12 @@
             // call for news. The same status without the mark may hide anything.
             503 if r.shed && starting => Step::Ended(Outcome::Rejected),
             504 if r.shed && starting => Step::Ended(Outcome::NeverSent),
-            503 | 504 if r.shed => Step::Spoilt,
+            503 | 504 if r.shed => Step::Unusable,
             // The engine heard that it was given up before it answered what was asked last. That it knows the
             // query no more is the end that was wanted, and no fault of the engine's.
-            200 | 500 if self.given_up => Step::Ended(Outcome::Cancelled),
+            200 | 500 if self.cancelled => Step::Ended(Outcome::Cancelled),
             500 | 503 | 504 => Step::Ended(Outcome::Error),
-            _ => Step::Spoilt,
+            _ => Step::Unusable,
         }
     }
 
--- a/gateway/src/engine/http/tests.rs
+++ b/gateway/src/engine/http/tests.rs
@@ -26,7 +26,18 @@
     let start = |token| {
         let (query_id, class, statement) = ("9b1f03aa5c7e2d41", "batch", b"SELECT 1".as_slice());
         let mut out = Vec::new();
-        post(&Start { query_id, class, statement, max_ms: 9, grant_mb: 0.0, rank: 1, token }, &mut out);
+        post(
+            &Start {
+                query_id,
+                class,
+                statement,
+                max_ms: 9,
+                memory_mb: 0.0,
+                priority: 1,
+                idempotency_key: token,
+            },
+            &mut out,
+        );
         String::from_utf8(out).unwrap()
     };
     assert!(start(Some("16d2cf6d")).contains("\r\nX-Nonce: 16d2cf6d\r\n"));
@@ -43,7 +54,7 @@
     let r = read(&mut input, &no_extras()).unwrap().unwrap();
     assert_eq!(input, b"HTTP");
     assert_eq!((r.status, r.page_count, r.body.as_slice()), (200, Some(2), b"a\tb\tc\n".as_slice()));
-    assert_eq!(r.report.unwrap().queued, Some(3.0));
+    assert_eq!(r.load_report.unwrap().queued, Some(3.0));
 }
 
 #[test]
@@ -55,7 +66,7 @@
 #[test]
 fn noise_and_endless_heads_are_refused() {
     assert_eq!(read(&mut b"220 smtp ready\r\n".to_vec(), &no_extras()), Err(NotHttp));
-    let long = format!("HTTP/1.1 200 OK\r\nX: {}", "a".repeat(MAX_ANSWER));
+    let long = format!("HTTP/1.1 200 OK\r\nX: {}", "a".repeat(MAX_RESPONSE));
     assert_eq!(read(&mut long.into_bytes(), &no_extras()), Err(NotHttp));
 }
 
@@ -70,10 +81,10 @@
     assert_eq!(end(&format!("HTTP/1.1 503 x\r\n{empty}")), Step::Ended(Outcome::Error));
     assert_eq!(end(&format!("HTTP/1.1 504 x\r\nX-Shed: 1\r\n{empty}")), Step::Ended(Outcome::NeverSent));
     assert_eq!(end(&format!("HTTP/1.1 500 x\r\nX-Shed: 1\r\n{empty}")), Step::Ended(Outcome::Error));
-    assert_eq!(end(&format!("HTTP/1.1 202 x\r\n{empty}")), Step::Asked);
-    assert_eq!(end(&format!("HTTP/1.1 404 x\r\n{empty}")), Step::Spoilt);
-    assert_eq!(end(&format!("HTTP/1.1 200 x\r\n{empty}")), Step::Spoilt, "it names no pages");
-    assert_eq!(end(&format!("HTTP/1.1 200 x\r\nPage-Count: 4000000000\r\n{empty}")), Step::Spoilt);
+    assert_eq!(end(&format!("HTTP/1.1 202 x\r\n{empty}")), Step::CallWritten);
+    assert_eq!(end(&format!("HTTP/1.1 404 x\r\n{empty}")), Step::Unusable);
+    assert_eq!(end(&format!("HTTP/1.1 200 x\r\n{empty}")), Step::Unusable, "it names no pages");
+    assert_eq!(end(&format!("HTTP/1.1 200 x\r\nPage-Count: 4000000000\r\n{empty}")), Step::Unusable);
 }
 
 #[test]
@@ -84,15 +95,19 @@
         let mut out = Vec::new();
         let mut e = Exchange::new("aa");
         let later = answer(&format!("HTTP/1.1 202 x\r\n{empty}"));
-        assert_eq!(e.on_response(&mut later.clone(), &mut out), Step::Asked);
-        assert_eq!(e.on_response(&mut shed.clone(), &mut out), Step::Spoilt, "{status} on news");
+        assert_eq!(e.on_response(&mut later.clone(), &mut out), Step::CallWritten);
+        assert_eq!(e.on_response(&mut shed.clone(), &mut out), Step::Unusable, "{status} on news");
         let mut e = Exchange::new("aa");
-        e.ask_again(&mut out);
-        assert_eq!(e.on_response(&mut shed.clone(), &mut out), Step::Spoilt, "{status} on a call made again");
+        e.repeat_call(&mut out);
+        assert_eq!(
+            e.on_response(&mut shed.clone(), &mut out),
+            Step::Unusable,
+            "{status} on a call made again"
+        );
         let mut e = Exchange::new("aa");
         let page = answer("HTTP/1.1 200 OK\r\nPage-Count: 2\r\nContent-Length: 2\r\n\r\na\n");
-        assert_eq!(e.on_response(&mut page.clone(), &mut out), Step::Asked);
-        assert_eq!(e.on_response(&mut shed.clone(), &mut out), Step::Spoilt, "{status} on a page");
+        assert_eq!(e.on_response(&mut page.clone(), &mut out), Step::CallWritten);
+        assert_eq!(e.on_response(&mut shed.clone(), &mut out), Step::Unusable, "{status} on a page");
     }
 }
 
@@ -101,7 +116,7 @@
     let mut e = Exchange::new("aa");
     let mut out = Vec::new();
     let first = "HTTP/1.1 200 OK\r\nPage-Count: 2\r\nContent-Length: 6\r\n\r\na\tb\tc\n";
-    assert_eq!(e.on_response(&mut answer(first), &mut out), Step::Asked);
+    assert_eq!(e.on_response(&mut answer(first), &mut out), Step::CallWritten);
     assert!(out.starts_with(b"GET /data/aa/1 "));
     let second = "HTTP/1.1 200 OK\r\nPage-No: 1\r\nContent-Length: 5\r\n\r\nd\t\tf\n";
     assert_eq!(e.on_response(&mut answer(second), &mut out), Step::Ended(Outcome::Success));
@@ -113,10 +128,13 @@
 #[test]
 fn a_query_that_was_given_up_is_withdrawn_not_failed() {
     let mut e = Exchange::new("aa");
-    e.give_up();
+    e.cancel();
     let mut out = Vec::new();
     let empty = "Content-Length: 0\r\n\r\n";
-    assert_eq!(e.on_response(&mut answer(&format!("HTTP/1.1 202 x\r\n{empty}")), &mut out), Step::Quiet);
+    assert_eq!(
+        e.on_response(&mut answer(&format!("HTTP/1.1 202 x\r\n{empty}")), &mut out),
+        Step::StillRunning
+    );
     assert_eq!(out, b"", "it is asked for no more");
     let gone = answer(&format!("HTTP/1.1 500 x\r\n{empty}"));
     assert_eq!(e.on_response(&mut gone.clone(), &mut out), Step::Ended(Outcome::Cancelled));
@@ -129,7 +147,7 @@
     e.on_response(&mut answer(first), &mut Vec::new());
     let second = "HTTP/1.1 200 OK\r\nPage-No: 1\r\nContent-Length: 2\r\n\r\nb\n";
     assert_eq!(e.on_response(&mut answer(second), &mut Vec::new()), Step::Ended(Outcome::Success));
-    assert_eq!(e.report.and_then(|r| r.queued), Some(2.0));
+    assert_eq!(e.load_report.and_then(|r| r.queued), Some(2.0));
 }
 
 #[test]
@@ -157,13 +175,13 @@
     let mut out = Vec::new();
     let mut e = Exchange::new("aa");
     for body in ["a\tb\nc\td", "a\tb\nc\n", &"a\n".repeat(MAX_PAGE)] {
-        assert_eq!(e.on_response(&mut page("Page-Count: 2", body), &mut out), Step::Spoilt);
+        assert_eq!(e.on_response(&mut page("Page-Count: 2", body), &mut out), Step::Unusable);
     }
-    assert_eq!(e.on_response(&mut page("Page-Count: 2", "a\tb\n"), &mut out), Step::Asked);
-    assert_eq!(e.on_response(&mut page("Page-No: 1", "c\n"), &mut out), Step::Spoilt, "narrower");
-    assert_eq!(e.on_response(&mut page("Page-No: 2", "c\td\n"), &mut out), Step::Spoilt, "another page");
+    assert_eq!(e.on_response(&mut page("Page-Count: 2", "a\tb\n"), &mut out), Step::CallWritten);
+    assert_eq!(e.on_response(&mut page("Page-No: 1", "c\n"), &mut out), Step::Unusable, "narrower");
+    assert_eq!(e.on_response(&mut page("Page-No: 2", "c\td\n"), &mut out), Step::Unusable, "another page");
     out.clear();
-    e.ask_again(&mut out);
+    e.repeat_call(&mut out);
     assert!(out.starts_with(b"GET /data/aa/1 "));
     let last = e.on_response(&mut page("Page-No: 1", "c\td\n"), &mut out);
     assert_eq!(last, Step::Ended(Outcome::Success));
--- a/gateway/src/engine/mysql.rs
+++ b/gateway/src/engine/mysql.rs
@@ -33,13 +33,13 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// The connection takes work.
-    Up,
+    Ready,
     /// The statement of the work is prepared here; [`Session::execute`] sends it.
     Prepared,
     /// The work is done.
-    Done(ResultSet),
+    Completed(ResultSet),
     /// The engine turned the connection away: nothing ran.
-    TurnedAway(SqlError),
+    ConnectionRejected(SqlError),
     /// The work ended in an error of the engine's.
     Failed(SqlError),
 }
@@ -47,7 +47,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
     Greeting,
-    LoggingIn,
+    Authenticating,
     Idle,
     Preparing,
     /// So many packets of the answer to PREPARE are still to come.
@@ -66,7 +66,7 @@
     login: Login,
     caps: u32,
     /// The engine's number for this connection.
-    pub thread: u32,
+    pub connection_id: u32,
     sequence: u8,
     /// Statement numbers on this connection, by text, and when each was last used.
     prepared: BTreeMap<Vec<u8>, (u32, u64)>,
@@ -86,7 +86,7 @@
             state: State::Greeting,
             login,
             caps: 0,
-            thread: 0,
+            connection_id: 0,
             sequence: 0,
             prepared: BTreeMap::new(),
             uses: 0,
@@ -99,13 +99,13 @@
     }
 
     /// Whether work can be given to it.
-    pub fn is_up(&self) -> bool {
+    pub fn is_ready(&self) -> bool {
         self.state == State::Idle
     }
 
     /// Whether its engine has yet to let it in.
-    pub fn is_logging_in(&self) -> bool {
-        matches!(self.state, State::Greeting | State::LoggingIn)
+    pub fn is_authenticating(&self) -> bool {
+        matches!(self.state, State::Greeting | State::Authenticating)
     }
 
     /// Whether the work may have run: false until the first byte that runs it was written.
@@ -120,7 +120,7 @@
 
     /// Starts work on a connection that is up.
     pub fn start(&mut self, work: Work, out: &mut Vec<u8>) {
-        debug_assert!(self.is_up());
+        debug_assert!(self.is_ready());
         (self.sent, self.size) = (false, 0);
         let unknown = match &work {
             Work::Execute(sql, ..) if !self.prepared.contains_key(sql) => Some(sql.clone()),
@@ -155,8 +155,8 @@
     }
 
     /// Ends another connection of the same engine, with what runs there.
-    pub fn kill(&mut self, thread: u32, out: &mut Vec<u8>) {
-        self.start(Work::Query(format!("KILL {thread}").into_bytes(), Vec::new()), out);
+    pub fn kill(&mut self, connection_id: u32, out: &mut Vec<u8>) {
+        self.start(Work::Query(format!("KILL {connection_id}").into_bytes(), Vec::new()), out);
     }
 
     /// Sends the work itself.
@@ -216,7 +216,7 @@
         }
         match self.state {
             State::Greeting => self.greeting(&p, out).map(|()| None),
-            State::LoggingIn => self.logging_in(&p, out),
+            State::Authenticating => self.authenticating(&p, out),
             // Nothing was asked.
             State::Idle | State::Prepared => Err(PacketError::Malformed),
             State::Preparing => {
@@ -288,12 +288,12 @@
     fn done(&mut self, result: ResultSet) -> Event {
         self.state = State::Idle;
         self.work = None;
-        Event::Done(result)
+        Event::Completed(result)
     }
 
     fn error(&mut self, e: SqlError, out: &mut Vec<u8>) -> Result<Option<Event>, PacketError> {
-        if matches!(self.state, State::Greeting | State::LoggingIn) {
-            return Ok(Some(Event::TurnedAway(e)));
+        if matches!(self.state, State::Greeting | State::Authenticating) {
+            return Ok(Some(Event::ConnectionRejected(e)));
         }
         // The engine has dropped the statement, so it ran nothing: the mapping alone is void.
         if let (mysql::UNKNOWN_STATEMENT, State::Running, Some(Work::Execute(sql, ..))) =
@@ -308,7 +308,7 @@
         }
         self.state = State::Idle;
         self.work = None;
-        Ok(Some(if e.blames_statement() { Event::Done(ResultSet::Wrong(e)) } else { Event::Failed(e) }))
+        Ok(Some(if e.blames_statement() { Event::Completed(ResultSet::Wrong(e)) } else { Event::Failed(e) }))
     }
 
     fn greeting(&mut self, p: &[u8], out: &mut Vec<u8>) -> Result<(), PacketError> {
@@ -317,7 +317,7 @@
             return Err(PacketError::Malformed);
         }
         r.zero_ended()?;
-        self.thread = r.int(4)? as u32;
+        self.connection_id = r.int(4)? as u32;
         let mut scramble = r.take(8)?.to_vec();
         r.take(1)?;
         let low = r.int(2)? as u32;
@@ -337,20 +337,20 @@
         reply.extend(answer);
         reply.extend(mysql::NATIVE_PASSWORD.bytes().chain([0]));
         mysql::put_packet(out, &mut self.sequence, &reply);
-        self.state = State::LoggingIn;
+        self.state = State::Authenticating;
         Ok(())
     }
 
-    fn logging_in(&mut self, p: &[u8], out: &mut Vec<u8>) -> Result<Option<Event>, PacketError> {
+    fn authenticating(&mut self, p: &[u8], out: &mut Vec<u8>) -> Result<Option<Event>, PacketError> {
         if p[0] == 0 {
             self.state = State::Idle;
-            return Ok(Some(Event::Up));
+            return Ok(Some(Event::Ready));
         }
         // The engine asks for another method; this one is known, others end here.
         let mut r = Reader(&p[1..]);
         if p[0] != 0xfe || r.zero_ended()? != mysql::NATIVE_PASSWORD.as_bytes() {
             let why = "it wants a method of authentication other than mysql_native_password";
-            return Ok(Some(Event::TurnedAway(SqlError::new(1251, "08004", why))));
+            return Ok(Some(Event::ConnectionRejected(SqlError::new(1251, "08004", why))));
         }
         let scramble = r.0.strip_suffix(&[0]).unwrap_or(r.0);
         let answer = mysql::native_password(self.login.password.as_bytes(), scramble);
@@ -382,8 +382,8 @@
         let mut out = Vec::new();
         assert_eq!(session.read(&mut packets(&[&greeting], 0), &mut out), Ok(None));
         let ok = packets(&[&mysql::ok_payload(0, 0, 0)], 2);
-        assert_eq!(session.read(&mut ok.clone(), &mut out), Ok(Some(Event::Up)));
-        assert_eq!(session.thread, 9);
+        assert_eq!(session.read(&mut ok.clone(), &mut out), Ok(Some(Event::Ready)));
+        assert_eq!(session.connection_id, 9);
         session
     }
 
@@ -410,7 +410,7 @@
         assert_eq!(out[4..9], [0x17, 5, 0, 0, 0]);
         let done = packets(&[&mysql::ok_payload(0, 3, 4)], 1);
         let result = ResultSet::Done { affected: 3, insert_id: 4 };
-        assert_eq!(s.read(&mut done.clone(), &mut out), Ok(Some(Event::Done(result))));
+        assert_eq!(s.read(&mut done.clone(), &mut out), Ok(Some(Event::Completed(result))));
         out.clear();
         s.start(execute(b"SELECT 1"), &mut out);
         assert_eq!(out[4], 0x17, "the second time it runs at once");
@@ -440,12 +440,12 @@
             (s.read(&mut packets(&[&e.payload()], 1), &mut Vec::new()).unwrap().unwrap(), e)
         };
         let (event, e) = end(1064, "42000");
-        assert_eq!(event, Event::Done(ResultSet::Wrong(e)));
+        assert_eq!(event, Event::Completed(ResultSet::Wrong(e)));
         let (event, e) = end(1205, "HY000");
         assert_eq!(event, Event::Failed(e));
         let full = SqlError::new(1040, "08004", "Too many connections");
         let read = Session::new(Login::default()).read(&mut packets(&[&full.payload()], 0), &mut Vec::new());
-        assert_eq!(read, Ok(Some(Event::TurnedAway(full))));
+        assert_eq!(read, Ok(Some(Event::ConnectionRejected(full))));
     }
 
     quickcheck! {
--- a/gateway/src/net/engines/attempts.rs
+++ b/gateway/src/net/engines/attempts.rs
@@ -1,25 +1,35 @@
-//! Attempts at engines: begun, asked for again, given up, and how the core is told of their end.
+//! Attempts at engines: how they start and end, and what follows when their connection ends first.
 
 use workload_manager::interface::*;
 use wrenhatch_sessions::memory_budget::Kind;
 
-use super::{Attempt, AttemptId, Course, End, EngineProtocol, Job, Link, Unconfirmed, Wire};
+use super::{Attempt, AttemptId, ConnectionEnd, EngineProtocol, Execution, Job, Link, ProtocolState};
 use crate::core::{AttemptLimits, AttemptTerms, Input};
 use crate::engine::{http, mysql};
 use crate::front::ExecutionMode;
 use crate::mysql::Param;
-use crate::net::pools::Peer;
-use crate::net::{Request, Server, Timer};
-
-/// How long the end of an attempt that was given up is waited for. Engines stand still for 370 ms at times;
-/// one that has said nothing for longer may have vanished, and what it still runs can't be known.
-pub(super) const UNHEARD_US: u64 = 500_000;
-
-/// How often a call is made again whose answer was spoilt or did not come.
-const MOST_RETRIES: u32 = 4;
+use crate::net::{Request, Server};
+
+/// How often a call is repeated whose response was unusable or did not come.
+pub(super) const MAX_CALL_RETRIES: u32 = 4;
+
+/// What follows when the connection of an attempt ends before the attempt.
+enum NextStep {
+    /// The call is repeated over another connection.
+    RepeatCall,
+    /// Nothing of it was executed.
+    ConnectFailed,
+    /// Its engine may still run it, and will not say.
+    Lost,
+    /// Its engine may still run it, and is told to stop.
+    Cancel,
+    /// Its cancellation is under way and decides.
+    AwaitCancellation,
+}
 
 impl Server {
-    pub(in crate::net) fn start(
+    /// Starts an attempt over a connection to its engine, an idle one if there is any.
+    pub(in crate::net) fn start_attempt(
         &mut self,
         id: AttemptId,
         engine: EngineId,
@@ -28,325 +38,186 @@
     ) {
         let AttemptLimits { until_us, begin_by_us, in_order } = limits;
         let Some(request) = self.requests.open.get(&id.0) else {
-            return self.never_sent(id, Outcome::NeverSent);
+            return self.attempt_not_sent(id, Outcome::NeverSent);
         };
         let max_ms = (until_us.saturating_sub(self.time.now_us) / 1000).max(1);
         let class = self.names.classes[request.class.0].as_str();
-        let (course, protocol) = match &request.run {
-            ExecutionMode::Simple => {
-                let mut start = Vec::with_capacity(256 + request.statement.len());
-                let call = http::Start {
-                    query_id: &request.query_id,
-                    class,
-                    statement: &request.statement,
-                    max_ms,
-                    grant_mb: terms.memory_mb,
-                    rank: terms.priority,
-                    token: request.token.as_deref(),
-                };
-                http::post(&call, &mut start);
-                let exchange = http::Exchange::new(&request.query_id);
-                (Course::Http { exchange, start: Some(start) }, EngineProtocol::Http)
+        let (execution, protocol) = match &request.run {
+            ExecutionMode::Simple => (http_execution(request, class, max_ms, terms), EngineProtocol::Http),
+            ExecutionMode::Query | ExecutionMode::Execute(_) => {
+                (Execution::MySql { work: Some(mysql_work(request, class, max_ms)) }, EngineProtocol::MySql)
             }
-            _ => (Course::MySql { work: Some(work(request, class, max_ms)) }, EngineProtocol::MySql),
         };
         let query_id = request.query_id.clone();
         let prepared = matches!(request.run, ExecutionMode::Execute(_)).then(|| request.statement.clone());
-        match self.link(engine, Job::Attempt(id), protocol, prepared.as_deref()) {
-            Ok(link) => {
+        match self.acquire_connection(engine, Job::Attempt(id), protocol, prepared.as_deref()) {
+            Ok(slot) => {
                 let attempt = Attempt {
                     engine,
-                    link,
-                    course,
+                    slot,
+                    execution,
                     query_id,
                     begin_by_us,
                     until_us,
                     in_order,
-                    thread: 0,
-                    stopping: false,
-                    booked: 0,
-                    unheard: None,
-                    retries: 0,
-                    asked_us: self.time.now_us,
+                    mysql_connection_id: 0,
+                    cancelling: false,
+                    reserved_bytes: 0,
+                    cancel_timer: None,
+                    call_retries: 0,
+                    last_call_us: self.time.now_us,
                 };
                 self.requests.retain_query_id(&attempt.query_id);
                 self.pools.attempts.insert(id, attempt);
-                self.post_if_up(link);
+                self.write_first_call(slot);
             }
-            Err(outcome) => self.never_sent(id, outcome),
+            Err(outcome) => self.attempt_not_sent(id, outcome),
         }
     }
 
-    pub(super) fn never_sent(&mut self, id: AttemptId, outcome: Outcome) {
+    fn attempt_not_sent(&mut self, id: AttemptId, outcome: Outcome) {
         self.counters.ended(outcome);
         self.inputs.push(Input::AttemptEnded(id.0, id.1, outcome, None));
     }
 
-    /// Whether the first byte of an attempt may still leave, which is asked when it would: while its connection
-    /// came up the engine may have been said to drain, the client may have left, the time for it may be over.
-    pub(super) fn may_begin(&self, id: AttemptId, engine: EngineId) -> bool {
-        let ready = self.pools.engines.get(&engine).is_some_and(|e| e.state == EndpointState::Ready);
-        let in_time = self.pools.attempts.get(&id).is_some_and(|a| self.time.now_us < a.begin_by_us);
-        ready && in_time && self.requests.open.contains_key(&id.0)
-    }
-
-    /// Writes what a connection was opened for once it is up.
-    pub(super) fn post_if_up(&mut self, at: usize) {
-        self.pools.dirty.push(at);
-        let now_us = self.time.now_us;
-        let Some(peer) = self.pools.peers.get_mut(at).and_then(Option::as_mut) else { return };
-        let link = &mut peer.link;
-        let (engine, out) = (link.engine, &mut peer.conn.output);
-        link.asked_us = now_us;
-        if link.is_coming_up(peer.conn.phase) || link.is_resting() {
-            return;
-        }
-        match link.job {
-            Job::Attempt(id) => {
-                let Some(attempt) = self.pools.attempts.get_mut(&id) else { return };
-                if matches!(attempt.course, Course::Http { start: None, .. }) {
-                    // It was sent long ago; news of it may be asked for wherever the engine stands.
-                    if let Course::Http { exchange, .. } = &mut attempt.course {
-                        exchange.ask_again(out);
-                        attempt.asked_us = now_us;
-                    }
-                    return;
-                }
-                if !self.may_begin(id, engine) {
-                    self.release(at);
-                    return self.end_attempt(id, Outcome::NeverSent, None);
-                }
-                let Some(attempt) = self.pools.attempts.get_mut(&id) else { return };
-                let Some(peer) = self.pools.peers.get_mut(at).and_then(Option::as_mut) else { return };
-                let (link, out) = (&mut peer.link, &mut peer.conn.output);
-                attempt.asked_us = now_us;
-                self.counters.sent += 1;
-                let class = self.requests.open.get(&id.0).map(|r| r.class);
-                if let Some(class) = class {
-                    self.metrics.class(class).attempts += 1;
-                }
-                tracing::debug!(
-                    query_id = attempt.query_id,
-                    number = id.1,
-                    engine = engine.0,
-                    class = class.map(|c| c.0),
-                    now_us,
-                    "sent"
-                );
-                match (&mut attempt.course, &mut link.wire) {
-                    (Course::Http { start, .. }, Wire::Http) => {
-                        out.extend(start.take().into_iter().flatten())
-                    }
-                    (Course::MySql { work }, Wire::MySql(session)) => {
-                        if let Some(work) = work.take() {
-                            session.start(work, out);
-                        }
-                    }
-                    _ => {}
-                }
-            }
-            Job::Delete(id) => {
-                let Some(attempt) = self.pools.attempts.get(&id) else { return self.release(at) };
-                let (query_id, thread) = (attempt.query_id.clone(), attempt.thread);
-                let Some(Peer { conn, link, .. }) = self.pools.peer(at) else { return };
-                match &mut link.wire {
-                    Wire::Http => http::delete(&query_id, &mut conn.output),
-                    Wire::MySql(session) => session.kill(thread, &mut conn.output),
-                }
-            }
-            Job::Confirm(id) => self.write_confirmation(at, id),
-            Job::Idle { .. } | Job::Discarding { .. } => {}
-        }
-    }
-
-    pub(super) fn forget_attempt(&mut self, id: AttemptId) -> Option<Attempt> {
+    /// Removes an attempt with all that is held for it: its query id, its memory and its timer.
+    pub(super) fn remove_attempt(&mut self, id: AttemptId) -> Option<Attempt> {
         let attempt = self.pools.attempts.remove(&id)?;
         self.requests.release_query_id(&attempt.query_id);
-        self.sessions.ledger.book(Kind::Results, attempt.booked, 0);
-        if let Some(timer) = attempt.unheard {
+        self.sessions.ledger.book(Kind::Results, attempt.reserved_bytes, 0);
+        if let Some(timer) = attempt.cancel_timer {
             self.timers.cancel(timer);
         }
         Some(attempt)
     }
 
-    /// The attempt is over; the core is told how.
+    /// The attempt has ended; the core is notified.
     pub(in crate::net) fn end_attempt(
         &mut self,
         id: AttemptId,
         outcome: Outcome,
-        report: Option<LoadReport>,
+        load_report: Option<LoadReport>,
     ) {
-        let Some(attempt) = self.forget_attempt(id) else { return };
-        self.detach(attempt.link, id);
+        let Some(attempt) = self.remove_attempt(id) else { return };
+        self.detach_connection(attempt.slot, id);
         tracing::debug!(
             query_id = attempt.query_id,
-            number = id.1,
+            attempt = id.1,
             engine = attempt.engine.0,
             now_us = self.time.now_us,
             ?outcome,
-            "ended"
+            "attempt ended"
         );
         self.counters.ended(outcome);
-        self.inputs.push(Input::AttemptEnded(id.0, id.1, outcome, report));
+        self.inputs.push(Input::AttemptEnded(id.0, id.1, outcome, load_report));
     }
 
-    /// Whether no byte that runs this attempt has been written.
-    pub(super) fn is_unsent(&self, id: AttemptId, wire: &Wire) -> bool {
-        match (self.pools.attempts.get(&id).map(|a| &a.course), wire) {
-            (Some(Course::Http { start, .. }), _) => start.is_some(),
-            (Some(Course::MySql { work }), Wire::MySql(s)) => work.is_some() || !s.may_have_run(),
+    /// Whether no byte that executes this attempt has been written.
+    pub(super) fn is_not_forwarded(&self, id: AttemptId, protocol_state: &ProtocolState) -> bool {
+        match (self.pools.attempts.get(&id).map(|a| &a.execution), protocol_state) {
+            (Some(Execution::Http { start, .. }), _) => start.is_some(),
+            (Some(Execution::MySql { work }), ProtocolState::MySql(s)) => work.is_some() || !s.may_have_run(),
             _ => false,
         }
     }
 
-    /// An attempt's connection broke, or what came over it can't be used. A query belongs to no connection: where
-    /// its engine still lives, it runs on or keeps its result, and another copy elsewhere would be a second one.
-    /// So the call is made again over another connection. That is refused where the process has died, but also by
-    /// one that drains and by one that holds all the connections it may, and these run on what they run: as where
-    /// nothing comes up at all, it is not to be known. An engine whose answers stay bad is told to give the query
-    /// up, where that is allowed; else nothing more is to be known of it.
-    pub(super) fn resume(&mut self, id: AttemptId, over: &Link, end: End) {
-        let unsent = self.is_unsent(id, &over.wire);
-        let Some(attempt) = self.pools.attempts.get_mut(&id) else { return };
-        let again = attempt.retries > 0;
-        match (over.protocol(), end) {
-            _ if attempt.stopping && !unsent => return,
-            (EngineProtocol::MySql, _) | (_, End::Refused | End::Late) if unsent => {
-                return self.end_attempt(id, Outcome::ConnectFailed, None);
-            }
-            // That protocol has no way to ask for it again, and a statement may outlive its connection.
-            (EngineProtocol::MySql, _) => return self.unheard(id),
-            (_, End::Refused | End::Late) if again => return self.unheard(id),
-            _ if attempt.retries >= MOST_RETRIES && unsent => {
-                return self.end_attempt(id, Outcome::ConnectFailed, None);
-            }
-            _ if attempt.retries >= MOST_RETRIES && self.config.settings.capabilities.cancels_attempts => {
-                return self.stop(id);
-            }
-            _ if attempt.retries >= MOST_RETRIES => return self.unheard(id),
-            _ => {}
-        }
-        attempt.retries += 1;
-        self.counters.asked_again += 1;
-        match self.connect(over.engine, Job::Attempt(id), EngineProtocol::Http) {
-            Ok(at) => {
-                if let Some(attempt) = self.pools.attempts.get_mut(&id) {
-                    attempt.link = at;
-                }
-                self.post_if_up(at);
-            }
-            Err(outcome) if unsent => self.end_attempt(id, outcome, None),
-            Err(_) => self.unheard(id),
+    /// An attempt's connection ended, or what came over it can't be used: the call is repeated over another one, or
+    /// the attempt ends.
+    pub(super) fn attempt_connection_ended(&mut self, id: AttemptId, over: &Link, end: ConnectionEnd) {
+        let not_forwarded = self.is_not_forwarded(id, &over.protocol_state);
+        let Some(attempt) = self.pools.attempts.get(&id) else { return };
+        match self.next_step(attempt, over.protocol(), end, not_forwarded) {
+            NextStep::RepeatCall => self.repeat_call(id, over.engine, not_forwarded),
+            NextStep::ConnectFailed => self.end_attempt(id, Outcome::ConnectFailed, None),
+            NextStep::Lost => self.attempt_lost(id),
+            NextStep::Cancel => self.cancel_attempt(id),
+            NextStep::AwaitCancellation => {}
         }
     }
 
-    /// The call that gives an attempt up broke off: it is made again, as long as its end is waited for. An engine
-    /// that refuses the connection may run the query on: it drains, or has all the connections that it may have.
-    pub(super) fn tell_again(&mut self, id: AttemptId, over: &Link, end: End) {
-        let Some(attempt) = self.pools.attempts.get_mut(&id).filter(|a| a.retries < MOST_RETRIES) else {
-            return;
-        };
-        tracing::debug!(query_id = attempt.query_id, number = id.1, ?end, "not told that it was given up");
-        attempt.retries += 1;
-        if end == End::Refused {
-            return;
-        }
-        if let (Wire::Http, Ok(at)) =
-            (&over.wire, self.connect(over.engine, Job::Delete(id), EngineProtocol::Http))
-        {
-            self.post_if_up(at);
+    /// A query belongs to no connection: its engine runs it on or keeps its result, and another copy elsewhere would
+    /// be a second one. So the call is repeated over another connection. That one is refused where the process has
+    /// died, but also by one that drains and by one that has all the connections it may have, and these run on what
+    /// they run: as where no connection is established at all, the end is not known. An engine whose responses stay
+    /// unusable is told to cancel the query, where that is allowed.
+    fn next_step(
+        &self,
+        attempt: &Attempt,
+        protocol: EngineProtocol,
+        end: ConnectionEnd,
+        not_forwarded: bool,
+    ) -> NextStep {
+        let not_established = matches!(end, ConnectionEnd::Refused | ConnectionEnd::TimedOut);
+        let retries_spent = attempt.call_retries >= MAX_CALL_RETRIES;
+        if attempt.cancelling && !not_forwarded {
+            return NextStep::AwaitCancellation;
+        }
+        if not_forwarded && (protocol == EngineProtocol::MySql || not_established || retries_spent) {
+            return NextStep::ConnectFailed;
+        }
+        // MySQL has no way to ask for a statement again, and one may outlive its connection.
+        if protocol == EngineProtocol::MySql || (not_established && attempt.call_retries > 0) {
+            return NextStep::Lost;
+        }
+        if !retries_spent {
+            NextStep::RepeatCall
+        } else if self.config.settings.capabilities.cancels_attempts {
+            NextStep::Cancel
+        } else {
+            NextStep::Lost
         }
     }
 
-    /// Nothing was heard of the end of an attempt that was given up.
-    pub(in crate::net) fn unheard(&mut self, id: AttemptId) {
-        let Some(attempt) = self.forget_attempt(id) else { return };
-        self.detach(attempt.link, id);
-        tracing::debug!(query_id = attempt.query_id, number = id.1, engine = attempt.engine.0, "unheard");
-        self.counters.ended(Outcome::TimedOut);
-        let runs_until_us = attempt.runs_until_us(self.time.now_us);
-        match attempt.course {
-            Course::Http { .. } if attempt.in_order => {
-                let unconfirmed = Unconfirmed::new(attempt.engine, attempt.query_id, runs_until_us);
-                self.begin_confirmation(id, unconfirmed);
+    fn repeat_call(&mut self, id: AttemptId, engine: EngineId, not_forwarded: bool) {
+        let Some(attempt) = self.pools.attempts.get_mut(&id) else { return };
+        attempt.call_retries += 1;
+        self.counters.asked_again += 1;
+        match self.connect(engine, Job::Attempt(id), EngineProtocol::Http) {
+            Ok(slot) => {
+                if let Some(attempt) = self.pools.attempts.get_mut(&id) {
+                    attempt.slot = slot;
+                }
+                self.write_first_call(slot);
             }
-            _ => self.inputs.push(Input::AttemptLost(id.0, id.1, runs_until_us)),
+            Err(outcome) if not_forwarded => self.end_attempt(id, outcome, None),
+            Err(_) => self.attempt_lost(id),
         }
     }
 
     /// A connection no longer works for this attempt.
-    pub(super) fn detach(&mut self, at: usize, id: AttemptId) {
+    pub(super) fn detach_connection(&mut self, slot: usize, id: AttemptId) {
         let now_us = self.time.now_us;
-        let Some(Peer { link, .. }) = self.pools.peer(at) else { return };
+        let Some(connection) = self.pools.connection(slot) else { return };
+        let link = &mut connection.link;
         if link.job == Job::Attempt(id) {
             link.job = Job::Discarding { since_us: now_us };
             let protocol = link.protocol();
-            self.pools.dirty.push(at);
-            // A MySQL connection that was ended for its work is of no more use.
+            self.pools.dirty.push(slot);
+            // A MySQL connection whose statement was ended is of no more use.
             if protocol == EngineProtocol::MySql {
-                self.pools.close(&self.poll, &mut self.timers, at);
-            }
-        }
-    }
-
-    /// Gives an attempt up: at once if it was never sent, else when the engine has been told.
-    pub(in crate::net) fn stop(&mut self, id: AttemptId) {
-        let going = self.pools.attempts.get(&id).filter(|a| !a.stopping);
-        let Some((engine, link)) = going.map(|a| (a.engine, a.link)) else { return };
-        self.counters.stopped += 1;
-        let (mut protocol, mut thread) = (EngineProtocol::Http, 0);
-        // Its connection may be closed, and its place another's.
-        let own = |p: &&Peer| p.link.job == Job::Attempt(id);
-        let peer = self.pools.peers.get(link).and_then(Option::as_ref).filter(own);
-        if let Some(Peer { link: l, .. }) = peer {
-            protocol = l.protocol();
-            if let Wire::MySql(session) = &l.wire {
-                thread = session.thread;
-            }
-            if self.is_unsent(id, &l.wire) {
-                self.pools.close(&self.poll, &mut self.timers, link);
-                return self.end_attempt(id, Outcome::NeverSent, None);
-            }
-        }
-        let Some(attempt) = self.pools.attempts.get_mut(&id) else { return };
-        attempt.thread = thread;
-        attempt.retries = 0;
-        tracing::debug!(query_id = attempt.query_id, number = id.1, now_us = self.time.now_us, "given up");
-        attempt.stopping = true;
-        if let Course::Http { exchange, .. } = &mut attempt.course {
-            exchange.give_up();
-        }
-        attempt.unheard = Some(self.timers.arm(self.time.now_us + UNHEARD_US, Timer::Unheard(id)));
-        match self.link(engine, Job::Delete(id), protocol, None) {
-            Ok(at) => self.post_if_up(at),
-            Err(outcome) => {
-                tracing::debug!(number = id.1, ?outcome, "no connection to give an attempt up over");
+                self.pools.close(&self.poll, &mut self.timers, slot);
             }
         }
     }
+}
 
-    /// Tells an engine of a new priority.
-    pub(in crate::net) fn rank(&mut self, id: AttemptId, priority: u8) {
-        let Some(attempt) = self.pools.attempts.get(&id).filter(|a| !a.stopping) else { return };
-        if !matches!(attempt.course, Course::Http { start: None, .. }) {
-            return;
-        }
-        let (engine, query_id) = (attempt.engine, attempt.query_id.clone());
-        // Only over an idle connection: a new one for each would cost more than the change is worth.
-        let idle =
-            self.pools.engines.get_mut(&engine).and_then(|e| e.idle[EngineProtocol::Http as usize].pop());
-        let Some(at) = idle else { return };
-        let now_us = self.time.now_us;
-        if let Some(Peer { conn, link, .. }) = self.pools.peer(at) {
-            link.job = Job::Discarding { since_us: now_us };
-            http::put(&query_id, priority, &mut conn.output);
-        }
-        self.pools.dirty.push(at);
-    }
+fn http_execution(request: &Request, class: &str, max_ms: u64, terms: AttemptTerms) -> Execution {
+    let mut start = Vec::with_capacity(256 + request.statement.len());
+    let call = http::Start {
+        query_id: &request.query_id,
+        class,
+        statement: &request.statement,
+        max_ms,
+        memory_mb: terms.memory_mb,
+        priority: terms.priority,
+        idempotency_key: request.token.as_deref(),
+    };
+    http::post(&call, &mut start);
+    Execution::Http { exchange: http::Exchange::new(&request.query_id), start: Some(start) }
 }
 
-/// A request as work for a MySQL engine; id, class and what is left of the wait go beside it as attributes.
-fn work(request: &Request, class: &str, max_ms: u64) -> mysql::Work {
+/// A request as work for a MySQL engine; its id, class and remaining time go beside it as query attributes.
+fn mysql_work(request: &Request, class: &str, max_ms: u64) -> mysql::Work {
     let mut attributes = vec![
         Param::text("i", &request.query_id),
         Param::text("c", class),
--- a/gateway/src/net/engines/confirmation.rs
+++ b/gateway/src/net/engines/confirmation.rs
@@ -1,21 +1,24 @@
-//! Attempts of classes that keep order whose end was not heard of. An engine drops a query that it has not been asked
-//! for in a while, but only where calls reach it: across a cut, one that was written may still be on its way, and the
-//! engine may run the query to its end. So the engine must be reached once more before that time counts.
+//! Lost attempts that others of their order key wait for.
+//!
+//! An engine drops a query that it has had no call for in a while, but only where calls reach it: across a network
+//! partition, a call that was written may still be on its way, and the engine may run the query to its end. So the
+//! engine must be reached once more before that time counts.
 
-use super::{AttemptId, End, EngineProtocol, Job, Server};
+use workload_manager::interface::*;
+
+use super::{AttemptId, ConnectionEnd, EngineProtocol, Job, Server};
 use crate::core::Input;
 use crate::engine::http;
 use crate::net::Timer;
-use workload_manager::interface::*;
 
-/// How long a connection over which an engine is asked may take to come up, in microseconds: longer than one that
-/// comes up late, and short enough that a cut that has healed is seen soon.
-pub(super) const CONFIRMATION_CONNECT_US: u64 = 2_000_000;
+/// How long a connection for a confirmation may take to be established, in microseconds: longer than one that is
+/// established late, and short enough that the end of a partition is seen soon.
+pub(super) const CONFIRMATION_CONNECT_TIMEOUT_US: u64 = 2_000_000;
 
-/// How long after one that broke, or for which there was no room, the next is opened, in microseconds.
-const RETRY_US: u64 = 250_000;
+/// How long after one that broke, or for which there was no capacity, the next is opened, in microseconds.
+const CONFIRMATION_RETRY_US: u64 = 250_000;
 
-/// An attempt that is asked for no more, and whose engine may still run it.
+/// A lost attempt whose end is to be confirmed.
 pub struct Unconfirmed {
     pub engine: EngineId,
     query_id: String,
@@ -31,72 +34,78 @@
 }
 
 impl Server {
-    /// Nothing was heard of the end of an attempt that others of its key wait for: its engine is asked.
+    /// An attempt was lost that others of its order key wait for: its engine is asked to confirm the end.
     pub(super) fn begin_confirmation(&mut self, id: AttemptId, attempt: Unconfirmed) {
         self.requests.retain_query_id(&attempt.query_id);
         self.pools.unconfirmed.insert(id, attempt);
         self.inputs.push(Input::AttemptUnconfirmed(id.0, id.1));
-        self.ask_for_confirmation(id);
+        self.request_confirmation(id);
     }
 
-    /// Opens a connection over which the engine is told that the attempt is given up.
-    pub(in crate::net) fn ask_for_confirmation(&mut self, id: AttemptId) {
+    /// Opens a connection over which the engine is told to cancel the attempt.
+    pub(in crate::net) fn request_confirmation(&mut self, id: AttemptId) {
         let Some(attempt) = self.pools.unconfirmed.get(&id) else { return };
         let engine = attempt.engine;
         let state = self.pools.engines.get(&engine).map(|e| e.state);
-        // The list says that its process runs no more.
+        // The endpoint list says that its process runs no more.
         if matches!(state, None | Some(EndpointState::Removed)) {
             return self.confirm_dropped(id);
         }
         match self.connect(engine, Job::Confirm(id), EngineProtocol::Http) {
-            Ok(at) => self.post_if_up(at),
+            Ok(slot) => self.write_first_call(slot),
             Err(Outcome::ConnectFailed) => self.confirm_dropped(id),
             Err(_) => self.retry_confirmation(id),
         }
     }
 
-    /// The connection is up: the engine is told, where that is allowed.
-    pub(super) fn write_confirmation(&mut self, at: usize, id: AttemptId) {
+    /// The connection is established: the engine is told, where that is allowed.
+    pub(super) fn write_confirmation_call(&mut self, slot: usize, id: AttemptId) {
         let query_id = self.pools.unconfirmed.get(&id).map(|attempt| attempt.query_id.clone());
-        let Some(query_id) = query_id else { return self.release(at) };
+        let Some(query_id) = query_id else { return self.release(slot) };
         if !self.config.settings.capabilities.cancels_attempts {
-            self.release(at);
+            self.release(slot);
             return self.confirm_dropped(id);
         }
-        if let Some(peer) = self.pools.peer(at) {
-            http::delete(&query_id, &mut peer.conn.output);
+        if let Some(connection) = self.pools.connection(slot) {
+            http::delete(&query_id, &mut connection.conn.output);
         }
     }
 
-    /// The engine knows the attempt no more, or has given it up.
+    /// The engine does not know the attempt any more, or has cancelled it.
     pub(super) fn confirm_ended(&mut self, id: AttemptId) {
         self.confirm(id, self.time.now_us);
     }
 
-    /// The engine can be reached, or runs no more: what it has not been asked for is dropped in time.
+    /// The engine can be reached, or runs no more: a query that it gets no call for is dropped in time.
     pub(super) fn confirm_dropped(&mut self, id: AttemptId) {
         let dropped_by_us = self.pools.unconfirmed.get(&id).map_or(0, |attempt| attempt.dropped_by_us);
         self.confirm(id, dropped_by_us.max(self.time.now_us));
     }
 
-    fn confirm(&mut self, id: AttemptId, runs_until_us: u64) {
+    fn confirm(&mut self, id: AttemptId, may_run_until_us: u64) {
         let Some(attempt) = self.pools.unconfirmed.remove(&id) else { return };
         self.requests.release_query_id(&attempt.query_id);
-        let now_us = self.time.now_us;
-        tracing::debug!(query_id = attempt.query_id, number = id.1, now_us, runs_until_us, "confirmed");
-        self.inputs.push(Input::AttemptEndConfirmed(id.0, id.1, runs_until_us));
+        tracing::debug!(
+            query_id = attempt.query_id,
+            attempt = id.1,
+            engine = attempt.engine.0,
+            now_us = self.time.now_us,
+            may_run_until_us,
+            "end of a lost attempt confirmed"
+        );
+        self.inputs.push(Input::AttemptEndConfirmed(id.0, id.1, may_run_until_us));
     }
 
-    /// The connection for a confirmation is over without an answer.
-    pub(super) fn confirmation_broke(&mut self, id: AttemptId, end: End) {
+    /// The connection for a confirmation has ended without a response.
+    pub(super) fn confirmation_connection_ended(&mut self, id: AttemptId, end: ConnectionEnd) {
         match end {
             // The machine is reached: a process that has died, drains or takes no more connections says so.
-            End::Refused => self.confirm_dropped(id),
-            End::Late | End::Broken => self.retry_confirmation(id),
+            ConnectionEnd::Refused => self.confirm_dropped(id),
+            ConnectionEnd::TimedOut | ConnectionEnd::Broken => self.retry_confirmation(id),
         }
     }
 
     fn retry_confirmation(&mut self, id: AttemptId) {
-        self.timers.arm(self.time.now_us + RETRY_US, Timer::Confirmation(id));
+        self.timers.arm(self.time.now_us + CONFIRMATION_RETRY_US, Timer::Confirmation(id));
     }
 }
--- /dev/null
+++ b/gateway/src/net/engines/connection_events.rs
@@ -0,0 +1,228 @@
+//! Readiness and timers of connections to engines.
+
+use super::cancellation::CANCEL_TIMEOUT_US;
+use super::confirmation::CONFIRMATION_CONNECT_TIMEOUT_US;
+use super::{ConnectionEnd, Job, ProtocolState};
+use crate::engine::http;
+use crate::mysql::PacketError;
+use crate::net::conn::{Phase, ReadEnd};
+use crate::net::poll::Interest;
+use crate::net::pools::{EngineConnection, Pools};
+use crate::net::{Server, Timer};
+
+/// How long a response is waited for, in microseconds. A call is answered within 250 ms, by engines that stall for
+/// 370 ms at times. One without a response for this long gets none: it is repeated over another connection, where the
+/// query may be well.
+const RESPONSE_TIMEOUT_US: u64 = 500_000;
+
+/// How long a response that no longer matters is waited for, to keep its connection, in microseconds: an engine holds
+/// a call for a progress report for 250 ms.
+const DISCARD_TIMEOUT_US: u64 = 1_000_000;
+
+/// Tenths of the keepalive time for which a connection is kept idle: past it the engine may close the connection any
+/// moment, and a start written to one that is being closed could not be told from one that ran.
+const IDLE_KEEPALIVE_TENTHS: u64 = 6;
+
+/// What came over a connection is not its protocol.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+enum ResponseError {
+    #[error(transparent)]
+    Http(#[from] http::NotHttp),
+    #[error(transparent)]
+    MySql(#[from] PacketError),
+}
+
+impl Server {
+    /// When something must have happened on a connection, in microseconds: it must be established, or a response must
+    /// have come, also one that no longer matters; or it must not be idle any longer.
+    fn connection_due_us(&self, connection: &EngineConnection) -> Option<u64> {
+        let link = &connection.link;
+        if link.is_connecting(connection.conn.phase) {
+            // All other jobs may go another way; only this engine can confirm what it runs.
+            let confirms = matches!(link.job, Job::Confirm(_));
+            let at_least_us = if confirms { CONFIRMATION_CONNECT_TIMEOUT_US } else { 0 };
+            return Some(link.call_written_us + self.config.connect_us.max(at_least_us));
+        }
+        if link.is_write_delayed() {
+            return Some(link.write_after_us);
+        }
+        match (link.job, &link.protocol_state) {
+            (Job::Idle { since_us }, _) => {
+                Some(since_us + self.config.keepalive_us * IDLE_KEEPALIVE_TENTHS / 10)
+            }
+            (Job::Attempt(_), ProtocolState::Http) => Some(link.call_written_us + RESPONSE_TIMEOUT_US + 1),
+            (Job::Attempt(_), ProtocolState::MySql(_)) => None,
+            (Job::Discarding { since_us }, _) => Some(since_us + DISCARD_TIMEOUT_US + 1),
+            (Job::Cancel(_) | Job::Confirm(_), _) => Some(link.call_written_us + CANCEL_TIMEOUT_US),
+        }
+    }
+
+    /// Writes a connection's output, updates what it is polled for, and sets its timer.
+    pub(in crate::net) fn flush_connection(&mut self, slot: usize) {
+        let Some(connection) = self.pools.connection(slot) else { return };
+        if connection.conn.phase != Phase::Connecting {
+            let key = Pools::key(slot, connection.serial);
+            let conn = &mut connection.conn;
+            if conn.flush().is_err() || conn.update(&self.poll, key).is_err() {
+                return self.connection_ended(slot, ConnectionEnd::Broken);
+            }
+        }
+        let Some(connection) = self.pools.connections.get(slot).and_then(Option::as_ref) else { return };
+        let due_us = self.connection_due_us(connection);
+        if let Some(connection) = self.pools.connection(slot) {
+            let timer = Timer::EngineConnection(slot, connection.serial);
+            self.timers.keep(&mut connection.timer, due_us, timer);
+        }
+    }
+
+    /// The timer of a connection fired; `serial` tells the connection from later ones in its slot.
+    pub(in crate::net) fn connection_timer_fired(&mut self, slot: usize, serial: u32) {
+        let now_us = self.time.now_us;
+        let connection = self.pools.connections.get(slot).and_then(Option::as_ref);
+        let Some(connection) = connection.filter(|c| c.serial == serial) else { return };
+        let is_due = self.connection_due_us(connection).is_some_and(|due_us| due_us <= now_us);
+        let connecting = connection.link.is_connecting(connection.conn.phase);
+        let (job, write_delayed) = (connection.link.job, connection.link.is_write_delayed());
+        if let Some(connection) = self.pools.connection(slot) {
+            connection.timer = None;
+            // A call without a response may not have arrived yet, and must not arrive any more.
+            let unanswered = matches!(job, Job::Attempt(_) | Job::Discarding { .. } | Job::Confirm(_));
+            if is_due && !connecting && !write_delayed && unanswered {
+                connection.conn.discard_unsent_on_close();
+            }
+        }
+        self.pools.dirty.push(slot);
+        if !is_due {
+            return;
+        }
+        if write_delayed {
+            self.write_first_call(slot);
+        } else if connecting {
+            self.connection_ended(slot, ConnectionEnd::TimedOut);
+        } else {
+            self.response_timed_out(slot, job);
+        }
+    }
+
+    /// An established connection has no response in time, or has been idle for long enough.
+    fn response_timed_out(&mut self, slot: usize, job: Job) {
+        match job {
+            Job::Attempt((request, attempt)) => {
+                tracing::debug!(request = request.0, attempt, "no response from an engine in time");
+                self.connection_ended(slot, ConnectionEnd::Broken);
+            }
+            Job::Cancel(id) if self.pools.attempts.contains_key(&id) => {
+                let now_us = self.time.now_us;
+                if let Some(connection) = self.pools.connection(slot) {
+                    connection.link.call_written_us = now_us;
+                }
+            }
+            // The machine may have vanished, and the connection would keep its descriptor for good.
+            Job::Cancel(_) | Job::Discarding { .. } => {
+                self.pools.close(&self.poll, &mut self.timers, slot);
+            }
+            // It was established, and what was written reached the machine.
+            Job::Confirm(id) => {
+                self.pools.close(&self.poll, &mut self.timers, slot);
+                self.confirm_dropped(id);
+            }
+            Job::Idle { .. } => {
+                let engine = self.pools.connection(slot).map(|c| c.link.engine);
+                if let Some(e) = engine.and_then(|engine| self.pools.engines.get_mut(&engine)) {
+                    e.remove_idle(slot);
+                }
+                self.pools.close(&self.poll, &mut self.timers, slot);
+            }
+        }
+    }
+
+    /// Something is ready on a connection to an engine.
+    pub(in crate::net) fn connection_ready(&mut self, slot: usize, interest: Interest) {
+        let Some(connection) = self.pools.connection(slot) else { return };
+        if connection.conn.phase == Phase::Connecting {
+            if !interest.write && !interest.read {
+                return;
+            }
+            match connection.conn.finish_connect() {
+                Ok(()) => {}
+                // Only this proves that no process listens: a reset strikes connections of running ones too.
+                Err(e) if e.kind() == std::io::ErrorKind::ConnectionRefused => {
+                    return self.connection_ended(slot, ConnectionEnd::Refused);
+                }
+                Err(_) => return self.connection_ended(slot, ConnectionEnd::Broken),
+            }
+            self.connection_established(slot);
+        }
+        if interest.write {
+            self.pools.dirty.push(slot);
+        }
+        if interest.read {
+            let Some(connection) = self.pools.connection(slot) else { return };
+            if connection.conn.is_cut_off() {
+                return self.connection_ended(slot, ConnectionEnd::Broken);
+            }
+            let end = connection.conn.fill(usize::MAX);
+            self.read_responses(slot, end);
+        }
+    }
+
+    /// Takes in all responses that have come whole.
+    fn read_responses(&mut self, slot: usize, end: ReadEnd) {
+        loop {
+            match self.read_response(slot) {
+                Ok(true) => {}
+                Ok(false) => break,
+                Err(error) => {
+                    tracing::warn!(%error, "malformed response from an engine");
+                    return self.connection_ended(slot, ConnectionEnd::Broken);
+                }
+            }
+        }
+        if matches!(end, ReadEnd::Eof | ReadEnd::Broken) {
+            self.connection_ended(slot, ConnectionEnd::Broken);
+        }
+    }
+
+    /// Takes in the next response; false where there is none that is whole, or its connection has ended.
+    fn read_response(&mut self, slot: usize) -> Result<bool, ResponseError> {
+        let Some(connection) = self.pools.connections.get_mut(slot).and_then(Option::as_mut) else {
+            return Ok(false);
+        };
+        let EngineConnection { conn, link, .. } = connection;
+        if conn.input.is_empty() {
+            return Ok(false);
+        }
+        if link.is_write_delayed() {
+            tracing::debug!(engine = link.engine.0, "late duplicate of a response");
+            self.connection_ended(slot, ConnectionEnd::Broken);
+            return Ok(false);
+        }
+        match &mut link.protocol_state {
+            ProtocolState::Http => match http::read(&mut conn.input, &self.names.report_extras)? {
+                Some(response) => self.http_response(slot, response),
+                None => return Ok(false),
+            },
+            ProtocolState::MySql(session) => {
+                self.pools.dirty.push(slot);
+                match session.read(&mut conn.input, &mut conn.output)? {
+                    Some(event) => self.mysql_event(slot, event),
+                    None => return Ok(false),
+                }
+            }
+        }
+        Ok(true)
+    }
+
+    fn connection_established(&mut self, slot: usize) {
+        let now_us = self.time.now_us;
+        let Some(connection) = self.pools.connection(slot) else { return };
+        match &connection.link.protocol_state {
+            ProtocolState::Http => self.write_first_call(slot),
+            // The engine speaks first, within the time that a connection may take to be established.
+            ProtocolState::MySql(_) => {
+                connection.link.call_written_us = now_us;
+                self.pools.dirty.push(slot);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/gateway/src/net/engines/http_responses.rs
@@ -0,0 +1,110 @@
+//! HTTP responses of engines, and what they mean for the job of their connection.
+
+use workload_manager::interface::*;
+use wrenhatch_sessions::memory_budget::Kind;
+
+use super::connections::REUSE_DELAY_US;
+use super::{AttemptId, ConnectionEnd, Execution, Job};
+use crate::core::Input;
+use crate::engine::http::{Response, Step};
+use crate::front::Payload;
+use crate::net::Server;
+
+impl Server {
+    pub(super) fn http_response(&mut self, slot: usize, mut response: Response) {
+        let Some(connection) = self.pools.connection(slot) else { return };
+        // The response may be good, but what stands behind it would be taken for the next one.
+        response.close |= !connection.conn.input.is_empty();
+        // The call has arrived whole, or the engine does not know the query any more: the attempt has ended.
+        let cancelled = matches!(response.status, 204 | 500);
+        match connection.link.job {
+            Job::Cancel(id) if cancelled => {
+                self.release_or_close(slot, response.close);
+                self.end_attempt(id, Outcome::Cancelled, None);
+            }
+            Job::Confirm(id) if cancelled => {
+                self.release_or_close(slot, response.close);
+                self.confirm_ended(id);
+            }
+            // An idle connection awaits no response.
+            Job::Idle { .. } | Job::Cancel(_) | Job::Confirm(_) => {
+                self.connection_ended(slot, ConnectionEnd::Broken);
+            }
+            Job::Discarding { .. } => self.release_or_close(slot, response.close),
+            Job::Attempt(id) => self.attempt_response(slot, id, response),
+        }
+    }
+
+    fn attempt_response(&mut self, slot: usize, id: AttemptId, mut response: Response) {
+        let Some(attempt) = self.pools.attempts.get_mut(&id) else {
+            return self.release_or_close(slot, response.close);
+        };
+        let Execution::Http { exchange, .. } = &mut attempt.execution else { return };
+        let mut next_call = Vec::new();
+        let step = exchange.on_response(&mut response, &mut next_call);
+        let held_bytes = exchange.held_bytes();
+        let reserved_bytes = std::mem::replace(&mut attempt.reserved_bytes, held_bytes);
+        self.sessions.ledger.book(Kind::Results, reserved_bytes, held_bytes);
+        let was_repeated = attempt.call_retries > 0;
+        if step != Step::Unusable {
+            attempt.call_retries = 0;
+        }
+        match step {
+            Step::CallWritten => self.write_next_call(slot, id, &response, next_call),
+            Step::StillRunning => self.release_or_close(slot, response.close),
+            Step::Unusable => {
+                let (query_id, status) = (&attempt.query_id, response.status);
+                tracing::debug!(query_id, attempt = id.1, status, "unusable response from an engine");
+                self.connection_ended(slot, ConnectionEnd::Broken);
+            }
+            Step::Ended(outcome) => self.http_attempt_ended(slot, id, outcome, was_repeated, response.close),
+        }
+    }
+
+    /// The attempt goes on: the next call, for a progress report or a page, is written over the same connection.
+    fn write_next_call(&mut self, slot: usize, id: AttemptId, response: &Response, mut next_call: Vec<u8>) {
+        let now_us = self.time.now_us;
+        let Some(connection) = self.pools.connections.get_mut(slot).and_then(Option::as_mut) else { return };
+        let link = &mut connection.link;
+        // An engine that has nothing to report takes its time to say so.
+        let early = now_us < link.call_written_us + REUSE_DELAY_US;
+        link.duplicate_response_possible |= response.status == 202 && response.progress.is_none() && early;
+        let progress = response.progress.unwrap_or(Progress::Running);
+        self.inputs.push(Input::AttemptProgress(id.0, id.1, progress));
+        if response.close {
+            return self.connection_ended(slot, ConnectionEnd::Broken);
+        }
+        link.call_written_us = now_us;
+        if let Some(attempt) = self.pools.attempts.get_mut(&id) {
+            attempt.last_call_us = now_us;
+        }
+        connection.conn.output.append(&mut next_call);
+        self.pools.dirty.push(slot);
+    }
+
+    fn http_attempt_ended(
+        &mut self,
+        slot: usize,
+        id: AttemptId,
+        mut outcome: Outcome,
+        was_repeated: bool,
+        close: bool,
+    ) {
+        let Some(attempt) = self.pools.attempts.get(&id) else { return };
+        let Execution::Http { exchange, .. } = &attempt.execution else { return };
+        // The call that starts it was lost with its connection, or its engine has restarted: neither the engine that
+        // says so nor the request is at fault.
+        if was_repeated && outcome == Outcome::Error {
+            outcome = Outcome::Cancelled;
+        }
+        let load_report = exchange.load_report;
+        if outcome == Outcome::Success {
+            match exchange.rows() {
+                Some(rows) => drop(self.pools.results.insert(id, Payload::Text(rows))),
+                None => outcome = Outcome::Error,
+            }
+        }
+        self.release_or_close(slot, close);
+        self.end_attempt(id, outcome, load_report);
+    }
+}
--- a/gateway/src/net/engines/list.rs
+++ b/gateway/src/net/engines/list.rs
@@ -37,14 +37,14 @@
             for (id, e) in &mut self.pools.engines {
                 if !named.contains(id) {
                     e.state = EndpointState::Removed;
-                    stale.extend(e.all_idle());
+                    stale.extend(e.take_all_idle());
                 }
             }
         }
         for l in &event.entries {
             let id = *self.pools.ids.entry(l.name.clone()).or_insert_with(|| {
-                self.pools.met += 1;
-                EngineId(self.pools.met - 1)
+                self.pools.ids_given += 1;
+                EngineId(self.pools.ids_given - 1)
             });
             let mysql = self.config.mysql.as_ref().and_then(|m| m.engines.get(&l.name).copied());
             let e = self.pools.engines.entry(id).or_insert_with(|| Engine {
@@ -56,7 +56,7 @@
             });
             // Connections to a process that has gone, moved or started anew lead nowhere.
             if l.state == EndpointState::Removed || l.since_ms != e.since_ms || l.address != e.address {
-                stale.extend(e.all_idle());
+                stale.extend(e.take_all_idle());
             }
             if l.state != EndpointState::Removed {
                 e.address = l.address;
@@ -66,8 +66,8 @@
             tracing::debug!(engine = id.0, name = l.name, state = ?l.state, since_ms = l.since_ms, now_us, "engine listed");
             entries.push(self.entry(id, l));
         }
-        for at in stale {
-            self.pools.close(&self.poll, &mut self.timers, at);
+        for slot in stale {
+            self.pools.close(&self.poll, &mut self.timers, slot);
         }
         let mode = if event.full { EndpointListMode::Full } else { EndpointListMode::Delta };
         self.inputs.push(Input::EndpointList(mode, entries));
@@ -76,7 +76,8 @@
 
     /// Forgets engines that have gone once nothing refers to them: new names come for as long as this runs.
     pub(super) fn prune_engines(&mut self) {
-        let mut used: BTreeSet<EngineId> = self.pools.peers.iter().flatten().map(|p| p.link.engine).collect();
+        let mut used: BTreeSet<EngineId> =
+            self.pools.connections.iter().flatten().map(|p| p.link.engine).collect();
         used.extend(self.pools.attempts.values().map(|a| a.engine));
         self.pools.engines.retain(|id, e| e.state != EndpointState::Removed || used.contains(id));
         let engines = &self.pools.engines;
--- /dev/null
+++ b/gateway/src/net/engines/mysql_events.rs
@@ -0,0 +1,84 @@
+//! Events of MySQL connections to engines, and what they mean for the job of their connection.
+
+use workload_manager::interface::*;
+
+use super::{AttemptId, ConnectionEnd, Job, ProtocolState};
+use crate::engine::mysql::Event;
+use crate::front::Payload;
+use crate::mysql::{ResultSet, SqlError};
+use crate::net::Server;
+
+/// `ER_NO_SUCH_THREAD`: the engine knows no connection of this id.
+const ER_NO_SUCH_THREAD: u16 = 1094;
+/// `ER_CON_COUNT_ERROR`, `ER_TOO_MANY_USER_CONNECTIONS`, `ER_USER_LIMIT_REACHED`: the engine has all the connections
+/// that it takes.
+const ER_TOO_MANY_CONNECTIONS: [u16; 3] = [1040, 1203, 1226];
+
+impl Server {
+    pub(super) fn mysql_event(&mut self, slot: usize, event: Event) {
+        let Some(job) = self.pools.connection(slot).map(|c| c.link.job) else { return };
+        match (event, job) {
+            (Event::Ready, Job::Attempt(_) | Job::Cancel(_)) => self.write_first_call(slot),
+            (Event::Ready, Job::Idle { .. } | Job::Discarding { .. }) => self.release(slot),
+            (Event::Prepared, Job::Attempt(id)) => self.execute_prepared(slot, id),
+            (Event::Completed(result), Job::Attempt(id)) => {
+                // An error of the statement itself is a final answer, as rows are: no other engine would answer
+                // otherwise, and none is at fault.
+                self.pools.results.insert(id, Payload::MySql(result));
+                self.release(slot);
+                self.end_attempt(id, Outcome::Success, None);
+            }
+            (Event::Failed(e), Job::Attempt(id)) => {
+                tracing::debug!(attempt = id.1, code = e.code, error = e.message, "error from an engine");
+                self.release(slot);
+                self.end_attempt(id, Outcome::Error, None);
+            }
+            (Event::ConnectionRejected(e), Job::Attempt(id)) => {
+                self.pools.close(&self.poll, &mut self.timers, slot);
+                self.end_attempt(id, rejected_connection(&e), None);
+            }
+            (event @ (Event::Completed(_) | Event::Failed(_)), Job::Cancel(id)) => {
+                self.release(slot);
+                if is_killed(&event) {
+                    self.end_attempt(id, Outcome::Cancelled, None);
+                }
+            }
+            (Event::Completed(_) | Event::Failed(_), Job::Discarding { .. }) => self.release(slot),
+            _ => {
+                if let Some(connection) = self.pools.connection(slot) {
+                    connection.conn.input.clear();
+                }
+                self.connection_ended(slot, ConnectionEnd::Broken);
+            }
+        }
+    }
+
+    /// The statement of an attempt is prepared at its engine: it is executed, if it still may be.
+    fn execute_prepared(&mut self, slot: usize, id: AttemptId) {
+        let Some(engine) = self.pools.connection(slot).map(|c| c.link.engine) else { return };
+        if !self.may_forward(id, engine) {
+            self.pools.close(&self.poll, &mut self.timers, slot);
+            return self.end_attempt(id, Outcome::NeverSent, None);
+        }
+        let Some(connection) = self.pools.connection(slot) else { return };
+        if let ProtocolState::MySql(session) = &mut connection.link.protocol_state {
+            session.execute(&mut connection.conn.output);
+        }
+    }
+}
+
+/// Whether a KILL has ended the other connection, or found that it had ended. After any other error, as that this
+/// gateway may not end it, nothing is known of it.
+fn is_killed(event: &Event) -> bool {
+    matches!(
+        event,
+        Event::Completed(ResultSet::Done { .. }) | Event::Failed(SqlError { code: ER_NO_SUCH_THREAD, .. })
+    )
+}
+
+/// An engine that takes no more connections is full; one that never accepts this gateway can't be reached. Nothing
+/// ran on either.
+fn rejected_connection(e: &SqlError) -> Outcome {
+    tracing::warn!(code = e.code, error = e.message, "connection rejected by an engine");
+    if ER_TOO_MANY_CONNECTIONS.contains(&e.code) { Outcome::Rejected } else { Outcome::ConnectFailed }
+}
--- a/gateway/src/net/handover.rs
+++ b/gateway/src/net/handover.rs
@@ -18,7 +18,7 @@
 use super::{HANDOVER, HANDOVER_LISTENER, Server};
 use crate::config::{Config, EndpointListEvent};
 use crate::core::{Input, PeerProcessEvent};
-use crate::engine::http::ABANDONED_US;
+use crate::engine::http::MAX_RUN_AFTER_LAST_CALL_US;
 use crate::handover::{self, Message};
 use crate::key_leases::PeerProcessId;
 
@@ -427,7 +427,7 @@
     /// This process ends: others that share its keys learn when what it leaves running is over.
     pub(super) fn settle_leases(&mut self) {
         let now_us = self.time.now_us;
-        let rest_us = self.core.keys_rest_until_us(now_us, ABANDONED_US).saturating_sub(now_us);
+        let rest_us = self.core.keys_rest_until_us(now_us, MAX_RUN_AFTER_LAST_CALL_US).saturating_sub(now_us);
         let sharing: Vec<u32> = self.family.peers.iter().filter(|p| p.leases).map(|p| p.serial).collect();
         for serial in sharing {
             self.tell_neighbour(PeerProcessId(serial), &Message::Settled(rest_us.div_ceil(1000)));
@@ -438,7 +438,7 @@
         let peer = self.family.peers.remove(at);
         self.poll.remove(&peer.stream);
         if peer.leases {
-            let silent_us = self.core.rests_after(self.time.now_us + ABANDONED_US);
+            let silent_us = self.core.rests_after(self.time.now_us + MAX_RUN_AFTER_LAST_CALL_US);
             let over_us = peer.settled_us.unwrap_or(silent_us);
             self.inputs
                 .push(Input::PeerProcess(PeerProcessId(peer.serial), PeerProcessEvent::Ended(over_us)));
--- a/gateway/src/net/mod.rs
+++ b/gateway/src/net/mod.rs
@@ -90,11 +90,11 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Timer {
-    /// Something must have happened on a connection to an engine.
-    Link(usize, u32),
-    /// The end of an attempt that was given up should have been heard by now.
-    Unheard(engines::AttemptId),
-    /// The engine of an attempt whose end was not heard of is asked again.
+    /// Something must have happened on a connection to an engine: its slot and serial.
+    EngineConnection(usize, u32),
+    /// An engine should have confirmed a cancellation by now.
+    CancelTimeout(engines::AttemptId),
+    /// The engine of a lost attempt is asked again to confirm its end.
     Confirmation(engines::AttemptId),
     /// A client must have got on by now: started its session, ended its message, read its last word.
     Client(Handle),
@@ -245,8 +245,8 @@
                     }
                     (_, LINK) => {
                         self.sessions.governor.charge(Work::Event, 1);
-                        if let Some(at) = self.pools.at(key) {
-                            self.link_ready(at, interest);
+                        if let Some(at) = self.pools.slot_of(key) {
+                            self.connection_ready(at, interest);
                         }
                     }
                     (_, WATCH) => self.watch_ready(key, interest),
@@ -297,7 +297,7 @@
             self.carry_out(command);
         }
         while let Some(at) = self.pools.dirty.pop() {
-            self.settle_link(at);
+            self.flush_connection(at);
         }
         while let Some(who) = self.sessions.dirty.pop() {
             self.settle_session(who);
@@ -335,9 +335,9 @@
             self.lateness.note(due_us, self.time.now_us);
             self.sessions.governor.charge(Work::Event, 1);
             match timer {
-                Timer::Link(at, serial) => self.link_late(at, serial),
-                Timer::Unheard(id) => self.unheard(id),
-                Timer::Confirmation(id) => self.ask_for_confirmation(id),
+                Timer::EngineConnection(at, serial) => self.connection_timer_fired(at, serial),
+                Timer::CancelTimeout(id) => self.attempt_lost(id),
+                Timer::Confirmation(id) => self.request_confirmation(id),
                 Timer::Client(who) => self.client_late(who),
                 Timer::IdleLimit => self.close_long_idle(),
                 Timer::Watch => self.check_watch(),
@@ -354,10 +354,12 @@
     fn carry_out(&mut self, command: Command) {
         match command {
             Command::StartAttempt { request, attempt, engine, limits, terms } => {
-                self.start((request, attempt), engine, terms, limits);
+                self.start_attempt((request, attempt), engine, terms, limits);
             }
-            Command::SetPriority { request, attempt, priority } => self.rank((request, attempt), priority),
-            Command::CancelAttempt(request, attempt) => self.stop((request, attempt)),
+            Command::SetPriority { request, attempt, priority } => {
+                self.set_priority((request, attempt), priority)
+            }
+            Command::CancelAttempt(request, attempt) => self.cancel_attempt((request, attempt)),
             Command::Serve(..) | Command::Reject(..) | Command::Fail(_) => self.answer(command),
             Command::ClaimLease(neighbour, key) => self.tell_neighbour(neighbour, &Message::Claim(key)),
             Command::GrantLease(neighbour, key) => self.tell_neighbour(neighbour, &Message::Grant(key)),
--- a/gateway/src/net/pools.rs
+++ b/gateway/src/net/pools.rs
@@ -1,4 +1,6 @@
-//! Connections to engines and what they are there for: the state behind `engines.rs`.
+//! The state of the engines' side of the network: engines, connections in slots, attempts in flight.
+//!
+//! A slot is an index into [`Pools::connections`]; the serial tells a connection from later ones in its slot.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -12,90 +14,90 @@
 use crate::front::Payload;
 
 /// A connection to an engine.
-pub struct Peer {
+pub struct EngineConnection {
     pub conn: Conn,
     pub link: Link,
-    /// Tells this connection from others that had its place.
+    /// Tells this connection from others that had its slot.
     pub serial: u32,
-    /// When something must have happened here, and the timer that tells.
+    /// When something must have happened on it, in microseconds, and the timer for that.
     pub timer: Option<(u64, TimerId)>,
 }
 
 /// The engines, the connections to them and the attempts over these.
 #[derive(Default)]
 pub struct Pools {
-    pub peers: Vec<Option<Peer>>,
-    free: Vec<usize>,
-    /// Places given up in this turn: what it still has to tell of them must not meet another connection.
-    left_free: Vec<usize>,
+    pub connections: Vec<Option<EngineConnection>>,
+    free_slots: Vec<usize>,
+    /// Slots freed in this turn: events of it that are still to come must not meet another connection.
+    freed_this_turn: Vec<usize>,
     serials: u32,
-    /// Connections that something has happened to in this turn.
+    /// Slots of connections that changed in this turn.
     pub dirty: Vec<usize>,
-    /// Connections in all.
-    pub conns: usize,
+    /// Number of connections.
+    pub open_connections: usize,
     pub engines: BTreeMap<EngineId, Engine>,
     pub ids: HashMap<String, EngineId>,
     /// Ids given out so far: one is never given out again.
-    pub met: u32,
+    pub ids_given: u32,
     pub attempts: BTreeMap<AttemptId, Attempt>,
-    /// Attempts that are over here, and perhaps not at their engines.
+    /// Lost attempts whose end is to be confirmed.
     pub unconfirmed: BTreeMap<AttemptId, Unconfirmed>,
     pub results: BTreeMap<AttemptId, Payload>,
 }
 
 impl Pools {
-    pub fn peer(&mut self, at: usize) -> Option<&mut Peer> {
-        self.peers.get_mut(at).and_then(Option::as_mut)
+    pub fn connection(&mut self, slot: usize) -> Option<&mut EngineConnection> {
+        self.connections.get_mut(slot).and_then(Option::as_mut)
     }
 
-    /// Finds a place for a connection, and the key that it will have in the poller.
-    pub fn place(&mut self) -> (usize, u64) {
-        let at = self.free.pop().unwrap_or_else(|| {
-            self.peers.push(None);
-            self.peers.len() - 1
+    /// Finds a slot for a connection, and the key that it will have in the poller.
+    pub fn allocate_slot(&mut self) -> (usize, u64) {
+        let slot = self.free_slots.pop().unwrap_or_else(|| {
+            self.connections.push(None);
+            self.connections.len() - 1
         });
-        (at, Self::key(at, self.serials.wrapping_add(1)))
+        (slot, Self::key(slot, self.serials.wrapping_add(1)))
     }
 
-    /// Gives back a place that was not needed.
-    pub fn unplace(&mut self, at: usize) {
-        self.free.push(at);
+    /// Gives back a slot that was not needed.
+    pub fn free_slot(&mut self, slot: usize) {
+        self.free_slots.push(slot);
     }
 
-    pub fn put(&mut self, at: usize, conn: Conn, link: Link) {
+    pub fn insert(&mut self, slot: usize, conn: Conn, link: Link) {
         self.serials = self.serials.wrapping_add(1);
-        self.conns += 1;
-        self.peers[at] = Some(Peer { conn, link, serial: self.serials, timer: None });
-        self.dirty.push(at);
+        self.open_connections += 1;
+        self.connections[slot] = Some(EngineConnection { conn, link, serial: self.serials, timer: None });
+        self.dirty.push(slot);
     }
 
-    pub fn key(at: usize, serial: u32) -> u64 {
-        LINK | u64::from(serial & 0x3fff_ffff) << 32 | at as u64
+    pub fn key(slot: usize, serial: u32) -> u64 {
+        LINK | u64::from(serial & 0x3fff_ffff) << 32 | slot as u64
     }
 
-    /// The connection that a key of the poller names, if it is still there.
-    pub fn at(&self, key: u64) -> Option<usize> {
-        let at = key as u32 as usize;
-        let serial = self.peers.get(at)?.as_ref()?.serial;
-        (Self::key(at, serial) == key).then_some(at)
+    /// The slot of the connection that a key of the poller names, if it is still open.
+    pub fn slot_of(&self, key: u64) -> Option<usize> {
+        let slot = key as u32 as usize;
+        let serial = self.connections.get(slot)?.as_ref()?.serial;
+        (Self::key(slot, serial) == key).then_some(slot)
     }
 
     /// The one place where a connection to an engine is closed.
-    pub fn close(&mut self, poll: &Poll, timers: &mut TimerWheel<Timer>, at: usize) -> Option<Link> {
-        let peer = self.peers.get_mut(at)?.take()?;
-        if let Some((_, timer)) = peer.timer {
+    pub fn close(&mut self, poll: &Poll, timers: &mut TimerWheel<Timer>, slot: usize) -> Option<Link> {
+        let connection = self.connections.get_mut(slot)?.take()?;
+        if let Some((_, timer)) = connection.timer {
             timers.cancel(timer);
         }
-        peer.conn.close(poll);
-        tracing::debug!(engine = peer.link.engine.0, "connection closed");
-        self.left_free.push(at);
-        self.conns -= 1;
-        Some(peer.link)
+        connection.conn.close(poll);
+        tracing::debug!(engine = connection.link.engine.0, "connection closed");
+        self.freed_this_turn.push(slot);
+        self.open_connections -= 1;
+        Some(connection.link)
     }
 
-    /// The turn is over: places given up in it may be taken again.
+    /// The turn is over: slots freed in it may be reused.
     pub fn end_turn(&mut self) {
         self.results.clear();
-        self.free.append(&mut self.left_free);
+        self.free_slots.append(&mut self.freed_this_turn);
     }
 }
--- a/gateway/tests/crossings.rs
+++ b/gateway/tests/crossings.rs
@@ -172,7 +172,7 @@
     let (client, mut wire) = out_at(&engine, &gateway, "load");
     // Full, so that it rests before the next attempt.
     wire.say("HTTP/1.1 503 x\r\nX-Shed: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
-    gateway.logged("ended query_id=\"0000000000000001\"");
+    gateway.logged("attempt ended query_id=\"0000000000000001\"");
     drop(client);
     left(&gateway, 1);
     let ran = ran();
@@ -343,7 +343,7 @@
     watch.event(2, &format!("{},{}", two.entry("Ready"), one.entry("Terminating")));
     gateway.logged("name=\"e1\" state=Draining");
     wire.say("HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n");
-    gateway.logged("ended query_id=\"0000000000000001\"");
+    gateway.logged("attempt ended query_id=\"0000000000000001\"");
     // A connection that was not let in is tried again by the kernel after a second, twice the window.
     two.let_in();
     assert!(code(&client.answer()).starts_with("53"), "repeats are known as such everywhere");
@@ -376,7 +376,7 @@
     assert_eq!(*elsewhere.lock().unwrap(), [id(1), id(n)]);
     // The log is read as it comes; up to this line it is whole.
     gateway.logged(&format!("answered query_id=\"{}\"", id(n)));
-    assert!(gateway.log().matches("sent query_id=").count() == 2, "{}", gateway.log());
+    assert!(gateway.log().matches("attempt forwarded query_id=").count() == 2, "{}", gateway.log());
 }
 
 #[test]
--- a/lab/src/classes.rs
+++ b/lab/src/classes.rs
@@ -90,13 +90,13 @@
         }
         let Some((class, taken, sent)) = open.get_mut(query_id) else { continue };
         let count = seconds.entry((*class, now as u64)).or_default();
-        if line.contains(" sent ") {
+        if line.contains(" attempt forwarded ") {
             count.attempts += 1;
             if !std::mem::replace(sent, true) {
                 count.sent += 1;
                 count.held_s += now - *taken;
             }
-        } else if line.contains(" given up ") {
+        } else if line.contains(" attempt cancelled ") {
             count.given_up += 1;
         } else if line.contains(" answered ") {
             match field(&line, "how") {
@@ -182,16 +182,16 @@
 
     const LOG: &str = r#"0.000  INFO wrenhatch: serving name=n1
 0.054 DEBUG wrenhatch::net::clients: taken query_id="a1" request=1 class=0 wait_us=2087000 now_us=41676
-0.104 DEBUG wrenhatch::net::engines: sent query_id="a1" number=0 engine=1 class=0 now_us=42104
-0.207 DEBUG wrenhatch::net::engines: ended query_id="a1" number=0 engine=1 now_us=194537 outcome=Success
+0.104 DEBUG wrenhatch::net::engines: attempt forwarded query_id="a1" attempt=0 engine=1 class=0 now_us=42104
+0.207 DEBUG wrenhatch::net::engines: attempt ended query_id="a1" attempt=0 engine=1 now_us=194537 outcome=Success
 0.254 DEBUG wrenhatch::net::clients: answered query_id="a1" now_us=194537 how="served"
 0.300 DEBUG wrenhatch::net::clients: taken query_id="b2" request=2 class=1 wait_us=13921000 now_us=300000
 1.400 DEBUG workload_manager::policy::explain: held in vain request=2 class=1 why=threads open=0 threads=80 held=1.10
 1.400 DEBUG wrenhatch::net::clients: answered query_id="b2" now_us=1400000 how="refused"
 1.500 DEBUG wrenhatch::net::clients: taken query_id="c3" request=3 class=1 wait_us=13921000 now_us=1500000
-1.500 DEBUG wrenhatch::net::engines: sent query_id="c3" number=0 engine=1 class=1 now_us=1500000
-1.700 DEBUG wrenhatch::net::engines: given up query_id="c3" number=0 now_us=1700000
-1.800 DEBUG wrenhatch::net::engines: sent query_id="c3" number=1 engine=2 class=1 now_us=1800000
+1.500 DEBUG wrenhatch::net::engines: attempt forwarded query_id="c3" attempt=0 engine=1 class=1 now_us=1500000
+1.700 DEBUG wrenhatch::net::engines: attempt cancelled query_id="c3" attempt=0 now_us=1700000
+1.800 DEBUG wrenhatch::net::engines: attempt forwarded query_id="c3" attempt=1 engine=2 class=1 now_us=1800000
 "#;
 
     #[test]
--- a/lab/src/engines.rs
+++ b/lab/src/engines.rs
@@ -93,14 +93,14 @@
                 Some(0) => count.again += 1,
                 Some(_) => count.more += 1,
             }
-            count.to_give_up += u64::from(field(&line, "give_up") == Some("true"));
+            count.to_give_up += u64::from(field(&line, "cancels") == Some("true"));
             *open.entry(name.clone()).or_default() += 1;
         } else if line.contains("connection closed") {
             count.closed += 1;
             open.entry(name.clone()).and_modify(|n| *n = n.saturating_sub(1));
-        } else if line.contains(" sent ") {
+        } else if line.contains(" attempt forwarded ") {
             count.sent += 1;
-        } else if line.contains(" ended ") {
+        } else if line.contains(" attempt ended ") {
             let served = field(&line, "outcome") == Some("Success");
             *(if served { &mut count.served } else { &mut count.other }) += 1;
         }
@@ -187,21 +187,21 @@
     use super::*;
 
     const ONE: &str = r#"0.000 DEBUG wrenhatch::net::engines: engine listed engine=0 name="e1" state=Ready since_ms=0 now_us=10
-0.100 DEBUG wrenhatch::net::engines: connection opened engine=0 give_up=false now_us=100000
-0.110 DEBUG wrenhatch::net::engines: sent query_id="a" number=0 engine=0 class=0 now_us=110000
-0.200 DEBUG wrenhatch::net::engines: connection opened engine=0 give_up=false now_us=200000
-0.300 DEBUG wrenhatch::net::engines: ended query_id="a" number=0 engine=0 now_us=300000 outcome=Success
+0.100 DEBUG wrenhatch::net::engines: connection opened engine=0 cancels=false now_us=100000
+0.110 DEBUG wrenhatch::net::engines: attempt forwarded query_id="a" attempt=0 engine=0 class=0 now_us=110000
+0.200 DEBUG wrenhatch::net::engines: connection opened engine=0 cancels=false now_us=200000
+0.300 DEBUG wrenhatch::net::engines: attempt ended query_id="a" attempt=0 engine=0 now_us=300000 outcome=Success
 0.900 DEBUG wrenhatch::net::pools: connection closed engine=0
 1.000 DEBUG wrenhatch::net::pools: connection closed engine=0
-1.100 DEBUG wrenhatch::net::engines: connection opened engine=0 give_up=true now_us=1100000
-1.200 DEBUG wrenhatch::net::engines: ended query_id="b" number=0 engine=0 now_us=1200000 outcome=Broken
+1.100 DEBUG wrenhatch::net::engines: connection opened engine=0 cancels=true now_us=1100000
+1.200 DEBUG wrenhatch::net::engines: attempt ended query_id="b" attempt=0 engine=0 now_us=1200000 outcome=Broken
 1.300 DEBUG wrenhatch::net::engines: engine listed engine=0 name="e1" state=Draining since_ms=0 now_us=1300000
-1.400 DEBUG wrenhatch::net::engines: connection opened engine=7 give_up=false now_us=1400000
+1.400 DEBUG wrenhatch::net::engines: connection opened engine=7 cancels=false now_us=1400000
 "#;
     // Another gateway has met another engine first.
     const OTHER: &str = r#"0.000 DEBUG wrenhatch::net::engines: engine listed engine=0 name="e2" state=Ready since_ms=0 now_us=10
 0.000 DEBUG wrenhatch::net::engines: engine listed engine=1 name="e1" state=Ready since_ms=0 now_us=10
-0.500 DEBUG wrenhatch::net::engines: connection opened engine=1 give_up=false now_us=500000
+0.500 DEBUG wrenhatch::net::engines: connection opened engine=1 cancels=false now_us=500000
 1.700 DEBUG wrenhatch::net::engines: engine listed engine=1 name="e1" state=Draining since_ms=0 now_us=1700000
 "#;
 
