--- a/gateway/src/net/engines/connection_events.rs
+++ b/gateway/src/net/engines/connection_events.rs
@@ -19,9 +19,9 @@
 /// a call for a progress report for 250 ms.
 const DISCARD_TIMEOUT_US: u64 = 1_000_000;
 
-/// Tenths of the keepalive time for which a connection is kept idle: past it the engine may close the connection any
+/// Tenths of the engines' idle timeout for which a connection is kept idle: past it the engine may close the connection any
 /// moment, and a start written to one that is being closed could not be told from one that ran.
-const IDLE_KEEPALIVE_TENTHS: u64 = 6;
+const IDLE_TIMEOUT_TENTHS: u64 = 6;
 
 /// What came over a connection is not its protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
@@ -41,14 +41,14 @@
             // All other jobs may go another way; only this engine can confirm what it runs.
             let confirms = matches!(link.job, Job::Confirm(_));
             let at_least_us = if confirms { CONFIRMATION_CONNECT_TIMEOUT_US } else { 0 };
-            return Some(link.call_written_us + self.config.connect_us.max(at_least_us));
+            return Some(link.call_written_us + self.config.connect_timeout_us.max(at_least_us));
         }
         if link.is_write_delayed() {
             return Some(link.write_after_us);
         }
         match (link.job, &link.protocol_state) {
             (Job::Idle { since_us }, _) => {
-                Some(since_us + self.config.keepalive_us * IDLE_KEEPALIVE_TENTHS / 10)
+                Some(since_us + self.config.engine_idle_timeout_us * IDLE_TIMEOUT_TENTHS / 10)
             }
             (Job::Attempt(_), ProtocolState::Http) => Some(link.call_written_us + RESPONSE_TIMEOUT_US + 1),
             (Job::Attempt(_), ProtocolState::MySql(_)) => None,
@@ -198,7 +198,7 @@
             return Ok(false);
         }
         match &mut link.protocol_state {
-            ProtocolState::Http => match http::read(&mut conn.input, &self.names.report_extras)? {
+            ProtocolState::Http => match http::read(&mut conn.input, &self.names.load_report_extras)? {
                 Some(response) => self.http_response(slot, response),
                 None => return Ok(false),
             },
