--- a/gateway/src/net/engines.rs
+++ b/gateway/src/net/engines.rs
@@ -38,8 +38,7 @@
 
 pub use confirmation::Unconfirmed;
 
-/// An attempt: its request, and its number among the request's attempts.
-pub type AttemptId = (RequestId, u32);
+pub use crate::core::AttemptId;
 
 /// How a connection to an engine ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/gateway/src/net/engines/attempts.rs
+++ b/gateway/src/net/engines/attempts.rs
@@ -1,7 +1,7 @@
 //! Attempts at engines: how they start and end, and what follows when their connection ends first.
 
 use workload_manager::interface::*;
-use wrenhatch_sessions::memory_budget::Kind;
+use wrenhatch_sessions::memory_budget::MemoryPurpose;
 
 use super::{Attempt, AttemptId, ConnectionEnd, EngineProtocol, Execution, Job, Link, ProtocolState};
 use crate::core::{AttemptLimits, AttemptTerms, Input};
@@ -37,7 +37,7 @@
         limits: AttemptLimits,
     ) {
         let AttemptLimits { until_us, begin_by_us, in_order } = limits;
-        let Some(request) = self.requests.open.get(&id.0) else {
+        let Some(request) = self.requests.open.get(&id.request) else {
             return self.attempt_not_sent(id, Outcome::NeverSent);
         };
         let max_ms = (until_us.saturating_sub(self.time.now_us) / 1000).max(1);
@@ -77,14 +77,14 @@
 
     fn attempt_not_sent(&mut self, id: AttemptId, outcome: Outcome) {
         self.counters.ended(outcome);
-        self.inputs.push(Input::AttemptEnded(id.0, id.1, outcome, None));
+        self.inputs.push(Input::AttemptEnded { attempt: id, outcome, load_report: None });
     }
 
     /// Removes an attempt with all that is held for it: its query id, its memory and its timer.
     pub(super) fn remove_attempt(&mut self, id: AttemptId) -> Option<Attempt> {
         let attempt = self.pools.attempts.remove(&id)?;
         self.requests.release_query_id(&attempt.query_id);
-        self.sessions.ledger.book(Kind::Results, attempt.reserved_bytes, 0);
+        self.sessions.memory.release(MemoryPurpose::Results, attempt.reserved_bytes);
         if let Some(timer) = attempt.cancel_timer {
             self.timers.cancel(timer);
         }
@@ -102,14 +102,14 @@
         self.detach_connection(attempt.slot, id);
         tracing::debug!(
             query_id = attempt.query_id,
-            attempt = id.1,
+            attempt = id.number,
             engine = attempt.engine.0,
             now_us = self.time.now_us,
             ?outcome,
             "attempt ended"
         );
         self.counters.ended(outcome);
-        self.inputs.push(Input::AttemptEnded(id.0, id.1, outcome, load_report));
+        self.inputs.push(Input::AttemptEnded { attempt: id, outcome, load_report });
     }
 
     /// Whether no byte that executes this attempt has been written.
--- a/gateway/src/net/engines/calls.rs
+++ b/gateway/src/net/engines/calls.rs
@@ -12,7 +12,7 @@
     pub(super) fn may_forward(&self, id: AttemptId, engine: EngineId) -> bool {
         let ready = self.pools.engines.get(&engine).is_some_and(|e| e.state == EndpointState::Ready);
         let in_time = self.pools.attempts.get(&id).is_some_and(|a| self.time.now_us < a.begin_by_us);
-        ready && in_time && self.requests.open.contains_key(&id.0)
+        ready && in_time && self.requests.open.contains_key(&id.request)
     }
 
     /// Writes the call that a connection was acquired for, if the connection can carry it now.
@@ -59,13 +59,13 @@
         let Some(connection) = self.pools.connections.get_mut(slot).and_then(Option::as_mut) else { return };
         attempt.last_call_us = now_us;
         self.counters.sent += 1;
-        let class = self.requests.open.get(&id.0).map(|r| r.class);
+        let class = self.requests.open.get(&id.request).map(|r| r.class);
         if let Some(class) = class {
             self.metrics.class(class).attempts += 1;
         }
         tracing::debug!(
             query_id = attempt.query_id,
-            attempt = id.1,
+            attempt = id.number,
             engine = engine.0,
             class = class.map(|c| c.0),
             now_us,
--- a/gateway/src/net/engines/cancellation.rs
+++ b/gateway/src/net/engines/cancellation.rs
@@ -30,7 +30,7 @@
         };
         let Some(attempt) = self.pools.attempts.get_mut(&id) else { return };
         let now_us = self.time.now_us;
-        tracing::debug!(query_id = attempt.query_id, attempt = id.1, now_us, "attempt cancelled");
+        tracing::debug!(query_id = attempt.query_id, attempt = id.number, now_us, "attempt cancelled");
         attempt.mysql_connection_id = mysql_connection_id;
         attempt.call_retries = 0;
         attempt.cancelling = true;
@@ -42,7 +42,7 @@
             Ok(slot) => self.write_first_call(slot),
             Err(outcome) => {
                 tracing::debug!(
-                    attempt = id.1,
+                    attempt = id.number,
                     engine = engine.0,
                     ?outcome,
                     "no connection to cancel an attempt over"
@@ -60,7 +60,7 @@
         let engine = over.engine.0;
         tracing::debug!(
             query_id = attempt.query_id,
-            attempt = id.1,
+            attempt = id.number,
             engine,
             ?end,
             "cancellation not delivered"
@@ -80,7 +80,7 @@
         self.detach_connection(attempt.slot, id);
         let now_us = self.time.now_us;
         let engine = attempt.engine.0;
-        tracing::debug!(query_id = attempt.query_id, attempt = id.1, engine, now_us, "attempt lost");
+        tracing::debug!(query_id = attempt.query_id, attempt = id.number, engine, now_us, "attempt lost");
         self.counters.ended(Outcome::TimedOut);
         let may_run_until_us = attempt.may_run_until_us(now_us);
         match attempt.execution {
@@ -88,7 +88,7 @@
                 let unconfirmed = Unconfirmed::new(attempt.engine, attempt.query_id, may_run_until_us);
                 self.begin_confirmation(id, unconfirmed);
             }
-            _ => self.inputs.push(Input::AttemptLost(id.0, id.1, may_run_until_us)),
+            _ => self.inputs.push(Input::AttemptLost { attempt: id, runs_until_us: may_run_until_us }),
         }
     }
 }
--- a/gateway/src/net/engines/confirmation.rs
+++ b/gateway/src/net/engines/confirmation.rs
@@ -38,7 +38,7 @@
     pub(super) fn begin_confirmation(&mut self, id: AttemptId, attempt: Unconfirmed) {
         self.requests.retain_query_id(&attempt.query_id);
         self.pools.unconfirmed.insert(id, attempt);
-        self.inputs.push(Input::AttemptUnconfirmed(id.0, id.1));
+        self.inputs.push(Input::AttemptUnconfirmed(id));
         self.request_confirmation(id);
     }
 
@@ -87,13 +87,13 @@
         self.requests.release_query_id(&attempt.query_id);
         tracing::debug!(
             query_id = attempt.query_id,
-            attempt = id.1,
+            attempt = id.number,
             engine = attempt.engine.0,
             now_us = self.time.now_us,
             may_run_until_us,
             "end of a lost attempt confirmed"
         );
-        self.inputs.push(Input::AttemptEndConfirmed(id.0, id.1, may_run_until_us));
+        self.inputs.push(Input::AttemptEndConfirmed { attempt: id, runs_until_us: may_run_until_us });
     }
 
     /// The connection for a confirmation has ended without a response.
--- a/gateway/src/net/engines/connection_events.rs
+++ b/gateway/src/net/engines/connection_events.rs
@@ -71,7 +71,7 @@
         let due_us = self.connection_due_us(connection);
         if let Some(connection) = self.pools.connection(slot) {
             let timer = Timer::EngineConnection(slot, connection.serial);
-            self.timers.keep(&mut connection.timer, due_us, timer);
+            self.timers.reschedule(&mut connection.timer, due_us, timer);
         }
     }
 
@@ -107,8 +107,12 @@
     /// An established connection has no response in time, or has been idle for long enough.
     fn response_timed_out(&mut self, slot: usize, job: Job) {
         match job {
-            Job::Attempt((request, attempt)) => {
-                tracing::debug!(request = request.0, attempt, "no response from an engine in time");
+            Job::Attempt(id) => {
+                tracing::debug!(
+                    request = id.request.0,
+                    attempt = id.number,
+                    "no response from an engine in time"
+                );
                 self.connection_ended(slot, ConnectionEnd::Broken);
             }
             Job::Cancel(id) if self.pools.attempts.contains_key(&id) => {
--- a/gateway/src/net/engines/http_responses.rs
+++ b/gateway/src/net/engines/http_responses.rs
@@ -1,7 +1,7 @@
 //! HTTP responses of engines, and what they mean for the job of their connection.
 
 use workload_manager::interface::*;
-use wrenhatch_sessions::memory_budget::Kind;
+use wrenhatch_sessions::memory_budget::MemoryPurpose;
 
 use super::connections::REUSE_DELAY_US;
 use super::{AttemptId, ConnectionEnd, Execution, Job};
@@ -44,7 +44,7 @@
         let step = exchange.on_response(&mut response, &mut next_call);
         let held_bytes = exchange.held_bytes();
         let reserved_bytes = std::mem::replace(&mut attempt.reserved_bytes, held_bytes);
-        self.sessions.ledger.book(Kind::Results, reserved_bytes, held_bytes);
+        self.sessions.memory.resize(MemoryPurpose::Results, reserved_bytes, held_bytes);
         let was_repeated = attempt.call_retries > 0;
         if step != Step::Unusable {
             attempt.call_retries = 0;
@@ -54,7 +54,7 @@
             Step::StillRunning => self.release_or_close(slot, response.close),
             Step::Unusable => {
                 let (query_id, status) = (&attempt.query_id, response.status);
-                tracing::debug!(query_id, attempt = id.1, status, "unusable response from an engine");
+                tracing::debug!(query_id, attempt = id.number, status, "unusable response from an engine");
                 self.connection_ended(slot, ConnectionEnd::Broken);
             }
             Step::Ended(outcome) => self.http_attempt_ended(slot, id, outcome, was_repeated, response.close),
@@ -70,7 +70,7 @@
         let early = now_us < link.call_written_us + REUSE_DELAY_US;
         link.duplicate_response_possible |= response.status == 202 && response.progress.is_none() && early;
         let progress = response.progress.unwrap_or(Progress::Running);
-        self.inputs.push(Input::AttemptProgress(id.0, id.1, progress));
+        self.inputs.push(Input::AttemptProgress { attempt: id, progress });
         if response.close {
             return self.connection_ended(slot, ConnectionEnd::Broken);
         }
--- a/gateway/src/net/engines/mysql_events.rs
+++ b/gateway/src/net/engines/mysql_events.rs
@@ -29,7 +29,12 @@
                 self.end_attempt(id, Outcome::Success, None);
             }
             (Event::Failed(e), Job::Attempt(id)) => {
-                tracing::debug!(attempt = id.1, code = e.code, error = e.message, "error from an engine");
+                tracing::debug!(
+                    attempt = id.number,
+                    code = e.code,
+                    error = e.message,
+                    "error from an engine"
+                );
                 self.release(slot);
                 self.end_attempt(id, Outcome::Error, None);
             }
--- a/gateway/src/net/mod.rs
+++ b/gateway/src/net/mod.rs
@@ -36,7 +36,7 @@
 use crate::config::{Config, OWN_DESCRIPTORS, SettingsNames};
 use crate::core::{Command, Core, Input};
 use crate::counters::Counters;
-use crate::discovery::EngineRegistry;
+use crate::discovery::{EndpointWatch, EngineRegistry};
 use crate::handover::Message;
 use crate::metrics::Metrics;
 use crate::timer_lag::TimerLag;
@@ -173,7 +173,11 @@
             ),
             requests: Requests::default(),
             pools: pools::Pools::default(),
-            watch: watch::Watch::new(known_list.last_index, config.seed as u32 as f64 / f64::from(u32::MAX)),
+            watch: watch::Watch::new(EndpointWatch::new(
+                known_list.last_index,
+                config.memory_bytes,
+                config.seed as u32 as f64 / f64::from(u32::MAX),
+            )),
             control: config
                 .control_plane
                 .clone()
@@ -244,7 +248,7 @@
                         self.reload(0);
                     }
                     (_, LINK) => {
-                        self.sessions.governor.charge(Work::Event, 1);
+                        self.sessions.scheduler.charge(Work::Event, 1);
                         if let Some(at) = self.pools.slot_of(key) {
                             self.connection_ready(at, interest);
                         }
@@ -284,7 +288,7 @@
             open = self.core.open_requests(),
             timers = self.timers.len() + self.core.timers(),
             sessions = %self.sessions,
-            lateness = %self.lateness.with(self.core.lateness()),
+            lateness = %self.lateness.with(self.core.timer_lag()),
         );
     }
 
@@ -306,13 +310,13 @@
         self.pools.end_turn();
     }
 
-    /// How long to wait, at the end of a turn: the second of its two looks at the clock, which tells the governor
+    /// How long to wait, at the end of a turn: the second of its two looks at the clock, which tells the scheduler
     /// what the turn has cost.
     fn timeout(&mut self) -> Option<Duration> {
         let now_us = self.time.clock.elapsed().as_micros() as u64;
-        self.sessions.governor.end_turn(now_us.saturating_sub(self.time.now_us));
+        self.sessions.scheduler.end_turn(now_us.saturating_sub(self.time.now_us));
         let unsettled = !self.sessions.dirty.is_empty() || !self.pools.dirty.is_empty();
-        if unsettled || !self.inputs.is_empty() || self.sessions.governor.waiting() > 0 {
+        if unsettled || !self.inputs.is_empty() || self.sessions.scheduler.waiting() > 0 {
             return Some(Duration::ZERO);
         }
         let next_us = [self.timers.next_us(), self.core.next_timer_us()].into_iter().flatten().min()?;
@@ -333,7 +337,7 @@
     fn ring(&mut self) {
         while let Some((due_us, timer)) = self.timers.pop(self.time.now_us) {
             self.lateness.note(due_us, self.time.now_us);
-            self.sessions.governor.charge(Work::Event, 1);
+            self.sessions.scheduler.charge(Work::Event, 1);
             match timer {
                 Timer::EngineConnection(at, serial) => self.connection_timer_fired(at, serial),
                 Timer::CancelTimeout(id) => self.attempt_lost(id),
@@ -353,16 +357,14 @@
 
     fn carry_out(&mut self, command: Command) {
         match command {
-            Command::StartAttempt { request, attempt, engine, limits, terms } => {
-                self.start_attempt((request, attempt), engine, terms, limits);
+            Command::StartAttempt { attempt, engine, limits, terms } => {
+                self.start_attempt(attempt, engine, terms, limits);
             }
-            Command::SetPriority { request, attempt, priority } => {
-                self.set_priority((request, attempt), priority)
-            }
-            Command::CancelAttempt(request, attempt) => self.cancel_attempt((request, attempt)),
-            Command::Serve(..) | Command::Reject(..) | Command::Fail(_) => self.answer(command),
-            Command::ClaimLease(neighbour, key) => self.tell_neighbour(neighbour, &Message::Claim(key)),
-            Command::GrantLease(neighbour, key) => self.tell_neighbour(neighbour, &Message::Grant(key)),
+            Command::SetPriority { attempt, priority } => self.set_priority(attempt, priority),
+            Command::CancelAttempt(attempt) => self.cancel_attempt(attempt),
+            Command::Serve(..) | Command::Reject { .. } | Command::Fail(_) => self.answer(command),
+            Command::ClaimLease { key, holder } => self.tell_neighbour(holder, &Message::Claim(key)),
+            Command::GrantLease { key, to } => self.tell_neighbour(to, &Message::Grant(key)),
         }
     }
 }
