--- a/adapter/src/error.rs
+++ b/adapter/src/error.rs
@@ -2,7 +2,7 @@
 
 use std::io;
 
-use workload_manager::interface::SettingsError;
+use workload_manager::SettingsError;
 
 /// Why an event of a line was not accepted. `event` is its position in the line, from 0.
 #[derive(Debug, thiserror::Error)]
--- a/adapter/src/host.rs
+++ b/adapter/src/host.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use workload_manager::interface::*;
+use workload_manager::{EndpointListMode, Event, RequestId};
 
 use crate::error::HostError;
 use crate::instance::Instance;
--- a/adapter/src/instance.rs
+++ b/adapter/src/instance.rs
@@ -2,8 +2,10 @@
 
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
-use workload_manager::WorkloadManager;
-use workload_manager::interface::*;
+use workload_manager::{
+    Action, ClassId, EndpointEntry, EngineId, Event, KeyId, MachineTypeId, Request, RequestId, SettingsError,
+    TableGroupId, TenantId, WorkloadManager, ZoneId,
+};
 
 use crate::error::HostError;
 use crate::names::NameTable;
--- a/adapter/src/translate.rs
+++ b/adapter/src/translate.rs
@@ -2,7 +2,11 @@
 
 use std::collections::BTreeMap;
 
-use workload_manager::interface::*;
+use workload_manager::{
+    Capabilities, Class, EndpointListMode, EndpointState, Idempotency, IdempotencyScope, LoadReport,
+    LoadReportSource, MachineType, MachineTypeId, MemoryShortage, Outcome, Progress, QueryCost, RetryBudget,
+    Rules, Settings, Tenant, ZoneId,
+};
 
 use crate::error::HostError;
 use crate::names::NameTable;
--- a/gateway/src/admission.rs
+++ b/gateway/src/admission.rs
@@ -9,7 +9,7 @@
 //!
 //! There is no I/O and no state here: the event loop gathers the [`AdmissionInput`] and carries out the verdict.
 
-use workload_manager::interface::{ClassId, TenantId};
+use workload_manager::{ClassId, TenantId};
 use wrenhatch_sessions::memory_budget::NoMemory;
 use wrenhatch_sessions::read_scheduler::ReadScheduler;
 
--- a/gateway/src/config.rs
+++ b/gateway/src/config.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use tinyjson::JsonValue;
-use workload_manager::interface::*;
+use workload_manager::*;
 use wrenhatch_configuration::Document;
 
 use crate::engine::mysql::Login;
--- a/gateway/src/coordinator/tests.rs
+++ b/gateway/src/coordinator/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use workload_manager::interface::EndpointState;
+use workload_manager::EndpointState;
 
 const EVENT: &str = "{\"index\":4,\"endpoints\":{\"index\":7,\"snapshot\":false,\"endpoints\":[{\"name\":\"a\",\
     \"address\":\"127.0.0.1:80\",\"zone\":\"z\",\"type\":\"k\",\"group\":2,\"status\":\"Terminating\",\"since_ms\":0}]}}";
--- a/gateway/src/core.rs
+++ b/gateway/src/core.rs
@@ -5,8 +5,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use workload_manager::WorkloadManager;
-use workload_manager::interface::*;
+use workload_manager::*;
 use wrenhatch_sessions::timer_wheel::{TimerId, TimerWheel};
 
 use crate::key_leases::{KeyLeases, LeaseEffect, PeerProcessId};
--- a/gateway/src/counters.rs
+++ b/gateway/src/counters.rs
@@ -92,8 +92,8 @@
     }
 
     /// Counts the end of an attempt.
-    pub fn ended(&mut self, outcome: workload_manager::interface::Outcome) {
-        use workload_manager::interface::Outcome as O;
+    pub fn ended(&mut self, outcome: workload_manager::Outcome) {
+        use workload_manager::Outcome as O;
         *match outcome {
             O::Success => &mut self.ended_success,
             O::Error => &mut self.ended_failure,
--- a/gateway/src/engine/http.rs
+++ b/gateway/src/engine/http.rs
@@ -2,7 +2,7 @@
 
 use std::io::Write;
 
-use workload_manager::interface::{LoadReport, Outcome, Progress};
+use workload_manager::{LoadReport, Outcome, Progress};
 
 use crate::front::Rows;
 
--- a/gateway/src/engine_registry.rs
+++ b/gateway/src/engine_registry.rs
@@ -5,7 +5,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use workload_manager::interface::EndpointState;
+use workload_manager::EndpointState;
 
 use crate::config::{Endpoint, EndpointListEvent};
 
--- a/gateway/src/front/fields.rs
+++ b/gateway/src/front/fields.rs
@@ -2,7 +2,7 @@
 
 use std::borrow::Cow;
 
-use workload_manager::interface::KeyId;
+use workload_manager::KeyId;
 
 /// Fields as the client worded them.
 #[derive(Clone, Debug, Default, PartialEq)]
--- a/gateway/src/handover.rs
+++ b/gateway/src/handover.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 
 use tinyjson::JsonValue;
-use workload_manager::interface::{EndpointState, KeyId};
+use workload_manager::{EndpointState, KeyId};
 
 use crate::config::{Endpoint, Node, list_entry};
 
--- a/gateway/src/key_leases.rs
+++ b/gateway/src/key_leases.rs
@@ -10,7 +10,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use workload_manager::interface::{KeyId, RequestId};
+use workload_manager::{KeyId, RequestId};
 
 /// A neighbouring process, by the number of the connection to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/gateway/src/metrics.rs
+++ b/gateway/src/metrics.rs
@@ -2,7 +2,7 @@
 
 use std::fmt::Write;
 
-use workload_manager::interface::ClassId;
+use workload_manager::ClassId;
 
 /// What is counted of one class.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
--- a/gateway/src/net/clients.rs
+++ b/gateway/src/net/clients.rs
@@ -2,7 +2,7 @@
 
 use std::net::{SocketAddr, TcpStream};
 
-use workload_manager::interface::*;
+use workload_manager::*;
 use wrenhatch_sessions::memory_budget::{Kind, Pressure};
 use wrenhatch_sessions::read_scheduler::{Pick, Work};
 use wrenhatch_sessions::session_table::{Ended, Handle, Use};
--- a/gateway/src/net/engines.rs
+++ b/gateway/src/net/engines.rs
@@ -3,7 +3,7 @@
 
 use std::net::SocketAddr;
 
-use workload_manager::interface::*;
+use workload_manager::*;
 use wrenhatch_sessions::timer_wheel::TimerId;
 
 use super::Server;
--- a/gateway/src/net/engines/answers.rs
+++ b/gateway/src/net/engines/answers.rs
@@ -1,6 +1,6 @@
 //! What comes over connections to engines, and what it means for the attempt or the call that waits for it.
 
-use workload_manager::interface::*;
+use workload_manager::*;
 use wrenhatch_sessions::memory_budget::Kind;
 
 use super::connections::REST_US;
--- a/gateway/src/net/engines/attempts.rs
+++ b/gateway/src/net/engines/attempts.rs
@@ -1,6 +1,6 @@
 //! Attempts at engines: begun, asked for again, given up, and how the core is told of their end.
 
-use workload_manager::interface::*;
+use workload_manager::*;
 use wrenhatch_sessions::memory_budget::Kind;
 
 use super::{Attempt, AttemptId, Course, End, EngineProtocol, Job, Link, Unconfirmed, Wire};
--- a/gateway/src/net/engines/confirmation.rs
+++ b/gateway/src/net/engines/confirmation.rs
@@ -6,7 +6,7 @@
 use crate::core::Input;
 use crate::engine::http;
 use crate::net::Timer;
-use workload_manager::interface::*;
+use workload_manager::*;
 
 /// How long a connection over which an engine is asked may take to come up, in microseconds: longer than one that
 /// comes up late, and short enough that a cut that has healed is seen soon.
--- a/gateway/src/net/engines/connections.rs
+++ b/gateway/src/net/engines/connections.rs
@@ -1,6 +1,6 @@
 //! Connections to engines: found, opened, kept idle, timed and closed, within the descriptor budget.
 
-use workload_manager::interface::*;
+use workload_manager::*;
 
 use super::attempts::UNHEARD_US;
 use super::confirmation::CONFIRMATION_CONNECT_US;
--- a/gateway/src/net/engines/list.rs
+++ b/gateway/src/net/engines/list.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use workload_manager::interface::*;
+use workload_manager::*;
 
 use super::{Engine, Server};
 use crate::config::{Endpoint, EndpointListEvent, Names};
--- a/gateway/src/net/mod.rs
+++ b/gateway/src/net/mod.rs
@@ -28,7 +28,7 @@
 use std::os::unix::net::UnixStream;
 use std::time::{Duration, Instant, SystemTime};
 
-use workload_manager::interface::*;
+use workload_manager::*;
 use wrenhatch_sessions::read_scheduler::Work;
 use wrenhatch_sessions::session_table::Handle;
 use wrenhatch_sessions::timer_wheel::TimerWheel;
--- a/gateway/src/net/pools.rs
+++ b/gateway/src/net/pools.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use workload_manager::interface::EngineId;
+use workload_manager::EngineId;
 use wrenhatch_sessions::timer_wheel::{TimerId, TimerWheel};
 
 use super::conn::Conn;
--- a/gateway/src/net/reconfigure.rs
+++ b/gateway/src/net/reconfigure.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use workload_manager::interface::{Class, ClassId, SettingsError};
+use workload_manager::{Class, ClassId, SettingsError};
 
 use super::{Server, sessions};
 use crate::config::{self, ConfigError, SiteSettings};
--- a/gateway/src/net/requests.rs
+++ b/gateway/src/net/requests.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use workload_manager::interface::{ClassId, RequestId};
+use workload_manager::{ClassId, RequestId};
 use wrenhatch_sessions::session_table::Handle;
 
 use crate::front::ExecutionMode;
--- a/gateway/src/net/sessions.rs
+++ b/gateway/src/net/sessions.rs
@@ -5,7 +5,7 @@
 use std::net::{IpAddr, SocketAddr, TcpStream};
 use std::rc::Rc;
 
-use workload_manager::interface::RequestId;
+use workload_manager::RequestId;
 use wrenhatch_sessions::memory_budget::{Kind, MemoryBudget};
 use wrenhatch_sessions::read_scheduler::{Limits, ReadScheduler, Standing, Work};
 use wrenhatch_sessions::session_table::{Handle, Table, Use};
--- a/gateway/src/net/shutdown.rs
+++ b/gateway/src/net/shutdown.rs
@@ -1,7 +1,7 @@
 //! The end of the process: what is still taken after SIGTERM, until when all of it is answered, and how clients'
 //! connections are closed so that nothing is taken and dropped.
 
-use workload_manager::interface::Settings;
+use workload_manager::Settings;
 
 use super::conn::Phase;
 use super::listeners::Front;
--- a/gateway/src/settings_change.rs
+++ b/gateway/src/settings_change.rs
@@ -7,7 +7,7 @@
 
 use std::collections::BTreeSet;
 
-use workload_manager::interface::*;
+use workload_manager::*;
 
 use crate::config::Names;
 
--- a/gateway/tests/recorded_messages.rs
+++ b/gateway/tests/recorded_messages.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 
 use serde_json::Value;
-use workload_manager::interface::{ClassId, EndpointState, KeyId, Outcome};
+use workload_manager::{ClassId, EndpointState, KeyId, Outcome};
 use wrenhatch::config::{Endpoint, EndpointListEvent, UnreadableEntry, list_event_text};
 use wrenhatch::counters::Counters;
 use wrenhatch::event_stream::{EventStream, SentEvent};
--- a/lab/src/capacity/decisions.rs
+++ b/lab/src/capacity/decisions.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use rustix::time::{ClockId, clock_gettime};
-use workload_manager::interface::*;
+use workload_manager::*;
 use wrenhatch::core::{Command, Core, Input, NewRequest};
 
 use super::error::CapacityError;
--- a/lab/src/capacity/error.rs
+++ b/lab/src/capacity/error.rs
@@ -65,7 +65,7 @@
     Config(#[from] wrenhatch::config::ConfigError),
     /// The settings make no sense.
     #[error("settings: {0}")]
-    Settings(#[from] workload_manager::interface::SettingsError),
+    Settings(#[from] workload_manager::SettingsError),
     /// The gateway or a stand-in did not do what was waited for.
     #[error("{0}")]
     Peer(String),
--- a/lab/src/hollow/error.rs
+++ b/lab/src/hollow/error.rs
@@ -44,7 +44,7 @@
     Config(#[from] wrenhatch::config::ConfigError),
     /// The settings make no sense.
     #[error("settings: {0}")]
-    Settings(#[from] workload_manager::interface::SettingsError),
+    Settings(#[from] workload_manager::SettingsError),
     /// A file can't be read or written.
     #[error("{0}: {1}")]
     File(PathBuf, io::Error),
--- a/lab/src/hollow/model/gateway.rs
+++ b/lab/src/hollow/model/gateway.rs
@@ -4,9 +4,7 @@
 
 use rand_core::SeedableRng;
 use rand_pcg::Pcg32;
-use workload_manager::interface::{
-    EndpointEntry, EndpointListMode, EndpointState, EngineId, MachineTypeId, ZoneId,
-};
+use workload_manager::{EndpointEntry, EndpointListMode, EndpointState, EngineId, MachineTypeId, ZoneId};
 use wrenhatch::config::{Config, Endpoint, EndpointListEvent, Names};
 use wrenhatch::core::{Core, Input};
 use wrenhatch::engine_registry::EngineRegistry;
--- a/src/decisions/active_subset.rs
+++ b/src/decisions/active_subset.rs
@@ -2,7 +2,7 @@
 //! of it; so it prefers the first in a random order of its own, as many as it has requests for. The others
 //! take what finds no room.
 
-use crate::interface::*;
+use crate::ZoneId;
 
 use super::WorkloadManager;
 use super::engine::Engine;
--- a/src/decisions/admission.rs
+++ b/src/decisions/admission.rs
@@ -3,7 +3,7 @@
 //! [`Guard::ALL`] is the one list of them, in the order in which they are asked. The release of queued
 //! requests and the log line on a shed request both go by it. Guards have no side effects.
 
-use crate::interface::*;
+use crate::{Class, ClassId, EndpointEntry, EndpointState, EngineId};
 
 use super::WorkloadManager;
 use super::class_profile::ClassProfile;
--- a/src/decisions/class_profile.rs
+++ b/src/decisions/class_profile.rs
@@ -1,6 +1,6 @@
 //! What was learned of a class of requests: its usual work, latency and memory.
 
-use crate::interface::*;
+use crate::{Class, LoadReportSource, QueryCost, Settings};
 
 use super::smoothing::{NEWEST_SAMPLE_RATIO, blend};
 
--- a/src/decisions/classification.rs
+++ b/src/decisions/classification.rs
@@ -1,6 +1,6 @@
 //! Which classes are interactive. All others are background work.
 
-use crate::interface::*;
+use crate::{Class, SettingsChange};
 
 /// Interactive classes have an objective of at most this times the shortest among the lightest classes.
 const OBJECTIVE_RATIO: f64 = 2.0;
--- a/src/decisions/control_tick.rs
+++ b/src/decisions/control_tick.rs
@@ -2,7 +2,7 @@
 //!
 //! Ticks keep to a grid from the first event on, and rest while no request is queued or in flight.
 
-use crate::interface::*;
+use crate::Action;
 
 use super::{CONTROL_TICK_TOKEN, WorkloadManager};
 
--- a/src/decisions/endpoint_list.rs
+++ b/src/decisions/endpoint_list.rs
@@ -1,7 +1,7 @@
 //! Changes of the endpoint list: which engines there are, and what is known of one that is new or has
 //! restarted.
 
-use crate::interface::*;
+use crate::{Action, EndpointEntry, EndpointListMode, EndpointState, MachineType};
 
 use super::concurrency_limit::ConcurrencyLimit;
 use super::engine::Engine;
--- a/src/decisions/engine.rs
+++ b/src/decisions/engine.rs
@@ -1,6 +1,6 @@
 //! What one gateway knows of one engine.
 
-use crate::interface::*;
+use crate::{EndpointEntry, EndpointState};
 
 use super::class_profile::ClassProfile;
 use super::concurrency_limit::ConcurrencyLimit;
--- a/src/decisions/explain.rs
+++ b/src/decisions/explain.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-use crate::interface::*;
+use crate::RequestId;
 
 use super::WorkloadManager;
 use super::admission::{Admission, Guard, OVERLOAD_THREADS_PER_CORE};
--- a/src/decisions/fleet.rs
+++ b/src/decisions/fleet.rs
@@ -1,6 +1,6 @@
 //! Sums over all engines: what they have for this gateway, and what it uses.
 
-use crate::interface::*;
+use crate::EndpointState;
 
 use super::WorkloadManager;
 use super::engine::Engine;
--- a/src/decisions/load_estimate.rs
+++ b/src/decisions/load_estimate.rs
@@ -4,7 +4,7 @@
 //! Utilization is relative to what an engine bears; 1 is full. An estimate fades with age towards the mean
 //! over all engines.
 
-use crate::interface::*;
+use crate::{ClassId, EngineId, LoadReport, MemoryShortage, Rules};
 
 use super::WorkloadManager;
 use super::class_profile::ClassProfile;
--- a/src/decisions/mod.rs
+++ b/src/decisions/mod.rs
@@ -60,7 +60,10 @@
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 
-use crate::interface::*;
+use crate::{
+    Action, Class, ClassId, ClassOrigin, EndpointState, EngineId, Event, LoadReportSource, RequestId,
+    Settings, SettingsChange, SettingsError,
+};
 
 use class_profile::ClassProfile;
 use classification::interactive_classes;
--- a/src/decisions/order_by_key.rs
+++ b/src/decisions/order_by_key.rs
@@ -4,7 +4,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use crate::interface::*;
+use crate::{KeyId, Request, RequestId};
 
 /// Bars a key until a time in seconds, but for the request whose attempt may still run.
 struct Cooldown {
--- a/src/decisions/outcome.rs
+++ b/src/decisions/outcome.rs
@@ -1,6 +1,6 @@
 //! What the end of an attempt tells: of its engine, of its class, and of the latency that the limits go by.
 
-use crate::interface::*;
+use crate::{EngineId, LoadReport, Outcome, QueryCost};
 
 use super::WorkloadManager;
 use super::class_profile::ClassProfile;
--- a/src/decisions/outlier.rs
+++ b/src/decisions/outlier.rs
@@ -5,7 +5,7 @@
 //! see `relative_latency`. An engine that rejects attempts is full, not at fault: it rests for a moment
 //! without a ramp.
 
-use crate::interface::*;
+use crate::{EngineId, Outcome};
 
 use super::request_path::PendingRequest;
 
--- a/src/decisions/release.rs
+++ b/src/decisions/release.rs
@@ -1,6 +1,6 @@
 //! What one round of releasing queued requests knows, so that engines are not searched for each request anew.
 
-use crate::interface::*;
+use crate::EngineId;
 
 use super::admission::Needs;
 
--- a/src/decisions/request_path.rs
+++ b/src/decisions/request_path.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::interface::*;
+use crate::{Action, EngineId, Outcome, Request, RequestId};
 
 use super::WorkloadManager;
 use super::admission::{Admission, Guard, Needs};
--- a/src/decisions/retry.rs
+++ b/src/decisions/retry.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use crate::interface::*;
+use crate::{EndpointEntry, EndpointState, EngineId, Idempotency, IdempotencyScope, RetryBudget};
 
 use super::WorkloadManager;
 use super::request_path::PendingRequest;
--- a/src/decisions/selection.rs
+++ b/src/decisions/selection.rs
@@ -1,6 +1,6 @@
 //! Endpoint selection: which of the engines that admit a request gets it.
 
-use crate::interface::*;
+use crate::{EngineId, Request, RequestId};
 
 use super::engine::Engine;
 use super::supervision::Attempt;
--- a/src/decisions/shedding.rs
+++ b/src/decisions/shedding.rs
@@ -1,7 +1,7 @@
 //! Load shedding: which queued requests are given up, how a request that was not served is answered, and the
 //! Retry-After that goes with a rejection.
 
-use crate::interface::*;
+use crate::{Action, ClassId, RequestId};
 
 use super::request_path::PendingRequest;
 use super::{WorkloadManager, explain, unit_interval};
--- a/src/decisions/slow_start.rs
+++ b/src/decisions/slow_start.rs
@@ -6,7 +6,7 @@
 use rand_core::RngCore;
 use rand_pcg::Pcg32;
 
-use crate::interface::*;
+use crate::{Class, Rules, Settings};
 
 use super::class_profile::ClassProfile;
 use super::engine::Engine;
--- a/src/decisions/supervision.rs
+++ b/src/decisions/supervision.rs
@@ -7,7 +7,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::interface::*;
+use crate::{Action, Capabilities, Class, EngineId, Idempotency, Progress, Request, RequestId};
 
 use super::WorkloadManager;
 use super::class_profile::ClassProfile;
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -7,8 +7,7 @@
 use common::*;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
-use workload_manager::WorkloadManager;
-use workload_manager::interface::*;
+use workload_manager::*;
 
 const STARTS: f64 = 1000.0;
 const TICK: f64 = 0.03;
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,8 +1,7 @@
 //! Settings and a small driver for scripted tests.
 #![allow(dead_code)]
 
-use workload_manager::WorkloadManager;
-use workload_manager::interface::*;
+use workload_manager::*;
 
 pub const LOOKUP: ClassId = ClassId(0);
 pub const REPORT: ClassId = ClassId(1);
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -8,8 +8,7 @@
 use common::*;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
-use workload_manager::WorkloadManager;
-use workload_manager::interface::*;
+use workload_manager::*;
 
 /// Steps of the clock, and how long it runs: till the longest deadline of the last request is over.
 const TICK: f64 = 0.1;
--- a/tests/keys.rs
+++ b/tests/keys.rs
@@ -5,7 +5,7 @@
 use std::time::Instant;
 
 use common::*;
-use workload_manager::interface::*;
+use workload_manager::*;
 
 const MANY: u64 = 10_000;
 /// As many as are tried without optimisation.
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -3,8 +3,7 @@
 mod common;
 
 use common::*;
-use workload_manager::WorkloadManager;
-use workload_manager::interface::*;
+use workload_manager::*;
 
 /// An engine that has answered often enough to be sent any number of attempts.
 fn well(drive: &mut Drive) {
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -10,7 +10,7 @@
 use common::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use workload_manager::interface::*;
+use workload_manager::*;
 
 #[derive(Clone, Debug)]
 enum Step {
--- a/tests/reconfigure.rs
+++ b/tests/reconfigure.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::*;
-use workload_manager::interface::*;
+use workload_manager::*;
 
 const KEPT: ClassOrigin = ClassOrigin::Unchanged;
 
--- a/tests/recorded_decisions/settings.rs
+++ b/tests/recorded_decisions/settings.rs
@@ -1,6 +1,6 @@
 //! The settings of each stream, and the changes of them in mid-stream.
 
-use workload_manager::interface::*;
+use workload_manager::*;
 
 use super::draws::Draws;
 
--- a/tests/recorded_decisions/wording.rs
+++ b/tests/recorded_decisions/wording.rs
@@ -1,6 +1,6 @@
 //! What a gateway asks for, in short fixed words: they stay when types and fields get other names.
 
-use workload_manager::interface::*;
+use workload_manager::*;
 
 /// One action. Numbers with a fraction are told by their bits.
 pub fn words(action: &Action) -> String {
--- a/tests/recorded_decisions/world.rs
+++ b/tests/recorded_decisions/world.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use workload_manager::WorkloadManager;
-use workload_manager::interface::*;
+use workload_manager::*;
 
 use super::draws::Draws;
 use super::journal::Journal;
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use workload_manager::interface::*;
+use workload_manager::*;
 
 fn keyed(group: IdempotencyScope) -> Settings {
     let mut s = settings();
