--- a/gateway/src/admission.rs
+++ b/gateway/src/admission.rs
@@ -10,10 +10,10 @@
 //! There is no I/O and no state here: the event loop gathers the [`AdmissionInput`] and carries out the verdict.
 
 use workload_manager::{ClassId, TenantId};
-use wrenhatch_sessions::memory_budget::NoMemory;
+use wrenhatch_sessions::memory_budget::InsufficientMemory;
 use wrenhatch_sessions::read_scheduler::ReadScheduler;
 
-use crate::config::Names;
+use crate::config::SettingsNames;
 use crate::front::fields::Fields;
 
 /// Why a request or a statement to be prepared is invalid; the text goes to the client.
@@ -43,7 +43,7 @@
 ///
 /// # Errors
 /// A class, or else a tenant, that the settings don't have.
-pub fn subject(names: &Names, fields: &Fields) -> Result<Subject, InvalidRequest> {
+pub fn subject(names: &SettingsNames, fields: &Fields) -> Result<Subject, InvalidRequest> {
     let class = names.class(&fields.class).ok_or(InvalidRequest::UnknownClass)?;
     let tenant = |name: &String| names.tenant(name).ok_or(InvalidRequest::UnknownTenant);
     Ok(Subject { class, tenant: fields.tenant.as_ref().map(tenant).transpose()? })
@@ -53,7 +53,7 @@
 ///
 /// # Errors
 /// An id in use, or else names that the settings don't have.
-pub fn validate(names: &Names, fields: &Fields, id_in_use: bool) -> Result<Subject, InvalidRequest> {
+pub fn validate(names: &SettingsNames, fields: &Fields, id_in_use: bool) -> Result<Subject, InvalidRequest> {
     if id_in_use { Err(InvalidRequest::DuplicateId) } else { subject(names, fields) }
 }
 
@@ -82,7 +82,7 @@
     /// Requests that may be open.
     pub max_open_requests: usize,
     /// Whether the memory budget has the bytes of the request.
-    pub memory: Result<(), NoMemory>,
+    pub memory: Result<(), InsufficientMemory>,
 }
 
 impl AdmissionInput {
@@ -114,7 +114,9 @@
             Guard::ShuttingDown => input.shutting_down,
             Guard::TooManyOpenRequests => input.open_requests >= input.max_open_requests,
             Guard::MemoryShort => input.memory.is_err(),
-            Guard::TooLate => !ReadScheduler::in_time(input.now_us, input.work_ahead_us, input.deadline_us()),
+            Guard::TooLate => {
+                !ReadScheduler::can_meet_deadline(input.now_us, input.work_ahead_us, input.deadline_us())
+            }
         }
     }
 
--- a/gateway/src/net/engines/answers.rs
+++ b/gateway/src/net/engines/answers.rs
@@ -1,7 +1,7 @@
 //! What comes over connections to engines, and what it means for the attempt or the call that waits for it.
 
 use workload_manager::*;
-use wrenhatch_sessions::memory_budget::Kind;
+use wrenhatch_sessions::memory_budget::MemoryPurpose;
 
 use super::connections::REST_US;
 use super::{Course, End, Job, Wire};
@@ -30,7 +30,7 @@
                 return self.engine_gone(at, End::Broken);
             }
             let read = match &mut link.wire {
-                Wire::Http => match http::read(&mut conn.input, &self.names.report_extras) {
+                Wire::Http => match http::read(&mut conn.input, &self.names.load_report_extras) {
                     Ok(None) => break,
                     Ok(Some(response)) => {
                         self.response(at, response);
@@ -89,7 +89,11 @@
                 let step = exchange.on_response(&mut response, &mut next);
                 let asked_again = attempt.retries > 0;
                 let held = exchange.held_bytes();
-                self.sessions.ledger.book(Kind::Results, std::mem::replace(&mut attempt.booked, held), held);
+                self.sessions.memory.resize(
+                    MemoryPurpose::Results,
+                    std::mem::replace(&mut attempt.booked, held),
+                    held,
+                );
                 if step != http::Step::Spoilt {
                     attempt.retries = 0;
                 }
@@ -99,7 +103,7 @@
                         let soon = now_us < link.asked_us + REST_US;
                         link.doubtful |= response.status == 202 && response.note.is_none() && soon;
                         let note = response.note.unwrap_or(Progress::Running);
-                        self.inputs.push(Input::AttemptProgress(id.0, id.1, note));
+                        self.inputs.push(Input::AttemptProgress { attempt: id, progress: note });
                         if response.close {
                             return self.engine_gone(at, End::Broken);
                         }
--- a/gateway/src/net/handover.rs
+++ b/gateway/src/net/handover.rs
@@ -16,11 +16,11 @@
 
 use super::poll::{Interest, Poll, Told};
 use super::{HANDOVER, HANDOVER_LISTENER, Server};
-use crate::config::{Config, EndpointListEvent};
-use crate::core::{Input, PeerProcessEvent};
+use crate::config::Config;
+use crate::core::{Input, PeerProcessEvent, PeerProcessId};
+use crate::discovery::EndpointListEvent;
 use crate::engine::http::ABANDONED_US;
 use crate::handover::{self, Message};
-use crate::key_leases::PeerProcessId;
 
 /// The older process tells all it knows within this, or the newer one starts without.
 const PATIENCE: Duration = Duration::from_secs(1);
@@ -45,7 +45,7 @@
 /// Where the older process listens: under the folder that the platform gives this gateway alone. None without an
 /// operators' door, as nobody asks for an upgrade then.
 fn path(config: &Config) -> Option<PathBuf> {
-    config.ops?;
+    config.admin?;
     let folder = std::env::var_os("TMPDIR").filter(|folder| !folder.is_empty())?;
     let name: String = config.name.chars().filter(|c| c.is_ascii_alphanumeric() || *c == '-').collect();
     Some(PathBuf::from(folder).join(format!("wrenhatch-{name}.sock")))
@@ -245,18 +245,18 @@
                 Message::Enter(name) => {
                     self.registry.remember(&name);
                     // Its entry in the list comes behind, and is seen as it counts then.
-                    let _ = self.registry.enter(&name);
+                    let _ = self.registry.begin_maintenance(&name);
                 }
                 _ => {}
             }
         }
         tracing::info!(
             engines = entries.len(),
-            out = self.registry.out().count(),
+            out = self.registry.in_maintenance().count(),
             "taken over from the older process"
         );
         if !entries.is_empty() {
-            self.listed(&EndpointListEvent { index: 0, full: true, entries, unread: Vec::new() });
+            self.listed(&EndpointListEvent { index: 0, is_full: true, entries, unreadable: Vec::new() });
         }
     }
 
@@ -271,7 +271,8 @@
                     Message::Taking { leases: older.leases }.write(&mut peer.output);
                     if older.leases {
                         let neighbour = PeerProcessId(peer.serial);
-                        self.inputs.push(Input::PeerProcess(neighbour, PeerProcessEvent::Succeeded));
+                        self.inputs
+                            .push(Input::PeerProcess { peer: neighbour, event: PeerProcessEvent::Succeeded });
                     }
                     self.peer_ready(HANDOVER | u64::from(self.family.serials));
                 }
@@ -375,9 +376,11 @@
     /// Tells a newer process all that it must know, with the listeners beside the first byte.
     fn bequeath(&mut self, at: usize) -> bool {
         let mut out = Vec::new();
-        self.registry.names().for_each(|(name, ms)| Message::Known(name.to_owned(), ms).write(&mut out));
-        self.registry.listed().for_each(|l| Message::Listed(l.clone()).write(&mut out));
-        self.registry.out().for_each(|name| Message::Enter(name.to_owned()).write(&mut out));
+        self.registry
+            .known_names()
+            .for_each(|(name, ms)| Message::Known(name.to_owned(), ms).write(&mut out));
+        self.registry.endpoints().for_each(|l| Message::Listed(l.clone()).write(&mut out));
+        self.registry.in_maintenance().for_each(|name| Message::Enter(name.to_owned()).write(&mut out));
         Message::End { cancels: true, leases: true }.write(&mut out);
         let peer = &mut self.family.peers[at];
         let fds: Vec<_> = self.listeners.all().map(AsFd::as_fd).collect();
@@ -412,7 +415,7 @@
 
     fn hear(&mut self, at: usize, news: PeerProcessEvent) {
         let neighbour = PeerProcessId(self.family.peers[at].serial);
-        self.inputs.push(Input::PeerProcess(neighbour, news));
+        self.inputs.push(Input::PeerProcess { peer: neighbour, event: news });
     }
 
     /// Tells another process, if it still lives.
@@ -427,7 +430,7 @@
     /// This process ends: others that share its keys learn when what it leaves running is over.
     pub(super) fn settle_leases(&mut self) {
         let now_us = self.time.now_us;
-        let rest_us = self.core.keys_rest_until_us(now_us, ABANDONED_US).saturating_sub(now_us);
+        let rest_us = self.core.cooldown_after_exit_us(now_us, ABANDONED_US).saturating_sub(now_us);
         let sharing: Vec<u32> = self.family.peers.iter().filter(|p| p.leases).map(|p| p.serial).collect();
         for serial in sharing {
             self.tell_neighbour(PeerProcessId(serial), &Message::Settled(rest_us.div_ceil(1000)));
@@ -438,10 +441,12 @@
         let peer = self.family.peers.remove(at);
         self.poll.remove(&peer.stream);
         if peer.leases {
-            let silent_us = self.core.rests_after(self.time.now_us + ABANDONED_US);
+            let silent_us = self.core.key_cooldown_end_us(self.time.now_us + ABANDONED_US);
             let over_us = peer.settled_us.unwrap_or(silent_us);
-            self.inputs
-                .push(Input::PeerProcess(PeerProcessId(peer.serial), PeerProcessEvent::Ended(over_us)));
+            self.inputs.push(Input::PeerProcess {
+                peer: PeerProcessId(peer.serial),
+                event: PeerProcessEvent::Ended { cooldown_until_us: over_us },
+            });
         }
         // Whoever had taken this one's place, and the path to it, has ended first: all is as it was.
         if peer.role == Role::Taker && !self.shutdown.has_begun() && !self.family.is_followed() {
--- a/gateway/src/net/mod.rs
+++ b/gateway/src/net/mod.rs
@@ -33,10 +33,10 @@
 use wrenhatch_sessions::session_table::Handle;
 use wrenhatch_sessions::timer_wheel::TimerWheel;
 
-use crate::config::{Config, Names};
+use crate::config::{Config, OWN_DESCRIPTORS, SettingsNames};
 use crate::core::{Command, Core, Input};
 use crate::counters::Counters;
-use crate::engine_registry::EngineRegistry;
+use crate::discovery::{EndpointWatch, EngineRegistry};
 use crate::handover::Message;
 use crate::metrics::Metrics;
 use crate::timer_lag::TimerLag;
@@ -63,14 +63,11 @@
 const LINK: u64 = 2 << 62;
 const WATCH: u64 = 3 << 62;
 
-/// Descriptors beside connections: listeners, poller, signals, standard streams, one being accepted, the spare.
-pub const OWN_DESCRIPTORS: usize = 32;
-
 /// Those, and where operators call, their door and who stands in it; where control machines are asked, the stream and
 /// a report.
 fn own_descriptors(config: &Config) -> usize {
-    let ops = config.ops.map_or(0, |_| 1 + ops::MOST_CALLERS);
-    let control = config.control.as_ref().map_or(0, |_| 2);
+    let ops = config.admin.map_or(0, |_| 1 + ops::MOST_CALLERS);
+    let control = config.control_plane.as_ref().map_or(0, |_| 2);
     OWN_DESCRIPTORS + ops + control
 }
 
@@ -124,7 +121,7 @@
 /// The running gateway.
 pub struct Server {
     config: Config,
-    names: Names,
+    names: SettingsNames,
     core: Core,
     counters: Counters,
     poll: Poll,
@@ -153,8 +150,8 @@
         let mut inheritance = handover::inherit(&config);
         let left = inheritance.as_mut().map(|i| std::mem::take(&mut i.listeners)).unwrap_or_default();
         let listeners = Listeners::open(&config, &poll, left)?;
-        let ops = ops::Ops::open(config.ops, &poll)?;
-        let (last, known) = std::mem::take(&mut config.known);
+        let ops = ops::Ops::open(config.admin, &poll)?;
+        let known_list = std::mem::take(&mut config.known_list);
         let unix = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
         let metrics = Metrics::new(config.names.classes.iter().map(String::as_str));
         let mut server = Self {
@@ -176,11 +173,18 @@
             ),
             requests: Requests::default(),
             pools: pools::Pools::default(),
-            watch: watch::Watch::new(last, config.seed as u32 as f64 / f64::from(u32::MAX)),
-            control: config.control.clone().map(|control| configuration::Follower::new(control, &config)),
+            watch: watch::Watch::new(EndpointWatch::new(
+                known_list.last_index,
+                config.memory_bytes,
+                config.seed as u32 as f64 / f64::from(u32::MAX),
+            )),
+            control: config
+                .control_plane
+                .clone()
+                .map(|control| configuration::Follower::new(control, &config)),
             ops,
             family: handover::Family::default(),
-            registry: EngineRegistry::new(config.memory),
+            registry: EngineRegistry::new(config.memory_bytes),
             metrics,
             shutdown: shutdown::Shutdown::new(&config.settings),
             signals,
@@ -189,7 +193,7 @@
         };
         server.timers.arm(0, Timer::Watch);
         server.check_control();
-        known.iter().for_each(|event| server.listed(event));
+        known_list.events.iter().for_each(|event| server.listed(event));
         let older = inheritance.map(|i| {
             server.take_over(i.messages);
             handover::Older { stream: i.stream, rest: i.rest, cancels: i.cancels, leases: i.leases }
@@ -244,7 +248,7 @@
                         self.reload(0);
                     }
                     (_, LINK) => {
-                        self.sessions.governor.charge(Work::Event, 1);
+                        self.sessions.scheduler.charge(Work::Event, 1);
                         if let Some(at) = self.pools.at(key) {
                             self.link_ready(at, interest);
                         }
@@ -284,7 +288,7 @@
             open = self.core.open_requests(),
             timers = self.timers.len() + self.core.timers(),
             sessions = %self.sessions,
-            lateness = %self.lateness.with(self.core.lateness()),
+            lateness = %self.lateness.with(self.core.timer_lag()),
         );
     }
 
@@ -306,13 +310,13 @@
         self.pools.end_turn();
     }
 
-    /// How long to wait, at the end of a turn: the second of its two looks at the clock, which tells the governor
+    /// How long to wait, at the end of a turn: the second of its two looks at the clock, which tells the scheduler
     /// what the turn has cost.
     fn timeout(&mut self) -> Option<Duration> {
         let now_us = self.time.clock.elapsed().as_micros() as u64;
-        self.sessions.governor.end_turn(now_us.saturating_sub(self.time.now_us));
+        self.sessions.scheduler.end_turn(now_us.saturating_sub(self.time.now_us));
         let unsettled = !self.sessions.dirty.is_empty() || !self.pools.dirty.is_empty();
-        if unsettled || !self.inputs.is_empty() || self.sessions.governor.waiting() > 0 {
+        if unsettled || !self.inputs.is_empty() || self.sessions.scheduler.waiting() > 0 {
             return Some(Duration::ZERO);
         }
         let next_us = [self.timers.next_us(), self.core.next_timer_us()].into_iter().flatten().min()?;
@@ -333,7 +337,7 @@
     fn ring(&mut self) {
         while let Some((due_us, timer)) = self.timers.pop(self.time.now_us) {
             self.lateness.note(due_us, self.time.now_us);
-            self.sessions.governor.charge(Work::Event, 1);
+            self.sessions.scheduler.charge(Work::Event, 1);
             match timer {
                 Timer::Link(at, serial) => self.link_late(at, serial),
                 Timer::Unheard(id) => self.unheard(id),
@@ -353,14 +357,14 @@
 
     fn carry_out(&mut self, command: Command) {
         match command {
-            Command::StartAttempt { request, attempt, engine, limits, terms } => {
-                self.start((request, attempt), engine, terms, limits);
+            Command::StartAttempt { attempt, engine, limits, terms } => {
+                self.start(attempt, engine, terms, limits);
             }
-            Command::SetPriority { request, attempt, priority } => self.rank((request, attempt), priority),
-            Command::CancelAttempt(request, attempt) => self.stop((request, attempt)),
-            Command::Serve(..) | Command::Reject(..) | Command::Fail(_) => self.answer(command),
-            Command::ClaimLease(neighbour, key) => self.tell_neighbour(neighbour, &Message::Claim(key)),
-            Command::GrantLease(neighbour, key) => self.tell_neighbour(neighbour, &Message::Grant(key)),
+            Command::SetPriority { attempt, priority } => self.rank(attempt, priority),
+            Command::CancelAttempt(attempt) => self.stop(attempt),
+            Command::Serve(..) | Command::Reject { .. } | Command::Fail(_) => self.answer(command),
+            Command::ClaimLease { key, holder } => self.tell_neighbour(holder, &Message::Claim(key)),
+            Command::GrantLease { key, to } => self.tell_neighbour(to, &Message::Grant(key)),
         }
     }
 }
--- a/gateway/tests/recorded_messages.rs
+++ b/gateway/tests/recorded_messages.rs
@@ -7,13 +7,13 @@
 
 use serde_json::Value;
 use workload_manager::{ClassId, EndpointState, KeyId, Outcome};
-use wrenhatch::config::{Endpoint, EndpointListEvent, UnreadableEntry, list_event_text};
+use wrenhatch::control;
 use wrenhatch::counters::Counters;
-use wrenhatch::event_stream::{EventStream, SentEvent};
+use wrenhatch::discovery::{Endpoint, EndpointListEvent, UnreadableEntry, parse_event, write_stream_request};
+use wrenhatch::event_stream::{EventStream, ServerSentEvent};
 use wrenhatch::handover::{self, Message, MessageError};
 use wrenhatch::metrics::{Ending, Metrics, Now};
 use wrenhatch::ops::{self, Call, No};
-use wrenhatch::{control, coordinator};
 use wrenhatch_configuration::{Digest, Position, Report, Version};
 
 const HANDOVER: &str = include_str!("recorded_messages/handover.txt");
@@ -29,7 +29,15 @@
 
 fn listed(name: &str, at: &str, state: EndpointState, since_ms: u64) -> Endpoint {
     let (zone, kind) = ("east".to_owned(), "std".to_owned());
-    Endpoint { name: name.to_owned(), address: address(at), zone, kind, cell: 7, state, since_ms }
+    Endpoint {
+        name: name.to_owned(),
+        address: address(at),
+        zone,
+        machine_type: kind,
+        cell: 7,
+        state,
+        started_ms: since_ms,
+    }
 }
 
 /// The messages of the file, in its order.
@@ -45,7 +53,7 @@
         Message::Listed(listed("s-3", "127.0.0.1:0", EndpointState::Removed, 0)),
         Message::Listed(Endpoint {
             zone: String::new(),
-            kind: String::new(),
+            machine_type: String::new(),
             cell: 1 << 53,
             ..listed("", "0.0.0.0:1", EndpointState::Ready, 1)
         }),
@@ -126,19 +134,19 @@
     ];
     let gone = Endpoint {
         zone: String::new(),
-        kind: String::new(),
+        machine_type: String::new(),
         cell: 0,
         ..listed("s-3", "127.0.0.1:0", EndpointState::Removed, 0)
     };
     let unread = |name: Option<&str>, why: &str| UnreadableEntry {
         name: name.map(str::to_owned),
-        why: why.to_owned(),
+        error: why.to_owned(),
     };
     let event = |index, full, entries: &[Endpoint]| EndpointListEvent {
         index,
-        full,
+        is_full: full,
         entries: entries.to_vec(),
-        unread: Vec::new(),
+        unreadable: Vec::new(),
     };
     let bad = vec![
         unread(Some("s-4"), "event.endpoints.endpoints[0].status: Ready, Terminating or Gone expected"),
@@ -150,7 +158,7 @@
         event(42, false, &[gone]),
         event(43, false, &[]),
         event(44, true, &[]),
-        EndpointListEvent { unread: bad, ..event(45, false, &whole[..1]) },
+        EndpointListEvent { unreadable: bad, ..event(45, false, &whole[..1]) },
     ]
 }
 
@@ -158,7 +166,7 @@
 fn list_events_are_read_as_recorded() {
     assert_eq!(LIST_EVENTS.lines().count(), list_events().len());
     for (line, event) in LIST_EVENTS.lines().zip(list_events()) {
-        assert_eq!(list_event_text(line).unwrap(), event, "{line}");
+        assert_eq!(parse_event(line).unwrap(), event, "{line}");
     }
 }
 
@@ -170,7 +178,7 @@
         ("{\"index\":4,\"endpoints\":{\"snapshot\":1}}", "event.endpoints.snapshot: true or false expected"),
         ("{\"index\":4,\"endpoints\":{\"endpoints\":{}}}", "event.endpoints.endpoints: an array expected"),
     ] {
-        assert_eq!(list_event_text(text).unwrap_err().to_string(), why, "{text}");
+        assert_eq!(parse_event(text).unwrap_err().to_string(), why, "{text}");
     }
 }
 
@@ -187,7 +195,7 @@
 
 #[test]
 fn a_recorded_stream_is_read_as_before() {
-    let sent = |id, data: &str| SentEvent { id, data: data.to_owned() };
+    let sent = |id, data: &str| ServerSentEvent { id, data: data.to_owned() };
     let wanted = [
         sent(7, "{\"current\":3}"),
         sent(0, "{\"current\":\n4}"),
@@ -196,8 +204,8 @@
     ];
     for chunked in [false, true] {
         let (mut stream, mut input) = (EventStream::new(10_000), stream_bytes(chunked));
-        stream.take(&mut input).unwrap();
-        let events: Vec<SentEvent> = std::iter::from_fn(|| stream.next_event()).collect();
+        stream.read(&mut input).unwrap();
+        let events: Vec<ServerSentEvent> = std::iter::from_fn(|| stream.next_event()).collect();
         assert_eq!(events, wanted, "chunked: {chunked}");
         assert_eq!(stream.lines(), 1 + STREAM.lines().count() as u64);
     }
@@ -213,8 +221,8 @@
     let position = Position { version: Version(7), digest: Digest(0x2a) };
     let refused = Report::refused(Version(8), "settings: it \"can't\"\n", Version(7));
     vec![
-        write(&|out| coordinator::open(0, out)),
-        write(&|out| coordinator::open(u64::MAX, out)),
+        write(&|out| write_stream_request(0, out)),
+        write(&|out| write_stream_request(u64::MAX, out)),
         write(&|out| control::open(&"g 1\r\nX: y\u{e9}".into(), position, out)),
         write(&|out| control::open(&"g1".into(), Position::default(), out)),
         write(&|out| control::report(&"g1".into(), &Report::Applied { version: Version(8) }, out)),
