--- a/gateway/src/config/site.rs
+++ b/gateway/src/config/site.rs
@@ -1,7 +1,7 @@
 //! The `settings` object of a configuration: what the platform says of the deployment, and what may change while the
 //! gateway runs. The themed keys of the platform are mapped here to the terms of the code.
 
-use workload_manager::interface::*;
+use workload_manager::*;
 
 use super::{ConfigError, SettingsNames};
 use crate::json::{self, JsonError, JsonField};
--- a/gateway/src/core/rules.rs
+++ b/gateway/src/core/rules.rs
@@ -1,7 +1,7 @@
 //! The rules of retry safety that the core enforces whatever the workload manager asks for, and the limits that it
 //! takes from the settings for them.
 
-use workload_manager::interface::*;
+use workload_manager::*;
 
 use super::time::{micros, seconds};
 
--- a/gateway/src/discovery/endpoint.rs
+++ b/gateway/src/discovery/endpoint.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use workload_manager::interface::EndpointState;
+use workload_manager::EndpointState;
 
 use crate::json::{self, JsonError, JsonField};
 
--- a/gateway/tests/recorded_messages.rs
+++ b/gateway/tests/recorded_messages.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 
 use serde_json::Value;
-use workload_manager::interface::{ClassId, EndpointState, KeyId, Outcome};
+use workload_manager::{ClassId, EndpointState, KeyId, Outcome};
 use wrenhatch::control;
 use wrenhatch::counters::Counters;
 use wrenhatch::discovery::{Endpoint, EndpointListEvent, UnreadableEntry, parse_event, write_stream_request};
