--- a/gateway/src/net/engines/connections.rs
+++ b/gateway/src/net/engines/connections.rs
@@ -138,7 +138,7 @@
     }
 
     fn max_engine_connections(&self) -> usize {
-        crate::net::sessions::most_engine_conns(&self.config, self.family.is_alone())
+        crate::net::sessions::most_engine_conns(&self.config, self.peer_processes.is_empty())
     }
 
     /// Another process of this gateway has come: idle connections beyond this one's half are closed.
