--- a/gateway/src/config/mod.rs
+++ b/gateway/src/config/mod.rs
@@ -19,7 +19,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use workload_manager::interface::Settings;
+use workload_manager::Settings;
 use wrenhatch_configuration::Document;
 
 use crate::discovery::EndpointListEvent;
--- a/gateway/src/config/names.rs
+++ b/gateway/src/config/names.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use workload_manager::interface::{ClassId, TenantId};
+use workload_manager::{ClassId, TenantId};
 
 /// Names in the settings, each list in the order of the numbers that the workload manager uses.
 #[derive(Clone, Debug, Default)]
--- a/gateway/src/core/command.rs
+++ b/gateway/src/core/command.rs
@@ -1,6 +1,6 @@
 //! What the core wants done outside: its commands.
 
-use workload_manager::interface::*;
+use workload_manager::*;
 
 use super::{AttemptId, PeerProcessId};
 
--- a/gateway/src/discovery/endpoint.rs
+++ b/gateway/src/discovery/endpoint.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use tinyjson::JsonValue;
-use workload_manager::interface::EndpointState;
+use workload_manager::EndpointState;
 
 use crate::json::{self, JsonError, JsonField};
 
--- a/gateway/src/net/clients.rs
+++ b/gateway/src/net/clients.rs
@@ -2,7 +2,7 @@
 
 use std::net::{SocketAddr, TcpStream};
 
-use workload_manager::interface::*;
+use workload_manager::*;
 use wrenhatch_sessions::memory_budget::{MemoryPressure, MemoryPurpose};
 use wrenhatch_sessions::read_scheduler::{ScheduledRead, Work};
 use wrenhatch_sessions::session_table::{Activity, Handle, RemovedSession};
@@ -391,7 +391,7 @@
         };
         let (ready_us, early) = (live.ready_us, live.early);
         let token = fields.token.take();
-        let request = Request { client: who, ticket: query_id, class, statement, token, run };
+        let request = Request { client: who, query_id, class, statement, token, run };
         let input = AdmissionInput {
             now_us: self.time.now_us,
             ready_us,
@@ -445,7 +445,7 @@
         self.sessions.scheduler.charge(Work::Request, 1);
         self.counters.taken += 1;
         tracing::debug!(
-            ticket = request.ticket,
+            query_id = request.query_id,
             request = id.0,
             class = request.class.0,
             wait_us,
@@ -496,7 +496,7 @@
 
     fn left(&mut self, id: RequestId) {
         if let Some(request) = self.close_request(id) {
-            tracing::debug!(ticket = request.ticket, now_us = self.time.now_us, "left");
+            tracing::debug!(query_id = request.query_id, now_us = self.time.now_us, "left");
             self.counters.left += 1;
             self.inputs.push(Input::ClientLeft(id));
         }
@@ -536,7 +536,12 @@
         };
         let Some(request) = self.requests.remove(id) else { return };
         self.sessions.memory.release(MemoryPurpose::Requests, request.bytes());
-        tracing::debug!(ticket = request.ticket, now_us = self.time.now_us, how = answer.name(), "answered");
+        tracing::debug!(
+            query_id = request.query_id,
+            now_us = self.time.now_us,
+            how = answer.name(),
+            "answered"
+        );
         let (counter, ending) = match answer {
             FinalAnswer::Served(Payload::MySql(ResultSet::Wrong(_))) => {
                 (&mut self.counters.failed, Ending::Failed)
--- a/gateway/src/net/process_replacement/mod.rs
+++ b/gateway/src/net/process_replacement/mod.rs
@@ -12,7 +12,7 @@
 
 use super::Server;
 use crate::core::{Input, PeerProcessEvent, PeerProcessId};
-use crate::engine::http::ABANDONED_US;
+use crate::engine::http::MAX_RUN_AFTER_LAST_CALL_US;
 use crate::process_replacement::Message;
 
 impl Server {
@@ -166,7 +166,8 @@
     /// This process exits: peers that share its keys learn when what it leaves running is over.
     pub(super) fn announce_exit_to_peers(&mut self) {
         let now_us = self.time.now_us;
-        let cooldown_us = self.core.cooldown_after_exit_us(now_us, ABANDONED_US).saturating_sub(now_us);
+        let cooldown_us =
+            self.core.cooldown_after_exit_us(now_us, MAX_RUN_AFTER_LAST_CALL_US).saturating_sub(now_us);
         let peers = self.peer_processes.iter().filter(|peer| peer.features.key_leases);
         let peers: Vec<PeerProcessId> = peers.map(|peer| peer.id()).collect();
         for peer in peers {
@@ -178,7 +179,7 @@
         let peer = self.peer_processes.remove(&self.poll, at);
         if peer.features.key_leases {
             // One that died without a word may have left attempts that run as long as engines allow.
-            let latest_us = self.core.key_cooldown_end_us(self.time.now_us + ABANDONED_US);
+            let latest_us = self.core.key_cooldown_end_us(self.time.now_us + MAX_RUN_AFTER_LAST_CALL_US);
             let cooldown_until_us = peer.cooldown_until_us.unwrap_or(latest_us);
             let event = PeerProcessEvent::Ended { cooldown_until_us };
             self.inputs.push(Input::PeerProcess { peer: peer.id(), event });
--- a/gateway/src/net/shutdown.rs
+++ b/gateway/src/net/shutdown.rs
@@ -9,7 +9,7 @@
 //! 4. Once all answers are written, the gateway ends its side of all connections and discards what clients still send,
 //!    for [`LINGER_US`] at most. Then the process may exit.
 
-use workload_manager::interface::Settings;
+use workload_manager::Settings;
 
 use super::conn::Phase;
 use super::listeners::Front;
--- a/gateway/src/process_replacement/messages.rs
+++ b/gateway/src/process_replacement/messages.rs
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 
 use tinyjson::JsonValue;
-use workload_manager::interface::KeyId;
+use workload_manager::KeyId;
 
 use crate::discovery::{Endpoint, endpoint_to_json, read_endpoint};
 use crate::json::{JsonError, JsonField};
--- a/gateway/src/process_replacement/messages/tests.rs
+++ b/gateway/src/process_replacement/messages/tests.rs
@@ -1,4 +1,4 @@
-use workload_manager::interface::EndpointState;
+use workload_manager::EndpointState;
 
 use super::*;
 
--- a/gateway/tests/order.rs
+++ b/gateway/tests/order.rs
@@ -32,7 +32,7 @@
 fn ask(gateway: &Gateway, n: u64, key: &str) -> pg::Client {
     let mut client = pg::Client::connect(gateway.pg);
     client.send(&load(n, key));
-    gateway.logged(&format!("taken ticket=\"{}\"", id(n)));
+    gateway.logged(&format!("taken query_id=\"{}\"", id(n)));
     client
 }
 
@@ -86,7 +86,7 @@
     let mut first = ask(&gateway, 1, "k1");
     let mut second = ask(&gateway, 2, "k1");
     let mut wire = e1.accept();
-    assert_eq!(wire.call().ticket(), id(1));
+    assert_eq!(wire.call().query_id(), id(1));
     let began = Instant::now();
     watch.event(2, &e2.entry("Ready"));
     // The first engine accepts no connections any more: whether it still runs the attempt can't be known.
@@ -94,7 +94,7 @@
     wire.reset();
     assert!(matches!(first.answer(), pg::Answer::Error(code, _) if !code.starts_with("53")));
     let mut wire = e2.accept();
-    assert_eq!(wire.call().ticket(), id(2));
+    assert_eq!(wire.call().query_id(), id(2));
     assert!(began.elapsed() >= ABANDONED + KEY_COOLDOWN, "after {:?}", began.elapsed());
     wire.row(&id(2));
     is_served(&mut second, 2);
@@ -125,7 +125,7 @@
         let mut first = ask(&gateway, 1, "k1");
         let second = ask(&gateway, 2, "k1");
         let mut wire = e1.accept();
-        assert_eq!(wire.call().ticket(), id(1));
+        assert_eq!(wire.call().query_id(), id(1));
         e1.cut_off();
         watch.event(2, &e2.entry("Ready"));
         assert!(matches!(first.answer(), pg::Answer::Error(code, _) if !code.starts_with("53")));
@@ -142,7 +142,7 @@
     // What another key does meanwhile shows that the gateway has had its turns, and that this engine is open.
     let mut other = ask(&gateway, 3, "k2");
     let mut wire = e2.accept();
-    assert_eq!(wire.call().ticket(), id(3));
+    assert_eq!(wire.call().query_id(), id(3));
     wire.row(&id(3));
     is_served(&mut other, 3);
     e1.let_in();
@@ -151,7 +151,7 @@
     assert_eq!((call.verb.as_str(), call.path), ("DELETE", format!("/data/{}", id(1))));
     let given_up = Instant::now();
     healed.say("HTTP/1.1 204 No Content\r\n\r\n");
-    assert_eq!(wire.call().ticket(), id(2));
+    assert_eq!(wire.call().query_id(), id(2));
     assert!(given_up.elapsed() >= KEY_COOLDOWN, "after {:?}", given_up.elapsed());
     wire.row(&id(2));
     is_served(&mut second, 2);
@@ -162,7 +162,7 @@
     let Partition { e1, e2, mut watch, gateway: _gateway, mut second } = Partition::new();
     watch.event(3, &e1.entry("Gone"));
     let mut wire = e2.accept();
-    assert_eq!(wire.call().ticket(), id(2));
+    assert_eq!(wire.call().query_id(), id(2));
     wire.row(&id(2));
     is_served(&mut second, 2);
 }
@@ -174,7 +174,7 @@
     let mut healed = e1.accept();
     assert_eq!(healed.call().verb, "DELETE");
     let mut wire = e2.accept();
-    assert_eq!(wire.call().ticket(), id(2));
+    assert_eq!(wire.call().query_id(), id(2));
     wire.row(&id(2));
     is_served(&mut second, 2);
 }
@@ -189,10 +189,10 @@
     let first = ask(&gateway, 1, "k1");
     let mut second = ask(&gateway, 2, "k1");
     drop(first);
-    gateway.logged(&format!("left ticket=\"{}\"", id(1)));
+    gateway.logged(&format!("left query_id=\"{}\"", id(1)));
     watch.event(2, &engine.entry("Ready"));
     let mut wire = engine.accept();
-    assert_eq!(wire.call().ticket(), id(2));
+    assert_eq!(wire.call().query_id(), id(2));
     wire.row(&id(2));
     is_served(&mut second, 2);
 }
@@ -206,7 +206,7 @@
     let _out = engines.next_start(&id(1));
     drop(first);
     let delete = engines.next();
-    assert_eq!((delete.verb.as_str(), delete.ticket.as_str()), ("DELETE", id(1).as_str()));
+    assert_eq!((delete.verb.as_str(), delete.query_id.as_str()), ("DELETE", id(1).as_str()));
     // What another key does meanwhile shows that the gateway has had its turns.
     let mut other = ask(&gateway, 4, "k2");
     engines.next_start(&id(4)).row();
@@ -283,7 +283,7 @@
     let mut third = ask(&successor, 3, "k1");
     predecessor.logged("peer process claims the lease of a key");
     held.send(&load(4, "k1"));
-    predecessor.logged(&format!("taken ticket=\"{}\"", id(4)));
+    predecessor.logged(&format!("taken query_id=\"{}\"", id(4)));
     // A request of another key is forwarded at once, which shows that the successor has had its turns.
     let mut other = ask(&successor, 9, "k2");
     engines.next_start(&id(9)).row();
