--- a/src/decisions/mod.rs
+++ b/src/decisions/mod.rs
@@ -186,29 +186,10 @@
         match event {
             Event::EndpointList { mode, entries } => self.on_endpoint_list(now, *mode, entries, actions),
             Event::RequestArrived(request) => self.on_request_arrived(now, request, actions),
-            &Event::AttemptEnded {
-                request,
-                attempt: number,
-                engine,
-                outcome,
-                elapsed: elapsed_seconds,
-                request_settled,
-                may_still_run_for: may_still_run_for_seconds,
-                cost,
-                load_report,
-            } => {
-                let id = AttemptId { request, number };
-                let end = AttemptEnd {
-                    id,
-                    engine,
-                    outcome,
-                    elapsed_seconds,
-                    request_settled,
-                    may_still_run_for_seconds,
-                    cost,
-                    load_report,
-                };
-                self.on_attempt_ended(now, &end, actions);
+            Event::AttemptEnded { .. } => {
+                if let Some(end) = AttemptEnd::of(event) {
+                    self.on_attempt_ended(now, &end, actions);
+                }
             }
             Event::AttemptEndConfirmed { key, may_still_run_for } => {
                 let until = self.cooldown_end(now, *may_still_run_for);
--- a/src/decisions/outcome.rs
+++ b/src/decisions/outcome.rs
@@ -1,6 +1,6 @@
 //! What the end of an attempt tells: of its engine, of its class, and of the latency that the limits go by.
 
-use crate::{EngineId, LoadReport, Outcome, QueryCost};
+use crate::{EngineId, Event, LoadReport, Outcome, QueryCost};
 
 use super::WorkloadManager;
 use super::class_profile::ClassProfile;
@@ -20,6 +20,36 @@
     pub(super) load_report: Option<LoadReport>,
 }
 
+impl AttemptEnd {
+    /// The end of an attempt; none if the event is another one.
+    pub(super) fn of(event: &Event) -> Option<Self> {
+        let &Event::AttemptEnded {
+            request,
+            attempt: number,
+            engine,
+            outcome,
+            elapsed: elapsed_seconds,
+            request_settled,
+            may_still_run_for: may_still_run_for_seconds,
+            cost,
+            load_report,
+        } = event
+        else {
+            return None;
+        };
+        Some(Self {
+            id: AttemptId { request, number },
+            engine,
+            outcome,
+            elapsed_seconds,
+            request_settled,
+            may_still_run_for_seconds,
+            cost,
+            load_report,
+        })
+    }
+}
+
 impl WorkloadManager {
     /// Takes the attempt out of all sums and learns from its outcome.
     pub(super) fn record_outcome(&mut self, now: f64, attempt: &Attempt, end: &AttemptEnd) {
--- a/src/decisions/request_path.rs
+++ b/src/decisions/request_path.rs
@@ -13,12 +13,13 @@
 use super::release::Release;
 use super::supervision::{Attempt, AttemptId};
 
-/// Attempts are expected to take this part of their class's usual latency at least, however small.
-const MIN_EXPECTED_RATIO: f64 = 0.5;
 /// Priorities of attempts, from 0 to 3.
 const INTERACTIVE_PRIORITY: u8 = 3;
 const BACKGROUND_PRIORITY: u8 = 1;
 
+/// Requests that wait for an engine, by their place in order of arrival.
+pub(super) type Queue = BTreeMap<u64, RequestId>;
+
 /// An attempt that may have run.
 #[derive(Clone, Copy)]
 pub(super) struct EarlierAttempt {
@@ -126,20 +127,8 @@
         };
         let class = &self.settings.classes[pending.request.class.0];
         let profile = &self.profiles[pending.request.class.0];
-        let usual = profile.latency_seconds;
         let warmth = engine.warmth_ratio(now, &self.settings.rules);
-        let attempt = Attempt {
-            request: pending.request.clone(),
-            interactive: profile.interactive,
-            engine: engine_id,
-            sent_at: now,
-            reported_at: now,
-            progressed_at: now,
-            stalled: false,
-            health_epoch: engine.health.epoch(),
-            expected_seconds: usual * pending.relative_size.max(MIN_EXPECTED_RATIO) / warmth,
-            charged_seconds: usual * pending.relative_size,
-        };
+        let attempt = Attempt::new(now, pending, engine_id, engine.health.epoch(), profile, warmth);
         self.queue.remove(&pending.queue_place);
         if pending.attempts > 0 {
             self.retry_history.record_retry(now);
@@ -152,7 +141,7 @@
             let priority = if profile.interactive { INTERACTIVE_PRIORITY } else { BACKGROUND_PRIORITY };
             actions.push(Action::SetAttemptTerms { request: id, memory_mb: 0.0, priority });
         }
-        let thread_seconds = f64::from(class.threads) * usual * pending.relative_size;
+        let thread_seconds = f64::from(class.threads) * profile.latency_seconds * pending.relative_size;
         let needed_memory_mb = pending.needed_memory_mb();
         engine.add_attempt(class.threads, needed_memory_mb, profile);
         self.fleet.add_attempt(class.threads, needed_memory_mb, profile.interactive);
@@ -221,6 +210,3 @@
         }
     }
 }
-
-/// Requests that wait for an engine, by their place in order of arrival.
-pub(super) type Queue = BTreeMap<u64, RequestId>;
--- a/src/decisions/supervision.rs
+++ b/src/decisions/supervision.rs
@@ -25,6 +25,8 @@
 const LOST_AFTER_PERIODS_WITHOUT_PROGRESS: f64 = 2.6;
 /// Times its expected latency after which an attempt without progress is stalled.
 const STALLED_LATENCIES: f64 = 4.0;
+/// Part of the usual latency that an attempt is expected to take at least, however small its request.
+const MIN_EXPECTED_RATIO: f64 = 0.5;
 /// Usual latencies that a running attempt may still need by its progress.
 const MAX_REMAINING_LATENCIES: f64 = 3.0;
 /// Part done from which on progress tells how fast an attempt runs.
@@ -68,6 +70,30 @@
 }
 
 impl Attempt {
+    /// The next attempt of a request, to an engine of the given warmth.
+    pub(super) fn new(
+        now: f64,
+        pending: &PendingRequest,
+        engine: EngineId,
+        health_epoch: u32,
+        profile: &ClassProfile,
+        warmth_ratio: f64,
+    ) -> Self {
+        let usual = profile.latency_seconds;
+        Self {
+            request: pending.request.clone(),
+            interactive: profile.interactive,
+            engine,
+            sent_at: now,
+            reported_at: now,
+            progressed_at: now,
+            stalled: false,
+            health_epoch,
+            expected_seconds: usual * pending.relative_size.max(MIN_EXPECTED_RATIO) / warmth_ratio,
+            charged_seconds: usual * pending.relative_size,
+        }
+    }
+
     fn age_seconds(&self, now: f64) -> f64 {
         now - self.sent_at
     }
@@ -85,6 +111,28 @@
             && now - self.progressed_at > STALLED_LATENCIES * self.expected_seconds
     }
 
+    /// Notes on the engine what a long attempt shows before it ends: that it is slow, or silent.
+    fn show_engine_symptoms(
+        &self,
+        now: f64,
+        engine: &mut Engine,
+        class: &Class,
+        profile: &ClassProfile,
+        latency: &InteractiveLatency,
+        may_be_cancelled_as_slow: bool,
+    ) {
+        let age = self.age_seconds(now);
+        let overdue = RelativeLatency::is_overdue(age, profile.latency_seconds);
+        if profile.interactive && !may_be_cancelled_as_slow && overdue {
+            engine.relative_latency.record_overdue(now);
+        }
+        let unanswered =
+            self.health_epoch == engine.health.epoch() && self.sent_at >= engine.health.last_heard_at;
+        if unanswered && age > silent_after_seconds(class, profile, latency) {
+            engine.health.record_fault(now, SILENCE_FAULTS);
+        }
+    }
+
     /// Charges the token bucket for background work that takes longer than it was charged for.
     fn charge_excess(&mut self, now: f64, threads: f64, tokens: &mut TokenBucket) {
         let excess = self.age_seconds(now) - self.charged_seconds;
@@ -158,20 +206,7 @@
                 pending.cancelled_as_slow |= stalled;
                 actions.push(Action::CancelAttempt { request: id.request, attempt: id.number });
             }
-            let age = attempt.age_seconds(now);
-            // Where none may be cancelled for being slow. A load in the way may be the cause as well.
-            if profile.interactive
-                && !may_be_slow
-                && RelativeLatency::is_overdue(age, profile.latency_seconds)
-            {
-                engine.relative_latency.record_overdue(now);
-            }
-            if attempt.health_epoch == engine.health.epoch()
-                && attempt.sent_at >= engine.health.last_heard_at
-                && age > silent_after_seconds(class, profile, &self.latency)
-            {
-                engine.health.record_fault(now, SILENCE_FAULTS);
-            }
+            attempt.show_engine_symptoms(now, engine, class, profile, &self.latency, may_be_slow);
         }
     }
 
