--- a/gateway/src/core/attempts.rs
+++ b/gateway/src/core/attempts.rs
@@ -7,8 +7,7 @@
 
 use super::command::{AttemptLimits, AttemptTerms};
 use super::requests::Unserved;
-use super::rules::{self, MayRunUntil, remaining_seconds};
-use super::time::{micros, seconds};
+use super::time::{micros, remaining_seconds, seconds};
 use super::timers::Timer;
 use super::{Command, Core};
 
@@ -57,6 +56,15 @@
     }
 }
 
+/// Until when an engine may still run an attempt that has ended for the gateway.
+#[derive(Clone, Copy, Debug)]
+pub(super) enum MayRunUntil {
+    /// Until this time, in microseconds.
+    Time(u64),
+    /// Without bound, until its end is confirmed.
+    Unconfirmed,
+}
+
 /// How an attempt has ended.
 struct AttemptEnd {
     outcome: Outcome,
@@ -148,7 +156,7 @@
             if request_settled {
                 self.close_request(now_us, id.request);
                 commands.push(Command::Serve(id));
-            } else if rules::may_have_run(outcome) {
+            } else if outcome.effect_is_unknown() {
                 open.may_have_run(attempt.started_us);
             }
         }
--- a/gateway/src/core/mod.rs
+++ b/gateway/src/core/mod.rs
@@ -33,10 +33,10 @@
 use workload_manager::*;
 
 use crate::timer_lag::TimerLag;
-use attempts::InFlightAttempts;
+use attempts::{InFlightAttempts, MayRunUntil};
 use key_leases::{KeyLeases, LeaseEffect};
 use requests::{OpenRequest, Unserved};
-use rules::{MayRunUntil, RequestRules};
+use rules::RequestRules;
 use time::{micros, seconds};
 use timers::Timers;
 
--- a/gateway/src/core/rules.rs
+++ b/gateway/src/core/rules.rs
@@ -3,7 +3,7 @@
 
 use workload_manager::*;
 
-use super::time::{micros, seconds};
+use super::time::micros;
 
 /// The core answers at the latest this long before the client's deadline: the time that the answer needs to the
 /// client, and that the request needed from it, which the gateway's clock has not seen.
@@ -62,7 +62,7 @@
 
     /// Whether a client may retry a request of this class. A rejection promises that; a failure promises nothing.
     pub(super) fn client_may_retry(&self, class: ClassId, may_have_run: bool) -> bool {
-        !may_have_run || self.idempotency[class.0].client_may_retry()
+        self.idempotency[class.0].client_may_retry(may_have_run)
     }
 
     /// Until when a further attempt of a request may start whose first attempt that may have run was started at
@@ -82,22 +82,3 @@
         runs_until_us + self.key_cooldown_us
     }
 }
-
-/// Whether an engine may have begun to run an attempt that ended like this, so that another one may be a repeat.
-pub(super) fn may_have_run(outcome: Outcome) -> bool {
-    !matches!(outcome, Outcome::ConnectFailed | Outcome::Rejected | Outcome::NeverSent)
-}
-
-/// Until when an engine may still run an attempt that has ended for the gateway.
-#[derive(Clone, Copy, Debug)]
-pub(super) enum MayRunUntil {
-    /// Until this time, in microseconds.
-    Time(u64),
-    /// Without bound, until its end is confirmed.
-    Unconfirmed,
-}
-
-/// What is left of a time span, in seconds.
-pub(super) fn remaining_seconds(now_us: u64, until_us: u64) -> f64 {
-    seconds(until_us.saturating_sub(now_us))
-}
--- a/gateway/src/core/time.rs
+++ b/gateway/src/core/time.rs
@@ -16,3 +16,8 @@
 pub(super) fn millis_rounded_up(seconds: f64) -> u64 {
     (seconds * 1000.0).ceil() as u64
 }
+
+/// From now until a time, in seconds; 0 for a time that has passed.
+pub(super) fn remaining_seconds(now_us: u64, until_us: u64) -> f64 {
+    seconds(until_us.saturating_sub(now_us))
+}
--- a/src/decisions/request_path.rs
+++ b/src/decisions/request_path.rs
@@ -181,7 +181,7 @@
     fn queue_again(&mut self, now: f64, attempt: &Attempt, outcome: Outcome, actions: &mut Vec<Action>) {
         let id = attempt.request.id;
         let Some(pending) = self.requests.get_mut(&id) else { return };
-        if outcome.may_still_run() || outcome == Outcome::Error {
+        if outcome.effect_is_unknown() {
             let this = EarlierAttempt { engine: attempt.engine, sent_at: attempt.sent_at };
             pending.may_have_run.get_or_insert(this);
         }
--- a/src/decisions/shedding.rs
+++ b/src/decisions/shedding.rs
@@ -40,7 +40,7 @@
         let Some(pending) = self.requests.get(&id) else { return };
         let may_have_run = !self.queue.contains_key(&pending.queue_place) || pending.may_have_run.is_some();
         let idempotency = self.settings.classes[pending.request.class.0].idempotency;
-        if !may_have_run || idempotency.client_may_retry() {
+        if idempotency.client_may_retry(may_have_run) {
             let seconds = self.draw_retry_after_seconds();
             let retry_after = (retry_after && self.settings.capabilities.retry_after).then_some(seconds);
             actions.push(Action::Reject { request: id, retry_after });
--- a/src/event.rs
+++ b/src/event.rs
@@ -53,6 +53,11 @@
     pub fn may_still_run(self) -> bool {
         matches!(self, Self::TimedOut | Self::ConnectionLost | Self::Cancelled)
     }
+
+    /// Whether the attempt did not succeed and yet may have run: another one may be a second execution.
+    pub fn effect_is_unknown(self) -> bool {
+        self == Self::Error || self.may_still_run()
+    }
 }
 
 /// An engine's load report; what it does not state is `None`.
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -32,9 +32,10 @@
 }
 
 impl Idempotency {
-    /// Whether a client may repeat a request whose attempt may have run, wherever the repeat goes.
-    pub fn client_may_retry(self) -> bool {
-        matches!(self, Self::Idempotent | Self::Keyed { scope: IdempotencyScope::All, .. })
+    /// Whether a retry by a client is safe, wherever it goes: no attempt may have run, or repeats do
+    /// no harm anywhere. A rejection promises that.
+    pub fn client_may_retry(self, may_have_run: bool) -> bool {
+        !may_have_run || matches!(self, Self::Idempotent | Self::Keyed { scope: IdempotencyScope::All, .. })
     }
 }
 
