--- a/lab/src/hollow/compare.rs
+++ b/lab/src/hollow/compare.rs
@@ -14,10 +14,10 @@
 use super::list::{Database, DatabaseState};
 use super::model::Model;
 use super::model::control::ControlState;
+use super::options::{BoundOptions, SizeOptions};
 use super::sockets::gateways::{Manner, Programs};
 use super::sockets::print;
 use super::sockets::run::{self, AWAY, Phase, Plan, RETURN_MS, RunFigures, SILENCE};
-use super::{BoundOptions, SizeOptions};
 
 /// A second, in microseconds.
 const SECOND_US: u64 = 1_000_000;
--- a/lab/src/hollow/mod.rs
+++ b/lab/src/hollow/mod.rs
@@ -14,6 +14,7 @@
 pub mod list;
 pub mod load;
 pub mod model;
+mod options;
 mod settings;
 pub mod simulate;
 pub mod sockets;
@@ -52,47 +53,3 @@
         Run::Host(options) => sockets::host::run(options),
     }
 }
-
-/// The size of a fleet on the command line.
-#[derive(Args, Clone, Copy, Debug)]
-pub struct SizeOptions {
-    /// Gateways.
-    #[arg(long, default_value_t = fleet::FleetSize::NAMED.gateways)]
-    pub gateways: usize,
-    /// Databases.
-    #[arg(long, default_value_t = fleet::FleetSize::NAMED.databases)]
-    pub databases: usize,
-    /// Control machines.
-    #[arg(long, default_value_t = fleet::FleetSize::NAMED.control)]
-    pub control: usize,
-}
-
-impl SizeOptions {
-    fn size(&self) -> Result<fleet::FleetSize, error::HollowError> {
-        let Self { gateways, databases, control } = *self;
-        fleet::FleetSize { gateways, databases, control }.check()
-    }
-}
-
-/// The bounds of a run on the command line.
-#[derive(Args, Clone, Copy, Debug)]
-pub struct BoundOptions {
-    /// Stops at so much memory of all processes together, in MB.
-    #[arg(long, default_value_t = bounds::MOST_MEMORY_MB)]
-    pub memory_mb: u64,
-    /// Stops after so many seconds.
-    #[arg(long, default_value_t = 900)]
-    pub limit_s: u64,
-}
-
-impl BoundOptions {
-    fn bounds(&self) -> Result<bounds::Bounds, error::HollowError> {
-        let ranges = [("memory-mb", self.memory_mb, bounds::MOST_MEMORY_MB), ("limit-s", self.limit_s, 3600)];
-        for (option, value, most) in ranges {
-            if !(1..=most).contains(&value) {
-                return Err(error::HollowError::Option { option, value, least: 1, most });
-            }
-        }
-        Ok(bounds::Bounds::new(self.memory_mb, std::time::Duration::from_secs(self.limit_s)))
-    }
-}
--- a/lab/src/hollow/simulate.rs
+++ b/lab/src/hollow/simulate.rs
@@ -12,7 +12,7 @@
 use super::figures::{Figure, Mark, Role, add_to_file};
 use super::fleet::FleetSize;
 use super::model::{Measured, Model, Worst};
-use super::{BoundOptions, SizeOptions};
+use super::options::{BoundOptions, SizeOptions};
 
 /// Fleets that are played at once.
 const AT_ONCE: usize = 4;
@@ -113,73 +113,104 @@
 
 /// The figures of an event.
 pub fn event_figures(event: &str, measured: &Measured, command: &str) -> Vec<Figure> {
-    let figure = |role, quantity: &str, value: f64, unit: &str| Figure {
-        role,
-        quantity: quantity.to_owned(),
-        event: event.to_owned(),
-        value,
-        unit: unit.to_owned(),
-        mark: Mark::Simulated,
-        command: command.to_owned(),
-    };
-    let worst = |role, quantity: &str, worst: &Worst, unit: &str, scale: f64| {
+    let make = FigureMaker { event, command };
+    let mut all = worst_loads(&make, measured);
+    all.extend(control_totals(&make, measured));
+    // A load that there was none of is no line of the page.
+    all.retain(|figure| figure.value > 0.0);
+    all.extend(delays(&make, measured));
+    let behind = "gateways behind the list at the end";
+    all.push(make.figure(Role::Gateway, behind, measured.behind as f64, "gateways"));
+    let unserved = "gateways without a stream at the end";
+    all.push(make.figure(Role::Gateway, unserved, measured.without_stream as f64, "gateways"));
+    all
+}
+
+/// Makes figures of one event and one command.
+struct FigureMaker<'a> {
+    event: &'a str,
+    command: &'a str,
+}
+
+impl FigureMaker<'_> {
+    fn figure(&self, role: Role, quantity: &str, value: f64, unit: &str) -> Figure {
+        Figure {
+            role,
+            quantity: quantity.to_owned(),
+            event: self.event.to_owned(),
+            value,
+            unit: unit.to_owned(),
+            mark: Mark::Simulated,
+            command: self.command.to_owned(),
+        }
+    }
+
+    fn worst(&self, role: Role, quantity: &str, worst: &Worst, unit: &str, scale: f64) -> [Figure; 2] {
+        let second = worst.second as f64 / scale;
+        let ten_seconds = worst.ten_seconds as f64 / scale;
         [
-            figure(role, &format!("{quantity}, worst second"), worst.second as f64 / scale, unit),
-            figure(role, &format!("{quantity}, worst 10 s"), worst.ten_seconds as f64 / scale, unit),
+            self.figure(role, &format!("{quantity}, worst second"), second, unit),
+            self.figure(role, &format!("{quantity}, worst 10 s"), ten_seconds, unit),
         ]
-    };
-    let ms = |us: u64| us as f64 / 1e3;
+    }
+}
+
+/// The heaviest loads of one gateway and of one control machine.
+fn worst_loads(make: &FigureMaker<'_>, measured: &Measured) -> Vec<Figure> {
     let (gateway, control) = (Role::Gateway, Role::Control);
-    let mut all = Vec::new();
-    all.extend(worst(gateway, "list calls of one gateway", &measured.gateway_calls, "calls", 1.0));
-    all.extend(worst(gateway, "list events taken by one gateway", &measured.gateway_events, "events", 1.0));
-    all.extend(worst(gateway, "bytes of the list read by one gateway", &measured.gateway_bytes, "KB", 1e3));
-    all.extend(worst(control, "calls to one control machine", &measured.control_calls, "calls", 1.0));
-    all.extend(worst(control, "list events written by one machine", &measured.control_events, "events", 1.0));
-    all.extend(worst(control, "bytes written by one control machine", &measured.control_bytes, "KB", 1e3));
-    all.extend([
-        figure(control, "most streams at one machine", measured.control_streams as f64, "streams"),
-        figure(
-            control,
-            "streams at the end, machine with most",
-            measured.control_streams_at_end as f64,
-            "streams",
-        ),
-        figure(
-            control,
+    [
+        make.worst(gateway, "list calls of one gateway", &measured.gateway_calls, "calls", 1.0),
+        make.worst(gateway, "list events taken by one gateway", &measured.gateway_events, "events", 1.0),
+        make.worst(gateway, "bytes of the list read by one gateway", &measured.gateway_bytes, "KB", 1e3),
+        make.worst(control, "calls to one control machine", &measured.control_calls, "calls", 1.0),
+        make.worst(control, "list events written by one machine", &measured.control_events, "events", 1.0),
+        make.worst(control, "bytes written by one control machine", &measured.control_bytes, "KB", 1e3),
+    ]
+    .into_iter()
+    .flatten()
+    .collect()
+}
+
+/// Streams, waits and totals on the control machines' side.
+fn control_totals(make: &FigureMaker<'_>, measured: &Measured) -> Vec<Figure> {
+    let control = |quantity: &str, value: f64, unit: &str| make.figure(Role::Control, quantity, value, unit);
+    let events = measured.events as f64;
+    vec![
+        control("most streams at one machine", measured.control_streams as f64, "streams"),
+        control("streams at the end, machine with most", measured.control_streams_at_end as f64, "streams"),
+        control(
             "longest wait in one machine's queue, at assumed 0.2 ms a call and 10 us a write",
-            ms(measured.control_wait_us),
+            milliseconds(measured.control_wait_us),
             "ms",
         ),
-        figure(
-            control,
+        control(
             "most bytes held by one machine for a silent network",
             measured.control_unsent_bytes as f64 / 1e3,
             "KB",
         ),
-        figure(control, "list calls of all gateways, total", measured.calls as f64, "calls"),
-        figure(
-            control,
+        control("list calls of all gateways, total", measured.calls as f64, "calls"),
+        control(
             "list calls of all gateways in one tenth of a second",
             measured.calls_in_step as f64,
             "calls",
         ),
-        figure(gateway, "list events taken by all gateways, total", measured.events as f64, "events"),
-    ]);
-    // A load that there was none of is no line of the page.
-    all.retain(|figure| figure.value > 0.0);
+        make.figure(Role::Gateway, "list events taken by all gateways, total", events, "events"),
+    ]
+}
+
+/// How long gateways took to have what the list said; one that did not happen has no figure.
+fn delays(make: &FigureMaker<'_>, measured: &Measured) -> Vec<Figure> {
     let delays = [
         ("from a change of the list until a gateway has it, median", measured.in_force_median_us),
         ("from a change of the list until the last gateway has it", measured.in_force_last_us),
         ("from a gateway's start until it has the list, longest", measured.first_list_us),
     ];
     let happened = delays.into_iter().filter(|(_, us)| *us > 0);
-    all.extend(happened.map(|(quantity, us)| figure(gateway, quantity, ms(us), "ms")));
-    all.extend([
-        figure(gateway, "gateways behind the list at the end", measured.behind as f64, "gateways"),
-        figure(gateway, "gateways without a stream at the end", measured.without_stream as f64, "gateways"),
-    ]);
-    all
+    happened.map(|(quantity, us)| make.figure(Role::Gateway, quantity, milliseconds(us), "ms")).collect()
+}
+
+fn milliseconds(us: u64) -> f64 {
+    us as f64 / 1e3
 }
 
 fn print(event: &str, figures: &[Figure]) {
--- a/lab/src/hollow/sockets/mod.rs
+++ b/lab/src/hollow/sockets/mod.rs
@@ -12,7 +12,7 @@
 use super::error::HollowError;
 use super::figures::{Figure, Mark, Role, add_to_file};
 use super::fleet::FleetSize;
-use super::{BoundOptions, SizeOptions};
+use super::options::{BoundOptions, SizeOptions};
 use gateways::{Manner, Programs};
 use run::{PhaseFigures, Plan, RunFigures};
 
