--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -3,8 +3,8 @@
 
 use workload_manager::*;
 
-pub const LOOKUP: ClassId = ClassId(0);
-pub const REPORT: ClassId = ClassId(1);
+pub const INTERACTIVE: ClassId = ClassId(0);
+pub const BACKGROUND: ClassId = ClassId(1);
 pub const LOAD: ClassId = ClassId(2);
 
 pub fn class(aim: f64, threads: u32, deadline: f64) -> Class {
@@ -72,7 +72,7 @@
 }
 
 /// The same with loads of one thread, unbound and safe, which measure C to the thread.
-pub fn thin() -> Settings {
+pub fn single_thread_loads() -> Settings {
     let mut s = settings();
     s.classes[2] = Class { is_load: true, ..class(3.0, 1, 30.0) };
     s
@@ -89,17 +89,17 @@
     }
 }
 
-pub struct Drive {
+pub struct Driver {
     pub gateway: WorkloadManager,
     pub now: f64,
 }
 
-impl Drive {
+impl Driver {
     /// A gateway that has been told a full list of these engines.
     pub fn new(settings: Settings, engines: Vec<EndpointEntry>) -> Self {
-        let mut drive = Self { gateway: WorkloadManager::new(settings, 7).unwrap(), now: 100.0 };
-        drive.list(EndpointListMode::Full, engines);
-        drive
+        let mut driver = Self { gateway: WorkloadManager::new(settings, 7).unwrap(), now: 100.0 };
+        driver.endpoint_list(EndpointListMode::Full, engines);
+        driver
     }
 
     pub fn event(&mut self, event: &Event) -> Vec<Action> {
@@ -108,7 +108,7 @@
         actions
     }
 
-    pub fn list(&mut self, mode: EndpointListMode, entries: Vec<EndpointEntry>) -> Vec<Action> {
+    pub fn endpoint_list(&mut self, mode: EndpointListMode, entries: Vec<EndpointEntry>) -> Vec<Action> {
         self.event(&Event::EndpointList { mode, entries })
     }
 
@@ -132,7 +132,7 @@
         self.event(&Event::RequestArrived(request))
     }
 
-    pub fn ended(
+    pub fn attempt_ended(
         &mut self,
         id: u64,
         attempt: u32,
@@ -154,7 +154,7 @@
     }
 
     /// A first attempt that served its request, with what came along.
-    pub fn served(
+    pub fn first_attempt_served(
         &mut self,
         id: u64,
         engine: u32,
@@ -175,27 +175,27 @@
         })
     }
 
-    pub fn look(&mut self) -> Vec<Action> {
+    pub fn control_tick(&mut self) -> Vec<Action> {
         self.event(&Event::Timer(0))
     }
 
     /// Serves `n` dashboards, one after the other, with this latency; ids from `from`.
-    pub fn dashboards(&mut self, from: u64, n: u64, latency: f64) {
+    pub fn serve_interactive(&mut self, from: u64, n: u64, latency: f64) {
         for id in from..from + n {
-            let engine = sent_to(&self.arrive(id, LOOKUP)).expect("a dashboard leaves at once").0;
-            self.ended(id, 0, engine, Outcome::Success, latency);
+            let engine = forwarded_to(&self.arrive(id, INTERACTIVE)).expect("a dashboard leaves at once").0;
+            self.attempt_ended(id, 0, engine, Outcome::Success, latency);
         }
     }
 
     /// How many requests of this class leave before one is held; ids from `from`.
-    pub fn room(&mut self, from: u64, class: ClassId) -> u64 {
-        (from..).take_while(|id| sent_to(&self.arrive(*id, class)).is_some()).count() as u64
+    pub fn count_admitted(&mut self, from: u64, class: ClassId) -> u64 {
+        (from..).take_while(|id| forwarded_to(&self.arrive(*id, class)).is_some()).count() as u64
     }
 }
 
 /// The engine and time-out of the only send.
-pub fn sent_to(actions: &[Action]) -> Option<(u32, Option<f64>)> {
-    let sends: Vec<_> = sends(actions);
+pub fn forwarded_to(actions: &[Action]) -> Option<(u32, Option<f64>)> {
+    let sends: Vec<_> = forwards(actions);
     assert!(sends.len() <= 1, "more than one send: {sends:?}");
     let timeout = actions
         .iter()
@@ -204,7 +204,7 @@
 }
 
 /// Requests sent and where to.
-pub fn sends(actions: &[Action]) -> Vec<(u64, u32)> {
+pub fn forwards(actions: &[Action]) -> Vec<(u64, u32)> {
     let send = |a: &Action| match a {
         Action::Forward { request, engine, .. } => Some((request.0, engine.0)),
         _ => None,
@@ -213,7 +213,7 @@
 }
 
 /// Final answers: the request, and whether it was refused.
-pub fn answers(actions: &[Action]) -> Vec<(u64, bool)> {
+pub fn final_answers(actions: &[Action]) -> Vec<(u64, bool)> {
     let answer = |a: &Action| match a {
         Action::Reject { request, .. } => Some((request.0, true)),
         Action::Fail(request) => Some((request.0, false)),
@@ -221,3 +221,23 @@
     };
     actions.iter().filter_map(answer).collect()
 }
+
+pub fn settings_with_cancelling() -> Settings {
+    let mut s = settings();
+    s.capabilities.cancels_attempts = true;
+    s.capabilities.progress_period = 0.5;
+    s
+}
+
+pub fn cancelled_requests(actions: &[Action]) -> Vec<u64> {
+    let cancel =
+        |a: &Action| if let Action::CancelAttempt { request, .. } = a { Some(request.0) } else { None };
+    actions.iter().filter_map(cancel).collect()
+}
+
+/// A hundred gateways: C is a part of a thread on each engine, and binds as a sum over all.
+pub fn many_gateways() -> (Settings, Vec<EndpointEntry>) {
+    let mut s = settings();
+    s.gateways = 100;
+    (s, (1..=50).map(engine).collect())
+}
--- /dev/null
+++ b/tests/concurrency_limit.rs
@@ -0,0 +1,238 @@
+//! Concurrency limit: feedback of interactive latency on background work.
+
+mod common;
+
+use common::*;
+use workload_manager::*;
+
+/// Interactive attempts that time out count in the measured latency, so that an overload lowers the limit.
+#[test]
+fn interactive_time_outs_lower_the_limit() {
+    let mut s = settings_with_cancelling();
+    s.capabilities.max_attempts = 1;
+    s.classes[2] = Class { is_load: true, ..class(3.0, 1, 30.0) };
+    let mut driver = Driver::new(s, vec![engine(1)]);
+    driver.serve_interactive(100, 8, 0.2);
+    for id in 200..260 {
+        driver.arrive(id, INTERACTIVE);
+        driver.attempt_ended(id, 0, 1, Outcome::TimedOut, 2.0);
+    }
+    assert_eq!(driver.count_admitted(1, LOAD), 1);
+}
+
+/// The ceiling rises only where it was used: a quiet time teaches nothing.
+#[test]
+fn the_ceiling_rises_only_with_use() {
+    let s = single_thread_loads();
+    let mut quiet = Driver::new(s.clone(), vec![engine(1)]);
+    quiet.serve_interactive(1000, 400, 0.2);
+    assert_eq!(quiet.count_admitted(1, LOAD), 8, "twice the starting value");
+    let mut busy = Driver::new(s, vec![engine(1)]);
+    busy.serve_interactive(1000, 40, 0.2);
+    assert_eq!(busy.count_admitted(1, LOAD), 8);
+    busy.serve_interactive(2000, 100, 0.2);
+    assert!(busy.count_admitted(50, LOAD) >= 1, "more than eight are out");
+}
+
+/// A stalled attempt does not show how full its engine is: the limit must not fall for it.
+#[test]
+fn stalled_attempts_do_not_lower_the_limit() {
+    let admitted = |stuck: bool| {
+        let mut driver = Driver::new(settings_with_cancelling(), vec![engine(1)]);
+        driver.serve_interactive(1000, 40, 0.2);
+        for id in (1..80).step_by(2) {
+            let patient = Request { deadline: driver.now + 8.0, ..driver.request(id, INTERACTIVE) };
+            forwarded_to(&driver.event(&Event::RequestArrived(patient))).unwrap();
+            driver.now += 0.01;
+            forwarded_to(&driver.arrive(id + 1, INTERACTIVE)).unwrap();
+            driver.now += 0.2;
+            driver.attempt_ended(id + 1, 0, 1, Outcome::Success, 0.2);
+            driver.now += 4.0;
+            if stuck {
+                assert!(!cancelled_requests(&driver.control_tick()).is_empty());
+            }
+            let again = driver.attempt_ended(id, 0, 1, Outcome::Cancelled, 4.2);
+            driver.attempt_ended(id, 1, forwarded_to(&again).unwrap().0, Outcome::Success, 0.2);
+        }
+        driver.count_admitted(200, LOAD)
+    };
+    assert!(admitted(true) > admitted(false), "{} {}", admitted(true), admitted(false));
+}
+
+/// Each of many gateways sees few interactive requests on each engine: what it sees on all of them sets the
+/// limit there too.
+#[test]
+fn interactive_latency_of_other_engines_sets_the_limit_of_engines_without_samples() {
+    let (s, engines) = many_gateways();
+    let sent_behind = |latency: f64| {
+        let mut driver = Driver::new(s.clone(), engines.clone());
+        for n in 0..60 {
+            driver.now += 1.0;
+            driver.control_tick();
+            driver.serve_interactive(1000 + n, 1, latency);
+        }
+        let mut sent = 0;
+        for id in 1..400 {
+            driver.now += 0.1;
+            let mut going = forwards(&driver.control_tick());
+            going.extend(forwards(&driver.arrive(id, BACKGROUND)));
+            while let Some((id, to)) = going.pop() {
+                sent += 1;
+                going.extend(forwards(&driver.attempt_ended(id, 0, to, Outcome::Success, 2.0)));
+            }
+        }
+        sent
+    };
+    // C is two threads a core of fifty engines, and then half a thread; each report has four for two seconds.
+    let (quick, slow) = (sent_behind(0.1), sent_behind(3.9));
+    assert!(quick >= 35 && slow <= 14, "{quick} reports, and {slow}: all engines follow the few worked with");
+}
+
+/// In an overload most interactive attempts are cut short by clients with little time left: counted as
+/// latencies of a tenth of a second they hid the overload, and the limit never moved.
+#[test]
+fn attempts_cut_short_do_not_count_as_fast() {
+    let admitted = |cut: f64| {
+        let mut driver = Driver::new(settings_with_cancelling(), vec![engine(1)]);
+        driver.serve_interactive(1000, 40, 2.0);
+        for id in 1..80 {
+            forwarded_to(&driver.arrive(id, INTERACTIVE)).unwrap();
+            driver.now += 0.2;
+            driver.event(&Event::RequestAborted(RequestId(id)));
+            driver.attempt_ended(id, 0, 1, Outcome::Cancelled, cut);
+        }
+        driver.count_admitted(200, LOAD)
+    };
+    assert_eq!(admitted(0.05), admitted(2.0));
+}
+
+/// An engine that has answered often enough to be sent any number of attempts.
+fn prove_engine(driver: &mut Driver) {
+    driver.serve_interactive(9000, 6, 0.99);
+}
+
+#[test]
+fn the_limit_starts_at_the_gateways_share_of_the_cores() {
+    let mut driver = Driver::new(single_thread_loads(), vec![engine(1)]);
+    prove_engine(&mut driver);
+    assert_eq!(driver.count_admitted(1, LOAD), 4, "8 cores for two gateways");
+}
+
+#[test]
+fn the_limit_is_rounded_half_up() {
+    for (cores, gateways, room) in [(5.0, 2, 3), (7.0, 3, 2), (1.0, 4, 1)] {
+        let mut s = single_thread_loads();
+        (s.machine_types[0].cores, s.machine_types[1].cores, s.gateways) = (cores, cores, gateways);
+        s.classes[0].threads = 1;
+        let mut driver = Driver::new(s, vec![engine(1)]);
+        if cores > 1.0 {
+            prove_engine(&mut driver);
+        }
+        assert_eq!(driver.count_admitted(1, LOAD), room, "{cores} cores, {gateways} gateways");
+    }
+}
+
+#[test]
+fn latency_under_the_objective_raises_the_limit_by_gain_times_error() {
+    let mut driver = Driver::new(single_thread_loads(), vec![engine(1)]);
+    // KI = P/(R n) = 8/(1 * 3) with R the aim until learned; E = 1.5 + (1 - 0.7); C = 8/3 * 1.8 = 4.8.
+    driver.serve_interactive(1000, 20, 0.7);
+    assert_eq!(driver.count_admitted(1, LOAD), 5);
+}
+
+#[test]
+fn an_interval_of_few_completions_stays_open_until_its_longest_duration() {
+    let mut driver = Driver::new(single_thread_loads(), vec![engine(1)]);
+    driver.serve_interactive(1000, 19, 0.7);
+    driver.now += 4.9;
+    driver.control_tick();
+    assert_eq!(driver.count_admitted(1, LOAD), 4, "not yet over");
+    let mut driver = Driver::new(single_thread_loads(), vec![engine(1)]);
+    driver.serve_interactive(1000, 19, 0.7);
+    driver.now += 5.1;
+    driver.control_tick();
+    assert_eq!(driver.count_admitted(1, LOAD), 5, "closed by the clock");
+}
+
+#[test]
+fn an_interval_without_completions_leaves_the_error_integral() {
+    let mut driver = Driver::new(single_thread_loads(), vec![engine(1)]);
+    prove_engine(&mut driver);
+    driver.serve_interactive(1000, 14, 0.7);
+    for _ in 0..10 {
+        driver.now += 5.1;
+        driver.control_tick();
+    }
+    let mean = (6.0 * 0.99 + 14.0 * 0.7) / 20.0;
+    let c = (8.0 / 3.0 * (1.5 + 1.0 - mean) + 0.5f64).floor();
+    assert_eq!(driver.count_admitted(1, LOAD), c as u64);
+}
+
+#[test]
+fn the_limit_never_falls_under_one_and_recovers_in_one_interval() {
+    let mut driver = Driver::new(single_thread_loads(), vec![engine(1)]);
+    // Without the bound at the lower end E would need many intervals of surplus.
+    driver.serve_interactive(1000, 200, 3.0);
+    assert_eq!(driver.count_admitted(1, LOAD), 1);
+    let mut driver = Driver::new(single_thread_loads(), vec![engine(1)]);
+    driver.serve_interactive(1000, 200, 3.0);
+    driver.serve_interactive(2000, 20, 0.2);
+    assert!(driver.count_admitted(1, LOAD) >= 3, "an outside slowdown is over: C climbs at once");
+}
+
+#[test]
+fn a_quiet_time_does_not_wind_the_limit_up() {
+    let mut driver = Driver::new(single_thread_loads(), vec![engine(1)]);
+    driver.serve_interactive(1000, 2000, 0.1);
+    // 6 threads a core of 8 for two gateways is the far end.
+    assert!(driver.count_admitted(1, LOAD) <= 24);
+    let mut driver = Driver::new(single_thread_loads(), vec![engine(1)]);
+    driver.serve_interactive(1000, 2000, 0.1);
+    driver.serve_interactive(5000, 60, 2.0);
+    assert_eq!(driver.count_admitted(1, LOAD), 1, "three bad intervals are enough after any quiet spell");
+}
+
+/// A few completions on one engine are noise.
+#[test]
+fn few_completions_are_filled_up_with_the_mean_over_all_engines() {
+    let admitted = |latency: f64, n: u64| {
+        let mut driver = Driver::new(single_thread_loads(), vec![engine(1)]);
+        driver.serve_interactive(1000, 40, 0.5);
+        driver.serve_interactive(2000, n, latency);
+        driver.now += 5.1;
+        driver.control_tick();
+        driver.count_admitted(1, LOAD)
+    };
+    assert!(admitted(2.0, 1) >= 7, "one slow dashboard alone would halve C's bound of eight");
+    assert!(admitted(2.0, 19) < admitted(0.5, 19));
+}
+
+/// Interactive requests may be too short to feel background work: where answers bring no load reports, the
+/// utilization known of the engine stands in for the measured latency, and the limit is still low when
+/// there is capacity again.
+#[test]
+fn the_limit_falls_where_the_engine_reports_to_be_full() {
+    let admitted = |reports: LoadReportSource, busy: f64| {
+        let mut s = single_thread_loads();
+        s.capabilities.load_reports = reports;
+        let mut driver = Driver::new(s, vec![engine(1)]);
+        for id in 0..61 {
+            driver.arrive(id, INTERACTIVE);
+            let busy = if id < 60 { busy } else { 0.1 };
+            driver.first_attempt_served(
+                id,
+                1,
+                0.2,
+                None,
+                Some(LoadReport { core_utilization: Some(busy), ..LoadReport::default() }),
+            );
+        }
+        driver.count_admitted(100, LOAD)
+    };
+    assert!(admitted(LoadReportSource::None, 0.2) >= 6);
+    assert!((1..=3).contains(&admitted(LoadReportSource::None, 1.5)));
+    assert!(
+        admitted(LoadReportSource::Responses, 1.5) >= 6,
+        "there the bar acts at once and C is the loop's alone"
+    );
+}
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Many gateways in front of shared engines, each knowing only its own: drawn settings, outcomes, lost answers,
-//! restarts and stale lists, against books that know nothing of the module. Seeds are fixed.
+//! Many gateways in front of shared engines, each knowing only its own: drawn settings, outcomes, lost
+//! answers, restarts and stale lists, against books that know nothing of the module. Seeds are fixed.
 
 mod common;
 
@@ -372,7 +372,7 @@
     for engines in [16, 80, 400, 1024] {
         let mut s = settings();
         s.gateways = 300;
-        let template = Drive::new(s.clone(), vec![]);
+        let template = Driver::new(s.clone(), vec![]);
         let mut gateway = WorkloadManager::new(s, 7).unwrap();
         let entries = (0..engines).map(engine).collect();
         gateway.on_event(
@@ -384,7 +384,7 @@
         let mut costs = Vec::new();
         for id in 1..4000u64 {
             now += 0.01;
-            let class = if id % 10 == 0 { REPORT } else { LOOKUP };
+            let class = if id % 10 == 0 { BACKGROUND } else { INTERACTIVE };
             let request = Request { id: RequestId(id), deadline: now + 20.0, ..template.request(0, class) };
             let mut actions = Vec::new();
             let began = std::time::Instant::now();
@@ -393,7 +393,7 @@
                 gateway.on_event(now, &Event::Timer(0), &mut actions);
             }
             costs.push(began.elapsed().as_nanos() as f64 / 1000.0);
-            for (id, to) in sends(&actions).into_iter().filter(|(id, _)| id % 10 != 0) {
+            for (id, to) in forwards(&actions).into_iter().filter(|(id, _)| id % 10 != 0) {
                 let (request, engine) = (RequestId(id), EngineId(to));
                 let (outcome, elapsed, settled) = (Outcome::Success, 0.1, true);
                 let ended = Event::AttemptEnded {
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn the_module_stays_within_its_limits() {
+fn sources_stay_within_their_limits() {
     let mut files = Vec::new();
     sources(&Path::new(env!("CARGO_MANIFEST_DIR")).join("src"), &mut files);
     assert!(!files.is_empty());
--- /dev/null
+++ b/tests/load_estimate.rs
@@ -0,0 +1,154 @@
+//! Load estimate: utilization by load reports and, without them, by how long background work takes.
+
+mod common;
+
+use common::*;
+use workload_manager::*;
+
+fn answer_with_report(driver: &mut Driver, id: u64, engine: u32, report: LoadReport) -> Vec<Action> {
+    driver.first_attempt_served(id, engine, 0.2, None, Some(report))
+}
+
+/// Load reports alone show what other gateways send: an engine that reports to be full gets no background
+/// work until the report has aged.
+#[test]
+fn an_engine_that_reports_to_be_full_gets_no_background_work() {
+    for (report, held) in [
+        (LoadReport { in_flight: Some(60.0), ..LoadReport::default() }, true),
+        (LoadReport { queued: Some(5.0), ..LoadReport::default() }, true),
+        (LoadReport { memory_utilization: Some(0.95), ..LoadReport::default() }, true),
+        (LoadReport { in_flight: Some(2.0), core_utilization: Some(0.3), ..LoadReport::default() }, false),
+        (LoadReport { in_flight: Some(f64::NAN), queued: Some(-3.0), ..LoadReport::default() }, false),
+        (
+            LoadReport {
+                core_utilization: Some(f64::INFINITY),
+                disk_utilization: Some(-1.0),
+                ..LoadReport::default()
+            },
+            false,
+        ),
+        (LoadReport::default(), false),
+    ] {
+        let mut driver = Driver::new(settings(), vec![engine(1), engine(2)]);
+        let on = forwarded_to(&driver.arrive(1, INTERACTIVE)).unwrap().0;
+        answer_with_report(&mut driver, 1, on, report);
+        driver.endpoint_list(
+            EndpointListMode::Delta,
+            vec![EndpointEntry { state: EndpointState::Draining, ..engine(3 - on) }],
+        );
+        assert_eq!(forwarded_to(&driver.arrive(2, LOAD)).is_none(), held, "{report:?}");
+        assert!(forwarded_to(&driver.arrive(3, INTERACTIVE)).is_some(), "dashboards pass: {report:?}");
+    }
+}
+
+/// A number of queries stands for memory too, where answers say what a query needs and settings what an
+/// engine has.
+#[test]
+fn queries_that_fill_the_memory_fill_the_engine() {
+    for (memory_mb, held) in [(0.0, false), (10_000.0, true)] {
+        let mut s = settings();
+        s.machine_types[0].memory_mb = memory_mb;
+        let mut driver = Driver::new(s, vec![engine(1)]);
+        for id in 0..60 {
+            driver.arrive(id, INTERACTIVE);
+            driver.now += 0.1;
+            driver.control_tick();
+            driver.first_attempt_served(
+                id,
+                1,
+                0.1,
+                Some(QueryCost { work: 0.1, memory_mb: 2_000.0 }),
+                Some(LoadReport { in_flight: Some(5.0), ..LoadReport::default() }),
+            );
+        }
+        assert_eq!(forwarded_to(&driver.arrive(100, LOAD)).is_none(), held, "{memory_mb}");
+    }
+}
+
+/// Without load reports the time for its work that background work takes shows how utilized engines are:
+/// one of many gateways need not stay at its share of the limit while the fleet has capacity, and queues
+/// background work while it has none.
+#[test]
+fn without_reports_slow_background_work_shows_full_engines() {
+    for (elapsed, freed) in [(0.5, true), (3.0, false)] {
+        let mut s = settings();
+        (s.gateways, s.capabilities.load_reports) = (100, LoadReportSource::None);
+        let mut driver = Driver::new(s, (1..=4).map(engine).collect());
+        let mut sent = 0;
+        for id in 0..20 {
+            driver.now += 0.5;
+            if let Some((on, _)) = forwarded_to(&driver.arrive(id, BACKGROUND)) {
+                sent += 1;
+                driver.first_attempt_served(
+                    id,
+                    on,
+                    elapsed,
+                    Some(QueryCost { work: 4.0, memory_mb: 0.0 }),
+                    None,
+                );
+            }
+        }
+        assert_eq!(sent > 10, freed, "{sent} of 20");
+    }
+}
+
+/// Without load reports background work is never barred for good, however slow the last of it was: nothing
+/// else would show that the overload is over.
+#[test]
+fn without_reports_background_work_returns_after_an_overload() {
+    let mut s = settings();
+    s.capabilities.load_reports = LoadReportSource::None;
+    let mut driver = Driver::new(s, (1..=4).map(engine).collect());
+    for id in 0..10 {
+        driver.now += 8.0;
+        let on = forwarded_to(&driver.arrive(id, BACKGROUND)).expect("not held").0;
+        driver.first_attempt_served(id, on, 8.0, Some(QueryCost { work: 4.0, memory_mb: 0.0 }), None);
+    }
+}
+
+/// Where load reports tell nothing, as of engines where no query waits for memory, the time for its work
+/// that background work takes stands in for them: interactive requests go ahead of it and are slow only
+/// when engines have long been overloaded.
+#[test]
+fn slow_background_work_lowers_the_limit_where_shares_are_thin_and_nothing_is_reported() {
+    let (s, engines) = many_gateways();
+    let sent = |estimate: Option<f64>| {
+        let mut driver = Driver::new(s.clone(), engines.clone());
+        let mut sent = 0;
+        for id in 1..900 {
+            driver.now += 0.1;
+            let mut going = forwards(&driver.control_tick());
+            driver.serve_interactive(10_000 + id, 1, 0.1);
+            let request = Request { estimated_work: estimate, ..driver.request(id, BACKGROUND) };
+            going.extend(forwards(&driver.event(&Event::RequestArrived(request))));
+            while let Some((id, to)) = going.pop() {
+                sent += u32::from(driver.now > 160.0);
+                let elapsed = if id < 300 { 1.0 } else { 4.0 };
+                going.extend(forwards(&driver.attempt_ended(id, 0, to, Outcome::Success, elapsed)));
+            }
+        }
+        sent
+    };
+    // By the work that is told of, they take four times as long as they did; without that nothing is known.
+    let (told, untold) = (sent(Some(4.0)), sent(None));
+    assert!(0 < told && 2 * told < untold, "{told} reports, and {untold}");
+}
+
+/// An outside cause that slows all engines makes background work take longer, as a full engine would. Where
+/// this gateway's own threads show that an engine holds little, the limit stays: engines would idle else.
+#[test]
+fn slow_engines_with_few_threads_do_not_lower_the_limit() {
+    let mut s = single_thread_loads();
+    (s.gateways, s.capabilities.load_reports) = (1, LoadReportSource::HealthChecks);
+    let mut driver = Driver::new(s, vec![engine(1)]);
+    driver.serve_interactive(9000, 6, 0.3);
+    let cost = Some(QueryCost { work: 1.0, memory_mb: 0.0 });
+    for (from, elapsed) in [(1000, 1.0), (2000, 4.0)] {
+        for round in from..from + 10 {
+            let on = forwarded_to(&driver.arrive(round, LOAD)).expect("C has room").0;
+            driver.first_attempt_served(round, on, elapsed, cost, None);
+            driver.serve_interactive(10 * round, 10, 0.3);
+        }
+    }
+    assert!(driver.count_admitted(90_000, LOAD) >= 8, "one thread of eight cores is out at a time");
+}
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -45,7 +45,7 @@
 }
 
 struct World {
-    drive: Drive,
+    driver: Driver,
     s: Settings,
     requests: BTreeMap<u64, Known>,
     out: Vec<(u64, u32, u32, f64)>,
@@ -73,10 +73,10 @@
         let s = bound();
         let entry = |id: u32| EndpointEntry { zone: ZoneId(id as usize % 2), ..engine(id) };
         let engines: BTreeMap<u32, EndpointEntry> = (0..5).map(|id| (id, entry(id))).collect();
-        let mut drive = Drive::new(s.clone(), vec![]);
+        let mut driver = Driver::new(s.clone(), vec![]);
         let mut first = Vec::new();
-        drive.gateway.on_event(
-            drive.now,
+        driver.gateway.on_event(
+            driver.now,
             &Event::EndpointList {
                 mode: EndpointListMode::Cached,
                 entries: engines.values().cloned().collect(),
@@ -85,9 +85,9 @@
         );
         let listed = engines.keys().copied().collect();
         // The driver's own first list asked for the timer that looks around.
-        let timers = vec![(drive.now + 0.1, 0)];
+        let timers = vec![(driver.now + 0.1, 0)];
         Self {
-            drive,
+            driver,
             s,
             requests: BTreeMap::new(),
             out: vec![],
@@ -102,14 +102,14 @@
     }
 
     fn tell(&mut self, event: &Event) {
-        let actions = self.drive.event(event);
+        let actions = self.driver.event(event);
         for action in actions {
             self.check(&action);
         }
     }
 
     fn check(&mut self, action: &Action) {
-        let now = self.drive.now;
+        let now = self.driver.now;
         match action {
             Action::SetTimer { delay, token, .. } => {
                 assert!(*delay >= 0.0);
@@ -138,7 +138,7 @@
     }
 
     fn check_send(&mut self, id: u64, engine: u32, timeout: Option<f64>) {
-        let now = self.drive.now;
+        let now = self.driver.now;
         let entry = self.engines[&engine].clone();
         assert!(self.listed.contains(&engine) && entry.state == EndpointState::Ready, "drain");
         assert!(timeout.is_none_or(|t| t > 0.0));
@@ -197,26 +197,26 @@
     }
 
     fn wait(&mut self, span: f64) {
-        let end = self.drive.now + span;
+        let end = self.driver.now + span;
         loop {
             let due =
                 self.timers.iter().enumerate().min_by(|a, b| a.1.0.total_cmp(&b.1.0)).map(|(i, t)| (i, *t));
             match due {
                 Some((i, (at, token))) if at <= end => {
                     self.timers.remove(i);
-                    self.drive.now = self.drive.now.max(at);
+                    self.driver.now = self.driver.now.max(at);
                     self.tell(&Event::Timer(token));
                     self.overdue();
                 }
                 _ => break,
             }
         }
-        self.drive.now = end;
+        self.driver.now = end;
     }
 
     fn overdue(&self) {
         for (id, r) in &self.requests {
-            let late = self.drive.now > r.deadline + self.s.rules.answer_grace;
+            let late = self.driver.now > r.deadline + self.s.rules.answer_grace;
             assert!(r.done || !late, "request {id} has no answer in time");
         }
     }
@@ -226,7 +226,7 @@
             return;
         }
         let (id, attempt, engine, sent) = self.out.remove(which % self.out.len());
-        let now = self.drive.now;
+        let now = self.driver.now;
         let r = self.requests.get_mut(&id).unwrap();
         r.sends[attempt as usize].2 = Some(how);
         let settled = r.done || how == Outcome::Success;
@@ -248,7 +248,7 @@
     }
 
     fn step(&mut self, n: u64, step: &Step) {
-        let now = self.drive.now;
+        let now = self.driver.now;
         match *step {
             Step::Wait(ms) => self.wait(f64::from(ms) / 1000.0),
             Step::Arrive { class, key, patience } => {
--- a/tests/recorded_decisions.rs
+++ b/tests/recorded_decisions.rs
@@ -1,7 +1,8 @@
 //! Every decision of a gateway over drawn streams of events, against recorded ones.
 //!
-//! `recorded_decisions/expected.txt` has a line for each stream: its number, seed, events, actions and digest, and
-//! the digest of each block of events. Where a decision is meant to change, `WRENHATCH_RECORD=1` records it anew.
+//! `recorded_decisions/expected.txt` has a line for each stream: its number, seed, events, actions and
+//! digest, and the digest of each block of events. Where a decision is meant to change,
+//! `WRENHATCH_RECORD=1` records it anew.
 
 #[path = "recorded_decisions/draws.rs"]
 mod draws;
--- /dev/null
+++ b/tests/slow_start.rs
@@ -0,0 +1,120 @@
+//! Slow start: many gateways, each knowing only its own share, in front of one warming engine.
+
+mod common;
+
+use common::*;
+use workload_manager::*;
+
+/// What many gateways send a warming engine together, each knowing only its own share, which is less than
+/// one request: neither more than it bears nor nothing.
+#[test]
+fn many_gateways_together_neither_overload_a_warming_engine_nor_avoid_it() {
+    // As many as the settings say, half and twice as many: they come and go.
+    for gateways in [60, 120, 240] {
+        together(gateways);
+    }
+}
+
+fn together(gateways: u64) {
+    let span = 2.0;
+    let mut s = settings();
+    s.gateways = 120;
+    let template = Driver::new(s.clone(), vec![]);
+    let mut work = Vec::new();
+    for seed in 0..gateways {
+        let mut gateway = workload_manager::WorkloadManager::new(s.clone(), seed).unwrap();
+        let mut actions = Vec::new();
+        let cold = EndpointEntry { started_at: Some(100.0), ..engine(1) };
+        gateway.on_event(
+            100.0,
+            &Event::EndpointList { mode: EndpointListMode::Full, entries: vec![cold] },
+            &mut actions,
+        );
+        for tick in 0..60u32 {
+            let now = 100.0 + f64::from(tick) * 0.1;
+            let mut actions = Vec::new();
+            for class in [INTERACTIVE, BACKGROUND] {
+                let id = RequestId(u64::from(tick) * 2 + class.0 as u64);
+                let request = Request { id, class, deadline: now + 20.0, ..template.request(0, class) };
+                gateway.on_event(now, &Event::RequestArrived(request), &mut actions);
+            }
+            gateway.on_event(now, &Event::Timer(0), &mut actions);
+            for (id, _) in forwards(&actions) {
+                // Half their aims, as the module takes it until it has seen more.
+                work.push((now, if id % 2 == 0 { 0.5 } else { 8.0 }));
+                gateway.on_event(now, &Event::RequestAborted(RequestId(id)), &mut Vec::new());
+            }
+        }
+    }
+    for start in 0..40 {
+        let from = 100.0 + f64::from(start) * 0.1;
+        let sent: f64 = work.iter().filter(|(at, _)| (from..from + span).contains(at)).map(|(_, w)| w).sum();
+        let warmth = 0.3 + 0.7 * (from - 100.0) / 10.0;
+        // With twice the gateways chance may add one report of eight seconds.
+        let slack = if gateways > 120 { 8.0 } else { 0.0 };
+        assert!(sent <= 2.0 * warmth * 8.0 * span + slack, "{gateways}: {sent} s of work from {from}");
+    }
+    assert!(work.iter().filter(|(at, _)| *at < 102.0).count() > 0, "{gateways}: it is not shunned");
+}
+
+/// Where each gateway prefers few of many engines, the budget of those that prefer the warming one must
+/// make up for the others, or it idles until it is warm.
+#[test]
+fn gateways_that_prefer_a_warming_engine_use_the_budget_of_those_that_do_not() {
+    let (span, gateways) = (2.0, 120);
+    let mut s = settings();
+    s.gateways = gateways;
+    let template = Driver::new(s.clone(), vec![]);
+    let mut sent_cold = Vec::new();
+    for seed in 0..u64::from(gateways) {
+        let mut gateway = workload_manager::WorkloadManager::new(s.clone(), seed).unwrap();
+        let warm: Vec<_> = (1..=40).map(engine).collect();
+        gateway.on_event(
+            100.0,
+            &Event::EndpointList { mode: EndpointListMode::Full, entries: warm },
+            &mut Vec::new(),
+        );
+        for tick in 0..90u32 {
+            let now = 100.0 + f64::from(tick) * 0.2;
+            let mut actions = Vec::new();
+            if tick == 40 {
+                let entries = vec![EndpointEntry { started_at: Some(now), ..engine(99) }];
+                gateway.on_event(
+                    now,
+                    &Event::EndpointList { mode: EndpointListMode::Delta, entries },
+                    &mut actions,
+                );
+            }
+            gateway.on_event(now, &Event::Timer(0), &mut actions);
+            let id = RequestId(u64::from(tick));
+            let request = Request { id, deadline: now + 4.0, ..template.request(0, INTERACTIVE) };
+            gateway.on_event(now, &Event::RequestArrived(request), &mut actions);
+            for (id, to) in forwards(&actions) {
+                sent_cold.extend((to == 99).then_some(now));
+                let ended = Event::AttemptEnded {
+                    request: RequestId(id),
+                    attempt: 0,
+                    engine: EngineId(to),
+                    outcome: Outcome::Success,
+                    elapsed: 0.2,
+                    request_settled: true,
+                    may_still_run_for: 0.0,
+                    cost: None,
+                    load_report: None,
+                };
+                gateway.on_event(now, &ended, &mut Vec::new());
+            }
+        }
+    }
+    // Dashboards have half of three tenths of what the rule lets through; those that work with it most of
+    // that.
+    let warmth = |from: f64| 0.3 + 0.7 * (from - 108.0) / 10.0;
+    let whole = |from: f64| 2.0 * warmth(from) * 8.0 * 0.85 * span;
+    let share = |from: f64| {
+        let sent = sent_cold.iter().filter(|at| (from..from + span).contains(*at)).count() as f64 * 0.2;
+        sent / whole(from)
+    };
+    let shares = [110.0, 112.0, 114.0].map(share);
+    assert!(shares.iter().all(|share| *share < 0.3), "{shares:?} of what it bears");
+    assert!(shares.iter().sum::<f64>() / 3.0 > 0.05, "{shares:?} of what it bears");
+}
--- a/tests/cold.rs
+++ b/tests/warming_engines.rs
@@ -1,6 +1,6 @@
-//! What all gateways together send a cold engine, against the budget of calls that the settings allow it and what
-//! passes as chance beyond that. Shares under one call, uneven traffic, gateways told late and gateways restarted
-//! with nothing remembered, alone or all together. Seeds are fixed.
+//! What all gateways together send a cold engine, against the budget of calls that the settings allow it
+//! and what passes as chance beyond that. Shares under one call, uneven traffic, gateways told late and
+//! gateways restarted with nothing remembered, alone or all together. Seeds are fixed.
 
 mod common;
 
@@ -22,7 +22,8 @@
     Rolling,
     /// Seven in ten start anew at once, a second and a half in.
     Herd,
-    /// Each gateway is being upgraded: two processes of it serve side by side, none knowing what the other sends.
+    /// Each gateway is being upgraded: two processes of it serve side by side, none knowing what the other
+    /// sends.
     Upgrade,
 }
 
@@ -81,7 +82,7 @@
     let mut rng = Pcg32::seed_from_u64(seed);
     let mut s = rules();
     s.gateways = day.gateways;
-    let template = Drive::new(s.clone(), vec![]);
+    let template = Driver::new(s.clone(), vec![]);
     // Far more is asked for than the cold engines may get.
     let mean: f64 = (0..3).map(|c| day.work[c] * f64::from(day.mix[c]) / 10.0).sum();
     let borne = f64::from(day.cold) * s.rules.collapse_load_ratio * 16.0 / mean;
@@ -173,7 +174,7 @@
                     class: ClassId(class),
                     deadline,
                     estimated_work: estimate,
-                    ..template.request(0, LOOKUP)
+                    ..template.request(0, INTERACTIVE)
                 };
                 node.gateway.on_event(now, &Event::RequestArrived(request), &mut actions);
             }
@@ -197,8 +198,8 @@
     calls
 }
 
-/// Of all windows the one nearest to falling: calls of mean work sent, the budget of them, and the most that is let
-/// pass.
+/// Of all windows the one nearest to falling: calls of mean work sent, the budget of them, and the most
+/// that is let pass.
 fn worst(day: &Day, calls: &[(f64, f64)]) -> (f64, f64, f64) {
     let s = rules();
     let r = &s.rules;
@@ -242,7 +243,7 @@
 }
 
 #[test]
-fn the_sum_over_all_gateways_stays_within_what_passes_as_chance() {
+fn the_sum_over_all_gateways_stays_within_chance() {
     for (n, day) in
         days(0.5, &[(0, 1), (8, 2)]).into_iter().enumerate().filter(|(_, d)| d.gateways < 300 || d.warm == 0)
     {
@@ -255,7 +256,7 @@
 
 /// Guards the guard: were each gateway to send just one more than its share, the sum would be over.
 #[test]
-fn one_more_call_of_each_gateway_would_be_too_many() {
+fn one_more_request_of_each_gateway_would_be_too_many() {
     let (work, mix) = HEAVY;
     let day =
         Day { gateways: 300, warm: 0, cold: 1, work, mix, estimates: true, fate: Fate::Steady, demand: 0.5 };
