--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -21,20 +21,20 @@
     s.machine_types[0].memory_mb = 8000.0; // 4,000 for each of two gateways, of which seven eighths are used.
     let mut driver = Driver::new(s, vec![engine(1)]);
     driver.serve_interactive(100, 40, 0.2);
-    let mut report = |id, need_mb| {
+    let mut admits = |id, need_mb| {
         let request = Request { estimated_memory_mb: Some(need_mb), ..driver.request(id, BACKGROUND) };
         forwarded_to(&driver.event(&Event::RequestArrived(request)))
     };
-    assert!(report(1, 2000.0).is_some());
-    assert_eq!(report(2, 1501.0), None, "3,501 MB are too many");
-    assert!(report(3, 1500.0).is_some(), "one that fits is not held for it");
+    assert!(admits(1, 2000.0).is_some());
+    assert_eq!(admits(2, 1501.0), None, "3,501 MB are too many");
+    assert!(admits(3, 1500.0).is_some(), "one that fits is not queued behind it");
     assert_eq!(
         forwards(&driver.attempt_ended(1, 0, 1, Outcome::Success, 1.0)),
         vec![(2, 1)],
         "the share is free again"
     );
 
-    // One that is larger than any share goes where no other secondary work is.
+    // One that is larger than any share goes where no other background work is.
     driver.attempt_ended(2, 0, 1, Outcome::Success, 1.0);
     let large = Request { estimated_memory_mb: Some(9000.0), ..driver.request(4, BACKGROUND) };
     assert_eq!(forwarded_to(&driver.event(&Event::RequestArrived(large))), None);
@@ -84,26 +84,29 @@
 /// one engine ever bound, and after most engines had left, those that stayed ran out of memory.
 #[test]
 fn memory_binds_over_all_engines_together() {
-    for (engines, cold, least, most) in [(80, 0, 2, 4), (80, 60, 1, 1), (800, 0, 18, 40)] {
+    for (engines, warming, least, most) in [(80, 0, 2, 4), (80, 60, 1, 1), (800, 0, 18, 40)] {
         let mut driver = one_of_many_gateways(engines);
-        // Hours of rest: C alone would let far more leave.
+        // After a minute at rest the concurrency limit alone would admit far more.
         driver.now += 60.0;
         let started = Some(driver.now);
         driver.endpoint_list(
             EndpointListMode::Delta,
-            (1..=cold).map(|id| EndpointEntry { started_at: started, ..engine(id) }).collect(),
+            (1..=warming).map(|id| EndpointEntry { started_at: started, ..engine(id) }).collect(),
         );
-        let mut out = 0;
+        let mut in_flight = 0;
         for id in 1..200 {
             let request = Request {
                 estimated_memory_mb: Some(3_000.0),
                 estimated_work: Some(0.2),
                 ..driver.request(id, BACKGROUND)
             };
-            out += forwards(&driver.event(&Event::RequestArrived(request))).len();
+            in_flight += forwards(&driver.event(&Event::RequestArrived(request))).len();
             driver.now += 0.05;
-            out += forwards(&driver.control_tick()).len();
+            in_flight += forwards(&driver.control_tick()).len();
         }
-        assert!((least..=most).contains(&out), "{engines} engines, {cold} cold: {out} out");
+        assert!(
+            (least..=most).contains(&in_flight),
+            "{engines} engines, {warming} warming: {in_flight} in flight"
+        );
     }
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -25,7 +25,8 @@
     }
 }
 
-/// One gateway of two; dashboards of one thread, reports of four, unsafe loads of two in key order.
+/// One gateway of two; interactive requests of one thread, background work of four, loads of two that are
+/// not idempotent, ordered by key.
 pub fn settings() -> Settings {
     let load = Class {
         idempotency: Idempotency::NotIdempotent,
@@ -71,7 +72,8 @@
     }
 }
 
-/// The same with loads of one thread, unbound and safe, which measure C to the thread.
+/// The same with loads of one thread, not ordered and idempotent, which measure the concurrency limit to
+/// the thread.
 pub fn single_thread_loads() -> Settings {
     let mut s = settings();
     s.classes[2] = Class { is_load: true, ..class(3.0, 1, 30.0) };
@@ -95,7 +97,7 @@
 }
 
 impl Driver {
-    /// A gateway that has been told a full list of these engines.
+    /// A gateway that knows a full list of these engines.
     pub fn new(settings: Settings, engines: Vec<EndpointEntry>) -> Self {
         let mut driver = Self { gateway: WorkloadManager::new(settings, 7).unwrap(), now: 100.0 };
         driver.endpoint_list(EndpointListMode::Full, engines);
@@ -179,21 +181,23 @@
         self.event(&Event::Timer(0))
     }
 
-    /// Serves `n` dashboards, one after the other, with this latency; ids from `from`.
+    /// Serves `n` interactive requests, one after the other, with this latency; ids from `from`.
     pub fn serve_interactive(&mut self, from: u64, n: u64, latency: f64) {
         for id in from..from + n {
-            let engine = forwarded_to(&self.arrive(id, INTERACTIVE)).expect("a dashboard leaves at once").0;
+            let engine = forwarded_to(&self.arrive(id, INTERACTIVE))
+                .expect("an interactive request is forwarded at once")
+                .0;
             self.attempt_ended(id, 0, engine, Outcome::Success, latency);
         }
     }
 
-    /// How many requests of this class leave before one is held; ids from `from`.
+    /// How many requests of this class are forwarded before one is queued; ids from `from`.
     pub fn count_admitted(&mut self, from: u64, class: ClassId) -> u64 {
         (from..).take_while(|id| forwarded_to(&self.arrive(*id, class)).is_some()).count() as u64
     }
 }
 
-/// The engine and time-out of the only send.
+/// The engine and time-out of the only attempt that is forwarded.
 pub fn forwarded_to(actions: &[Action]) -> Option<(u32, Option<f64>)> {
     let sends: Vec<_> = forwards(actions);
     assert!(sends.len() <= 1, "more than one send: {sends:?}");
@@ -212,7 +216,7 @@
     actions.iter().filter_map(send).collect()
 }
 
-/// Final answers: the request, and whether it was refused.
+/// Final answers: the request, and whether it was rejected.
 pub fn final_answers(actions: &[Action]) -> Vec<(u64, bool)> {
     let answer = |a: &Action| match a {
         Action::Reject { request, .. } => Some((request.0, true)),
@@ -235,7 +239,7 @@
     actions.iter().filter_map(cancel).collect()
 }
 
-/// A hundred gateways: C is a part of a thread on each engine, and binds as a sum over all.
+/// A hundred gateways: the limit is a part of a thread on each engine, and binds as a sum over all.
 pub fn many_gateways() -> (Settings, Vec<EndpointEntry>) {
     let mut s = settings();
     s.gateways = 100;
--- a/tests/concurrency_limit.rs
+++ b/tests/concurrency_limit.rs
@@ -31,13 +31,13 @@
     busy.serve_interactive(1000, 40, 0.2);
     assert_eq!(busy.count_admitted(1, LOAD), 8);
     busy.serve_interactive(2000, 100, 0.2);
-    assert!(busy.count_admitted(50, LOAD) >= 1, "more than eight are out");
+    assert!(busy.count_admitted(50, LOAD) >= 1, "more than eight are in flight");
 }
 
 /// A stalled attempt does not show how full its engine is: the limit must not fall for it.
 #[test]
 fn stalled_attempts_do_not_lower_the_limit() {
-    let admitted = |stuck: bool| {
+    let admitted = |stalls: bool| {
         let mut driver = Driver::new(settings_with_cancelling(), vec![engine(1)]);
         driver.serve_interactive(1000, 40, 0.2);
         for id in (1..80).step_by(2) {
@@ -48,7 +48,7 @@
             driver.now += 0.2;
             driver.attempt_ended(id + 1, 0, 1, Outcome::Success, 0.2);
             driver.now += 4.0;
-            if stuck {
+            if stalls {
                 assert!(!cancelled_requests(&driver.control_tick()).is_empty());
             }
             let again = driver.attempt_ended(id, 0, 1, Outcome::Cancelled, 4.2);
@@ -83,9 +83,13 @@
         }
         sent
     };
-    // C is two threads a core of fifty engines, and then half a thread; each report has four for two seconds.
+    // The limit is two threads a core of fifty engines, then half a thread; each request has four for two
+    // seconds.
     let (quick, slow) = (sent_behind(0.1), sent_behind(3.9));
-    assert!(quick >= 35 && slow <= 14, "{quick} reports, and {slow}: all engines follow the few worked with");
+    assert!(
+        quick >= 35 && slow <= 14,
+        "{quick} requests, and {slow}: all engines follow the few preferred ones"
+    );
 }
 
 /// In an overload most interactive attempts are cut short by clients with little time left: counted as
@@ -135,7 +139,8 @@
 #[test]
 fn latency_under_the_objective_raises_the_limit_by_gain_times_error() {
     let mut driver = Driver::new(single_thread_loads(), vec![engine(1)]);
-    // KI = P/(R n) = 8/(1 * 3) with R the aim until learned; E = 1.5 + (1 - 0.7); C = 8/3 * 1.8 = 4.8.
+    // Gain P/(R n) = 8/(1 * 3), R being the objective at first; integral 1.5 + (1 - 0.7); limit 8/3 * 1.8 =
+    // 4.8.
     driver.serve_interactive(1000, 20, 0.7);
     assert_eq!(driver.count_admitted(1, LOAD), 5);
 }
@@ -171,13 +176,13 @@
 #[test]
 fn the_limit_never_falls_under_one_and_recovers_in_one_interval() {
     let mut driver = Driver::new(single_thread_loads(), vec![engine(1)]);
-    // Without the bound at the lower end E would need many intervals of surplus.
+    // Without its lower bound the integral would need many intervals of surplus.
     driver.serve_interactive(1000, 200, 3.0);
     assert_eq!(driver.count_admitted(1, LOAD), 1);
     let mut driver = Driver::new(single_thread_loads(), vec![engine(1)]);
     driver.serve_interactive(1000, 200, 3.0);
     driver.serve_interactive(2000, 20, 0.2);
-    assert!(driver.count_admitted(1, LOAD) >= 3, "an outside slowdown is over: C climbs at once");
+    assert!(driver.count_admitted(1, LOAD) >= 3, "an outside slowdown is over: the limit recovers at once");
 }
 
 #[test]
@@ -189,7 +194,7 @@
     let mut driver = Driver::new(single_thread_loads(), vec![engine(1)]);
     driver.serve_interactive(1000, 2000, 0.1);
     driver.serve_interactive(5000, 60, 2.0);
-    assert_eq!(driver.count_admitted(1, LOAD), 1, "three bad intervals are enough after any quiet spell");
+    assert_eq!(driver.count_admitted(1, LOAD), 1, "three bad intervals are enough after any quiet time");
 }
 
 /// A few completions on one engine are noise.
@@ -203,7 +208,7 @@
         driver.control_tick();
         driver.count_admitted(1, LOAD)
     };
-    assert!(admitted(2.0, 1) >= 7, "one slow dashboard alone would halve C's bound of eight");
+    assert!(admitted(2.0, 1) >= 7, "one slow request alone would halve the ceiling of eight");
     assert!(admitted(2.0, 19) < admitted(0.5, 19));
 }
 
@@ -233,6 +238,6 @@
     assert!((1..=3).contains(&admitted(LoadReportSource::None, 1.5)));
     assert!(
         admitted(LoadReportSource::Responses, 1.5) >= 6,
-        "there the bar acts at once and C is the loop's alone"
+        "there the utilization guard acts at once, and the limit follows latency alone"
     );
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,5 +1,5 @@
 //! Many gateways in front of shared engines, each knowing only its own: drawn settings, outcomes, lost
-//! answers, restarts and stale lists, against books that know nothing of the module. Seeds are fixed.
+//! answers, restarts and stale lists, against a checker that knows nothing of the decisions. Seeds are fixed.
 
 mod common;
 
@@ -19,14 +19,14 @@
     rng.next_u32() % below
 }
 
-struct Asked {
+struct PendingRequest {
     class: usize,
     deadline: f64,
     sends: Vec<(u32, f64, Option<Outcome>)>,
     answered: bool,
 }
 
-impl Asked {
+impl PendingRequest {
     fn may_have_run(&self) -> Option<(u32, f64)> {
         let proves =
             |how: Outcome| matches!(how, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NeverSent);
@@ -34,12 +34,12 @@
     }
 }
 
-/// One gateway, what it has been told, and what it was asked.
-struct Node {
+/// One gateway, the endpoint states that it knows, and the requests that it got.
+struct Instance {
     gateway: WorkloadManager,
-    told: BTreeMap<u32, EndpointState>,
+    known_states: BTreeMap<u32, EndpointState>,
     list: Vec<(f64, Vec<EndpointEntry>)>,
-    asked: BTreeMap<u64, Asked>,
+    requests: BTreeMap<u64, PendingRequest>,
     timers: Vec<(f64, u64)>,
     out: Vec<(f64, u64, u32, u32, Outcome)>,
 }
@@ -48,8 +48,8 @@
     s: Settings,
     work: Vec<f64>,
     engines: BTreeMap<u32, EndpointEntry>,
-    nodes: Vec<Node>,
-    cold: BTreeMap<u32, Vec<(f64, f64)>>,
+    instances: Vec<Instance>,
+    warming: BTreeMap<u32, Vec<(f64, f64)>>,
     sent: Vec<u64>,
     rng: Pcg32,
 }
@@ -88,45 +88,45 @@
             sent: vec![0; s.classes.len()],
             s,
             engines,
-            nodes: Vec::new(),
-            cold: BTreeMap::new(),
+            instances: Vec::new(),
+            warming: BTreeMap::new(),
             rng,
         };
         for n in 0..gateways {
-            let node = fleet.start(n, 0.0);
-            fleet.nodes.push(node);
+            let instance = fleet.start(n, 0.0);
+            fleet.instances.push(instance);
         }
         fleet
     }
 
-    fn start(&mut self, n: u32, now: f64) -> Node {
+    fn start(&mut self, n: u32, now: f64) -> Instance {
         let zones = 1 + self.engines.values().map(|e| e.zone.0).max().unwrap_or(0);
         let s = Settings { zone: Some(ZoneId(n as usize % zones)), ..self.s.clone() };
         let gateway = WorkloadManager::new(s, u64::from(self.rng.next_u32())).unwrap();
         let list = vec![(now, self.engines.values().cloned().collect())];
-        Node {
+        Instance {
             gateway,
-            told: BTreeMap::new(),
+            known_states: BTreeMap::new(),
             list,
-            asked: BTreeMap::new(),
+            requests: BTreeMap::new(),
             timers: Vec::new(),
             out: Vec::new(),
         }
     }
 
-    /// A change of the list, told to each gateway by itself, some seconds late.
+    /// A change of the list, which reaches each gateway by itself, some seconds late.
     fn change(&mut self, now: f64, entry: &EndpointEntry) {
         self.engines.insert(entry.engine.0, entry.clone());
-        for node in &mut self.nodes {
+        for instance in &mut self.instances {
             let late = now + f64::from(draw(&mut self.rng, 20)) * 0.1;
-            let after = node.list.last().map_or(late, |(at, _)| late.max(*at));
-            node.list.push((after, vec![entry.clone()]));
+            let after = instance.list.last().map_or(late, |(at, _)| late.max(*at));
+            instance.list.push((after, vec![entry.clone()]));
         }
     }
 
     fn tell(&mut self, n: usize, now: f64, event: &Event) {
         let mut actions = Vec::new();
-        self.nodes[n].gateway.on_event(now, event, &mut actions);
+        self.instances[n].gateway.on_event(now, event, &mut actions);
         for action in actions {
             self.act(n, now, &action);
         }
@@ -134,24 +134,24 @@
 
     fn act(&mut self, n: usize, now: f64, action: &Action) {
         match action {
-            Action::SetTimer { delay, token, .. } => self.nodes[n].timers.push((now + delay, *token)),
+            Action::SetTimer { delay, token, .. } => self.instances[n].timers.push((now + delay, *token)),
             Action::Forward { request, engine, .. } => self.send(n, now, request.0, engine.0),
             Action::CancelAttempt { request, attempt } => {
                 // Most hear that they are given up; of some the end was on its way already.
                 let heard = draw(&mut self.rng, 4) > 0;
-                let out = &mut self.nodes[n].out;
+                let out = &mut self.instances[n].out;
                 if let Some(o) = out.iter_mut().find(|o| (o.1, o.2) == (request.0, *attempt) && heard) {
                     (o.0, o.4) = (o.0.min(now + 0.05), Outcome::Cancelled);
                 }
             }
             Action::Reject { request, .. } => {
-                let asked = &self.nodes[n].asked[&request.0];
-                let effect = self.s.classes[asked.class].idempotency;
+                let pending = &self.instances[n].requests[&request.0];
+                let effect = self.s.classes[pending.class].idempotency;
                 let harmless = matches!(
                     effect,
                     Idempotency::Idempotent | Idempotency::Keyed { scope: IdempotencyScope::All, .. }
                 );
-                assert!(harmless || asked.may_have_run().is_none(), "invited to repeat what may have run");
+                assert!(harmless || pending.may_have_run().is_none(), "invited to repeat what may have run");
                 self.answer(n, now, request.0);
             }
             Action::Fail(request) => self.answer(n, now, request.0),
@@ -160,24 +160,28 @@
     }
 
     fn answer(&mut self, n: usize, now: f64, id: u64) {
-        let asked = self.nodes[n].asked.get_mut(&id).unwrap();
-        assert!(!asked.answered, "answered twice");
-        assert!(now <= asked.deadline + TICK, "answered too late");
-        asked.answered = true;
+        let pending = self.instances[n].requests.get_mut(&id).unwrap();
+        assert!(!pending.answered, "answered twice");
+        assert!(now <= pending.deadline + TICK, "answered too late");
+        pending.answered = true;
     }
 
     fn send(&mut self, n: usize, now: f64, id: u64, engine: u32) {
-        let node = &mut self.nodes[n];
-        assert_eq!(node.told.get(&engine), Some(&EndpointState::Ready), "sent to one that is not ready");
+        let instance = &mut self.instances[n];
+        assert_eq!(
+            instance.known_states.get(&engine),
+            Some(&EndpointState::Ready),
+            "sent to one that is not ready"
+        );
         let entry = self.engines[&engine].clone();
-        let asked = node.asked.get_mut(&id).unwrap();
-        let class = &self.s.classes[asked.class];
-        assert!(!asked.answered && asked.sends.iter().all(|(.., how)| how.is_some()), "a second copy");
+        let pending = instance.requests.get_mut(&id).unwrap();
+        let class = &self.s.classes[pending.class];
+        assert!(!pending.answered && pending.sends.iter().all(|(.., how)| how.is_some()), "a second copy");
         assert!(
             class.allowed_zones.as_ref().is_none_or(|z| z.contains(&entry.zone)),
             "sent where it may not go"
         );
-        if let Some((first, at)) = asked.may_have_run() {
+        if let Some((first, at)) = pending.may_have_run() {
             let first = &self.engines[&first];
             match class.idempotency {
                 Idempotency::Idempotent => {}
@@ -192,14 +196,14 @@
                 }
             }
         }
-        let attempt = asked.sends.len() as u32;
-        asked.sends.push((engine, now, None));
-        self.sent[asked.class] += 1;
-        let work = self.work[asked.class];
+        let attempt = pending.sends.len() as u32;
+        pending.sends.push((engine, now, None));
+        self.sent[pending.class] += 1;
+        let work = self.work[pending.class];
         if entry.started_at.is_some() {
-            self.cold.entry(engine).or_default().push((now, work));
+            self.warming.entry(engine).or_default().push((now, work));
         }
-        // One that has gone, and whom this gateway does not know of yet, refuses the connection.
+        // One that has gone, and which this gateway still has in its list, refuses the connection.
         let alive = entry.state != EndpointState::Removed;
         let outcome = match (alive, draw(&mut self.rng, 40)) {
             (false, _) | (_, 0) => Outcome::ConnectFailed,
@@ -211,22 +215,22 @@
         };
         let takes = work / f64::from(class.threads) * (0.5 + f64::from(draw(&mut self.rng, 100)) / 50.0);
         let quick = matches!(outcome, Outcome::ConnectFailed | Outcome::Rejected);
-        node.out.push((now + if quick { 0.001 } else { takes }, id, attempt, engine, outcome));
+        instance.out.push((now + if quick { 0.001 } else { takes }, id, attempt, engine, outcome));
     }
 
     fn end(&mut self, n: usize, now: f64) {
-        while let Some(i) = self.nodes[n].out.iter().position(|o| o.0 <= now) {
-            let (_, id, attempt, engine, outcome) = self.nodes[n].out.remove(i);
-            let asked = self.nodes[n].asked.get_mut(&id).unwrap();
-            let send = &mut asked.sends[attempt as usize];
-            (send.2, asked.answered) = (Some(outcome), asked.answered || outcome == Outcome::Success);
+        while let Some(i) = self.instances[n].out.iter().position(|o| o.0 <= now) {
+            let (_, id, attempt, engine, outcome) = self.instances[n].out.remove(i);
+            let pending = self.instances[n].requests.get_mut(&id).unwrap();
+            let send = &mut pending.sends[attempt as usize];
+            (send.2, pending.answered) = (Some(outcome), pending.answered || outcome == Outcome::Success);
             let event = Event::AttemptEnded {
                 request: RequestId(id),
                 attempt,
                 engine: EngineId(engine),
                 outcome,
                 elapsed: now - send.1,
-                request_settled: asked.answered,
+                request_settled: pending.answered,
                 may_still_run_for: 0.0,
                 cost: None,
                 load_report: None,
@@ -259,21 +263,21 @@
                     self.change(now, &new);
                 }
             }
-            for n in 0..self.nodes.len() {
+            for n in 0..self.instances.len() {
                 if at(5.0) && n % 4 == 0 {
                     // Killed and started again: it knows nothing, and its clients ask anew.
-                    self.nodes[n] = self.start(n as u32, now);
+                    self.instances[n] = self.start(n as u32, now);
                 }
-                while self.nodes[n].list.first().is_some_and(|(due, _)| *due <= now) {
-                    let (_, entries) = self.nodes[n].list.remove(0);
-                    let whole = self.nodes[n].told.is_empty();
-                    self.nodes[n].told.extend(entries.iter().map(|e| (e.engine.0, e.state)));
+                while self.instances[n].list.first().is_some_and(|(due, _)| *due <= now) {
+                    let (_, entries) = self.instances[n].list.remove(0);
+                    let whole = self.instances[n].known_states.is_empty();
+                    self.instances[n].known_states.extend(entries.iter().map(|e| (e.engine.0, e.state)));
                     let mode = if whole { EndpointListMode::Cached } else { EndpointListMode::Delta };
                     self.tell(n, now, &Event::EndpointList { mode, entries });
                 }
                 self.end(n, now);
-                while let Some(i) = self.nodes[n].timers.iter().position(|(due, _)| *due <= now) {
-                    let (_, token) = self.nodes[n].timers.remove(i);
+                while let Some(i) = self.instances[n].timers.iter().position(|(due, _)| *due <= now) {
+                    let (_, token) = self.instances[n].timers.remove(i);
                     self.tell(n, now, &Event::Timer(token));
                 }
                 let asks = f64::from(draw(&mut self.rng, 1000)) < 1000.0 * rate * TICK;
@@ -292,19 +296,20 @@
                         table_group: None,
                         is_retry: false,
                     };
-                    let asked = Asked { class, deadline: request.deadline, sends: vec![], answered: false };
-                    self.nodes[n].asked.insert(ids, asked);
+                    let pending =
+                        PendingRequest { class, deadline: request.deadline, sends: vec![], answered: false };
+                    self.instances[n].requests.insert(ids, pending);
                     self.tell(n, now, &Event::RequestArrived(request));
                 }
             }
         }
     }
 
-    /// What all gateways together have sent each cold engine, against what the rule lets through.
+    /// What all gateways together have sent each warming engine, against what the rule lets through.
     fn check_cold(&self) {
         let (r, cores) = (&self.s.rules, self.s.machine_types[0].cores);
         let heaviest = self.work.iter().copied().fold(0.0, f64::max);
-        for (engine, sends) in &self.cold {
+        for (engine, sends) in &self.warming {
             let started = self.engines[engine].started_at.unwrap();
             for (from, _) in sends {
                 let window = |at: f64| (*from..from + r.collapse_window).contains(&at);
@@ -315,27 +320,27 @@
                 let most = r.collapse_load_ratio * warmth * cores * 0.85 * r.collapse_window;
                 assert!(
                     warmth >= 1.0 || sent <= most + heaviest,
-                    "{sent} s of work of {most} to cold {engine}"
+                    "{sent} s of work of {most} to warming {engine}"
                 );
             }
         }
     }
 
     fn check_ends(&self) {
-        for node in &self.nodes {
-            assert!(node.asked.values().all(|a| a.answered), "a request got no final answer");
+        for instance in &self.instances {
+            assert!(instance.requests.values().all(|a| a.answered), "a request got no final answer");
         }
-        let asked = |class: usize| {
-            self.nodes.iter().flat_map(|n| n.asked.values()).filter(|a| a.class == class).count()
+        let count = |class: usize| {
+            self.instances.iter().flat_map(|n| n.requests.values()).filter(|a| a.class == class).count()
         };
         for class in 0..self.s.classes.len() {
             let zones = &self.s.classes[class].allowed_zones;
             let has = |e: &EndpointEntry| zones.as_ref().is_none_or(|z| z.contains(&e.zone));
-            if self.engines.values().any(has) && asked(class) > 20 {
+            if self.engines.values().any(has) && count(class) > 20 {
                 assert!(
                     self.sent[class] > 0,
-                    "class {class} was asked {} times and never sent",
-                    asked(class)
+                    "class {class} got {} requests and none was forwarded",
+                    count(class)
                 );
             }
         }
@@ -364,7 +369,7 @@
     }
 }
 
-/// Not a check: prints what an event costs while 20 reports are held, by the number of engines.
+/// Not a check: prints what an event costs while 20 requests are queued, by the number of engines.
 /// `cargo test --release --test fleet -- --ignored --nocapture`
 #[test]
 #[ignore = "prints figures of this machine"]
--- a/tests/load_estimate.rs
+++ b/tests/load_estimate.rs
@@ -13,7 +13,7 @@
 /// work until the report has aged.
 #[test]
 fn an_engine_that_reports_to_be_full_gets_no_background_work() {
-    for (report, held) in [
+    for (report, queued) in [
         (LoadReport { in_flight: Some(60.0), ..LoadReport::default() }, true),
         (LoadReport { queued: Some(5.0), ..LoadReport::default() }, true),
         (LoadReport { memory_utilization: Some(0.95), ..LoadReport::default() }, true),
@@ -36,8 +36,11 @@
             EndpointListMode::Delta,
             vec![EndpointEntry { state: EndpointState::Draining, ..engine(3 - on) }],
         );
-        assert_eq!(forwarded_to(&driver.arrive(2, LOAD)).is_none(), held, "{report:?}");
-        assert!(forwarded_to(&driver.arrive(3, INTERACTIVE)).is_some(), "dashboards pass: {report:?}");
+        assert_eq!(forwarded_to(&driver.arrive(2, LOAD)).is_none(), queued, "{report:?}");
+        assert!(
+            forwarded_to(&driver.arrive(3, INTERACTIVE)).is_some(),
+            "interactive requests pass: {report:?}"
+        );
     }
 }
 
@@ -45,7 +48,7 @@
 /// engine has.
 #[test]
 fn queries_that_fill_the_memory_fill_the_engine() {
-    for (memory_mb, held) in [(0.0, false), (10_000.0, true)] {
+    for (memory_mb, queued) in [(0.0, false), (10_000.0, true)] {
         let mut s = settings();
         s.machine_types[0].memory_mb = memory_mb;
         let mut driver = Driver::new(s, vec![engine(1)]);
@@ -61,7 +64,7 @@
                 Some(LoadReport { in_flight: Some(5.0), ..LoadReport::default() }),
             );
         }
-        assert_eq!(forwarded_to(&driver.arrive(100, LOAD)).is_none(), held, "{memory_mb}");
+        assert_eq!(forwarded_to(&driver.arrive(100, LOAD)).is_none(), queued, "{memory_mb}");
     }
 }
 
@@ -101,7 +104,7 @@
     let mut driver = Driver::new(s, (1..=4).map(engine).collect());
     for id in 0..10 {
         driver.now += 8.0;
-        let on = forwarded_to(&driver.arrive(id, BACKGROUND)).expect("not held").0;
+        let on = forwarded_to(&driver.arrive(id, BACKGROUND)).expect("not queued").0;
         driver.first_attempt_served(id, on, 8.0, Some(QueryCost { work: 4.0, memory_mb: 0.0 }), None);
     }
 }
@@ -129,9 +132,9 @@
         }
         sent
     };
-    // By the work that is told of, they take four times as long as they did; without that nothing is known.
-    let (told, untold) = (sent(Some(4.0)), sent(None));
-    assert!(0 < told && 2 * told < untold, "{told} reports, and {untold}");
+    // By their estimated work they take four times as long as they did; without estimates nothing is known.
+    let (estimated, unknown) = (sent(Some(4.0)), sent(None));
+    assert!(0 < estimated && 2 * estimated < unknown, "{estimated} requests, and {unknown}");
 }
 
 /// An outside cause that slows all engines makes background work take longer, as a full engine would. Where
@@ -145,10 +148,10 @@
     let cost = Some(QueryCost { work: 1.0, memory_mb: 0.0 });
     for (from, elapsed) in [(1000, 1.0), (2000, 4.0)] {
         for round in from..from + 10 {
-            let on = forwarded_to(&driver.arrive(round, LOAD)).expect("C has room").0;
+            let on = forwarded_to(&driver.arrive(round, LOAD)).expect("the limit has room").0;
             driver.first_attempt_served(round, on, elapsed, cost, None);
             driver.serve_interactive(10 * round, 10, 0.3);
         }
     }
-    assert!(driver.count_admitted(90_000, LOAD) >= 8, "one thread of eight cores is out at a time");
+    assert!(driver.count_admitted(90_000, LOAD) >= 8, "one thread of eight cores is in flight at a time");
 }
--- a/tests/order_by_key.rs
+++ b/tests/order_by_key.rs
@@ -1,4 +1,4 @@
-//! Many requests of one key, and many keys: nothing of it goes out of turn, and what waits costs others
+//! Many requests of one key, and many keys: none is forwarded out of turn, and what waits costs others
 //! little.
 
 mod common;
@@ -16,7 +16,7 @@
     Event::RequestArrived(Request { key: Some(KeyId(key)), ..driver.request(id, LOAD) })
 }
 
-/// A gateway with one request of a key out and this many waiting behind it.
+/// A gateway with one request of a key in flight and this many waiting behind it.
 fn waiting(count: u64) -> Driver {
     let mut driver = Driver::new(settings(), vec![engine(1), engine(2)]);
     for id in 0..=count {
@@ -32,11 +32,11 @@
     let event = keyed(&driver, WAITING + 1, 6);
     let other = forwards(&driver.event(&event));
     assert_eq!(other.iter().map(|s| s.0).collect::<Vec<_>>(), vec![WAITING + 1], "another key does not wait");
-    // What has waited past its use is told so at once, all in one look, but for the one that is out.
+    // What has waited too long is rejected in one control tick, but for the one that is in flight.
     driver.now += 5.0;
-    let refused = final_answers(&driver.control_tick());
-    assert_eq!(refused.len() as u64, WAITING);
-    assert!(refused.iter().all(|(_, refused)| *refused));
+    let rejected = final_answers(&driver.control_tick());
+    assert_eq!(rejected.len() as u64, WAITING);
+    assert!(rejected.iter().all(|(_, rejected)| *rejected));
 }
 
 /// A request of a key whose client waits for so many seconds more.
@@ -57,12 +57,16 @@
         driver.event(&event);
     }
     driver.now += 0.05;
-    assert_eq!(final_answers(&driver.control_tick()), [(2, true)], "it alone is refused, and may come again");
+    assert_eq!(
+        final_answers(&driver.control_tick()),
+        [(2, true)],
+        "it alone is rejected, and may be retried"
+    );
     // Where its key is free it is sent like any other.
     let mut driver = Driver::new(settings(), vec![engine(1)]);
     let event = keyed_until(&driver, 1, 0.49 * DEADLINE);
     assert!(forwarded_to(&driver.event(&event)).is_some());
-    // Without a key it is held, as it keeps nobody from a turn.
+    // Without a key it is queued, as it keeps no other from a turn.
     let mut driver = Driver::new(settings(), Vec::new());
     let request = Request { deadline: driver.now + 0.49 * DEADLINE, ..driver.request(1, LOAD) };
     driver.event(&Event::RequestArrived(request));
@@ -75,7 +79,7 @@
     let mut driver = Driver::new(settings(), vec![engine(1), engine(2)]);
     for id in 0..MANY {
         let event = keyed(&driver, id, id);
-        let Some((to, _)) = forwarded_to(&driver.event(&event)) else { panic!("{id} is held") };
+        let Some((to, _)) = forwarded_to(&driver.event(&event)) else { panic!("{id} is queued") };
         driver.first_attempt_served(id, to, 0.1, None, None);
     }
     driver.now += 1.0;
@@ -92,8 +96,8 @@
         let mut driver = waiting(count);
         let began = Instant::now();
         for id in 0..EVENTS {
-            let (to, _) =
-                forwarded_to(&driver.arrive(1_000_000 + id, INTERACTIVE)).expect("a lookup leaves at once");
+            let (to, _) = forwarded_to(&driver.arrive(1_000_000 + id, INTERACTIVE))
+                .expect("an interactive request is forwarded at once");
             driver.first_attempt_served(1_000_000 + id, to, 0.1, None, None);
         }
         let each = began.elapsed().as_micros() as f64 / (2 * EVENTS) as f64;
--- a/tests/outliers.rs
+++ b/tests/outliers.rs
@@ -8,12 +8,12 @@
 /// With many gateways an engine may answer this one nothing while one long request of it runs there.
 #[test]
 fn an_engine_that_sends_progress_reports_is_not_silent() {
-    for (news, out) in [(true, false), (false, true)] {
+    for (reports_progress, ejected) in [(true, false), (false, true)] {
         let mut driver = Driver::new(settings_with_cancelling(), vec![engine(1), engine(2)]);
         let on = forwarded_to(&driver.arrive(1, BACKGROUND)).unwrap().0;
         for _ in 0..18 {
             driver.now += 0.5;
-            if news {
+            if reports_progress {
                 driver.event(&Event::AttemptProgress {
                     request: RequestId(1),
                     attempt: 0,
@@ -24,7 +24,11 @@
         }
         let other = EndpointEntry { state: EndpointState::Draining, ..engine(3 - on) };
         driver.endpoint_list(EndpointListMode::Delta, vec![other]);
-        assert_eq!(forwarded_to(&driver.arrive(2, INTERACTIVE)).is_none(), out, "news: {news}");
+        assert_eq!(
+            forwarded_to(&driver.arrive(2, INTERACTIVE)).is_none(),
+            ejected,
+            "reports progress: {reports_progress}"
+        );
     }
 }
 
@@ -33,21 +37,22 @@
 fn a_silent_engine_is_ejected_until_one_attempt_succeeds() {
     let mut driver = Driver::new(settings(), vec![engine(1), engine(2)]);
     driver.serve_interactive(100, 40, 0.2);
-    let mut stuck = 0;
+    let mut unanswered = 0;
     for id in 1..=4 {
         let (on, _) = forwarded_to(&driver.arrive(id, INTERACTIVE)).unwrap();
         if on == 2 {
             driver.attempt_ended(id, 0, 2, Outcome::Success, 0.2);
         } else {
-            stuck += 1;
+            unanswered += 1;
         }
     }
-    assert!(stuck > 0);
+    assert!(unanswered > 0);
     driver.now += 2.1;
     driver.control_tick();
     for id in 11..=16 {
         assert_eq!(forwarded_to(&driver.arrive(id, INTERACTIVE)).unwrap().0, 2);
-        // Some stay out, so that the silent one has the fewest; not so many that the other is in a jam.
+        // Some stay in flight, so that the silent one has the fewest; not so many that the other is
+        // overloaded.
         if id < 14 {
             driver.attempt_ended(id, 0, 2, Outcome::Success, 0.2);
         }
@@ -170,7 +175,7 @@
         let gone = EndpointEntry { state: EndpointState::Removed, ..engine(id - 1) };
         driver.endpoint_list(EndpointListMode::Delta, vec![engine(id), gone]);
     }
-    assert_eq!(driver.gateway.engines_known(), 2, "the newest, and the one with an attempt out");
+    assert_eq!(driver.gateway.engines_known(), 2, "the newest, and the one with an attempt in flight");
     driver.attempt_ended(1, 0, 1, Outcome::Success, 0.2);
     driver.event(&Event::Timer(0));
     assert_eq!(driver.gateway.engines_known(), 1);
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -1,6 +1,6 @@
 //! Random legal event orders against an independent checker of the rules.
 //!
-//! A small world plays the engines: it holds what is out and ends attempts in any order and way.
+//! A small world plays the engines: it holds what is in flight and ends attempts in any order and way.
 //! The checker keeps its own books from events and actions alone and knows nothing of the module.
 
 mod common;
@@ -19,7 +19,7 @@
     End { which: u8, how: u8 },
     List { mode: u8, engine: u8, state: u8, restarted: bool },
     Abort(u8),
-    Note { which: u8, share: u8 },
+    Progress { which: u8, share: u8 },
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -30,7 +30,7 @@
         1 => (0u8..4, 0u8..5, 0u8..3, any::<bool>())
             .prop_map(|(mode, engine, state, restarted)| Step::List { mode, engine, state, restarted }),
         1 => any::<u8>().prop_map(Step::Abort),
-        1 => (any::<u8>(), any::<u8>()).prop_map(|(which, share)| Step::Note { which, share }),
+        1 => (any::<u8>(), any::<u8>()).prop_map(|(which, share)| Step::Progress { which, share }),
     ]
 }
 
@@ -48,14 +48,14 @@
     driver: Driver,
     s: Settings,
     requests: BTreeMap<u64, Known>,
-    out: Vec<(u64, u32, u32, f64)>,
+    in_flight: Vec<(u64, u32, u32, f64)>,
     timers: Vec<(f64, u64)>,
     engines: BTreeMap<u32, EndpointEntry>,
     listed: BTreeSet<u32>,
-    rest: BTreeMap<u8, (f64, u64)>,
-    taken: Vec<f64>,
-    further: Vec<f64>,
-    cold: BTreeMap<u32, Vec<(f64, f64)>>,
+    cooldowns: BTreeMap<u8, (f64, u64)>,
+    arrivals: Vec<f64>,
+    retries: Vec<f64>,
+    warming: BTreeMap<u32, Vec<(f64, f64)>>,
 }
 
 fn bound() -> Settings {
@@ -84,20 +84,20 @@
             &mut first,
         );
         let listed = engines.keys().copied().collect();
-        // The driver's own first list asked for the timer that looks around.
+        // The driver's own first list set the timer of the control tick.
         let timers = vec![(driver.now + 0.1, 0)];
         Self {
             driver,
             s,
             requests: BTreeMap::new(),
-            out: vec![],
+            in_flight: vec![],
             timers,
             engines,
             listed,
-            rest: BTreeMap::new(),
-            taken: vec![],
-            further: vec![],
-            cold: BTreeMap::new(),
+            cooldowns: BTreeMap::new(),
+            arrivals: vec![],
+            retries: vec![],
+            warming: BTreeMap::new(),
         }
     }
 
@@ -122,7 +122,7 @@
                 let may_have_run = r.sends.iter().any(|(_, _, how)| !how.is_some_and(proves_not_run));
                 let harmless =
                     self.s.classes[r.class].idempotency == Idempotency::Idempotent || !may_have_run;
-                assert!(harmless, "refused though it may have run");
+                assert!(harmless, "rejected though it may have run");
                 r.done = true;
             }
             Action::Fail(request) => {
@@ -146,12 +146,14 @@
         let class = &self.s.classes[r.class];
         assert!(!r.done, "sent after its end");
         assert!(r.sends.len() < self.s.capabilities.max_attempts as usize);
-        assert!(!self.out.iter().any(|o| o.0 == id), "two at once");
+        assert!(!self.in_flight.iter().any(|o| o.0 == id), "two at once");
         assert!(class.allowed_zones.as_ref().is_none_or(|z| z.contains(&entry.zone)), "placement");
         let maybe: Vec<_> = r.sends.iter().filter(|(_, _, how)| !how.is_some_and(proves_not_run)).collect();
         match class.idempotency {
             Idempotency::Idempotent => {}
-            Idempotency::NotIdempotent => assert!(maybe.is_empty(), "an unsafe request was sent again"),
+            Idempotency::NotIdempotent => {
+                assert!(maybe.is_empty(), "a request that is not idempotent was retried")
+            }
             Idempotency::Keyed { window, .. } => {
                 for (on, at, _) in maybe {
                     assert!(now < at + window, "window");
@@ -163,19 +165,19 @@
             for (other, o) in &self.requests {
                 if o.key == Some(key) && o.order < r.order {
                     assert!(o.done, "an earlier request of the key is not over");
-                    assert!(!self.out.iter().any(|a| a.0 == *other), "an earlier attempt is out");
+                    assert!(!self.in_flight.iter().any(|a| a.0 == *other), "an earlier attempt is in flight");
                 }
             }
-            if let Some((until, by)) = self.rest.get(&key) {
-                assert!(*by == id || now >= *until - 1e-9, "the key rests");
+            if let Some((until, by)) = self.cooldowns.get(&key) {
+                assert!(*by == id || now >= *until - 1e-9, "the key cools down");
             }
         }
         if !r.sends.is_empty() {
-            self.further.push(now);
+            self.retries.push(now);
             let b = self.s.rules.retry_budget.unwrap();
             let within = |q: &[f64]| q.iter().filter(|t| **t > now - b.window).count() as f64;
             assert!(
-                within(&self.further) <= b.min_retries + b.retry_ratio * within(&self.taken) + 1e-9,
+                within(&self.retries) <= b.min_retries + b.retry_ratio * within(&self.arrivals) + 1e-9,
                 "budget"
             );
         }
@@ -183,16 +185,16 @@
             && now < started + self.s.rules.slow_start_duration
         {
             // Every request counts as a second of work; the whole tier sends alike.
-            let sent = self.cold.entry(engine).or_default();
+            let sent = self.warming.entry(engine).or_default();
             sent.push((now, 0.5));
             let since = now - self.s.rules.collapse_window;
             let push: f64 = sent.iter().filter(|(t, _)| *t > since).map(|(_, w)| w).sum();
             let age = ((now - started) / self.s.rules.slow_start_duration).clamp(0.0, 1.0);
             let share = self.s.rules.slow_start_min_ratio + (1.0 - self.s.rules.slow_start_min_ratio) * age;
             let most = self.s.rules.collapse_load_ratio * share * 8.0 * self.s.rules.collapse_window;
-            assert!(2.0 * push <= most, "a cold engine is pushed over");
+            assert!(2.0 * push <= most, "a warming engine is overloaded");
         }
-        self.out.push((id, r.sends.len() as u32, engine, now));
+        self.in_flight.push((id, r.sends.len() as u32, engine, now));
         self.requests.get_mut(&id).unwrap().sends.push((engine, now, None));
     }
 
@@ -222,17 +224,17 @@
     }
 
     fn end(&mut self, which: usize, how: Outcome) {
-        if self.out.is_empty() {
+        if self.in_flight.is_empty() {
             return;
         }
-        let (id, attempt, engine, sent) = self.out.remove(which % self.out.len());
+        let (id, attempt, engine, sent) = self.in_flight.remove(which % self.in_flight.len());
         let now = self.driver.now;
         let r = self.requests.get_mut(&id).unwrap();
         r.sends[attempt as usize].2 = Some(how);
         let settled = r.done || how == Outcome::Success;
         r.done |= how == Outcome::Success;
         if let (Some(key), Outcome::TimedOut | Outcome::ConnectionLost | Outcome::Cancelled) = (r.key, how) {
-            self.rest.insert(key, (now + self.s.rules.key_cooldown, id));
+            self.cooldowns.insert(key, (now + self.s.rules.key_cooldown, id));
         }
         self.tell(&Event::AttemptEnded {
             request: RequestId(id),
@@ -256,7 +258,7 @@
                 let deadline = now + f64::from(patience) / 1000.0;
                 let order = self.requests.len();
                 self.requests.insert(n, Known { class, key, deadline, order, done: false, sends: vec![] });
-                self.taken.push(now);
+                self.arrivals.push(now);
                 self.tell(&Event::RequestArrived(Request {
                     id: RequestId(n),
                     class: ClassId(class),
@@ -281,7 +283,7 @@
                     [EndpointState::Ready, EndpointState::Draining, EndpointState::Removed][state as usize];
                 if restarted {
                     entry.started_at = Some(now);
-                    self.cold.remove(&u32::from(engine));
+                    self.warming.remove(&u32::from(engine));
                 }
                 let (mode, entries) = match mode {
                     0 => (EndpointListMode::Delta, vec![entry.clone()]),
@@ -308,9 +310,9 @@
                 }
                 self.tell(&Event::RequestAborted(RequestId(id)));
             }
-            Step::Note { which, share } => {
+            Step::Progress { which, share } => {
                 if let Some((id, attempt, ..)) =
-                    self.out.get(usize::from(which) % self.out.len().max(1)).copied()
+                    self.in_flight.get(usize::from(which) % self.in_flight.len().max(1)).copied()
                 {
                     let note = Progress::Fraction(f64::from(share) / 255.0);
                     self.tell(&Event::AttemptProgress { request: RequestId(id), attempt, progress: note });
--- a/tests/queue.rs
+++ b/tests/queue.rs
@@ -36,5 +36,8 @@
     s.classes = vec![class(4.0, 8, 20.0)];
     let mut driver = Driver::new(s, vec![engine(1)]);
     assert!(forwarded_to(&driver.arrive(1, ClassId(0))).is_some());
-    assert!(forwarded_to(&driver.arrive(2, ClassId(0))).is_none(), "secondary work, under C");
+    assert!(
+        forwarded_to(&driver.arrive(2, ClassId(0))).is_none(),
+        "background work, under the concurrency limit"
+    );
 }
--- a/tests/reconfigure.rs
+++ b/tests/reconfigure.rs
@@ -1,4 +1,4 @@
-//! Other settings in service: what was learned stays, requests keep the rules of the class that they came
+//! Live reconfiguration: what was learned stays, requests keep the rules of the class that they came
 //! with, and what changes nothing changes no decision.
 
 mod common;
@@ -12,7 +12,7 @@
     SettingsChange { settings, origins: origins.to_vec() }
 }
 
-/// Settings with another class at the end, and the class of this id no longer in force.
+/// Settings with another class at the end, and the class of this id no longer active.
 fn with_changed(of: ClassId, to: impl Fn(&mut Class)) -> SettingsChange {
     let mut s = settings();
     let mut origins = vec![KEPT; s.classes.len()];
@@ -24,11 +24,11 @@
     change(s, &origins)
 }
 
-/// A day in little: requests of all classes on three engines, some of them slow or lost, and looks between.
+/// Requests of all classes on three engines, some of them slow or lost, with control ticks between.
 fn play(reconfigures: bool) -> Vec<String> {
     let mut driver = Driver::new(settings(), vec![engine(1), engine(2), engine(3)]);
     let mut log = Vec::new();
-    let mut out = Vec::new();
+    let mut in_flight = Vec::new();
     for n in 0..600_u64 {
         driver.now += 0.013;
         if reconfigures && n % 7 == 0 {
@@ -40,8 +40,8 @@
         if n % 5 == 0 {
             actions.extend(driver.control_tick());
         }
-        if out.len() > 8 {
-            let (id, engine) = out.remove((n % 3) as usize);
+        if in_flight.len() > 8 {
+            let (id, engine) = in_flight.remove((n % 3) as usize);
             let outcome = if n % 11 == 0 { Outcome::ConnectionLost } else { Outcome::Success };
             actions.extend(driver.attempt_ended(id, 0, engine, outcome, 0.05 + 0.01 * (n % 9) as f64));
         }
@@ -49,7 +49,7 @@
             Action::Forward { request, engine, .. } => Some((request.0, engine.0)),
             _ => None,
         });
-        out.extend(sent);
+        in_flight.extend(sent);
         log.push(format!("{actions:?}"));
     }
     log
@@ -107,7 +107,7 @@
     let mut driver = Driver::new(settings(), vec![engine(1)]);
     let (on, _) = forwarded_to(&driver.arrive(1, BACKGROUND)).unwrap();
     let before = driver.gateway.engines_known();
-    // Without the class that was the lightest, others are the dashboards.
+    // Without the class that was the lightest, others are interactive.
     let mut s = settings();
     s.classes[BACKGROUND.0].threads = settings().classes[INTERACTIVE.0].threads;
     let mut origins = vec![KEPT; s.classes.len()];
@@ -115,7 +115,7 @@
     driver.gateway.reconfigure(change(settings(), &origins)).unwrap();
     assert_eq!(driver.gateway.engines_known(), before);
     driver.attempt_ended(1, 0, on, Outcome::Success, 0.1);
-    // An engine that has gone is forgotten only once no thread is counted there.
+    // A removed engine is forgotten only once no thread is counted there.
     driver.endpoint_list(
         EndpointListMode::Delta,
         vec![EndpointEntry { state: EndpointState::Removed, ..engine(1) }],
@@ -148,7 +148,7 @@
 
 #[test]
 fn a_class_derived_from_another_starts_with_its_profile() {
-    // Requests of a class that was seen to take long are given up earlier than those of one that is new.
+    // Requests of a class that was seen to take long are shed earlier than those of one that is new.
     let learned = |origin: ClassOrigin| {
         let mut driver = Driver::new(settings(), vec![engine(1), engine(2)]);
         for id in 1..=60 {
@@ -176,7 +176,7 @@
     assert!(follows < new, "{follows} {new}");
 }
 
-/// Asks `n` requests of a class and tells how many are sent at once.
+/// Sends `n` requests of a class; returns how many are forwarded at once.
 fn sent_at_once(driver: &mut Driver, first: u64, n: u64, class: ClassId) -> usize {
     (first..first + n).map(|id| forwards(&driver.arrive(id, class)).len()).sum()
 }
@@ -185,15 +185,15 @@
 fn threads_counted_as_background_work_are_taken_off_as_such() {
     let mut driver = Driver::new(single_thread_loads(), vec![engine(1)]);
     let (on, _) = forwarded_to(&driver.arrive(1, BACKGROUND)).unwrap();
-    // Without the class of lookups, reports are the dashboards.
+    // Without the first class the second is the interactive one.
     let origins = [ClassOrigin::Retired, KEPT, KEPT];
     driver.gateway.reconfigure(change(single_thread_loads(), &origins)).unwrap();
     driver.now += 0.1;
     driver.attempt_ended(1, 0, on, Outcome::Success, 0.1);
-    // What it has cost beyond its share is forgotten by then.
+    // What the token bucket was owed is earned by then.
     driver.now += 5.0;
     driver.control_tick();
-    // The threshold at its start: two gateways, eight cores.
+    // The limit at its start: two gateways, eight cores.
     assert_eq!(sent_at_once(&mut driver, 10, 30, LOAD), 4);
 }
 
@@ -204,7 +204,8 @@
         driver.gateway.reconfigure(change(settings(), origins)).unwrap();
         sent_at_once(&mut driver, 1, 30, BACKGROUND)
     };
-    // What waits as secondary work while there are lighter classes leaves at once where it is the lightest.
+    // What waits as background work while there are lighter classes is forwarded at once where it is the
+    // lightest.
     assert!(sent(&[ClassOrigin::Retired, KEPT, KEPT]) > sent(&[KEPT; 3]));
 }
 
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -65,7 +65,7 @@
         Action::SetTimer { delay, token, .. } if *token != 0 => Some((*delay, *token)),
         _ => None,
     });
-    let (delay, token) = timer.expect("its end is planned at once");
+    let (delay, token) = timer.expect("its deadline has a timer at once");
     assert!(delay <= 0.5);
     driver.now += delay;
     assert_eq!(final_answers(&driver.event(&Event::Timer(token))), vec![(1, true)]);
@@ -78,9 +78,9 @@
     driver.arrive(1, INTERACTIVE);
     driver.now += 1.0;
     let actions = driver.control_tick();
-    let told =
+    let with_retry_after =
         |a: &Action| matches!(a, Action::Reject { request: RequestId(1), retry_after: Some(w) } if *w <= 1.0);
-    assert!(actions.iter().any(told), "{actions:?}");
+    assert!(actions.iter().any(with_retry_after), "{actions:?}");
 }
 
 #[test]
@@ -123,7 +123,7 @@
     assert_eq!(
         final_answers(&actions),
         vec![(1, true)],
-        "all engines drop repeats: trying again is harmless"
+        "all engines drop repeats: a retry by the client is safe"
     );
 }
 
@@ -139,7 +139,7 @@
     assert_eq!(
         forwards(&driver.arrive(1, INTERACTIVE)),
         vec![(1, 2)],
-        "absent from a full list: it has left"
+        "absent from a full list: it was removed"
     );
 }
 
@@ -148,9 +148,9 @@
     let mut s = settings();
     s.gateways = 1;
     let mut driver = Driver::new(s, vec![]);
-    let cold = EndpointEntry { started_at: Some(driver.now), ..engine(1) };
-    driver.endpoint_list(EndpointListMode::Delta, vec![cold]);
-    // In its first two seconds it can do 0.3 of 8 cores; twice that for 2 s knocks it over: 9.6 s of work.
+    let warming = EndpointEntry { started_at: Some(driver.now), ..engine(1) };
+    driver.endpoint_list(EndpointListMode::Delta, vec![warming]);
+    // In its first two seconds it can do 0.3 of 8 cores; twice that for 2 s makes it collapse: 9.6 s of work.
     // Each is served at once, so that nothing but the budget stops the next.
     let mut sent = 0;
     for id in 1..100 {
@@ -186,7 +186,7 @@
         vec![(2, false)]
     );
     driver.now += 0.29;
-    assert!(forwards(&driver.control_tick()).is_empty(), "the key rests");
+    assert!(forwards(&driver.control_tick()).is_empty(), "the key cools down");
     driver.now += 0.02;
     assert_eq!(forwards(&driver.control_tick()).len(), 1);
 }
@@ -213,7 +213,10 @@
     };
     assert!(forwards(&driver.event(&lost)).is_empty());
     driver.now += 0.69;
-    assert!(forwards(&driver.control_tick()).is_empty(), "its engine may run it on, and then the key rests");
+    assert!(
+        forwards(&driver.control_tick()).is_empty(),
+        "its engine may still run it, and then the key cools down"
+    );
     driver.now += 0.02;
     assert_eq!(forwards(&driver.control_tick()).iter().map(|s| s.0).collect::<Vec<_>>(), vec![2]);
 }
--- a/tests/selection.rs
+++ b/tests/selection.rs
@@ -28,7 +28,7 @@
     assert_eq!(to_slow(&mut driver, 300), 0);
     driver.now += 30.0;
     driver.control_tick();
-    assert!(to_slow(&mut driver, 400) > 0, "no engine is shut out for good");
+    assert!(to_slow(&mut driver, 400) > 0, "no engine is avoided for good");
 }
 
 /// Each of a hundred gateways sees an engine too seldom to learn of it: it prefers a few by its own seed,
@@ -69,11 +69,11 @@
     let mut driver = Driver::new(settings(), vec![engine(1), engine(2)]);
     let mut load = driver.request(1, LOAD);
     load.table_group = Some(TableGroupId(9));
-    let (held_on, _) = forwarded_to(&driver.event(&Event::RequestArrived(load))).unwrap();
+    let (locked_at, _) = forwarded_to(&driver.event(&Event::RequestArrived(load))).unwrap();
     for id in 2..=4 {
         let mut read = driver.request(id, INTERACTIVE);
         read.table_group = Some(TableGroupId(9));
-        assert_ne!(forwarded_to(&driver.event(&Event::RequestArrived(read))).unwrap().0, held_on);
+        assert_ne!(forwarded_to(&driver.event(&Event::RequestArrived(read))).unwrap().0, locked_at);
     }
 }
 
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -24,10 +24,10 @@
     for seed in 0..gateways {
         let mut gateway = workload_manager::WorkloadManager::new(s.clone(), seed).unwrap();
         let mut actions = Vec::new();
-        let cold = EndpointEntry { started_at: Some(100.0), ..engine(1) };
+        let warming = EndpointEntry { started_at: Some(100.0), ..engine(1) };
         gateway.on_event(
             100.0,
-            &Event::EndpointList { mode: EndpointListMode::Full, entries: vec![cold] },
+            &Event::EndpointList { mode: EndpointListMode::Full, entries: vec![warming] },
             &mut actions,
         );
         for tick in 0..60u32 {
@@ -50,7 +50,7 @@
         let from = 100.0 + f64::from(start) * 0.1;
         let sent: f64 = work.iter().filter(|(at, _)| (from..from + span).contains(at)).map(|(_, w)| w).sum();
         let warmth = 0.3 + 0.7 * (from - 100.0) / 10.0;
-        // With twice the gateways chance may add one report of eight seconds.
+        // With twice the gateways chance may add one request of eight seconds.
         let slack = if gateways > 120 { 8.0 } else { 0.0 };
         assert!(sent <= 2.0 * warmth * 8.0 * span + slack, "{gateways}: {sent} s of work from {from}");
     }
--- a/tests/supervision.rs
+++ b/tests/supervision.rs
@@ -57,7 +57,7 @@
 /// In an overload every attempt is slow: cancelling them all only loses work.
 #[test]
 fn progress_is_judged_against_the_latency_of_the_moment() {
-    for (latency, withdrawn) in [(0.2, 1), (2.0, 0)] {
+    for (latency, cancelled) in [(0.2, 1), (2.0, 0)] {
         let mut driver = Driver::new(settings_with_cancelling(), vec![engine(1)]);
         driver.serve_interactive(100, 40, 0.2);
         driver.serve_interactive(200, 40, latency);
@@ -65,7 +65,11 @@
         driver.now += 1.0;
         let note =
             Event::AttemptProgress { request: RequestId(1), attempt: 0, progress: Progress::Fraction(0.1) };
-        assert_eq!(cancelled_requests(&driver.event(&note)).len(), withdrawn, "dashboards at {latency} s");
+        assert_eq!(
+            cancelled_requests(&driver.event(&note)).len(),
+            cancelled,
+            "interactive latency {latency} s"
+        );
     }
 }
 
@@ -83,7 +87,7 @@
         progress: Progress::Fraction(0.5),
     });
     driver.now += 0.7;
-    assert!(cancelled_requests(&driver.control_tick()).is_empty(), "news a while ago");
+    assert!(cancelled_requests(&driver.control_tick()).is_empty(), "the last report is not long ago");
     driver.now += 0.1;
     assert_eq!(cancelled_requests(&driver.control_tick()), vec![1]);
     assert_eq!(forwards(&driver.attempt_ended(1, 0, on, Outcome::Cancelled, 1.3)).len(), 1);
@@ -129,7 +133,7 @@
     driver.serve_interactive(100, 40, 0.2);
     forwarded_to(&driver.arrive(1, BACKGROUND)).unwrap();
     let cancel = Action::CancelAttempt { request: RequestId(1), attempt: 0 };
-    let mut held = 0;
+    let mut periods = 0;
     for _ in 0..30 {
         driver.now += 0.1;
         driver.event(&Event::AttemptProgress {
@@ -140,9 +144,9 @@
         if driver.event(&Event::Timer(0)).contains(&cancel) {
             break;
         }
-        held += 1;
+        periods += 1;
     }
-    assert!((9..20).contains(&held), "longer than without a word, and not for good: {held}");
+    assert!((9..20).contains(&periods), "longer than without reports, and not for good: {periods}");
 }
 
 /// However many stalled before, the next one is noticed as soon: their latencies do not raise what the next
@@ -204,10 +208,13 @@
     ask(&mut driver, 2, INTERACTIVE, 0.1);
     driver.attempt_ended(2, 0, 1, Outcome::Success, 0.2);
     driver.now += 0.5;
-    assert!(cancelled_requests(&driver.control_tick()).is_empty(), "held to half of what it should take");
+    assert!(
+        cancelled_requests(&driver.control_tick()).is_empty(),
+        "measured against half of what it should take"
+    );
     driver.attempt_ended(1, 0, 1, Outcome::Success, 0.6);
 
-    // Nor is one that finds no engine held for longer than its aim allows.
+    // Nor is one that finds no engine queued for longer than its objective allows.
     driver.endpoint_list(
         EndpointListMode::Delta,
         vec![EndpointEntry { state: EndpointState::Draining, ..engine(1) }],
@@ -232,7 +239,7 @@
     };
     let late = left(&driver, 1, 0.2);
     assert!(forwards(&driver.event(&Event::RequestArrived(late))).is_empty());
-    assert_eq!(final_answers(&driver.control_tick()).len(), 1, "told at once");
+    assert_eq!(final_answers(&driver.control_tick()).len(), 1, "answered at once");
     for id in (2000..2400).step_by(2) {
         forwarded_to(&driver.arrive(id, INTERACTIVE)).unwrap();
         driver.attempt_ended(id, 0, 1, Outcome::Success, 9.0);
--- a/tests/warming_engines.rs
+++ b/tests/warming_engines.rs
@@ -1,6 +1,6 @@
-//! What all gateways together send a cold engine, against the budget of calls that the settings allow it
-//! and what passes as chance beyond that. Shares under one call, uneven traffic, gateways told late and
-//! gateways restarted with nothing remembered, alone or all together. Seeds are fixed.
+//! What all gateways together send a warming engine, against the budget of requests that the settings allow
+//! it and what passes as chance beyond that. Shares under one request, uneven traffic, gateways that learn
+//! of it late and gateways restarted with nothing remembered, alone or all together. Seeds are fixed.
 
 mod common;
 
@@ -13,7 +13,7 @@
 const TICK: f64 = 0.03;
 const LASTS: f64 = 6.5;
 
-/// How gateways fare while the engine is cold.
+/// How gateways fare while the engine warms up.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fate {
     /// All run on.
@@ -32,7 +32,7 @@
 struct Day {
     gateways: u32,
     warm: u32,
-    cold: u32,
+    warming: u32,
     /// Work of a call of each class, in seconds; a class without any gets no requests.
     work: [f64; 3],
     /// Requests of each class in ten.
@@ -40,17 +40,17 @@
     /// Whether requests say what they cost.
     estimates: bool,
     fate: Fate,
-    /// Calls that are asked for, in times those that the cold engines would do were they warm.
+    /// Requests, in times those that the warming engines would serve were they warm.
     demand: f64,
 }
 
-struct Node {
+struct Instance {
     gateway: WorkloadManager,
-    told_at: f64,
-    told: bool,
+    listed_at: f64,
+    listed: bool,
     rate: f64,
     timers: Vec<(f64, u64)>,
-    out: Vec<(f64, u64, u32, f64)>,
+    in_flight: Vec<(f64, u64, u32, f64)>,
 }
 
 fn uniform(rng: &mut Pcg32) -> f64 {
@@ -73,40 +73,40 @@
 }
 
 fn list(day: &Day, now: f64) -> Vec<EndpointEntry> {
-    let cold = (0..day.cold).map(|id| EndpointEntry { started_at: Some(STARTS), ..engine(100 + id) });
-    (0..day.warm).map(engine).chain(cold.filter(|_| now >= STARTS)).collect()
+    let warming = (0..day.warming).map(|id| EndpointEntry { started_at: Some(STARTS), ..engine(100 + id) });
+    (0..day.warm).map(engine).chain(warming.filter(|_| now >= STARTS)).collect()
 }
 
-/// Calls to each cold engine: when, and their work.
+/// Requests sent to each warming engine: when, and their work.
 fn play(day: &Day, seed: u64) -> Vec<Vec<(f64, f64)>> {
     let mut rng = Pcg32::seed_from_u64(seed);
     let mut s = rules();
     s.gateways = day.gateways;
     let template = Driver::new(s.clone(), vec![]);
-    // Far more is asked for than the cold engines may get.
+    // Far more requests arrive than the warming engines may get.
     let mean: f64 = (0..3).map(|c| day.work[c] * f64::from(day.mix[c]) / 10.0).sum();
-    let borne = f64::from(day.cold) * s.rules.collapse_load_ratio * 16.0 / mean;
+    let allowed = f64::from(day.warming) * s.rules.collapse_load_ratio * 16.0 / mean;
     let engines = f64::from(day.warm) * 16.0 / mean;
     let processes = if day.fate == Fate::Upgrade { 2 * day.gateways } else { day.gateways };
-    let rate = (day.demand * borne + 0.5 * engines) / f64::from(processes);
-    let mut nodes: Vec<Node> = (0..processes)
-        .map(|_| Node {
+    let rate = (day.demand * allowed + 0.5 * engines) / f64::from(processes);
+    let mut instances: Vec<Instance> = (0..processes)
+        .map(|_| Instance {
             gateway: start(&s, &mut rng),
-            told_at: STARTS + 1.5 * uniform(&mut rng),
-            told: false,
+            listed_at: STARTS + 1.5 * uniform(&mut rng),
+            listed: false,
             // Some see many times what others do.
             rate: rate * (0.2 - (1.0 - uniform(&mut rng)).ln()) / 1.2,
             timers: Vec::new(),
-            out: Vec::new(),
+            in_flight: Vec::new(),
         })
         .collect();
-    let mut calls = vec![Vec::new(); day.cold as usize];
+    let mut calls = vec![Vec::new(); day.warming as usize];
     let mut id = 0;
     let before = if day.warm > 0 { 6.0 } else { 0.0 };
     for tick in 0..((before + LASTS) / TICK) as u32 {
         let now = STARTS - before + f64::from(tick) * TICK;
         let since = now - STARTS;
-        for (n, node) in nodes.iter_mut().enumerate() {
+        for (n, instance) in instances.iter_mut().enumerate() {
             let again = match day.fate {
                 Fate::Steady | Fate::Upgrade => false,
                 Fate::Rolling => {
@@ -118,30 +118,31 @@
             let fresh = if again { Some(start(&s, &mut rng)) } else { None };
             let mut actions = Vec::new();
             if let Some(gateway) = fresh {
-                (node.gateway, node.told, node.told_at) = (gateway, false, node.told_at.min(now));
-                node.timers.clear();
-                node.out.clear();
+                (instance.gateway, instance.listed, instance.listed_at) =
+                    (gateway, false, instance.listed_at.min(now));
+                instance.timers.clear();
+                instance.in_flight.clear();
             }
             if tick == 0 || again {
-                let entries = list(day, if now >= node.told_at { now } else { 0.0 });
-                node.told = now >= node.told_at;
-                node.gateway.on_event(
+                let entries = list(day, if now >= instance.listed_at { now } else { 0.0 });
+                instance.listed = now >= instance.listed_at;
+                instance.gateway.on_event(
                     now,
                     &Event::EndpointList { mode: EndpointListMode::Cached, entries },
                     &mut actions,
                 );
             }
-            if !node.told && now >= node.told_at {
-                node.told = true;
+            if !instance.listed && now >= instance.listed_at {
+                instance.listed = true;
                 let entries = list(day, now);
-                node.gateway.on_event(
+                instance.gateway.on_event(
                     now,
                     &Event::EndpointList { mode: EndpointListMode::Full, entries },
                     &mut actions,
                 );
             }
-            while let Some(i) = node.out.iter().position(|o| o.0 <= now) {
-                let (_, id, to, elapsed) = node.out.swap_remove(i);
+            while let Some(i) = instance.in_flight.iter().position(|o| o.0 <= now) {
+                let (_, id, to, elapsed) = instance.in_flight.swap_remove(i);
                 let ended = Event::AttemptEnded {
                     request: RequestId(id),
                     attempt: 0,
@@ -153,13 +154,13 @@
                     cost: None,
                     load_report: None,
                 };
-                node.gateway.on_event(now, &ended, &mut actions);
+                instance.gateway.on_event(now, &ended, &mut actions);
             }
-            while let Some(i) = node.timers.iter().position(|t| t.0 <= now) {
-                let (_, token) = node.timers.swap_remove(i);
-                node.gateway.on_event(now, &Event::Timer(token), &mut actions);
+            while let Some(i) = instance.timers.iter().position(|t| t.0 <= now) {
+                let (_, token) = instance.timers.swap_remove(i);
+                instance.gateway.on_event(now, &Event::Timer(token), &mut actions);
             }
-            let mut due = node.rate * TICK;
+            let mut due = instance.rate * TICK;
             while uniform(&mut rng) < due {
                 due -= 1.0;
                 let pick = rng.next_u32() % 10;
@@ -176,11 +177,11 @@
                     estimated_work: estimate,
                     ..template.request(0, INTERACTIVE)
                 };
-                node.gateway.on_event(now, &Event::RequestArrived(request), &mut actions);
+                instance.gateway.on_event(now, &Event::RequestArrived(request), &mut actions);
             }
             for action in &actions {
                 match action {
-                    Action::SetTimer { delay, token, .. } => node.timers.push((now + delay, *token)),
+                    Action::SetTimer { delay, token, .. } => instance.timers.push((now + delay, *token)),
                     Action::Forward { request, engine, .. } => {
                         let class = (request.0 % 3) as usize;
                         let mut takes = day.work[class] / f64::from(s.classes[class].threads);
@@ -188,7 +189,7 @@
                             calls[engine.0 as usize - 100].push((now, day.work[class]));
                             takes *= 2.0;
                         }
-                        node.out.push((now + takes, request.0, engine.0, takes));
+                        instance.in_flight.push((now + takes, request.0, engine.0, takes));
                     }
                     _ => {}
                 }
@@ -231,10 +232,10 @@
     let mut days = Vec::new();
     for gateways in [1, 3, 20, 30, 300] {
         for (work, mix) in [LIGHT, HEAVY, MIXED] {
-            for &(warm, cold) in engines {
+            for &(warm, warming) in engines {
                 for fate in [Fate::Steady, Fate::Rolling, Fate::Herd, Fate::Upgrade] {
                     let estimates = warm == 0;
-                    days.push(Day { gateways, warm, cold, work, mix, estimates, fate, demand });
+                    days.push(Day { gateways, warm, warming, work, mix, estimates, fate, demand });
                 }
             }
         }
@@ -258,8 +259,16 @@
 #[test]
 fn one_more_request_of_each_gateway_would_be_too_many() {
     let (work, mix) = HEAVY;
-    let day =
-        Day { gateways: 300, warm: 0, cold: 1, work, mix, estimates: true, fate: Fate::Steady, demand: 0.5 };
+    let day = Day {
+        gateways: 300,
+        warm: 0,
+        warming: 1,
+        work,
+        mix,
+        estimates: true,
+        fate: Fate::Steady,
+        demand: 0.5,
+    };
     let mut calls = play(&day, 7).remove(0);
     calls.extend((0..day.gateways).map(|n| (STARTS + 1.5 + f64::from(n) * 0.001, day.work[1])));
     let (sent, _, most) = worst(&day, &calls);
@@ -267,7 +276,7 @@
 }
 
 /// Not a check: prints how near each kind of day comes to what passes.
-/// `cargo test --release --test cold -- --ignored --nocapture`
+/// `cargo test --release --test warming_engines -- --ignored --nocapture`
 #[test]
 #[ignore = "prints figures"]
 fn shares_of_the_budget_by_gateways() {
