--- a/gateway/src/net/clients.rs
+++ b/gateway/src/net/clients.rs
@@ -391,13 +391,13 @@
         };
         let (ready_us, early) = (live.ready_us, live.early);
         let token = fields.token.take();
-        let request = Request { client: who, ticket: query_id, class, statement, token, run };
+        let request = Request { client: who, query_id, class, statement, token, run };
         let input = AdmissionInput {
             now_us: self.time.now_us,
             ready_us,
             wait_us: admission::wait_us(fields.wait_ms, self.config.settings.classes[class.0].deadline),
             work_ahead_us: if early { self.sessions.scheduler.backlog_us() } else { 0 },
-            shutting_down: self.is_going(),
+            shutting_down: self.is_shutting_down(),
             open_requests: self.requests.open.len(),
             max_open_requests: self.config.max_open_requests,
             memory: self.sessions.memory.check(MemoryPurpose::Requests, request.bytes()),
@@ -445,7 +445,7 @@
         self.sessions.scheduler.charge(Work::Request, 1);
         self.counters.taken += 1;
         tracing::debug!(
-            ticket = request.ticket,
+            query_id = request.query_id,
             request = id.0,
             class = request.class.0,
             wait_us,
@@ -475,7 +475,7 @@
     pub(super) fn cancel(&mut self, session: u32, secret: u32) {
         let who = session.checked_sub(1).and_then(|index| self.sessions.table.handle_of_slot(index));
         let Some(who) = who.filter(|who| self.sessions.secret_of(*who) == Some(secret)) else {
-            return self.pass_cancel(session, secret);
+            return self.forward_cancel_request(session, secret);
         };
         // What it names may have come before it over the other connection and still wait for its turn there.
         self.read_now(who);
@@ -496,7 +496,7 @@
 
     fn left(&mut self, id: RequestId) {
         if let Some(request) = self.close_request(id) {
-            tracing::debug!(ticket = request.ticket, now_us = self.time.now_us, "left");
+            tracing::debug!(query_id = request.query_id, now_us = self.time.now_us, "left");
             self.counters.left += 1;
             self.inputs.push(Input::ClientLeft(id));
         }
@@ -536,7 +536,12 @@
         };
         let Some(request) = self.requests.remove(id) else { return };
         self.sessions.memory.release(MemoryPurpose::Requests, request.bytes());
-        tracing::debug!(ticket = request.ticket, now_us = self.time.now_us, how = answer.name(), "answered");
+        tracing::debug!(
+            query_id = request.query_id,
+            now_us = self.time.now_us,
+            how = answer.name(),
+            "answered"
+        );
         let (counter, ending) = match answer {
             FinalAnswer::Served(Payload::MySql(ResultSet::Wrong(_))) => {
                 (&mut self.counters.failed, Ending::Failed)
--- a/gateway/src/net/mod.rs
+++ b/gateway/src/net/mod.rs
@@ -10,10 +10,10 @@
 mod clients;
 mod configuration;
 mod engines;
-mod handover;
 mod listeners;
 mod ops;
 mod pools;
+mod process_replacement;
 mod reconfigure;
 mod reload;
 mod requests;
@@ -37,8 +37,8 @@
 use crate::core::{Command, Core, Input};
 use crate::counters::Counters;
 use crate::discovery::{EndpointWatch, EngineRegistry};
-use crate::handover::Message;
 use crate::metrics::Metrics;
+use crate::process_replacement::Message;
 use crate::timer_lag::TimerLag;
 use conn::Conn;
 use listeners::{Front, Listeners};
@@ -55,8 +55,8 @@
 const RELOAD: u64 = 4;
 const OPS_LISTENER: u64 = 5;
 const OPS: u64 = 1 << 61;
-const HANDOVER_LISTENER: u64 = 6;
-const HANDOVER: u64 = 1 << 60;
+const PEER_LISTENER: u64 = 6;
+const PEER_PROCESS: u64 = 1 << 60;
 const CONTROL: u64 = 1 << 59;
 const REPORT: u64 = 1 << 58;
 const SESSION: u64 = 1 << 62;
@@ -87,11 +87,11 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Timer {
-    /// Something must have happened on a connection to an engine.
-    Link(usize, u32),
-    /// The end of an attempt that was given up should have been heard by now.
-    Unheard(engines::AttemptId),
-    /// The engine of an attempt whose end was not heard of is asked again.
+    /// Something must have happened on a connection to an engine: its slot and serial.
+    EngineConnection(usize, u32),
+    /// An engine should have confirmed a cancellation by now.
+    CancelTimeout(engines::AttemptId),
+    /// The engine of a lost attempt is asked again to confirm its end.
     Confirmation(engines::AttemptId),
     /// A client must have got on by now: started its session, ended its message, read its last word.
     Client(Handle),
@@ -107,8 +107,8 @@
     Listeners,
     /// Who calls for operators may have been there for too long.
     Callers,
-    /// The time for taking new work is over.
-    Going,
+    /// The next phase of the graceful shutdown may begin.
+    Shutdown,
 }
 
 /// The clock, read once a turn.
@@ -127,7 +127,7 @@
     poll: Poll,
     time: Time,
     timers: TimerWheel<Timer>,
-    lateness: TimerLag,
+    timer_lag: TimerLag,
     listeners: Listeners,
     sessions: Sessions,
     requests: Requests,
@@ -135,7 +135,7 @@
     watch: watch::Watch,
     control: Option<configuration::Follower>,
     ops: ops::Ops,
-    family: handover::Family,
+    peer_processes: process_replacement::PeerProcesses,
     registry: EngineRegistry,
     metrics: Metrics,
     shutdown: shutdown::Shutdown,
@@ -147,9 +147,10 @@
     /// Listens and takes in the list of engines known so far.
     pub fn new(mut config: Config, signals: Signals) -> Result<Self, ServeError> {
         let poll = Poll::new()?;
-        let mut inheritance = handover::inherit(&config);
-        let left = inheritance.as_mut().map(|i| std::mem::take(&mut i.listeners)).unwrap_or_default();
-        let listeners = Listeners::open(&config, &poll, left)?;
+        let mut predecessor = process_replacement::receive_state(&config);
+        let inherited =
+            predecessor.as_mut().map(|state| std::mem::take(&mut state.listeners)).unwrap_or_default();
+        let listeners = Listeners::open(&config, &poll, inherited)?;
         let ops = ops::Ops::open(config.admin, &poll)?;
         let known_list = std::mem::take(&mut config.known_list);
         let unix = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
@@ -165,7 +166,7 @@
                 unix_offset_us: i128::try_from(unix.as_micros()).unwrap_or(0),
             },
             timers: TimerWheel::new(),
-            lateness: TimerLag::default(),
+            timer_lag: TimerLag::default(),
             listeners,
             sessions: Sessions::new(
                 &config,
@@ -183,7 +184,7 @@
                 .clone()
                 .map(|control| configuration::Follower::new(control, &config)),
             ops,
-            family: handover::Family::default(),
+            peer_processes: process_replacement::PeerProcesses::default(),
             registry: EngineRegistry::new(config.memory_bytes),
             metrics,
             shutdown: shutdown::Shutdown::new(&config.settings),
@@ -194,13 +195,13 @@
         server.timers.arm(0, Timer::Watch);
         server.check_control();
         known_list.events.iter().for_each(|event| server.listed(event));
-        let older = inheritance.map(|i| {
-            server.take_over(i.messages);
-            handover::Older { stream: i.stream, rest: i.rest, cancels: i.cancels, leases: i.leases }
+        let predecessor = predecessor.map(|state| {
+            server.restore_state(state.messages);
+            state.connection
         });
         // Whoever calls first finds the core with all that is known.
         server.turn();
-        server.found_family(older);
+        server.start_peer_processes(predecessor);
         Ok(server)
     }
 
@@ -235,10 +236,10 @@
                     (MYSQL_LISTENER, _) => connecting[1] = true,
                     (TERM, _) => {
                         drain(&self.signals.term);
-                        self.stop_taking();
+                        self.begin_shutdown();
                     }
                     (OPS_LISTENER, _) => self.accept_callers(),
-                    (HANDOVER_LISTENER, _) => self.accept_peers(),
+                    (PEER_LISTENER, _) => self.accept_peer_processes(),
                     (PRINT, _) => {
                         drain(&self.signals.print);
                         self.print();
@@ -249,14 +250,14 @@
                     }
                     (_, LINK) => {
                         self.sessions.scheduler.charge(Work::Event, 1);
-                        if let Some(at) = self.pools.at(key) {
-                            self.link_ready(at, interest);
+                        if let Some(at) = self.pools.slot_of(key) {
+                            self.connection_ready(at, interest);
                         }
                     }
                     (_, WATCH) => self.watch_ready(key, interest),
                     (_, SESSION) => self.session_ready(key, interest),
                     (key, _) if key & OPS != 0 => self.caller_ready(key),
-                    (key, _) if key & HANDOVER != 0 => self.peer_ready(key),
+                    (key, _) if key & PEER_PROCESS != 0 => self.peer_process_ready(key),
                     (key, _) if key & CONTROL != 0 => self.control_ready(key, interest),
                     (key, _) if key & REPORT != 0 => self.report_ready(key, interest),
                     _ => {}
@@ -274,8 +275,8 @@
             }
             self.read_sessions();
             self.turn();
-            if self.has_ended() {
-                self.settle_leases();
+            if self.advance_shutdown() {
+                self.announce_exit_to_peers();
                 self.print();
                 return Ok(self.counters);
             }
@@ -288,7 +289,7 @@
             open = self.core.open_requests(),
             timers = self.timers.len() + self.core.timers(),
             sessions = %self.sessions,
-            lateness = %self.lateness.with(self.core.timer_lag()),
+            timer_lag = %self.timer_lag.merged(self.core.timer_lag()),
         );
     }
 
@@ -301,7 +302,7 @@
             self.carry_out(command);
         }
         while let Some(at) = self.pools.dirty.pop() {
-            self.settle_link(at);
+            self.flush_connection(at);
         }
         while let Some(who) = self.sessions.dirty.pop() {
             self.settle_session(who);
@@ -336,12 +337,12 @@
 
     fn ring(&mut self) {
         while let Some((due_us, timer)) = self.timers.pop(self.time.now_us) {
-            self.lateness.note(due_us, self.time.now_us);
+            self.timer_lag.record(due_us, self.time.now_us);
             self.sessions.scheduler.charge(Work::Event, 1);
             match timer {
-                Timer::Link(at, serial) => self.link_late(at, serial),
-                Timer::Unheard(id) => self.unheard(id),
-                Timer::Confirmation(id) => self.ask_for_confirmation(id),
+                Timer::EngineConnection(at, serial) => self.connection_timer_fired(at, serial),
+                Timer::CancelTimeout(id) => self.attempt_lost(id),
+                Timer::Confirmation(id) => self.request_confirmation(id),
                 Timer::Client(who) => self.client_late(who),
                 Timer::IdleLimit => self.close_long_idle(),
                 Timer::Watch => self.check_watch(),
@@ -349,8 +350,8 @@
                 Timer::Reload(failures) => self.reload(failures),
                 Timer::Listeners => self.listeners.resume(&self.poll),
                 Timer::Callers => self.callers_late(),
-                // The loop wakes up, and looks how far the end has come.
-                Timer::Going => {}
+                // It only wakes the loop, which advances the shutdown at the end of each turn.
+                Timer::Shutdown => {}
             }
         }
     }
@@ -358,13 +359,13 @@
     fn carry_out(&mut self, command: Command) {
         match command {
             Command::StartAttempt { attempt, engine, limits, terms } => {
-                self.start(attempt, engine, terms, limits);
+                self.start_attempt(attempt, engine, terms, limits);
             }
-            Command::SetPriority { attempt, priority } => self.rank(attempt, priority),
-            Command::CancelAttempt(attempt) => self.stop(attempt),
+            Command::SetPriority { attempt, priority } => self.set_priority(attempt, priority),
+            Command::CancelAttempt(attempt) => self.cancel_attempt(attempt),
             Command::Serve(..) | Command::Reject { .. } | Command::Fail(_) => self.answer(command),
-            Command::ClaimLease { key, holder } => self.tell_neighbour(holder, &Message::Claim(key)),
-            Command::GrantLease { key, to } => self.tell_neighbour(to, &Message::Grant(key)),
+            Command::ClaimLease { key, holder } => self.send_to_peer(holder, &Message::ClaimLease(key)),
+            Command::GrantLease { key, to } => self.send_to_peer(to, &Message::GrantLease(key)),
         }
     }
 }
