--- a/adapter/src/wire.rs
+++ b/adapter/src/wire.rs
@@ -118,7 +118,7 @@
     pub rtt_s: f64,
     #[serde(default)]
     pub settled: bool,
-    /// 4096 x milliseconds of work + steps of 4 MB; 0: not told.
+    /// 4096 x milliseconds of work + steps of 4 MB; 0: not known.
     #[serde(default)]
     pub used_up: u64,
     #[serde(default)]
--- a/src/decisions/active_subset.rs
+++ b/src/decisions/active_subset.rs
@@ -1,6 +1,6 @@
 //! Active subset: the engines that this gateway prefers. Of many engines it sees each too seldom to learn
 //! of it; so it prefers the first in a random order of its own, as many as it has requests for. The others
-//! take what finds no room.
+//! take what finds no capacity.
 
 use crate::ZoneId;
 
--- a/src/decisions/admission.rs
+++ b/src/decisions/admission.rs
@@ -38,13 +38,13 @@
     Placement,
     /// It is neither ejected nor at the end of its recovery ramp.
     Health,
-    /// Its slow-start budget has room.
+    /// Its slow-start budget has capacity left.
     SlowStart,
     /// Its threads are within the concurrency limit, or for interactive work under the bound of an overload.
     ConcurrencyLimit,
     /// For background work: load reports do not say that it is full.
     Utilization,
-    /// For background work: its memory, and that of all engines together, has room.
+    /// For background work: its memory is within this gateway's share of the engine.
     Memory,
 }
 
--- a/src/decisions/concurrency_limit.rs
+++ b/src/decisions/concurrency_limit.rs
@@ -15,6 +15,10 @@
 const MAX_INTERVAL_SECONDS: f64 = 5.0;
 /// Upper bound of the ceiling, all gateways together.
 const MAX_LIMIT_THREADS_PER_CORE: f64 = 6.0;
+/// The ceiling at the start, in times this gateway's share of the cores.
+const START_CEILING_RATIO: f64 = 2.0;
+/// What an interval that misses the objective leaves of the ceiling.
+const MISSED_CEILING_RATIO: f64 = 0.5;
 /// Part of the ceiling that must have been used in an interval for the ceiling to rise.
 const USED_CEILING_RATIO: f64 = 0.7;
 
@@ -55,7 +59,7 @@
             share_cores,
             threads: share_cores,
             error_integral_seconds: terms.start_threads_per_core / terms.gain_per_core,
-            ceiling_threads: 2.0 * share_cores,
+            ceiling_threads: START_CEILING_RATIO * share_cores,
             interval_started_at: now,
             ..Self::default()
         }
@@ -143,7 +147,7 @@
         let raise_threads = if used { self.step_threads() } else { 0.0 };
         self.peak_threads = 0.0;
         self.ceiling_threads = if sample_seconds > terms.objective_seconds {
-            0.5 * self.ceiling_threads
+            MISSED_CEILING_RATIO * self.ceiling_threads
         } else {
             self.ceiling_threads + raise_threads
         };
--- a/src/decisions/mod.rs
+++ b/src/decisions/mod.rs
@@ -23,7 +23,7 @@
 //! | Is an attempt lost or stalled? | `supervision` |
 //! | What does an attempt's end tell? | `outcome` |
 //! | May another attempt follow? | `retry` |
-//! | When is a request given up, and what is the client told? | `shedding` |
+//! | When is a request given up, and with which answer? | `shedding` |
 //! | What happens without an event? | `control_tick` |
 //!
 //! Times and durations are seconds as `f64`. What departs from the thesis on which the concurrency limit
--- a/src/decisions/order_by_key.rs
+++ b/src/decisions/order_by_key.rs
@@ -6,7 +6,7 @@
 
 use crate::{KeyId, Request, RequestId};
 
-/// Bars a key until a time in seconds, but for the request whose attempt may still run.
+/// Holds back a key until a time in seconds, but for the request whose attempt may still run.
 struct Cooldown {
     until: f64,
     caused_by: RequestId,
@@ -26,8 +26,8 @@
     }
 
     fn cools_down_for(&self, request: RequestId, now: f64) -> bool {
-        let bars = |cooldown: &Cooldown| cooldown.caused_by != request && now < cooldown.until;
-        self.cooldown.as_ref().is_some_and(bars)
+        let holds_back = |cooldown: &Cooldown| cooldown.caused_by != request && now < cooldown.until;
+        self.cooldown.as_ref().is_some_and(holds_back)
     }
 }
 
@@ -88,7 +88,7 @@
         })
     }
 
-    /// Forgets keys that bar nobody.
+    /// Forgets keys that hold back no request.
     pub(super) fn forget_idle(&mut self, now: f64) {
         self.0.retain(|_, queue| {
             !queue.order.is_empty() || queue.attempts_in_flight > 0 || queue.cools_down(now)
--- a/src/decisions/outlier.rs
+++ b/src/decisions/outlier.rs
@@ -1,9 +1,9 @@
 //! Outlier detection and ejection: engines that err or are silent get nothing for a backoff time.
 //!
-//! Faults add up; at one in all the engine is ejected. After the backoff it recovers over a ramp: one
-//! attempt in flight, then twice as many after each success. An engine that is merely slow is not ejected;
-//! see `relative_latency`. An engine that rejects attempts is full, not at fault: it rests for a moment
-//! without a ramp.
+//! Faults add up by their weights; at one in all the engine is ejected. After the backoff it recovers over
+//! a ramp: one attempt in flight, then twice as many after each success. An engine that is merely slow is
+//! not ejected; see `relative_latency`. An engine that rejects attempts is full, not at fault: it rests for
+//! a moment without a ramp.
 
 use crate::{EngineId, Outcome};
 
@@ -15,6 +15,11 @@
 /// First and longest rest of an engine that rejected an attempt.
 const MIN_REJECTION_REST_SECONDS: f64 = 0.25;
 const MAX_REJECTION_REST_SECONDS: f64 = 8.0;
+/// Each backoff, rest and step of the recovery ramp is so many times the one before.
+const BACKOFF_FACTOR: f64 = 2.0;
+const RAMP_FACTOR: u32 = 2;
+/// What a success leaves of the rest that the next rejection starts from.
+const SUCCESS_REST_RATIO: f64 = 0.5;
 /// Attempts in flight at which the recovery ramp ends.
 const RECOVERED_ATTEMPTS: u32 = 16;
 /// Attempts in flight to an engine that has not answered yet: the endpoint list may be stale.
@@ -22,7 +27,8 @@
 /// Faults that a success leaves.
 const SUCCESS_FAULTS_RATIO: f64 = 0.5;
 
-/// Weight of a fault: one in all ejects an engine.
+/// Faults in all at which an engine is ejected, and the weight of each kind of fault.
+const EJECTION_FAULTS: f64 = 1.0;
 pub(super) const SILENCE_FAULTS: f64 = 1.0;
 const CONNECT_FAILED_FAULTS: f64 = 1.0;
 const CONNECTION_LOST_FAULTS: f64 = 0.5;
@@ -96,11 +102,11 @@
     /// Adds a fault; ejects the engine if that makes one in all.
     pub(super) fn record_fault(&mut self, now: f64, faults: f64) {
         self.faults += faults;
-        if self.faults < 1.0 || self.is_ejected(now) {
+        if self.faults < EJECTION_FAULTS || self.is_ejected(now) {
             return;
         }
         self.ejection_seconds =
-            (2.0 * self.ejection_seconds).clamp(MIN_EJECTION_SECONDS, MAX_EJECTION_SECONDS);
+            (BACKOFF_FACTOR * self.ejection_seconds).clamp(MIN_EJECTION_SECONDS, MAX_EJECTION_SECONDS);
         self.ejected_until = now + self.ejection_seconds * self.backoff_ratio;
         self.ramp_attempts = Some(1);
         self.faults = 0.0;
@@ -111,17 +117,17 @@
     fn record_success(&mut self, now: f64, of_this_epoch: bool) {
         self.last_heard_at = now;
         self.faults *= SUCCESS_FAULTS_RATIO;
-        self.rejection_rest_seconds *= 0.5;
+        self.rejection_rest_seconds *= SUCCESS_REST_RATIO;
         if let (true, Some(most)) = (of_this_epoch, self.ramp_attempts) {
-            self.ramp_attempts = (2 * most <= RECOVERED_ATTEMPTS).then_some(2 * most);
+            self.ramp_attempts = (RAMP_FACTOR * most <= RECOVERED_ATTEMPTS).then_some(RAMP_FACTOR * most);
             self.ejection_seconds = self.ramp_attempts.map_or(0.0, |_| self.ejection_seconds);
         }
     }
 
     /// An engine that rejects at once has the fewest attempts in flight and would draw all the more.
     fn record_rejection(&mut self, now: f64) {
-        self.rejection_rest_seconds =
-            (2.0 * self.rejection_rest_seconds).clamp(MIN_REJECTION_REST_SECONDS, MAX_REJECTION_REST_SECONDS);
+        self.rejection_rest_seconds = (BACKOFF_FACTOR * self.rejection_rest_seconds)
+            .clamp(MIN_REJECTION_REST_SECONDS, MAX_REJECTION_REST_SECONDS);
         let rested_at = now + self.rejection_rest_seconds * self.backoff_ratio;
         self.ejected_until = self.ejected_until.max(rested_at);
     }
--- a/src/decisions/selection.rs
+++ b/src/decisions/selection.rs
@@ -11,8 +11,8 @@
 /// By how much utilization an engine of another zone has to be better.
 const OTHER_ZONE_RATIO: f64 = 0.2;
 /// Threads a core that an engine counts as fuller by if all its attempts stall, and the ratio of stalled
-/// attempts that counts as none. Such an engine gets what finds no room elsewhere: without it engines would
-/// be too few.
+/// attempts that counts as none. Such an engine gets what finds no capacity elsewhere: without it engines
+/// would be too few.
 const STALLED_THREADS_PER_CORE: f64 = 4.0;
 const IGNORED_STALLED_RATIO: f64 = 0.03;
 
--- a/src/decisions/slow_start.rs
+++ b/src/decisions/slow_start.rs
@@ -16,7 +16,7 @@
 const USED_BUDGET_RATIO: f64 = 0.3;
 /// Interactive and background work have half of it each.
 const LANE_RATIO: f64 = 0.5;
-/// Part of an engine's cores that it surely has for work.
+/// Part of an engine's cores that is counted on for work.
 const USABLE_CORES_RATIO: f64 = 0.85;
 /// Part of the budget for the gateways that have the engine in their active subset; the others have the rest.
 const ACTIVE_GATEWAYS_RATIO: f64 = 0.75;
@@ -70,7 +70,7 @@
 }
 
 impl Engine {
-    /// Part of its capacity that the engine surely has: rises evenly from its start to 1.
+    /// Part of its capacity that is counted on: rises evenly from its start to 1.
     pub(super) fn warmth_ratio(&self, now: f64, rules: &Rules) -> f64 {
         let Some(started_at) = self.entry.started_at else { return 1.0 };
         let warmed =
@@ -78,7 +78,7 @@
         rules.slow_start_min_ratio + (1.0 - rules.slow_start_min_ratio) * warmed
     }
 
-    /// Whether the engine's slow-start budget has room for a request of this class, were all gateways to
+    /// Whether the engine's slow-start budget allows a request of this class, were all gateways to
     /// send alike.
     pub(super) fn slow_start_admits(
         &self,
--- a/src/decisions/supervision.rs
+++ b/src/decisions/supervision.rs
@@ -56,7 +56,7 @@
     pub(super) interactive: bool,
     pub(super) engine: EngineId,
     pub(super) sent_at: f64,
-    /// When its last progress report came, and the last that told more than that it still runs.
+    /// When its last progress report came, and the last that said more than that it still runs.
     pub(super) reported_at: f64,
     pub(super) progressed_at: f64,
     /// Whether it was found lost or stalled.
--- a/src/decisions/token_bucket.rs
+++ b/src/decisions/token_bucket.rs
@@ -41,7 +41,7 @@
     }
 
     /// Charges or returns what an attempt took beyond what was expected. Bounded: one heavy request, a lost
-    /// answer or a hanging engine must not bar this gateway's background work for long.
+    /// answer or a hanging engine must not stop this gateway's background work for long.
     pub(super) fn charge_excess(&mut self, thread_seconds: f64) {
         let most = (MAX_SAVED_SECONDS * self.rate_threads).max(self.debt_thread_seconds);
         self.debt_thread_seconds = (self.debt_thread_seconds + thread_seconds).min(most);
