--- a/gateway/src/metrics/tests.rs
+++ b/gateway/src/admin/metrics/tests.rs
@@ -3,11 +3,11 @@
 #[test]
 fn each_figure_has_a_line_of_its_own() {
     let mut metrics = Metrics::new(["lookup", "load"]);
-    metrics.ended(ClassId(0), Ending::Served);
-    metrics.ended(ClassId(1), Ending::Refused);
-    metrics.ended(ClassId(1), Ending::Failed);
+    metrics.ended(ClassId(0), RequestEnd::Served);
+    metrics.ended(ClassId(1), RequestEnd::Rejected);
+    metrics.ended(ClassId(1), RequestEnd::Failed);
     metrics.class(ClassId(1)).attempts += 2;
-    let text = metrics.text(Now { in_flight: 3, engines_known: 8, engines_excluded: 1 });
+    let text = metrics.text(Gauges { in_flight: 3, engines_known: 8, engines_excluded: 1 });
     let wanted = "edge_lb.served.lookup=1\nedge_lb.refused.lookup=0\nedge_lb.failed.lookup=0\n\
                   edge_lb.attempts.lookup=0\nedge_lb.served.load=0\nedge_lb.refused.load=1\n\
                   edge_lb.failed.load=1\nedge_lb.attempts.load=2\nedge_lb.in_flight=3\n\
@@ -18,14 +18,14 @@
 #[test]
 fn a_name_counts_on_whatever_numbers_it_has() {
     let mut m = Metrics::new(["lookup", "load"]);
-    m.ended(ClassId(1), Ending::Served);
+    m.ended(ClassId(1), RequestEnd::Served);
     m.rename(["lookup", "load", "load"]);
-    m.ended(ClassId(1), Ending::Served);
-    m.ended(ClassId(2), Ending::Served);
-    let text = m.text(Now::default());
+    m.ended(ClassId(1), RequestEnd::Served);
+    m.ended(ClassId(2), RequestEnd::Served);
+    let text = m.text(Gauges::default());
     assert_eq!(text.matches("served.load=").count(), 1);
     assert!(text.contains("served.load=3\n"), "{text}");
     m.rename(["other", "other", "load"]);
-    let text = m.text(Now::default());
+    let text = m.text(Gauges::default());
     assert!(text.contains("served.load=3\n") && !text.contains("lookup"), "{text}");
 }
--- a/gateway/src/lib.rs
+++ b/gateway/src/lib.rs
@@ -1,6 +1,7 @@
 //! The gateway as a library: configuration, core, codecs and the loop, so that tools of the workspace drive the
 //! same code as the program.
 
+pub mod admin;
 pub mod admission;
 pub mod config;
 pub mod control;
@@ -12,10 +13,8 @@
 pub mod front;
 pub mod handover;
 pub mod json;
-pub mod metrics;
 pub mod mysql;
 pub mod net;
-pub mod ops;
 pub mod settings_change;
 pub mod tenants;
 pub mod timer_lag;
--- a/gateway/src/main.rs
+++ b/gateway/src/main.rs
@@ -99,7 +99,7 @@
     let name = config.name.clone();
     let server = net::Server::new(config, signals).map_err(|e| e.to_string())?;
     let (pg, mysql) = server.addresses();
-    let ops = server.ops_address().map(|a| a.to_string());
+    let ops = server.admin_address().map(|a| a.to_string());
     let [listen, mysql, ops] = [pg, mysql, ops].map(|a| a.unwrap_or_else(|| "-".to_owned()));
     tracing::info!(%name, %listen, %mysql, %ops, "serving");
     let counters = server.run().map_err(|e| e.to_string())?;
--- /dev/null
+++ b/gateway/src/net/admin.rs
@@ -0,0 +1,225 @@
+//! The admin interface on the network: its listener, its connections, and what calls do.
+
+use std::io::ErrorKind;
+use std::net::{SocketAddr, TcpListener};
+use std::time::{SystemTime, UNIX_EPOCH};
+
+use wrenhatch_sessions::timer_wheel::TimerId;
+
+use super::conn::{Conn, Phase, ReadEnd};
+use super::poll::{Interest, Poll, Told};
+use super::{ADMIN, ADMIN_LISTENER, ServeError, Server, Timer};
+use crate::admin::call::{self, AdminCall, CallError, MAX_CALL_BYTES};
+use crate::admin::metrics::Gauges;
+use crate::discovery::UnknownEngine;
+use crate::handover::Message;
+
+/// Connections at once. A further one evicts one that was answered, or else the oldest without a complete call.
+pub const MAX_ADMIN_CONNECTIONS: usize = 16;
+/// A connection without a complete call, or whose response is not read, by then is closed, in microseconds.
+const CONNECTION_TIMEOUT_US: u64 = 5_000_000;
+const BACKLOG: u32 = 64;
+
+struct AdminConnection {
+    conn: Conn,
+    serial: u32,
+    accepted_us: u64,
+    answered: bool,
+}
+
+impl AdminConnection {
+    fn key(&self) -> u64 {
+        ADMIN | u64::from(self.serial)
+    }
+
+    fn awaits_close(&self) -> bool {
+        self.answered && self.conn.output.is_empty()
+    }
+}
+
+/// The listener of the admin interface and its connections, oldest first.
+#[derive(Default)]
+pub struct AdminInterface {
+    listener: Option<TcpListener>,
+    connections: Vec<AdminConnection>,
+    serials: u32,
+    timer: Option<TimerId>,
+}
+
+/// A change of an engine's maintenance state.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum MaintenanceChange {
+    /// The engine is excluded.
+    Enter,
+    /// The engine may serve again, since this Unix time in milliseconds.
+    Exit { at_ms: u64 },
+}
+
+impl AdminInterface {
+    /// Listens at the address, where the configuration names one.
+    pub fn open(address: Option<SocketAddr>, poll: &Poll) -> Result<Self, ServeError> {
+        let Some(address) = address else { return Ok(Self::default()) };
+        let failed = |e| ServeError::Listen(address, e);
+        let listener = super::listeners::listener(address, BACKLOG, false).map_err(failed)?;
+        poll.add(&listener, ADMIN_LISTENER, Interest { read: true, write: false }, Told::Always)?;
+        Ok(Self { listener: Some(listener), ..Self::default() })
+    }
+
+    /// Where it listens.
+    pub fn address(&self) -> Option<SocketAddr> {
+        self.listener.as_ref().and_then(|l| l.local_addr().ok())
+    }
+
+    /// Whether a response is still to be written.
+    pub fn is_answering(&self) -> bool {
+        self.connections.iter().any(|c| c.answered && !c.conn.output.is_empty())
+    }
+
+    fn position(&self, key: u64) -> Option<usize> {
+        self.connections.iter().position(|c| c.key() == key)
+    }
+
+    fn close(&mut self, poll: &Poll, index: usize) {
+        self.connections.remove(index).conn.close(poll);
+    }
+
+    /// Evicts a connection where there are as many as there may be.
+    fn make_room(&mut self, poll: &Poll) {
+        if self.connections.len() < MAX_ADMIN_CONNECTIONS {
+            return;
+        }
+        let answered = self.connections.iter().position(AdminConnection::awaits_close);
+        let oldest = || self.connections.iter().position(|c| !c.answered);
+        let index = answered.or_else(oldest).unwrap_or(0);
+        self.close(poll, index);
+    }
+}
+
+impl Server {
+    pub(super) fn accept_admin_connections(&mut self) {
+        for _ in 0..MAX_ADMIN_CONNECTIONS {
+            let Some(listener) = &self.admin.listener else { return };
+            let stream = match listener.accept() {
+                Ok((stream, _)) => stream,
+                Err(e) if matches!(e.kind(), ErrorKind::Interrupted | ErrorKind::ConnectionAborted) => {
+                    continue;
+                }
+                Err(_) => return,
+            };
+            self.admin.make_room(&self.poll);
+            self.admin.serials = self.admin.serials.wrapping_add(1);
+            let (serial, accepted_us) = (self.admin.serials, self.time.now_us);
+            let key = ADMIN | u64::from(serial);
+            match Conn::accepted(&self.poll, stream, key, MAX_CALL_BYTES) {
+                Ok(conn) => {
+                    let connection = AdminConnection { conn, serial, accepted_us, answered: false };
+                    self.admin.connections.push(connection);
+                }
+                Err(error) => tracing::warn!(%error, "admin connection not accepted"),
+            }
+            self.admin_connection_ready(key);
+        }
+    }
+
+    pub(super) fn admin_connection_ready(&mut self, key: u64) {
+        let Some(index) = self.admin.position(key) else { return };
+        let end = self.admin.connections[index].conn.fill(2 * MAX_CALL_BYTES);
+        self.answer_admin_call(index);
+        let connection = &mut self.admin.connections[index];
+        let gone = end == ReadEnd::Broken || (end == ReadEnd::Eof && !connection.answered);
+        let broken = connection.conn.flush().is_err() || connection.conn.update(&self.poll, key).is_err();
+        if gone || broken || (end == ReadEnd::Eof && connection.awaits_close()) {
+            self.admin.close(&self.poll, index);
+        }
+        self.set_admin_timer();
+    }
+
+    /// Answers the call of a connection, once it is complete or has proved wrong.
+    fn answer_admin_call(&mut self, index: usize) {
+        let connection = &self.admin.connections[index];
+        if connection.answered {
+            return;
+        }
+        let response = match call::read(&connection.conn.input) {
+            Ok(None) => return,
+            Ok(Some(call)) => self.carry_out_admin_call(call),
+            Err(error) => Err(error),
+        };
+        let connection = &mut self.admin.connections[index];
+        call::write_response(response.as_deref().map_err(|error| *error), &mut connection.conn.output);
+        (connection.answered, connection.conn.phase) = (true, Phase::Closing);
+    }
+
+    /// Closes connections that have been open for too long.
+    pub(super) fn admin_timer_fired(&mut self) {
+        self.admin.timer = None;
+        let now_us = self.time.now_us;
+        while self.admin.connections.first().is_some_and(|c| now_us >= c.accepted_us + CONNECTION_TIMEOUT_US)
+        {
+            self.admin.close(&self.poll, 0);
+        }
+        self.set_admin_timer();
+    }
+
+    fn set_admin_timer(&mut self) {
+        if let (None, Some(oldest)) = (self.admin.timer, self.admin.connections.first()) {
+            let due_us = oldest.accepted_us + CONNECTION_TIMEOUT_US;
+            self.admin.timer = Some(self.timers.arm(due_us, Timer::Admin));
+        }
+    }
+
+    fn carry_out_admin_call(&mut self, call: AdminCall) -> Result<String, CallError> {
+        match call {
+            AdminCall::Status if self.shutdown.has_begun() => Err(CallError::ShuttingDown),
+            AdminCall::Status => {
+                let configuration = self.control.as_ref().map(ToString::to_string).unwrap_or_default();
+                Ok(format!("ready\n{configuration}"))
+            }
+            AdminCall::Metrics => {
+                let gauges = Gauges {
+                    in_flight: self.requests.open.len(),
+                    engines_known: self.registry.endpoint_count(),
+                    engines_excluded: self.core.engines_avoided(self.time.now_us),
+                };
+                Ok(self.metrics.text(gauges))
+            }
+            AdminCall::EnterMaintenance(engine) => {
+                self.change_maintenance(&engine, MaintenanceChange::Enter)
+                    .map_err(|_| CallError::UnknownEngine)?;
+                self.tell_family(&Message::Enter(engine.clone()));
+                Ok(format!("{engine} is out\n"))
+            }
+            AdminCall::ExitMaintenance(engine) => {
+                let elapsed = SystemTime::now().duration_since(UNIX_EPOCH);
+                let at_ms = elapsed.map_or(0, |elapsed| elapsed.as_millis() as u64);
+                self.change_maintenance(&engine, MaintenanceChange::Exit { at_ms })
+                    .map_err(|_| CallError::UnknownEngine)?;
+                self.tell_family(&Message::Exit(engine.clone(), at_ms));
+                Ok(format!("{engine} may serve\n"))
+            }
+        }
+    }
+
+    /// Takes over a change of an engine's maintenance state, in this process alone.
+    ///
+    /// # Errors
+    /// No engine of this name was ever in the endpoint list.
+    pub(super) fn change_maintenance(
+        &mut self,
+        engine: &str,
+        change: MaintenanceChange,
+    ) -> Result<(), UnknownEngine> {
+        let event = match change {
+            MaintenanceChange::Enter => self.registry.begin_maintenance(engine)?,
+            MaintenanceChange::Exit { at_ms } => self.registry.end_maintenance(engine, at_ms)?,
+        };
+        let in_maintenance = change == MaintenanceChange::Enter;
+        tracing::info!(engine, in_maintenance, changed = event.is_some(), "maintenance of an engine");
+        if let Some(event) = event {
+            self.take_list(&event);
+            // Before the response is written: what was gathered in this turn must not be forwarded there after it.
+            self.turn();
+        }
+        Ok(())
+    }
+}
--- a/gateway/src/net/clients.rs
+++ b/gateway/src/net/clients.rs
@@ -12,11 +12,11 @@
 use super::poll::Interest;
 use super::sessions::{CLOSE_US, Session, Sessions, UNFINISHED_US};
 use super::{Request, Server, Timer};
+use crate::admin::metrics::RequestEnd;
 use crate::admission::{self, AdmissionInput, Admitted, Rejection, Subject};
 use crate::core::{Command, Input, NewRequest};
 use crate::front::fields::{self, Fields};
 use crate::front::{ClientCommand, ClientRequest, FinalAnswer, Payload};
-use crate::metrics::Ending;
 use crate::mysql::ResultSet;
 
 /// Clients beyond all places that are being told so.
@@ -412,7 +412,7 @@
 
     fn request_rejected(&mut self, who: Handle, class: ClassId, rejection: &Rejection) {
         self.counters.refused += 1;
-        self.metrics.ended(class, Ending::Refused);
+        self.metrics.ended(class, RequestEnd::Rejected);
         for counter in rejection.counters() {
             *self.counters.rejected_for(counter) += 1;
         }
@@ -542,16 +542,18 @@
             how = answer.name(),
             "answered"
         );
-        let (counter, ending) = match answer {
+        let (counter, end) = match answer {
             FinalAnswer::Served(Payload::MySql(ResultSet::Wrong(_))) => {
-                (&mut self.counters.failed, Ending::Failed)
+                (&mut self.counters.failed, RequestEnd::Failed)
+            }
+            FinalAnswer::Served(_) => (&mut self.counters.served, RequestEnd::Served),
+            FinalAnswer::Rejected(_) => (&mut self.counters.refused, RequestEnd::Rejected),
+            FinalAnswer::Failed(_) | FinalAnswer::Cancelled => {
+                (&mut self.counters.failed, RequestEnd::Failed)
             }
-            FinalAnswer::Served(_) => (&mut self.counters.served, Ending::Served),
-            FinalAnswer::Rejected(_) => (&mut self.counters.refused, Ending::Refused),
-            FinalAnswer::Failed(_) | FinalAnswer::Cancelled => (&mut self.counters.failed, Ending::Failed),
         };
         *counter += 1;
-        self.metrics.ended(request.class, ending);
+        self.metrics.ended(request.class, end);
         let who = request.client;
         let Some(live) = self.sessions.table.active_mut(who) else { return };
         if live.open == Some(id) {
--- a/gateway/src/net/handover.rs
+++ b/gateway/src/net/handover.rs
@@ -14,6 +14,7 @@
     SendFlags,
 };
 
+use super::admin::MaintenanceChange;
 use super::poll::{Interest, Poll, Told};
 use super::{HANDOVER, HANDOVER_LISTENER, Server};
 use crate::config::Config;
@@ -343,11 +344,11 @@
             }
             (Role::Elder | Role::Heir | Role::Taker, Message::Enter(name)) => {
                 self.registry.remember(&name);
-                self.change_by_hand(&name, None).is_ok()
+                self.change_maintenance(&name, MaintenanceChange::Enter).is_ok()
             }
             (Role::Elder | Role::Heir | Role::Taker, Message::Exit(name, ms)) => {
                 self.registry.remember(&name);
-                self.change_by_hand(&name, Some(ms)).is_ok()
+                self.change_maintenance(&name, MaintenanceChange::Exit { at_ms: ms }).is_ok()
             }
             (Role::Taker, Message::Cancel { session, secret }) => {
                 self.cancel(session, secret);
--- a/gateway/src/net/mod.rs
+++ b/gateway/src/net/mod.rs
@@ -7,12 +7,12 @@
 pub mod conn;
 pub mod poll;
 
+mod admin;
 mod clients;
 mod configuration;
 mod engines;
 mod handover;
 mod listeners;
-mod ops;
 mod pools;
 mod reconfigure;
 mod reload;
@@ -33,12 +33,12 @@
 use wrenhatch_sessions::session_table::Handle;
 use wrenhatch_sessions::timer_wheel::TimerWheel;
 
+use crate::admin::metrics::Metrics;
 use crate::config::{Config, OWN_DESCRIPTORS, SettingsNames};
 use crate::core::{Command, Core, Input};
 use crate::counters::Counters;
 use crate::discovery::{EndpointWatch, EngineRegistry};
 use crate::handover::Message;
-use crate::metrics::Metrics;
 use crate::timer_lag::TimerLag;
 use conn::Conn;
 use listeners::{Front, Listeners};
@@ -53,8 +53,8 @@
 const TERM: u64 = 2;
 const PRINT: u64 = 3;
 const RELOAD: u64 = 4;
-const OPS_LISTENER: u64 = 5;
-const OPS: u64 = 1 << 61;
+const ADMIN_LISTENER: u64 = 5;
+const ADMIN: u64 = 1 << 61;
 const HANDOVER_LISTENER: u64 = 6;
 const HANDOVER: u64 = 1 << 60;
 const CONTROL: u64 = 1 << 59;
@@ -66,9 +66,9 @@
 /// Those, and where operators call, their door and who stands in it; where control machines are asked, the stream and
 /// a report.
 fn own_descriptors(config: &Config) -> usize {
-    let ops = config.admin.map_or(0, |_| 1 + ops::MOST_CALLERS);
+    let admin = config.admin.map_or(0, |_| 1 + admin::MAX_ADMIN_CONNECTIONS);
     let control = config.control_plane.as_ref().map_or(0, |_| 2);
-    OWN_DESCRIPTORS + ops + control
+    OWN_DESCRIPTORS + admin + control
 }
 
 /// Why the gateway can't serve.
@@ -105,8 +105,8 @@
     Reload(u32),
     /// Descriptors may be there again for new connections.
     Listeners,
-    /// Who calls for operators may have been there for too long.
-    Callers,
+    /// Connections of the admin interface may have been open for too long.
+    Admin,
     /// The time for taking new work is over.
     Going,
 }
@@ -134,7 +134,7 @@
     pools: pools::Pools,
     watch: watch::Watch,
     control: Option<configuration::Follower>,
-    ops: ops::Ops,
+    admin: admin::AdminInterface,
     family: handover::Family,
     registry: EngineRegistry,
     metrics: Metrics,
@@ -150,7 +150,7 @@
         let mut inheritance = handover::inherit(&config);
         let left = inheritance.as_mut().map(|i| std::mem::take(&mut i.listeners)).unwrap_or_default();
         let listeners = Listeners::open(&config, &poll, left)?;
-        let ops = ops::Ops::open(config.admin, &poll)?;
+        let admin = admin::AdminInterface::open(config.admin, &poll)?;
         let known_list = std::mem::take(&mut config.known_list);
         let unix = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
         let metrics = Metrics::new(config.names.classes.iter().map(String::as_str));
@@ -182,7 +182,7 @@
                 .control_plane
                 .clone()
                 .map(|control| configuration::Follower::new(control, &config)),
-            ops,
+            admin,
             family: handover::Family::default(),
             registry: EngineRegistry::new(config.memory_bytes),
             metrics,
@@ -204,9 +204,9 @@
         Ok(server)
     }
 
-    /// Where operators call.
-    pub fn ops_address(&self) -> Option<SocketAddr> {
-        self.ops.address()
+    /// Where the admin interface listens.
+    pub fn admin_address(&self) -> Option<SocketAddr> {
+        self.admin.address()
     }
 
     /// Where clients connect: PostgreSQL and MySQL.
@@ -237,7 +237,7 @@
                         drain(&self.signals.term);
                         self.stop_taking();
                     }
-                    (OPS_LISTENER, _) => self.accept_callers(),
+                    (ADMIN_LISTENER, _) => self.accept_admin_connections(),
                     (HANDOVER_LISTENER, _) => self.accept_peers(),
                     (PRINT, _) => {
                         drain(&self.signals.print);
@@ -255,7 +255,7 @@
                     }
                     (_, WATCH) => self.watch_ready(key, interest),
                     (_, SESSION) => self.session_ready(key, interest),
-                    (key, _) if key & OPS != 0 => self.caller_ready(key),
+                    (key, _) if key & ADMIN != 0 => self.admin_connection_ready(key),
                     (key, _) if key & HANDOVER != 0 => self.peer_ready(key),
                     (key, _) if key & CONTROL != 0 => self.control_ready(key, interest),
                     (key, _) if key & REPORT != 0 => self.report_ready(key, interest),
@@ -348,7 +348,7 @@
                 Timer::Control => self.check_control(),
                 Timer::Reload(failures) => self.reload(failures),
                 Timer::Listeners => self.listeners.resume(&self.poll),
-                Timer::Callers => self.callers_late(),
+                Timer::Admin => self.admin_timer_fired(),
                 // The loop wakes up, and looks how far the end has come.
                 Timer::Going => {}
             }
--- a/gateway/src/net/shutdown.rs
+++ b/gateway/src/net/shutdown.rs
@@ -93,7 +93,7 @@
         if over && !std::mem::replace(&mut self.shutdown.given_up, true) {
             self.inputs.push(Input::ShuttingDown);
         }
-        let owed = !self.requests.open.is_empty() || !self.inputs.is_empty() || self.ops.is_answering();
+        let owed = !self.requests.open.is_empty() || !self.inputs.is_empty() || self.admin.is_answering();
         if owed || (self.sessions.is_writing() && !over && self.shutdown.parting_since_us.is_none()) {
             return false;
         }
--- a/gateway/tests/recorded_messages.rs
+++ b/gateway/tests/recorded_messages.rs
@@ -7,13 +7,13 @@
 
 use serde_json::Value;
 use workload_manager::interface::{ClassId, EndpointState, KeyId, Outcome};
+use wrenhatch::admin::call::{self, AdminCall, CallError};
+use wrenhatch::admin::metrics::{Gauges, Metrics, RequestEnd};
 use wrenhatch::control;
 use wrenhatch::counters::Counters;
 use wrenhatch::discovery::{Endpoint, EndpointListEvent, UnreadableEntry, parse_event, write_stream_request};
 use wrenhatch::event_stream::{EventStream, ServerSentEvent};
 use wrenhatch::handover::{self, Message, MessageError};
-use wrenhatch::metrics::{Ending, Metrics, Now};
-use wrenhatch::ops::{self, Call, No};
 use wrenhatch_configuration::{Digest, Position, Report, Version};
 
 const HANDOVER: &str = include_str!("recorded_messages/handover.txt");
@@ -227,15 +227,15 @@
         write(&|out| control::open(&"g1".into(), Position::default(), out)),
         write(&|out| control::report(&"g1".into(), &Report::Applied { version: Version(8) }, out)),
         write(&|out| control::report(&"g\u{e9}".into(), &refused, out)),
-        write(&|out| ops::answer(Ok("serving\n"), out)),
-        write(&|out| ops::answer(Ok(""), out)),
-        write(&|out| ops::answer(Err(No::Unreadable), out)),
-        write(&|out| ops::answer(Err(No::TooLong), out)),
-        write(&|out| ops::answer(Err(No::Body), out)),
-        write(&|out| ops::answer(Err(No::Path), out)),
-        write(&|out| ops::answer(Err(No::Method), out)),
-        write(&|out| ops::answer(Err(No::Engine), out)),
-        write(&|out| ops::answer(Err(No::Leaving), out)),
+        write(&|out| call::write_response(Ok("serving\n"), out)),
+        write(&|out| call::write_response(Ok(""), out)),
+        write(&|out| call::write_response(Err(CallError::NotHttp), out)),
+        write(&|out| call::write_response(Err(CallError::TooLong), out)),
+        write(&|out| call::write_response(Err(CallError::HasBody), out)),
+        write(&|out| call::write_response(Err(CallError::UnknownPath), out)),
+        write(&|out| call::write_response(Err(CallError::WrongMethod), out)),
+        write(&|out| call::write_response(Err(CallError::UnknownEngine), out)),
+        write(&|out| call::write_response(Err(CallError::ShuttingDown), out)),
     ]
 }
 
@@ -260,16 +260,16 @@
 
 #[test]
 fn calls_of_operators_are_read_as_before() {
-    let read = |line: &str| ops::read(format!("{line} HTTP/1.1\r\nHost: g\r\n\r\n").as_bytes());
-    assert_eq!(read("GET /status"), Ok(Some(Call::Status)));
-    assert_eq!(read("GET /status/metrics"), Ok(Some(Call::Metrics)));
-    assert_eq!(read("PUT /maintenance/enter/s-00c4"), Ok(Some(Call::Enter("s-00c4".into()))));
-    assert_eq!(read("PUT /maintenance/exit/a%20b%3A1"), Ok(Some(Call::Exit("a b:1".into()))));
-    assert_eq!(read("PUT /maintenance/enter/a%2Fb"), Err(No::Path));
-    assert_eq!(read("PUT /maintenance/enter/"), Err(No::Path));
-    assert_eq!(read("GET /maintenance/enter/a"), Err(No::Method));
-    assert_eq!(read("PUT /status"), Err(No::Method));
-    assert_eq!(read("GET /"), Err(No::Path));
+    let read = |line: &str| call::read(format!("{line} HTTP/1.1\r\nHost: g\r\n\r\n").as_bytes());
+    assert_eq!(read("GET /status"), Ok(Some(AdminCall::Status)));
+    assert_eq!(read("GET /status/metrics"), Ok(Some(AdminCall::Metrics)));
+    assert_eq!(read("PUT /maintenance/enter/s-00c4"), Ok(Some(AdminCall::EnterMaintenance("s-00c4".into()))));
+    assert_eq!(read("PUT /maintenance/exit/a%20b%3A1"), Ok(Some(AdminCall::ExitMaintenance("a b:1".into()))));
+    assert_eq!(read("PUT /maintenance/enter/a%2Fb"), Err(CallError::UnknownPath));
+    assert_eq!(read("PUT /maintenance/enter/"), Err(CallError::UnknownPath));
+    assert_eq!(read("GET /maintenance/enter/a"), Err(CallError::WrongMethod));
+    assert_eq!(read("PUT /status"), Err(CallError::WrongMethod));
+    assert_eq!(read("GET /"), Err(CallError::UnknownPath));
 }
 
 #[test]
@@ -277,13 +277,13 @@
     let mut metrics = Metrics::new(["lookup", "load", "lookup"]);
     metrics.class(ClassId(0)).attempts = 5;
     metrics.class(ClassId(1)).attempts = u64::MAX;
-    metrics.ended(ClassId(2), Ending::Served);
-    metrics.ended(ClassId(0), Ending::Refused);
-    metrics.ended(ClassId(0), Ending::Refused);
-    metrics.ended(ClassId(1), Ending::Failed);
-    let before = metrics.text(Now::default());
+    metrics.ended(ClassId(2), RequestEnd::Served);
+    metrics.ended(ClassId(0), RequestEnd::Rejected);
+    metrics.ended(ClassId(0), RequestEnd::Rejected);
+    metrics.ended(ClassId(1), RequestEnd::Failed);
+    let before = metrics.text(Gauges::default());
     metrics.rename(["new", "lookup"]);
-    let after = metrics.text(Now { in_flight: 3, engines_known: 12, engines_excluded: 1 });
+    let after = metrics.text(Gauges { in_flight: 3, engines_known: 12, engines_excluded: 1 });
     assert_eq!(before + &after, METRICS);
 }
 
