--- /dev/null
+++ b/gateway/src/engine/mysql/commands.rs
@@ -0,0 +1,103 @@
+//! The command phase: the commands that execute work.
+
+use super::{Session, State, Work};
+use crate::mysql_protocol::command::{
+    COM_QUERY, COM_STMT_CLOSE, COM_STMT_EXECUTE, COM_STMT_PREPARE, PARAMETER_COUNT_AVAILABLE,
+};
+use crate::mysql_protocol::{capabilities, write_lenenc_int, write_packet, write_parameters};
+
+/// Statements that a connection keeps prepared; the least recently used is closed for the next.
+const MAX_PREPARED_STATEMENTS: usize = 64;
+
+impl Session {
+    /// Starts work on a connection that is ready.
+    pub fn start(&mut self, work: Work, out: &mut Vec<u8>) {
+        debug_assert!(self.is_ready());
+        (self.executed, self.result_bytes) = (false, 0);
+        let to_prepare = match &work {
+            Work::Execute(sql, ..) if !self.prepared.contains_key(sql) => Some(sql.clone()),
+            _ => None,
+        };
+        self.work = Some(work);
+        match to_prepare {
+            Some(sql) => {
+                self.close_least_recently_used(out);
+                self.prepare(&sql, out);
+            }
+            None => self.execute(out),
+        }
+    }
+
+    /// Starts a KILL of another connection of the same engine, with the statement that runs there.
+    pub fn kill(&mut self, connection_id: u32, out: &mut Vec<u8>) {
+        self.start(Work::Query(format!("KILL {connection_id}").into_bytes(), Vec::new()), out);
+    }
+
+    /// Writes the command that executes the work.
+    pub fn execute(&mut self, out: &mut Vec<u8>) {
+        let (command, body) = match &self.work {
+            None => return,
+            Some(Work::Query(sql, attributes)) => {
+                let mut body = Vec::new();
+                if self.has_capability(capabilities::CLIENT_QUERY_ATTRIBUTES) {
+                    write_lenenc_int(&mut body, attributes.len() as u64);
+                    body.push(1); // One set of parameters.
+                    write_parameters(&mut body, attributes, true);
+                }
+                body.extend(sql);
+                (COM_QUERY, body)
+            }
+            Some(Work::Execute(..)) => {
+                let Some(body) = self.execute_body() else { return };
+                (COM_STMT_EXECUTE, body)
+            }
+        };
+        self.write_command(command, &body, out);
+        self.executed = true;
+        self.state = State::Running;
+    }
+
+    /// The body of COM_STMT_EXECUTE; `None` if the work's statement is not prepared.
+    fn execute_body(&mut self) -> Option<Vec<u8>> {
+        let has_attributes = self.has_capability(capabilities::CLIENT_QUERY_ATTRIBUTES);
+        let Some(Work::Execute(sql, parameters, attributes)) = &self.work else { return None };
+        self.executions += 1;
+        let prepared = self.prepared.get_mut(sql)?;
+        prepared.last_use = self.executions;
+        let mut body = prepared.statement_id.to_le_bytes().to_vec();
+        let mut parameters = parameters.clone();
+        if has_attributes {
+            parameters.extend(attributes.iter().cloned());
+        }
+        body.push(if has_attributes { PARAMETER_COUNT_AVAILABLE } else { 0 });
+        body.extend(1_u32.to_le_bytes()); // Iterations; always one.
+        if has_attributes {
+            write_lenenc_int(&mut body, parameters.len() as u64);
+        }
+        write_parameters(&mut body, &parameters, has_attributes);
+        Some(body)
+    }
+
+    /// Writes COM_STMT_PREPARE.
+    pub(super) fn prepare(&mut self, sql: &[u8], out: &mut Vec<u8>) {
+        self.write_command(COM_STMT_PREPARE, sql, out);
+        self.state = State::Preparing;
+    }
+
+    fn close_least_recently_used(&mut self, out: &mut Vec<u8>) {
+        if self.prepared.len() < MAX_PREPARED_STATEMENTS {
+            return;
+        }
+        let oldest = self.prepared.iter().min_by_key(|(_, p)| p.last_use).map(|(sql, _)| sql.clone());
+        if let Some(prepared) = oldest.and_then(|sql| self.prepared.remove(&sql)) {
+            self.write_command(COM_STMT_CLOSE, &prepared.statement_id.to_le_bytes(), out);
+        }
+    }
+
+    fn write_command(&mut self, command: u8, body: &[u8], out: &mut Vec<u8>) {
+        let mut payload = vec![command];
+        payload.extend(body);
+        self.sequence = 0;
+        write_packet(out, &mut self.sequence, &payload);
+    }
+}
--- a/gateway/src/front/mod.rs
+++ b/gateway/src/front/mod.rs
@@ -4,7 +4,7 @@
 pub mod mysql;
 pub mod pg;
 
-use crate::mysql::{Param, ResultSet};
+use crate::mysql_protocol::{Parameter, ResultSet};
 
 /// Rows of text as an engine made them, whatever its wire; cells of one row after the other.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -75,7 +75,7 @@
     /// As text, over MySQL.
     Query,
     /// Prepared, with these parameters, over MySQL.
-    Execute(Vec<Param>),
+    Execute(Vec<Parameter>),
 }
 
 /// What a client wants, once its bytes have been read.
--- a/gateway/src/front/mysql.rs
+++ b/gateway/src/front/mysql.rs
@@ -8,15 +8,17 @@
 use std::rc::Rc;
 
 use super::{ClientCommand, ClientRequest, ExecutionMode, FinalAnswer, Payload, fields};
-use crate::mysql::{self, PacketError, Param, Reader, ResultSet, SqlError, caps};
+use crate::mysql_protocol::{
+    self as mysql, PacketError, Parameter, ParameterType, Reader, ResultSet, SqlError, capabilities,
+};
 use crate::tenants::Directory;
 
-const OFFERED: u32 = caps::BASE
-    | caps::CONNECT_WITH_DB
-    | caps::PLUGIN_AUTH
-    | caps::LENENC_AUTH
-    | caps::DEPRECATE_EOF
-    | caps::QUERY_ATTRIBUTES;
+const OFFERED: u32 = capabilities::BASE
+    | capabilities::CLIENT_CONNECT_WITH_DB
+    | capabilities::CLIENT_PLUGIN_AUTH
+    | capabilities::CLIENT_PLUGIN_AUTH_LENENC_CLIENT_DATA
+    | capabilities::CLIENT_DEPRECATE_EOF
+    | capabilities::CLIENT_QUERY_ATTRIBUTES;
 
 /// Statements that one session may hold.
 const MAX_STATEMENTS: usize = 256;
@@ -38,7 +40,7 @@
 struct Statement {
     demand: ClientRequest,
     params: usize,
-    bound: mysql::Binding,
+    bound: Vec<ParameterType>,
     /// Long data was sent for it, which is not taken.
     spoilt: bool,
 }
@@ -46,8 +48,8 @@
 impl Statement {
     /// What it takes, with its share of the tree that holds it.
     fn bytes(&self) -> usize {
-        let names: usize = self.bound.iter().map(|(_, name)| name.capacity()).sum();
-        let bound = self.bound.capacity() * size_of::<(u16, Vec<u8>)>() + names;
+        let names: usize = self.bound.iter().map(|t| t.name.capacity()).sum();
+        let bound = self.bound.capacity() * size_of::<ParameterType>() + names;
         2 * size_of::<Self>() + self.demand.statement.capacity() + bound
     }
 }
@@ -116,15 +118,15 @@
         p.push(0);
         p.extend((OFFERED as u16).to_le_bytes());
         p.push(45); // utf8mb4
-        p.extend(mysql::AUTOCOMMIT.to_le_bytes());
+        p.extend(mysql::SERVER_STATUS_AUTOCOMMIT.to_le_bytes());
         p.extend(((OFFERED >> 16) as u16).to_le_bytes());
         p.push(21);
         p.extend([0; 10]);
         p.extend(&scramble[8..]);
         p.push(0);
-        p.extend(mysql::NATIVE_PASSWORD.bytes().chain([0]));
+        p.extend(mysql::MYSQL_NATIVE_PASSWORD.bytes().chain([0]));
         let mut sequence = 0;
-        mysql::put_packet(out, &mut sequence, &p);
+        mysql::write_packet(out, &mut sequence, &p);
         Self {
             state: State::Greeted,
             directory,
@@ -193,7 +195,7 @@
     pub fn turn_away(&mut self, out: &mut Vec<u8>) {
         out.clear();
         let e = SqlError::new(1040, "08004", "Too many connections");
-        mysql::put_packet(out, &mut 0, &e.payload());
+        mysql::write_packet(out, &mut 0, &e.payload());
         self.state = State::Closed;
     }
 
@@ -226,7 +228,7 @@
         if matches!(self.state, State::Busy | State::Closed) {
             return None;
         }
-        match mysql::packet(input) {
+        match mysql::read_packet(input) {
             Ok(None) => None,
             Ok(Some((sequence, payload))) => {
                 self.sequence = sequence.wrapping_add(1);
@@ -245,11 +247,11 @@
     }
 
     fn error(&mut self, e: &SqlError, out: &mut Vec<u8>) {
-        mysql::put_packet(out, &mut self.sequence, &e.payload());
+        mysql::write_packet(out, &mut self.sequence, &e.payload());
     }
 
     fn ok(&mut self, affected: u64, insert_id: u64, out: &mut Vec<u8>) {
-        mysql::put_packet(out, &mut self.sequence, &mysql::ok_payload(0, affected, insert_id));
+        mysql::write_packet(out, &mut self.sequence, &mysql::ok_payload(0, affected, insert_id));
     }
 
     fn payload(&mut self, p: &[u8], out: &mut Vec<u8>) -> Result<Option<ClientCommand>, PacketError> {
@@ -263,27 +265,31 @@
     fn handshake(&mut self, p: &[u8], out: &mut Vec<u8>) -> Result<Option<ClientCommand>, PacketError> {
         let mut r = Reader(p);
         self.caps = r.int(4)? as u32 & OFFERED;
-        r.take(4 + 1 + 23)?;
-        if r.0.is_empty() || self.caps & caps::PROTOCOL_41 == 0 {
+        r.bytes(4 + 1 + 23)?;
+        if r.0.is_empty() || self.caps & capabilities::CLIENT_PROTOCOL_41 == 0 {
             // A request for TLS, which was not offered, or a protocol of the last century.
             return Err(PacketError::Malformed);
         }
-        let user = r.zero_ended()?.to_vec();
-        let answer = if self.caps & caps::LENENC_AUTH != 0 {
-            r.text()?
+        let user = r.nul_terminated_string()?.to_vec();
+        let answer = if self.caps & capabilities::CLIENT_PLUGIN_AUTH_LENENC_CLIENT_DATA != 0 {
+            r.lenenc_string()?
         } else {
             let n = r.int(1)? as usize;
-            r.take(n)?
+            r.bytes(n)?
         };
-        if self.caps & caps::CONNECT_WITH_DB != 0 {
-            r.zero_ended()?;
+        if self.caps & capabilities::CLIENT_CONNECT_WITH_DB != 0 {
+            r.nul_terminated_string()?;
         }
-        let method = if self.caps & caps::PLUGIN_AUTH != 0 { r.zero_ended().unwrap_or(b"") } else { b"" };
-        if !method.is_empty() && method != mysql::NATIVE_PASSWORD.as_bytes() {
+        let method = if self.caps & capabilities::CLIENT_PLUGIN_AUTH != 0 {
+            r.nul_terminated_string().unwrap_or(b"")
+        } else {
+            b""
+        };
+        if !method.is_empty() && method != mysql::MYSQL_NATIVE_PASSWORD.as_bytes() {
             let mut p = vec![0xfe];
-            p.extend(mysql::NATIVE_PASSWORD.bytes().chain([0]));
+            p.extend(mysql::MYSQL_NATIVE_PASSWORD.bytes().chain([0]));
             p.extend(self.scramble.iter().copied().chain([0]));
-            mysql::put_packet(out, &mut self.sequence, &p);
+            mysql::write_packet(out, &mut self.sequence, &p);
             self.state = State::Switching(user);
             return Ok(None);
         }
@@ -293,7 +299,9 @@
     fn log_in(&mut self, user: &[u8], answer: &[u8], out: &mut Vec<u8>) -> Option<ClientCommand> {
         let user = String::from_utf8_lossy(user).into_owned();
         let account = self.directory.look_up(&user);
-        match account.filter(|a| mysql::native_password(a.password.as_bytes(), &self.scramble) == answer) {
+        match account
+            .filter(|a| mysql::native_password_response(a.password.as_bytes(), &self.scramble) == answer)
+        {
             Some(account) => {
                 self.tenant = Some(account.tenant.clone());
                 self.ok(0, 0, out);
@@ -357,7 +365,7 @@
 
     fn unknown(&mut self, handle: u32, to: &str, out: &mut Vec<u8>) -> ClientCommand {
         let text = format!("Unknown prepared statement handler ({handle}) given to {to}");
-        self.invalid(mysql::UNKNOWN_STATEMENT, "HY000", &text, out)
+        self.invalid(mysql::error_code::ER_UNKNOWN_STMT_HANDLER, "HY000", &text, out)
     }
 
     fn statement(&mut self, handle: u32) -> Option<&mut Statement> {
@@ -370,10 +378,10 @@
 
     fn query(&mut self, mut r: Reader<'_>, out: &mut Vec<u8>) -> Result<Option<ClientCommand>, PacketError> {
         let mut attributes = Vec::new();
-        if self.has(caps::QUERY_ATTRIBUTES) {
-            let count = r.lenenc()? as usize;
-            r.lenenc()?;
-            attributes = mysql::params(&mut r, count, true, &mut Vec::new())?;
+        if self.has(capabilities::CLIENT_QUERY_ATTRIBUTES) {
+            let count = r.lenenc_int()? as usize;
+            r.lenenc_int()?;
+            attributes = mysql::read_parameters(&mut r, count, true, &mut Vec::new())?;
         }
         Ok(Some(match self.demand(r.0, ExecutionMode::Query, out) {
             Some(demand) => self.open(demand, &attributes, out),
@@ -396,7 +404,12 @@
     }
 
     /// Opens a request. Its id and its deadline are this execution's own.
-    fn open(&mut self, mut demand: ClientRequest, attributes: &[Param], out: &mut Vec<u8>) -> ClientCommand {
+    fn open(
+        &mut self,
+        mut demand: ClientRequest,
+        attributes: &[Parameter],
+        out: &mut Vec<u8>,
+    ) -> ClientCommand {
         for a in attributes {
             let text = a.as_text().unwrap_or_default();
             let taken = match a.name.as_slice() {
@@ -427,7 +440,7 @@
         let fields = &mut demand.fields;
         (fields.id, fields.wait_ms, fields.token) = (None, None, None);
         (fields.order_key, fields.retry) = (None, false);
-        let params = mysql::placeholders(&demand.statement);
+        let params = mysql::count_placeholders(&demand.statement);
         if u16::try_from(params).is_err() {
             return Some(self.invalid(
                 1390,
@@ -453,16 +466,16 @@
         p.extend([0, 0]); // Columns are told with the rows, by the engine that makes them.
         p.extend((statement.params as u16).to_le_bytes());
         p.extend([0, 0, 0]);
-        mysql::put_packet(out, &mut self.sequence, &p);
+        mysql::write_packet(out, &mut self.sequence, &p);
         for _ in 0..statement.params {
             let mut column = Vec::new();
             for text in [b"def".as_slice(), b"", b"", b"", b"?", b""] {
-                mysql::put_text(&mut column, text);
+                mysql::write_lenenc_string(&mut column, text);
             }
             column.extend([0x0c, 63, 0, 0, 0, 0, 0, 0xfd, 0x80, 0, 0, 0, 0]);
-            mysql::put_packet(out, &mut self.sequence, &column);
+            mysql::write_packet(out, &mut self.sequence, &column);
         }
-        if statement.params > 0 && !self.has(caps::DEPRECATE_EOF) {
+        if statement.params > 0 && !self.has(capabilities::CLIENT_DEPRECATE_EOF) {
             self.eof(out);
         }
         let statements = self.statements.get_or_insert_default();
@@ -471,8 +484,8 @@
     }
 
     fn eof(&mut self, out: &mut Vec<u8>) {
-        let [low, high] = mysql::AUTOCOMMIT.to_le_bytes();
-        mysql::put_packet(out, &mut self.sequence, &[0xfe, 0, 0, low, high]);
+        let [low, high] = mysql::SERVER_STATUS_AUTOCOMMIT.to_le_bytes();
+        mysql::write_packet(out, &mut self.sequence, &[0xfe, 0, 0, low, high]);
     }
 
     fn execute(
@@ -482,8 +495,8 @@
     ) -> Result<Option<ClientCommand>, PacketError> {
         let handle = r.int(4)? as u32;
         let flags = r.int(1)?;
-        r.take(4)?;
-        let attributed = self.has(caps::QUERY_ATTRIBUTES);
+        r.bytes(4)?;
+        let attributed = self.has(capabilities::CLIENT_QUERY_ATTRIBUTES);
         let Some(s) = self.statements.as_mut().and_then(|s| s.by_handle.get_mut(&handle)) else {
             return Ok(Some(self.unknown(handle, "mysqld_stmt_execute", out)));
         };
@@ -496,12 +509,12 @@
         }
         let mut count = s.params;
         if attributed && flags & 0x08 != 0 {
-            count = r.lenenc()? as usize;
+            count = r.lenenc_int()? as usize;
         }
         if count < s.params {
             return Ok(Some(self.invalid(1210, "HY000", "Too few parameters for the statement", out)));
         }
-        let mut params = mysql::params(&mut r, count, attributed, &mut s.bound)?;
+        let mut params = mysql::read_parameters(&mut r, count, attributed, &mut s.bound)?;
         let attributes = params.split_off(s.params);
         for p in &mut params {
             p.name.clear();
@@ -545,23 +558,25 @@
 
     fn result(&mut self, result: &ResultSet, out: &mut Vec<u8>) {
         match result {
-            ResultSet::Done { affected, insert_id } => self.ok(*affected, *insert_id, out),
-            ResultSet::Wrong(e) => self.error(e, out),
+            ResultSet::Done { affected_rows: affected, last_insert_id: insert_id } => {
+                self.ok(*affected, *insert_id, out)
+            }
+            ResultSet::StatementError(e) => self.error(e, out),
             ResultSet::Rows { columns, rows } => {
                 let mut count = Vec::new();
-                mysql::put_lenenc(&mut count, columns.len() as u64);
-                mysql::put_packet(out, &mut self.sequence, &count);
+                mysql::write_lenenc_int(&mut count, columns.len() as u64);
+                mysql::write_packet(out, &mut self.sequence, &count);
                 for column in columns {
-                    mysql::put_packet(out, &mut self.sequence, column);
+                    mysql::write_packet(out, &mut self.sequence, column);
                 }
-                if !self.has(caps::DEPRECATE_EOF) {
+                if !self.has(capabilities::CLIENT_DEPRECATE_EOF) {
                     self.eof(out);
                 }
                 for row in rows {
-                    mysql::put_packet(out, &mut self.sequence, row);
+                    mysql::write_packet(out, &mut self.sequence, row);
                 }
-                if self.has(caps::DEPRECATE_EOF) {
-                    mysql::put_packet(out, &mut self.sequence, &mysql::ok_payload(0xfe, 0, 0));
+                if self.has(capabilities::CLIENT_DEPRECATE_EOF) {
+                    mysql::write_packet(out, &mut self.sequence, &mysql::ok_payload(0xfe, 0, 0));
                 } else {
                     self.eof(out);
                 }
@@ -585,7 +600,7 @@
         let handles = Rc::new(Cell::new(10));
         let mut session = Session::new(1, [7; 20], directory, handles, &mut out);
         let mut hello = OFFERED.to_le_bytes().to_vec();
-        hello[0] &= !(caps::CONNECT_WITH_DB as u8);
+        hello[0] &= !(capabilities::CLIENT_CONNECT_WITH_DB as u8);
         hello.extend([0, 0, 0, 1, 45]);
         hello.extend([0; 23]);
         hello.extend(b"unit\0\0mysql_native_password\0");
@@ -623,7 +638,7 @@
 
     fn packet(payload: &[u8], mut sequence: u8) -> Vec<u8> {
         let mut out = Vec::new();
-        mysql::put_packet(&mut out, &mut sequence, payload);
+        mysql::write_packet(&mut out, &mut sequence, payload);
         out
     }
 
@@ -632,7 +647,7 @@
         let directory = Rc::new(Directory::default());
         let mut out = Vec::new();
         let mut session = Session::new(1, [7; 20], directory, Rc::new(Cell::new(1)), &mut out);
-        let mut hello = (OFFERED & !caps::CONNECT_WITH_DB).to_le_bytes().to_vec();
+        let mut hello = (OFFERED & !capabilities::CLIENT_CONNECT_WITH_DB).to_le_bytes().to_vec();
         hello.extend([0; 28]);
         hello.extend(b"unit\0\0caching_sha2_password\0");
         out.clear();
@@ -662,7 +677,7 @@
         let Some(ClientCommand::Request(demand)) = session.read(&mut execute.clone(), &mut out) else {
             panic!("none")
         };
-        let null = Param { kind: 6, name: Vec::new(), value: None };
+        let null = Parameter { type_and_flag: 6, name: Vec::new(), value: None };
         assert_eq!(demand.run, ExecutionMode::Execute(vec![null]));
         assert_eq!(demand.fields.tenant.as_deref(), Some("acme"));
     }
--- a/gateway/src/lib.rs
+++ b/gateway/src/lib.rs
@@ -13,7 +13,7 @@
 pub mod front;
 pub mod handover;
 pub mod json;
-pub mod mysql;
+pub mod mysql_protocol;
 pub mod net;
 pub mod settings_change;
 pub mod tenants;
--- /dev/null
+++ b/gateway/src/mysql_protocol/parameters.rs
@@ -0,0 +1,187 @@
+//! Parameters of prepared statements and query attributes, in the binary protocol.
+
+use super::{PacketError, Reader, write_lenenc_string};
+
+/// Column types, as far as they are told apart here.
+pub mod column_type {
+    /// DECIMAL.
+    pub const DECIMAL: u8 = 0x00;
+    /// TINYINT.
+    pub const TINY: u8 = 0x01;
+    /// SMALLINT.
+    pub const SHORT: u8 = 0x02;
+    /// INT.
+    pub const LONG: u8 = 0x03;
+    /// FLOAT.
+    pub const FLOAT: u8 = 0x04;
+    /// DOUBLE.
+    pub const DOUBLE: u8 = 0x05;
+    /// NULL.
+    pub const NULL: u8 = 0x06;
+    /// TIMESTAMP.
+    pub const TIMESTAMP: u8 = 0x07;
+    /// BIGINT.
+    pub const LONGLONG: u8 = 0x08;
+    /// MEDIUMINT.
+    pub const INT24: u8 = 0x09;
+    /// DATE.
+    pub const DATE: u8 = 0x0a;
+    /// DATETIME; TIME stands between it and DATE.
+    pub const DATETIME: u8 = 0x0c;
+    /// YEAR.
+    pub const YEAR: u8 = 0x0d;
+    /// VARCHAR.
+    pub const VARCHAR: u8 = 0x0f;
+    /// BIT.
+    pub const BIT: u8 = 0x10;
+    /// JSON, the first of the types whose values are length-encoded strings.
+    pub const JSON: u8 = 0xf5;
+    /// VARCHAR of variable length.
+    pub const VAR_STRING: u8 = 0xfd;
+    /// CHAR.
+    pub const STRING: u8 = 0xfe;
+    /// GEOMETRY.
+    pub const GEOMETRY: u8 = 0xff;
+}
+
+const UNSIGNED_FLAG: u16 = 0x8000;
+/// Bytes of the value of [`Parameter::as_text`]'s longest integer.
+const MAX_INTEGER_BYTES: usize = 8;
+
+/// The type of a parameter with the unsigned flag, and its name; query attributes have one.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct ParameterType {
+    /// A column type in the lower byte, 0x8000 for unsigned.
+    pub type_and_flag: u16,
+    /// Name; empty for parameters of the statement.
+    pub name: Vec<u8>,
+}
+
+/// One parameter or query attribute.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Parameter {
+    /// A column type in the lower byte, 0x8000 for unsigned.
+    pub type_and_flag: u16,
+    /// Name; empty for parameters of the statement.
+    pub name: Vec<u8>,
+    /// The value as it is encoded on the wire; `None` is NULL.
+    pub value: Option<Vec<u8>>,
+}
+
+impl Parameter {
+    /// A text attribute.
+    pub fn text(name: &str, value: &str) -> Self {
+        let mut encoded = Vec::new();
+        write_lenenc_string(&mut encoded, value.as_bytes());
+        let type_and_flag = u16::from(column_type::VAR_STRING);
+        Self { type_and_flag, name: name.as_bytes().to_vec(), value: Some(encoded) }
+    }
+
+    /// The value as text: strings as they are, numbers in digits; `None` for NULL and other types.
+    pub fn as_text(&self) -> Option<String> {
+        use column_type as t;
+        let value = self.value.as_ref()?;
+        let mut reader = Reader(value);
+        Some(match (self.type_and_flag as u8, value.len()) {
+            (
+                t::TINY | t::SHORT | t::LONG | t::LONGLONG | t::INT24 | t::YEAR,
+                bytes @ 1..=MAX_INTEGER_BYTES,
+            ) => {
+                let raw = reader.int(bytes).ok()?;
+                let unused_bits = 64 - 8 * bytes as u32;
+                if self.type_and_flag & UNSIGNED_FLAG != 0 {
+                    raw.to_string()
+                } else {
+                    (((raw << unused_bits) as i64) >> unused_bits).to_string()
+                }
+            }
+            (t::DOUBLE, 8) => f64::from_bits(reader.int(8).ok()?).to_string(),
+            (t::VARCHAR | t::JSON..=t::STRING, _) => {
+                String::from_utf8(reader.lenenc_string().ok()?.to_vec()).ok()?
+            }
+            _ => return None,
+        })
+    }
+}
+
+fn read_value<'a>(reader: &mut Reader<'a>, type_and_flag: u16) -> Result<&'a [u8], PacketError> {
+    use column_type as t;
+    let whole = reader.0;
+    match type_and_flag as u8 {
+        t::TINY => reader.bytes(1)?,
+        t::SHORT | t::YEAR => reader.bytes(2)?,
+        t::LONG | t::FLOAT | t::INT24 => reader.bytes(4)?,
+        t::DOUBLE | t::LONGLONG => reader.bytes(8)?,
+        t::NULL => &[],
+        t::TIMESTAMP | t::DATE..=t::DATETIME => {
+            let n = reader.int(1)?;
+            reader.bytes(n as usize)?
+        }
+        t::DECIMAL | t::VARCHAR | t::BIT | t::JSON..=t::GEOMETRY => reader.lenenc_string()?,
+        _ => return Err(PacketError::Malformed),
+    };
+    Ok(&whole[..whole.len() - reader.0.len()])
+}
+
+/// Reads `count` parameters with their NULL bitmap. Types come along, and are kept in `bound`, or are those bound
+/// before. Parameters have names where the sender's capabilities include query attributes.
+///
+/// # Errors
+/// The payload does not hold as many, or binds other ones than `bound` has.
+pub fn read_parameters(
+    reader: &mut Reader<'_>,
+    count: usize,
+    named: bool,
+    bound: &mut Vec<ParameterType>,
+) -> Result<Vec<Parameter>, PacketError> {
+    if count == 0 {
+        return Ok(Vec::new());
+    }
+    // Guards against a count that would allocate more than the packet holds: each parameter takes a bit at least.
+    if count > reader.0.len() * 8 {
+        return Err(PacketError::Malformed);
+    }
+    let nulls = reader.bytes(count.div_ceil(8))?;
+    let binds_new_types = reader.int(1)? == 1;
+    if binds_new_types {
+        bound.clear();
+        for _ in 0..count {
+            let type_and_flag = reader.int(2)? as u16;
+            let name = if named { reader.lenenc_string()?.to_vec() } else { Vec::new() };
+            bound.push(ParameterType { type_and_flag, name });
+        }
+    }
+    if bound.len() != count {
+        return Err(PacketError::Malformed);
+    }
+    let mut parameters = Vec::with_capacity(count);
+    for (i, ParameterType { type_and_flag, name }) in bound.iter().enumerate() {
+        let is_null = nulls[i / 8] >> (i % 8) & 1 == 1;
+        let value = if is_null { None } else { Some(read_value(reader, *type_and_flag)?.to_vec()) };
+        parameters.push(Parameter { type_and_flag: *type_and_flag, name: name.clone(), value });
+    }
+    Ok(parameters)
+}
+
+/// Writes parameters as [`read_parameters`] reads them.
+pub fn write_parameters(out: &mut Vec<u8>, parameters: &[Parameter], named: bool) {
+    if parameters.is_empty() {
+        return;
+    }
+    let mut nulls = vec![0; parameters.len().div_ceil(8)];
+    for (i, parameter) in parameters.iter().enumerate() {
+        nulls[i / 8] |= u8::from(parameter.value.is_none()) << (i % 8);
+    }
+    out.extend(nulls);
+    out.push(1);
+    for parameter in parameters {
+        out.extend(parameter.type_and_flag.to_le_bytes());
+        if named {
+            write_lenenc_string(out, &parameter.name);
+        }
+    }
+    out.extend(parameters.iter().filter_map(|parameter| parameter.value.as_ref()).flatten());
+}
+
+#[cfg(test)]
+mod tests;
--- a/gateway/src/net/clients.rs
+++ b/gateway/src/net/clients.rs
@@ -17,7 +17,7 @@
 use crate::core::{Command, Input, NewRequest};
 use crate::front::fields::{self, Fields};
 use crate::front::{ClientCommand, ClientRequest, FinalAnswer, Payload};
-use crate::mysql::ResultSet;
+use crate::mysql_protocol::ResultSet;
 
 /// Clients beyond all places that are being told so.
 const AWAY: usize = 12;
@@ -543,7 +543,7 @@
             "answered"
         );
         let (counter, end) = match answer {
-            FinalAnswer::Served(Payload::MySql(ResultSet::Wrong(_))) => {
+            FinalAnswer::Served(Payload::MySql(ResultSet::StatementError(_))) => {
                 (&mut self.counters.failed, RequestEnd::Failed)
             }
             FinalAnswer::Served(_) => (&mut self.counters.served, RequestEnd::Served),
--- a/gateway/src/net/engines/connection_events.rs
+++ b/gateway/src/net/engines/connection_events.rs
@@ -4,7 +4,7 @@
 use super::confirmation::CONFIRMATION_CONNECT_TIMEOUT_US;
 use super::{ConnectionEnd, Job, ProtocolState};
 use crate::engine::http;
-use crate::mysql::PacketError;
+use crate::mysql_protocol::PacketError;
 use crate::net::conn::{Phase, ReadEnd};
 use crate::net::poll::Interest;
 use crate::net::pools::{EngineConnection, Pools};
--- a/gateway/src/net/engines/mysql_events.rs
+++ b/gateway/src/net/engines/mysql_events.rs
@@ -5,14 +5,15 @@
 use super::{AttemptId, ConnectionEnd, Job, ProtocolState};
 use crate::engine::mysql::Event;
 use crate::front::Payload;
-use crate::mysql::{ResultSet, SqlError};
+use crate::mysql_protocol::{ResultSet, SqlError, error_code};
 use crate::net::Server;
 
-/// `ER_NO_SUCH_THREAD`: the engine knows no connection of this id.
-const ER_NO_SUCH_THREAD: u16 = 1094;
-/// `ER_CON_COUNT_ERROR`, `ER_TOO_MANY_USER_CONNECTIONS`, `ER_USER_LIMIT_REACHED`: the engine has all the connections
-/// that it takes.
-const ER_TOO_MANY_CONNECTIONS: [u16; 3] = [1040, 1203, 1226];
+/// The engine has all the connections that it takes.
+const TOO_MANY_CONNECTIONS: [u16; 3] = [
+    error_code::ER_CON_COUNT_ERROR,
+    error_code::ER_TOO_MANY_USER_CONNECTIONS,
+    error_code::ER_USER_LIMIT_REACHED,
+];
 
 impl Server {
     pub(super) fn mysql_event(&mut self, slot: usize, event: Event) {
@@ -77,7 +78,8 @@
 fn is_killed(event: &Event) -> bool {
     matches!(
         event,
-        Event::Completed(ResultSet::Done { .. }) | Event::Failed(SqlError { code: ER_NO_SUCH_THREAD, .. })
+        Event::Completed(ResultSet::Done { .. })
+            | Event::Failed(SqlError { code: error_code::ER_NO_SUCH_THREAD, .. })
     )
 }
 
@@ -85,5 +87,5 @@
 /// ran on either.
 fn rejected_connection(e: &SqlError) -> Outcome {
     tracing::warn!(code = e.code, error = e.message, "connection rejected by an engine");
-    if ER_TOO_MANY_CONNECTIONS.contains(&e.code) { Outcome::Rejected } else { Outcome::ConnectFailed }
+    if TOO_MANY_CONNECTIONS.contains(&e.code) { Outcome::Rejected } else { Outcome::ConnectFailed }
 }
--- a/gateway/src/net/sessions.rs
+++ b/gateway/src/net/sessions.rs
@@ -16,7 +16,7 @@
 use super::{SESSION, own_descriptors};
 use crate::config::Config;
 use crate::front::{ClientCommand, FinalAnswer, mysql, pg};
-use crate::mysql::{MAX_PACKET, SqlError, put_packet};
+use crate::mysql_protocol::{MAX_PACKET_BYTES, SqlError, write_packet};
 
 /// How long a client may take to start its session, and to end a message that it began: it is owed a word
 /// within 3 s.
@@ -26,7 +26,7 @@
 /// Share of the memory for messages being read. Each is held up to three times: read, kept for another
 /// attempt, being written.
 const MESSAGES: usize = 8;
-const LONGEST_MESSAGE: std::ops::RangeInclusive<usize> = 8 * 1024..=MAX_PACKET;
+const LONGEST_MESSAGE: std::ops::RangeInclusive<usize> = 8 * 1024..=MAX_PACKET_BYTES;
 /// Fewer that have not got on are no crowd, and each is given its time.
 const LEAST_CROWD: usize = 32;
 /// A tenant's group has this bit, an address's does not.
@@ -116,7 +116,7 @@
     match front {
         Front::Pg => pg::Session::new((0, 0), 0).turn_away(&mut out),
         Front::MySql => {
-            put_packet(&mut out, &mut 0, &SqlError::new(1040, "08004", "Too many connections").payload())
+            write_packet(&mut out, &mut 0, &SqlError::new(1040, "08004", "Too many connections").payload())
         }
     }
     out
