--- a/gateway/src/admin/metrics.rs
+++ b/gateway/src/admin/metrics.rs
@@ -4,7 +4,7 @@
 
 use std::fmt::Write;
 
-use workload_manager::interface::ClassId;
+use workload_manager::ClassId;
 
 /// Counts of one class.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
--- a/gateway/src/core/attempts.rs
+++ b/gateway/src/core/attempts.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use workload_manager::interface::*;
+use workload_manager::*;
 use wrenhatch_sessions::timer_wheel::TimerId;
 
 use super::command::{AttemptLimits, AttemptTerms};
--- a/gateway/src/core/input.rs
+++ b/gateway/src/core/input.rs
@@ -1,6 +1,6 @@
 //! What happens outside of the core: its inputs.
 
-use workload_manager::interface::*;
+use workload_manager::*;
 
 use super::{AttemptId, PeerProcessId};
 
--- a/gateway/src/core/leases.rs
+++ b/gateway/src/core/leases.rs
@@ -1,6 +1,6 @@
 //! Leases of order keys, as far as requests and peer processes use them; see [`super::key_leases`].
 
-use workload_manager::interface::*;
+use workload_manager::*;
 
 use super::key_leases::LeaseEffect;
 use super::timers::Timer;
--- a/gateway/src/net/admin.rs
+++ b/gateway/src/net/admin.rs
@@ -12,7 +12,7 @@
 use crate::admin::call::{self, AdminCall, CallError, MAX_CALL_BYTES};
 use crate::admin::metrics::Gauges;
 use crate::discovery::UnknownEngine;
-use crate::handover::Message;
+use crate::process_replacement::Message;
 
 /// Connections at once. A further one evicts one that was answered, or else the oldest without a complete call.
 pub const MAX_ADMIN_CONNECTIONS: usize = 16;
@@ -186,7 +186,7 @@
             AdminCall::EnterMaintenance(engine) => {
                 self.change_maintenance(&engine, MaintenanceChange::Enter)
                     .map_err(|_| CallError::UnknownEngine)?;
-                self.tell_family(&Message::Enter(engine.clone()));
+                self.send_to_all_peers(&Message::MaintenanceBegan { engine: engine.clone() });
                 Ok(format!("{engine} is out\n"))
             }
             AdminCall::ExitMaintenance(engine) => {
@@ -194,7 +194,7 @@
                 let at_ms = elapsed.map_or(0, |elapsed| elapsed.as_millis() as u64);
                 self.change_maintenance(&engine, MaintenanceChange::Exit { at_ms })
                     .map_err(|_| CallError::UnknownEngine)?;
-                self.tell_family(&Message::Exit(engine.clone(), at_ms));
+                self.send_to_all_peers(&Message::MaintenanceEnded { engine: engine.clone(), end_ms: at_ms });
                 Ok(format!("{engine} may serve\n"))
             }
         }
--- a/gateway/src/net/clients.rs
+++ b/gateway/src/net/clients.rs
@@ -2,7 +2,7 @@
 
 use std::net::{SocketAddr, TcpStream};
 
-use workload_manager::interface::*;
+use workload_manager::*;
 use wrenhatch_sessions::memory_budget::{MemoryPressure, MemoryPurpose};
 use wrenhatch_sessions::read_scheduler::{ScheduledRead, Work};
 use wrenhatch_sessions::session_table::{Activity, Handle, RemovedSession};
@@ -397,7 +397,7 @@
             ready_us,
             wait_us: admission::wait_us(fields.wait_ms, self.config.settings.classes[class.0].deadline),
             work_ahead_us: if early { self.sessions.scheduler.backlog_us() } else { 0 },
-            shutting_down: self.is_going(),
+            shutting_down: self.is_shutting_down(),
             open_requests: self.requests.open.len(),
             max_open_requests: self.config.max_open_requests,
             memory: self.sessions.memory.check(MemoryPurpose::Requests, request.bytes()),
@@ -475,7 +475,7 @@
     pub(super) fn cancel(&mut self, session: u32, secret: u32) {
         let who = session.checked_sub(1).and_then(|index| self.sessions.table.handle_of_slot(index));
         let Some(who) = who.filter(|who| self.sessions.secret_of(*who) == Some(secret)) else {
-            return self.pass_cancel(session, secret);
+            return self.forward_cancel_request(session, secret);
         };
         // What it names may have come before it over the other connection and still wait for its turn there.
         self.read_now(who);
--- a/gateway/src/net/engines/attempts.rs
+++ b/gateway/src/net/engines/attempts.rs
@@ -1,6 +1,6 @@
 //! Attempts at engines: how they start and end, and what follows when their connection ends first.
 
-use workload_manager::interface::*;
+use workload_manager::*;
 use wrenhatch_sessions::memory_budget::MemoryPurpose;
 
 use super::{Attempt, AttemptId, ConnectionEnd, EngineProtocol, Execution, Job, Link, ProtocolState};
