--- a/gateway/src/net/shutdown.rs
+++ b/gateway/src/net/shutdown.rs
@@ -113,7 +113,7 @@
             self.inputs.push(Input::ShuttingDown);
         }
         let owes_answers =
-            !self.requests.open.is_empty() || !self.inputs.is_empty() || self.ops.is_answering();
+            !self.requests.open.is_empty() || !self.inputs.is_empty() || self.admin.is_answering();
         let waits_for_writes =
             self.sessions.is_writing() && !must_answer && self.shutdown.lingers_since_us.is_none();
         if owes_answers || waits_for_writes {
