--- a/gateway/src/net/engines/list.rs
+++ b/gateway/src/net/engines/list.rs
@@ -71,7 +71,7 @@
             self.pools.close(&self.poll, &mut self.timers, at);
         }
         let mode = if event.is_full { EndpointListMode::Full } else { EndpointListMode::Delta };
-        self.inputs.push(Input::EndpointList(mode, entries));
+        self.inputs.push(Input::EndpointList { mode, entries });
         self.prune_engines();
     }
 
