--- a/gateway/src/main.rs
+++ b/gateway/src/main.rs
@@ -64,7 +64,7 @@
                 c.names.tenants.len(),
                 c.known_list.events.len(),
                 c.max_descriptors,
-                net::most_sessions(&c)
+                net::max_sessions(&c)
             );
             if let Some(m) = &c.mysql {
                 println!("MySQL on {}: {} engines", m.listen, m.engines.len());
--- /dev/null
+++ b/gateway/src/net/clients/read.rs
@@ -0,0 +1,160 @@
+//! Reading: which sessions are read in a turn, and what their messages lead to.
+
+use wrenhatch_sessions::memory_budget::MemoryPurpose;
+use wrenhatch_sessions::read_scheduler::{ScheduledRead, Work};
+use wrenhatch_sessions::session_table::Handle;
+
+use crate::admission;
+use crate::front::ClientCommand;
+use crate::front::fields::Fields;
+use crate::net::Server;
+use crate::net::conn::{MOST_UNSENT, Phase, ReadEnd};
+use crate::net::poll::Interest;
+use crate::net::sessions::{ProtocolSession, Sessions};
+
+impl Server {
+    /// Something is ready on a client's connection. It is read when the read scheduler comes to it.
+    pub(in crate::net) fn session_ready(&mut self, key: u64, interest: Interest) {
+        let Some(handle) = Sessions::handle_of(key) else { return };
+        if interest.write {
+            self.sessions.mark_dirty(handle);
+        }
+        if interest.read {
+            if self.sessions.table.active(handle).is_some_and(|session| session.connection.is_cut_off()) {
+                return self.close_client(handle);
+            }
+            self.sessions.enqueue_read(handle, self.time.now_us);
+        }
+    }
+
+    /// Reads the sessions whose turn it is.
+    pub(in crate::net) fn read_sessions(&mut self) {
+        while let Some(read) = self.sessions.scheduler.next_read(self.time.now_us) {
+            if self.sessions.table.clear_queued(read.handle) {
+                self.read_session(read);
+            }
+        }
+    }
+
+    /// Reads a session now, whether or not its turn has come.
+    pub(in crate::net) fn read_now(&mut self, handle: Handle) {
+        self.sessions.table.clear_queued(handle);
+        self.read_session(ScheduledRead { handle, ready_us: self.time.now_us, read_ahead: false });
+    }
+
+    fn read_session(&mut self, read: ScheduledRead) {
+        let handle = read.handle;
+        if !self.sessions.resume(handle, &self.config, self.time.now_us) {
+            return;
+        }
+        let max_bytes = self.sessions.scheduler.limits().bytes_per_turn;
+        let Some(session) = self.sessions.table.active_mut(handle) else { return };
+        (session.ready_us, session.read_ahead, session.has_unread_input) =
+            (read.ready_us, read.read_ahead, false);
+        let connection = &mut session.connection;
+        let before = connection.input.len();
+        let end = connection.fill(max_bytes);
+        let bytes_read = connection.input.len().saturating_sub(before);
+        let is_open = connection.phase == Phase::Open;
+        session.has_unread_input = end == ReadEnd::More;
+        self.sessions.scheduler.charge(Work::Bytes, bytes_read);
+        if is_open {
+            self.read_messages(handle);
+        }
+        if matches!(end, ReadEnd::Eof | ReadEnd::Broken) {
+            return self.close_client(handle);
+        }
+        if let Some(session) = self.sessions.table.active_mut(handle) {
+            session.read_ahead = false;
+        }
+        self.sessions.mark_dirty(handle);
+    }
+
+    /// Notes since when a client owes the rest of its start-up or of a message, if it does. `progressed` says that it
+    /// has sent a whole message since.
+    pub(super) fn note_progress(&mut self, handle: Handle, progressed: bool) {
+        let now_us = self.time.now_us;
+        self.sessions.mark_dirty(handle);
+        let Some(session) = self.sessions.table.active_mut(handle) else { return };
+        if session.connection.phase == Phase::Closing {
+            return;
+        }
+        let is_starting = session.protocol.is_starting();
+        let is_incomplete =
+            is_starting || (session.open_request.is_none() && !session.connection.input.is_empty());
+        // All of a start-up has one time limit, however many messages it takes.
+        let restarts = progressed && !is_starting;
+        if is_incomplete && (restarts || session.awaited_since_us.is_none()) {
+            session.awaited_since_us = Some(now_us);
+        } else if !is_incomplete {
+            session.awaited_since_us = None;
+        }
+    }
+
+    /// Handles messages until the next one is incomplete, a request is open, the client has answers to read, or the
+    /// session has had its part of the turn.
+    pub(super) fn read_messages(&mut self, handle: Handle) {
+        let mut left = self.sessions.scheduler.limits().messages_per_turn;
+        let mut progressed = false;
+        while left > 0 && self.read_message(handle) {
+            (left, progressed) = (left - 1, true);
+        }
+        if left == 0 {
+            if let Some(session) = self.sessions.table.active_mut(handle) {
+                session.has_unread_input |= !session.connection.input.is_empty();
+            }
+        }
+        self.note_progress(handle, progressed);
+    }
+
+    /// Handles one message; false if there was none.
+    fn read_message(&mut self, handle: Handle) -> bool {
+        let Some(session) = self.sessions.table.active_mut(handle) else { return false };
+        let connection = &mut session.connection;
+        if connection.phase != Phase::Open || connection.output.len() > MOST_UNSENT {
+            return false;
+        }
+        if connection.overrun && session.open_request.is_none() {
+            self.counters.invalid += 1;
+            tracing::debug!(now_us = self.time.now_us, "a client sent too much behind its request");
+            session.protocol.overrun(&mut connection.output);
+            self.close_gracefully(handle);
+            return false;
+        }
+        match session.protocol.read(&mut connection.input, &mut connection.output) {
+            None => return false,
+            Some(ClientCommand::Handled) => {}
+            Some(ClientCommand::Invalid) => self.counters.invalid += 1,
+            Some(ClientCommand::Request(request)) => self.handle_request(handle, request),
+            Some(ClientCommand::Prepare(fields)) => self.prepare_statement(handle, &fields),
+            Some(ClientCommand::Cancel { session, secret }) => {
+                self.close_gracefully(handle);
+                self.cancel(session, secret);
+            }
+            Some(ClientCommand::Close) => self.close_gracefully(handle),
+        }
+        true
+    }
+
+    /// Answers whether a statement is prepared: the settings must know what its fields name, and there must be memory.
+    fn prepare_statement(&mut self, handle: Handle, fields: &Fields) {
+        let invalid = admission::subject(&self.names, fields).err();
+        let Some(session) = self.sessions.table.active_mut(handle) else { return };
+        let ProtocolSession::MySql(mysql) = &mut session.protocol else { return };
+        let output = &mut session.connection.output;
+        // Its bytes are reserved when the turn is over, and count beside the others of its session until then.
+        let memory = self.sessions.memory.check(MemoryPurpose::Statements, mysql.pending_bytes());
+        match (invalid, memory) {
+            (Some(invalid), _) => {
+                self.counters.invalid += 1;
+                mysql.reject(&invalid.to_string(), output);
+            }
+            (None, Ok(())) => mysql.judged(output),
+            (None, Err(_)) => {
+                self.counters.no_memory += 1;
+                mysql.no_room(output);
+            }
+        }
+        self.sessions.update_reservation(handle);
+    }
+}
--- /dev/null
+++ b/gateway/src/net/clients/requests.rs
@@ -0,0 +1,179 @@
+//! Requests of clients: admitted, answered, cancelled.
+
+use workload_manager::interface::*;
+use wrenhatch_sessions::memory_budget::MemoryPurpose;
+use wrenhatch_sessions::read_scheduler::Work;
+use wrenhatch_sessions::session_table::{Activity, Handle};
+
+use crate::admission::{self, AdmissionInput, Admitted, Rejection, Subject};
+use crate::core::{Command, Input, NewRequest};
+use crate::front::fields::{self, Fields};
+use crate::front::{ClientRequest, FinalAnswer, Payload};
+use crate::metrics::Ending;
+use crate::mysql::ResultSet;
+use crate::net::{Request, Server};
+
+impl Server {
+    /// Has a request admitted, rejected, or answered as invalid: gathers what [`admission`] weighs, and carries out
+    /// its verdict.
+    pub(super) fn handle_request(&mut self, handle: Handle, request: ClientRequest) {
+        let ClientRequest { mut fields, statement, run } = request;
+        let id_in_use = fields.id.as_ref().is_some_and(|id| self.requests.is_under_way(id));
+        let query_id = fields.id.take().unwrap_or_else(|| self.sessions.new_query_id());
+        let Some(session) = self.sessions.table.active_mut(handle) else { return };
+        let Subject { class, tenant } = match admission::validate(&self.names, &fields, id_in_use) {
+            Ok(subject) => subject,
+            Err(invalid) => {
+                self.counters.invalid += 1;
+                session.protocol.reject(&invalid.to_string(), &mut session.connection.output);
+                return;
+            }
+        };
+        let (ready_us, read_ahead) = (session.ready_us, session.read_ahead);
+        let token = fields.token.take();
+        let request = Request { client: handle, ticket: query_id, class, statement, token, run };
+        let input = AdmissionInput {
+            now_us: self.time.now_us,
+            ready_us,
+            wait_us: admission::wait_us(fields.wait_ms, self.config.settings.classes[class.0].deadline),
+            work_ahead_us: if read_ahead { self.sessions.scheduler.backlog_us() } else { 0 },
+            shutting_down: self.is_going(),
+            open_requests: self.requests.open.len(),
+            max_open_requests: self.config.max_open_requests,
+            memory: self.sessions.memory.check(MemoryPurpose::Requests, request.bytes()),
+        };
+        match admission::admit(&input) {
+            Ok(Admitted { deadline_us }) => {
+                let new_request = new_request(&request, tenant, deadline_us, &fields);
+                self.open_request(request, new_request, &fields, input.wait_us);
+            }
+            Err(rejection) => self.reject_request(handle, class, &rejection),
+        }
+    }
+
+    fn reject_request(&mut self, handle: Handle, class: ClassId, rejection: &Rejection) {
+        self.counters.refused += 1;
+        self.metrics.ended(class, Ending::Refused);
+        for counter in rejection.counters() {
+            *self.counters.rejected_for(counter) += 1;
+        }
+        let retry_after = self.config.settings.capabilities.retry_after && rejection.sends_retry_after();
+        let retry_after_ms = retry_after.then(|| self.sessions.scheduler.retry_after_ms(self.time.now_us));
+        if let Some(session) = self.sessions.table.active_mut(handle) {
+            let output = &mut session.connection.output;
+            session.protocol.answer(FinalAnswer::Rejected(retry_after_ms), output);
+        }
+    }
+
+    /// Hands a request to the core. From here on its client is owed an answer.
+    fn open_request(&mut self, request: Request, new_request: NewRequest, fields: &Fields, wait_us: u64) {
+        let handle = request.client;
+        let id = self.requests.next();
+        let Some(session) = self.sessions.table.active_mut(handle) else { return };
+        session.request_opened(id);
+        // A session that is owed an answer is never evicted.
+        self.sessions.table.set_activity(handle, Activity::Busy, self.time.now_us);
+        if let Some(tenant) = new_request.tenant {
+            self.sessions.set_tenant(handle, tenant.0);
+        }
+        self.sessions.scheduler.charge(Work::Request, 1);
+        self.counters.taken += 1;
+        tracing::debug!(
+            ticket = request.ticket,
+            request = id.0,
+            class = request.class.0,
+            wait_us,
+            estimate_ms = fields.estimate_ms,
+            need_mb = fields.need_mb,
+            key = fields.order_key.as_deref(),
+            retry = fields.retry,
+            now_us = self.time.now_us,
+            "taken"
+        );
+        self.sessions.memory.reserve(MemoryPurpose::Requests, request.bytes());
+        self.requests.insert(id, request);
+        self.inputs.push(Input::RequestArrived { id, request: new_request });
+    }
+
+    /// Ends the request of the session that a CancelRequest names; its client waits no longer.
+    pub(in crate::net) fn cancel(&mut self, session: u32, secret: u32) {
+        let handle = session.checked_sub(1).and_then(|slot| self.sessions.table.handle_of_slot(slot));
+        let Some(handle) = handle.filter(|handle| self.sessions.secret_of(*handle) == Some(secret)) else {
+            return self.pass_cancel(session, secret);
+        };
+        // The request may have come before the CancelRequest, over its own connection, and still wait to be read.
+        self.read_now(handle);
+        let Some(session) = self.sessions.table.active_mut(handle) else { return };
+        if let Some(id) = session.request_closed() {
+            session.protocol.answer(FinalAnswer::Cancelled, &mut session.connection.output);
+            session.ready_us = self.time.now_us;
+            self.client_left(id);
+            self.read_messages(handle);
+        }
+    }
+
+    fn close_request(&mut self, id: RequestId) -> Option<Request> {
+        let request = self.requests.remove(id)?;
+        self.sessions.memory.release(MemoryPurpose::Requests, request.bytes());
+        Some(request)
+    }
+
+    /// The client of an open request waits no longer.
+    pub(super) fn client_left(&mut self, id: RequestId) {
+        if let Some(request) = self.close_request(id) {
+            tracing::debug!(ticket = request.ticket, now_us = self.time.now_us, "left");
+            self.counters.left += 1;
+            self.inputs.push(Input::ClientLeft(id));
+        }
+    }
+
+    /// Writes the core's final answer to the client of a request.
+    pub(in crate::net) fn answer(&mut self, command: Command) {
+        let id = match command {
+            Command::Serve(attempt) => attempt.request,
+            Command::Reject { request, .. } | Command::Fail(request) => request,
+            _ => return,
+        };
+        let Some(request) = self.close_request(id) else { return };
+        let answer = match command {
+            Command::Serve(attempt) => match self.pools.results.get(&attempt) {
+                Some(payload) => FinalAnswer::Served(payload),
+                None => FinalAnswer::Failed("the result is lost"),
+            },
+            Command::Reject { retry_after_ms, .. } => FinalAnswer::Rejected(retry_after_ms),
+            _ => FinalAnswer::Failed("the engines could not answer"),
+        };
+        tracing::debug!(ticket = request.ticket, now_us = self.time.now_us, how = answer.name(), "answered");
+        let (counter, ending) = match answer {
+            FinalAnswer::Served(Payload::MySql(ResultSet::Wrong(_))) => {
+                (&mut self.counters.failed, Ending::Failed)
+            }
+            FinalAnswer::Served(_) => (&mut self.counters.served, Ending::Served),
+            FinalAnswer::Rejected(_) => (&mut self.counters.refused, Ending::Refused),
+            FinalAnswer::Failed(_) | FinalAnswer::Cancelled => (&mut self.counters.failed, Ending::Failed),
+        };
+        *counter += 1;
+        self.metrics.ended(request.class, ending);
+        let Some(session) = self.sessions.table.active_mut(request.client) else { return };
+        if session.open_request == Some(id) {
+            session.request_closed();
+            session.ready_us = self.time.now_us;
+            session.protocol.answer(answer, &mut session.connection.output);
+            self.read_messages(request.client);
+        }
+    }
+}
+
+/// A request as the core gets it.
+fn new_request(request: &Request, tenant: Option<TenantId>, deadline_us: u64, fields: &Fields) -> NewRequest {
+    NewRequest {
+        class: request.class,
+        tenant,
+        deadline_us,
+        estimated_work: fields.estimate_ms.map(|ms| ms / 1000.0),
+        estimated_memory_mb: fields.need_mb.filter(|mb| *mb > 0.0),
+        table_group: fields::table_group(&request.statement).map(TableGroupId),
+        key: fields.order_key.as_deref().map(fields::key_id),
+        is_retry: fields.retry,
+    }
+}
--- /dev/null
+++ b/gateway/src/net/clients/settle.rs
@@ -0,0 +1,71 @@
+//! The end of a turn for a session that something has happened to, and the end of a session.
+
+use wrenhatch_sessions::session_table::{Activity, Handle, RemovedSession};
+
+use crate::net::conn::{MOST_UNSENT, Phase};
+use crate::net::sessions::Sessions;
+use crate::net::{Server, Timer};
+
+impl Server {
+    /// Settles a session at the end of a turn: its output is written, its timer armed, the memory that it holds
+    /// reserved, its activity noted, and if it is idle it is suspended.
+    pub(in crate::net) fn settle_session(&mut self, handle: Handle) {
+        let now_us = self.time.now_us;
+        let Some(session) = self.sessions.table.active_mut(handle) else { return };
+        session.dirty = false;
+        let connection = &mut session.connection;
+        let was_blocked = connection.output.len() > MOST_UNSENT;
+        if connection.flush().is_err() || connection.update(&self.poll, Sessions::key(handle)).is_err() {
+            return self.close_client(handle);
+        }
+        if was_blocked && connection.output.len() <= MOST_UNSENT && connection.phase == Phase::Open {
+            session.ready_us = now_us;
+            // Messages that waited for this go on; the session is dirty again and settled once more.
+            return self.read_messages(handle);
+        }
+        let due_us = session.due_us();
+        self.timers.reschedule(&mut session.timer, due_us, Timer::Client(handle));
+        let (activity, since_us) = (session.activity(), session.awaited_since_us.unwrap_or(now_us));
+        if session.can_go_on() {
+            session.has_unread_input = false;
+            self.sessions.enqueue_read(handle, now_us);
+        }
+        self.sessions.update_reservation(handle);
+        // A session that waits to be read may have sent a request: it is not idle.
+        let may_have_request = activity.is_idle() && self.sessions.table.is_queued(handle);
+        let activity = if may_have_request { Activity::Busy } else { activity };
+        self.sessions.table.set_activity(handle, activity, since_us);
+        if activity.is_idle() {
+            self.sessions.suspend(handle);
+            self.arm_idle_timer();
+        }
+    }
+
+    /// Closes a connection once all output is written and the other side has ended too, or when that takes too long.
+    pub(in crate::net) fn close_gracefully(&mut self, handle: Handle) {
+        let now_us = self.time.now_us;
+        if let Some(session) = self.sessions.table.active_mut(handle) {
+            session.connection.phase = Phase::Closing;
+            session.connection.input = Vec::new();
+            session.awaited_since_us = Some(now_us);
+        }
+        self.sessions.mark_dirty(handle);
+    }
+
+    /// Closes a client's connection at once and ends its session; the one place where that is done.
+    pub(super) fn close_client(&mut self, handle: Handle) {
+        match self.sessions.remove(handle) {
+            Some(RemovedSession::Active(session)) => {
+                if let Some((_, timer)) = session.timer {
+                    self.timers.cancel(timer);
+                }
+                session.connection.close(&self.poll);
+                if let Some(id) = session.open_request {
+                    self.client_left(id);
+                }
+            }
+            Some(RemovedSession::Suspended(suspended)) => self.poll.remove(suspended.into_stream()),
+            None => {}
+        }
+    }
+}
--- /dev/null
+++ b/gateway/src/net/clients/timeouts.rs
@@ -0,0 +1,62 @@
+//! Time limits of clients: for a start-up and a message to be complete, for a graceful close, and for idle sessions.
+
+use wrenhatch_sessions::session_table::{Activity, Handle};
+
+use crate::net::conn::Phase;
+use crate::net::sessions::{CLOSE_TIMEOUT_US, MESSAGE_TIMEOUT_US};
+use crate::net::{Server, Timer};
+
+const IDLE: [Activity; 2] = [Activity::Idle, Activity::IdleWithStatements];
+
+impl Server {
+    /// A client may have exceeded its time limit: for an incomplete start-up or message it gets an error and is
+    /// closed gracefully; one that does not end that either is closed at once.
+    pub(in crate::net) fn client_timer_fired(&mut self, handle: Handle) {
+        let now_us = self.time.now_us;
+        let Some(session) = self.sessions.table.active_mut(handle) else { return };
+        session.timer = None;
+        let Some(since_us) = session.awaited_since_us else { return };
+        if session.connection.phase == Phase::Closing {
+            if now_us >= since_us + CLOSE_TIMEOUT_US {
+                self.close_client(handle);
+            }
+        } else if now_us >= since_us + MESSAGE_TIMEOUT_US {
+            session.protocol.time_out(&mut session.connection.output);
+            self.counters.timed_out += 1;
+            self.close_gracefully(handle);
+        }
+        self.sessions.mark_dirty(handle);
+    }
+
+    /// Where idle sessions have a limit, one timer is armed for the one that has been idle for longest.
+    pub(super) fn arm_idle_timer(&mut self) {
+        let Some(limit_us) = self.config.clients.idle_limit_us else { return };
+        if self.sessions.idle_timer.is_some() {
+            return;
+        }
+        let oldest = IDLE.map(|activity| self.sessions.table.oldest(activity));
+        if let Some(since_us) = oldest.into_iter().flatten().map(|(_, since_us)| since_us).min() {
+            self.sessions.idle_timer = Some(self.timers.arm(since_us + limit_us, Timer::IdleLimit));
+        }
+    }
+
+    /// Closes sessions that have been idle for longer than the operator allows.
+    pub(in crate::net) fn close_long_idle(&mut self) {
+        self.sessions.idle_timer = None;
+        let Some(limit_us) = self.config.clients.idle_limit_us else { return };
+        for activity in IDLE {
+            while let Some((handle, since_us)) = self.sessions.table.oldest(activity) {
+                if self.time.now_us < since_us + limit_us {
+                    break;
+                }
+                if self.is_silent(handle) {
+                    // Nothing waits for its place: it ends when its client has seen that this side does.
+                    self.close_gracefully(handle);
+                    self.sessions.table.set_activity(handle, Activity::Closing, self.time.now_us);
+                    self.counters.idle_closed += 1;
+                }
+            }
+        }
+        self.arm_idle_timer();
+    }
+}
--- a/gateway/src/net/engines/connections.rs
+++ b/gateway/src/net/engines/connections.rs
@@ -130,7 +130,7 @@
     }
 
     pub(super) fn most_engine_conns(&self) -> usize {
-        crate::net::sessions::most_engine_conns(&self.config, self.family.is_alone())
+        crate::net::sessions::max_engine_connections(&self.config, self.family.is_alone())
     }
 
     /// Another process of this gateway has come: idle connections beyond this one's half are closed.
--- a/gateway/src/net/listeners.rs
+++ b/gateway/src/net/listeners.rs
@@ -181,7 +181,7 @@
             match listener.accept() {
                 Ok((stream, from)) => {
                     self.sessions.scheduler.charge(Work::Accept, 1);
-                    self.take_in(stream, from, front);
+                    self.accept_client(stream, from, front);
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return false,
                 // It was there and has gone again, as after a reset: the next one may be well.
@@ -203,10 +203,10 @@
     /// No descriptor is left, whatever the budget says. Whoever yields its place gives one; else the one who
     /// knocks is turned away with the spare one; else the listeners pause for a moment, or the loop would spin.
     fn find_descriptor(&mut self, front: Front) -> bool {
-        if self.make_room() {
+        if self.evict_one() {
             return true;
         }
-        if self.listeners.turn_one_away(front, &super::sessions::no_place(front)) {
+        if self.listeners.turn_one_away(front, &super::sessions::too_many_clients(front)) {
             self.counters.turned_away += 1;
             return true;
         }
--- a/gateway/src/net/mod.rs
+++ b/gateway/src/net/mod.rs
@@ -21,7 +21,7 @@
 mod shutdown;
 mod watch;
 
-pub use sessions::{PARKED_BYTES, SESSION_BYTES, most_clients as most_sessions};
+pub use sessions::{ACTIVE_SESSION_BYTES, SUSPENDED_SESSION_BYTES, max_sessions};
 
 use std::io;
 use std::net::SocketAddr;
@@ -302,7 +302,7 @@
         while let Some(who) = self.sessions.dirty.pop() {
             self.settle_session(who);
         }
-        self.relieve();
+        self.relieve_memory();
         self.pools.end_turn();
     }
 
@@ -323,7 +323,7 @@
     /// yields its own: what has been taken is worth more than who may ask some day.
     fn dial(&mut self, address: SocketAddr, key: u64, ahead: usize) -> io::Result<Conn> {
         match Conn::connect(&self.poll, address, key, ahead) {
-            Err(e) if listeners::is_out_of_descriptors(&e) && self.make_room() => {
+            Err(e) if listeners::is_out_of_descriptors(&e) && self.evict_one() => {
                 Conn::connect(&self.poll, address, key, ahead)
             }
             other => other,
@@ -338,7 +338,7 @@
                 Timer::Link(at, serial) => self.link_late(at, serial),
                 Timer::Unheard(id) => self.unheard(id),
                 Timer::Confirmation(id) => self.ask_for_confirmation(id),
-                Timer::Client(who) => self.client_late(who),
+                Timer::Client(who) => self.client_timer_fired(who),
                 Timer::IdleLimit => self.close_long_idle(),
                 Timer::Watch => self.check_watch(),
                 Timer::Control => self.check_control(),
--- a/gateway/src/net/reconfigure.rs
+++ b/gateway/src/net/reconfigure.rs
@@ -41,7 +41,7 @@
         self.config.max_open_requests = fresh.max_open_requests;
         self.metrics.rename(self.names.classes.iter().map(String::as_str));
         let deadlines = || in_force.iter().map(|class| class.deadline);
-        self.sessions.scheduler.set_limits(sessions::governor_limits(&self.config, deadlines()));
+        self.sessions.scheduler.set_limits(sessions::read_limits(&self.config, deadlines()));
         self.shutdown.set_deadlines(deadlines());
         Ok(())
     }
--- /dev/null
+++ b/gateway/src/net/sessions/mod.rs
@@ -0,0 +1,283 @@
+//! Sessions of clients: the table of them, the scheduler by which they are read, and the memory that they hold.
+//!
+//! All changes of [`Sessions::table`] that change what is held go through [`Sessions`], so that the memory budget
+//! always agrees with the table.
+
+mod figures;
+mod limits;
+mod protocol;
+mod state;
+
+pub use limits::{max_engine_connections, max_sessions, read_limits};
+pub use protocol::{ProtocolSession, too_many_clients};
+pub use state::{ACTIVE_SESSION_BYTES, CLOSE_TIMEOUT_US, MESSAGE_TIMEOUT_US, SUSPENDED_SESSION_BYTES};
+
+use std::cell::Cell;
+use std::net::{IpAddr, SocketAddr};
+use std::rc::Rc;
+
+use wrenhatch_sessions::memory_budget::{MemoryBudget, MemoryPurpose};
+use wrenhatch_sessions::read_scheduler::{RECENTLY_ACTIVE_US, ReadPriority, ReadScheduler};
+use wrenhatch_sessions::session_table::{Activity, Handle, RemovedSession, SessionTable};
+use wrenhatch_sessions::timer_wheel::TimerId;
+
+use super::SESSION;
+use super::conn::{Conn, Phase};
+use super::listeners::Front;
+use crate::config::Config;
+use crate::front::{mysql, pg};
+use state::{ActiveSession, ReservedBytes, SuspendedProtocol, SuspendedSession};
+
+/// As many sessions with incomplete messages as this part of all are a connection surge.
+const SURGE_DIVISOR: usize = 4;
+/// Fewer are none.
+const MIN_SURGE_SESSIONS: usize = 32;
+/// Read from a client ahead of its messages, beyond the longest of them.
+const READ_AHEAD_EXTRA_BYTES: usize = 1024;
+/// A tenant's group has this bit, an address's does not.
+const TENANT_GROUP_BIT: u32 = 1 << 31;
+
+/// The table of client sessions.
+pub type ClientTable = SessionTable<SuspendedSession, ActiveSession>;
+
+/// The sessions of all clients.
+pub struct Sessions {
+    pub table: ClientTable,
+    pub scheduler: ReadScheduler,
+    pub memory: MemoryBudget,
+    /// Sessions that something has happened to in this turn.
+    pub dirty: Vec<Handle>,
+    /// Sessions that are held at most.
+    pub max_sessions: usize,
+    /// The longest message taken from a client, in bytes.
+    longest_message: usize,
+    /// The next handle of a prepared statement, over all sessions.
+    statement_handles: Rc<Cell<u32>>,
+    random_state: u64,
+    /// Fires when the session that has been idle for longest may have been so for too long.
+    pub idle_timer: Option<TimerId>,
+}
+
+/// The group of an address.
+fn group(address: SocketAddr) -> u32 {
+    let bits = match address.ip() {
+        IpAddr::V4(ip) => ip.to_bits(),
+        // The network half names the client; the other half is its own to choose.
+        IpAddr::V6(ip) => (ip.to_bits() >> 64) as u32 ^ (ip.to_bits() >> 96) as u32,
+    };
+    bits & !TENANT_GROUP_BIT
+}
+
+impl Sessions {
+    /// `salt` is this process's own: another one of the same gateway may have the same seed, and a CancelRequest must
+    /// not name a session of each.
+    pub fn new(config: &Config, salt: u64) -> Self {
+        let deadlines = config.settings.classes.iter().map(|c| c.deadline);
+        Self {
+            table: SessionTable::new(),
+            scheduler: ReadScheduler::new(read_limits(config, deadlines)),
+            memory: MemoryBudget::new(config.memory_bytes),
+            dirty: Vec::new(),
+            max_sessions: max_sessions(config),
+            longest_message: limits::longest_message_bytes(config),
+            statement_handles: Rc::new(Cell::new((config.seed as u32).max(1))),
+            random_state: config.seed ^ salt,
+            idle_timer: None,
+        }
+    }
+
+    /// The poller's key of a session.
+    pub fn key(handle: Handle) -> u64 {
+        SESSION | handle.to_bits()
+    }
+
+    /// The session of a poller's key.
+    pub fn handle_of(key: u64) -> Option<Handle> {
+        Handle::from_bits(key & (SESSION - 1))
+    }
+
+    /// A random number that no client can guess: a multiplicative sequence over a seed of this start.
+    pub fn secret(&mut self) -> u32 {
+        self.random_state =
+            self.random_state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        (self.random_state >> 32) as u32
+    }
+
+    /// An id for a query whose client gave none, as 16 hex digits.
+    pub fn new_query_id(&mut self) -> String {
+        let (high, low) = (self.secret(), self.secret());
+        format!("{high:08x}{low:08x}")
+    }
+
+    /// Whether a new client needs another's place.
+    pub fn is_full(&self) -> bool {
+        self.table.len() >= self.max_sessions
+    }
+
+    /// The session to evict so that another may have its place.
+    pub fn eviction_candidate(&self, now_us: u64) -> Option<Handle> {
+        let surge_size = (self.max_sessions / SURGE_DIVISOR).max(MIN_SURGE_SESSIONS);
+        self.table.eviction_candidate(now_us, surge_size)
+    }
+
+    /// No more than this is read ahead from a client, in bytes.
+    pub fn read_ahead_bytes(&self) -> usize {
+        self.longest_message + READ_AHEAD_EXTRA_BYTES
+    }
+
+    /// Bytes that a new session takes, without its buffers.
+    pub const fn active_session_bytes() -> usize {
+        ClientTable::slot_bytes() + ACTIVE_SESSION_BYTES
+    }
+
+    /// Adds a session for a connection that was accepted under the table's next handle.
+    pub fn insert(
+        &mut self,
+        mut connection: Conn,
+        front: Front,
+        from: SocketAddr,
+        config: &Config,
+        now_us: u64,
+    ) -> Handle {
+        let (slot, secret) = (self.table.next_handle().index + 1, self.secret());
+        let protocol = match (front, &config.mysql) {
+            (Front::MySql, Some(m)) => {
+                let mut scramble = [0; 20];
+                for part in scramble.chunks_mut(4) {
+                    part.copy_from_slice(&self.secret().to_le_bytes());
+                }
+                let (directory, handles) = (m.directory.clone(), self.statement_handles.clone());
+                let output = &mut connection.output;
+                ProtocolSession::MySql(Box::new(mysql::Session::new(
+                    slot, scramble, directory, handles, output,
+                )))
+            }
+            _ => ProtocolSession::Pg(pg::Session::new((slot, secret), self.longest_message)),
+        };
+        self.memory.reserve(MemoryPurpose::Sessions, Self::active_session_bytes());
+        let session = ActiveSession::new(connection, protocol, secret, group(from));
+        self.table.insert(now_us, Box::new(session))
+    }
+
+    /// Resumes a session if it is suspended; false if it has ended.
+    pub fn resume(&mut self, handle: Handle, config: &Config, now_us: u64) -> bool {
+        let (longest, read_ahead) = (self.longest_message, self.read_ahead_bytes());
+        let (memory, handles) = (&mut self.memory, &self.statement_handles);
+        self.table.resume(handle, now_us, |suspended| {
+            let statements = suspended.statement_bytes();
+            let protocol = match (suspended.protocol, &config.mysql) {
+                (SuspendedProtocol::MySql(protocol), Some(m)) => ProtocolSession::MySql(Box::new(
+                    mysql::Session::resume(protocol, m.directory.clone(), handles.clone()),
+                )),
+                _ => ProtocolSession::Pg(pg::Session::resume((handle.index + 1, suspended.secret), longest)),
+            };
+            memory.reserve(MemoryPurpose::Sessions, ACTIVE_SESSION_BYTES);
+            let connection = Conn::resume(suspended.stream, read_ahead);
+            let mut session = ActiveSession::new(connection, protocol, suspended.secret, suspended.group);
+            session.reserved.statements = statements;
+            Box::new(session)
+        })
+    }
+
+    /// Suspends a session if it is idle. What it held beyond its slot and its prepared statements is released.
+    pub fn suspend(&mut self, handle: Handle) {
+        let mut buffers = 0;
+        let is_suspended = self.table.suspend(handle, |session| {
+            buffers = session.reserved.buffers;
+            session.suspend()
+        });
+        if is_suspended {
+            self.memory.release(MemoryPurpose::Sessions, ACTIVE_SESSION_BYTES);
+            self.memory.release(MemoryPurpose::Buffers, buffers);
+        }
+    }
+
+    /// Reserves what an active session holds now.
+    pub fn update_reservation(&mut self, handle: Handle) {
+        let Some(session) = self.table.active_mut(handle) else { return };
+        let held = ReservedBytes {
+            buffers: session.connection.buffered(),
+            statements: session.protocol.statement_bytes(),
+        };
+        let before = std::mem::replace(&mut session.reserved, held);
+        self.memory.resize(MemoryPurpose::Buffers, before.buffers, held.buffers);
+        self.memory.resize(MemoryPurpose::Statements, before.statements, held.statements);
+    }
+
+    /// Ends a session, and releases what it held.
+    pub fn remove(&mut self, handle: Handle) -> Option<RemovedSession<SuspendedSession, ActiveSession>> {
+        let removed = self.table.remove(handle)?;
+        match &removed {
+            RemovedSession::Active(session) => {
+                self.memory.release(MemoryPurpose::Sessions, Self::active_session_bytes());
+                self.memory.release(MemoryPurpose::Buffers, session.reserved.buffers);
+                self.memory.release(MemoryPurpose::Statements, session.reserved.statements);
+            }
+            RemovedSession::Suspended(suspended) => {
+                self.memory.release(MemoryPurpose::Sessions, ClientTable::slot_bytes());
+                self.memory.release(MemoryPurpose::Statements, suspended.statement_bytes());
+            }
+        }
+        Some(removed)
+    }
+
+    /// What a CancelRequest for this session must carry.
+    pub fn secret_of(&self, handle: Handle) -> Option<u32> {
+        let suspended = || self.table.suspended(handle).map(|suspended| suspended.secret);
+        self.table.active(handle).map(|session| session.secret).or_else(suspended)
+    }
+
+    /// Something has happened to an active session: it is settled at the end of the turn.
+    pub fn mark_dirty(&mut self, handle: Handle) {
+        if let Some(session) = self.table.active_mut(handle) {
+            if !std::mem::replace(&mut session.dirty, true) {
+                self.dirty.push(handle);
+            }
+        }
+    }
+
+    /// The priority and the group with which a session waits to be read; `None` if it has ended.
+    fn read_class(&self, handle: Handle, now_us: u64) -> Option<(ReadPriority, u32)> {
+        if let Some(session) = self.table.active(handle) {
+            let is_open = session.open_request.is_some() || session.connection.phase == Phase::Closing;
+            let priority = match session.protocol.is_starting() {
+                _ if is_open => ReadPriority::OpenRequest,
+                true => ReadPriority::Starting,
+                false => ReadPriority::PartialMessage,
+            };
+            return Some((priority, session.group));
+        }
+        let suspended = self.table.suspended(handle)?;
+        let since_us = self.table.activity(handle).map_or(0, |(_, since_us)| since_us);
+        let is_recent = now_us < since_us + RECENTLY_ACTIVE_US;
+        let priority = if is_recent { ReadPriority::RecentlyActive } else { ReadPriority::LongIdle };
+        Some((priority, suspended.group))
+    }
+
+    /// A session can be read: it waits for its turn.
+    pub fn enqueue_read(&mut self, handle: Handle, now_us: u64) {
+        let Some((priority, group)) = self.read_class(handle, now_us) else { return };
+        if self.table.set_queued(handle) {
+            self.scheduler.enqueue(handle, priority, group, now_us);
+            // What has come may be a request: the session is not evicted before it is read.
+            if self.table.activity(handle).is_some_and(|(activity, _)| activity.is_idle()) {
+                self.table.set_activity(handle, Activity::Busy, now_us);
+            }
+        }
+    }
+
+    /// Puts a session into the group of its request's tenant.
+    pub fn set_tenant(&mut self, handle: Handle, tenant: usize) {
+        if let Some(session) = self.table.active_mut(handle) {
+            session.group = TENANT_GROUP_BIT | tenant as u32;
+        }
+    }
+
+    /// Whether answers are still being written.
+    pub fn is_writing(&self) -> bool {
+        self.table.all_active().any(|session| !session.connection.output.is_empty())
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/gateway/src/net/sessions/tests.rs
+++ b/gateway/src/net/sessions/tests.rs
@@ -1,6 +1,7 @@
 use super::*;
 use crate::config;
 use crate::json::JsonField;
+use crate::net::own_descriptors;
 
 fn config() -> Config {
     let text = include_str!("../../../tests/common/config.json").replace("LIST", "");
@@ -24,10 +25,10 @@
     config.admin = Some(([127, 0, 0, 1], 1).into());
     for sockets in 256..=1024 {
         config.max_descriptors = sockets;
-        let (alone, each) = (most_engine_conns(&config, true), most_engine_conns(&config, false));
+        let (alone, each) = (max_engine_connections(&config, true), max_engine_connections(&config, false));
         let own = own_descriptors(&config);
-        assert!(most_clients(&config) + own + alone <= sockets);
-        assert!(most_clients(&config) + 2 * (own + each) <= sockets, "{sockets}: {each} each");
+        assert!(max_sessions(&config) + own + alone <= sockets);
+        assert!(max_sessions(&config) + 2 * (own + each) <= sockets, "{sockets}: {each} each");
         assert!(each > 10, "{sockets}: enough to serve over");
     }
 }
--- a/gateway/src/net/shutdown.rs
+++ b/gateway/src/net/shutdown.rs
@@ -126,14 +126,15 @@
         let all: Vec<_> = self.sessions.table.handles().collect();
         for who in all {
             self.read_now(who);
-            let Some(live) = self.sessions.table.active_mut(who) else { continue };
-            if live.conn.phase != Phase::Open {
+            let Some(session) = self.sessions.table.active_mut(who) else { continue };
+            let connection = &mut session.connection;
+            if connection.phase != Phase::Open {
                 continue;
             }
-            if live.session.is_starting() || !live.conn.input.is_empty() {
-                live.session.shut_down(&mut live.conn.output);
+            if session.protocol.is_starting() || !connection.input.is_empty() {
+                session.protocol.shut_down(&mut connection.output);
             }
-            self.close_soon(who);
+            self.close_gracefully(who);
         }
     }
 }
--- a/lab/src/memory.rs
+++ b/lab/src/memory.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use serde::Serialize;
-use wrenhatch::net::{PARKED_BYTES, SESSION_BYTES};
+use wrenhatch::net::{ACTIVE_SESSION_BYTES, SUSPENDED_SESSION_BYTES};
 use wrenhatch_sessions::read_scheduler::{ReadLimits, ReadPriority, ReadScheduler};
 use wrenhatch_sessions::session_table::{Activity, Handle, SessionTable};
 use wrenhatch_sessions::timer_wheel::TimerWheel;
@@ -13,7 +13,7 @@
 use crate::spread::{Spread, histogram};
 
 /// As large as the gateway's own parts.
-type Sessions = SessionTable<[u64; PARKED_BYTES / 8], [u64; SESSION_BYTES / 8]>;
+type Sessions = SessionTable<[u64; SUSPENDED_SESSION_BYTES / 8], [u64; ACTIVE_SESSION_BYTES / 8]>;
 
 /// What was found.
 #[derive(Debug, Serialize)]
@@ -33,13 +33,13 @@
 
 fn park(table: &mut Sessions, who: Handle, now_us: u64) {
     table.set_activity(who, Activity::Idle, now_us);
-    table.suspend(who, |hot| Ok([hot[0]; PARKED_BYTES / 8]));
+    table.suspend(who, |hot| Ok([hot[0]; SUSPENDED_SESSION_BYTES / 8]));
 }
 
 fn take_in(table: &mut Sessions, n: usize) -> Vec<Handle> {
     (0..n)
         .map(|i| {
-            let who = table.insert(i as u64, Box::new([i as u64; SESSION_BYTES / 8]));
+            let who = table.insert(i as u64, Box::new([i as u64; ACTIVE_SESSION_BYTES / 8]));
             park(table, who, i as u64);
             who
         })
@@ -59,7 +59,7 @@
         let turn = Instant::now();
         while let Some(read) = scheduler.next_read(now_us) {
             if table.clear_queued(read.handle) {
-                table.resume(read.handle, now_us, |cold| Box::new([cold[0]; SESSION_BYTES / 8]));
+                table.resume(read.handle, now_us, |cold| Box::new([cold[0]; ACTIVE_SESSION_BYTES / 8]));
                 park(table, read.handle, now_us);
             }
         }
