--- a/gateway/src/net/sessions/mod.rs
+++ b/gateway/src/net/sessions/mod.rs
@@ -103,6 +103,11 @@
         (self.random_state >> 32) as u32
     }
 
+    /// A random number from 0 to 1.
+    pub fn chance(&mut self) -> f64 {
+        f64::from(self.secret()) / f64::from(u32::MAX)
+    }
+
     /// An id for a query whose client gave none, as 16 hex digits.
     pub fn new_query_id(&mut self) -> String {
         let (high, low) = (self.secret(), self.secret());
