--- a/gateway/src/net/clients/requests.rs
+++ b/gateway/src/net/clients/requests.rs
@@ -31,7 +31,7 @@
         };
         let (ready_us, read_ahead) = (session.ready_us, session.read_ahead);
         let token = fields.token.take();
-        let request = Request { client: handle, ticket: query_id, class, statement, token, run };
+        let request = Request { client: handle, query_id, class, statement, token, run };
         let input = AdmissionInput {
             now_us: self.time.now_us,
             ready_us,
@@ -79,7 +79,7 @@
         self.sessions.scheduler.charge(Work::Request, 1);
         self.counters.taken += 1;
         tracing::debug!(
-            ticket = request.ticket,
+            query_id = request.query_id,
             request = id.0,
             class = request.class.0,
             wait_us,
@@ -121,7 +121,7 @@
     /// The client of an open request waits no longer.
     pub(super) fn client_left(&mut self, id: RequestId) {
         if let Some(request) = self.close_request(id) {
-            tracing::debug!(ticket = request.ticket, now_us = self.time.now_us, "left");
+            tracing::debug!(query_id = request.query_id, now_us = self.time.now_us, "left");
             self.counters.left += 1;
             self.inputs.push(Input::ClientLeft(id));
         }
@@ -143,7 +143,12 @@
             Command::Reject { retry_after_ms, .. } => FinalAnswer::Rejected(retry_after_ms),
             _ => FinalAnswer::Failed("the engines could not answer"),
         };
-        tracing::debug!(ticket = request.ticket, now_us = self.time.now_us, how = answer.name(), "answered");
+        tracing::debug!(
+            query_id = request.query_id,
+            now_us = self.time.now_us,
+            how = answer.name(),
+            "answered"
+        );
         let (counter, ending) = match answer {
             FinalAnswer::Served(Payload::MySql(ResultSet::Wrong(_))) => {
                 (&mut self.counters.failed, Ending::Failed)
