--- a/gateway/src/config/config_file/tests.rs
+++ b/gateway/src/config/config_file/tests.rs
@@ -1,4 +1,4 @@
-use workload_manager::interface::*;
+use workload_manager::*;
 
 use super::*;
 
--- a/gateway/src/config/error.rs
+++ b/gateway/src/config/error.rs
@@ -1,6 +1,6 @@
 //! Why the configuration can't be used.
 
-use workload_manager::interface::SettingsError;
+use workload_manager::SettingsError;
 
 use super::toml_file::TomlError;
 use crate::json::JsonError;
--- a/gateway/src/core/mod.rs
+++ b/gateway/src/core/mod.rs
@@ -30,7 +30,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use workload_manager::WorkloadManager;
-use workload_manager::interface::*;
+use workload_manager::*;
 
 use crate::timer_lag::TimerLag;
 use attempts::InFlightAttempts;
--- a/gateway/src/net/clients/requests.rs
+++ b/gateway/src/net/clients/requests.rs
@@ -1,6 +1,6 @@
 //! Requests of clients: admitted, answered, cancelled.
 
-use workload_manager::interface::*;
+use workload_manager::*;
 use wrenhatch_sessions::memory_budget::MemoryPurpose;
 use wrenhatch_sessions::read_scheduler::Work;
 use wrenhatch_sessions::session_table::{Activity, Handle};
--- a/gateway/src/net/engines/cancellation.rs
+++ b/gateway/src/net/engines/cancellation.rs
@@ -1,6 +1,6 @@
 //! Attempts that the gateway no longer waits for: their engines are notified, and the end is awaited for a while.
 
-use workload_manager::interface::*;
+use workload_manager::*;
 
 use super::attempts::MAX_CALL_RETRIES;
 use super::{AttemptId, ConnectionEnd, EngineProtocol, Execution, Job, Link, ProtocolState, Unconfirmed};
--- a/gateway/src/net/engines/confirmation.rs
+++ b/gateway/src/net/engines/confirmation.rs
@@ -4,7 +4,7 @@
 //! partition, a call that was written may still be on its way, and the engine may run the query to its end. So the
 //! engine must be reached once more before that time counts.
 
-use workload_manager::interface::*;
+use workload_manager::*;
 
 use super::{AttemptId, ConnectionEnd, EngineProtocol, Job, Server};
 use crate::core::Input;
--- a/gateway/src/net/sessions/state.rs
+++ b/gateway/src/net/sessions/state.rs
@@ -2,7 +2,7 @@
 
 use std::net::TcpStream;
 
-use workload_manager::interface::RequestId;
+use workload_manager::RequestId;
 use wrenhatch_sessions::session_table::Activity;
 use wrenhatch_sessions::timer_wheel::TimerId;
 
