--- a/gateway/src/net/clients/accept.rs
+++ b/gateway/src/net/clients/accept.rs
@@ -5,7 +5,7 @@
 use wrenhatch_sessions::memory_budget::MemoryPurpose;
 
 use crate::net::Server;
-use crate::net::conn::Conn;
+use crate::net::connection::Connection;
 use crate::net::listeners::{self, Front};
 use crate::net::sessions::Sessions;
 
@@ -34,7 +34,8 @@
             tracing::debug!("keepalive: {e}");
         }
         let key = Sessions::key(self.sessions.table.next_handle());
-        let connection = match Conn::accepted(&self.poll, stream, key, self.sessions.read_ahead_bytes()) {
+        let connection = match Connection::accepted(&self.poll, stream, key, self.sessions.read_ahead_bytes())
+        {
             Ok(connection) => connection,
             Err(e) => return tracing::warn!("a client connection could not be registered: {e}"),
         };
--- a/gateway/src/net/clients/read.rs
+++ b/gateway/src/net/clients/read.rs
@@ -8,7 +8,7 @@
 use crate::front::ClientCommand;
 use crate::front::fields::Fields;
 use crate::net::Server;
-use crate::net::conn::{MOST_UNSENT, Phase, ReadEnd};
+use crate::net::connection::{MAX_UNSENT_BYTES, Phase, ReadEnd};
 use crate::net::poll::Interest;
 use crate::net::sessions::{ProtocolSession, Sessions};
 
@@ -20,7 +20,7 @@
             self.sessions.mark_dirty(handle);
         }
         if interest.read {
-            if self.sessions.table.active(handle).is_some_and(|session| session.connection.is_cut_off()) {
+            if self.sessions.table.active(handle).is_some_and(|session| session.connection.is_hung_up()) {
                 return self.close_client(handle);
             }
             self.sessions.enqueue_read(handle, self.time.now_us);
@@ -111,7 +111,7 @@
     fn read_message(&mut self, handle: Handle) -> bool {
         let Some(session) = self.sessions.table.active_mut(handle) else { return false };
         let connection = &mut session.connection;
-        if connection.phase != Phase::Open || connection.output.len() > MOST_UNSENT {
+        if connection.phase != Phase::Open || connection.output.len() > MAX_UNSENT_BYTES {
             return false;
         }
         if connection.overrun && session.open_request.is_none() {
--- a/gateway/src/net/clients/settle.rs
+++ b/gateway/src/net/clients/settle.rs
@@ -2,7 +2,7 @@
 
 use wrenhatch_sessions::session_table::{Activity, Handle, RemovedSession};
 
-use crate::net::conn::{MOST_UNSENT, Phase};
+use crate::net::connection::{MAX_UNSENT_BYTES, Phase};
 use crate::net::sessions::Sessions;
 use crate::net::{Server, Timer};
 
@@ -14,11 +14,11 @@
         let Some(session) = self.sessions.table.active_mut(handle) else { return };
         session.dirty = false;
         let connection = &mut session.connection;
-        let was_blocked = connection.output.len() > MOST_UNSENT;
+        let was_blocked = connection.output.len() > MAX_UNSENT_BYTES;
         if connection.flush().is_err() || connection.update(&self.poll, Sessions::key(handle)).is_err() {
             return self.close_client(handle);
         }
-        if was_blocked && connection.output.len() <= MOST_UNSENT && connection.phase == Phase::Open {
+        if was_blocked && connection.output.len() <= MAX_UNSENT_BYTES && connection.phase == Phase::Open {
             session.ready_us = now_us;
             // Messages that waited for this go on; the session is dirty again and settled once more.
             return self.read_messages(handle);
--- a/gateway/src/net/clients/timeouts.rs
+++ b/gateway/src/net/clients/timeouts.rs
@@ -2,7 +2,7 @@
 
 use wrenhatch_sessions::session_table::{Activity, Handle};
 
-use crate::net::conn::Phase;
+use crate::net::connection::Phase;
 use crate::net::sessions::{CLOSE_TIMEOUT_US, MESSAGE_TIMEOUT_US};
 use crate::net::{Server, Timer};
 
--- a/gateway/src/net/configuration.rs
+++ b/gateway/src/net/configuration.rs
@@ -7,7 +7,7 @@
 use wrenhatch_configuration::{Document, GatewayId, MAX_MESSAGE_BYTES, Report, Step, Subscriber, Version};
 use wrenhatch_sessions::timer_wheel::TimerId;
 
-use super::conn::{Conn, Phase, ReadEnd};
+use super::connection::{Connection, Phase, ReadEnd};
 use super::poll::Interest;
 use super::{CONTROL, REPORT, Server, Timer};
 use crate::config::{Config, ControlPlaneSettings};
@@ -37,7 +37,7 @@
 struct PendingReport {
     report: Report,
     /// The connection over which it goes now.
-    conn: Option<Conn>,
+    conn: Option<Connection>,
     /// When it must have been answered, or is sent again.
     due_us: u64,
     failures: u32,
@@ -48,7 +48,7 @@
     machines: Vec<SocketAddr>,
     gateway: GatewayId,
     subscriber: Subscriber,
-    up: Option<(Conn, EventStream)>,
+    up: Option<(Connection, EventStream)>,
     /// Tells this stream from others before it, for the poller.
     serial: u32,
     /// The same of a report's connection.
@@ -106,7 +106,8 @@
 
     /// Whether the open stream has to be given up.
     fn is_lost(&self, now_us: u64) -> bool {
-        let late = |conn: &Conn| conn.phase == Phase::Connecting && now_us >= self.opened_us + CONNECT_US;
+        let late =
+            |conn: &Connection| conn.phase == Phase::Connecting && now_us >= self.opened_us + CONNECT_US;
         self.up.as_ref().is_some_and(|(conn, _)| late(conn)) || self.subscriber.is_silent(now_us)
     }
 }
@@ -210,7 +211,7 @@
             return;
         }
         if interest.read {
-            if conn.is_cut_off() {
+            if conn.is_hung_up() {
                 return self.control_lost();
             }
             let end = conn.fill(READ_AHEAD);
@@ -353,7 +354,7 @@
         if conn.phase == Phase::Connecting {
             return;
         }
-        let end = if interest.read { conn.fill(control::LONGEST_ANSWER) } else { ReadEnd::Later };
+        let end = if interest.read { conn.fill(control::LONGEST_ANSWER) } else { ReadEnd::WouldBlock };
         let taken = control::is_taken(&conn.input);
         let broken = conn.flush().is_err() || conn.update(&self.poll, key).is_err();
         let ended = broken || matches!(end, ReadEnd::Eof | ReadEnd::Broken);
@@ -374,7 +375,7 @@
 struct Resync;
 
 /// Sees whether a connection that is being opened has come up. False: it never will.
-fn finish_connect(conn: &mut Conn, interest: Interest) -> bool {
+fn finish_connect(conn: &mut Connection, interest: Interest) -> bool {
     let waits = conn.phase == Phase::Connecting && (interest.write || interest.read);
     !waits || conn.finish_connect().is_ok()
 }
--- a/gateway/src/net/engines.rs
+++ b/gateway/src/net/engines.rs
@@ -23,7 +23,7 @@
 use wrenhatch_sessions::timer_wheel::TimerId;
 
 use super::Server;
-use super::conn::Phase;
+use super::connection::Phase;
 use crate::engine::{http, mysql};
 
 mod attempts;
--- a/gateway/src/net/engines/connection_events.rs
+++ b/gateway/src/net/engines/connection_events.rs
@@ -5,7 +5,7 @@
 use super::{ConnectionEnd, Job, ProtocolState};
 use crate::engine::http;
 use crate::mysql::PacketError;
-use crate::net::conn::{Phase, ReadEnd};
+use crate::net::connection::{Phase, ReadEnd};
 use crate::net::poll::Interest;
 use crate::net::pools::{EngineConnection, Pools};
 use crate::net::{Server, Timer};
@@ -162,7 +162,7 @@
         }
         if interest.read {
             let Some(connection) = self.pools.connection(slot) else { return };
-            if connection.conn.is_cut_off() {
+            if connection.conn.is_hung_up() {
                 return self.connection_ended(slot, ConnectionEnd::Broken);
             }
             let end = connection.conn.fill(usize::MAX);
--- a/gateway/src/net/engines/connections.rs
+++ b/gateway/src/net/engines/connections.rs
@@ -5,7 +5,7 @@
 use super::{ConnectionEnd, Engine, EngineProtocol, Job, Link, ProtocolState};
 use crate::engine::{http, mysql};
 use crate::net::Server;
-use crate::net::conn::{Phase, ReadEnd};
+use crate::net::connection::{Phase, ReadEnd};
 
 /// How long an idle connection is left alone behind a response before the next call is written, in microseconds: a
 /// duplicate may come some milliseconds late, and would be taken for the next call's response. The call is delayed
@@ -80,7 +80,7 @@
     /// over a connection that the engine has closed a start could not be told from one that ran.
     fn has_no_unread_input(&mut self, slot: usize) -> bool {
         let Some(connection) = self.pools.connection(slot) else { return false };
-        connection.conn.fill(usize::MAX) == ReadEnd::Later && connection.conn.input.is_empty()
+        connection.conn.fill(usize::MAX) == ReadEnd::WouldBlock && connection.conn.input.is_empty()
     }
 
     /// Opens a connection to an engine, within the descriptor budget.
--- a/gateway/src/net/handover.rs
+++ b/gateway/src/net/handover.rs
@@ -14,7 +14,7 @@
     SendFlags,
 };
 
-use super::poll::{Interest, Poll, Told};
+use super::poll::{Interest, Poll, Trigger};
 use super::{HANDOVER, HANDOVER_LISTENER, Server};
 use crate::config::Config;
 use crate::core::{Input, PeerProcessEvent, PeerProcessId};
@@ -173,7 +173,7 @@
                 if let Some(old) = self.listener.take() {
                     poll.remove(&old);
                 }
-                if let Err(e) = poll.add(&listener, HANDOVER_LISTENER, READS, Told::Always) {
+                if let Err(e) = poll.add(&listener, HANDOVER_LISTENER, READS, Trigger::Level) {
                     return tracing::warn!("a later process will not find this one: {e}");
                 }
                 self.listener = Some(listener);
@@ -185,7 +185,7 @@
     fn join(&mut self, poll: &Poll, stream: UnixStream, role: Role, input: Vec<u8>) -> io::Result<()> {
         stream.set_nonblocking(true)?;
         self.serials = self.serials.wrapping_add(1);
-        poll.add(&stream, HANDOVER | u64::from(self.serials), READS, Told::Always)?;
+        poll.add(&stream, HANDOVER | u64::from(self.serials), READS, Trigger::Level)?;
         self.peers.push(Peer {
             stream,
             serial: self.serials,
@@ -225,7 +225,7 @@
             }
         }
         let interest = Interest { read: true, write: !peer.output.is_empty() };
-        poll.change(&peer.stream, HANDOVER | u64::from(peer.serial), interest, Told::Always)
+        poll.change(&peer.stream, HANDOVER | u64::from(peer.serial), interest, Trigger::Level)
     }
 }
 
--- a/gateway/src/net/listeners.rs
+++ b/gateway/src/net/listeners.rs
@@ -7,7 +7,7 @@
 use socket2::{Domain, Protocol, Socket, Type};
 use wrenhatch_sessions::read_scheduler::Work;
 
-use super::poll::{Interest, Poll, Told};
+use super::poll::{Interest, Poll, Trigger};
 use super::{MYSQL_LISTENER, PG_LISTENER, ServeError, Server, Timer};
 use crate::config::Config;
 
@@ -61,7 +61,7 @@
                 None => listener(address, backlog, config.admin.is_some())
                     .map_err(|e| ServeError::Listen(address, e))?,
             };
-            poll.add(&listener, front.key(), ACCEPTS, Told::Always)?;
+            poll.add(&listener, front.key(), ACCEPTS, Trigger::Level)?;
             Ok(listener)
         };
         Ok(Self {
@@ -95,7 +95,7 @@
     fn set_interest(&mut self, poll: &Poll, interest: Interest) {
         self.shut = interest == NOTHING;
         for front in [Front::Pg, Front::MySql] {
-            let changed = self.listener(front).map(|l| poll.change(l, front.key(), interest, Told::Always));
+            let changed = self.listener(front).map(|l| poll.change(l, front.key(), interest, Trigger::Level));
             if let Some(Err(e)) = changed {
                 tracing::warn!("a listener: {e}");
             }
--- a/gateway/src/net/mod.rs
+++ b/gateway/src/net/mod.rs
@@ -4,7 +4,7 @@
 //! the commands that come back. Each concern keeps its own state: `sessions` (clients), `pools` (engines), `watch`
 //! (the list), `listeners`, and one timing wheel for whatever is due.
 
-pub mod conn;
+pub mod connection;
 pub mod poll;
 
 mod clients;
@@ -40,9 +40,9 @@
 use crate::handover::Message;
 use crate::metrics::Metrics;
 use crate::timer_lag::TimerLag;
-use conn::Conn;
+use connection::Connection;
 use listeners::{Front, Listeners};
-use poll::{Interest, Poll, Told};
+use poll::{Interest, Poll, Trigger};
 use requests::{Request, Requests};
 use sessions::Sessions;
 
@@ -220,7 +220,7 @@
         for (pipe, key) in
             [(&self.signals.term, TERM), (&self.signals.print, PRINT), (&self.signals.reload, RELOAD)]
         {
-            self.poll.add(pipe, key, Interest { read: true, write: false }, Told::Always)?;
+            self.poll.add(pipe, key, Interest { read: true, write: false }, Trigger::Level)?;
         }
         let mut ready = Vec::new();
         loop {
@@ -325,10 +325,10 @@
 
     /// Opens a connection. Where no descriptor is left for it, whatever the budget says, a client that is idle
     /// yields its own: what has been taken is worth more than who may ask some day.
-    fn dial(&mut self, address: SocketAddr, key: u64, ahead: usize) -> io::Result<Conn> {
-        match Conn::connect(&self.poll, address, key, ahead) {
+    fn dial(&mut self, address: SocketAddr, key: u64, ahead: usize) -> io::Result<Connection> {
+        match Connection::connect(&self.poll, address, key, ahead) {
             Err(e) if listeners::is_out_of_descriptors(&e) && self.evict_one() => {
-                Conn::connect(&self.poll, address, key, ahead)
+                Connection::connect(&self.poll, address, key, ahead)
             }
             other => other,
         }
--- a/gateway/src/net/ops.rs
+++ b/gateway/src/net/ops.rs
@@ -6,8 +6,8 @@
 
 use wrenhatch_sessions::timer_wheel::TimerId;
 
-use super::conn::{Conn, Phase, ReadEnd};
-use super::poll::{Interest, Poll, Told};
+use super::connection::{Connection, Phase, ReadEnd};
+use super::poll::{Interest, Poll, Trigger};
 use super::{OPS, OPS_LISTENER, ServeError, Server, Timer};
 use crate::discovery::UnknownEngine;
 use crate::handover::Message;
@@ -20,7 +20,7 @@
 const PATIENCE_US: u64 = 5_000_000;
 
 struct Caller {
-    conn: Conn,
+    conn: Connection,
     serial: u32,
     since_us: u64,
     answered: bool,
@@ -41,7 +41,7 @@
         let Some(address) = address else { return Ok(Self::default()) };
         let failed = |e| ServeError::Listen(address, e);
         let listener = super::listeners::listener(address, 64, false).map_err(failed)?;
-        poll.add(&listener, OPS_LISTENER, Interest { read: true, write: false }, Told::Always)?;
+        poll.add(&listener, OPS_LISTENER, Interest { read: true, write: false }, Trigger::Level)?;
         Ok(Self { listener: Some(listener), ..Self::default() })
     }
 
@@ -83,7 +83,7 @@
             }
             self.ops.serials = self.ops.serials.wrapping_add(1);
             let (serial, since_us) = (self.ops.serials, self.time.now_us);
-            match Conn::accepted(&self.poll, stream, OPS | u64::from(serial), ops::LONGEST_CALL) {
+            match Connection::accepted(&self.poll, stream, OPS | u64::from(serial), ops::LONGEST_CALL) {
                 Ok(conn) => self.ops.callers.push(Caller { conn, serial, since_us, answered: false }),
                 Err(e) => tracing::warn!("an operator's call could not be taken in: {e}"),
             }
--- a/gateway/src/net/poll.rs
+++ b/gateway/src/net/poll.rs
@@ -1,4 +1,6 @@
-//! The poller, and the one place with unsafe code.
+//! The poller: which sources are ready to be read or written. The one place with unsafe code.
+//!
+//! A source is added under a key, and its owner calls [`Poll::remove`] before it closes it.
 
 use std::io;
 use std::num::NonZeroUsize;
@@ -16,10 +18,10 @@
     pub write: bool,
 }
 
-/// Events taken from the kernel at a time.
-const EVENTS: NonZeroUsize = NonZeroUsize::new(1024).unwrap();
-/// And how often in a row while more are there, so that a turn knows all that is ready before it chooses.
-const ROUNDS: usize = 64;
+/// Events that are taken from the kernel in one call.
+const EVENTS_PER_WAIT: NonZeroUsize = NonZeroUsize::new(1024).unwrap();
+/// Calls in a row while more events are there, so that a turn knows all that is ready before it chooses.
+const MAX_WAITS: usize = 64;
 
 /// The poller.
 pub struct Poll {
@@ -27,69 +29,94 @@
     events: Events,
 }
 
-/// When a source that stays ready is told again.
+/// When events are delivered for a source that stays ready.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum Trigger {
     /// At every wait.
-    Always,
+    Level,
     /// Only when something has come since: for sources of which thousands may have to wait for their turn.
-    Once,
+    Edge,
 }
 
-impl Told {
+impl Trigger {
     fn mode(self) -> PollMode {
         match self {
-            Told::Always => PollMode::Level,
-            Told::Once => PollMode::Edge,
+            Trigger::Level => PollMode::Level,
+            Trigger::Edge => PollMode::Edge,
         }
     }
 }
 
 impl Poll {
     /// A poller without sources.
+    ///
+    /// # Errors
+    /// The system has no descriptor for it.
     pub fn new() -> io::Result<Self> {
-        Ok(Self { poller: Poller::new()?, events: Events::with_capacity(EVENTS) })
+        Ok(Self { poller: Poller::new()?, events: Events::with_capacity(EVENTS_PER_WAIT) })
     }
 
-    fn event(key: u64, i: Interest) -> Event {
-        Event::new(key as usize, i.read, i.write)
+    fn event(key: u64, interest: Interest) -> Event {
+        Event::new(key as usize, interest.read, interest.write)
     }
 
-    /// Watches a source. Its owner calls [`Poll::remove`] before it closes it.
-    pub fn add(&self, source: &impl AsRawFd, key: u64, interest: Interest, told: Told) -> io::Result<()> {
-        // SAFETY: the source must be deleted from the poller before it is dropped. Sources live in the
+    /// Adds a source. Its owner calls [`Poll::remove`] before it closes it.
+    ///
+    /// # Errors
+    /// The system refuses.
+    pub fn add(
+        &self,
+        source: &impl AsRawFd,
+        key: u64,
+        interest: Interest,
+        trigger: Trigger,
+    ) -> io::Result<()> {
+        // SAFETY: the source must be deleted from the poller before it is dropped. Sources are kept in the
         // server beside the poller; each is closed in one place, which calls `remove` first, and those that
-        // live to the end are dropped with the poller itself. A descriptor closed without that would only
-        // leave the kernel's set by itself; listeners alone are duplicated, into the process that takes this one's
-        // place, and are removed before they are closed here.
+        // are left at the end are dropped with the poller itself. A descriptor closed without that would only
+        // leave the kernel's set by itself; listeners alone are duplicated, into the successor of this process,
+        // and are removed before they are closed here.
         #[allow(unsafe_code)]
         unsafe {
-            self.poller.add_with_mode(source.as_raw_fd(), Self::event(key, interest), told.mode())
+            self.poller.add_with_mode(source.as_raw_fd(), Self::event(key, interest), trigger.mode())
         }
     }
 
-    /// Changes what a source is waited for. What is ready already is told again.
-    pub fn change(&self, source: impl AsSource, key: u64, interest: Interest, told: Told) -> io::Result<()> {
-        self.poller.modify_with_mode(source, Self::event(key, interest), told.mode())
+    /// Changes what a source is waited for. Events are delivered again for what is ready already.
+    ///
+    /// # Errors
+    /// The system refuses.
+    pub fn change(
+        &self,
+        source: impl AsSource,
+        key: u64,
+        interest: Interest,
+        trigger: Trigger,
+    ) -> io::Result<()> {
+        self.poller.modify_with_mode(source, Self::event(key, interest), trigger.mode())
     }
 
-    /// Forgets a source.
+    /// Removes a source.
     pub fn remove(&self, source: impl AsFd) {
         // A source that is not there any more needs no removal.
         let _ = self.poller.delete(source);
     }
 
-    /// Waits, then tells all keys that are ready, each with whether it can be read and written.
+    /// Waits, at most for the time-out, and fills `ready` with the keys of all sources that are ready, each with
+    /// whether it can be read and written.
+    ///
+    /// # Errors
+    /// The system refuses.
     pub fn wait(&mut self, timeout: Option<Duration>, ready: &mut Vec<(u64, Interest)>) -> io::Result<()> {
         ready.clear();
         let mut timeout = timeout;
-        for _ in 0..ROUNDS {
+        for _ in 0..MAX_WAITS {
             self.events.clear();
             self.poller.wait(&mut self.events, timeout)?;
             let before = ready.len();
             let interest = |e: &Event| Interest { read: e.readable, write: e.writable };
             ready.extend(self.events.iter().map(|e| (e.key as u64, interest(&e))));
-            if ready.len() - before < EVENTS.get() {
+            if ready.len() - before < EVENTS_PER_WAIT.get() {
                 break;
             }
             timeout = Some(Duration::ZERO);
--- a/gateway/src/net/pools.rs
+++ b/gateway/src/net/pools.rs
@@ -7,7 +7,7 @@
 use workload_manager::EngineId;
 use wrenhatch_sessions::timer_wheel::{TimerId, TimerWheel};
 
-use super::conn::Conn;
+use super::connection::Connection;
 use super::engines::{Attempt, AttemptId, Engine, Link, Unconfirmed};
 use super::poll::Poll;
 use super::{LINK, Timer};
@@ -15,7 +15,7 @@
 
 /// A connection to an engine.
 pub struct EngineConnection {
-    pub conn: Conn,
+    pub conn: Connection,
     pub link: Link,
     /// Tells this connection from others that had its slot.
     pub serial: u32,
@@ -64,7 +64,7 @@
         self.free_slots.push(slot);
     }
 
-    pub fn insert(&mut self, slot: usize, conn: Conn, link: Link) {
+    pub fn insert(&mut self, slot: usize, conn: Connection, link: Link) {
         self.serials = self.serials.wrapping_add(1);
         self.open_connections += 1;
         self.connections[slot] = Some(EngineConnection { conn, link, serial: self.serials, timer: None });
--- a/gateway/src/net/sessions/mod.rs
+++ b/gateway/src/net/sessions/mod.rs
@@ -22,7 +22,7 @@
 use wrenhatch_sessions::timer_wheel::TimerId;
 
 use super::SESSION;
-use super::conn::{Conn, Phase};
+use super::connection::{Connection, Phase};
 use super::listeners::Front;
 use crate::config::Config;
 use crate::front::{mysql, pg};
@@ -138,7 +138,7 @@
     /// Adds a session for a connection that was accepted under the table's next handle.
     pub fn insert(
         &mut self,
-        mut connection: Conn,
+        mut connection: Connection,
         front: Front,
         from: SocketAddr,
         config: &Config,
@@ -177,7 +177,7 @@
                 _ => ProtocolSession::Pg(pg::Session::resume((handle.index + 1, suspended.secret), longest)),
             };
             memory.reserve(MemoryPurpose::Sessions, ACTIVE_SESSION_BYTES);
-            let connection = Conn::resume(suspended.stream, read_ahead);
+            let connection = Connection::resume(suspended.stream, read_ahead);
             let mut session = ActiveSession::new(connection, protocol, suspended.secret, suspended.group);
             session.reserved.statements = statements;
             Box::new(session)
@@ -201,7 +201,7 @@
     pub fn update_reservation(&mut self, handle: Handle) {
         let Some(session) = self.table.active_mut(handle) else { return };
         let held = ReservedBytes {
-            buffers: session.connection.buffered(),
+            buffers: session.connection.buffer_bytes(),
             statements: session.protocol.statement_bytes(),
         };
         let before = std::mem::replace(&mut session.reserved, held);
--- a/gateway/src/net/sessions/state.rs
+++ b/gateway/src/net/sessions/state.rs
@@ -8,7 +8,7 @@
 
 use super::ProtocolSession;
 use crate::front::mysql;
-use crate::net::conn::{Conn, MOST_UNSENT, Phase};
+use crate::net::connection::{Connection, MAX_UNSENT_BYTES, Phase};
 
 /// How long a client may take to complete its start-up, and a message that it began; it gets an error within 3 s.
 pub const MESSAGE_TIMEOUT_US: u64 = 2_500_000;
@@ -24,7 +24,7 @@
 
 /// An active session.
 pub struct ActiveSession {
-    pub connection: Conn,
+    pub connection: Connection,
     pub protocol: ProtocolSession,
     /// Authenticates a CancelRequest for this session, beside the number of its slot.
     pub secret: u32,
@@ -47,7 +47,7 @@
 }
 
 impl ActiveSession {
-    pub fn new(connection: Conn, protocol: ProtocolSession, secret: u32, group: u32) -> Self {
+    pub fn new(connection: Connection, protocol: ProtocolSession, secret: u32, group: u32) -> Self {
         Self {
             connection,
             protocol,
@@ -66,12 +66,12 @@
 
     /// A request of it was admitted: from here on the client's end is seen whatever it sends.
     pub fn request_opened(&mut self, id: RequestId) {
-        (self.open_request, self.connection.watched) = (Some(id), true);
+        (self.open_request, self.connection.detects_end) = (Some(id), true);
     }
 
     /// Its request is over.
     pub fn request_closed(&mut self) -> Option<RequestId> {
-        self.connection.watched = false;
+        self.connection.detects_end = false;
         self.open_request.take()
     }
 
@@ -89,7 +89,7 @@
 
     /// Whether it has to be read again without an event of the poller, as input is left and may be read.
     pub fn can_go_on(&self) -> bool {
-        let takes_input = self.open_request.is_some() || self.connection.output.len() <= MOST_UNSENT;
+        let takes_input = self.open_request.is_some() || self.connection.output.len() <= MAX_UNSENT_BYTES;
         self.has_unread_input && takes_input
     }
 
@@ -114,7 +114,7 @@
         if !self.may_be_suspended() {
             return Err(self);
         }
-        match self.connection.park() {
+        match self.connection.into_idle_stream() {
             Ok(stream) => {
                 let protocol = match self.protocol {
                     ProtocolSession::Pg(_) => SuspendedProtocol::Pg,
--- a/gateway/src/net/shutdown.rs
+++ b/gateway/src/net/shutdown.rs
@@ -3,7 +3,7 @@
 
 use workload_manager::Settings;
 
-use super::conn::Phase;
+use super::connection::Phase;
 use super::listeners::Front;
 use super::{Server, Timer};
 use crate::core::Input;
--- a/gateway/src/net/watch.rs
+++ b/gateway/src/net/watch.rs
@@ -5,7 +5,7 @@
 
 use wrenhatch_sessions::timer_wheel::TimerId;
 
-use super::conn::{Conn, Phase, ReadEnd};
+use super::connection::{Connection, Phase, ReadEnd};
 use super::poll::Interest;
 use super::{Server, Timer, WATCH};
 use crate::discovery::{DueActions, EndpointListEvent, EndpointWatch, WatchError};
@@ -16,7 +16,7 @@
 /// The watch of the endpoint list with its connection.
 pub struct Watch {
     state: EndpointWatch,
-    conn: Option<Conn>,
+    conn: Option<Connection>,
     /// Tells the connection from earlier ones, for the poller.
     serial: u32,
     /// Rings at the deadline of the state.
@@ -108,7 +108,7 @@
         }
         let Some(conn) = &mut self.watch.conn else { return };
         if interest.read {
-            if conn.is_cut_off() {
+            if conn.is_hung_up() {
                 return self.watch_lost();
             }
             let end = conn.fill(usize::MAX);
--- a/lab/src/capacity/stand_ins.rs
+++ b/lab/src/capacity/stand_ins.rs
@@ -8,7 +8,7 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-use wrenhatch::net::poll::{Interest, Poll, Told};
+use wrenhatch::net::poll::{Interest, Poll, Trigger};
 
 use super::error::CapacityError;
 
@@ -66,7 +66,7 @@
         let poll = Poll::new()?;
         for (key, listener) in listeners.iter().enumerate() {
             listener.set_nonblocking(true)?;
-            poll.add(listener, key as u64, READABLE, Told::Always)?;
+            poll.add(listener, key as u64, READABLE, Trigger::Level)?;
         }
         let (seen, stop) = (Seen::default(), Arc::<AtomicBool>::default());
         let mut crowd =
@@ -122,7 +122,7 @@
             });
             let ready = stream.set_nonblocking(true).and_then(|()| stream.set_nodelay(true));
             let key = CONNECTION + at as u64;
-            if ready.and_then(|()| self.poll.add(&stream, key, READABLE, Told::Always)).is_err() {
+            if ready.and_then(|()| self.poll.add(&stream, key, READABLE, Trigger::Level)).is_err() {
                 self.free.push(at);
                 continue;
             }
--- a/lab/src/helper.rs
+++ b/lab/src/helper.rs
@@ -8,7 +8,7 @@
 use anyhow::{Context, bail};
 use serde::{Deserialize, Serialize};
 use socket2::{Domain, Protocol, Socket, Type};
-use wrenhatch::net::poll::{Interest, Poll, Told};
+use wrenhatch::net::poll::{Interest, Poll, Trigger};
 
 use crate::Front;
 use crate::spread::{Spread, histogram};
@@ -145,7 +145,7 @@
             stream.write_all(ask)?;
             sent.push(Instant::now());
             stream.set_nonblocking(true)?;
-            poll.add(stream, at as u64, Interest { read: true, write: false }, Told::Once)?;
+            poll.add(stream, at as u64, Interest { read: true, write: false }, Trigger::Edge)?;
         }
         let mut owed = vec![answer; n];
         let (mut each, mut answered, mut lost) = (histogram(), 0, 0);
--- a/lab/src/hollow/sockets/control.rs
+++ b/lab/src/hollow/sockets/control.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use socket2::{Domain, Protocol, Socket, Type};
-use wrenhatch::net::poll::{Interest, Poll, Told};
+use wrenhatch::net::poll::{Interest, Poll, Trigger};
 
 use crate::hollow::error::HollowError;
 use crate::hollow::list::{COMMENT, COMMENT_PERIOD_US, Database, DatabaseList, STREAM_HEAD, last_event_id};
@@ -118,7 +118,7 @@
             counts: counts.clone(),
         };
         machine.take_listener(listener)?;
-        machine.poll.add(&machine.woken, COMMANDS, READ, Told::Always)?;
+        machine.poll.add(&machine.woken, COMMANDS, READ, Trigger::Level)?;
         let thread = std::thread::Builder::new().name("control".to_owned()).spawn(move || {
             // A poller that fails leaves the machine silent, which the run then reports.
             let _ = machine.run();
@@ -251,7 +251,7 @@
     }
 
     fn take_listener(&mut self, listener: TcpListener) -> std::io::Result<()> {
-        self.poll.add(&listener, LISTENER, READ, Told::Always)?;
+        self.poll.add(&listener, LISTENER, READ, Trigger::Level)?;
         self.listener = Some(listener);
         Ok(())
     }
@@ -287,7 +287,7 @@
                 self.streams.push(None);
                 self.streams.len() - 1
             });
-            self.poll.add(&socket, FIRST_STREAM + place as u64, READ, Told::Always)?;
+            self.poll.add(&socket, FIRST_STREAM + place as u64, READ, Trigger::Level)?;
             let (input, output) = (Vec::new(), Vec::new());
             self.streams[place] = Some(Stream { socket, input, output, told: None, comment_due_us: 0 });
         }
@@ -376,7 +376,7 @@
             }
         }
         let interest = Interest { read: true, write: !stream.output.is_empty() };
-        if self.poll.change(&stream.socket, FIRST_STREAM + place as u64, interest, Told::Always).is_err() {
+        if self.poll.change(&stream.socket, FIRST_STREAM + place as u64, interest, Trigger::Level).is_err() {
             self.close(place);
         }
     }
