--- a/gateway/src/net/clients/requests.rs
+++ b/gateway/src/net/clients/requests.rs
@@ -37,7 +37,7 @@
             ready_us,
             wait_us: admission::wait_us(fields.wait_ms, self.config.settings.classes[class.0].deadline),
             work_ahead_us: if read_ahead { self.sessions.scheduler.backlog_us() } else { 0 },
-            shutting_down: self.is_going(),
+            shutting_down: self.is_shutting_down(),
             open_requests: self.requests.open.len(),
             max_open_requests: self.config.max_open_requests,
             memory: self.sessions.memory.check(MemoryPurpose::Requests, request.bytes()),
@@ -99,7 +99,7 @@
     pub(in crate::net) fn cancel(&mut self, session: u32, secret: u32) {
         let handle = session.checked_sub(1).and_then(|slot| self.sessions.table.handle_of_slot(slot));
         let Some(handle) = handle.filter(|handle| self.sessions.secret_of(*handle) == Some(secret)) else {
-            return self.pass_cancel(session, secret);
+            return self.forward_cancel_request(session, secret);
         };
         // The request may have come before the CancelRequest, over its own connection, and still wait to be read.
         self.read_now(handle);
