--- a/gateway/src/net/clients/requests.rs
+++ b/gateway/src/net/clients/requests.rs
@@ -5,12 +5,12 @@
 use wrenhatch_sessions::read_scheduler::Work;
 use wrenhatch_sessions::session_table::{Activity, Handle};
 
+use crate::admin::metrics::RequestEnd;
 use crate::admission::{self, AdmissionInput, Admitted, Rejection, Subject};
 use crate::core::{Command, Input, NewRequest};
 use crate::front::fields::{self, Fields};
 use crate::front::{ClientRequest, FinalAnswer, Payload};
-use crate::metrics::Ending;
-use crate::mysql::ResultSet;
+use crate::mysql_protocol::ResultSet;
 use crate::net::{Request, Server};
 
 impl Server {
@@ -53,7 +53,7 @@
 
     fn reject_request(&mut self, handle: Handle, class: ClassId, rejection: &Rejection) {
         self.counters.refused += 1;
-        self.metrics.ended(class, Ending::Refused);
+        self.metrics.ended(class, RequestEnd::Rejected);
         for counter in rejection.counters() {
             *self.counters.rejected_for(counter) += 1;
         }
@@ -149,16 +149,18 @@
             how = answer.name(),
             "answered"
         );
-        let (counter, ending) = match answer {
-            FinalAnswer::Served(Payload::MySql(ResultSet::Wrong(_))) => {
-                (&mut self.counters.failed, Ending::Failed)
+        let (counter, end) = match answer {
+            FinalAnswer::Served(Payload::MySql(ResultSet::StatementError(_))) => {
+                (&mut self.counters.failed, RequestEnd::Failed)
+            }
+            FinalAnswer::Served(_) => (&mut self.counters.served, RequestEnd::Served),
+            FinalAnswer::Rejected(_) => (&mut self.counters.refused, RequestEnd::Rejected),
+            FinalAnswer::Failed(_) | FinalAnswer::Cancelled => {
+                (&mut self.counters.failed, RequestEnd::Failed)
             }
-            FinalAnswer::Served(_) => (&mut self.counters.served, Ending::Served),
-            FinalAnswer::Rejected(_) => (&mut self.counters.refused, Ending::Refused),
-            FinalAnswer::Failed(_) | FinalAnswer::Cancelled => (&mut self.counters.failed, Ending::Failed),
         };
         *counter += 1;
-        self.metrics.ended(request.class, ending);
+        self.metrics.ended(request.class, end);
         let Some(session) = self.sessions.table.active_mut(request.client) else { return };
         if session.open_request == Some(id) {
             session.request_closed();
--- a/gateway/src/net/process_replacement/mod.rs
+++ b/gateway/src/net/process_replacement/mod.rs
@@ -11,6 +11,7 @@
 use peers::{PeerProcess, PeerRole};
 
 use super::Server;
+use super::admin::MaintenanceChange;
 use crate::core::{Input, PeerProcessEvent, PeerProcessId};
 use crate::engine::http::MAX_RUN_AFTER_LAST_CALL_US;
 use crate::process_replacement::Message;
@@ -93,11 +94,11 @@
             }
             (Predecessor | StartingSuccessor | Successor, Message::MaintenanceBegan { engine }) => {
                 self.registry.remember(&engine);
-                self.change_by_hand(&engine, None).is_ok()
+                self.change_maintenance(&engine, MaintenanceChange::Enter).is_ok()
             }
             (Predecessor | StartingSuccessor | Successor, Message::MaintenanceEnded { engine, end_ms }) => {
                 self.registry.remember(&engine);
-                self.change_by_hand(&engine, Some(end_ms)).is_ok()
+                self.change_maintenance(&engine, MaintenanceChange::Exit { at_ms: end_ms }).is_ok()
             }
             (Successor, Message::CancelRequest { session, secret }) => {
                 self.cancel(session, secret);
--- a/gateway/src/net/sessions/limits.rs
+++ b/gateway/src/net/sessions/limits.rs
@@ -3,13 +3,13 @@
 use wrenhatch_sessions::read_scheduler::ReadLimits;
 
 use crate::config::Config;
-use crate::mysql::MAX_PACKET;
+use crate::mysql_protocol::MAX_PACKET_BYTES;
 use crate::net::own_descriptors;
 
 /// The part of the memory for messages being read. Each is held up to three times: read, kept for another attempt,
 /// being written.
 const MESSAGE_MEMORY_DIVISOR: usize = 8;
-const LONGEST_MESSAGE_BYTES: std::ops::RangeInclusive<usize> = 8 * 1024..=MAX_PACKET;
+const LONGEST_MESSAGE_BYTES: std::ops::RangeInclusive<usize> = 8 * 1024..=MAX_PACKET_BYTES;
 /// Sessions that are let in beyond the third of the descriptors that clients hold by contract.
 const EXTRA_SESSIONS: usize = 16;
 
--- a/gateway/src/net/sessions/protocol.rs
+++ b/gateway/src/net/sessions/protocol.rs
@@ -1,7 +1,7 @@
 //! A session's protocol, whichever front end it belongs to: bytes in, commands out, answers as bytes.
 
 use crate::front::{ClientCommand, FinalAnswer, mysql, pg};
-use crate::mysql::{SqlError, put_packet};
+use crate::mysql_protocol::{SqlError, write_packet};
 use crate::net::listeners::Front;
 
 /// The protocol state of an active session.
@@ -86,7 +86,7 @@
     match front {
         Front::Pg => pg::Session::new((0, 0), 0).turn_away(&mut output),
         Front::MySql => {
-            put_packet(&mut output, &mut 0, &SqlError::new(1040, "08004", "Too many connections").payload())
+            write_packet(&mut output, &mut 0, &SqlError::new(1040, "08004", "Too many connections").payload())
         }
     }
     output
