--- a/gateway/src/net/mod.rs
+++ b/gateway/src/net/mod.rs
@@ -4,7 +4,7 @@
 //! the commands that come back. Each concern keeps its own state: `sessions` (clients), `pools` (engines), `watch`
 //! (the list), `listeners`, and one timing wheel for whatever is due.
 
-pub mod conn;
+pub mod connection;
 pub mod poll;
 
 mod admin;
@@ -21,7 +21,7 @@
 mod shutdown;
 mod watch;
 
-pub use sessions::{PARKED_BYTES, SESSION_BYTES, most_clients as most_sessions};
+pub use sessions::{ACTIVE_SESSION_BYTES, SUSPENDED_SESSION_BYTES, max_sessions};
 
 use std::io;
 use std::net::SocketAddr;
@@ -40,9 +40,9 @@
 use crate::discovery::{EndpointWatch, EngineRegistry};
 use crate::process_replacement::Message;
 use crate::timer_lag::TimerLag;
-use conn::Conn;
+use connection::Connection;
 use listeners::{Front, Listeners};
-use poll::{Interest, Poll, Told};
+use poll::{Interest, Poll, Trigger};
 use requests::{Request, Requests};
 use sessions::Sessions;
 
@@ -221,7 +221,7 @@
         for (pipe, key) in
             [(&self.signals.term, TERM), (&self.signals.print, PRINT), (&self.signals.reload, RELOAD)]
         {
-            self.poll.add(pipe, key, Interest { read: true, write: false }, Told::Always)?;
+            self.poll.add(pipe, key, Interest { read: true, write: false }, Trigger::Level)?;
         }
         let mut ready = Vec::new();
         loop {
@@ -307,7 +307,7 @@
         while let Some(who) = self.sessions.dirty.pop() {
             self.settle_session(who);
         }
-        self.relieve();
+        self.relieve_memory();
         self.pools.end_turn();
     }
 
@@ -326,10 +326,10 @@
 
     /// Opens a connection. Where no descriptor is left for it, whatever the budget says, a client that is idle
     /// yields its own: what has been taken is worth more than who may ask some day.
-    fn dial(&mut self, address: SocketAddr, key: u64, ahead: usize) -> io::Result<Conn> {
-        match Conn::connect(&self.poll, address, key, ahead) {
-            Err(e) if listeners::is_out_of_descriptors(&e) && self.make_room() => {
-                Conn::connect(&self.poll, address, key, ahead)
+    fn dial(&mut self, address: SocketAddr, key: u64, ahead: usize) -> io::Result<Connection> {
+        match Connection::connect(&self.poll, address, key, ahead) {
+            Err(e) if listeners::is_out_of_descriptors(&e) && self.evict_one() => {
+                Connection::connect(&self.poll, address, key, ahead)
             }
             other => other,
         }
@@ -343,7 +343,7 @@
                 Timer::EngineConnection(at, serial) => self.connection_timer_fired(at, serial),
                 Timer::CancelTimeout(id) => self.attempt_lost(id),
                 Timer::Confirmation(id) => self.request_confirmation(id),
-                Timer::Client(who) => self.client_late(who),
+                Timer::Client(who) => self.client_timer_fired(who),
                 Timer::IdleLimit => self.close_long_idle(),
                 Timer::Watch => self.check_watch(),
                 Timer::Control => self.check_control(),
