--- a/gateway/src/main.rs
+++ b/gateway/src/main.rs
@@ -109,7 +109,7 @@
         config.names.tenants.len(),
         config.known_list.events.len(),
         config.max_descriptors,
-        net::most_sessions(config)
+        net::max_sessions(config)
     );
     if let Some(mysql) = &config.mysql {
         println!("MySQL on {}: {} engines", mysql.listen, mysql.engines.len());
@@ -123,7 +123,7 @@
     let name = config.name.clone();
     let server = net::Server::new(config, signals)?;
     let (listen, mysql) = server.addresses();
-    let ops = server.ops_address().map(|address| address.to_string());
+    let ops = server.admin_address().map(|address| address.to_string());
     let [listen, mysql, ops] = [listen, mysql, ops].map(|address| address.unwrap_or_else(|| "-".to_owned()));
     tracing::info!(%name, %listen, %mysql, %ops, "serving");
     let counters = server.run()?;
--- a/gateway/src/net/shutdown.rs
+++ b/gateway/src/net/shutdown.rs
@@ -11,7 +11,7 @@
 
 use workload_manager::Settings;
 
-use super::conn::Phase;
+use super::connection::Phase;
 use super::listeners::Front;
 use super::{Server, Timer};
 use crate::core::Input;
@@ -113,7 +113,7 @@
             self.inputs.push(Input::ShuttingDown);
         }
         let owes_answers =
-            !self.requests.open.is_empty() || !self.inputs.is_empty() || self.ops.is_answering();
+            !self.requests.open.is_empty() || !self.inputs.is_empty() || self.admin.is_answering();
         let waits_for_writes =
             self.sessions.is_writing() && !must_answer && self.shutdown.lingers_since_us.is_none();
         if owes_answers || waits_for_writes {
@@ -151,14 +151,15 @@
         let sessions: Vec<_> = self.sessions.table.handles().collect();
         for handle in sessions {
             self.read_now(handle);
-            let Some(active) = self.sessions.table.active_mut(handle) else { continue };
-            if active.conn.phase != Phase::Open {
+            let Some(session) = self.sessions.table.active_mut(handle) else { continue };
+            let connection = &mut session.connection;
+            if connection.phase != Phase::Open {
                 continue;
             }
-            if active.session.is_starting() || !active.conn.input.is_empty() {
-                active.session.shut_down(&mut active.conn.output);
+            if session.protocol.is_starting() || !connection.input.is_empty() {
+                session.protocol.shut_down(&mut connection.output);
             }
-            self.close_soon(handle);
+            self.close_gracefully(handle);
         }
     }
 }
