--- a/gateway/src/core/mod.rs
+++ b/gateway/src/core/mod.rs
@@ -10,13 +10,13 @@
 //! - A request gets one final answer, before its client's deadline, and none once its client has left (`requests`).
 //! - A request never has two attempts in flight, and a lost attempt is never followed by another (`attempts`).
 //! - A request is rejected only where a retry by its client is safe (`rules`).
-//! - Requests of one order key reach the workload manager only while this process holds the key's lease (`leases`).
+//! - Requests of one order key reach the workload manager only while this process holds the key's lease (`order_keys`).
 
 mod attempts;
 mod command;
 mod input;
 mod key_leases;
-mod leases;
+mod order_keys;
 mod requests;
 mod rules;
 mod time;
--- a/gateway/src/core/leases.rs
+++ b/gateway/src/core/order_keys.rs
@@ -1,4 +1,4 @@
-//! Leases of order keys, as far as requests and peer processes use them; see [`super::key_leases`].
+//! Order keys: the core carries out what [`super::key_leases`] decides, and tells it of peer processes and cooldowns.
 
 use workload_manager::*;
 
