--- a/configuration/src/backoff.rs
+++ b/configuration/src/backoff.rs
@@ -1,46 +1,49 @@
-//! Which control machine is tried next, and when.
+//! Which control plane server a gateway connects to next, and when: exponential backoff with full jitter.
 
 use crate::hash::mix;
 
-/// The first attempt after a loss comes within this. Microseconds.
-pub const BACKOFF_FIRST_US: u64 = 250_000;
+/// Upper bound of the wait after the first failure, in microseconds.
+pub const BACKOFF_INITIAL_US: u64 = 250_000;
 
-/// Later ones within this at most. Microseconds.
-pub const BACKOFF_MOST_US: u64 = 8_000_000;
+/// Upper bound of any wait, in microseconds.
+pub const BACKOFF_MAX_US: u64 = 8_000_000;
 
-/// An order of control machines of its own for each gateway (rendezvous hashing over the gateway's seed), and
-/// exponential back-off whose whole length is jitter.
+/// An order of control plane servers of its own for each gateway (rendezvous hashing over the gateway's seed), and
+/// exponential backoff with full jitter.
 #[derive(Debug)]
 pub(crate) struct Backoff {
-    machines: Vec<usize>,
-    place: usize,
+    /// Numbers of the servers in the order of this gateway; never empty.
+    servers: Vec<usize>,
+    position: usize,
     failures: u32,
     random: u64,
 }
 
 impl Backoff {
-    pub(crate) fn new(machines: usize, seed: u64) -> Self {
-        let mut machines: Vec<usize> = (0..machines.max(1)).collect();
-        machines.sort_by_key(|machine| mix(mix(seed) ^ (*machine as u64)));
-        Self { machines, place: 0, failures: 0, random: mix(seed) }
+    /// The backoff of a gateway that knows so many servers.
+    pub(crate) fn new(servers: usize, seed: u64) -> Self {
+        let mut servers: Vec<usize> = (0..servers.max(1)).collect();
+        servers.sort_by_key(|server| mix(mix(seed) ^ (*server as u64)));
+        Self { servers, position: 0, failures: 0, random: mix(seed) }
     }
 
-    pub(crate) fn machine(&self) -> usize {
-        self.machines[self.place]
+    /// The number of the server to connect to.
+    pub(crate) fn server(&self) -> usize {
+        self.servers[self.position]
     }
 
-    /// Moves on to the next machine; returns how long to wait for it, in microseconds.
-    pub(crate) fn fail(&mut self) -> u64 {
-        self.place = (self.place + 1) % self.machines.len();
-        let doubled = BACKOFF_FIRST_US.saturating_mul(1 << self.failures.min(32));
-        let ceiling = doubled.min(BACKOFF_MOST_US);
+    /// Moves on to the next server; returns how long to wait before connecting to it, in microseconds.
+    pub(crate) fn on_failure(&mut self) -> u64 {
+        self.position = (self.position + 1) % self.servers.len();
+        let doubled = BACKOFF_INITIAL_US.saturating_mul(1 << self.failures.min(32));
+        let ceiling = doubled.min(BACKOFF_MAX_US);
         self.failures = self.failures.saturating_add(1);
         self.random = mix(self.random);
         self.random % ceiling
     }
 
-    /// A machine has said something of use: the next loss is a first one.
-    pub(crate) fn succeed(&mut self) {
+    /// The server has sent a usable message: the next failure counts as the first.
+    pub(crate) fn on_success(&mut self) {
         self.failures = 0;
     }
 }
--- a/configuration/src/lib.rs
+++ b/configuration/src/lib.rs
@@ -1,10 +1,10 @@
-//! Versioned configuration that gateways take over in service, without sockets and without a clock of its own.
+//! Live reconfiguration: versions of the gateways' settings, without sockets and without a clock of its own.
 //!
-//! Whoever publishes assigns strictly rising versions. A control machine holds a [`Publisher`], a gateway a
-//! [`Subscriber`]; between them go [`Message`]s on a stream and [`Report`]s back. What is read from the wire is
-//! checked before it counts, and nothing that comes from there makes the crate panic.
+//! Versions rise strictly; they are assigned by the publisher. A control plane server holds a [`Publisher`], a gateway
+//! a [`Subscriber`]; [`Message`]s go from the one to the other on a stream, and [`Report`]s go back. Input from the wire
+//! is checked before it counts, and none makes the crate panic.
 //!
-//! All times are whole microseconds of the caller's monotonic clock, handed in.
+//! All times are whole microseconds of the caller's monotonic clock, passed in.
 
 mod backoff;
 mod document;
@@ -16,7 +16,7 @@
 mod subscriber;
 mod version;
 
-pub use backoff::{BACKOFF_FIRST_US, BACKOFF_MOST_US};
+pub use backoff::{BACKOFF_INITIAL_US, BACKOFF_MAX_US};
 pub use document::{Document, DocumentError};
 pub use message::{
     Delta, MAX_MESSAGE_BYTES, MAX_REASON_CHARS, Message, MessageError, Report, Snapshot, VerifyError,
@@ -24,8 +24,9 @@
 pub use pacing::Pacing;
 pub use patch::{LIST_MEMBER, PatchError};
 pub use publisher::{
-    Connection, GatewayStatus, HEARTBEAT_US, HISTORY_VERSIONS, Merge, Outgoing, PublishError, Publisher,
-    REMEMBERED_GATEWAYS, REPORT_TIMEOUT_MOST_US, REPORT_TIMEOUT_US, RefusedVersion, Status,
+    ConnectionId, GatewayStatus, HEARTBEAT_INTERVAL_US, HISTORY_VERSIONS, MAX_KNOWN_GATEWAYS,
+    MAX_REPORT_TIMEOUT_US, MergeResult, OutgoingMessage, PublishError, Publisher, REPORT_TIMEOUT_US,
+    RefusedVersion, Status,
 };
-pub use subscriber::{Position, SILENCE_US, Step, Subscriber};
+pub use subscriber::{Position, SILENCE_TIMEOUT_US, Subscriber, SubscriberAction};
 pub use version::{Digest, GatewayId, Version};
--- a/configuration/src/message.rs
+++ b/configuration/src/message.rs
@@ -1,4 +1,4 @@
-//! What control machines and gateways tell each other: one JSON text each.
+//! Messages between control plane servers and gateways, each one JSON text.
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -7,46 +7,46 @@
 use crate::patch::{self, PatchError};
 use crate::version::{Digest, GatewayId, Version};
 
-/// Longer messages are not read. Bytes.
+/// Longer messages are rejected, in bytes.
 pub const MAX_MESSAGE_BYTES: usize = 4 << 20;
 
-/// Reasons are cut to this. Characters.
+/// Reasons of refused versions are cut to this, in characters.
 pub const MAX_REASON_CHARS: usize = 400;
 
-/// Why a text is no message.
+/// Why a text is not a message.
 #[derive(Debug, thiserror::Error)]
 pub enum MessageError {
     /// It is too long.
     #[error("{0} bytes, {MAX_MESSAGE_BYTES} at most")]
-    Long(usize),
+    TooLong(usize),
     /// It can't be read.
     #[error("not a message: {0}")]
     Json(#[from] serde_json::Error),
-    /// A difference does not lead to a newer version.
+    /// A delta does not lead to a newer version.
     #[error("a difference from version {from} to {to}")]
     Backwards {
-        /// What it starts from.
+        /// The version it starts from.
         from: Version,
-        /// What it would lead to.
+        /// The version it would lead to.
         to: Version,
     },
 }
 
-/// Why the contents of a message don't count.
+/// Why the contents of a message are not usable.
 #[derive(Debug, thiserror::Error)]
 pub enum VerifyError {
     /// It holds no document.
     #[error(transparent)]
     Document(#[from] DocumentError),
-    /// The difference does not fit what it is applied to.
+    /// The delta does not fit the document that it is applied to.
     #[error(transparent)]
     Patch(#[from] PatchError),
     /// The document has another digest than the message says.
     #[error("digest {stated} stated, {found} found")]
     Digest {
-        /// What the message says.
+        /// The digest in the message.
         stated: Digest,
-        /// What the document has.
+        /// The digest of the document.
         found: Digest,
     },
 }
@@ -68,21 +68,21 @@
         Self { version, document: document.value().clone(), digest: document.digest() }
     }
 
-    /// The document, if it has the digest that the sender says.
+    /// The document, checked against the digest.
     ///
     /// # Errors
-    /// It is no document, or another one.
+    /// It is no document, or has another digest.
     pub fn verify(self) -> Result<Document, VerifyError> {
-        check(Document::new(self.document)?, self.digest)
+        verify_digest(Document::new(self.document)?, self.digest)
     }
 }
 
-/// The difference of two documents.
+/// The difference between two documents.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Delta {
-    /// What it starts from.
+    /// The version it starts from.
     pub from: Version,
-    /// What it leads to.
+    /// The version it leads to.
     pub to: Version,
     /// The changes: by RFC 7396, and by name where [`LIST_MEMBER`](crate::LIST_MEMBER) marks a list.
     pub patch: Value,
@@ -97,31 +97,31 @@
         Self { from: from.0, to: to.0, patch, digest: to.1.digest() }
     }
 
-    /// The result on a base, which is left as it is; checked against the digest.
+    /// The document that results from a base, checked against the digest.
     ///
     /// # Errors
-    /// The difference does not fit the base, or leads to another document than the sender has.
+    /// The delta does not fit the base, or the result has another digest.
     pub fn apply(self, base: &Document) -> Result<Document, VerifyError> {
         let mut value = base.value().clone();
         patch::apply(&mut value, self.patch)?;
-        check(Document::new(value)?, self.digest)
+        verify_digest(Document::new(value)?, self.digest)
     }
 }
 
-fn check(document: Document, stated: Digest) -> Result<Document, VerifyError> {
+fn verify_digest(document: Document, stated: Digest) -> Result<Document, VerifyError> {
     let found = document.digest();
     if found == stated { Ok(document) } else { Err(VerifyError::Digest { stated, found }) }
 }
 
-/// What a control machine tells a gateway.
+/// A message from a control plane server to a gateway.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Message {
     /// The whole configuration.
     Snapshot(Snapshot),
-    /// What has changed.
+    /// The difference from an earlier version.
     Delta(Delta),
-    /// Heartbeat: the newest version that the control machine has.
+    /// Heartbeat: the newest version that the server has.
     Current(Version),
 }
 
@@ -132,7 +132,7 @@
     /// The text is too long or no message.
     pub fn parse(text: &str) -> Result<Self, MessageError> {
         if text.len() > MAX_MESSAGE_BYTES {
-            return Err(MessageError::Long(text.len()));
+            return Err(MessageError::TooLong(text.len()));
         }
         let message = serde_json::from_str(text)?;
         if let Self::Delta(Delta { from, to, .. }) = &message {
@@ -149,7 +149,7 @@
         serde_json::to_string(self).unwrap_or_default()
     }
 
-    /// The version that it is about.
+    /// Its version.
     pub fn version(&self) -> Version {
         match self {
             Self::Snapshot(snapshot) => snapshot.version,
@@ -159,22 +159,22 @@
     }
 }
 
-/// What a gateway made of a version.
+/// What became of a version at a gateway.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "state", rename_all = "lowercase")]
 pub enum Report {
     /// It is in force.
     Applied {
-        /// Which.
+        /// The version.
         version: Version,
     },
-    /// It was refused whole.
+    /// It was refused as a whole.
     Refused {
-        /// Which.
+        /// The version.
         version: Version,
         /// Why, for people.
         reason: String,
-        /// What is in force all the same.
+        /// The version in force.
         in_force: Version,
     },
 }
@@ -187,18 +187,18 @@
 }
 
 impl Report {
-    /// A refusal; the reason is cut to [`MAX_REASON_CHARS`].
+    /// A refused version; the reason is cut to [`MAX_REASON_CHARS`].
     pub fn refused(version: Version, reason: &str, in_force: Version) -> Self {
         Self::Refused { version, reason: reason.chars().take(MAX_REASON_CHARS).collect(), in_force }
     }
 
-    /// Reads a report and whose it is.
+    /// Reads a report and the gateway that sent it.
     ///
     /// # Errors
     /// The text is too long or no report.
     pub fn parse(text: &str) -> Result<(GatewayId, Self), MessageError> {
         if text.len() > MAX_MESSAGE_BYTES {
-            return Err(MessageError::Long(text.len()));
+            return Err(MessageError::TooLong(text.len()));
         }
         let envelope: Envelope<Self> = serde_json::from_str(text)?;
         Ok((envelope.gateway, envelope.report))
@@ -210,7 +210,7 @@
         serde_json::to_string(&envelope).unwrap_or_default()
     }
 
-    /// The version that it is about.
+    /// Its version.
     pub fn version(&self) -> Version {
         match self {
             Self::Applied { version } | Self::Refused { version, .. } => *version,
--- a/configuration/src/message/tests.rs
+++ b/configuration/src/message/tests.rs
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn messages_look_as_agreed() {
+fn messages_have_the_specified_form() {
     let (old, new) = (document("{\"a\":1}"), document("{\"a\":2}"));
     let digest = new.digest();
     let snapshot = Message::Snapshot(Snapshot::of(Version(7), &new));
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn reports_look_as_agreed() {
+fn reports_have_the_specified_form() {
     let gateway = GatewayId::from("gw-7");
     let applied = Report::Applied { version: Version(4) };
     let refused = Report::refused(Version(5), "classes[2].aim-s: a number expected", Version(4));
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn what_is_no_message_is_an_error() {
+fn other_texts_are_errors() {
     for text in [
         "",
         "{}",
@@ -73,13 +73,13 @@
     let digest = "{\"delta\":{\"from\":5,\"to\":6,\"patch\":{},\"digest\":\"+000000000000000\"}}";
     assert!(matches!(Message::parse(digest), Err(MessageError::Json(_))));
     let long = " ".repeat(MAX_MESSAGE_BYTES + 1);
-    assert!(matches!(Message::parse(&long), Err(MessageError::Long(_))));
-    assert!(matches!(Report::parse(&long), Err(MessageError::Long(_))));
+    assert!(matches!(Message::parse(&long), Err(MessageError::TooLong(_))));
+    assert!(matches!(Report::parse(&long), Err(MessageError::TooLong(_))));
     assert!(matches!(Report::parse("{\"gateway\":\"g\"}"), Err(MessageError::Json(_))));
 }
 
 #[test]
-fn a_wrong_digest_is_found_out() {
+fn a_wrong_digest_is_an_error() {
     let (old, new) = (document("{\"a\":1}"), document("{\"a\":2}"));
     let mut snapshot = Snapshot::of(Version(1), &new);
     snapshot.digest = old.digest();
--- a/configuration/src/pacing.rs
+++ b/configuration/src/pacing.rs
@@ -1,13 +1,13 @@
-//! How much a control machine sends in a time, over all gateways.
+//! Rate limits of a control plane server, over all gateways.
 
-/// A budget of a control machine.
+/// The rate limits of a control plane server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Pacing {
     /// Bytes of configuration a second.
     pub bytes_per_second: u64,
     /// Messages with configuration a second.
     pub messages_per_second: u64,
-    /// A gateway gets its next message at the earliest so long after the one before. Microseconds.
+    /// Minimum time between two messages with configuration to one gateway, in microseconds.
     pub gap_us: u64,
 }
 
@@ -17,11 +17,11 @@
     }
 }
 
-/// So much of a budget may be spent at once. Microseconds.
+/// Messages may go out ahead of the rate by this, in microseconds.
 const BURST_US: u64 = 10_000;
 
-/// A rate of something, kept as the time from which on more may be sent. What is larger than any budget goes out
-/// alone and is waited for afterwards.
+/// A rate limit, kept as the time at which all that was sent is paid for. A message larger than the burst goes out and
+/// delays those behind it.
 #[derive(Debug)]
 struct Rate {
     per_second: u64,
@@ -35,7 +35,7 @@
     }
 }
 
-/// What is left of a budget.
+/// The state of the rate limits.
 #[derive(Debug)]
 pub(crate) struct Pacer {
     bytes: Rate,
@@ -48,11 +48,12 @@
         Self { bytes: rate(pacing.bytes_per_second), messages: rate(pacing.messages_per_second) }
     }
 
-    /// From when on the next message may go out.
+    /// When the next message may go out.
     pub(crate) fn free_at_us(&self) -> u64 {
         self.bytes.free_at_us.max(self.messages.free_at_us).saturating_sub(BURST_US)
     }
 
+    /// A message of so many bytes was sent.
     pub(crate) fn spend(&mut self, now_us: u64, bytes: usize) {
         self.bytes.spend(now_us, bytes as u64);
         self.messages.spend(now_us, 1);
--- a/configuration/src/publisher/tests.rs
+++ b/configuration/src/publisher/tests.rs
@@ -22,8 +22,8 @@
     GatewayId::from("gw-0")
 }
 
-fn join(publisher: &mut Publisher, now_us: u64, version: u64) -> Connection {
-    publisher.join(now_us, gateway(), Version(version), settings(version).digest())
+fn join(publisher: &mut Publisher, now_us: u64, version: u64) -> ConnectionId {
+    publisher.connect(now_us, gateway(), Version(version), settings(version).digest())
 }
 
 /// What goes out apart from heartbeats.
@@ -33,12 +33,12 @@
     messages.filter(|message| !matches!(message, Message::Current(_))).collect()
 }
 
-fn ways(messages: &[Message]) -> Vec<(u64, u64)> {
-    let way = |message: &Message| match message {
+fn transitions(messages: &[Message]) -> Vec<(u64, u64)> {
+    let transition = |message: &Message| match message {
         Message::Delta(delta) => (delta.from.0, delta.to.0),
         other => (0, other.version().0),
     };
-    messages.iter().map(way).collect()
+    messages.iter().map(transition).collect()
 }
 
 fn applied(publisher: &mut Publisher, version: u64) {
@@ -61,34 +61,34 @@
 }
 
 #[test]
-fn a_number_that_a_gateway_has_already_is_not_given_again() {
+fn a_version_that_a_gateway_has_is_not_published_again() {
     let mut publisher = publisher(3);
     join(&mut publisher, 0, 7);
-    let heard = Err(PublishError::Heard { version: Version(7), heard: Version(7) });
+    let heard = Err(PublishError::AlreadyReported { version: Version(7), reported: Version(7) });
     assert_eq!(publisher.publish(Version(7), settings(7)), heard);
     assert_eq!(publisher.next_version(), Version(8));
-    publisher.join(0, gateway(), Version(u64::MAX), Digest(0));
-    assert_eq!(publisher.next_version(), Version(8), "nobody is believed who is absurdly far ahead");
+    publisher.connect(0, gateway(), Version(u64::MAX), Digest(0));
+    assert_eq!(publisher.next_version(), Version(8), "a version absurdly far ahead is not believed");
     assert_eq!(publisher.publish(Version(8), settings(8)), Ok(()));
 }
 
 #[test]
-fn the_newest_of_another_machine_counts_and_an_older_does_not() {
+fn the_newest_version_of_another_server_counts_and_an_older_does_not() {
     let mut publisher = publisher(3);
-    assert_eq!(publisher.merge(Version(2), settings(9)), Merge::Older);
-    assert_eq!(publisher.merge(Version(0), settings(9)), Merge::Older);
-    assert_eq!(publisher.merge(Version(3), settings(3)), Merge::Same);
+    assert_eq!(publisher.merge(Version(2), settings(9)), MergeResult::Older);
+    assert_eq!(publisher.merge(Version(0), settings(9)), MergeResult::Older);
+    assert_eq!(publisher.merge(Version(3), settings(3)), MergeResult::Same);
     assert_eq!(publisher.status().conflict, None);
-    assert_eq!(publisher.merge(Version(3), settings(9)), Merge::Conflict);
+    assert_eq!(publisher.merge(Version(3), settings(9)), MergeResult::Conflict);
     assert_eq!(publisher.status().conflict, Some(Version(3)));
     assert_eq!(publisher.newest(), Some((Version(3), &settings(3))));
-    assert_eq!(publisher.merge(Version(9), settings(9)), Merge::Taken);
+    assert_eq!(publisher.merge(Version(9), settings(9)), MergeResult::Added);
     assert_eq!(publisher.newest(), Some((Version(9), &settings(9))));
     assert_eq!(publisher.status().conflict, None, "a newer one has settled it");
 }
 
 #[test]
-fn who_has_a_known_version_gets_a_difference_and_others_the_whole() {
+fn gateways_with_a_known_version_get_a_delta_and_others_a_snapshot() {
     for (has, digest, expected) in [
         (3, settings(3).digest(), vec![(3, 5)]),
         (3, settings(4).digest(), vec![(0, 5)]),
@@ -98,64 +98,64 @@
         (6, settings(6).digest(), vec![]),
     ] {
         let mut publisher = publisher(5);
-        publisher.join(0, gateway(), Version(has), digest);
-        assert_eq!(ways(&configuration(&mut publisher, 0)), expected, "{has} {digest}");
+        publisher.connect(0, gateway(), Version(has), digest);
+        assert_eq!(transitions(&configuration(&mut publisher, 0)), expected, "{has} {digest}");
     }
 }
 
 #[test]
-fn a_difference_that_is_no_shorter_is_not_sent() {
+fn a_delta_that_is_not_shorter_is_not_sent() {
     let mut publisher = Publisher::new(Pacing::default());
     publisher.publish(Version(1), json!({ "old": 1, "older": 1 }).to_string().parse().unwrap()).unwrap();
     publisher.publish(Version(2), "{\"new\":1}".parse().unwrap()).unwrap();
     let digest = publisher.history.digest(Version(1)).unwrap();
-    publisher.join(0, gateway(), Version(1), digest);
-    assert_eq!(ways(&configuration(&mut publisher, 0)), [(0, 2)]);
+    publisher.connect(0, gateway(), Version(1), digest);
+    assert_eq!(transitions(&configuration(&mut publisher, 0)), [(0, 2)]);
 }
 
 #[test]
-fn history_is_bounded_and_who_has_less_gets_the_whole() {
+fn history_is_bounded_and_older_versions_get_a_snapshot() {
     let versions = HISTORY_VERSIONS as u64 + 10;
     let mut publisher = publisher(versions);
     join(&mut publisher, 0, 10);
-    assert_eq!(ways(&configuration(&mut publisher, 0)), [(0, versions)]);
+    assert_eq!(transitions(&configuration(&mut publisher, 0)), [(0, versions)]);
     join(&mut publisher, SECOND_US, 11);
-    assert_eq!(ways(&configuration(&mut publisher, SECOND_US)), [(11, versions)]);
+    assert_eq!(transitions(&configuration(&mut publisher, SECOND_US)), [(11, versions)]);
 }
 
 #[test]
-fn one_message_is_on_its_way_and_what_comes_up_meanwhile_is_merged() {
+fn one_message_is_unreported_and_versions_published_meanwhile_are_merged() {
     let mut publisher = publisher(1);
     join(&mut publisher, 0, 1);
     publisher.publish(Version(2), settings(2)).unwrap();
-    assert_eq!(ways(&configuration(&mut publisher, 0)), [(1, 2)]);
+    assert_eq!(transitions(&configuration(&mut publisher, 0)), [(1, 2)]);
     for version in 3..9 {
         publisher.publish(Version(version), settings(version)).unwrap();
-        assert_eq!(ways(&configuration(&mut publisher, SECOND_US)), []);
+        assert_eq!(transitions(&configuration(&mut publisher, SECOND_US)), []);
     }
     applied(&mut publisher, 2);
-    assert_eq!(ways(&configuration(&mut publisher, SECOND_US)), [(2, 8)]);
+    assert_eq!(transitions(&configuration(&mut publisher, SECOND_US)), [(2, 8)]);
     applied(&mut publisher, 8);
-    assert_eq!(ways(&configuration(&mut publisher, 60 * SECOND_US)), []);
+    assert_eq!(transitions(&configuration(&mut publisher, 60 * SECOND_US)), []);
     assert_eq!(publisher.status().gateways[0].version, Version(8));
 }
 
 #[test]
-fn a_gateway_has_a_rest_between_two_messages() {
+fn messages_to_a_gateway_keep_a_minimum_gap() {
     let mut publisher = publisher(1);
     join(&mut publisher, 0, 1);
     publisher.publish(Version(2), settings(2)).unwrap();
-    assert_eq!(ways(&configuration(&mut publisher, 0)), [(1, 2)]);
+    assert_eq!(transitions(&configuration(&mut publisher, 0)), [(1, 2)]);
     applied(&mut publisher, 2);
     publisher.publish(Version(3), settings(3)).unwrap();
     let gap_us = Pacing::default().gap_us;
-    assert_eq!(ways(&configuration(&mut publisher, gap_us - 1)), []);
+    assert_eq!(transitions(&configuration(&mut publisher, gap_us - 1)), []);
     assert_eq!(publisher.next_due_us(), Some(gap_us));
-    assert_eq!(ways(&configuration(&mut publisher, gap_us)), [(2, 3)]);
+    assert_eq!(transitions(&configuration(&mut publisher, gap_us)), [(2, 3)]);
 }
 
 #[test]
-fn a_message_without_a_report_is_sent_again_ever_more_seldom() {
+fn a_message_without_a_report_is_sent_again_with_backoff() {
     let mut publisher = publisher(2);
     join(&mut publisher, 0, 1);
     let mut sent_s = Vec::new();
@@ -167,7 +167,7 @@
     assert_eq!(sent_s, [0, 3, 6, 9, 15, 27, 51, 99, 147, 195]);
     publisher.publish(Version(3), settings(3)).unwrap();
     assert_eq!(
-        ways(&configuration(&mut publisher, 200 * SECOND_US)),
+        transitions(&configuration(&mut publisher, 200 * SECOND_US)),
         [(1, 3)],
         "a new one does not wait so long"
     );
@@ -177,32 +177,32 @@
 fn a_refused_version_is_not_sent_again_and_the_newest_good_one_is_sent() {
     let mut publisher = publisher(6);
     join(&mut publisher, 0, 3);
-    assert_eq!(ways(&configuration(&mut publisher, 0)), [(3, 6)]);
+    assert_eq!(transitions(&configuration(&mut publisher, 0)), [(3, 6)]);
     refused(&mut publisher, 6, 3);
-    assert_eq!(ways(&configuration(&mut publisher, SECOND_US)), [(3, 5)]);
+    assert_eq!(transitions(&configuration(&mut publisher, SECOND_US)), [(3, 5)]);
     applied(&mut publisher, 5);
-    assert_eq!(ways(&configuration(&mut publisher, 60 * SECOND_US)), []);
+    assert_eq!(transitions(&configuration(&mut publisher, 60 * SECOND_US)), []);
     let status = publisher.status();
     let refusals: Vec<_> = status.refusals().collect();
     let refusal = RefusedVersion { version: Version(6), reason: "no".to_owned() };
     assert_eq!(refusals, [(&gateway(), &refusal)]);
     assert_eq!(status.behind().count(), 1);
     publisher.publish(Version(7), settings(7)).unwrap();
-    assert_eq!(ways(&configuration(&mut publisher, 61 * SECOND_US)), [(5, 7)]);
+    assert_eq!(transitions(&configuration(&mut publisher, 61 * SECOND_US)), [(5, 7)]);
     applied(&mut publisher, 7);
     assert_eq!(publisher.status().refusals().count(), 0);
     assert_eq!(publisher.status().counts(), BTreeMap::from([(Version(7), 1)]));
 }
 
 #[test]
-fn reports_on_what_was_not_sent_on_this_stream_do_not_count() {
+fn reports_on_versions_not_sent_on_this_stream_do_not_count() {
     let mut publisher = publisher(3);
     applied(&mut publisher, 3);
     join(&mut publisher, 0, 1);
     applied(&mut publisher, 3);
     refused(&mut publisher, 3, 2);
     assert_eq!(publisher.status().gateways[0].version, Version(1));
-    assert_eq!(ways(&configuration(&mut publisher, 0)), [(1, 3)]);
+    assert_eq!(transitions(&configuration(&mut publisher, 0)), [(1, 3)]);
     applied(&mut publisher, 2);
     assert_eq!(publisher.status().gateways[0].version, Version(1));
     applied(&mut publisher, 3);
@@ -210,15 +210,15 @@
 }
 
 #[test]
-fn a_late_report_of_an_earlier_life_is_put_right_by_the_next_one() {
+fn a_late_report_of_an_earlier_process_is_corrected_by_the_next_one() {
     let mut publisher = publisher(3);
     join(&mut publisher, 0, 1);
-    assert_eq!(ways(&configuration(&mut publisher, 0)), [(1, 3)]);
+    assert_eq!(transitions(&configuration(&mut publisher, 0)), [(1, 3)]);
     applied(&mut publisher, 3);
     refused(&mut publisher, 3, 1);
     let status = publisher.status();
     assert_eq!((status.gateways[0].version, status.refusals().count()), (Version(1), 1));
-    assert_eq!(ways(&configuration(&mut publisher, SECOND_US)), [(1, 2)]);
+    assert_eq!(transitions(&configuration(&mut publisher, SECOND_US)), [(1, 2)]);
     applied(&mut publisher, 3);
     let status = publisher.status();
     assert_eq!((status.gateways[0].version, status.refusals().count()), (Version(3), 0));
@@ -232,7 +232,7 @@
         publisher.publish(Version(version), settings(version)).unwrap();
         configuration(&mut publisher, version * SECOND_US);
         refused(&mut publisher, version, 1);
-        assert!(publisher.peers[&gateway()].refused.len() <= HISTORY_VERSIONS);
+        assert!(publisher.gateways[&gateway()].refused.len() <= HISTORY_VERSIONS);
     }
     assert_eq!(
         publisher.status().gateways[0].refused.as_ref().map(|refused| refused.version),
@@ -245,19 +245,19 @@
     let mut publisher = publisher(1);
     let old = join(&mut publisher, 0, 0);
     let new = join(&mut publisher, 0, 0);
-    publisher.leave(&gateway(), old);
-    assert_eq!(ways(&configuration(&mut publisher, 0)), [(0, 1)]);
-    publisher.leave(&gateway(), new);
+    publisher.disconnect(&gateway(), old);
+    assert_eq!(transitions(&configuration(&mut publisher, 0)), [(0, 1)]);
+    publisher.disconnect(&gateway(), new);
     assert_eq!((publisher.due(60 * SECOND_US), publisher.next_due_us()), (vec![], None));
     assert!(!publisher.status().gateways[0].is_connected);
 }
 
 #[test]
-fn who_was_served_longest_ago_is_first_and_the_budget_holds() {
+fn gateways_served_longest_ago_are_first_and_the_rate_limit_holds() {
     let messages_per_second = 100;
     let mut publisher = Publisher::new(Pacing { bytes_per_second: u64::MAX, messages_per_second, gap_us: 0 });
     for number in 0..50 {
-        publisher.join(0, GatewayId(format!("gw-{number:02}")), Version(0), Digest(0));
+        publisher.connect(0, GatewayId(format!("gw-{number:02}")), Version(0), Digest(0));
     }
     let mut served = BTreeMap::<GatewayId, usize>::new();
     let mut now_us = 0;
@@ -281,32 +281,32 @@
 }
 
 #[test]
-fn heartbeats_tell_the_newest_version_at_once_and_then_regularly() {
+fn heartbeats_announce_the_newest_version_at_once_and_then_regularly() {
     let mut publisher = publisher(0);
     assert_eq!(publisher.next_due_us(), None);
     join(&mut publisher, 5, 0);
     assert_eq!(publisher.next_due_us(), Some(5));
-    let current = |version: u64| Outgoing {
+    let current = |version: u64| OutgoingMessage {
         version: Version(version),
         text: format!("{{\"current\":{version}}}").into(),
     };
     assert_eq!(publisher.due(5), [(gateway(), current(0))]);
-    assert_eq!(publisher.next_due_us(), Some(5 + HEARTBEAT_US));
-    assert_eq!(publisher.due(4 + HEARTBEAT_US), []);
-    assert_eq!(publisher.due(5 + HEARTBEAT_US), [(gateway(), current(0))]);
+    assert_eq!(publisher.next_due_us(), Some(5 + HEARTBEAT_INTERVAL_US));
+    assert_eq!(publisher.due(4 + HEARTBEAT_INTERVAL_US), []);
+    assert_eq!(publisher.due(5 + HEARTBEAT_INTERVAL_US), [(gateway(), current(0))]);
 }
 
 #[test]
 fn gateways_without_a_stream_are_forgotten_when_there_are_too_many() {
     let mut publisher = publisher(1);
-    for number in 0..REMEMBERED_GATEWAYS + 1 {
+    for number in 0..MAX_KNOWN_GATEWAYS + 1 {
         let gateway = GatewayId(number.to_string());
-        let connection = publisher.join(0, gateway.clone(), Version(0), Digest(0));
+        let connection = publisher.connect(0, gateway.clone(), Version(0), Digest(0));
         if number > 0 {
-            publisher.leave(&gateway, connection);
+            publisher.disconnect(&gateway, connection);
         }
     }
     let gateways = publisher.status().gateways;
     let names: Vec<_> = gateways.iter().map(|gateway| gateway.gateway.0.as_str()).collect();
-    assert_eq!(names, ["0", &REMEMBERED_GATEWAYS.to_string()]);
+    assert_eq!(names, ["0", &MAX_KNOWN_GATEWAYS.to_string()]);
 }
--- a/configuration/src/subscriber.rs
+++ b/configuration/src/subscriber.rs
@@ -1,38 +1,44 @@
-//! A gateway's side: which version is in force, what is taken over next, and from which control machine.
+//! The gateway's side: which version is in force, which is applied next, and from which control plane server.
+//!
+//! Invariant: a version is in force only after the gateway has reported that it was applied, and an older version never
+//! replaces a newer one.
+
+use std::fmt;
 
 use crate::backoff::Backoff;
 use crate::document::Document;
 use crate::message::{Delta, Message, Report, Snapshot, VerifyError};
 use crate::version::{Digest, Version};
 
-/// A stream without a message for so long is given up, and so is one whose control machine has been behind the
-/// gateway for so long. Microseconds.
-pub const SILENCE_US: u64 = 6_000_000;
+/// A stream without a sign of life for this long is given up, and so is one whose server has been behind the gateway
+/// for this long. Microseconds.
+pub const SILENCE_TIMEOUT_US: u64 = 6_000_000;
 
-/// What to do after a message.
+/// What the gateway has to do after a message.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Step {
+pub enum SubscriberAction {
     /// Nothing.
     Nothing,
-    /// Try to take this over, and say by [`Subscriber::taken`] what became of it. A later one replaces it.
-    Take {
+    /// Apply these settings and call [`Subscriber::on_applied`] or [`Subscriber::on_refused`]. A later version
+    /// replaces them.
+    Apply {
         /// The version.
         version: Version,
         /// The settings.
         document: Document,
     },
-    /// A version is refused; the control machine should be told by [`Subscriber::refusal`].
+    /// A version is refused; [`Subscriber::refusal_report`] has to be sent to the control plane.
     Refused {
         /// The version.
         version: Version,
         /// Why, for people.
         reason: String,
     },
-    /// The stream has to be opened anew, asking by [`Subscriber::position`] or for a snapshot by version 0.
+    /// Open the stream anew with [`Subscriber::position`].
     Resync,
 }
 
-/// What a gateway says it has when it opens a stream.
+/// The version that a gateway has when it opens a stream.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Position {
     /// The version in force; 0 asks for a snapshot.
@@ -42,7 +48,7 @@
 }
 
 #[derive(Debug)]
-struct Held {
+struct VersionedDocument {
     version: Version,
     document: Document,
 }
@@ -57,41 +63,41 @@
 /// The configuration of one gateway.
 #[derive(Debug)]
 pub struct Subscriber {
-    in_force: Held,
-    /// Handed to the gateway, which has not said yet what became of it.
-    offered: Option<Held>,
+    in_force: VersionedDocument,
+    /// Given to the gateway, which has not reported its result yet.
+    pending: Option<VersionedDocument>,
     refused: Option<Refusal>,
     newest_seen: Version,
-    /// The last resynchronisation was for contents that did not fit: only a snapshot helps.
+    /// The last resynchronisation was for contents that did not fit: a snapshot is needed.
     wants_snapshot: bool,
     backoff: Backoff,
-    link: Link,
+    stream: StreamState,
 }
 
 #[derive(Debug)]
-enum Link {
+enum StreamState {
     Down { next_attempt_us: u64 },
-    Up { heard_us: u64, machine_behind_since_us: Option<u64> },
+    Up { last_activity_us: u64, server_behind_since_us: Option<u64> },
 }
 
 impl Subscriber {
-    /// A gateway that has this in force, before a number of control machines; version 0: from its own file. The
-    /// seed should differ from gateway to gateway.
-    pub fn new(machines: usize, seed: u64, version: Version, document: Document) -> Self {
+    /// A gateway that has this version in force and knows so many control plane servers; version 0 is the gateway's own
+    /// file. The seed should differ between gateways.
+    pub fn new(servers: usize, seed: u64, version: Version, document: Document) -> Self {
         Self {
-            in_force: Held { version, document },
-            offered: None,
+            in_force: VersionedDocument { version, document },
+            pending: None,
             refused: None,
             newest_seen: version,
             wants_snapshot: false,
-            backoff: Backoff::new(machines, seed),
-            link: Link::Down { next_attempt_us: 0 },
+            backoff: Backoff::new(servers, seed),
+            stream: StreamState::Down { next_attempt_us: 0 },
         }
     }
 
     /// Takes a message from the stream.
-    pub fn on_message(&mut self, now_us: u64, text: &str) -> Step {
-        self.heard(now_us);
+    pub fn on_message(&mut self, now_us: u64, text: &str) -> SubscriberAction {
+        self.on_activity(now_us);
         let Ok(message) = Message::parse(text) else { return self.resync(true) };
         self.newest_seen = self.newest_seen.max(message.version());
         let step = match message {
@@ -99,81 +105,81 @@
             Message::Delta(delta) => self.on_delta(delta),
             Message::Snapshot(snapshot) => self.on_snapshot(snapshot),
         };
-        if step != Step::Resync {
-            self.backoff.succeed();
+        if step != SubscriberAction::Resync {
+            self.backoff.on_success();
         }
         step
     }
 
-    /// Something came that is no message, such as a comment: the stream is alive.
-    pub fn heard(&mut self, now_us: u64) {
-        if let Link::Up { heard_us, .. } = &mut self.link {
-            *heard_us = now_us;
+    /// Something other than a message was read, such as a comment: the stream is alive.
+    pub fn on_activity(&mut self, now_us: u64) {
+        if let StreamState::Up { last_activity_us, .. } = &mut self.stream {
+            *last_activity_us = now_us;
         }
     }
 
-    /// The gateway has tried to take over what was offered. Returns what the control machine has to be told, until
-    /// it has heard it.
-    pub fn taken(&mut self, version: Version, result: Result<(), String>) -> Report {
-        let Some(offered) = self.offered.take_if(|offered| offered.version == version) else {
+    /// The gateway has applied a version. Returns the report that has to reach the control plane.
+    pub fn on_applied(&mut self, version: Version) -> Report {
+        if let Some(applied) = self.take_pending(version) {
+            self.in_force = applied;
+        }
+        Report::Applied { version: self.in_force.version }
+    }
+
+    /// The gateway could not apply a version. Returns the report that has to reach the control plane.
+    pub fn on_refused(&mut self, version: Version, error: &impl fmt::Display) -> Report {
+        let Some(refused) = self.take_pending(version) else {
             return Report::Applied { version: self.in_force.version };
         };
-        match result {
-            Ok(()) => {
-                self.in_force = offered;
-                Report::Applied { version }
-            }
-            Err(reason) => {
-                let report = self.refusal(version, &reason);
-                self.refused = Some(Refusal { version, digest: offered.document.digest(), reason });
-                report
-            }
-        }
+        let reason = error.to_string();
+        let report = self.refusal_report(version, &reason);
+        self.refused = Some(Refusal { version, digest: refused.document.digest(), reason });
+        report
     }
 
-    /// The report of a refusal that [`Step::Refused`] tells.
-    pub fn refusal(&self, version: Version, reason: &str) -> Report {
+    /// The report of a refused version.
+    pub fn refusal_report(&self, version: Version, reason: &str) -> Report {
         Report::refused(version, reason, self.in_force.version)
     }
 
     /// The stream is open.
-    pub fn connected(&mut self, now_us: u64) {
-        self.link = Link::Up { heard_us: now_us, machine_behind_since_us: None };
+    pub fn on_connected(&mut self, now_us: u64) {
+        self.stream = StreamState::Up { last_activity_us: now_us, server_behind_since_us: None };
     }
 
     /// The stream is closed, or could not be opened.
-    pub fn disconnected(&mut self, now_us: u64) {
-        let wait_us = self.backoff.fail();
-        self.link = Link::Down { next_attempt_us: now_us.saturating_add(wait_us) };
+    pub fn on_disconnected(&mut self, now_us: u64) {
+        let wait_us = self.backoff.on_failure();
+        self.stream = StreamState::Down { next_attempt_us: now_us.saturating_add(wait_us) };
     }
 
-    /// When to open the stream; none while it is open.
+    /// When to open the stream, in microseconds; none while it is open.
     pub fn next_attempt_us(&self) -> Option<u64> {
-        match self.link {
-            Link::Down { next_attempt_us } => Some(next_attempt_us),
-            Link::Up { .. } => None,
+        match self.stream {
+            StreamState::Down { next_attempt_us } => Some(next_attempt_us),
+            StreamState::Up { .. } => None,
         }
     }
 
-    /// The number of the control machine to go to.
-    pub fn machine(&self) -> usize {
-        self.backoff.machine()
+    /// The number of the control plane server to connect to.
+    pub fn server(&self) -> usize {
+        self.backoff.server()
     }
 
-    /// What to say when the stream is opened.
+    /// The position to open the stream with.
     pub fn position(&self) -> Position {
         let version = if self.wants_snapshot { Version::NONE } else { self.in_force.version };
         Position { version, digest: self.in_force.document.digest() }
     }
 
-    /// Whether the stream has to be closed: nothing came for [`SILENCE_US`], or the control machine has had only
-    /// older versions than the gateway for so long.
+    /// Whether the stream has to be closed: there was no sign of life for [`SILENCE_TIMEOUT_US`], or the server has had
+    /// only older versions than the gateway for that long.
     pub fn is_silent(&self, now_us: u64) -> bool {
-        let is_over = |since_us: u64| now_us.saturating_sub(since_us) >= SILENCE_US;
-        match self.link {
-            Link::Down { .. } => false,
-            Link::Up { heard_us, machine_behind_since_us } => {
-                is_over(heard_us) || machine_behind_since_us.is_some_and(is_over)
+        let is_over = |since_us: u64| now_us.saturating_sub(since_us) >= SILENCE_TIMEOUT_US;
+        match self.stream {
+            StreamState::Down { .. } => false,
+            StreamState::Up { last_activity_us, server_behind_since_us } => {
+                is_over(last_activity_us) || server_behind_since_us.is_some_and(is_over)
             }
         }
     }
@@ -188,92 +194,96 @@
         &self.in_force.document
     }
 
-    /// The newest version that a control machine has told of.
+    /// The newest version that a server has announced.
     pub fn newest_seen(&self) -> Version {
         self.newest_seen
     }
 
-    fn on_current(&mut self, now_us: u64, version: Version) -> Step {
-        if let Link::Up { machine_behind_since_us, .. } = &mut self.link {
+    fn on_current(&mut self, now_us: u64, version: Version) -> SubscriberAction {
+        if let StreamState::Up { server_behind_since_us, .. } = &mut self.stream {
             if version < self.in_force.version {
-                machine_behind_since_us.get_or_insert(now_us);
+                server_behind_since_us.get_or_insert(now_us);
             } else {
-                *machine_behind_since_us = None;
+                *server_behind_since_us = None;
             }
         }
-        Step::Nothing
+        SubscriberAction::Nothing
     }
 
-    fn on_delta(&mut self, delta: Delta) -> Step {
+    fn on_delta(&mut self, delta: Delta) -> SubscriberAction {
         let version = delta.to;
-        if version <= self.newest_held() {
-            return Step::Nothing;
+        if version <= self.newest_known() {
+            return SubscriberAction::Nothing;
         }
         if let Some(refused) = self.refused_before(version, delta.digest) {
             return refused;
         }
-        let Some(base) = self.base(delta.from) else { return self.resync(false) };
+        let Some(base) = self.known_document(delta.from) else { return self.resync(false) };
         match delta.apply(base) {
-            Ok(document) => self.offer(version, document),
+            Ok(document) => self.propose(version, document),
             Err(_) => self.resync(true),
         }
     }
 
-    fn on_snapshot(&mut self, snapshot: Snapshot) -> Step {
+    fn on_snapshot(&mut self, snapshot: Snapshot) -> SubscriberAction {
         let version = snapshot.version;
         self.wants_snapshot = false;
-        if version == Version::NONE || version < self.newest_held() {
-            return Step::Nothing;
+        if version == Version::NONE || version < self.newest_known() {
+            return SubscriberAction::Nothing;
         }
         if let Some(refused) = self.refused_before(version, snapshot.digest) {
             return refused;
         }
-        if let Some(held) = self.base(version) {
-            return self.compare(version, held.digest(), snapshot.digest);
+        if let Some(known) = self.known_document(version) {
+            return self.compare_digests(version, known.digest(), snapshot.digest);
         }
         match snapshot.verify() {
-            Ok(document) => self.offer(version, document),
+            Ok(document) => self.propose(version, document),
             Err(e) => self.refuse(version, &e),
         }
     }
 
-    /// Two documents of one version: the one that is held stays.
-    fn compare(&self, version: Version, held: Digest, told: Digest) -> Step {
-        if held == told {
-            return Step::Nothing;
+    fn take_pending(&mut self, version: Version) -> Option<VersionedDocument> {
+        self.pending.take_if(|pending| pending.version == version)
+    }
+
+    /// Two documents of one version: the one that is here stays.
+    fn compare_digests(&self, version: Version, known: Digest, received: Digest) -> SubscriberAction {
+        if known == received {
+            return SubscriberAction::Nothing;
         }
-        let reason = format!("version {version} was published twice: {held} is held, {told} is told");
-        Step::Refused { version, reason }
+        let reason = format!("version {version} was published twice: {known} is held, {received} is told");
+        SubscriberAction::Refused { version, reason }
     }
 
-    fn offer(&mut self, version: Version, document: Document) -> Step {
-        self.offered = Some(Held { version, document: document.clone() });
-        Step::Take { version, document }
+    fn propose(&mut self, version: Version, document: Document) -> SubscriberAction {
+        self.pending = Some(VersionedDocument { version, document: document.clone() });
+        SubscriberAction::Apply { version, document }
     }
 
-    fn refuse(&self, version: Version, why: &VerifyError) -> Step {
-        Step::Refused { version, reason: why.to_string() }
+    fn refuse(&self, version: Version, error: &VerifyError) -> SubscriberAction {
+        SubscriberAction::Refused { version, reason: error.to_string() }
     }
 
-    fn refused_before(&self, version: Version, digest: Digest) -> Option<Step> {
+    fn refused_before(&self, version: Version, digest: Digest) -> Option<SubscriberAction> {
         let refusal = self.refused.as_ref()?;
         let is_same = refusal.version == version && refusal.digest == digest;
-        is_same.then(|| Step::Refused { version, reason: refusal.reason.clone() })
+        is_same.then(|| SubscriberAction::Refused { version, reason: refusal.reason.clone() })
     }
 
-    fn resync(&mut self, wants_snapshot: bool) -> Step {
+    fn resync(&mut self, wants_snapshot: bool) -> SubscriberAction {
         self.wants_snapshot |= wants_snapshot;
-        Step::Resync
+        SubscriberAction::Resync
     }
 
-    /// In force or on offer.
-    fn newest_held(&self) -> Version {
-        self.offered.as_ref().map_or(self.in_force.version, |offered| offered.version)
+    /// The newest version in force or pending.
+    fn newest_known(&self) -> Version {
+        self.pending.as_ref().map_or(self.in_force.version, |pending| pending.version)
     }
 
-    fn base(&self, version: Version) -> Option<&Document> {
-        let held = self.offered.iter().chain([&self.in_force]).find(|held| held.version == version);
-        held.map(|held| &held.document)
+    fn known_document(&self, version: Version) -> Option<&Document> {
+        let mut known = self.pending.iter().chain([&self.in_force]);
+        known.find(|known| known.version == version).map(|known| &known.document)
     }
 }
 
--- a/configuration/tests/documents.rs
+++ b/configuration/tests/documents.rs
@@ -71,7 +71,7 @@
         bytes[place] = random.next() as u8;
         let Ok(text) = String::from_utf8(bytes) else { continue };
         let mut subscriber = Subscriber::new(3, 7, Version(1), old);
-        if let Step::Take { version, document } = subscriber.on_message(0, &text) {
+        if let SubscriberAction::Apply { version, document } = subscriber.on_message(0, &text) {
             assert_eq!((version.0 > 1, document.digest()), (true, new.digest()));
         }
     }
--- a/configuration/tests/model.rs
+++ b/configuration/tests/model.rs
@@ -50,7 +50,7 @@
 #[derive(Default)]
 struct Machine {
     publisher: Option<Publisher>,
-    streams: BTreeMap<usize, (Connection, Stream)>,
+    streams: BTreeMap<usize, (ConnectionId, Stream)>,
 }
 
 /// How often what happened, so that no run passes because nothing did.
@@ -216,7 +216,7 @@
         let mut publisher = Publisher::new(Pacing::default());
         let older = self.random.below(self.published.len() + 1);
         if let Some((version, document)) = self.published.iter().nth(older) {
-            assert_eq!(publisher.merge(*version, document.clone()), Merge::Taken);
+            assert_eq!(publisher.merge(*version, document.clone()), MergeResult::Added);
             self.counts.stale_machines += 1;
         }
         self.machines[machine].publisher = Some(publisher);
@@ -302,7 +302,7 @@
                 Parcel::Report { machine, text, gateway } => self.on_report(gateway, machine, &text),
                 Parcel::Merge { to, version, document, .. } => {
                     if let Some(publisher) = &mut self.machines[to].publisher {
-                        assert_ne!(publisher.merge(version, document), Merge::Conflict);
+                        assert_ne!(publisher.merge(version, document), MergeResult::Conflict);
                     }
                 }
             }
@@ -313,19 +313,19 @@
         let now_us = self.now_us;
         let gateway = &mut self.gateways[number];
         match gateway.subscriber.on_message(now_us, text) {
-            Step::Nothing => {}
-            Step::Take { version, document } => {
+            SubscriberAction::Nothing => {}
+            SubscriberAction::Apply { version, document } => {
                 assert!(version > gateway.has, "{version} over {}", gateway.has);
                 let published = self.published.get(&version).map(Document::canonical);
                 assert_eq!(Some(document.canonical()), published, "{version} is something else");
                 let at_us = now_us + self.random.next() % (SECOND_US / 2);
                 gateway.taking = Some(Taking { at_us, version, document });
             }
-            Step::Refused { version, reason } => {
+            SubscriberAction::Refused { version, reason } => {
                 assert!(is_bad(&self.published[&version]), "{version} is good: {reason}");
-                gateway.report = Some((gateway.subscriber.refusal(version, &reason), now_us));
+                gateway.report = Some((gateway.subscriber.refusal_report(version, &reason), now_us));
             }
-            Step::Resync => {
+            SubscriberAction::Resync => {
                 self.counts.resyncs += 1;
                 self.close(number);
             }
@@ -372,7 +372,10 @@
         } else {
             self.counts.refused += 1;
         }
-        let report = gateway.subscriber.taken(taking.version, result);
+        let report = match &result {
+            Ok(()) => gateway.subscriber.on_applied(taking.version),
+            Err(reason) => gateway.subscriber.on_refused(taking.version, reason),
+        };
         assert_eq!(report, expected);
         gateway.report = Some((report, now_us));
     }
@@ -395,17 +398,17 @@
     fn open(&mut self, number: usize) {
         let now_us = self.now_us;
         let gateway = &mut self.gateways[number];
-        let machine = gateway.subscriber.machine();
+        let machine = gateway.subscriber.server();
         let publisher = self.machines[machine].publisher.as_mut();
         let Some(publisher) = publisher.filter(|_| !self.cut.contains(&(number, machine))) else {
-            gateway.subscriber.disconnected(now_us);
+            gateway.subscriber.on_disconnected(now_us);
             return;
         };
         let position = gateway.subscriber.position();
-        let connection = publisher.join(now_us, gateway.id.clone(), position.version, position.digest);
+        let connection = publisher.connect(now_us, gateway.id.clone(), position.version, position.digest);
         self.streams += 1;
         gateway.stream = Some((machine, self.streams));
-        gateway.subscriber.connected(now_us);
+        gateway.subscriber.on_connected(now_us);
         self.machines[machine].streams.insert(number, (connection, self.streams));
     }
 
@@ -415,19 +418,19 @@
         }
         let gateway = &mut self.gateways[number];
         gateway.stream = None;
-        gateway.subscriber.disconnected(self.now_us);
+        gateway.subscriber.on_disconnected(self.now_us);
     }
 
-    fn stream_at_machine(&self, number: usize) -> Option<(usize, Connection)> {
+    fn stream_at_machine(&self, number: usize) -> Option<(usize, ConnectionId)> {
         let (machine, stream) = self.gateways[number].stream?;
         let (connection, at_machine) = self.machines[machine].streams.get(&number)?;
         (*at_machine == stream).then_some((machine, *connection))
     }
 
-    fn leave(&mut self, machine: usize, number: usize, connection: Connection) {
+    fn leave(&mut self, machine: usize, number: usize, connection: ConnectionId) {
         let id = &self.gateways[number].id;
         if let Some(publisher) = &mut self.machines[machine].publisher {
-            publisher.leave(id, connection);
+            publisher.disconnect(id, connection);
         }
     }
 
--- a/configuration/tests/recorded_messages.rs
+++ b/configuration/tests/recorded_messages.rs
@@ -133,17 +133,17 @@
     let documents = documents();
     let lines: Vec<&str> = MESSAGES.lines().collect();
     let mut subscriber = Subscriber::new(1, 7, Version::NONE, Document::default());
-    let taken = |number: usize| Step::Take {
+    let taken = |number: usize| SubscriberAction::Apply {
         version: Version(number as u64 + 1),
         document: documents[number].clone(),
     };
     // A snapshot, the difference to the next version, and its heartbeat.
     assert_eq!(subscriber.on_message(0, lines[0]), taken(0));
-    subscriber.taken(Version(1), Ok(()));
+    subscriber.on_applied(Version(1));
     assert_eq!(subscriber.on_message(1, lines[4]), taken(1));
-    subscriber.taken(Version(2), Ok(()));
-    assert_eq!(subscriber.on_message(2, lines[8]), Step::Nothing);
+    subscriber.on_applied(Version(2));
+    assert_eq!(subscriber.on_message(2, lines[8]), SubscriberAction::Nothing);
     assert_eq!(subscriber.position(), Position { version: Version(2), digest: documents[1].digest() });
     // The difference from version 3 is for another gateway.
-    assert_eq!(subscriber.on_message(3, lines[7]), Step::Resync);
+    assert_eq!(subscriber.on_message(3, lines[7]), SubscriberAction::Resync);
 }
--- a/gateway/src/net/configuration.rs
+++ b/gateway/src/net/configuration.rs
@@ -4,7 +4,9 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-use wrenhatch_configuration::{Document, GatewayId, MAX_MESSAGE_BYTES, Report, Step, Subscriber, Version};
+use wrenhatch_configuration::{
+    Document, GatewayId, MAX_MESSAGE_BYTES, Report, Subscriber, SubscriberAction, Version,
+};
 use wrenhatch_sessions::timer_wheel::TimerId;
 
 use super::conn::{Conn, Phase, ReadEnd};
@@ -83,7 +85,7 @@
     }
 
     fn machine(&self) -> SocketAddr {
-        self.machines[self.subscriber.machine()]
+        self.machines[self.subscriber.server()]
     }
 
     fn stream_key(&self) -> u64 {
@@ -178,11 +180,11 @@
                 control::open(&follower.gateway, follower.subscriber.position(), &mut conn.output);
                 follower.up = Some((conn, EventStream::new(LONGEST_EVENT)));
                 follower.opened_us = now_us;
-                follower.subscriber.connected(now_us);
+                follower.subscriber.on_connected(now_us);
             }
             Err(e) => {
                 tracing::warn!("control machine at {address}: {e}");
-                follower.subscriber.disconnected(now_us);
+                follower.subscriber.on_disconnected(now_us);
             }
         }
     }
@@ -192,7 +194,7 @@
         let Some(follower) = &mut self.control else { return };
         if let Some((conn, _)) = follower.up.take() {
             conn.close(&self.poll);
-            follower.subscriber.disconnected(self.time.now_us);
+            follower.subscriber.on_disconnected(self.time.now_us);
         }
         self.await_control();
     }
@@ -231,7 +233,7 @@
         let before = stream.lines();
         let read = stream.read(&mut conn.input);
         if stream.lines() > before {
-            follower.subscriber.heard(now_us);
+            follower.subscriber.on_activity(now_us);
         }
         while let Some(message) = self.next_message() {
             if self.take_message(&message).is_err() {
@@ -260,14 +262,14 @@
             tracing::info!(version = %newest, "configuration published");
         }
         match step {
-            Step::Nothing => {}
-            Step::Take { version, document } => self.take_configuration(version, &document),
-            Step::Refused { version, reason } => {
-                let report = follower.subscriber.refusal(version, &reason);
+            SubscriberAction::Nothing => {}
+            SubscriberAction::Apply { version, document } => self.take_configuration(version, &document),
+            SubscriberAction::Refused { version, reason } => {
+                let report = follower.subscriber.refusal_report(version, &reason);
                 self.refused(version, reason);
                 self.report(report);
             }
-            Step::Resync => return Err(Resync),
+            SubscriberAction::Resync => return Err(Resync),
         }
         Ok(())
     }
@@ -282,7 +284,10 @@
         if result.is_ok() {
             follower.refusal = None;
         }
-        let report = follower.subscriber.taken(version, result);
+        let report = match result {
+            Ok(()) => follower.subscriber.on_applied(version),
+            Err(reason) => follower.subscriber.on_refused(version, &reason),
+        };
         self.report(report);
     }
 
--- a/lab/src/configuration/cost.rs
+++ b/lab/src/configuration/cost.rs
@@ -6,8 +6,8 @@
 use anyhow::Context;
 use serde::Serialize;
 use wrenhatch_configuration::{
-    Delta, Document, GatewayId, HEARTBEAT_US, HISTORY_VERSIONS, Message, Pacing, Publisher, Report, Snapshot,
-    Step, Subscriber, Version,
+    Delta, Document, GatewayId, HEARTBEAT_INTERVAL_US, HISTORY_VERSIONS, Message, Pacing, Publisher, Report,
+    Snapshot, Subscriber, SubscriberAction, Version,
 };
 
 use super::settings::{Author, Size};
@@ -91,7 +91,7 @@
     let subscriber_delta_us = subscriber_us(&versions[0], &deltas)?;
     let subscriber_snapshot_us = subscriber_us(&versions[0], &snapshots[1..])?;
     let subscriber_heartbeat_us = heartbeat_us(&versions[0])?;
-    let heartbeats_per_s = SECOND_US as f64 / HEARTBEAT_US as f64;
+    let heartbeats_per_s = SECOND_US as f64 / HEARTBEAT_INTERVAL_US as f64;
     let core_percent = |change_us: f64| {
         let per_s_us =
             change_us * CHANGES_PER_DAY as f64 / DAY_S + subscriber_heartbeat_us * heartbeats_per_s;
@@ -129,14 +129,14 @@
 
 fn take(subscriber: &mut Subscriber, text: &str) -> anyhow::Result<()> {
     let step = subscriber.on_message(0, text);
-    let Step::Take { version, .. } = step else { anyhow::bail!("nothing to take: {step:?}") };
-    black_box(subscriber.taken(version, Ok(())));
+    let SubscriberAction::Apply { version, .. } = step else { anyhow::bail!("nothing to take: {step:?}") };
+    black_box(subscriber.on_applied(version));
     Ok(())
 }
 
 fn subscriber_us(first: &(Version, Document), texts: &[String]) -> anyhow::Result<f64> {
     let mut subscriber = Subscriber::new(MACHINES, 1, first.0, first.1.clone());
-    subscriber.connected(0);
+    subscriber.on_connected(0);
     let began_us = cpu_us()?;
     for text in texts {
         take(&mut subscriber, text)?;
@@ -146,7 +146,7 @@
 
 fn heartbeat_us(first: &(Version, Document)) -> anyhow::Result<f64> {
     let mut subscriber = Subscriber::new(MACHINES, 1, first.0, first.1.clone());
-    subscriber.connected(0);
+    subscriber.on_connected(0);
     let text = Message::Current(first.0).encode();
     let began_us = cpu_us()?;
     for _ in 0..HEARTBEATS {
@@ -179,10 +179,10 @@
     publisher.publish(*first, document.clone())?;
     for number in 0..gateways {
         // Spread, so that heartbeats don't fall together.
-        let joins_us = HEARTBEAT_US * number as u64 / gateways as u64;
-        publisher.join(joins_us, GatewayId(format!("gateway-{number:04}")), *first, document.digest());
+        let joins_us = HEARTBEAT_INTERVAL_US * number as u64 / gateways as u64;
+        publisher.connect(joins_us, GatewayId(format!("gateway-{number:04}")), *first, document.digest());
     }
-    let heartbeats_us = HEARTBEAT_US * HEARTBEAT_ROUNDS;
+    let heartbeats_us = HEARTBEAT_INTERVAL_US * HEARTBEAT_ROUNDS;
     let mut now_us = 0;
     let before_us = cpu_us()?;
     run_until(&mut publisher, &mut now_us, heartbeats_us)?;
--- a/lab/src/configuration/fleet.rs
+++ b/lab/src/configuration/fleet.rs
@@ -6,7 +6,8 @@
 
 use hdrhistogram::Histogram;
 use wrenhatch_configuration::{
-    Connection, Document, GatewayId, Merge, Pacing, Publisher, Report, Step, Subscriber, Version,
+    ConnectionId, Document, GatewayId, MergeResult, Pacing, Publisher, Report, Subscriber, SubscriberAction,
+    Version,
 };
 
 use super::network::Network;
@@ -121,7 +122,7 @@
 
 struct Machine {
     publisher: Option<Publisher>,
-    streams: HashMap<GatewayId, (Connection, usize, Stream)>,
+    streams: HashMap<GatewayId, (ConnectionId, usize, Stream)>,
     is_cut: bool,
     turn_at_us: u64,
 }
@@ -439,7 +440,7 @@
     }
 
     fn open(&mut self, number: usize) {
-        let machine = self.gateways[number].subscriber.machine();
+        let machine = self.gateways[number].subscriber.server();
         self.streams += 1;
         let stream = self.streams;
         let gateway = &mut self.gateways[number];
@@ -476,9 +477,9 @@
         };
         gateway.is_opening = false;
         gateway.last_arrival_us = 0;
-        gateway.subscriber.connected(now_us);
+        gateway.subscriber.on_connected(now_us);
         let position = gateway.subscriber.position();
-        let connection = publisher.join(now_us, gateway.id.clone(), position.version, position.digest);
+        let connection = publisher.connect(now_us, gateway.id.clone(), position.version, position.digest);
         let id = gateway.id.clone();
         self.machines[machine].streams.insert(id, (connection, number, stream));
         self.add_traffic(number, machine, REQUEST_BYTES);
@@ -491,7 +492,7 @@
         let gateway = &mut self.gateways[number];
         gateway.is_opening = false;
         let Some((machine, stream)) = gateway.stream.take() else { return };
-        gateway.subscriber.disconnected(now_us);
+        gateway.subscriber.on_disconnected(now_us);
         let id = gateway.id.clone();
         if !is_told || !self.is_passable(number, machine) {
             return;
@@ -501,7 +502,7 @@
             (&mut self.machines[machine].publisher, at_machine)
             && there == stream
         {
-            publisher.leave(&id, connection);
+            publisher.disconnect(&id, connection);
         }
     }
 
@@ -513,17 +514,17 @@
             return;
         }
         match gateway.subscriber.on_message(now_us, text) {
-            Step::Nothing => {}
-            Step::Take { version, document } => {
+            SubscriberAction::Nothing => {}
+            SubscriberAction::Apply { version, document } => {
                 let life = gateway.life;
                 let is_good = is_good(&document);
                 self.after(APPLY_US, Event::Applied { gateway: number, life, version, is_good });
             }
-            Step::Refused { version, reason } => {
-                gateway.report = Some((gateway.subscriber.refusal(version, &reason), now_us));
+            SubscriberAction::Refused { version, reason } => {
+                gateway.report = Some((gateway.subscriber.refusal_report(version, &reason), now_us));
                 self.tell(number);
             }
-            Step::Resync => self.close(number, true),
+            SubscriberAction::Resync => self.close(number, true),
         }
     }
 
@@ -546,9 +547,12 @@
             self.restart_gateway(number, pause_us);
             return;
         }
-        let result = if is_good { Ok(()) } else { Err("aim of class 0 is negative".to_owned()) };
-        self.refused += u64::from(!is_good);
-        let report = gateway.subscriber.taken(version, result);
+        let report = if is_good {
+            gateway.subscriber.on_applied(version)
+        } else {
+            self.refused += 1;
+            gateway.subscriber.on_refused(version, &"aim of class 0 is negative")
+        };
         gateway.report = Some((report, now_us));
         self.count(number);
         self.tell(number);
@@ -662,7 +666,7 @@
     fn on_merge(&mut self, machine: usize, version: Version, document: Document) {
         let Some(publisher) = &mut self.machines[machine].publisher else { return };
         let merged = publisher.merge(version, document);
-        debug_assert_ne!(merged, Merge::Conflict);
+        debug_assert_ne!(merged, MergeResult::Conflict);
         self.wake(machine);
     }
 
