--- a/gateway/src/control/tests.rs
+++ b/gateway/src/control_plane/requests/tests.rs
@@ -3,14 +3,14 @@
 use super::*;
 
 #[test]
-fn calls_say_who_asks_and_what_is_in_force() {
+fn requests_name_the_gateway_and_the_version_in_force() {
     let mut out = Vec::new();
     let position = Position { version: Version(7), digest: Digest(0x2a) };
-    open(&"g 1\r\nX: y".into(), position, &mut out);
+    write_stream_request(&"g 1\r\nX: y".into(), position, &mut out);
     let text = String::from_utf8(out).unwrap();
     assert!(text.contains("\r\nGateway: g1X:y\r\nVersion: 7\r\nDigest: 000000000000002a\r\n\r\n"), "{text}");
     let mut out = Vec::new();
-    report(&"g1".into(), &Report::Applied { version: Version(7) }, &mut out);
+    write_report_request(&"g1".into(), &Report::Applied { version: Version(7) }, &mut out);
     let text = String::from_utf8(out).unwrap();
     let (head, body) = text.split_once("\r\n\r\n").unwrap();
     assert!(head.contains(&format!("Content-Length: {}\r\n", body.len())));
@@ -18,16 +18,18 @@
 }
 
 #[test]
-fn only_no_content_takes_a_report() {
+fn only_no_content_accepts_a_report() {
     let whole = b"HTTP/1.1 204 No Content\r\nA: b\r\n\r\n";
     for n in 0..whole.len() {
-        assert_eq!(is_taken(&whole[..n]), None, "{n}");
+        assert_eq!(read_report_response(&whole[..n]), ReportResponse::Incomplete, "{n}");
     }
-    assert_eq!(is_taken(whole), Some(true));
-    assert_eq!(is_taken(b"HTTP/1.1 503 Later\r\n\r\n"), Some(false));
-    assert_eq!(is_taken(b"\x16\x03\x01"), Some(false));
+    assert_eq!(read_report_response(whole), ReportResponse::Accepted);
+    assert_eq!(read_report_response(b"HTTP/1.1 503 Later\r\n\r\n"), ReportResponse::Failed);
+    assert_eq!(read_report_response(b"\x16\x03\x01"), ReportResponse::Failed);
     assert_eq!(
-        is_taken(&[b"HTTP/1.1 204 No Content\r\nA: ", &[b'a'; LONGEST_ANSWER][..]].concat()),
-        Some(false)
+        read_report_response(
+            &[b"HTTP/1.1 204 No Content\r\nA: ", &[b'a'; MAX_REPORT_RESPONSE_BYTES][..]].concat()
+        ),
+        ReportResponse::Failed
     );
 }
--- a/gateway/src/lib.rs
+++ b/gateway/src/lib.rs
@@ -3,7 +3,7 @@
 
 pub mod admission;
 pub mod config;
-pub mod control;
+pub mod control_plane;
 pub mod core;
 pub mod counters;
 pub mod discovery;
@@ -12,10 +12,10 @@
 pub mod front;
 pub mod handover;
 pub mod json;
+pub mod live_reconfiguration;
 pub mod metrics;
 pub mod mysql;
 pub mod net;
 pub mod ops;
-pub mod settings_change;
 pub mod tenants;
 pub mod timer_lag;
--- a/gateway/src/settings_change/tests.rs
+++ b/gateway/src/live_reconfiguration/tests.rs
@@ -1,5 +1,8 @@
-//! Numbers of classes, kinds, zones and tenants through changes, against what names say.
+//! Numbers of classes, machine types, zones and tenants through changes, compared with the names.
 
+use workload_manager::interface::*;
+
+use super::slots::MAX_NAMES;
 use super::*;
 use crate::config::{SiteSettings, parse_site_settings};
 
@@ -23,7 +26,7 @@
     parse_site_settings(text).unwrap()
 }
 
-/// Settings in force and what is under way, as the gateway has them.
+/// Settings in force, and the classes of requests in flight.
 struct InForce {
     names: SettingsNames,
     settings: Settings,
@@ -36,18 +39,18 @@
         Self { names: site.names, settings: site.settings, in_use: BTreeSet::new() }
     }
 
-    fn plan(&self, text: &str) -> Result<Plan, Refusal> {
-        let fresh = site(text);
-        let old = Named { names: &self.names, settings: &self.settings };
-        let fresh = Named { names: &fresh.names, settings: &fresh.settings };
-        plan(old, fresh, &self.in_use, std::iter::empty())
+    fn prepare(&self, text: &str) -> Result<PreparedSettings, SettingsRefused> {
+        let new = site(text);
+        let current = NamedSettings { names: &self.names, settings: &self.settings };
+        let new = NamedSettings { names: &new.names, settings: &new.settings };
+        prepare(current, new, &self.in_use, std::iter::empty())
     }
 
-    /// Takes it over and says where the classes come from.
-    fn take(&mut self, text: &str) -> Vec<ClassOrigin> {
-        let plan = self.plan(text).unwrap();
-        (self.names, self.settings) = (plan.names, plan.change.settings);
-        plan.change.origins
+    /// Applies settings and returns the origins of the classes.
+    fn apply(&mut self, text: &str) -> Vec<ClassOrigin> {
+        let prepared = self.prepare(text).unwrap();
+        (self.names, self.settings) = (prepared.names, prepared.change.settings);
+        prepared.change.origins
     }
 }
 
@@ -59,41 +62,41 @@
 fn the_same_settings_change_no_number() {
     let mut in_force = InForce::new();
     let before = (in_force.names.classes.clone(), in_force.settings.clone());
-    assert_eq!(in_force.take(BASE), [ClassOrigin::Unchanged; 3]);
+    assert_eq!(in_force.apply(BASE), [ClassOrigin::Unchanged; 3]);
     assert_eq!((in_force.names.classes, in_force.settings), before);
 }
 
 #[test]
-fn classes_go_by_name_and_not_by_place() {
+fn classes_are_identified_by_name_and_not_by_position() {
     let mut in_force = InForce::new();
     let moved = BASE.replace(LOOKUP, "").replace("\"parallelism\":[1,4,2]", "\"parallelism\":[4,2]");
     let moved = moved.replace(
         "\"keep-order\":true}]",
         "\"keep-order\":true},\n{\"aim-s\":1,\"deadline-s\":1,\"name\":\"new\"}]",
     );
-    assert_eq!(in_force.take(&moved), [ClassOrigin::New, ClassOrigin::Unchanged, ClassOrigin::Unchanged]);
+    assert_eq!(in_force.apply(&moved), [ClassOrigin::New, ClassOrigin::Unchanged, ClassOrigin::Unchanged]);
     let class = |name: &str| in_force.names.class(name);
     assert_eq!((class("lookup"), class("report"), class("load")), (None, Some(ClassId(1)), Some(ClassId(2))));
     assert_eq!(class("new"), Some(ClassId(0)), "nothing was under way in the slot of lookup");
 }
 
 #[test]
-fn what_is_under_way_keeps_its_class_until_it_has_ended() {
+fn requests_in_flight_keep_their_class_until_they_end() {
     let mut in_force = InForce::new();
     in_force.in_use.insert(ClassId(0));
-    let origins = in_force.take(&deadline(5));
+    let origins = in_force.apply(&deadline(5));
     let kept = ClassOrigin::Unchanged;
     assert_eq!(origins, [ClassOrigin::Retired, kept, kept, ClassOrigin::DerivedFrom(ClassId(0))]);
     assert_eq!(in_force.names.class("lookup"), Some(ClassId(3)));
-    assert_eq!(in_force.settings.classes[0].deadline, 3.0, "the rule that it came with");
+    assert_eq!(in_force.settings.classes[0].deadline, 3.0, "the rule that it was admitted with");
     assert_eq!(in_force.settings.classes[3].deadline, 5.0);
-    assert_eq!(in_force.names.classes[0], "lookup", "engines and figures still know it by its name");
+    assert_eq!(in_force.names.classes[0], "lookup", "engines and metrics still know it by its name");
     // Even the old settings again don't bring a retired class back while its slot is in use.
-    let origins = in_force.take(BASE);
+    let origins = in_force.apply(BASE);
     assert_eq!(origins[0], ClassOrigin::Retired);
     assert_eq!(origins[3], ClassOrigin::DerivedFrom(ClassId(3)));
     in_force.in_use.clear();
-    let origins = in_force.take(&deadline(7));
+    let origins = in_force.apply(&deadline(7));
     assert_eq!(origins[0], ClassOrigin::DerivedFrom(ClassId(3)), "the slot is used again");
     assert_eq!(origins[3], ClassOrigin::Retired);
 }
@@ -104,7 +107,7 @@
     for n in 0..3_100 {
         // What came before the change is under way until the next one.
         in_force.in_use = in_force.names.class("lookup").into_iter().collect();
-        in_force.take(&deadline(n % 50 + 1));
+        in_force.apply(&deadline(n % 50 + 1));
         assert_eq!(
             in_force.names.class("lookup").map(|c| in_force.settings.classes[c.0].deadline),
             Some(f64::from(n % 50 + 1))
@@ -113,7 +116,7 @@
     assert!(in_force.settings.classes.len() <= 5, "{} slots", in_force.settings.classes.len());
     let tenant = |n| BASE.replace("acme", &format!("tenant-{n}"));
     for n in 0..1_000 {
-        in_force.take(&tenant(n));
+        in_force.apply(&tenant(n));
     }
     assert_eq!(in_force.settings.tenants.len(), 1);
 }
@@ -123,16 +126,16 @@
     let mut in_force = InForce::new();
     let two = r#""projects":[{"name":"new","quota-per-s":1.0},{"name":"acme","quota-per-s":2.0}]"#;
     let projects = r#""projects":[{"name":"acme","quota-per-s":100.0}]"#;
-    in_force.take(&BASE.replace(projects, two));
+    in_force.apply(&BASE.replace(projects, two));
     assert_eq!(in_force.names.tenant("acme"), Some(TenantId(0)));
     assert_eq!(in_force.names.tenant("new"), Some(TenantId(1)));
     assert_eq!([0, 1].map(|at| in_force.settings.tenants[at].quota_per_second), [2.0, 1.0]);
-    in_force.take(&BASE.replace(projects, r#""projects":[{"name":"new","quota-per-s":1.0}]"#));
+    in_force.apply(&BASE.replace(projects, r#""projects":[{"name":"new","quota-per-s":1.0}]"#));
     assert_eq!((in_force.names.tenant("acme"), in_force.names.tenant("new")), (None, Some(TenantId(1))));
 }
 
 #[test]
-fn kinds_and_zones_keep_the_numbers_that_engines_go_by() {
+fn machine_types_and_zones_keep_their_numbers() {
     let mut in_force = InForce::new();
     // The list names a kind that the settings don't.
     assert_eq!(SettingsNames::find_or_add(&mut in_force.names.machine_types, "of-the-list"), 1);
@@ -141,7 +144,7 @@
         "\"kind-cores\":[16],\"memory-by-kind-mb\":[32768.0]",
         "\"kind-cores\":[64,8],\"memory-by-kind-mb\":[9.0,7.0]",
     );
-    let origins = in_force.take(&text);
+    let origins = in_force.apply(&text);
     assert_eq!(origins, [ClassOrigin::Unchanged; 3], "a class bound to a kind is the same class");
     assert_eq!(in_force.names.machine_types, ["k", "of-the-list", "big"]);
     let kind = |at: usize| {
@@ -149,7 +152,7 @@
     };
     assert_eq!((kind(0), kind(2)), ((8.0, 7.0), (64.0, 9.0)));
     assert_eq!(kind(1).1, 0.0, "nothing is known of its memory");
-    in_force.take(BASE);
+    in_force.apply(BASE);
     let kind = |at: usize| {
         (in_force.settings.machine_types[at].cores, in_force.settings.machine_types[at].memory_mb)
     };
@@ -157,10 +160,10 @@
 }
 
 #[test]
-fn what_cannot_change_in_service_is_refused_with_its_reason() {
+fn unchangeable_settings_are_refused_with_the_reason() {
     let mut in_force = InForce::new();
     let refused = |text: &str, part: &str| {
-        let reason = in_force.plan(text).unwrap_err().to_string();
+        let reason = in_force.prepare(text).unwrap_err().to_string();
         assert!(reason.contains(part), "{reason}");
     };
     refused(&BASE.replace("\"locality\":\"z\"", "\"locality\":\"y\""), "own zone (locality) can't change");
@@ -168,12 +171,12 @@
     refused(&BASE.replace("\"report\",\"repeat\"", "\"lookup\",\"repeat\""), "classes names lookup twice");
     refused(&BASE.replace("\"deadline-s\":3.0", "\"deadline-s\":0"), "class lookup");
     let fresh = site(BASE);
-    let named = Named { names: &in_force.names, settings: &in_force.settings };
-    let new = Named { names: &fresh.names, settings: &fresh.settings };
-    let missing = plan(named, new, &BTreeSet::new(), ["gone"].into_iter()).unwrap_err();
-    assert_eq!(missing, Refusal::TenantInUse("gone".to_owned()));
-    in_force.names.zones.extend((0..MOST_PLACES).map(|n| n.to_string()));
+    let current = NamedSettings { names: &in_force.names, settings: &in_force.settings };
+    let new = NamedSettings { names: &fresh.names, settings: &fresh.settings };
+    let missing = prepare(current, new, &BTreeSet::new(), ["gone"].into_iter()).unwrap_err();
+    assert_eq!(missing, SettingsRefused::TenantInUse("gone".to_owned()));
+    in_force.names.zones.extend((0..MAX_NAMES).map(|n| n.to_string()));
     let text = BASE.replace("\"zones\":[\"z\"]", "\"zones\":[\"z\",\"new\"]");
-    assert_eq!(in_force.plan(&text).unwrap_err(), Refusal::TooManyNames { list: "zones" });
-    assert!(in_force.plan(BASE).is_ok(), "what brings no name is taken all the same");
+    assert_eq!(in_force.prepare(&text).unwrap_err(), SettingsRefused::TooManyNames { list: "zones" });
+    assert!(in_force.prepare(BASE).is_ok(), "what brings no name is taken all the same");
 }
--- /dev/null
+++ b/gateway/src/net/live_reconfiguration.rs
@@ -0,0 +1,50 @@
+//! Applies new settings between two turns of the loop, while the gateway serves: all of them or none.
+
+use std::collections::BTreeSet;
+
+use workload_manager::interface::{Class, ClassId};
+
+use super::{Server, sessions};
+use crate::config::{self, SiteSettings};
+use crate::live_reconfiguration::{
+    NamedSettings, PreparedSettings, ReconfigurationError, SettingsRefused, prepare,
+};
+
+impl Server {
+    /// Applies the `settings` object of a configuration. Requests in flight keep the classes that they came with, and
+    /// the deadlines that follow from them.
+    ///
+    /// # Errors
+    /// Why nothing was changed.
+    pub(super) fn reconfigure(&mut self, text: &str) -> Result<(), ReconfigurationError> {
+        let new = config::parse_site_settings(text)?;
+        let prepared = self.prepare_settings(&new)?;
+        let active: Vec<Class> = prepared.change.active_classes().into_iter().cloned().collect();
+        self.core.reconfigure(prepared.change.clone())?;
+        // From here on nothing fails.
+        self.names = prepared.names;
+        self.config.settings = prepared.change.settings;
+        self.config.engine_idle_timeout_us = new.engine_idle_timeout_us;
+        self.config.connect_timeout_us = new.connect_timeout_us;
+        self.config.max_open_requests = new.max_open_requests;
+        self.metrics.rename(self.names.classes.iter().map(String::as_str));
+        let deadlines = || active.iter().map(|class| class.deadline);
+        self.sessions.scheduler.set_limits(sessions::governor_limits(&self.config, deadlines()));
+        self.shutdown.set_deadlines(deadlines());
+        Ok(())
+    }
+
+    fn prepare_settings(&self, new: &SiteSettings) -> Result<PreparedSettings, SettingsRefused> {
+        let current = NamedSettings { names: &self.names, settings: &self.config.settings };
+        let new = NamedSettings { names: &new.names, settings: &new.settings };
+        let tenants = self.config.mysql.iter().flat_map(|mysql| mysql.directory.tenants());
+        prepare(current, new, &self.classes_in_use(), tenants)
+    }
+
+    /// The classes of open requests and of attempts in flight.
+    fn classes_in_use(&self) -> BTreeSet<ClassId> {
+        let mut in_use = self.core.classes_in_use();
+        in_use.extend(self.requests.open.values().map(|request| request.class));
+        in_use
+    }
+}
--- a/gateway/src/net/mod.rs
+++ b/gateway/src/net/mod.rs
@@ -8,13 +8,13 @@
 pub mod poll;
 
 mod clients;
-mod configuration;
+mod control_plane;
 mod engines;
 mod handover;
 mod listeners;
+mod live_reconfiguration;
 mod ops;
 mod pools;
-mod reconfigure;
 mod reload;
 mod requests;
 mod sessions;
@@ -34,6 +34,7 @@
 use wrenhatch_sessions::timer_wheel::TimerWheel;
 
 use crate::config::{Config, OWN_DESCRIPTORS, SettingsNames};
+use crate::control_plane::ControlPlaneClient;
 use crate::core::{Command, Core, Input};
 use crate::counters::Counters;
 use crate::discovery::{EndpointWatch, EngineRegistry};
@@ -99,8 +100,8 @@
     IdleLimit,
     /// The coordinator's stream is looked at.
     Watch,
-    /// The control machines' stream is looked at, and the report that is due.
-    Control,
+    /// The control plane's stream is checked, and the report that is due.
+    ControlPlane,
     /// The configuration's file is read again; how often that has failed.
     Reload(u32),
     /// Descriptors may be there again for new connections.
@@ -133,7 +134,7 @@
     requests: Requests,
     pools: pools::Pools,
     watch: watch::Watch,
-    control: Option<configuration::Follower>,
+    control_plane: Option<control_plane::ControlPlane>,
     ops: ops::Ops,
     family: handover::Family,
     registry: EngineRegistry,
@@ -178,10 +179,10 @@
                 config.memory_bytes,
                 config.seed as u32 as f64 / f64::from(u32::MAX),
             )),
-            control: config
-                .control_plane
-                .clone()
-                .map(|control| configuration::Follower::new(control, &config)),
+            control_plane: config.control_plane.clone().map(|settings| {
+                let client = ControlPlaneClient::new(settings, &config.name, config.seed);
+                control_plane::ControlPlane::new(client)
+            }),
             ops,
             family: handover::Family::default(),
             registry: EngineRegistry::new(config.memory_bytes),
@@ -192,7 +193,7 @@
             config,
         };
         server.timers.arm(0, Timer::Watch);
-        server.check_control();
+        server.check_control_plane();
         known_list.events.iter().for_each(|event| server.listed(event));
         let older = inheritance.map(|i| {
             server.take_over(i.messages);
@@ -257,7 +258,7 @@
                     (_, SESSION) => self.session_ready(key, interest),
                     (key, _) if key & OPS != 0 => self.caller_ready(key),
                     (key, _) if key & HANDOVER != 0 => self.peer_ready(key),
-                    (key, _) if key & CONTROL != 0 => self.control_ready(key, interest),
+                    (key, _) if key & CONTROL != 0 => self.control_plane_ready(key, interest),
                     (key, _) if key & REPORT != 0 => self.report_ready(key, interest),
                     _ => {}
                 }
@@ -345,7 +346,7 @@
                 Timer::Client(who) => self.client_late(who),
                 Timer::IdleLimit => self.close_long_idle(),
                 Timer::Watch => self.check_watch(),
-                Timer::Control => self.check_control(),
+                Timer::ControlPlane => self.check_control_plane(),
                 Timer::Reload(failures) => self.reload(failures),
                 Timer::Listeners => self.listeners.resume(&self.poll),
                 Timer::Callers => self.callers_late(),
--- a/gateway/src/net/ops.rs
+++ b/gateway/src/net/ops.rs
@@ -134,7 +134,8 @@
         match call {
             Call::Status if self.shutdown.has_begun() => Err(No::Leaving),
             Call::Status => {
-                let configuration = self.control.as_ref().map(ToString::to_string).unwrap_or_default();
+                let configuration =
+                    self.control_plane.as_ref().map(|c| c.client.to_string()).unwrap_or_default();
                 Ok(format!("ready\n{configuration}"))
             }
             Call::Metrics => {
--- a/gateway/src/net/reload.rs
+++ b/gateway/src/net/reload.rs
@@ -40,8 +40,8 @@
         let gone = |old: &[String], new: &[String]| -> Vec<String> {
             old.iter().filter(|name| !new.contains(name)).cloned().collect()
         };
-        if self.control.as_ref().is_some_and(|control| control.in_force() > Version::NONE) {
-            // What is in force came from a control machine and is not the file's.
+        if self.control_plane.as_ref().is_some_and(|c| c.client.in_force() > Version::NONE) {
+            // The settings in force came from the control plane and not from the file.
             return;
         }
         let (old, new) = (&self.names, &fresh.names);
--- a/gateway/tests/configuration.rs
+++ b/gateway/tests/configuration.rs
@@ -383,7 +383,7 @@
     let mut silent = machines[first].stream();
     silent.current(0);
     let mut stream = machines[second].stream();
-    gateway.logged("the control machine is silent");
+    gateway.logged("the control plane server is silent");
     stream.send(&snapshot(1, &start_settings().parse().unwrap()));
     machines[second].applied(1);
 }
--- a/gateway/tests/recorded_messages.rs
+++ b/gateway/tests/recorded_messages.rs
@@ -7,7 +7,7 @@
 
 use serde_json::Value;
 use workload_manager::interface::{ClassId, EndpointState, KeyId, Outcome};
-use wrenhatch::control;
+use wrenhatch::control_plane::{self, ReportResponse};
 use wrenhatch::counters::Counters;
 use wrenhatch::discovery::{Endpoint, EndpointListEvent, UnreadableEntry, parse_event, write_stream_request};
 use wrenhatch::event_stream::{EventStream, ServerSentEvent};
@@ -223,10 +223,12 @@
     vec![
         write(&|out| write_stream_request(0, out)),
         write(&|out| write_stream_request(u64::MAX, out)),
-        write(&|out| control::open(&"g 1\r\nX: y\u{e9}".into(), position, out)),
-        write(&|out| control::open(&"g1".into(), Position::default(), out)),
-        write(&|out| control::report(&"g1".into(), &Report::Applied { version: Version(8) }, out)),
-        write(&|out| control::report(&"g\u{e9}".into(), &refused, out)),
+        write(&|out| control_plane::write_stream_request(&"g 1\r\nX: y\u{e9}".into(), position, out)),
+        write(&|out| control_plane::write_stream_request(&"g1".into(), Position::default(), out)),
+        write(&|out| {
+            control_plane::write_report_request(&"g1".into(), &Report::Applied { version: Version(8) }, out)
+        }),
+        write(&|out| control_plane::write_report_request(&"g\u{e9}".into(), &refused, out)),
         write(&|out| ops::answer(Ok("serving\n"), out)),
         write(&|out| ops::answer(Ok(""), out)),
         write(&|out| ops::answer(Err(No::Unreadable), out)),
@@ -251,11 +253,11 @@
 
 #[test]
 fn a_report_s_answer_is_read_as_before() {
-    let answer = |text: &str| control::is_taken(text.as_bytes());
-    assert_eq!(answer("HTTP/1.1 204 No Content\r\nContent-Length: 0\r\n\r\n"), Some(true));
-    assert_eq!(answer("HTTP/1.1 204 No Content\r\n"), None);
-    assert_eq!(answer("HTTP/1.1 200 OK\r\n\r\n"), Some(false));
-    assert_eq!(answer("HTTP/1.1 409 Conflict\r\n\r\n"), Some(false));
+    let answer = |text: &str| control_plane::read_report_response(text.as_bytes());
+    assert_eq!(answer("HTTP/1.1 204 No Content\r\nContent-Length: 0\r\n\r\n"), ReportResponse::Accepted);
+    assert_eq!(answer("HTTP/1.1 204 No Content\r\n"), ReportResponse::Incomplete);
+    assert_eq!(answer("HTTP/1.1 200 OK\r\n\r\n"), ReportResponse::Failed);
+    assert_eq!(answer("HTTP/1.1 409 Conflict\r\n\r\n"), ReportResponse::Failed);
 }
 
 #[test]
