--- a/gateway/src/core/requests.rs
+++ b/gateway/src/core/requests.rs
@@ -1,6 +1,6 @@
 //! Open requests, and the one final answer of each.
 
-use workload_manager::interface::*;
+use workload_manager::*;
 use wrenhatch_sessions::timer_wheel::TimerId;
 
 use super::command::AttemptTerms;
--- a/gateway/src/live_reconfiguration/error.rs
+++ b/gateway/src/live_reconfiguration/error.rs
@@ -1,6 +1,6 @@
 //! Why new settings are not applied. In every case the settings in force stay as they are.
 
-use workload_manager::interface::SettingsError;
+use workload_manager::SettingsError;
 
 use super::slots::MAX_NAMES;
 use crate::config::ConfigError;
--- a/gateway/src/live_reconfiguration/mod.rs
+++ b/gateway/src/live_reconfiguration/mod.rs
@@ -11,7 +11,7 @@
 
 use std::collections::BTreeSet;
 
-use workload_manager::interface::{ClassId, Settings, SettingsChange};
+use workload_manager::{ClassId, Settings, SettingsChange};
 
 use crate::config::SettingsNames;
 
--- a/gateway/src/live_reconfiguration/slots.rs
+++ b/gateway/src/live_reconfiguration/slots.rs
@@ -9,7 +9,7 @@
 
 use std::collections::BTreeSet;
 
-use workload_manager::interface::*;
+use workload_manager::{Class, ClassId, ClassOrigin, MachineType, MachineTypeId, Settings, Tenant, ZoneId};
 
 use super::{NamedSettings, SettingsRefused};
 use crate::config::SettingsNames;
--- a/gateway/src/live_reconfiguration/tests.rs
+++ b/gateway/src/live_reconfiguration/tests.rs
@@ -1,6 +1,6 @@
 //! Numbers of classes, machine types, zones and tenants through changes, compared with the names.
 
-use workload_manager::interface::*;
+use workload_manager::*;
 
 use super::slots::MAX_NAMES;
 use super::*;
--- a/gateway/src/net/live_reconfiguration.rs
+++ b/gateway/src/net/live_reconfiguration.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use workload_manager::interface::{Class, ClassId};
+use workload_manager::{Class, ClassId};
 
 use super::{Server, sessions};
 use crate::config::{self, SiteSettings};
--- a/lab/src/capacity/error.rs
+++ b/lab/src/capacity/error.rs
@@ -4,8 +4,9 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
+use wrenhatch::config::TomlError;
+
 use super::experiment::Experiment;
-use super::target::Mistake;
 
 /// What is bounded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -43,7 +44,7 @@
     },
     /// The target can't be used.
     #[error(transparent)]
-    Target(#[from] Mistake),
+    Target(#[from] TomlError),
     /// A file can't be read or written.
     #[error("{path}: {source}")]
     File {
@@ -65,7 +66,7 @@
     Config(#[from] wrenhatch::config::ConfigError),
     /// The settings make no sense.
     #[error("settings: {0}")]
-    Settings(#[from] workload_manager::interface::SettingsError),
+    Settings(#[from] workload_manager::SettingsError),
     /// The gateway or a stand-in did not do what was waited for.
     #[error("{0}")]
     Peer(String),
