--- a/gateway/src/net/engines/list.rs
+++ b/gateway/src/net/engines/list.rs
@@ -1,8 +1,8 @@
-//! The list of engines as the network keeps it: addresses, states, and which engines are forgotten.
+//! The engines as the network knows them: addresses, states, and the ids under which the core knows them.
 
 use std::collections::BTreeSet;
 
-use workload_manager::*;
+use workload_manager::{EndpointEntry, EndpointListMode, EndpointState, EngineId, MachineTypeId, ZoneId};
 
 use super::{Engine, Server};
 use crate::config::SettingsNames;
@@ -10,94 +10,108 @@
 use crate::discovery::{Endpoint, EndpointListEvent};
 
 impl Server {
-    /// Takes in an event of the list.
-    pub(in crate::net) fn listed(&mut self, event: &EndpointListEvent) {
+    /// Applies an event of the endpoint list.
+    pub(in crate::net) fn apply_list_event(&mut self, event: &EndpointListEvent) {
         self.counters.list_events += 1;
-        // One line however many there are: a list of thousands may be wrong throughout.
+        // One line for all entries: a list of thousands may be wrong throughout.
         if let Some(first) = event.unreadable.first() {
-            let (engine, unread) = (first.name.as_deref().unwrap_or("unnamed"), event.unreadable.len());
             tracing::warn!(
                 event = event.index,
-                engine,
-                unread,
-                "an entry of the list can't be read: {}",
+                engine = first.name.as_deref().unwrap_or("unnamed"),
+                unread = event.unreadable.len(),
+                "an entry of the endpoint list can't be read: {}",
                 first.error
             );
         }
         let event = self.registry.apply(event);
-        self.take_list(&event);
+        self.update_engines(&event);
     }
 
-    /// Takes in news of engines as they count here: who is out by hand drains.
-    pub(in crate::net) fn take_list(&mut self, event: &EndpointListEvent) {
-        let mut entries = Vec::with_capacity(event.entries.len());
-        let mut stale = Vec::new();
+    /// Updates the engines by an event as the registry returns it, and passes it to the core.
+    pub(in crate::net) fn update_engines(&mut self, event: &EndpointListEvent) {
+        let mut stale_connections = Vec::new();
         if event.is_full {
-            let named: BTreeSet<EngineId> =
-                event.entries.iter().filter_map(|l| self.pools.ids.get(&l.name).copied()).collect();
-            for (id, e) in &mut self.pools.engines {
-                if !named.contains(id) {
-                    e.state = EndpointState::Removed;
-                    stale.extend(e.take_all_idle());
-                }
-            }
+            self.remove_unlisted(&event.entries, &mut stale_connections);
         }
-        for l in &event.entries {
-            let id = *self.pools.ids.entry(l.name.clone()).or_insert_with(|| {
-                self.pools.ids_given += 1;
-                EngineId(self.pools.ids_given - 1)
-            });
-            let mysql = self.config.mysql.as_ref().and_then(|m| m.engines.get(&l.name).copied());
-            let e = self.pools.engines.entry(id).or_insert_with(|| Engine {
-                address: l.address,
-                mysql,
-                state: l.state,
-                since_ms: l.started_ms,
-                idle: Default::default(),
-            });
-            // Connections to a process that has gone, moved or started anew lead nowhere.
-            if l.state == EndpointState::Removed || l.started_ms != e.since_ms || l.address != e.address {
-                stale.extend(e.take_all_idle());
-            }
-            if l.state != EndpointState::Removed {
-                e.address = l.address;
-            }
-            (e.state, e.since_ms) = (l.state, l.started_ms);
-            let now_us = self.time.now_us;
-            tracing::debug!(engine = id.0, name = l.name, state = ?l.state, since_ms = l.started_ms, now_us, "engine listed");
-            entries.push(self.entry(id, l));
+        let mut entries = Vec::with_capacity(event.entries.len());
+        for endpoint in &event.entries {
+            let id = self.update_engine(endpoint, &mut stale_connections);
+            entries.push(self.endpoint_entry(id, endpoint));
         }
-        for slot in stale {
+        for slot in stale_connections {
             self.pools.close(&self.poll, &mut self.timers, slot);
         }
         let mode = if event.is_full { EndpointListMode::Full } else { EndpointListMode::Delta };
         self.inputs.push(Input::EndpointList { mode, entries });
-        self.prune_engines();
+        self.forget_removed_engines();
+    }
+
+    /// Removes the engines that a whole list no longer has.
+    fn remove_unlisted(&mut self, endpoints: &[Endpoint], stale_connections: &mut Vec<usize>) {
+        let listed: BTreeSet<EngineId> =
+            endpoints.iter().filter_map(|endpoint| self.pools.ids.get(&endpoint.name).copied()).collect();
+        for (_, engine) in self.pools.engines.iter_mut().filter(|(id, _)| !listed.contains(id)) {
+            engine.state = EndpointState::Removed;
+            stale_connections.extend(engine.take_all_idle());
+        }
+    }
+
+    fn update_engine(&mut self, endpoint: &Endpoint, stale_connections: &mut Vec<usize>) -> EngineId {
+        let id = *self.pools.ids.entry(endpoint.name.clone()).or_insert_with(|| {
+            self.pools.ids_given += 1;
+            EngineId(self.pools.ids_given - 1)
+        });
+        let mysql = self.config.mysql.as_ref().and_then(|m| m.engines.get(&endpoint.name).copied());
+        let engine = self.pools.engines.entry(id).or_insert_with(|| Engine {
+            address: endpoint.address,
+            mysql,
+            state: endpoint.state,
+            since_ms: endpoint.started_ms,
+            idle: Default::default(),
+        });
+        let is_removed = endpoint.state == EndpointState::Removed;
+        let has_restarted = endpoint.started_ms != engine.since_ms;
+        // Connections to a process that was removed, moved or restarted lead nowhere.
+        if is_removed || has_restarted || endpoint.address != engine.address {
+            stale_connections.extend(engine.take_all_idle());
+        }
+        if !is_removed {
+            engine.address = endpoint.address;
+        }
+        (engine.state, engine.since_ms) = (endpoint.state, endpoint.started_ms);
+        tracing::debug!(
+            engine = id.0,
+            name = endpoint.name,
+            state = ?endpoint.state,
+            since_ms = endpoint.started_ms,
+            now_us = self.time.now_us,
+            "engine listed"
+        );
+        id
     }
 
-    /// Forgets engines that have gone once nothing refers to them: new names come for as long as this runs.
-    pub(super) fn prune_engines(&mut self) {
+    /// Forgets removed engines that nothing refers to any more: new names come for as long as the gateway runs.
+    fn forget_removed_engines(&mut self) {
         let mut used: BTreeSet<EngineId> =
-            self.pools.connections.iter().flatten().map(|p| p.link.engine).collect();
-        used.extend(self.pools.attempts.values().map(|a| a.engine));
-        self.pools.engines.retain(|id, e| e.state != EndpointState::Removed || used.contains(id));
+            self.pools.connections.iter().flatten().map(|connection| connection.link.engine).collect();
+        used.extend(self.pools.attempts.values().map(|attempt| attempt.engine));
+        self.pools.engines.retain(|id, engine| engine.state != EndpointState::Removed || used.contains(id));
         let engines = &self.pools.engines;
         self.pools.ids.retain(|_, id| engines.contains_key(id));
     }
 
-    pub(super) fn entry(&mut self, engine: EngineId, l: &Endpoint) -> EndpointEntry {
+    fn endpoint_entry(&mut self, engine: EngineId, endpoint: &Endpoint) -> EndpointEntry {
         // Unix milliseconds to the core's clock, which started at a known Unix time.
-        let started = i128::from(l.started_ms) * 1000 - self.time.unix_offset_us;
+        let started_us = i128::from(endpoint.started_ms) * 1000 - self.time.unix_offset_us;
+        let zone = SettingsNames::find_or_add(&mut self.names.zones, &endpoint.zone);
+        let machine_type = SettingsNames::find_or_add(&mut self.names.machine_types, &endpoint.machine_type);
         EndpointEntry {
             engine,
-            zone: ZoneId(SettingsNames::find_or_add(&mut self.names.zones, &l.zone)),
-            machine_type: MachineTypeId(SettingsNames::find_or_add(
-                &mut self.names.machine_types,
-                &l.machine_type,
-            )),
-            cell: l.cell,
-            state: l.state,
-            started_at: (l.started_ms > 0).then_some(started as f64 / 1e6),
+            zone: ZoneId(zone),
+            machine_type: MachineTypeId(machine_type),
+            cell: endpoint.cell,
+            state: endpoint.state,
+            started_at: (endpoint.started_ms > 0).then_some(started_us as f64 / 1e6),
         }
     }
 }
--- a/gateway/src/net/engines/tests.rs
+++ b/gateway/src/net/engines/tests.rs
@@ -15,10 +15,10 @@
         EndpointListEvent { index: 2 * n, is_full: false, entries, unreadable: Vec::new() }
     };
     for n in 0..100 {
-        server.listed(&event(n, EndpointState::Ready));
+        server.apply_list_event(&event(n, EndpointState::Ready));
         assert_eq!(server.pools.ids[&format!("e{n}")], EngineId(n as u32));
         if n > 0 {
-            server.listed(&event(n - 1, EndpointState::Removed));
+            server.apply_list_event(&event(n - 1, EndpointState::Removed));
         }
     }
     assert_eq!((server.pools.engines.len(), server.pools.ids.len()), (1, 1));
--- a/gateway/src/net/handover.rs
+++ b/gateway/src/net/handover.rs
@@ -256,7 +256,12 @@
             "taken over from the older process"
         );
         if !entries.is_empty() {
-            self.listed(&EndpointListEvent { index: 0, is_full: true, entries, unreadable: Vec::new() });
+            self.apply_list_event(&EndpointListEvent {
+                index: 0,
+                is_full: true,
+                entries,
+                unreadable: Vec::new(),
+            });
         }
     }
 
--- a/gateway/src/net/mod.rs
+++ b/gateway/src/net/mod.rs
@@ -194,7 +194,7 @@
         };
         server.timers.arm(0, Timer::Watch);
         server.check_control_plane();
-        known_list.events.iter().for_each(|event| server.listed(event));
+        known_list.events.iter().for_each(|event| server.apply_list_event(event));
         let older = inheritance.map(|i| {
             server.take_over(i.messages);
             handover::Older { stream: i.stream, rest: i.rest, cancels: i.cancels, leases: i.leases }
--- a/gateway/src/net/ops.rs
+++ b/gateway/src/net/ops.rs
@@ -169,7 +169,7 @@
         };
         tracing::info!(engine = name, out = back_ms.is_none(), changed = changed.is_some(), "by hand");
         if let Some(event) = changed {
-            self.take_list(&event);
+            self.update_engines(&event);
             // Before the answer goes out: what was gathered in this turn must not be sent there behind it.
             self.turn();
         }
--- a/gateway/src/net/watch.rs
+++ b/gateway/src/net/watch.rs
@@ -42,7 +42,7 @@
         let DueActions { close_silent, connect } =
             self.watch.state.on_deadline(now_us, || self.sessions.chance(), &mut events);
         if close_silent {
-            tracing::warn!("the coordinator is silent");
+            tracing::warn!("the discovery service is silent");
             self.close_watch_conn();
         }
         self.apply_list_events(&events);
@@ -61,7 +61,7 @@
                 self.watch.state.on_connecting(self.time.now_us);
                 self.counters.list_connects += 1;
             }
-            Err(e) => tracing::warn!("coordinator at {address}: {e}"),
+            Err(e) => tracing::warn!(%address, "can't connect to the discovery service: {e}"),
         }
     }
 
@@ -138,7 +138,11 @@
         if let Err(e) = &read {
             match e {
                 WatchError::MissingEvents { index, last_index } => {
-                    tracing::warn!(index, last = last_index, "events of the list are missing: asking again");
+                    tracing::warn!(
+                        index,
+                        last_index,
+                        "events of the endpoint list are missing: requesting them again"
+                    );
                 }
                 // The log line of the event itself names the entry.
                 WatchError::UnreadableEntries(_) => {}
@@ -154,7 +158,7 @@
     }
 
     fn apply_list_events(&mut self, events: &[EndpointListEvent]) {
-        events.iter().for_each(|event| self.listed(event));
+        events.iter().for_each(|event| self.apply_list_event(event));
     }
 
     fn close_watch_conn(&mut self) {
--- a/gateway/tests/crossings.rs
+++ b/gateway/tests/crossings.rs
@@ -505,14 +505,14 @@
         watch.say("x");
         thread::sleep(Duration::from_millis(50));
     }
-    gateway.logged("the coordinator is silent");
+    gateway.logged("the discovery service is silent");
 }
 
 #[test]
 fn a_watch_whose_connection_does_not_come_up_is_tried_anew() {
     let (engine, mut coordinator) = (Peer::new("e1"), Peer::shut("c"));
     let gateway = Gateway::scripted(&engine.entry("Ready"), Some(coordinator.address), "", None, |t| t);
-    gateway.logged("the coordinator is silent");
+    gateway.logged("the discovery service is silent");
     coordinator.let_in();
     // The connection that was given up may have come up after all, and ends without a call.
     let mut wire = coordinator.accept();
