--- a/gateway/src/discovery/mod.rs
+++ b/gateway/src/discovery/mod.rs
@@ -11,7 +11,9 @@
 mod stream;
 mod watch;
 
-pub use endpoint::{Endpoint, EndpointListEvent, UnreadableEntry, parse_event, read_endpoint, read_event};
+pub use endpoint::{
+    Endpoint, EndpointListEvent, UnreadableEntry, endpoint_to_json, parse_event, read_endpoint, read_event,
+};
 pub use engine_registry::{EngineRegistry, UnknownEngine};
 pub use silence::SilenceDetector;
 pub use stream::{EndpointStream, EndpointStreamError, write_stream_request};
--- a/gateway/src/net/mod.rs
+++ b/gateway/src/net/mod.rs
@@ -10,11 +10,11 @@
 mod clients;
 mod control_plane;
 mod engines;
-mod handover;
 mod listeners;
 mod live_reconfiguration;
 mod ops;
 mod pools;
+mod process_replacement;
 mod reload;
 mod requests;
 mod sessions;
@@ -38,8 +38,8 @@
 use crate::core::{Command, Core, Input};
 use crate::counters::Counters;
 use crate::discovery::{EndpointWatch, EngineRegistry};
-use crate::handover::Message;
 use crate::metrics::Metrics;
+use crate::process_replacement::Message;
 use crate::timer_lag::TimerLag;
 use conn::Conn;
 use listeners::{Front, Listeners};
@@ -56,8 +56,8 @@
 const RELOAD: u64 = 4;
 const OPS_LISTENER: u64 = 5;
 const OPS: u64 = 1 << 61;
-const HANDOVER_LISTENER: u64 = 6;
-const HANDOVER: u64 = 1 << 60;
+const PEER_LISTENER: u64 = 6;
+const PEER_PROCESS: u64 = 1 << 60;
 const CONTROL: u64 = 1 << 59;
 const REPORT: u64 = 1 << 58;
 const SESSION: u64 = 1 << 62;
@@ -108,8 +108,8 @@
     Listeners,
     /// Who calls for operators may have been there for too long.
     Callers,
-    /// The time for taking new work is over.
-    Going,
+    /// The next phase of the graceful shutdown may begin.
+    Shutdown,
 }
 
 /// The clock, read once a turn.
@@ -128,7 +128,7 @@
     poll: Poll,
     time: Time,
     timers: TimerWheel<Timer>,
-    lateness: TimerLag,
+    timer_lag: TimerLag,
     listeners: Listeners,
     sessions: Sessions,
     requests: Requests,
@@ -136,7 +136,7 @@
     watch: watch::Watch,
     control_plane: Option<control_plane::ControlPlane>,
     ops: ops::Ops,
-    family: handover::Family,
+    peer_processes: process_replacement::PeerProcesses,
     registry: EngineRegistry,
     metrics: Metrics,
     shutdown: shutdown::Shutdown,
@@ -148,9 +148,10 @@
     /// Listens and takes in the list of engines known so far.
     pub fn new(mut config: Config, signals: Signals) -> Result<Self, ServeError> {
         let poll = Poll::new()?;
-        let mut inheritance = handover::inherit(&config);
-        let left = inheritance.as_mut().map(|i| std::mem::take(&mut i.listeners)).unwrap_or_default();
-        let listeners = Listeners::open(&config, &poll, left)?;
+        let mut predecessor = process_replacement::receive_state(&config);
+        let inherited =
+            predecessor.as_mut().map(|state| std::mem::take(&mut state.listeners)).unwrap_or_default();
+        let listeners = Listeners::open(&config, &poll, inherited)?;
         let ops = ops::Ops::open(config.admin, &poll)?;
         let known_list = std::mem::take(&mut config.known_list);
         let unix = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
@@ -166,7 +167,7 @@
                 unix_offset_us: i128::try_from(unix.as_micros()).unwrap_or(0),
             },
             timers: TimerWheel::new(),
-            lateness: TimerLag::default(),
+            timer_lag: TimerLag::default(),
             listeners,
             sessions: Sessions::new(
                 &config,
@@ -184,7 +185,7 @@
                 control_plane::ControlPlane::new(client)
             }),
             ops,
-            family: handover::Family::default(),
+            peer_processes: process_replacement::PeerProcesses::default(),
             registry: EngineRegistry::new(config.memory_bytes),
             metrics,
             shutdown: shutdown::Shutdown::new(&config.settings),
@@ -195,13 +196,13 @@
         server.timers.arm(0, Timer::Watch);
         server.check_control_plane();
         known_list.events.iter().for_each(|event| server.apply_list_event(event));
-        let older = inheritance.map(|i| {
-            server.take_over(i.messages);
-            handover::Older { stream: i.stream, rest: i.rest, cancels: i.cancels, leases: i.leases }
+        let predecessor = predecessor.map(|state| {
+            server.restore_state(state.messages);
+            state.connection
         });
         // Whoever calls first finds the core with all that is known.
         server.turn();
-        server.found_family(older);
+        server.start_peer_processes(predecessor);
         Ok(server)
     }
 
@@ -236,10 +237,10 @@
                     (MYSQL_LISTENER, _) => connecting[1] = true,
                     (TERM, _) => {
                         drain(&self.signals.term);
-                        self.stop_taking();
+                        self.begin_shutdown();
                     }
                     (OPS_LISTENER, _) => self.accept_callers(),
-                    (HANDOVER_LISTENER, _) => self.accept_peers(),
+                    (PEER_LISTENER, _) => self.accept_peer_processes(),
                     (PRINT, _) => {
                         drain(&self.signals.print);
                         self.print();
@@ -257,7 +258,7 @@
                     (_, WATCH) => self.watch_ready(key, interest),
                     (_, SESSION) => self.session_ready(key, interest),
                     (key, _) if key & OPS != 0 => self.caller_ready(key),
-                    (key, _) if key & HANDOVER != 0 => self.peer_ready(key),
+                    (key, _) if key & PEER_PROCESS != 0 => self.peer_process_ready(key),
                     (key, _) if key & CONTROL != 0 => self.control_plane_ready(key, interest),
                     (key, _) if key & REPORT != 0 => self.report_ready(key, interest),
                     _ => {}
@@ -275,8 +276,8 @@
             }
             self.read_sessions();
             self.turn();
-            if self.has_ended() {
-                self.settle_leases();
+            if self.advance_shutdown() {
+                self.announce_exit_to_peers();
                 self.print();
                 return Ok(self.counters);
             }
@@ -289,7 +290,7 @@
             open = self.core.open_requests(),
             timers = self.timers.len() + self.core.timers(),
             sessions = %self.sessions,
-            lateness = %self.lateness.with(self.core.timer_lag()),
+            timer_lag = %self.timer_lag.merged(self.core.timer_lag()),
         );
     }
 
@@ -337,7 +338,7 @@
 
     fn ring(&mut self) {
         while let Some((due_us, timer)) = self.timers.pop(self.time.now_us) {
-            self.lateness.note(due_us, self.time.now_us);
+            self.timer_lag.record(due_us, self.time.now_us);
             self.sessions.scheduler.charge(Work::Event, 1);
             match timer {
                 Timer::EngineConnection(at, serial) => self.connection_timer_fired(at, serial),
@@ -350,8 +351,8 @@
                 Timer::Reload(failures) => self.reload(failures),
                 Timer::Listeners => self.listeners.resume(&self.poll),
                 Timer::Callers => self.callers_late(),
-                // The loop wakes up, and looks how far the end has come.
-                Timer::Going => {}
+                // It only wakes the loop, which advances the shutdown at the end of each turn.
+                Timer::Shutdown => {}
             }
         }
     }
@@ -364,8 +365,8 @@
             Command::SetPriority { attempt, priority } => self.set_priority(attempt, priority),
             Command::CancelAttempt(attempt) => self.cancel_attempt(attempt),
             Command::Serve(..) | Command::Reject { .. } | Command::Fail(_) => self.answer(command),
-            Command::ClaimLease { key, holder } => self.tell_neighbour(holder, &Message::Claim(key)),
-            Command::GrantLease { key, to } => self.tell_neighbour(to, &Message::Grant(key)),
+            Command::ClaimLease { key, holder } => self.send_to_peer(holder, &Message::ClaimLease(key)),
+            Command::GrantLease { key, to } => self.send_to_peer(to, &Message::GrantLease(key)),
         }
     }
 }
