--- a/configuration/src/document.rs
+++ b/configuration/src/document.rs
@@ -10,16 +10,16 @@
 use crate::patch::LIST_MEMBER;
 use crate::version::Digest;
 
-/// Why a JSON value is no document.
+/// Why a JSON value is not a document.
 #[derive(Debug, thiserror::Error)]
 pub enum DocumentError {
     /// The text is not JSON.
     #[error("not JSON: {0}")]
     Json(#[from] serde_json::Error),
-    /// It is JSON, but no object.
+    /// It is JSON, but not an object.
     #[error("a JSON object expected")]
     NoObject,
-    /// A member has the name that differences keep for themselves.
+    /// A member has the name that is reserved for patches.
     #[error("a member is called {LIST_MEMBER}, which is reserved")]
     Reserved,
 }
--- a/configuration/src/patch.rs
+++ b/configuration/src/patch.rs
@@ -1,7 +1,7 @@
-//! Differences of JSON values: RFC 7396 merge patches for objects, by name for lists whose elements are objects
-//! with a `name`, and whole for all else.
+//! Differences between JSON values: RFC 7396 merge patches for objects, patches by name for lists whose elements are
+//! objects with a `name`, and the new value for everything else.
 //!
-//! The patch of a list by name is an object with the one member [`LIST_MEMBER`], which no document may have.
+//! The patch of a list by name is an object with the single member [`LIST_MEMBER`], which no document may have.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -11,21 +11,21 @@
 /// The member that marks the patch of a list by name.
 pub const LIST_MEMBER: &str = "$list";
 
-/// The member of a list's elements by which they go.
+/// The member that identifies an element of a list.
 const NAME_MEMBER: &str = "name";
 
 /// Why a patch can't be applied.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum PatchError {
-    /// The patch of a list has another form.
+    /// The patch of a list has a wrong form.
     #[error("the patch of a list can't be read: {0}")]
     Form(String),
-    /// A patch by name meets something else than a list of named objects.
+    /// A patch by name is applied to something other than a list of named objects.
     #[error("a list of named objects expected")]
     NoNamedList,
-    /// An element that is changed or removed is not there.
+    /// An element that is changed or removed is not in the list.
     #[error("no element {0} in the list")]
-    Unknown(String),
+    UnknownElement(String),
     /// The order names other elements than the list has.
     #[error("the order names other elements than the list has")]
     Order,
@@ -46,7 +46,7 @@
     order: Vec<String>,
 }
 
-/// The patch that makes `new` of `old`, both without null members; an empty object where they are equal.
+/// The patch from `old` to `new`, both without null members; an empty object where they are equal.
 pub(crate) fn difference(old: &Value, new: &Value) -> Value {
     changes(old, new).unwrap_or_else(|| Value::Object(Map::new()))
 }
@@ -81,7 +81,7 @@
     patch
 }
 
-/// None where one of the lists does not go by name.
+/// None where one of the lists is not one of named objects.
 fn list_changes(old: &[Value], new: &[Value]) -> Option<Value> {
     let (old_by_name, new_by_name) = (by_name(old)?, by_name(new)?);
     let mut patch = ListPatch::default();
@@ -115,7 +115,7 @@
     Some(Value::Object(Map::from_iter([(LIST_MEMBER.to_owned(), patch)])))
 }
 
-/// The elements by name; none where it is empty, an element has no name or two have the same.
+/// The elements by name; none where the list is empty, an element has no name or two have the same.
 fn by_name(list: &[Value]) -> Option<HashMap<&str, &Value>> {
     let mut elements = HashMap::new();
     for element in list {
@@ -130,7 +130,7 @@
     element.as_object()?.get(NAME_MEMBER)?.as_str()
 }
 
-/// Applies a patch to a value. After an error the value is of no use: work on a copy.
+/// Applies a patch to a value. After an error the value is unusable, so callers work on a copy.
 pub(crate) fn apply(target: &mut Value, patch: Value) -> Result<(), PatchError> {
     let Value::Object(mut members) = patch else {
         *target = patch;
@@ -167,7 +167,7 @@
     }
     elements.extend(take_named(patch.added)?);
     if !patch.order.is_empty() {
-        elements = ordered(elements, patch.order)?;
+        elements = reorder(elements, patch.order)?;
     }
     let result: Vec<Value> = elements.into_iter().map(|(_, element)| element).collect();
     by_name(&result).ok_or(PatchError::NoNamedList)?;
@@ -185,20 +185,20 @@
 
 fn position(elements: &[(String, Value)], wanted: &str) -> Result<usize, PatchError> {
     let found = elements.iter().position(|(name, _)| name == wanted);
-    found.ok_or_else(|| PatchError::Unknown(wanted.to_owned()))
+    found.ok_or_else(|| PatchError::UnknownElement(wanted.to_owned()))
 }
 
-fn ordered(elements: Vec<(String, Value)>, order: Vec<String>) -> Result<Vec<(String, Value)>, PatchError> {
+fn reorder(elements: Vec<(String, Value)>, order: Vec<String>) -> Result<Vec<(String, Value)>, PatchError> {
     let count = elements.len();
     let mut by_name: HashMap<String, Value> = elements.into_iter().collect();
     if by_name.len() != count || order.len() != count {
         return Err(PatchError::Order);
     }
-    let take = |name: String| {
+    let take_element = |name: String| {
         let element = by_name.remove(&name).ok_or(PatchError::Order)?;
         Ok((name, element))
     };
-    order.into_iter().map(take).collect()
+    order.into_iter().map(take_element).collect()
 }
 
 #[cfg(test)]
--- a/configuration/src/patch/tests.rs
+++ b/configuration/src/patch/tests.rs
@@ -84,10 +84,13 @@
 fn patches_that_do_not_fit_are_refused() {
     let list = || json!([{ "name": "a" }, { "name": "b" }]);
     let patch = |patch: Value| json!({ LIST_MEMBER: patch });
-    assert_eq!(refused(list(), patch(json!({ "removed": ["z"] }))), PatchError::Unknown("z".to_owned()));
+    assert_eq!(
+        refused(list(), patch(json!({ "removed": ["z"] }))),
+        PatchError::UnknownElement("z".to_owned())
+    );
     assert_eq!(
         refused(list(), patch(json!({ "changed": { "z": {} } }))),
-        PatchError::Unknown("z".to_owned())
+        PatchError::UnknownElement("z".to_owned())
     );
     assert_eq!(refused(list(), patch(json!({ "added": [{ "name": "a" }] }))), PatchError::NoNamedList);
     assert_eq!(refused(list(), patch(json!({ "added": [7] }))), PatchError::NoNamedList);
--- a/gateway/src/tenants.rs
+++ b/gateway/src/tenants.rs
@@ -1,12 +1,13 @@
-//! Tenant look-up: who a user is, apart from wires and decisions, so that a directory can take its place.
+//! Users of the MySQL front end and their tenants. The look-up stands apart from protocols and decisions, so that a
+//! directory service can take its place.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// What is known of a user.
+/// A user's account.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Account {
-    /// The tenant it belongs to, named as in the settings.
+    /// The name of its tenant, as in the settings.
     pub tenant: Rc<str>,
     /// Its password; may be empty.
     pub password: String,
@@ -19,7 +20,7 @@
 }
 
 impl Directory {
-    /// A directory of these users.
+    /// A directory of these users and accounts.
     pub fn new(accounts: impl IntoIterator<Item = (String, Account)>) -> Self {
         Self { accounts: accounts.into_iter().collect() }
     }
@@ -29,7 +30,7 @@
         self.accounts.values().map(|account| &*account.tenant)
     }
 
-    /// Finds a user.
+    /// Finds a user's account.
     pub fn look_up(&self, user: &str) -> Option<&Account> {
         self.accounts.get(user)
     }
