--- a/gateway/src/lib.rs
+++ b/gateway/src/lib.rs
@@ -1,6 +1,7 @@
 //! The gateway as a library: configuration, core, codecs and the loop, so that tools of the workspace drive the
 //! same code as the program.
 
+pub mod admin;
 pub mod admission;
 pub mod config;
 pub mod control_plane;
@@ -12,10 +13,8 @@
 pub mod front;
 pub mod json;
 pub mod live_reconfiguration;
-pub mod metrics;
-pub mod mysql;
+pub mod mysql_protocol;
 pub mod net;
-pub mod ops;
 pub mod process_replacement;
 pub mod tenants;
 pub mod timer_lag;
--- a/gateway/src/main.rs
+++ b/gateway/src/main.rs
@@ -123,7 +123,7 @@
     let name = config.name.clone();
     let server = net::Server::new(config, signals)?;
     let (listen, mysql) = server.addresses();
-    let ops = server.ops_address().map(|address| address.to_string());
+    let ops = server.admin_address().map(|address| address.to_string());
     let [listen, mysql, ops] = [listen, mysql, ops].map(|address| address.unwrap_or_else(|| "-".to_owned()));
     tracing::info!(%name, %listen, %mysql, %ops, "serving");
     let counters = server.run()?;
--- a/gateway/src/net/mod.rs
+++ b/gateway/src/net/mod.rs
@@ -7,12 +7,12 @@
 pub mod conn;
 pub mod poll;
 
+mod admin;
 mod clients;
 mod control_plane;
 mod engines;
 mod listeners;
 mod live_reconfiguration;
-mod ops;
 mod pools;
 mod process_replacement;
 mod reload;
@@ -33,12 +33,12 @@
 use wrenhatch_sessions::session_table::Handle;
 use wrenhatch_sessions::timer_wheel::TimerWheel;
 
+use crate::admin::metrics::Metrics;
 use crate::config::{Config, OWN_DESCRIPTORS, SettingsNames};
 use crate::control_plane::ControlPlaneClient;
 use crate::core::{Command, Core, Input};
 use crate::counters::Counters;
 use crate::discovery::{EndpointWatch, EngineRegistry};
-use crate::metrics::Metrics;
 use crate::process_replacement::Message;
 use crate::timer_lag::TimerLag;
 use conn::Conn;
@@ -54,8 +54,8 @@
 const TERM: u64 = 2;
 const PRINT: u64 = 3;
 const RELOAD: u64 = 4;
-const OPS_LISTENER: u64 = 5;
-const OPS: u64 = 1 << 61;
+const ADMIN_LISTENER: u64 = 5;
+const ADMIN: u64 = 1 << 61;
 const PEER_LISTENER: u64 = 6;
 const PEER_PROCESS: u64 = 1 << 60;
 const CONTROL: u64 = 1 << 59;
@@ -67,9 +67,9 @@
 /// Those, and where operators call, their door and who stands in it; where control machines are asked, the stream and
 /// a report.
 fn own_descriptors(config: &Config) -> usize {
-    let ops = config.admin.map_or(0, |_| 1 + ops::MOST_CALLERS);
+    let admin = config.admin.map_or(0, |_| 1 + admin::MAX_ADMIN_CONNECTIONS);
     let control = config.control_plane.as_ref().map_or(0, |_| 2);
-    OWN_DESCRIPTORS + ops + control
+    OWN_DESCRIPTORS + admin + control
 }
 
 /// Why the gateway can't serve.
@@ -106,8 +106,8 @@
     Reload(u32),
     /// Descriptors may be there again for new connections.
     Listeners,
-    /// Who calls for operators may have been there for too long.
-    Callers,
+    /// Connections of the admin interface may have been open for too long.
+    Admin,
     /// The next phase of the graceful shutdown may begin.
     Shutdown,
 }
@@ -135,7 +135,7 @@
     pools: pools::Pools,
     watch: watch::Watch,
     control_plane: Option<control_plane::ControlPlane>,
-    ops: ops::Ops,
+    admin: admin::AdminInterface,
     peer_processes: process_replacement::PeerProcesses,
     registry: EngineRegistry,
     metrics: Metrics,
@@ -152,7 +152,7 @@
         let inherited =
             predecessor.as_mut().map(|state| std::mem::take(&mut state.listeners)).unwrap_or_default();
         let listeners = Listeners::open(&config, &poll, inherited)?;
-        let ops = ops::Ops::open(config.admin, &poll)?;
+        let admin = admin::AdminInterface::open(config.admin, &poll)?;
         let known_list = std::mem::take(&mut config.known_list);
         let unix = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
         let metrics = Metrics::new(config.names.classes.iter().map(String::as_str));
@@ -184,7 +184,7 @@
                 let client = ControlPlaneClient::new(settings, &config.name, config.seed);
                 control_plane::ControlPlane::new(client)
             }),
-            ops,
+            admin,
             peer_processes: process_replacement::PeerProcesses::default(),
             registry: EngineRegistry::new(config.memory_bytes),
             metrics,
@@ -206,9 +206,9 @@
         Ok(server)
     }
 
-    /// Where operators call.
-    pub fn ops_address(&self) -> Option<SocketAddr> {
-        self.ops.address()
+    /// Where the admin interface listens.
+    pub fn admin_address(&self) -> Option<SocketAddr> {
+        self.admin.address()
     }
 
     /// Where clients connect: PostgreSQL and MySQL.
@@ -239,7 +239,7 @@
                         drain(&self.signals.term);
                         self.begin_shutdown();
                     }
-                    (OPS_LISTENER, _) => self.accept_callers(),
+                    (ADMIN_LISTENER, _) => self.accept_admin_connections(),
                     (PEER_LISTENER, _) => self.accept_peer_processes(),
                     (PRINT, _) => {
                         drain(&self.signals.print);
@@ -257,7 +257,7 @@
                     }
                     (_, WATCH) => self.watch_ready(key, interest),
                     (_, SESSION) => self.session_ready(key, interest),
-                    (key, _) if key & OPS != 0 => self.caller_ready(key),
+                    (key, _) if key & ADMIN != 0 => self.admin_connection_ready(key),
                     (key, _) if key & PEER_PROCESS != 0 => self.peer_process_ready(key),
                     (key, _) if key & CONTROL != 0 => self.control_plane_ready(key, interest),
                     (key, _) if key & REPORT != 0 => self.report_ready(key, interest),
@@ -350,7 +350,7 @@
                 Timer::ControlPlane => self.check_control_plane(),
                 Timer::Reload(failures) => self.reload(failures),
                 Timer::Listeners => self.listeners.resume(&self.poll),
-                Timer::Callers => self.callers_late(),
+                Timer::Admin => self.admin_timer_fired(),
                 // It only wakes the loop, which advances the shutdown at the end of each turn.
                 Timer::Shutdown => {}
             }
