--- a/gateway/src/net/admin.rs
+++ b/gateway/src/net/admin.rs
@@ -172,7 +172,8 @@
         match call {
             AdminCall::Status if self.shutdown.has_begun() => Err(CallError::ShuttingDown),
             AdminCall::Status => {
-                let configuration = self.control.as_ref().map(ToString::to_string).unwrap_or_default();
+                let configuration =
+                    self.control_plane.as_ref().map(|c| c.client.to_string()).unwrap_or_default();
                 Ok(format!("ready\n{configuration}"))
             }
             AdminCall::Metrics => {
@@ -216,7 +217,7 @@
         let in_maintenance = change == MaintenanceChange::Enter;
         tracing::info!(engine, in_maintenance, changed = event.is_some(), "maintenance of an engine");
         if let Some(event) = event {
-            self.take_list(&event);
+            self.update_engines(&event);
             // Before the response is written: what was gathered in this turn must not be forwarded there after it.
             self.turn();
         }
--- a/lab/src/capacity/error.rs
+++ b/lab/src/capacity/error.rs
@@ -4,8 +4,9 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
+use wrenhatch::config::TomlError;
+
 use super::experiment::Experiment;
-use super::target::Mistake;
 
 /// What is bounded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -43,7 +44,7 @@
     },
     /// The target can't be used.
     #[error(transparent)]
-    Target(#[from] Mistake),
+    Target(#[from] TomlError),
     /// A file can't be read or written.
     #[error("{path}: {source}")]
     File {
