--- a/adapter/tests/wire.rs
+++ b/adapter/tests/wire.rs
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn a_killed_gateway_forgets_and_may_come_back_in_the_same_batch() {
+fn a_stopped_instance_forgets_and_may_start_again_in_the_same_batch() {
     let all = replies(&[
         batch(10.0, vec![hello("r/0"), roster(0, &[]), change("r/0", 2, 0), item("r/0", 1, "look")]),
         batch(
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn gateways_share_nothing() {
+fn instances_share_nothing() {
     let lone = |who: &str| {
         let all = replies(&[batch(
             10.0,
@@ -183,7 +183,7 @@
 }
 
 #[test]
-fn what_is_not_the_wire_ends_with_one_plain_line() {
+fn input_that_is_not_of_the_wire_ends_with_one_error_line() {
     let start = batch(10.0, vec![hello("r/0")]).to_string();
     let no_class =
         batch(10.0, vec![json!({"hello": {"who": "r/0", "salt": 1, "env": {"classes": []}}})]).to_string();
@@ -205,7 +205,7 @@
 }
 
 #[test]
-fn where_probes_alone_tell_nothing_is_asked_and_a_result_is_understood() {
+fn where_health_checks_alone_bring_reports_none_is_asked_for_and_a_result_is_accepted() {
     let mut start = hello("r/0");
     start["hello"]["env"]["report"] = json!({"how": "probe", "names": ["inflight"]});
     start["hello"]["env"]["allowed"]["probing"] = json!(true);
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -16,9 +16,3 @@
     Capabilities, Class, ClassOrigin, Idempotency, IdempotencyScope, LoadReportSource, MachineType,
     MemoryShortage, RetryBudget, Rules, Settings, SettingsChange, SettingsError, Tenant,
 };
-
-/// The earlier path of these types, until all users in the workspace have moved.
-#[doc(hidden)]
-pub mod interface {
-    pub use crate::*;
-}
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -137,7 +137,7 @@
             Action::SetTimer { delay, token, .. } => self.instances[n].timers.push((now + delay, *token)),
             Action::Forward { request, engine, .. } => self.send(n, now, request.0, engine.0),
             Action::CancelAttempt { request, attempt } => {
-                // Most hear that they are given up; of some the end was on its way already.
+                // Most cancellations arrive; of some attempts the end was on its way already.
                 let heard = draw(&mut self.rng, 4) > 0;
                 let out = &mut self.instances[n].out;
                 if let Some(o) = out.iter_mut().find(|o| (o.1, o.2) == (request.0, *attempt) && heard) {
@@ -265,7 +265,7 @@
             }
             for n in 0..self.instances.len() {
                 if at(5.0) && n % 4 == 0 {
-                    // Killed and started again: it knows nothing, and its clients ask anew.
+                    // Killed and restarted: it knows nothing, and its clients send anew.
                     self.instances[n] = self.start(n as u32, now);
                 }
                 while self.instances[n].list.first().is_some_and(|(due, _)| *due <= now) {
@@ -305,7 +305,7 @@
         }
     }
 
-    /// What all gateways together have sent each warming engine, against what the rule lets through.
+    /// What all gateways together have sent each warming engine, against what the rules allow.
     fn check_cold(&self) {
         let (r, cores) = (&self.s.rules, self.s.machine_types[0].cores);
         let heaviest = self.work.iter().copied().fold(0.0, f64::max);
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -1,7 +1,7 @@
 //! Random legal event orders against an independent checker of the rules.
 //!
 //! A small world plays the engines: it holds what is in flight and ends attempts in any order and way.
-//! The checker keeps its own books from events and actions alone and knows nothing of the module.
+//! The checker counts from events and actions alone and knows nothing of the decisions.
 
 mod common;
 
@@ -184,7 +184,7 @@
         if let Some(started) = entry.started_at
             && now < started + self.s.rules.slow_start_duration
         {
-            // Every request counts as a second of work; the whole tier sends alike.
+            // Every request counts as a second of work; all gateways send alike.
             let sent = self.warming.entry(engine).or_default();
             sent.push((now, 0.5));
             let since = now - self.s.rules.collapse_window;
--- a/tests/warming_engines.rs
+++ b/tests/warming_engines.rs
@@ -18,22 +18,22 @@
 enum Fate {
     /// All run on.
     Steady,
-    /// A tenth starts anew every third of a second.
+    /// A tenth restarts every third of a second.
     Rolling,
-    /// Seven in ten start anew at once, a second and a half in.
+    /// Seven in ten restart at once, after a second and a half.
     Herd,
-    /// Each gateway is being upgraded: two processes of it serve side by side, none knowing what the other
+    /// Each gateway is being replaced: two processes of it serve side by side, none knowing what the other
     /// sends.
     Upgrade,
 }
 
-/// What is played.
+/// A case.
 #[derive(Clone, Copy, Debug)]
 struct Day {
     gateways: u32,
     warm: u32,
     warming: u32,
-    /// Work of a call of each class, in seconds; a class without any gets no requests.
+    /// Work of a request of each class, in seconds; a class without any gets no requests.
     work: [f64; 3],
     /// Requests of each class in ten.
     mix: [u32; 3],
@@ -199,7 +199,7 @@
     calls
 }
 
-/// Of all windows the one nearest to falling: calls of mean work sent, the budget of them, and the most
+/// Of all windows the one nearest to a collapse: requests of mean work sent, the budget of them, and the most
 /// that is let pass.
 fn worst(day: &Day, calls: &[(f64, f64)]) -> (f64, f64, f64) {
     let s = rules();
@@ -223,7 +223,7 @@
     worst
 }
 
-/// What is asked for: light calls alone, heavy ones alone so that many shares are under one call, and a mix.
+/// Requests: light ones alone, heavy ones alone so that many shares are under one request, and a mix.
 const LIGHT: ([f64; 3], [u32; 3]) = ([0.12, 0.0, 0.0], [10, 0, 0]);
 const HEAVY: ([f64; 3], [u32; 3]) = ([0.0, 3.0, 0.0], [0, 10, 0]);
 const MIXED: ([f64; 3], [u32; 3]) = ([0.12, 3.0, 3.6], [8, 1, 1]);
@@ -255,7 +255,7 @@
     }
 }
 
-/// Guards the guard: were each gateway to send just one more than its share, the sum would be over.
+/// Checks the check: were each gateway to send just one more than its share, the sum would be over.
 #[test]
 fn one_more_request_of_each_gateway_would_be_too_many() {
     let (work, mix) = HEAVY;
@@ -275,7 +275,7 @@
     assert!(sent > most, "{sent} calls of {most}");
 }
 
-/// Not a check: prints how near each kind of day comes to what passes.
+/// Not a check: prints how near each kind of case comes to what passes.
 /// `cargo test --release --test warming_engines -- --ignored --nocapture`
 #[test]
 #[ignore = "prints figures"]
