--- a/src/decisions/explain.rs
+++ b/src/decisions/explain.rs
@@ -53,7 +53,7 @@
         let overload = OVERLOAD_THREADS_PER_CORE * fleet.cores / f64::from(manager.settings.gateways);
         write!(f, " cores={:.0} overload_threads={overload:.2}", fleet.cores)?;
         let utilization = load.mean_utilization.unwrap_or(-1.0);
-        write!(f, " utilization={utilization:.2} has_reports={}", load.has_reports)?;
+        write!(f, " mean_utilization={utilization:.2} has_reports={}", load.has_reports)?;
         let class = pending.request.class;
         let profile = &manager.profiles[class.0];
         write!(f, " interactive_latency={:.3}", manager.latency.mean_seconds)?;
