--- a/gateway/src/net/process_replacement/state_transfer.rs
+++ b/gateway/src/net/process_replacement/state_transfer.rs
@@ -119,7 +119,7 @@
         );
         if !entries.is_empty() {
             let event = EndpointListEvent { index: 0, is_full: true, entries, unreadable: Vec::new() };
-            self.listed(&event);
+            self.apply_list_event(&event);
         }
     }
 
--- a/lab/src/capacity/target.rs
+++ b/lab/src/capacity/target.rs
@@ -1,4 +1,4 @@
-//! The size that has to be carried, from a TOML file. What it does not know, or what makes no sense, is named with
+//! The size that has to be carried, from a TOML file. An unknown key or a value that makes no sense is an error with
 //! file, line and key.
 
 use std::ops::RangeInclusive;
@@ -6,23 +6,10 @@
 
 use serde::Deserialize;
 use toml::Spanned;
+use wrenhatch::config::{TomlError, TomlFile};
 
 use super::error::CapacityError;
 
-/// A mistake in a target file.
-#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{path}:{line}: {key}{message}")]
-pub struct Mistake {
-    /// The file.
-    pub path: String,
-    /// The line, from 1.
-    pub line: usize,
-    /// The key with a colon behind it; empty where the mistake is that of no key.
-    pub key: String,
-    /// What is wrong.
-    pub message: String,
-}
-
 /// A count, as it stands in the file.
 type Count = Spanned<i64>;
 /// A figure, as it stands in the file: whole or not.
@@ -167,42 +154,31 @@
 /// Megabytes, bytes a second and descriptors.
 const AMOUNTS: RangeInclusive<f64> = 1.0..=1e9;
 
-/// Finds lines and keys in the text of the file.
-struct Text<'a> {
-    path: &'a str,
-    text: &'a str,
-}
-
-impl Text<'_> {
-    fn mistake(&self, at: usize, message: String) -> Mistake {
-        let before = self.text.get(..at).unwrap_or(self.text);
-        let line = before.matches('\n').count();
-        let on_it = self.text.lines().nth(line).unwrap_or_default();
-        let key = on_it.split_once('=').map(|(key, _)| format!("{}: ", key.trim())).unwrap_or_default();
-        Mistake { path: self.path.to_owned(), line: line + 1, key, message }
-    }
-
-    fn within(&self, at: usize, value: f64, range: &RangeInclusive<f64>) -> Result<f64, Mistake> {
-        if range.contains(&value) {
-            return Ok(value);
-        }
-        Err(self.mistake(at, format!("{value} is not within {} and {}", range.start(), range.end())))
+fn check_range(
+    toml: &TomlFile<'_>,
+    offset: usize,
+    value: f64,
+    range: &RangeInclusive<f64>,
+) -> Result<f64, TomlError> {
+    if range.contains(&value) {
+        return Ok(value);
     }
+    Err(toml.error_at(offset, format!("{value} is not within {} and {}", range.start(), range.end())))
+}
 
-    fn count(&self, count: &Count, range: RangeInclusive<f64>) -> Result<f64, Mistake> {
-        self.within(count.span().start, *count.get_ref() as f64, &range)
-    }
+fn count(toml: &TomlFile<'_>, count: &Count, range: RangeInclusive<f64>) -> Result<f64, TomlError> {
+    check_range(toml, count.span().start, *count.get_ref() as f64, &range)
+}
 
-    fn figure(&self, figure: &Figure, range: RangeInclusive<f64>) -> Result<f64, Mistake> {
-        self.within(figure.span().start, figure.get_ref().value(), &range)
-    }
+fn figure(toml: &TomlFile<'_>, figure: &Figure, range: RangeInclusive<f64>) -> Result<f64, TomlError> {
+    check_range(toml, figure.span().start, figure.get_ref().value(), &range)
 }
 
 impl Target {
     /// Reads the file.
     ///
     /// # Errors
-    /// It can't be read, or holds a mistake.
+    /// It can't be read, or its content is wrong.
     pub fn read(path: &Path) -> Result<Self, CapacityError> {
         let text = std::fs::read_to_string(path).map_err(CapacityError::file(path))?;
         Ok(Self::parse(&path.display().to_string(), &text)?)
@@ -212,50 +188,49 @@
     ///
     /// # Errors
     /// An unknown or missing key, a value of the wrong form, or one that makes no sense.
-    pub fn parse(path: &str, text: &str) -> Result<Self, Mistake> {
-        let t = Text { path, text };
-        let file: File = toml::from_str(text).map_err(|e| {
-            let start = e.span().map_or(0, |span| span.start);
-            t.mistake(start, e.message().replace('\n', " "))
-        })?;
+    pub fn parse(path: &str, text: &str) -> Result<Self, TomlError> {
+        let toml = TomlFile { path, text };
+        let file: File = toml.parse()?;
+        let count = |field, range| count(&toml, field, range);
+        let figure = |field, range| figure(&toml, field, range);
         let target = Self {
-            gateways: t.count(&file.fleet.gateways, MOST_MACHINES)?,
-            databases: t.count(&file.fleet.databases, MOST_MACHINES)?,
-            regions: t.count(&file.fleet.regions, MOST_MACHINES)?,
-            zones: t.count(&file.fleet.zones, MOST_MACHINES)?,
-            classes: t.count(&file.fleet.classes, MOST_MACHINES)?,
-            tenants: t.count(&file.fleet.tenants, MOST_MACHINES)?,
-            connections: t.count(&file.load.connections, MOST_EVENTS)?,
-            statements_per_s: t.figure(&file.load.statements_per_s, MOST_EVENTS)?,
-            open_per_gateway: t.count(&file.load.open_per_gateway, MOST_MACHINES)?,
-            primary_per_day: t.figure(&file.changes.primary_per_day, MOST_EVENTS)?,
-            primary_within_s: t.figure(&file.changes.primary_within_s, SPANS)?,
-            configuration_per_day: t.figure(&file.changes.configuration_per_day, MOST_EVENTS)?,
-            configuration_within_s: t.figure(&file.changes.configuration_within_s, SPANS)?,
-            failures_per_day: t.figure(&file.events.failures_per_day, MOST_EVENTS)?,
-            restarts_per_day: t.figure(&file.events.restarts_per_day, MOST_EVENTS)?,
-            control_machines: t.count(&file.control.machines, MOST_MACHINES)?,
-            control_core_percent: t.figure(&file.control.gateway_core_percent, CORES)?,
-            control_memory_mb: t.figure(&file.control.gateway_memory_mb, AMOUNTS)?,
-            control_bytes_per_s: t.figure(&file.control.gateway_bytes_per_s, AMOUNTS)?,
-            gateway_cores: t.figure(&file.gateway.cores, CORES)?,
-            gateway_memory_mb: t.figure(&file.gateway.memory_mb, AMOUNTS)?,
-            gateway_descriptors: t.count(&file.gateway.descriptors, AMOUNTS)?,
+            gateways: count(&file.fleet.gateways, MOST_MACHINES)?,
+            databases: count(&file.fleet.databases, MOST_MACHINES)?,
+            regions: count(&file.fleet.regions, MOST_MACHINES)?,
+            zones: count(&file.fleet.zones, MOST_MACHINES)?,
+            classes: count(&file.fleet.classes, MOST_MACHINES)?,
+            tenants: count(&file.fleet.tenants, MOST_MACHINES)?,
+            connections: count(&file.load.connections, MOST_EVENTS)?,
+            statements_per_s: figure(&file.load.statements_per_s, MOST_EVENTS)?,
+            open_per_gateway: count(&file.load.open_per_gateway, MOST_MACHINES)?,
+            primary_per_day: figure(&file.changes.primary_per_day, MOST_EVENTS)?,
+            primary_within_s: figure(&file.changes.primary_within_s, SPANS)?,
+            configuration_per_day: figure(&file.changes.configuration_per_day, MOST_EVENTS)?,
+            configuration_within_s: figure(&file.changes.configuration_within_s, SPANS)?,
+            failures_per_day: figure(&file.events.failures_per_day, MOST_EVENTS)?,
+            restarts_per_day: figure(&file.events.restarts_per_day, MOST_EVENTS)?,
+            control_machines: count(&file.control.machines, MOST_MACHINES)?,
+            control_core_percent: figure(&file.control.gateway_core_percent, CORES)?,
+            control_memory_mb: figure(&file.control.gateway_memory_mb, AMOUNTS)?,
+            control_bytes_per_s: figure(&file.control.gateway_bytes_per_s, AMOUNTS)?,
+            gateway_cores: figure(&file.gateway.cores, CORES)?,
+            gateway_memory_mb: figure(&file.gateway.memory_mb, AMOUNTS)?,
+            gateway_descriptors: count(&file.gateway.descriptors, AMOUNTS)?,
         };
-        target.check_together(&t, &file)?;
+        target.check_together(&toml, &file)?;
         Ok(target)
     }
 
     /// Figures that make sense by themselves and not beside others.
-    fn check_together(&self, t: &Text<'_>, file: &File) -> Result<(), Mistake> {
+    fn check_together(&self, toml: &TomlFile<'_>, file: &File) -> Result<(), TomlError> {
         if self.zones < self.regions {
             let message = format!("{} zones are fewer than {} regions", self.zones, self.regions);
-            return Err(t.mistake(file.fleet.zones.span().start, message));
+            return Err(toml.error_at(file.fleet.zones.span().start, message));
         }
         if self.connections < self.gateways {
             let message =
                 format!("{} connections are fewer than {} gateways", self.connections, self.gateways);
-            return Err(t.mistake(file.load.connections.span().start, message));
+            return Err(toml.error_at(file.load.connections.span().start, message));
         }
         Ok(())
     }
