--- a/gateway/src/front/fields.rs
+++ b/gateway/src/front/fields.rs
@@ -1,10 +1,40 @@
-//! The fields of a request, held by the comment before its statement, and the group of tables.
-
-use std::borrow::Cow;
+//! The fields of a request: their names on the wire, as a comment before the statement and MySQL query attributes have
+//! them, are mapped here to what they mean.
 
 use workload_manager::KeyId;
 
-/// Fields as the client worded them.
+/// Names of the fields on the wire. MySQL engines get the first three and the idempotency key as query attributes.
+pub mod field_name {
+    /// The client's id of the request.
+    pub const ID: &str = "i";
+    /// Class.
+    pub const CLASS: &str = "c";
+    /// Milliseconds that the client waits.
+    pub const WAIT_MS: &str = "d";
+    /// Tenant.
+    pub const TENANT: &str = "t";
+    /// Estimated work, in milliseconds on one core.
+    pub const ESTIMATE_MS: &str = "h";
+    /// Estimated memory, in MB.
+    pub const MEMORY_MB: &str = "mem";
+    /// Idempotency key.
+    pub const IDEMPOTENCY_KEY: &str = "k";
+    /// Order key.
+    pub const ORDER_KEY: &str = "o";
+    /// Mark of a client's retry.
+    pub const RETRY: &str = "r";
+}
+
+/// Fields that belong to one execution of a prepared statement, and not to the statement.
+const PER_EXECUTION: [&str; 5] = [
+    field_name::ID,
+    field_name::WAIT_MS,
+    field_name::IDEMPOTENCY_KEY,
+    field_name::ORDER_KEY,
+    field_name::RETRY,
+];
+
+/// The fields of a request.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Fields {
     /// Class name.
@@ -15,15 +45,15 @@
     pub wait_ms: Option<u64>,
     /// Tenant name.
     pub tenant: Option<String>,
-    /// Estimated work, ms on one core.
+    /// Estimated work, in milliseconds on one core.
     pub estimate_ms: Option<f64>,
-    /// Estimated memory, MB.
+    /// Estimated memory, in MB.
     pub need_mb: Option<f64>,
-    /// The client's token, by which engines know a repeat of the same work.
+    /// The client's idempotency key, by which engines know a repeat of the same work.
     pub token: Option<String>,
-    /// The key by which requests of a class that keeps order take turns.
+    /// The order key: requests of one key run one at a time, in order.
     pub order_key: Option<String>,
-    /// The client repeats an earlier request of its own.
+    /// The client repeats an earlier request.
     pub retry: bool,
 }
 
@@ -33,7 +63,7 @@
     /// The statement has no comment before it.
     #[error("no comment with the fields stands before the statement")]
     NoComment,
-    /// A part of the comment is not `name=value`, or a name comes twice.
+    /// A part of the comment is not `name=value`, or a name stands twice.
     #[error("the comment is not a list of name=value, each name once")]
     Malformed,
     /// The class is missing.
@@ -42,15 +72,15 @@
     /// The id is not 16 hex digits.
     #[error("the id (i) must be 16 hex digits")]
     BadId,
-    /// The wait is not a positive number of milliseconds.
+    /// The wait is not a positive number of milliseconds, or longer than a day.
     #[error("the wait (d) must be a positive whole number of milliseconds, a day at most")]
     BadWait,
-    /// An estimate is not a number.
+    /// An estimate is not a number, or out of range.
     #[error("an estimate (h, mem) must be a number, 0 or more, and no more than any engine has")]
     BadEstimate,
-    /// A token that no header can carry.
+    /// An idempotency key that no header can carry.
     #[error("the token (k) must be 1 to 128 printable characters without blanks")]
-    BadToken,
+    BadIdempotencyKey,
     /// An order key that can't be one.
     #[error("the order key (o) must be 1 to 128 printable characters without blanks")]
     BadOrderKey,
@@ -62,15 +92,18 @@
     NoStatement,
 }
 
-/// No client waits for longer than a day.
-const LONGEST_WAIT_MS: f64 = 86_400_000.0;
+/// No client waits for longer than a day, in milliseconds.
+const MAX_WAIT_MS: f64 = 86_400_000.0;
 /// Milliseconds on one core, or MB: more than a machine does in a month, or has.
-const MOST_ESTIMATED: f64 = 1e9;
-
-/// Bytes of a token or an order key at most.
-const LONGEST_TOKEN: usize = 128;
+const MAX_ESTIMATE: f64 = 1e9;
+/// Length of an idempotency key or an order key.
+const MAX_KEY_BYTES: usize = 128;
+const ID_DIGITS: usize = 16;
 
 /// Splits a text into its fields and the statement behind them.
+///
+/// # Errors
+/// The text has no comment with fields, one of them can't be used, or no statement follows.
 pub fn split(text: &[u8]) -> Result<(Fields, &[u8]), FieldError> {
     let text = text.trim_ascii_start();
     let rest = text.strip_prefix(b"/*").ok_or(FieldError::NoComment)?;
@@ -80,208 +113,100 @@
         return Err(FieldError::NoStatement);
     }
     let comment = std::str::from_utf8(&rest[..end]).map_err(|_| FieldError::Malformed)?;
-    let mut fields = Fields::default();
-    let mut seen = Vec::new();
-    for part in comment.split(',') {
-        let (name, value) = part.trim().split_once('=').ok_or(FieldError::Malformed)?;
-        if seen.contains(&name) {
-            return Err(FieldError::Malformed);
+    Ok((Fields::parse(comment)?, statement))
+}
+
+impl Fields {
+    fn parse(comment: &str) -> Result<Self, FieldError> {
+        let mut fields = Self::default();
+        let mut seen = Vec::new();
+        for part in comment.split(',') {
+            let (name, value) = part.trim().split_once('=').ok_or(FieldError::Malformed)?;
+            if seen.contains(&name) {
+                return Err(FieldError::Malformed);
+            }
+            seen.push(name);
+            fields.set(name, value)?;
         }
-        seen.push(name);
+        if fields.class.is_empty() { Err(FieldError::NoClass) } else { Ok(fields) }
+    }
+
+    /// Sets a field by its name on the wire. Unknown names are ignored, as later versions may have them.
+    fn set(&mut self, name: &str, value: &str) -> Result<(), FieldError> {
         match name {
-            "c" => fields.class = value.to_owned(),
-            "i" => fields.id = Some(id(value)?),
-            "d" => fields.wait_ms = Some(wait(value)?),
-            "t" => fields.tenant = Some(value.to_owned()),
-            "h" => fields.estimate_ms = Some(estimate(value)?),
-            "mem" => fields.need_mb = Some(estimate(value)?),
-            "k" => fields.token = Some(token(value)?),
-            "o" => fields.order_key = Some(order_key(value)?),
-            "r" => fields.retry = retry(value)?,
-            _ => {} // Fields of later versions.
+            field_name::CLASS => self.class = value.to_owned(),
+            field_name::ID => self.id = Some(parse_id(value)?),
+            field_name::WAIT_MS => self.wait_ms = Some(parse_wait_ms(value)?),
+            field_name::TENANT => self.tenant = Some(value.to_owned()),
+            field_name::ESTIMATE_MS => self.estimate_ms = Some(parse_estimate(value)?),
+            field_name::MEMORY_MB => self.need_mb = Some(parse_estimate(value)?),
+            // It goes into a header as it is, so nothing may end that.
+            field_name::IDEMPOTENCY_KEY => {
+                self.token = Some(parse_key(value).ok_or(FieldError::BadIdempotencyKey)?);
+            }
+            field_name::ORDER_KEY => {
+                self.order_key = Some(parse_key(value).ok_or(FieldError::BadOrderKey)?);
+            }
+            field_name::RETRY => self.retry = parse_retry(value)?,
+            _ => {}
+        }
+        Ok(())
+    }
+
+    /// Sets a field of one execution by its name on the wire. Fields of the statement can't be changed, and are
+    /// ignored.
+    ///
+    /// # Errors
+    /// The value can't be used.
+    pub fn set_per_execution(&mut self, name: &[u8], value: &str) -> Result<(), FieldError> {
+        match PER_EXECUTION.iter().find(|field| field.as_bytes() == name) {
+            Some(field) => self.set(field, value),
+            None => Ok(()),
         }
     }
-    if fields.class.is_empty() {
-        return Err(FieldError::NoClass);
+
+    /// Removes the fields of one execution.
+    pub fn clear_per_execution(&mut self) {
+        (self.id, self.wait_ms, self.token) = (None, None, None);
+        (self.order_key, self.retry) = (None, false);
     }
-    Ok((fields, statement))
 }
 
-/// A client's id.
-pub fn id(value: &str) -> Result<String, FieldError> {
-    let good = value.len() == 16 && value.bytes().all(|b| b.is_ascii_hexdigit());
-    good.then(|| value.to_owned()).ok_or(FieldError::BadId)
+fn parse_id(value: &str) -> Result<String, FieldError> {
+    let is_id = value.len() == ID_DIGITS && value.bytes().all(|b| b.is_ascii_hexdigit());
+    is_id.then(|| value.to_owned()).ok_or(FieldError::BadId)
 }
 
-/// A wait in milliseconds; a fraction is cut off.
-pub fn wait(value: &str) -> Result<u64, FieldError> {
+/// Milliseconds; a fraction is cut off.
+fn parse_wait_ms(value: &str) -> Result<u64, FieldError> {
     let digits = value.split_once('.').map_or(value, |(whole, _)| whole);
     match digits.parse::<u64>() {
-        Ok(ms) if ms > 0 && value.parse::<f64>().is_ok_and(|f| f <= LONGEST_WAIT_MS) => Ok(ms),
+        Ok(ms) if ms > 0 && value.parse::<f64>().is_ok_and(|f| f <= MAX_WAIT_MS) => Ok(ms),
         _ => Err(FieldError::BadWait),
     }
 }
 
-/// A client's token. It goes into a header as it is, so nothing may end that.
-pub fn token(value: &str) -> Result<String, FieldError> {
-    is_printable(value).then(|| value.to_owned()).ok_or(FieldError::BadToken)
+/// An idempotency key or an order key. Its form is the client's own; only its length is bounded.
+fn parse_key(value: &str) -> Option<String> {
+    let is_key = (1..=MAX_KEY_BYTES).contains(&value.len()) && value.bytes().all(|b| b.is_ascii_graphic());
+    is_key.then(|| value.to_owned())
 }
 
-/// An order key. Its form is the client's own; only its length is bounded.
-pub fn order_key(value: &str) -> Result<String, FieldError> {
-    is_printable(value).then(|| value.to_owned()).ok_or(FieldError::BadOrderKey)
+fn parse_retry(value: &str) -> Result<bool, FieldError> {
+    if value == "1" { Ok(true) } else { Err(FieldError::BadRetry) }
 }
 
-/// The mark of a client's retry, which is 1 or absent.
-pub fn retry(value: &str) -> Result<bool, FieldError> {
-    if value == "1" { Ok(true) } else { Err(FieldError::BadRetry) }
+fn parse_estimate(value: &str) -> Result<f64, FieldError> {
+    value.parse::<f64>().ok().filter(|v| (0.0..=MAX_ESTIMATE).contains(v)).ok_or(FieldError::BadEstimate)
 }
 
-/// The number of an order key: FNV-1a over its bytes, so that two processes of one gateway agree on it. Keys
-/// that happen to share a number take turns with each other, which is safe.
+/// The number of an order key: FNV-1a over its bytes, so that two processes of one gateway agree on it. Keys that
+/// happen to share a number run one at a time with each other, which is safe.
 pub fn key_id(order_key: &str) -> KeyId {
     const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0100_0000_01b3;
     KeyId(order_key.bytes().fold(OFFSET_BASIS, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(PRIME)))
 }
 
-fn is_printable(value: &str) -> bool {
-    (1..=LONGEST_TOKEN).contains(&value.len()) && value.bytes().all(|b| b.is_ascii_graphic())
-}
-
-fn estimate(value: &str) -> Result<f64, FieldError> {
-    value.parse::<f64>().ok().filter(|v| (0.0..=MOST_ESTIMATED).contains(v)).ok_or(FieldError::BadEstimate)
-}
-
-#[derive(Debug, PartialEq)]
-enum Token<'a> {
-    Word(Cow<'a, str>),
-    Dot,
-    Other,
-}
-
-/// The group of tables: the number behind the underscore in the schema that the statement names, as in
-/// `sales_17.orders`. A schema counts where a table is named (after FROM, JOIN, INTO, UPDATE or TABLE, or
-/// after a comma of such a list); an alias such as `a_3.day` elsewhere is none, nor is `staging`, nor what
-/// stands in strings and comments.
-pub fn table_group(statement: &[u8]) -> Option<u64> {
-    let tokens = tokens(statement);
-    let word = |i: usize| match tokens.get(i) {
-        Some(Token::Word(w)) => Some(w.as_ref()),
-        _ => None,
-    };
-    for i in 0..tokens.len() {
-        let names_table = word(i).is_some_and(|w| {
-            ["from", "join", "into", "update", "table"].iter().any(|k| w.eq_ignore_ascii_case(k))
-        });
-        if !names_table {
-            continue;
-        }
-        let mut at = i + 1;
-        if word(at).is_some_and(|w| w.eq_ignore_ascii_case("only") || w.eq_ignore_ascii_case("table")) {
-            at += 1;
-        }
-        let mut parts = Vec::new();
-        while let Some(w) = word(at) {
-            parts.push(w);
-            if tokens.get(at + 1) != Some(&Token::Dot) {
-                break;
-            }
-            at += 2;
-        }
-        if let [.., schema, _] = parts.as_slice() {
-            if let Some(group) = group_of_schema(schema) {
-                return Some(group);
-            }
-        }
-    }
-    None
-}
-
-fn group_of_schema(schema: &str) -> Option<u64> {
-    let (name, number) = schema.rsplit_once('_')?;
-    if name.eq_ignore_ascii_case("staging") || !number.bytes().all(|b| b.is_ascii_digit()) {
-        return None;
-    }
-    number.parse().ok()
-}
-
-/// Words and dots outside strings and comments.
-fn tokens(s: &[u8]) -> Vec<Token<'_>> {
-    let mut tokens = Vec::new();
-    let mut i = 0;
-    let find = |from: usize, what: &[u8]| {
-        s.get(from..).and_then(|r| r.windows(what.len()).position(|w| w == what)).map(|p| from + p)
-    };
-    let is_word = |b: u8| b.is_ascii_alphanumeric() || b == b'_' || b >= 0x80;
-    while i < s.len() {
-        match s[i] {
-            b'-' if s.get(i + 1) == Some(&b'-') => i = find(i, b"\n").unwrap_or(s.len()),
-            b'/' if s.get(i + 1) == Some(&b'*') => {
-                // Comments nest.
-                let (mut depth, mut j) = (1, i + 2);
-                while depth > 0 && j < s.len() {
-                    match s.get(j..j + 2) {
-                        Some(b"/*") => (depth, j) = (depth + 1, j + 2),
-                        Some(b"*/") => (depth, j) = (depth - 1, j + 2),
-                        _ => j += 1,
-                    }
-                }
-                i = j;
-            }
-            b'\'' => {
-                // Backslashes escape in E'..' only.
-                let escapes = i > 0 && matches!(s[i - 1], b'e' | b'E') && (i < 2 || !is_word(s[i - 2]));
-                let mut j = i + 1;
-                while j < s.len() {
-                    if escapes && s[j] == b'\\' {
-                        j += 1;
-                    } else if s[j] == b'\'' {
-                        if s.get(j + 1) != Some(&b'\'') {
-                            break;
-                        }
-                        j += 1;
-                    }
-                    j += 1;
-                }
-                i = j + 1;
-                tokens.push(Token::Other);
-            }
-            quote @ (b'"' | b'`') => {
-                let end = find(i + 1, &[quote]).unwrap_or(s.len());
-                tokens.push(Token::Word(String::from_utf8_lossy(&s[i + 1..end])));
-                i = end + 1;
-            }
-            b'$' => {
-                // A dollar quote, $tag$..$tag$; else a parameter.
-                let tag = s[i + 1..].iter().position(|b| !is_word(*b)).map(|n| i + 1 + n);
-                match tag.filter(|end| s[*end] == b'$' && !s[i + 1].is_ascii_digit()) {
-                    Some(end) => {
-                        let mark = &s[i..=end];
-                        i = find(end + 1, mark).map_or(s.len(), |at| at + mark.len());
-                    }
-                    None => i += 1,
-                }
-                tokens.push(Token::Other);
-            }
-            b'.' => {
-                tokens.push(Token::Dot);
-                i += 1;
-            }
-            b if is_word(b) => {
-                let end = s[i..].iter().position(|b| !is_word(*b)).map_or(s.len(), |n| i + n);
-                tokens.push(Token::Word(String::from_utf8_lossy(&s[i..end])));
-                i = end;
-            }
-            b if b.is_ascii_whitespace() => i += 1,
-            _ => {
-                tokens.push(Token::Other);
-                i += 1;
-            }
-        }
-    }
-    tokens
-}
-
 #[cfg(test)]
 mod tests;
--- a/gateway/src/front/mod.rs
+++ b/gateway/src/front/mod.rs
@@ -1,12 +1,17 @@
-//! Fronts: what clients speak. Each is a state machine over bytes, without sockets or decisions.
+//! Front ends: the protocols that clients speak, PostgreSQL ([`pg`]) and MySQL ([`mysql`]). Each is a state machine over
+//! bytes, without I/O or decisions.
+//!
+//! A session turns what its client sends into [`ClientCommand`]s and writes what needs no decision. A
+//! [`ClientCommand::Request`] is owed one [`FinalAnswer`].
 
 pub mod fields;
 pub mod mysql;
 pub mod pg;
+pub mod table_group;
 
 use crate::mysql_protocol::{Parameter, ResultSet};
 
-/// Rows of text as an engine made them, whatever its wire; cells of one row after the other.
+/// Rows of text as an engine made them, row by row, whatever its protocol.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Rows {
     /// Names of the columns; their number holds for every row.
@@ -22,25 +27,25 @@
     }
 }
 
-/// What an engine made for a request, in the form that the request's front speaks.
+/// The result of a request, in the form that the request's front end speaks.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Payload {
     /// Rows of text.
     Text(Rows),
-    /// A MySQL result, packets as they came.
+    /// A MySQL result set, packets as they came.
     MySql(ResultSet),
 }
 
-/// How a request ended, for a front to word.
+/// How a request ended, for a front end to write.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FinalAnswer<'a> {
     /// All rows of the result.
     Served(&'a Payload),
-    /// Refused: trying again is harmless, best after so many milliseconds.
+    /// Rejected: a retry is safe, best after so many milliseconds.
     Rejected(Option<u64>),
-    /// Failed, with no word on its effect.
+    /// Failed: nothing is promised about the effect; with the message.
     Failed(&'a str),
-    /// Ended at the client's own word.
+    /// Cancelled by the client.
     Cancelled,
 }
 
@@ -56,21 +61,21 @@
     }
 }
 
-/// A request that a front has read.
+/// A request that a front end has read.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClientRequest {
     /// Its fields.
     pub fields: fields::Fields,
     /// The statement without the comment that held the fields.
     pub statement: Vec<u8>,
-    /// How it is to be run.
+    /// How it is to be executed.
     pub run: ExecutionMode,
 }
 
-/// How a statement is to be run.
+/// How a statement is to be executed.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ExecutionMode {
-    /// As text, by the engines' own protocol.
+    /// As text, over the engines' HTTP protocol.
     Simple,
     /// As text, over MySQL.
     Query,
@@ -78,24 +83,24 @@
     Execute(Vec<Parameter>),
 }
 
-/// What a client wants, once its bytes have been read.
+/// What a client asks for by a message.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ClientCommand {
-    /// An answer to a request.
+    /// The final answer to a request.
     Request(ClientRequest),
-    /// Word whether the settings know what these fields name.
+    /// A check whether the settings know what these fields of a prepared statement name.
     Prepare(fields::Fields),
-    /// The end of another session's request.
+    /// The cancellation of another session's request.
     Cancel {
-        /// The session's number.
+        /// The session's id, as its client was told it.
         session: u32,
-        /// Its secret.
+        /// The session's secret.
         secret: u32,
     },
-    /// Nothing more: its message was answered here, or needed no answer.
+    /// Nothing more: the message was answered, or needs no answer.
     Handled,
-    /// Nothing more: its message was answered with an error here.
+    /// Nothing more: the message was answered with an error.
     Invalid,
-    /// The end of this session, once all that was written is out.
+    /// The end of this session, once its output is written.
     Close,
 }
--- /dev/null
+++ b/gateway/src/front/mysql/prepared_statements.rs
@@ -0,0 +1,237 @@
+//! Prepared statements: COM_STMT_PREPARE, COM_STMT_EXECUTE and the other commands on them.
+
+use std::collections::BTreeMap;
+
+use super::{ClientCommand, ClientRequest, ExecutionMode, Session, State};
+use crate::mysql_protocol::command::{CURSOR_TYPE_MASK, PARAMETER_COUNT_AVAILABLE};
+use crate::mysql_protocol::{
+    OK_HEADER, PacketError, ParameterType, Reader, capabilities, column_type, count_placeholders, error_code,
+    read_parameters, write_lenenc_string, write_packet,
+};
+
+/// Statements that one session may hold.
+const MAX_STATEMENTS: usize = 256;
+/// Bytes that they may take together.
+const MAX_STATEMENT_BYTES: usize = 192 * 1024;
+
+/// The character set of a binary column.
+const CHARSET_BINARY: u8 = 63;
+/// The column flag BINARY.
+const BINARY_FLAG: u8 = 0x80;
+/// The bytes of a column definition behind its texts.
+const COLUMN_FIXED_FIELDS_BYTES: u8 = 0x0c;
+
+/// A prepared statement.
+#[derive(Debug)]
+pub struct PreparedStatement {
+    /// The request of each execution, but for the fields of the execution.
+    request: ClientRequest,
+    parameters: usize,
+    /// The parameter types of the last execution that brought some.
+    bound: Vec<ParameterType>,
+    /// COM_STMT_SEND_LONG_DATA came for it, which is not supported: its next execution fails.
+    has_long_data: bool,
+}
+
+impl PreparedStatement {
+    /// What it takes, with its share of the tree that holds it.
+    pub fn bytes(&self) -> usize {
+        let names: usize = self.bound.iter().map(|parameter| parameter.name.capacity()).sum();
+        let bound = self.bound.capacity() * size_of::<ParameterType>() + names;
+        2 * size_of::<Self>() + self.request.statement.capacity() + bound
+    }
+}
+
+/// The prepared statements of a session, with the bytes that they take.
+#[derive(Debug, Default)]
+pub struct PreparedStatements {
+    by_id: BTreeMap<u32, PreparedStatement>,
+    bytes: usize,
+}
+
+impl PreparedStatements {
+    /// Bytes that they take together.
+    pub fn bytes(&self) -> usize {
+        self.bytes
+    }
+
+    fn insert(&mut self, statement_id: u32, statement: PreparedStatement) {
+        self.bytes += statement.bytes();
+        self.by_id.insert(statement_id, statement);
+    }
+
+    fn remove(&mut self, statement_id: u32) {
+        if let Some(statement) = self.by_id.remove(&statement_id) {
+            self.bytes -= statement.bytes();
+        }
+    }
+}
+
+impl Session {
+    /// Bytes that its prepared statements take, with the one being prepared.
+    pub fn statement_bytes(&self) -> usize {
+        self.pending_bytes() + self.statements.as_ref().map_or(0, |s| s.bytes)
+    }
+
+    /// Bytes that the statement takes which is being prepared.
+    pub fn pending_bytes(&self) -> usize {
+        self.pending.as_ref().map_or(0, PreparedStatement::bytes)
+    }
+
+    fn statement(&mut self, statement_id: u32) -> Option<&mut PreparedStatement> {
+        self.statements.as_mut()?.by_id.get_mut(&statement_id)
+    }
+
+    fn unknown_statement(&mut self, statement_id: u32, to: &str, out: &mut Vec<u8>) -> ClientCommand {
+        let message = format!("Unknown prepared statement handler ({statement_id}) given to {to}");
+        self.invalid(error_code::ER_UNKNOWN_STMT_HANDLER, "HY000", &message, out)
+    }
+
+    /// COM_STMT_PREPARE. The settings check the statement's class and tenant next.
+    pub(super) fn prepare(&mut self, text: &[u8], out: &mut Vec<u8>) -> ClientCommand {
+        let (count, bytes) = self.statements.as_ref().map_or((0, 0), |s| (s.by_id.len(), s.bytes));
+        if count >= MAX_STATEMENTS || bytes + text.len() > MAX_STATEMENT_BYTES {
+            let code = error_code::ER_MAX_PREPARED_STMT_COUNT_REACHED;
+            return self.invalid(code, "42000", "Too many prepared statements", out);
+        }
+        let mut request = match self.parse_request(text) {
+            Ok(request) => request,
+            Err(error) => return self.invalid_fields(error, out),
+        };
+        request.fields.clear_per_execution();
+        let parameters = count_placeholders(&request.statement);
+        if u16::try_from(parameters).is_err() {
+            let message = "Prepared statement contains too many placeholders";
+            return self.invalid(error_code::ER_PS_MANY_PARAM, "HY000", message, out);
+        }
+        let command = ClientCommand::Prepare(request.fields.clone());
+        self.pending =
+            Some(PreparedStatement { request, parameters, bound: Vec::new(), has_long_data: false });
+        self.state = State::Busy;
+        command
+    }
+
+    /// Writes the response to COM_STMT_PREPARE for a statement that the settings have found good.
+    pub fn judged(&mut self, out: &mut Vec<u8>) {
+        self.state = State::Ready;
+        let Some(statement) = self.pending.take() else { return };
+        let statement_id = self.statement_ids.get();
+        self.statement_ids.set(statement_id.wrapping_add(1));
+        self.write_prepare_ok(statement_id, statement.parameters, out);
+        self.statements.get_or_insert_default().insert(statement_id, statement);
+    }
+
+    fn write_prepare_ok(&mut self, statement_id: u32, parameters: usize, out: &mut Vec<u8>) {
+        let mut payload = vec![OK_HEADER];
+        payload.extend(statement_id.to_le_bytes());
+        payload.extend([0, 0]); // Columns come with the rows, from the engine that makes them.
+        payload.extend((parameters as u16).to_le_bytes());
+        payload.extend([0, 0, 0]); // Filler and warnings.
+        write_packet(out, &mut self.sequence, &payload);
+        for _ in 0..parameters {
+            write_packet(out, &mut self.sequence, &parameter_definition());
+        }
+        if parameters > 0 && !self.has_capability(capabilities::CLIENT_DEPRECATE_EOF) {
+            self.write_eof(out);
+        }
+    }
+
+    /// Rejects the statement being prepared: what all sessions may hold is held.
+    pub fn no_room(&mut self, out: &mut Vec<u8>) {
+        self.state = State::Ready;
+        self.pending = None;
+        let message = "Too many prepared statements, no memory is left for more";
+        self.invalid(error_code::ER_MAX_PREPARED_STMT_COUNT_REACHED, "42000", message, out);
+    }
+
+    /// COM_STMT_EXECUTE.
+    pub(super) fn execute(
+        &mut self,
+        mut reader: Reader<'_>,
+        out: &mut Vec<u8>,
+    ) -> Result<ClientCommand, PacketError> {
+        let statement_id = reader.int(4)? as u32;
+        let flags = reader.int(1)?;
+        let _iterations = reader.bytes(4)?;
+        let has_attributes = self.has_capability(capabilities::CLIENT_QUERY_ATTRIBUTES);
+        let Some(statement) = self.statements.as_mut().and_then(|s| s.by_id.get_mut(&statement_id)) else {
+            return Ok(self.unknown_statement(statement_id, "mysqld_stmt_execute", out));
+        };
+        if statement.has_long_data {
+            let message = "Long data is not taken here";
+            return Ok(self.invalid(error_code::ER_WRONG_ARGUMENTS, "HY000", message, out));
+        }
+        if flags & CURSOR_TYPE_MASK != 0 {
+            let message = "Cursors are not spoken here";
+            return Ok(self.invalid(error_code::ER_NOT_SUPPORTED_YET, "42000", message, out));
+        }
+        let mut count = statement.parameters;
+        if has_attributes && flags & u64::from(PARAMETER_COUNT_AVAILABLE) != 0 {
+            count = reader.lenenc_int()? as usize;
+        }
+        if count < statement.parameters {
+            let message = "Too few parameters for the statement";
+            return Ok(self.invalid(error_code::ER_WRONG_ARGUMENTS, "HY000", message, out));
+        }
+        let bytes_before = statement.bytes();
+        let mut parameters = read_parameters(&mut reader, count, has_attributes, &mut statement.bound)?;
+        let attributes = parameters.split_off(statement.parameters);
+        parameters.iter_mut().for_each(|parameter| parameter.name.clear());
+        let run = ExecutionMode::Execute(parameters);
+        let request = ClientRequest { run, ..statement.request.clone() };
+        let bytes_after = statement.bytes();
+        if let Some(statements) = &mut self.statements {
+            statements.bytes = statements.bytes + bytes_after - bytes_before;
+        }
+        Ok(self.open(request, &attributes, out))
+    }
+
+    /// COM_STMT_SEND_LONG_DATA, which gets no response: the next execution fails instead.
+    pub(super) fn send_long_data(&mut self, mut reader: Reader<'_>) -> Result<ClientCommand, PacketError> {
+        let statement_id = reader.int(4)? as u32;
+        if let Some(statement) = self.statement(statement_id) {
+            statement.has_long_data = true;
+        }
+        Ok(ClientCommand::Handled)
+    }
+
+    /// COM_STMT_CLOSE, which gets no response.
+    pub(super) fn close_statement(&mut self, mut reader: Reader<'_>) -> Result<ClientCommand, PacketError> {
+        let statement_id = reader.int(4)? as u32;
+        if let Some(statements) = &mut self.statements {
+            statements.remove(statement_id);
+            if statements.by_id.is_empty() {
+                self.statements = None;
+            }
+        }
+        Ok(ClientCommand::Handled)
+    }
+
+    /// COM_STMT_RESET.
+    pub(super) fn reset_statement(
+        &mut self,
+        mut reader: Reader<'_>,
+        out: &mut Vec<u8>,
+    ) -> Result<ClientCommand, PacketError> {
+        let statement_id = reader.int(4)? as u32;
+        let Some(statement) = self.statement(statement_id) else {
+            return Ok(self.unknown_statement(statement_id, "mysqld_stmt_reset", out));
+        };
+        statement.has_long_data = false;
+        self.write_ok(0, 0, out);
+        Ok(ClientCommand::Handled)
+    }
+}
+
+/// The definition of a parameter, the same for all: its type is not known before it is bound.
+fn parameter_definition() -> Vec<u8> {
+    let mut definition = Vec::new();
+    for text in [b"def".as_slice(), b"", b"", b"", b"?", b""] {
+        write_lenenc_string(&mut definition, text);
+    }
+    definition.extend([COLUMN_FIXED_FIELDS_BYTES, CHARSET_BINARY, 0]);
+    definition.extend([0; 4]); // Length.
+    definition.extend([column_type::VAR_STRING, BINARY_FLAG, 0]);
+    definition.extend([0; 3]); // Decimals and filler.
+    definition
+}
--- /dev/null
+++ b/gateway/src/front/mysql/tests.rs
@@ -0,0 +1,121 @@
+use quickcheck::quickcheck;
+
+use super::*;
+use crate::mysql_protocol::{Parameter, capabilities, write_packet};
+use crate::tenants::Account;
+
+/// A session whose client has authenticated with an empty password.
+fn ready() -> Session {
+    let account = Account { tenant: "acme".into(), password: String::new() };
+    let directory = Rc::new(Directory::new([("unit".to_owned(), account)]));
+    let mut out = Vec::new();
+    let statement_ids = Rc::new(Cell::new(10));
+    let mut session = Session::new(1, [7; 20], directory, statement_ids, &mut out);
+    let mut handshake_response = OFFERED_CAPABILITIES.to_le_bytes().to_vec();
+    handshake_response[0] &= !(capabilities::CLIENT_CONNECT_WITH_DB as u8);
+    handshake_response.extend([0, 0, 0, 1, 45]);
+    handshake_response.extend([0; 23]);
+    handshake_response.extend(b"unit\0\0mysql_native_password\0");
+    assert_eq!(session.read(&mut packet(&handshake_response, 1), &mut out), Some(ClientCommand::Handled));
+    assert_eq!(session.state, State::Ready);
+    session
+}
+
+#[test]
+fn a_suspended_session_keeps_its_statements_and_their_bytes_add_up() {
+    let mut session = ready();
+    let mut out = Vec::new();
+    for _ in 0..3 {
+        session.read(&mut packet(b"\x16/* c=lookup */ SELECT ? FROM a_1.b", 0), &mut out);
+        session.judged(&mut out);
+    }
+    let held = session.statement_bytes();
+    let (directory, statement_ids) = (session.directory.clone(), session.statement_ids.clone());
+    let suspended = session.park();
+    assert_eq!(suspended.statement_bytes(), held);
+    let mut session = Session::resume(suspended, directory, statement_ids);
+    assert_eq!(session.statement_bytes(), held);
+    let execute = packet(&[0x17, 11, 0, 0, 0, 8, 1, 0, 0, 0, 1, 1, 1, 6, 0, 0], 0);
+    let Some(ClientCommand::Request(request)) = session.read(&mut execute.clone(), &mut out) else {
+        panic!("none")
+    };
+    assert_eq!(request.fields.tenant.as_deref(), Some("acme"));
+    assert!(!session.is_idle(), "its request is open");
+    session.answer(FinalAnswer::Rejected(None), &mut out);
+    for handle in 10..13 {
+        session.read(&mut packet(&[0x19, handle, 0, 0, 0], 0), &mut out);
+    }
+    assert_eq!((session.statement_bytes(), session.statements.is_none()), (0, true));
+}
+
+fn packet(payload: &[u8], mut sequence: u8) -> Vec<u8> {
+    let mut out = Vec::new();
+    write_packet(&mut out, &mut sequence, payload);
+    out
+}
+
+#[test]
+fn a_client_with_another_authentication_plugin_gets_a_switch_request() {
+    let directory = Rc::new(Directory::default());
+    let mut out = Vec::new();
+    let mut session = Session::new(1, [7; 20], directory, Rc::new(Cell::new(1)), &mut out);
+    let mut handshake_response =
+        (OFFERED_CAPABILITIES & !capabilities::CLIENT_CONNECT_WITH_DB).to_le_bytes().to_vec();
+    handshake_response.extend([0; 28]);
+    handshake_response.extend(b"unit\0\0caching_sha2_password\0");
+    out.clear();
+    assert_eq!(session.read(&mut packet(&handshake_response, 1), &mut out), Some(ClientCommand::Handled));
+    assert!(out[4] == 0xfe && out[5..].starts_with(b"mysql_native_password\0"));
+    assert_eq!(
+        session.read(&mut packet(b"", 3), &mut out),
+        Some(ClientCommand::Close),
+        "no user is known here"
+    );
+}
+
+#[test]
+fn long_data_fails_the_next_execution_until_a_reset() {
+    let mut session = ready();
+    let mut out = Vec::new();
+    let prepare = packet(b"\x16/* c=load */ INSERT INTO a_1.b VALUES (?)", 0);
+    assert!(matches!(session.read(&mut prepare.clone(), &mut out), Some(ClientCommand::Prepare(_))));
+    session.judged(&mut out);
+    out.clear();
+    let long = packet(&[0x18, 10, 0, 0, 0, 0, 0, b'x'], 0);
+    assert_eq!(session.read(&mut long.clone(), &mut out), Some(ClientCommand::Handled));
+    assert_eq!(out, b"", "long data is never answered");
+    let execute = packet(&[0x17, 10, 0, 0, 0, 8, 1, 0, 0, 0, 1, 1, 1, 6, 0, 0], 0);
+    assert_eq!(session.read(&mut execute.clone(), &mut out), Some(ClientCommand::Invalid));
+    session.read(&mut packet(&[0x1a, 10, 0, 0, 0], 0), &mut out);
+    let Some(ClientCommand::Request(request)) = session.read(&mut execute.clone(), &mut out) else {
+        panic!("none")
+    };
+    let null = Parameter { type_and_flag: 6, name: Vec::new(), value: None };
+    assert_eq!(request.run, ExecutionMode::Execute(vec![null]));
+    assert_eq!(request.fields.tenant.as_deref(), Some("acme"));
+}
+
+quickcheck! {
+    /// Whatever comes, each command that is answered is answered once, and nothing panics.
+    fn random_commands_never_panic(commands: Vec<(u8, Vec<u8>)>) -> bool {
+        let mut session = ready();
+        let command_bytes = [0x03, 0x0e, 0x16, 0x17, 0x18, 0x19, 0x1a, 0x05];
+        let mut out = Vec::new();
+        for (kind, body) in commands {
+            let payload = [&[command_bytes[usize::from(kind) % command_bytes.len()]], body.as_slice()].concat();
+            out.clear();
+            let command = session.read(&mut packet(&payload, 0), &mut out);
+            let silent = matches!(payload[0], 0x18 | 0x19);
+            match command {
+                Some(ClientCommand::Request(_)) => session.answer(FinalAnswer::Rejected(None), &mut out),
+                Some(ClientCommand::Prepare(_)) => session.judged(&mut out),
+                Some(ClientCommand::Close) => return !out.is_empty(),
+                _ => {}
+            }
+            if out.is_empty() != silent || session.state != State::Ready {
+                return false;
+            }
+        }
+        true
+    }
+}
--- a/gateway/src/front/pg/tests.rs
+++ b/gateway/src/front/pg/tests.rs
@@ -3,6 +3,7 @@
 use quickcheck::quickcheck;
 
 use super::*;
+use crate::front::Rows;
 
 /// What a client sends, or the gateway's answer to the open request.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -44,14 +45,14 @@
     let mut out = Vec::new();
     let text = |t: &str| t.bytes().chain([0]).collect::<Vec<u8>>();
     match step {
-        Step::Good => message(&mut out, b'Q', |b| b.extend(text(GOOD))),
-        Step::Bad => message(&mut out, b'Q', |b| b.extend(text("SELECT 1"))),
-        Step::Empty => message(&mut out, b'Q', |b| b.extend(text(" ;"))),
-        Step::Parse => message(&mut out, b'P', |b| b.extend([0; 4])),
-        Step::Sync => message(&mut out, b'S', |_| {}),
-        Step::Flush => message(&mut out, b'H', |_| {}),
+        Step::Good => write_message(&mut out, b'Q', |b| b.extend(text(GOOD))),
+        Step::Bad => write_message(&mut out, b'Q', |b| b.extend(text("SELECT 1"))),
+        Step::Empty => write_message(&mut out, b'Q', |b| b.extend(text(" ;"))),
+        Step::Parse => write_message(&mut out, b'P', |b| b.extend([0; 4])),
+        Step::Sync => write_message(&mut out, b'S', |_| {}),
+        Step::Flush => write_message(&mut out, b'H', |_| {}),
         Step::Oversized => out.extend(b"Q\x7f\xff\xff\xff"),
-        Step::Terminate => message(&mut out, b'X', |_| {}),
+        Step::Terminate => write_message(&mut out, b'X', |_| {}),
         Step::Answer | Step::TimeOut => {}
     }
     out
@@ -70,14 +71,14 @@
             }
         } else if *step == Step::TimeOut {
             // Only who owes the rest of a message is told so.
-            if matches!(state, State::Ready | State::Skipping) {
+            if matches!(state, State::Ready | State::SkippingToSync) {
                 heard += "E";
                 state = State::Closed;
             }
         } else {
             waiting.push_back(*step);
         }
-        while matches!(state, State::Ready | State::Skipping) {
+        while matches!(state, State::Ready | State::SkippingToSync) {
             let Some(step) = waiting.pop_front() else { break };
             (state, taken) = match (state, step) {
                 (_, Step::Oversized) => {
@@ -89,7 +90,7 @@
                     heard += "Z";
                     (State::Ready, taken)
                 }
-                (State::Skipping, _) => (state, taken),
+                (State::SkippingToSync, _) => (state, taken),
                 (_, Step::Good) => (State::Busy, taken + 1),
                 (_, Step::Bad) => {
                     heard += "EZ";
@@ -101,7 +102,7 @@
                 }
                 (_, Step::Parse) => {
                     heard += "E";
-                    (State::Skipping, taken)
+                    (State::SkippingToSync, taken)
                 }
                 _ => (state, taken),
             };
@@ -134,7 +135,7 @@
         };
         feed(&mut session, &start_up(), &mut out);
         for step in &steps {
-            if *step == Step::TimeOut && matches!(session.state, State::Ready | State::Skipping) {
+            if *step == Step::TimeOut && matches!(session.state, State::Ready | State::SkippingToSync) {
                 session.time_out(&mut out);
             }
             if *step == Step::Answer && session.is_busy() {
--- a/gateway/src/net/clients.rs
+++ b/gateway/src/net/clients.rs
@@ -16,6 +16,7 @@
 use crate::admission::{self, AdmissionInput, Admitted, Rejection, Subject};
 use crate::core::{Command, Input, NewRequest};
 use crate::front::fields::{self, Fields};
+use crate::front::table_group;
 use crate::front::{ClientCommand, ClientRequest, FinalAnswer, Payload};
 use crate::mysql_protocol::ResultSet;
 
@@ -462,7 +463,7 @@
             deadline_us,
             estimated_work: fields.estimate_ms.map(|ms| ms / 1000.0),
             estimated_memory_mb: fields.need_mb.filter(|mb| *mb > 0.0),
-            table_group: fields::table_group(&request.statement).map(TableGroupId),
+            table_group: table_group::table_group(&request.statement).map(TableGroupId),
             key: fields.order_key.as_deref().map(fields::key_id),
             is_retry: fields.retry,
         };
--- a/gateway/src/net/engines/attempts.rs
+++ b/gateway/src/net/engines/attempts.rs
@@ -7,6 +7,7 @@
 use crate::core::{AttemptLimits, AttemptTerms, Input};
 use crate::engine::{http, mysql};
 use crate::front::ExecutionMode;
+use crate::front::fields::field_name;
 use crate::mysql_protocol::Parameter;
 use crate::net::{Request, Server};
 
@@ -219,11 +220,12 @@
 /// A request as work for a MySQL engine; its id, class and remaining time go beside it as query attributes.
 fn mysql_work(request: &Request, class: &str, max_ms: u64) -> mysql::Work {
     let mut attributes = vec![
-        Parameter::text("i", &request.query_id),
-        Parameter::text("c", class),
-        Parameter::text("d", &max_ms.to_string()),
+        Parameter::text(field_name::ID, &request.query_id),
+        Parameter::text(field_name::CLASS, class),
+        Parameter::text(field_name::WAIT_MS, &max_ms.to_string()),
     ];
-    attributes.extend(request.token.as_deref().map(|token| Parameter::text("k", token)));
+    attributes
+        .extend(request.token.as_deref().map(|token| Parameter::text(field_name::IDEMPOTENCY_KEY, token)));
     let sql = request.statement.clone();
     match &request.run {
         ExecutionMode::Execute(params) => mysql::Work::Execute(sql, params.clone(), attributes),
