--- a/gateway/src/net/shutdown.rs
+++ b/gateway/src/net/shutdown.rs
@@ -11,7 +11,7 @@
 
 use workload_manager::Settings;
 
-use super::conn::Phase;
+use super::connection::Phase;
 use super::listeners::Front;
 use super::{Server, Timer};
 use crate::core::Input;
@@ -151,14 +151,15 @@
         let sessions: Vec<_> = self.sessions.table.handles().collect();
         for handle in sessions {
             self.read_now(handle);
-            let Some(active) = self.sessions.table.active_mut(handle) else { continue };
-            if active.conn.phase != Phase::Open {
+            let Some(session) = self.sessions.table.active_mut(handle) else { continue };
+            let connection = &mut session.connection;
+            if connection.phase != Phase::Open {
                 continue;
             }
-            if active.session.is_starting() || !active.conn.input.is_empty() {
-                active.session.shut_down(&mut active.conn.output);
+            if session.protocol.is_starting() || !connection.input.is_empty() {
+                session.protocol.shut_down(&mut connection.output);
             }
-            self.close_soon(handle);
+            self.close_gracefully(handle);
         }
     }
 }
