--- a/gateway/src/admission.rs
+++ b/gateway/src/admission.rs
@@ -14,7 +14,7 @@
 use wrenhatch_sessions::read_scheduler::ReadScheduler;
 
 use crate::config::SettingsNames;
-use crate::front::fields::Fields;
+use crate::front::fields::RequestFields;
 
 /// Why a request or a statement to be prepared is invalid; the text goes to the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
@@ -43,7 +43,7 @@
 ///
 /// # Errors
 /// A class, or else a tenant, that the settings don't have.
-pub fn subject(names: &SettingsNames, fields: &Fields) -> Result<Subject, InvalidRequest> {
+pub fn subject(names: &SettingsNames, fields: &RequestFields) -> Result<Subject, InvalidRequest> {
     let class = names.class(&fields.class).ok_or(InvalidRequest::UnknownClass)?;
     let tenant = |name: &String| names.tenant(name).ok_or(InvalidRequest::UnknownTenant);
     Ok(Subject { class, tenant: fields.tenant.as_ref().map(tenant).transpose()? })
@@ -53,7 +53,11 @@
 ///
 /// # Errors
 /// An id in use, or else names that the settings don't have.
-pub fn validate(names: &SettingsNames, fields: &Fields, id_in_use: bool) -> Result<Subject, InvalidRequest> {
+pub fn validate(
+    names: &SettingsNames,
+    fields: &RequestFields,
+    id_in_use: bool,
+) -> Result<Subject, InvalidRequest> {
     if id_in_use { Err(InvalidRequest::DuplicateId) } else { subject(names, fields) }
 }
 
--- a/gateway/src/admission/tests.rs
+++ b/gateway/src/admission/tests.rs
@@ -8,8 +8,8 @@
     }
 }
 
-fn fields(class: &str, tenant: Option<&str>) -> Fields {
-    Fields { class: class.to_owned(), tenant: tenant.map(str::to_owned), ..Fields::default() }
+fn fields(class: &str, tenant: Option<&str>) -> RequestFields {
+    RequestFields { class: class.to_owned(), tenant: tenant.map(str::to_owned), ..RequestFields::default() }
 }
 
 /// A request that passes all guards: ready at 1 s, read at 2 s, its client waits for 3 s.
--- a/gateway/src/front/fields.rs
+++ b/gateway/src/front/fields.rs
@@ -36,7 +36,7 @@
 
 /// The fields of a request.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Fields {
+pub struct RequestFields {
     /// Class name.
     pub class: String,
     /// The client's id.
@@ -48,13 +48,13 @@
     /// Estimated work, in milliseconds on one core.
     pub estimate_ms: Option<f64>,
     /// Estimated memory, in MB.
-    pub need_mb: Option<f64>,
+    pub memory_mb: Option<f64>,
     /// The client's idempotency key, by which engines know a repeat of the same work.
-    pub token: Option<String>,
+    pub idempotency_key: Option<String>,
     /// The order key: requests of one key run one at a time, in order.
     pub order_key: Option<String>,
     /// The client repeats an earlier request.
-    pub retry: bool,
+    pub is_retry: bool,
 }
 
 /// Why fields can't be used.
@@ -104,7 +104,7 @@
 ///
 /// # Errors
 /// The text has no comment with fields, one of them can't be used, or no statement follows.
-pub fn split(text: &[u8]) -> Result<(Fields, &[u8]), FieldError> {
+pub fn split(text: &[u8]) -> Result<(RequestFields, &[u8]), FieldError> {
     let text = text.trim_ascii_start();
     let rest = text.strip_prefix(b"/*").ok_or(FieldError::NoComment)?;
     let end = rest.windows(2).position(|w| w == b"*/").ok_or(FieldError::NoComment)?;
@@ -113,10 +113,10 @@
         return Err(FieldError::NoStatement);
     }
     let comment = std::str::from_utf8(&rest[..end]).map_err(|_| FieldError::Malformed)?;
-    Ok((Fields::parse(comment)?, statement))
+    Ok((RequestFields::parse(comment)?, statement))
 }
 
-impl Fields {
+impl RequestFields {
     fn parse(comment: &str) -> Result<Self, FieldError> {
         let mut fields = Self::default();
         let mut seen = Vec::new();
@@ -139,15 +139,15 @@
             field_name::WAIT_MS => self.wait_ms = Some(parse_wait_ms(value)?),
             field_name::TENANT => self.tenant = Some(value.to_owned()),
             field_name::ESTIMATE_MS => self.estimate_ms = Some(parse_estimate(value)?),
-            field_name::MEMORY_MB => self.need_mb = Some(parse_estimate(value)?),
+            field_name::MEMORY_MB => self.memory_mb = Some(parse_estimate(value)?),
             // It goes into a header as it is, so nothing may end that.
             field_name::IDEMPOTENCY_KEY => {
-                self.token = Some(parse_key(value).ok_or(FieldError::BadIdempotencyKey)?);
+                self.idempotency_key = Some(parse_key(value).ok_or(FieldError::BadIdempotencyKey)?);
             }
             field_name::ORDER_KEY => {
                 self.order_key = Some(parse_key(value).ok_or(FieldError::BadOrderKey)?);
             }
-            field_name::RETRY => self.retry = parse_retry(value)?,
+            field_name::RETRY => self.is_retry = parse_retry(value)?,
             _ => {}
         }
         Ok(())
@@ -167,8 +167,8 @@
 
     /// Removes the fields of one execution.
     pub fn clear_per_execution(&mut self) {
-        (self.id, self.wait_ms, self.token) = (None, None, None);
-        (self.order_key, self.retry) = (None, false);
+        (self.id, self.wait_ms, self.idempotency_key) = (None, None, None);
+        (self.order_key, self.is_retry) = (None, false);
     }
 }
 
--- a/gateway/src/front/fields/tests.rs
+++ b/gateway/src/front/fields/tests.rs
@@ -7,7 +7,7 @@
     assert_eq!(statement, b"SELECT 1  ");
     assert_eq!((f.class.as_str(), f.wait_ms), ("report", Some(1500)));
     assert_eq!(f.id.as_deref(), Some("9b1f03aa5c7e2d41"));
-    assert_eq!((f.tenant.as_deref(), f.estimate_ms, f.need_mb), (Some("acme"), Some(820.0), Some(96.0)));
+    assert_eq!((f.tenant.as_deref(), f.estimate_ms, f.memory_mb), (Some("acme"), Some(820.0), Some(96.0)));
 }
 
 #[test]
@@ -17,7 +17,7 @@
     assert_eq!(error("/* c=a,i=12 */ x"), FieldError::BadId);
     assert_eq!(error("/* c=a,k= */ x"), FieldError::BadIdempotencyKey);
     assert_eq!(error("/* c=a,k=x\r\ny: z */ x"), FieldError::BadIdempotencyKey);
-    assert_eq!(split(b"/* c=a,k=x9 */ x").unwrap().0.token.as_deref(), Some("x9"));
+    assert_eq!(split(b"/* c=a,k=x9 */ x").unwrap().0.idempotency_key.as_deref(), Some("x9"));
     assert_eq!(error("/* c=a,o= */ x"), FieldError::BadOrderKey);
     assert_eq!(error("/* c=a,o=a b */ x"), FieldError::BadOrderKey);
     assert_eq!(error(&format!("/* c=a,o={} */ x", "7".repeat(129))), FieldError::BadOrderKey);
@@ -40,9 +40,9 @@
 fn order_key_and_retry_mark_are_read_in_any_place() {
     let fields = |text: &str| split(text.as_bytes()).unwrap().0;
     let marked = fields("/* r=1,o=7f3a9c21e0b4d655,c=load */ x");
-    assert_eq!((marked.order_key.as_deref(), marked.retry), (Some("7f3a9c21e0b4d655"), true));
+    assert_eq!((marked.order_key.as_deref(), marked.is_retry), (Some("7f3a9c21e0b4d655"), true));
     let plain = fields("/* c=load */ x");
-    assert_eq!((plain.order_key, plain.retry), (None, false));
+    assert_eq!((plain.order_key, plain.is_retry), (None, false));
     // Two processes of one gateway must agree on the number of a key, whatever its form.
     assert_eq!(key_id("a"), KeyId(0xaf63_dc4c_8601_ec8c));
     assert_ne!(key_id("7f3a9c21e0b4d655"), key_id("7f3a9c21e0b4d656"));
--- a/gateway/src/front/mod.rs
+++ b/gateway/src/front/mod.rs
@@ -61,11 +61,26 @@
     }
 }
 
+/// Why the gateway ends a session; the client gets an error that says so.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum DisconnectReason {
+    /// There is no capacity for the session; a retry is safe.
+    TooManyConnections,
+    /// The session did not start, or a message that its client began did not end, in time.
+    Timeout,
+    /// The client sent too much behind an open request.
+    InputOverrun,
+    /// No memory is left for the session; a retry is safe.
+    OutOfMemory,
+    /// The gateway shuts down; a retry is safe.
+    ShuttingDown,
+}
+
 /// A request that a front end has read.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClientRequest {
     /// Its fields.
-    pub fields: fields::Fields,
+    pub fields: fields::RequestFields,
     /// The statement without the comment that held the fields.
     pub statement: Vec<u8>,
     /// How it is to be executed.
@@ -89,7 +104,7 @@
     /// The final answer to a request.
     Request(ClientRequest),
     /// A check whether the settings know what these fields of a prepared statement name.
-    Prepare(fields::Fields),
+    Prepare(fields::RequestFields),
     /// The cancellation of another session's request.
     Cancel {
         /// The session's id, as its client was told it.
--- a/gateway/src/front/mysql/mod.rs
+++ b/gateway/src/front/mysql/mod.rs
@@ -10,7 +10,7 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-use super::{ClientCommand, ClientRequest, ExecutionMode, FinalAnswer, Payload};
+use super::{ClientCommand, ClientRequest, DisconnectReason, ExecutionMode, FinalAnswer, Payload};
 use crate::mysql_protocol::{
     PacketError, SqlError, capabilities, error_code, ok_payload, read_packet, write_packet,
 };
@@ -47,14 +47,14 @@
 
 /// An idle session after authentication: all that must be kept of it.
 #[derive(Debug)]
-pub struct Parked {
+pub struct SuspendedSession {
     capabilities: u32,
     tenant: Option<Rc<str>>,
     /// Boxed, as few sessions have any.
     statements: Option<Box<PreparedStatements>>,
 }
 
-impl Parked {
+impl SuspendedSession {
     /// Bytes that its prepared statements take.
     pub fn statement_bytes(&self) -> usize {
         self.statements.as_ref().map_or(0, |s| s.bytes())
@@ -108,14 +108,18 @@
     }
 
     /// What must be kept of it while it is idle.
-    pub fn park(self) -> Parked {
+    pub fn suspend(self) -> SuspendedSession {
         debug_assert!(self.is_idle());
-        Parked { capabilities: self.capabilities, tenant: self.tenant, statements: self.statements }
+        SuspendedSession { capabilities: self.capabilities, tenant: self.tenant, statements: self.statements }
     }
 
     /// Continues a session that was idle.
-    pub fn resume(parked: Parked, directory: Rc<Directory>, statement_ids: Rc<Cell<u32>>) -> Self {
-        let Parked { capabilities, tenant, statements } = parked;
+    pub fn resume(
+        suspended: SuspendedSession,
+        directory: Rc<Directory>,
+        statement_ids: Rc<Cell<u32>>,
+    ) -> Self {
+        let SuspendedSession { capabilities, tenant, statements } = suspended;
         Self {
             state: State::Ready,
             directory,
@@ -130,33 +134,32 @@
         }
     }
 
-    /// Ends a session for which no memory is left.
-    pub fn out_of_memory(&mut self, out: &mut Vec<u8>) {
-        self.fatal(error_code::ER_OUT_OF_RESOURCES, "HY001", "Out of memory for this connection", out);
-    }
-
-    /// Ends a session for which there is no capacity, in place of a handshake.
-    pub fn turn_away(&mut self, out: &mut Vec<u8>) {
-        out.clear();
-        self.sequence = 0;
-        self.fatal(error_code::ER_CON_COUNT_ERROR, "08004", "Too many connections", out);
-    }
-
-    /// Ends a session that did not start, or did not end a message that it began, in time.
-    pub fn time_out(&mut self, out: &mut Vec<u8>) {
-        let message = "Got timeout reading communication packets";
-        self.fatal(error_code::ER_NET_READ_INTERRUPTED, "08S01", message, out);
-    }
-
-    /// Ends a session whose client sent too much behind an open request.
-    pub fn overrun(&mut self, out: &mut Vec<u8>) {
-        let message = "Got too much behind a request that was open";
-        self.fatal(error_code::ER_NET_PACKET_TOO_LARGE, "08S01", message, out);
-    }
-
-    /// Ends a session as the gateway shuts down.
-    pub fn shut_down(&mut self, out: &mut Vec<u8>) {
-        self.fatal(error_code::ER_SERVER_SHUTDOWN, "08S01", "Server shutdown in progress", out);
+    /// Ends the session with an error.
+    pub fn disconnect(&mut self, reason: DisconnectReason, out: &mut Vec<u8>) {
+        if reason == DisconnectReason::TooManyConnections {
+            // The error stands in place of the handshake.
+            out.clear();
+            self.sequence = 0;
+        }
+        let (code, sqlstate, message) = match reason {
+            DisconnectReason::TooManyConnections => {
+                (error_code::ER_CON_COUNT_ERROR, "08004", "Too many connections")
+            }
+            DisconnectReason::Timeout => {
+                (error_code::ER_NET_READ_INTERRUPTED, "08S01", "Got timeout reading communication packets")
+            }
+            DisconnectReason::InputOverrun => {
+                let message = "Got too much behind a request that was open";
+                (error_code::ER_NET_PACKET_TOO_LARGE, "08S01", message)
+            }
+            DisconnectReason::OutOfMemory => {
+                (error_code::ER_OUT_OF_RESOURCES, "HY001", "Out of memory for this connection")
+            }
+            DisconnectReason::ShuttingDown => {
+                (error_code::ER_SERVER_SHUTDOWN, "08S01", "Server shutdown in progress")
+            }
+        };
+        self.fatal(code, sqlstate, message, out);
     }
 
     /// Whether its client has yet to authenticate.
@@ -209,8 +212,8 @@
         self.capabilities & capability != 0
     }
 
-    /// Rejects the open request, or the statement being prepared, for fields that only the settings can check.
-    pub fn reject(&mut self, text: &str, out: &mut Vec<u8>) {
+    /// Answers the open request, or the statement being prepared, as invalid, for fields that only the settings can check.
+    pub fn answer_invalid(&mut self, text: &str, out: &mut Vec<u8>) {
         self.state = State::Ready;
         self.pending = None;
         self.invalid(error_code::ER_WRONG_ARGUMENTS, "HY000", text, out);
--- a/gateway/src/front/mysql/prepared_statements.rs
+++ b/gateway/src/front/mysql/prepared_statements.rs
@@ -112,7 +112,7 @@
     }
 
     /// Writes the response to COM_STMT_PREPARE for a statement that the settings have found good.
-    pub fn judged(&mut self, out: &mut Vec<u8>) {
+    pub fn complete_prepare(&mut self, out: &mut Vec<u8>) {
         self.state = State::Ready;
         let Some(statement) = self.pending.take() else { return };
         let statement_id = self.statement_ids.get();
@@ -136,8 +136,8 @@
         }
     }
 
-    /// Rejects the statement being prepared: what all sessions may hold is held.
-    pub fn no_room(&mut self, out: &mut Vec<u8>) {
+    /// Answers COM_STMT_PREPARE with an error: sessions hold as many bytes of statements as they may.
+    pub fn fail_prepare_out_of_memory(&mut self, out: &mut Vec<u8>) {
         self.state = State::Ready;
         self.pending = None;
         let message = "Too many prepared statements, no memory is left for more";
--- a/gateway/src/front/mysql/tests.rs
+++ b/gateway/src/front/mysql/tests.rs
@@ -27,11 +27,11 @@
     let mut out = Vec::new();
     for _ in 0..3 {
         session.read(&mut packet(b"\x16/* c=lookup */ SELECT ? FROM a_1.b", 0), &mut out);
-        session.judged(&mut out);
+        session.complete_prepare(&mut out);
     }
     let held = session.statement_bytes();
     let (directory, statement_ids) = (session.directory.clone(), session.statement_ids.clone());
-    let suspended = session.park();
+    let suspended = session.suspend();
     assert_eq!(suspended.statement_bytes(), held);
     let mut session = Session::resume(suspended, directory, statement_ids);
     assert_eq!(session.statement_bytes(), held);
@@ -79,7 +79,7 @@
     let mut out = Vec::new();
     let prepare = packet(b"\x16/* c=load */ INSERT INTO a_1.b VALUES (?)", 0);
     assert!(matches!(session.read(&mut prepare.clone(), &mut out), Some(ClientCommand::Prepare(_))));
-    session.judged(&mut out);
+    session.complete_prepare(&mut out);
     out.clear();
     let long = packet(&[0x18, 10, 0, 0, 0, 0, 0, b'x'], 0);
     assert_eq!(session.read(&mut long.clone(), &mut out), Some(ClientCommand::Handled));
@@ -108,7 +108,7 @@
             let silent = matches!(payload[0], 0x18 | 0x19);
             match command {
                 Some(ClientCommand::Request(_)) => session.answer(FinalAnswer::Rejected(None), &mut out),
-                Some(ClientCommand::Prepare(_)) => session.judged(&mut out),
+                Some(ClientCommand::Prepare(_)) => session.complete_prepare(&mut out),
                 Some(ClientCommand::Close) => return !out.is_empty(),
                 _ => {}
             }
--- a/gateway/src/front/pg/mod.rs
+++ b/gateway/src/front/pg/mod.rs
@@ -4,7 +4,7 @@
 //! A [`Session`] reads one message at a time and writes what needs no decision; the final answer to a request is
 //! written by [`Session::answer`]. While a request is open, no further message is read.
 
-use super::{ClientCommand, ClientRequest, ExecutionMode, FinalAnswer, Payload, fields};
+use super::{ClientCommand, ClientRequest, DisconnectReason, ExecutionMode, FinalAnswer, Payload, fields};
 
 mod messages;
 mod startup;
@@ -46,30 +46,18 @@
         Self { state: State::Ready, ..Self::new(key, max_message_bytes) }
     }
 
-    /// Ends a session for which there is no capacity; SQLSTATE class 53 says that a retry is safe.
-    pub fn turn_away(&mut self, out: &mut Vec<u8>) {
-        self.fatal(out, sqlstate::TOO_MANY_CONNECTIONS, "too many connections");
-    }
-
-    /// Ends a session that did not start, or did not end a message that it began, in time.
-    pub fn time_out(&mut self, out: &mut Vec<u8>) {
-        self.fatal(out, sqlstate::QUERY_CANCELED, "the message was not ended in time");
-    }
-
-    /// Ends a session whose client sent too much behind an open request.
-    pub fn overrun(&mut self, out: &mut Vec<u8>) {
-        let text = "too much was sent behind a request that was open";
-        self.fatal(out, sqlstate::PROGRAM_LIMIT_EXCEEDED, text);
-    }
-
-    /// Ends a session as the gateway shuts down; this SQLSTATE says that a retry is safe.
-    pub fn shut_down(&mut self, out: &mut Vec<u8>) {
-        self.fatal(out, sqlstate::CANNOT_CONNECT_NOW, "the gateway is shutting down");
-    }
-
-    /// Ends a session for which no memory is left; SQLSTATE class 53 says that a retry is safe.
-    pub fn out_of_memory(&mut self, out: &mut Vec<u8>) {
-        self.fatal(out, sqlstate::OUT_OF_MEMORY, "out of memory for this connection");
+    /// Ends the session with an error. Where a retry is safe, the SQLSTATE is of class 53 or says so.
+    pub fn disconnect(&mut self, reason: DisconnectReason, out: &mut Vec<u8>) {
+        let (sqlstate, text) = match reason {
+            DisconnectReason::TooManyConnections => (sqlstate::TOO_MANY_CONNECTIONS, "too many connections"),
+            DisconnectReason::Timeout => (sqlstate::QUERY_CANCELED, "the message was not ended in time"),
+            DisconnectReason::InputOverrun => {
+                (sqlstate::PROGRAM_LIMIT_EXCEEDED, "too much was sent behind a request that was open")
+            }
+            DisconnectReason::OutOfMemory => (sqlstate::OUT_OF_MEMORY, "out of memory for this connection"),
+            DisconnectReason::ShuttingDown => (sqlstate::CANNOT_CONNECT_NOW, "the gateway is shutting down"),
+        };
+        self.fatal(out, sqlstate, text);
     }
 
     /// Whether its client has yet to start it.
@@ -176,8 +164,8 @@
         ClientCommand::Close
     }
 
-    /// Rejects the open request for fields that only the settings can check.
-    pub fn reject(&mut self, text: &str, out: &mut Vec<u8>) {
+    /// Answers the open request as invalid, for fields that only the settings can check.
+    pub fn answer_invalid(&mut self, text: &str, out: &mut Vec<u8>) {
         self.state = State::Ready;
         self.invalid(text, out);
     }
--- a/gateway/src/front/pg/tests.rs
+++ b/gateway/src/front/pg/tests.rs
@@ -136,7 +136,7 @@
         feed(&mut session, &start_up(), &mut out);
         for step in &steps {
             if *step == Step::TimeOut && matches!(session.state, State::Ready | State::SkippingToSync) {
-                session.time_out(&mut out);
+                session.disconnect(DisconnectReason::Timeout, &mut out);
             }
             if *step == Step::Answer && session.is_busy() {
                 session.answer(FinalAnswer::Rejected(None), &mut out);
--- a/gateway/src/net/clients/accept.rs
+++ b/gateway/src/net/clients/accept.rs
@@ -1,5 +1,6 @@
 //! New client connections.
 
+use crate::front::DisconnectReason;
 use std::net::{SocketAddr, TcpStream};
 
 use wrenhatch_sessions::memory_budget::MemoryPurpose;
@@ -43,7 +44,9 @@
         self.counters.clients += 1;
         if place == Place::Rejection {
             if let Some(session) = self.sessions.table.active_mut(handle) {
-                session.protocol.turn_away(&mut session.connection.output);
+                session
+                    .protocol
+                    .disconnect(DisconnectReason::TooManyConnections, &mut session.connection.output);
             }
             self.counters.turned_away += 1;
             self.close_gracefully(handle);
--- a/gateway/src/net/clients/eviction.rs
+++ b/gateway/src/net/clients/eviction.rs
@@ -1,6 +1,7 @@
 //! Eviction: sessions that are closed so that another client, an engine's connection or an open request may have what
 //! they hold.
 
+use crate::front::DisconnectReason;
 use wrenhatch_sessions::memory_budget::MemoryPressure;
 use wrenhatch_sessions::session_table::{Activity, Handle};
 
@@ -67,7 +68,9 @@
             let activity = self.sessions.table.activity(handle).map(|(activity, _)| activity);
             match self.sessions.table.active_mut(handle) {
                 Some(session) if activity == Some(Activity::IncompleteMessage) => {
-                    session.protocol.out_of_memory(&mut session.connection.output);
+                    session
+                        .protocol
+                        .disconnect(DisconnectReason::OutOfMemory, &mut session.connection.output);
                     self.close_gracefully(handle);
                     self.settle_session(handle);
                 }
--- a/gateway/src/net/clients/read.rs
+++ b/gateway/src/net/clients/read.rs
@@ -1,12 +1,13 @@
 //! Reading: which sessions are read in a turn, and what their messages lead to.
 
+use crate::front::DisconnectReason;
 use wrenhatch_sessions::memory_budget::MemoryPurpose;
 use wrenhatch_sessions::read_scheduler::{ScheduledRead, Work};
 use wrenhatch_sessions::session_table::Handle;
 
 use crate::admission;
 use crate::front::ClientCommand;
-use crate::front::fields::Fields;
+use crate::front::fields::RequestFields;
 use crate::net::Server;
 use crate::net::connection::{MAX_UNSENT_BYTES, Phase, ReadEnd};
 use crate::net::poll::Interest;
@@ -117,7 +118,7 @@
         if connection.overrun && session.open_request.is_none() {
             self.counters.invalid += 1;
             tracing::debug!(now_us = self.time.now_us, "a client sent too much behind its request");
-            session.protocol.overrun(&mut connection.output);
+            session.protocol.disconnect(DisconnectReason::InputOverrun, &mut connection.output);
             self.close_gracefully(handle);
             return false;
         }
@@ -137,7 +138,7 @@
     }
 
     /// Answers whether a statement is prepared: the settings must know what its fields name, and there must be memory.
-    fn prepare_statement(&mut self, handle: Handle, fields: &Fields) {
+    fn prepare_statement(&mut self, handle: Handle, fields: &RequestFields) {
         let invalid = admission::subject(&self.names, fields).err();
         let Some(session) = self.sessions.table.active_mut(handle) else { return };
         let ProtocolSession::MySql(mysql) = &mut session.protocol else { return };
@@ -147,12 +148,12 @@
         match (invalid, memory) {
             (Some(invalid), _) => {
                 self.counters.invalid += 1;
-                mysql.reject(&invalid.to_string(), output);
+                mysql.answer_invalid(&invalid.to_string(), output);
             }
-            (None, Ok(())) => mysql.judged(output),
+            (None, Ok(())) => mysql.complete_prepare(output),
             (None, Err(_)) => {
                 self.counters.no_memory += 1;
-                mysql.no_room(output);
+                mysql.fail_prepare_out_of_memory(output);
             }
         }
         self.sessions.update_reservation(handle);
--- a/gateway/src/net/clients/requests.rs
+++ b/gateway/src/net/clients/requests.rs
@@ -8,7 +8,7 @@
 use crate::admin::metrics::RequestEnd;
 use crate::admission::{self, AdmissionInput, Admitted, Rejection, Subject};
 use crate::core::{Command, Input, NewRequest};
-use crate::front::fields::{self, Fields};
+use crate::front::fields::{self, RequestFields};
 use crate::front::table_group;
 use crate::front::{ClientRequest, FinalAnswer, Payload};
 use crate::mysql_protocol::ResultSet;
@@ -26,13 +26,13 @@
             Ok(subject) => subject,
             Err(invalid) => {
                 self.counters.invalid += 1;
-                session.protocol.reject(&invalid.to_string(), &mut session.connection.output);
+                session.protocol.answer_invalid(&invalid.to_string(), &mut session.connection.output);
                 return;
             }
         };
         let (ready_us, read_ahead) = (session.ready_us, session.read_ahead);
-        let token = fields.token.take();
-        let request = Request { client: handle, query_id, class, statement, token, run };
+        let idempotency_key = fields.idempotency_key.take();
+        let request = Request { client: handle, query_id, class, statement, idempotency_key, run };
         let input = AdmissionInput {
             now_us: self.time.now_us,
             ready_us,
@@ -67,7 +67,13 @@
     }
 
     /// Hands a request to the core. From here on its client is owed an answer.
-    fn open_request(&mut self, request: Request, new_request: NewRequest, fields: &Fields, wait_us: u64) {
+    fn open_request(
+        &mut self,
+        request: Request,
+        new_request: NewRequest,
+        fields: &RequestFields,
+        wait_us: u64,
+    ) {
         let handle = request.client;
         let id = self.requests.next();
         let Some(session) = self.sessions.table.active_mut(handle) else { return };
@@ -85,9 +91,9 @@
             class = request.class.0,
             wait_us,
             estimate_ms = fields.estimate_ms,
-            need_mb = fields.need_mb,
+            need_mb = fields.memory_mb,
             key = fields.order_key.as_deref(),
-            retry = fields.retry,
+            retry = fields.is_retry,
             now_us = self.time.now_us,
             "taken"
         );
@@ -173,15 +179,20 @@
 }
 
 /// A request as the core gets it.
-fn new_request(request: &Request, tenant: Option<TenantId>, deadline_us: u64, fields: &Fields) -> NewRequest {
+fn new_request(
+    request: &Request,
+    tenant: Option<TenantId>,
+    deadline_us: u64,
+    fields: &RequestFields,
+) -> NewRequest {
     NewRequest {
         class: request.class,
         tenant,
         deadline_us,
         estimated_work: fields.estimate_ms.map(|ms| ms / 1000.0),
-        estimated_memory_mb: fields.need_mb.filter(|mb| *mb > 0.0),
+        estimated_memory_mb: fields.memory_mb.filter(|mb| *mb > 0.0),
         table_group: table_group::table_group(&request.statement).map(TableGroupId),
         key: fields.order_key.as_deref().map(fields::key_id),
-        is_retry: fields.retry,
+        is_retry: fields.is_retry,
     }
 }
--- a/gateway/src/net/clients/timeouts.rs
+++ b/gateway/src/net/clients/timeouts.rs
@@ -1,5 +1,6 @@
 //! Time limits of clients: for a start-up and a message to be complete, for a graceful close, and for idle sessions.
 
+use crate::front::DisconnectReason;
 use wrenhatch_sessions::session_table::{Activity, Handle};
 
 use crate::net::connection::Phase;
@@ -21,7 +22,7 @@
                 self.close_client(handle);
             }
         } else if now_us >= since_us + MESSAGE_TIMEOUT_US {
-            session.protocol.time_out(&mut session.connection.output);
+            session.protocol.disconnect(DisconnectReason::Timeout, &mut session.connection.output);
             self.counters.timed_out += 1;
             self.close_gracefully(handle);
         }
--- a/gateway/src/net/engines/attempts.rs
+++ b/gateway/src/net/engines/attempts.rs
@@ -211,7 +211,7 @@
         max_ms,
         memory_mb: terms.memory_mb,
         priority: terms.priority,
-        idempotency_key: request.token.as_deref(),
+        idempotency_key: request.idempotency_key.as_deref(),
     };
     http::post(&call, &mut start);
     Execution::Http { exchange: http::Exchange::new(&request.query_id), start: Some(start) }
@@ -224,8 +224,9 @@
         Parameter::text(field_name::CLASS, class),
         Parameter::text(field_name::WAIT_MS, &max_ms.to_string()),
     ];
-    attributes
-        .extend(request.token.as_deref().map(|token| Parameter::text(field_name::IDEMPOTENCY_KEY, token)));
+    attributes.extend(
+        request.idempotency_key.as_deref().map(|key| Parameter::text(field_name::IDEMPOTENCY_KEY, key)),
+    );
     let sql = request.statement.clone();
     match &request.run {
         ExecutionMode::Execute(params) => mysql::Work::Execute(sql, params.clone(), attributes),
--- a/gateway/src/net/requests.rs
+++ b/gateway/src/net/requests.rs
@@ -13,8 +13,8 @@
     pub query_id: String,
     pub class: ClassId,
     pub statement: Vec<u8>,
-    /// The client's token, by which engines know a repeat of the same work.
-    pub token: Option<String>,
+    /// The client's idempotency key, by which engines know a repeat of the same work.
+    pub idempotency_key: Option<String>,
     pub run: ExecutionMode,
 }
 
@@ -28,8 +28,8 @@
             ExecutionMode::Simple | ExecutionMode::Query => 0,
         };
         // Its copy for an attempt stands beside it until that is written.
-        let token = self.token.as_ref().map_or(0, String::len);
-        size_of::<Self>() + self.query_id.len() + 2 * token + 2 * self.statement.len() + params
+        let key_bytes = self.idempotency_key.as_ref().map_or(0, String::len);
+        size_of::<Self>() + self.query_id.len() + 2 * key_bytes + 2 * self.statement.len() + params
     }
 }
 
--- a/gateway/src/net/sessions/protocol.rs
+++ b/gateway/src/net/sessions/protocol.rs
@@ -1,6 +1,6 @@
 //! A session's protocol, whichever front end it belongs to: bytes in, commands out, answers as bytes.
 
-use crate::front::{ClientCommand, FinalAnswer, mysql, pg};
+use crate::front::{ClientCommand, DisconnectReason, FinalAnswer, mysql, pg};
 use crate::mysql_protocol::{SqlError, write_packet};
 use crate::net::listeners::Front;
 
@@ -36,34 +36,14 @@
         either!(self, is_idle)
     }
 
-    /// Writes that there are too many clients.
-    pub fn turn_away(&mut self, output: &mut Vec<u8>) {
-        either!(self, turn_away, output)
-    }
-
-    /// Writes that a start-up or a message took too long.
-    pub fn time_out(&mut self, output: &mut Vec<u8>) {
-        either!(self, time_out, output)
-    }
-
-    /// Writes that memory is short.
-    pub fn out_of_memory(&mut self, output: &mut Vec<u8>) {
-        either!(self, out_of_memory, output)
+    /// Ends the session with an error.
+    pub fn disconnect(&mut self, reason: DisconnectReason, output: &mut Vec<u8>) {
+        either!(self, disconnect, reason, output)
     }
 
     /// Answers a request or statement as invalid.
-    pub fn reject(&mut self, text: &str, output: &mut Vec<u8>) {
-        either!(self, reject, text, output)
-    }
-
-    /// Writes that the client has sent too much behind its request.
-    pub fn overrun(&mut self, output: &mut Vec<u8>) {
-        either!(self, overrun, output)
-    }
-
-    /// Writes that the gateway ends.
-    pub fn shut_down(&mut self, output: &mut Vec<u8>) {
-        either!(self, shut_down, output)
+    pub fn answer_invalid(&mut self, text: &str, output: &mut Vec<u8>) {
+        either!(self, answer_invalid, text, output)
     }
 
     /// Answers the open request.
@@ -84,7 +64,9 @@
 pub fn too_many_clients(front: Front) -> Vec<u8> {
     let mut output = Vec::new();
     match front {
-        Front::Pg => pg::Session::new((0, 0), 0).turn_away(&mut output),
+        Front::Pg => {
+            pg::Session::new((0, 0), 0).disconnect(DisconnectReason::TooManyConnections, &mut output)
+        }
         Front::MySql => {
             write_packet(&mut output, &mut 0, &SqlError::new(1040, "08004", "Too many connections").payload())
         }
--- a/gateway/src/net/sessions/state.rs
+++ b/gateway/src/net/sessions/state.rs
@@ -118,7 +118,7 @@
             Ok(stream) => {
                 let protocol = match self.protocol {
                     ProtocolSession::Pg(_) => SuspendedProtocol::Pg,
-                    ProtocolSession::MySql(session) => SuspendedProtocol::MySql(session.park()),
+                    ProtocolSession::MySql(session) => SuspendedProtocol::MySql(session.suspend()),
                 };
                 Ok(SuspendedSession { stream, secret: self.secret, group: self.group, protocol })
             }
@@ -133,7 +133,7 @@
 /// What is kept of the protocol state of a suspended session.
 pub enum SuspendedProtocol {
     Pg,
-    MySql(mysql::Parked),
+    MySql(mysql::SuspendedSession),
 }
 
 /// A suspended session: an idle one, without buffers, timer or protocol state beyond its prepared statements.
--- a/gateway/src/net/shutdown.rs
+++ b/gateway/src/net/shutdown.rs
@@ -9,6 +9,7 @@
 //! 4. Once all answers are written, the gateway ends its side of all connections and discards what clients still send,
 //!    for [`LINGER_US`] at most. Then the process may exit.
 
+use crate::front::DisconnectReason;
 use workload_manager::Settings;
 
 use super::connection::Phase;
@@ -157,7 +158,7 @@
                 continue;
             }
             if session.protocol.is_starting() || !connection.input.is_empty() {
-                session.protocol.shut_down(&mut connection.output);
+                session.protocol.disconnect(DisconnectReason::ShuttingDown, &mut connection.output);
             }
             self.close_gracefully(handle);
         }
