--- a/configuration/src/pacing/tests.rs
+++ b/configuration/src/pacing/tests.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn both_budgets_hold_and_an_idle_time_saves_nothing_up() {
+fn both_rates_hold_and_idle_time_does_not_accumulate() {
     let pacing = Pacing { bytes_per_second: 100_000, messages_per_second: 50, gap_us: 0 };
     assert!((500..=503).contains(&sent(pacing, 10, 10)), "messages");
     assert!((100..=103).contains(&sent(pacing, 10_000, 10)), "bytes");
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn what_is_larger_than_the_budget_goes_out_and_is_waited_for() {
+fn a_message_larger_than_the_burst_is_sent_and_delays_the_next() {
     let pacing = Pacing { bytes_per_second: 1_000, messages_per_second: 50, gap_us: 0 };
     let mut pacer = Pacer::new(pacing);
     pacer.spend(0, 5_000);
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_budget_of_nothing_is_no_panic() {
+fn a_rate_of_zero_does_not_panic() {
     let mut pacer = Pacer::new(Pacing { bytes_per_second: 0, messages_per_second: 0, gap_us: 0 });
     pacer.spend(u64::MAX, usize::MAX);
     assert!(pacer.free_at_us() > 0);
--- a/configuration/src/patch/tests.rs
+++ b/configuration/src/patch/tests.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn objects_go_by_merge_patch() {
+fn objects_are_patched_by_merge_patches() {
     let old = json!({ "a": "b", "c": { "d": "e", "f": "g" }, "same": 1 });
     let new = json!({ "a": "z", "c": { "d": "e" }, "new": [], "same": 1 });
     assert_eq!(difference(&old, &new), json!({ "a": "z", "c": { "f": null }, "new": [] }));
@@ -23,7 +23,7 @@
 
 /// The examples of RFC 7396, appendix A, whose target is an object.
 #[test]
-fn merge_patches_do_what_their_standard_says() {
+fn merge_patches_follow_rfc_7396() {
     let examples = [
         (json!({"a":"b"}), json!({"a":"c"}), json!({"a":"c"})),
         (json!({"a":"b"}), json!({"b":"c"}), json!({"a":"b","b":"c"})),
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn other_lists_are_sent_whole() {
+fn other_lists_are_replaced() {
     for (old, new) in [
         (json!([1, 2]), json!([1, 3])),
         (json!([]), json!([{ "name": "a" }])),
--- a/configuration/tests/documents.rs
+++ b/configuration/tests/documents.rs
@@ -1,4 +1,4 @@
-//! Differences of random documents, and texts that are no messages.
+//! Deltas of random documents, and texts that are not messages.
 
 mod common;
 
@@ -8,7 +8,7 @@
 const CASES: usize = 5_000;
 
 #[test]
-fn a_difference_leads_from_one_document_to_the_other_over_the_wire() {
+fn a_delta_leads_from_one_document_to_the_other_over_the_wire() {
     let mut random = Random::new(1);
     for case in 0..CASES {
         let (old, new) = (document(&mut random), document(&mut random));
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_difference_on_another_base_is_found_out_or_leads_to_the_same() {
+fn a_delta_on_another_base_is_an_error_or_leads_to_the_same() {
     let mut random = Random::new(2);
     let mut found_out = 0;
     for case in 0..CASES {
--- a/configuration/tests/model.rs
+++ b/configuration/tests/model.rs
@@ -1,5 +1,5 @@
-//! Random steps of publishers, gateways and the network between them, against a plain model: what was published,
-//! and what each gateway has in force.
+//! Random steps of publishers, gateways and the network between them, against a simple model: what was published, and
+//! what each gateway has in force.
 
 mod common;
 
@@ -9,7 +9,7 @@
 use serde_json::json;
 use wrenhatch_configuration::*;
 
-const MACHINES: usize = 3;
+const SERVERS: usize = 3;
 const GATEWAYS: usize = 6;
 const SEEDS: u64 = 60;
 const STEP_US: u64 = 50_000;
@@ -23,14 +23,14 @@
 
 /// Something on its way.
 #[derive(Clone)]
-enum Parcel {
-    Message { gateway: usize, machine: usize, stream: Stream, text: String },
-    Report { gateway: usize, machine: usize, text: String },
+enum Packet {
+    Message { gateway: usize, server: usize, stream: Stream, text: String },
+    Report { gateway: usize, server: usize, text: String },
     Merge { from: usize, to: usize, version: Version, document: Document },
 }
 
 /// A version that is being taken over: the gateway does so between two turns.
-struct Taking {
+struct Applying {
     at_us: u64,
     version: Version,
     document: Document,
@@ -40,15 +40,15 @@
     id: GatewayId,
     subscriber: Subscriber,
     stream: Option<(usize, Stream)>,
-    taking: Option<Taking>,
-    /// Told again until the control machine has heard it.
+    applying: Option<Applying>,
+    /// Sent again until a control plane server has accepted it.
     report: Option<(Report, u64)>,
-    /// The plain model: what is in force.
-    has: Version,
+    /// The model: what is in force.
+    in_force: Version,
 }
 
 #[derive(Default)]
-struct Machine {
+struct Server {
     publisher: Option<Publisher>,
     streams: BTreeMap<usize, (ConnectionId, Stream)>,
 }
@@ -59,9 +59,9 @@
     taken: usize,
     refused: usize,
     resyncs: usize,
-    restarts_while_taking: usize,
+    restarts_while_applying: usize,
     silences: usize,
-    stale_machines: usize,
+    stale_servers: usize,
     worst_quiet_us: u64,
 }
 
@@ -69,14 +69,14 @@
     random: Random,
     now_us: u64,
     gateways: Vec<Gateway>,
-    machines: Vec<Machine>,
-    network: BTreeMap<(u64, u64), Parcel>,
-    parcels: u64,
+    servers: Vec<Server>,
+    network: BTreeMap<(u64, u64), Packet>,
+    packets: u64,
     streams: u64,
-    faulty: bool,
+    is_faulty: bool,
     cut: BTreeSet<(usize, usize)>,
-    cut_machines: BTreeSet<(usize, usize)>,
-    /// The plain model: what was published.
+    cut_servers: BTreeSet<(usize, usize)>,
+    /// The model: what was published.
     published: BTreeMap<Version, Document>,
     file: Document,
     counts: Counts,
@@ -94,25 +94,24 @@
     fn new(seed: u64) -> Self {
         let gateway = |number: usize| Gateway {
             id: GatewayId(format!("gw-{number}")),
-            subscriber: Subscriber::new(MACHINES, seed * 100 + number as u64, Version::NONE, file()),
+            subscriber: Subscriber::new(SERVERS, seed * 100 + number as u64, Version::NONE, file()),
             stream: None,
-            taking: None,
+            applying: None,
             report: None,
-            has: Version::NONE,
+            in_force: Version::NONE,
         };
-        let machine =
-            |_| Machine { publisher: Some(Publisher::new(Pacing::default())), ..Machine::default() };
+        let server = |_| Server { publisher: Some(Publisher::new(Pacing::default())), ..Server::default() };
         Self {
             random: Random::new(seed),
             now_us: 0,
             gateways: (0..GATEWAYS).map(gateway).collect(),
-            machines: (0..MACHINES).map(machine).collect(),
+            servers: (0..SERVERS).map(server).collect(),
             network: BTreeMap::new(),
-            parcels: 0,
+            packets: 0,
             streams: 0,
-            faulty: true,
+            is_faulty: true,
             cut: BTreeSet::new(),
-            cut_machines: BTreeSet::new(),
+            cut_servers: BTreeSet::new(),
             published: BTreeMap::new(),
             file: file(),
             counts: Counts::default(),
@@ -121,37 +120,41 @@
 
     fn run(&mut self) {
         for _ in 0..FAULTY_STEPS {
-            self.break_something();
+            self.inject_fault();
             self.step();
         }
-        self.mend_all();
+        self.repair_all();
         self.publish(false);
         let quiet_since_us = self.now_us;
         for _ in 0..QUIET_STEPS {
             self.step();
-            if !self.all_have_the_newest() {
+            if !self.all_have_the_newest_version() {
                 self.counts.worst_quiet_us = self.now_us - quiet_since_us;
             }
         }
-        assert!(self.all_have_the_newest(), "{:?}", self.machines.iter().map(status).collect::<Vec<_>>());
-        self.check_what_operators_are_told();
+        assert!(
+            self.all_have_the_newest_version(),
+            "{:?}",
+            self.servers.iter().map(status).collect::<Vec<_>>()
+        );
+        self.check_status_for_operators();
     }
 
     fn step(&mut self) {
         self.now_us += STEP_US;
         self.deliver();
         (0..GATEWAYS).for_each(|gateway| self.turn_gateway(gateway));
-        (0..MACHINES).for_each(|machine| self.turn_machine(machine));
-        self.check_against_the_plain_model();
+        (0..SERVERS).for_each(|server| self.turn_server(server));
+        self.check_against_the_model();
     }
 
-    fn break_something(&mut self) {
+    fn inject_fault(&mut self) {
         match self.random.below(400) {
             0..10 => self.publish(false),
             10..14 => self.publish(true),
             14..18 => self.publish_old(),
-            18..20 => self.lose_machine(),
-            20..24 => self.bring_machine_back(),
+            18..20 => self.lose_server(),
+            20..24 => self.bring_server_back(),
             24..30 => self.restart_gateway(),
             30..34 => self.partition(),
             34..38 => self.heal(),
@@ -159,18 +162,18 @@
         }
     }
 
-    fn mend_all(&mut self) {
-        self.faulty = false;
+    fn repair_all(&mut self) {
+        self.is_faulty = false;
         self.heal();
         for _ in 0..1_000 {
-            self.bring_machine_back();
+            self.bring_server_back();
         }
-        assert!(self.machines.iter().all(|machine| machine.publisher.is_some()));
+        assert!(self.servers.iter().all(|server| server.publisher.is_some()));
     }
 
-    /// Publishes a new version on any machine that is up.
+    /// Publishes a new version on any server that is up.
     fn publish(&mut self, bad: bool) {
-        let machine = self.random.below(MACHINES);
+        let server = self.random.below(SERVERS);
         let version = Version(self.published.keys().last().map_or(0, |version| version.0) + 1);
         let mut value = document(&mut self.random).value().clone();
         value["number"] = json!(version.0);
@@ -178,48 +181,48 @@
             value["bad"] = json!(true);
         }
         let document = Document::new(value).unwrap();
-        if let Some(publisher) = &mut self.machines[machine].publisher {
+        if let Some(publisher) = &mut self.servers[server].publisher {
             publisher.publish(version, document.clone()).unwrap();
             self.published.insert(version, document);
-        } else if !self.faulty {
-            unreachable!("all machines are up");
+        } else if !self.is_faulty {
+            unreachable!("all servers are up");
         }
     }
 
     /// An operator repeats an old number: it must not be taken where it is known to be old.
     fn publish_old(&mut self) {
-        let machine = self.random.below(MACHINES);
-        let Some(publisher) = &mut self.machines[machine].publisher else { return };
+        let server = self.random.below(SERVERS);
+        let Some(publisher) = &mut self.servers[server].publisher else { return };
         let Some(newest) = publisher.newest().map(|(version, _)| version) else { return };
         let old = Version(newest.0 - self.random.below(3).min(newest.0 as usize) as u64);
         assert!(publisher.publish(old, file()).is_err());
     }
 
-    fn lose_machine(&mut self) {
-        let machine = self.random.below(MACHINES);
-        self.machines[machine] = Machine::default();
+    fn lose_server(&mut self) {
+        let server = self.random.below(SERVERS);
+        self.servers[server] = Server::default();
         for gateway in 0..GATEWAYS {
             // Else the gateway has to find out by the silence.
             let is_reset = self.random.chance(50);
-            if is_reset && self.gateways[gateway].stream.is_some_and(|(at, _)| at == machine) {
+            if is_reset && self.gateways[gateway].stream.is_some_and(|(at, _)| at == server) {
                 self.close(gateway);
             }
         }
     }
 
-    /// A machine comes back with any version that there was, or with none.
-    fn bring_machine_back(&mut self) {
-        let machine = self.random.below(MACHINES);
-        if self.machines[machine].publisher.is_some() {
+    /// A server comes back with any version that there was, or with none.
+    fn bring_server_back(&mut self) {
+        let server = self.random.below(SERVERS);
+        if self.servers[server].publisher.is_some() {
             return;
         }
         let mut publisher = Publisher::new(Pacing::default());
         let older = self.random.below(self.published.len() + 1);
         if let Some((version, document)) = self.published.iter().nth(older) {
             assert_eq!(publisher.merge(*version, document.clone()), MergeResult::Added);
-            self.counts.stale_machines += 1;
+            self.counts.stale_servers += 1;
         }
-        self.machines[machine].publisher = Some(publisher);
+        self.servers[server].publisher = Some(publisher);
     }
 
     /// A gateway starts again from its file, or from what it had kept on disk.
@@ -229,33 +232,33 @@
         let keeps = self.random.chance(50);
         let seed = self.random.next();
         let gateway = &mut self.gateways[number];
-        if gateway.taking.take().is_some() {
-            self.counts.restarts_while_taking += 1;
+        if gateway.applying.take().is_some() {
+            self.counts.restarts_while_applying += 1;
         }
         gateway.report = None;
-        gateway.has = if keeps { gateway.has } else { Version::NONE };
-        let settings = self.published.get(&gateway.has).cloned().unwrap_or_else(file);
-        gateway.subscriber = Subscriber::new(MACHINES, seed, gateway.has, settings);
-        if let Some((machine, connection)) = self.stream_at_machine(number) {
-            // The machine may learn of the end late, after the gateway has come back.
+        gateway.in_force = if keeps { gateway.in_force } else { Version::NONE };
+        let settings = self.published.get(&gateway.in_force).cloned().unwrap_or_else(file);
+        gateway.subscriber = Subscriber::new(SERVERS, seed, gateway.in_force, settings);
+        if let Some((server, connection)) = self.stream_at_server(number) {
+            // The server may learn of the end late, after the gateway has come back.
             if self.random.chance(50) {
-                self.leave(machine, number, connection);
+                self.leave(server, number, connection);
             }
         }
     }
 
     fn partition(&mut self) {
         for gateway in 0..GATEWAYS {
-            for machine in 0..MACHINES {
+            for server in 0..SERVERS {
                 if self.random.chance(50) {
-                    self.cut.insert((gateway, machine));
+                    self.cut.insert((gateway, server));
                 }
             }
         }
-        for from in 0..MACHINES {
-            for to in 0..MACHINES {
+        for from in 0..SERVERS {
+            for to in 0..SERVERS {
                 if self.random.chance(50) {
-                    self.cut_machines.insert((from, to));
+                    self.cut_servers.insert((from, to));
                 }
             }
         }
@@ -263,45 +266,45 @@
 
     fn heal(&mut self) {
         self.cut.clear();
-        self.cut_machines.clear();
+        self.cut_servers.clear();
     }
 
-    fn is_cut(&self, parcel: &Parcel) -> bool {
-        match parcel {
-            Parcel::Message { gateway, machine, .. } | Parcel::Report { gateway, machine, .. } => {
-                self.cut.contains(&(*gateway, *machine))
+    fn is_cut(&self, packet: &Packet) -> bool {
+        match packet {
+            Packet::Message { gateway, server, .. } | Packet::Report { gateway, server, .. } => {
+                self.cut.contains(&(*gateway, *server))
             }
-            Parcel::Merge { from, to, .. } => self.cut_machines.contains(&(*from, *to)),
+            Packet::Merge { from, to, .. } => self.cut_servers.contains(&(*from, *to)),
         }
     }
 
     /// Puts something on its way: perhaps never, twice, late, or before what was sent earlier.
-    fn send(&mut self, parcel: Parcel) {
-        let is_lost = self.is_cut(&parcel) || self.faulty && self.random.chance(8);
-        let copies = if is_lost { 0 } else { 1 + usize::from(self.faulty && self.random.chance(10)) };
+    fn send(&mut self, packet: Packet) {
+        let is_lost = self.is_cut(&packet) || self.is_faulty && self.random.chance(8);
+        let copies = if is_lost { 0 } else { 1 + usize::from(self.is_faulty && self.random.chance(10)) };
         for _ in 0..copies {
-            let is_late = self.faulty && self.random.chance(15);
+            let is_late = self.is_faulty && self.random.chance(15);
             let delay_us = self.random.next() % if is_late { 20 * SECOND_US } else { SECOND_US / 10 };
-            self.parcels += 1;
-            self.network.insert((self.now_us + delay_us, self.parcels), parcel.clone());
+            self.packets += 1;
+            self.network.insert((self.now_us + delay_us, self.packets), packet.clone());
         }
     }
 
     fn deliver(&mut self) {
         let later = self.network.split_off(&(self.now_us + 1, 0));
         let due = std::mem::replace(&mut self.network, later);
-        for parcel in due.into_values() {
-            match parcel {
-                Parcel::Message { gateway, machine, stream, text } => {
+        for packet in due.into_values() {
+            match packet {
+                Packet::Message { gateway, server, stream, text } => {
                     // What is late may belong to an older stream; that it arrives all the same is worse than TCP.
-                    let is_stray = self.gateways[gateway].stream != Some((machine, stream));
-                    if !is_stray || self.faulty && self.random.chance(30) {
+                    let is_stray = self.gateways[gateway].stream != Some((server, stream));
+                    if !is_stray || self.is_faulty && self.random.chance(30) {
                         self.on_message(gateway, &text);
                     }
                 }
-                Parcel::Report { machine, text, gateway } => self.on_report(gateway, machine, &text),
-                Parcel::Merge { to, version, document, .. } => {
-                    if let Some(publisher) = &mut self.machines[to].publisher {
+                Packet::Report { server, text, gateway } => self.on_report(gateway, server, &text),
+                Packet::Merge { to, version, document, .. } => {
+                    if let Some(publisher) = &mut self.servers[to].publisher {
                         assert_ne!(publisher.merge(version, document), MergeResult::Conflict);
                     }
                 }
@@ -315,11 +318,11 @@
         match gateway.subscriber.on_message(now_us, text) {
             SubscriberAction::Nothing => {}
             SubscriberAction::Apply { version, document } => {
-                assert!(version > gateway.has, "{version} over {}", gateway.has);
+                assert!(version > gateway.in_force, "{version} over {}", gateway.in_force);
                 let published = self.published.get(&version).map(Document::canonical);
                 assert_eq!(Some(document.canonical()), published, "{version} is something else");
                 let at_us = now_us + self.random.next() % (SECOND_US / 2);
-                gateway.taking = Some(Taking { at_us, version, document });
+                gateway.applying = Some(Applying { at_us, version, document });
             }
             SubscriberAction::Refused { version, reason } => {
                 assert!(is_bad(&self.published[&version]), "{version} is good: {reason}");
@@ -332,8 +335,8 @@
         }
     }
 
-    fn on_report(&mut self, gateway: usize, machine: usize, text: &str) {
-        let Some(publisher) = &mut self.machines[machine].publisher else { return };
+    fn on_report(&mut self, gateway: usize, server: usize, text: &str) {
+        let Some(publisher) = &mut self.servers[server].publisher else { return };
         let (id, report) = Report::parse(text).unwrap();
         publisher.report(&id, report.clone());
         // 204: the gateway need not tell it again.
@@ -343,8 +346,8 @@
     }
 
     fn turn_gateway(&mut self, number: usize) {
-        self.take_over(number);
-        self.tell(number);
+        self.finish_applying(number);
+        self.send_report(number);
         let now_us = self.now_us;
         let gateway = &mut self.gateways[number];
         if gateway.stream.is_some() && gateway.subscriber.is_silent(now_us) {
@@ -357,34 +360,34 @@
         }
     }
 
-    fn take_over(&mut self, number: usize) {
+    fn finish_applying(&mut self, number: usize) {
         let now_us = self.now_us;
         let gateway = &mut self.gateways[number];
-        let Some(taking) = gateway.taking.take_if(|taking| taking.at_us <= now_us) else { return };
-        let result = if is_bad(&taking.document) { Err("bad".to_owned()) } else { Ok(()) };
+        let Some(applying) = gateway.applying.take_if(|applying| applying.at_us <= now_us) else { return };
+        let result = if is_bad(&applying.document) { Err("bad".to_owned()) } else { Ok(()) };
         let expected = match &result {
-            Ok(()) => Report::Applied { version: taking.version },
-            Err(reason) => Report::refused(taking.version, reason, gateway.has),
+            Ok(()) => Report::Applied { version: applying.version },
+            Err(reason) => Report::refused(applying.version, reason, gateway.in_force),
         };
         if result.is_ok() {
-            gateway.has = taking.version;
+            gateway.in_force = applying.version;
             self.counts.taken += 1;
         } else {
             self.counts.refused += 1;
         }
         let report = match &result {
-            Ok(()) => gateway.subscriber.on_applied(taking.version),
-            Err(reason) => gateway.subscriber.on_refused(taking.version, reason),
+            Ok(()) => gateway.subscriber.on_applied(applying.version),
+            Err(reason) => gateway.subscriber.on_refused(applying.version, reason),
         };
         assert_eq!(report, expected);
         gateway.report = Some((report, now_us));
     }
 
     /// Tells a report, and again until it was heard.
-    fn tell(&mut self, number: usize) {
+    fn send_report(&mut self, number: usize) {
         let now_us = self.now_us;
         let gateway = &mut self.gateways[number];
-        let (Some((machine, _)), Some((report, at_us))) = (gateway.stream, &mut gateway.report) else {
+        let (Some((server, _)), Some((report, at_us))) = (gateway.stream, &mut gateway.report) else {
             return;
         };
         if *at_us > now_us {
@@ -392,101 +395,97 @@
         }
         *at_us = now_us + REPORT_AGAIN_US;
         let text = report.encode(&gateway.id);
-        self.send(Parcel::Report { gateway: number, machine, text });
+        self.send(Packet::Report { gateway: number, server, text });
     }
 
     fn open(&mut self, number: usize) {
         let now_us = self.now_us;
         let gateway = &mut self.gateways[number];
-        let machine = gateway.subscriber.server();
-        let publisher = self.machines[machine].publisher.as_mut();
-        let Some(publisher) = publisher.filter(|_| !self.cut.contains(&(number, machine))) else {
+        let server = gateway.subscriber.server();
+        let publisher = self.servers[server].publisher.as_mut();
+        let Some(publisher) = publisher.filter(|_| !self.cut.contains(&(number, server))) else {
             gateway.subscriber.on_disconnected(now_us);
             return;
         };
         let position = gateway.subscriber.position();
         let connection = publisher.connect(now_us, gateway.id.clone(), position.version, position.digest);
         self.streams += 1;
-        gateway.stream = Some((machine, self.streams));
+        gateway.stream = Some((server, self.streams));
         gateway.subscriber.on_connected(now_us);
-        self.machines[machine].streams.insert(number, (connection, self.streams));
+        self.servers[server].streams.insert(number, (connection, self.streams));
     }
 
     fn close(&mut self, number: usize) {
-        if let Some((machine, connection)) = self.stream_at_machine(number) {
-            self.leave(machine, number, connection);
+        if let Some((server, connection)) = self.stream_at_server(number) {
+            self.leave(server, number, connection);
         }
         let gateway = &mut self.gateways[number];
         gateway.stream = None;
         gateway.subscriber.on_disconnected(self.now_us);
     }
 
-    fn stream_at_machine(&self, number: usize) -> Option<(usize, ConnectionId)> {
-        let (machine, stream) = self.gateways[number].stream?;
-        let (connection, at_machine) = self.machines[machine].streams.get(&number)?;
-        (*at_machine == stream).then_some((machine, *connection))
+    fn stream_at_server(&self, number: usize) -> Option<(usize, ConnectionId)> {
+        let (server, stream) = self.gateways[number].stream?;
+        let (connection, at_server) = self.servers[server].streams.get(&number)?;
+        (*at_server == stream).then_some((server, *connection))
     }
 
-    fn leave(&mut self, machine: usize, number: usize, connection: ConnectionId) {
+    fn leave(&mut self, server: usize, number: usize, connection: ConnectionId) {
         let id = &self.gateways[number].id;
-        if let Some(publisher) = &mut self.machines[machine].publisher {
+        if let Some(publisher) = &mut self.servers[server].publisher {
             publisher.disconnect(id, connection);
         }
     }
 
-    fn turn_machine(&mut self, number: usize) {
+    fn turn_server(&mut self, number: usize) {
         let now_us = self.now_us;
-        let Some(publisher) = &mut self.machines[number].publisher else { return };
+        let Some(publisher) = &mut self.servers[number].publisher else { return };
         let newest = publisher.newest().map(|(version, document)| (version, document.clone()));
         for (id, outgoing) in publisher.due(now_us) {
             let gateway = self.gateways.iter().position(|gateway| gateway.id == id).unwrap();
-            let Some((_, stream)) = self.machines[number].streams.get(&gateway) else { continue };
-            let parcel = Parcel::Message {
-                gateway,
-                machine: number,
-                stream: *stream,
-                text: outgoing.text.to_string(),
-            };
-            self.send(parcel);
+            let Some((_, stream)) = self.servers[number].streams.get(&gateway) else { continue };
+            let packet =
+                Packet::Message { gateway, server: number, stream: *stream, text: outgoing.text.to_string() };
+            self.send(packet);
         }
         let Some((version, document)) = newest.filter(|_| now_us % MERGE_EVERY_US == 0) else { return };
-        for to in (0..MACHINES).filter(|to| *to != number) {
-            self.send(Parcel::Merge { from: number, to, version, document: document.clone() });
+        for to in (0..SERVERS).filter(|to| *to != number) {
+            self.send(Packet::Merge { from: number, to, version, document: document.clone() });
         }
     }
 
-    fn check_against_the_plain_model(&self) {
+    fn check_against_the_model(&self) {
         for gateway in &self.gateways {
-            assert_eq!(gateway.subscriber.in_force(), gateway.has);
-            let settings = self.published.get(&gateway.has).unwrap_or(&self.file);
+            assert_eq!(gateway.subscriber.in_force(), gateway.in_force);
+            let settings = self.published.get(&gateway.in_force).unwrap_or(&self.file);
             assert_eq!(gateway.subscriber.document().digest(), settings.digest());
-            assert!(!is_bad(settings), "{} is in force", gateway.has);
+            assert!(!is_bad(settings), "{} is in force", gateway.in_force);
         }
     }
 
-    fn all_have_the_newest(&self) -> bool {
+    fn all_have_the_newest_version(&self) -> bool {
         let newest = self.published.keys().last().copied().unwrap_or_default();
-        self.gateways.iter().all(|gateway| gateway.has == newest)
+        self.gateways.iter().all(|gateway| gateway.in_force == newest)
     }
 
-    fn check_what_operators_are_told(&self) {
+    fn check_status_for_operators(&self) {
         let newest = self.published.keys().last().copied().unwrap_or_default();
         let mut told = 0;
-        for machine in &self.machines {
-            let status = machine.publisher.as_ref().unwrap().status();
+        for server in &self.servers {
+            let status = server.publisher.as_ref().unwrap().status();
             assert_eq!((status.newest, status.conflict), (newest, None));
             told += status.counts().get(&newest).copied().unwrap_or(0);
         }
-        assert_eq!(told, GATEWAYS, "each is connected to one machine and known to have the newest");
+        assert_eq!(told, GATEWAYS, "each is connected to one server and known to have the newest");
     }
 }
 
-fn status(machine: &Machine) -> Option<Status> {
-    machine.publisher.as_ref().map(Publisher::status)
+fn status(server: &Server) -> Option<Status> {
+    server.publisher.as_ref().map(Publisher::status)
 }
 
 #[test]
-fn random_steps_agree_with_a_plain_model_and_all_get_to_the_newest() {
+fn random_steps_agree_with_the_model_and_all_gateways_get_the_newest_version() {
     let mut total = Counts::default();
     for seed in 1..=SEEDS {
         let mut world = World::new(seed);
@@ -494,15 +493,15 @@
         total.taken += world.counts.taken;
         total.refused += world.counts.refused;
         total.resyncs += world.counts.resyncs;
-        total.restarts_while_taking += world.counts.restarts_while_taking;
+        total.restarts_while_applying += world.counts.restarts_while_applying;
         total.silences += world.counts.silences;
-        total.stale_machines += world.counts.stale_machines;
+        total.stale_servers += world.counts.stale_servers;
         total.worst_quiet_us = total.worst_quiet_us.max(world.counts.worst_quiet_us);
     }
     // Else the steps have tried too little.
     assert!(total.taken > 1_000 && total.refused > 200 && total.resyncs > 10, "{total:?}");
-    assert!(total.restarts_while_taking > 10 && total.silences > 100, "{total:?}");
-    assert!(total.stale_machines > 50, "{total:?}");
+    assert!(total.restarts_while_applying > 10 && total.silences > 100, "{total:?}");
+    assert!(total.stale_servers > 50, "{total:?}");
     println!("{total:?}");
     // From the end of all faults on: silence, one wait of back-off and the snapshot.
     assert!(total.worst_quiet_us < 20 * SECOND_US, "{total:?}");
--- a/gateway/tests/common/control.rs
+++ b/gateway/tests/common/control.rs
@@ -1,4 +1,4 @@
-//! A control machine that says what a test tells it to: streams are the test's, reports are taken and kept.
+//! A scripted control plane server: tests write its streams, and read the reports that it accepts.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -23,7 +23,7 @@
 pub fn changed(change: impl Fn(String) -> String) -> Document {
     let before = start_settings();
     let after = change(before.clone());
-    assert_ne!(before, after, "the change names nothing that there is");
+    assert_ne!(before, after, "the change replaces nothing");
     after.parse().unwrap()
 }
 
@@ -36,13 +36,13 @@
 }
 
 /// The stream of one gateway.
-pub struct ControlStream {
+pub struct ControlPlaneStream {
     pub wire: Wire,
-    /// The version that the gateway asked with.
+    /// The version that the gateway has in force.
     pub version: u64,
 }
 
-impl ControlStream {
+impl ControlPlaneStream {
     pub fn send(&mut self, message: &str) {
         self.wire.say(&format!("data: {message}\n\n"));
     }
@@ -52,57 +52,57 @@
     }
 }
 
-/// A control machine.
-pub struct ControlMachine {
+/// A scripted control plane server.
+pub struct ControlPlaneServer {
     pub address: SocketAddr,
     streams: Receiver<(Wire, Call)>,
-    /// A stream that has been seen and not been taken yet.
+    /// A stream that is open and that the test has not asked for yet.
     seen: RefCell<Option<(Wire, Call)>>,
     reports: Receiver<Report>,
-    /// Reports that are turned down before one is taken.
-    turned_down: Arc<AtomicUsize>,
+    /// Reports that are rejected before one is accepted.
+    to_reject: Arc<AtomicUsize>,
 }
 
-impl ControlMachine {
+impl ControlPlaneServer {
     pub fn start() -> Self {
         let peer = Peer::new("control");
         let address = peer.address;
         let ((streams_in, streams), (reports_in, reports)) = (channel(), channel());
-        let turned_down = Arc::<AtomicUsize>::default();
-        let turns_down = turned_down.clone();
+        let to_reject = Arc::<AtomicUsize>::default();
+        let rejects = to_reject.clone();
         thread::spawn(move || {
             loop {
                 let (wire, streams, reports) = (peer.accept(), streams_in.clone(), reports_in.clone());
-                let turns_down = turns_down.clone();
-                thread::spawn(move || answer(wire, &streams, &reports, &turns_down));
+                let rejects = rejects.clone();
+                thread::spawn(move || answer(wire, &streams, &reports, &rejects));
             }
         });
-        Self { address, streams, seen: RefCell::default(), reports, turned_down }
+        Self { address, streams, seen: RefCell::default(), reports, to_reject }
     }
 
     /// The next stream that a gateway opens; its head is answered.
-    pub fn stream(&self) -> ControlStream {
+    pub fn stream(&self) -> ControlPlaneStream {
         let seen = self.seen.borrow_mut().take();
         let next = || self.streams.recv_timeout(PATIENCE).expect("a gateway opens a stream");
         let (mut wire, call) = seen.unwrap_or_else(next);
         assert_eq!((call.path.as_str(), call.headers["gateway"].as_str()), ("/v1/configuration", "t"));
         wire.stream();
-        ControlStream { wire, version: call.headers["version"].parse().unwrap() }
+        ControlPlaneStream { wire, version: call.headers["version"].parse().unwrap() }
     }
 
-    /// Turns down so many reports from here on.
-    pub fn turn_down(&self, reports: usize) {
-        self.turned_down.store(reports, Ordering::SeqCst);
+    /// Rejects so many reports from here on.
+    pub fn reject(&self, reports: usize) {
+        self.to_reject.store(reports, Ordering::SeqCst);
     }
 
-    /// Whether a gateway has opened a stream here and not at the other machine.
+    /// Whether a gateway has opened a stream here and not at the other server.
     pub fn is_first_of(&self, other: &Self) -> bool {
         let began = Instant::now();
         while began.elapsed() < PATIENCE {
-            for machine in [self, other] {
-                if let Ok(stream) = machine.streams.try_recv() {
-                    *machine.seen.borrow_mut() = Some(stream);
-                    return std::ptr::eq(machine, self);
+            for server in [self, other] {
+                if let Ok(stream) = server.streams.try_recv() {
+                    *server.seen.borrow_mut() = Some(stream);
+                    return std::ptr::eq(server, self);
                 }
             }
             thread::sleep(Duration::from_millis(1));
@@ -121,12 +121,7 @@
     }
 }
 
-fn answer(
-    mut wire: Wire,
-    streams: &Sender<(Wire, Call)>,
-    reports: &Sender<Report>,
-    turned_down: &AtomicUsize,
-) {
+fn answer(mut wire: Wire, streams: &Sender<(Wire, Call)>, reports: &Sender<Report>, to_reject: &AtomicUsize) {
     let Some(call) = wire.next_call() else { return };
     // The test may be over.
     if call.verb == "GET" {
@@ -134,7 +129,7 @@
         return;
     }
     assert_eq!(call.path, "/v1/configuration/report");
-    if turned_down.fetch_update(Ordering::SeqCst, Ordering::SeqCst, |n| n.checked_sub(1)).is_ok() {
+    if to_reject.fetch_update(Ordering::SeqCst, Ordering::SeqCst, |n| n.checked_sub(1)).is_ok() {
         wire.try_say("HTTP/1.1 503 Later\r\nContent-Length: 0\r\n\r\n");
         return;
     }
--- a/gateway/tests/configuration.rs
+++ b/gateway/tests/configuration.rs
@@ -1,12 +1,12 @@
-//! Settings taken over in service from a control machine, with requests held and out meanwhile. Engines and control
-//! machines are scripted; the order of events is the test's, and no verdict is by the clock.
+//! Live reconfiguration by a control plane, with requests queued and in flight. Engines and control plane servers are
+//! scripted; the test gives the order of events, and no result depends on the clock.
 
 mod common;
 
 use std::thread;
 use std::time::Duration;
 
-use common::control::{ControlMachine, ControlStream, changed, delta, snapshot, start_settings};
+use common::control::{ControlPlaneServer, ControlPlaneStream, changed, delta, snapshot, start_settings};
 use common::held::HeldEngines;
 use common::script::Peer;
 use common::{Gateway, pg};
@@ -33,7 +33,7 @@
 }
 
 /// The words of an error that a statement is turned down with.
-fn turned_down(gateway: &Gateway, text: &str) -> String {
+fn rejection(gateway: &Gateway, text: &str) -> String {
     match pg::Client::connect(gateway.pg).query(text) {
         pg::Answer::Error(code, words) => format!("{code} {words}"),
         other => panic!("{other:?}"),
@@ -50,24 +50,26 @@
     config.replace("\"name\":\"load\",", "\"name\":\"load\",\"keep-order\":true,")
 }
 
-/// A gateway in front of two engines that follows one control machine.
-fn follow(change: impl Fn(String) -> String) -> (Gateway, HeldEngines, ControlMachine, ControlStream) {
-    let (engines, machine) = (HeldEngines::start(&["e1", "e2"]), ControlMachine::start());
-    let gateway = Gateway::controlled(&engines.entries, &[machine.address], change);
-    let stream = machine.stream();
+/// A gateway in front of two engines that follows one control server.
+fn controlled_gateway(
+    change: impl Fn(String) -> String,
+) -> (Gateway, HeldEngines, ControlPlaneServer, ControlPlaneStream) {
+    let (engines, server) = (HeldEngines::start(&["e1", "e2"]), ControlPlaneServer::start());
+    let gateway = Gateway::controlled(&engines.entries, &[server.address], change);
+    let stream = server.stream();
     assert_eq!(stream.version, 0);
-    (gateway, engines, machine, stream)
+    (gateway, engines, server, stream)
 }
 
 #[test]
 fn a_class_ordered_no_longer_orders_only_what_came_before() {
-    let (gateway, engines, machine, mut stream) = follow(keeps_order);
+    let (gateway, engines, server, mut stream) = controlled_gateway(keeps_order);
     let mut first = ask(&gateway, 1, "load", ",o=k");
     let first_out = engines.next_start(&id(1));
     let mut second = ask(&gateway, 2, "load", ",o=k");
     // The document of the start has no order, unlike the gateway's own file.
     stream.send(&snapshot(1, &start_settings().parse().unwrap()));
-    machine.applied(1);
+    server.applied(1);
     let mut third = ask(&gateway, 3, "load", ",o=k");
     engines.next_start(&id(3)).row();
     is_served(&mut third, 3);
@@ -81,22 +83,22 @@
 }
 
 #[test]
-fn once_only_work_that_is_out_is_not_repeated_when_its_class_becomes_repeatable() {
-    let (e1, e2, machine) = (Peer::new("e1"), Peer::new("e2"), ControlMachine::start());
+fn attempts_in_flight_are_not_retried_when_their_class_becomes_idempotent() {
+    let (e1, e2, server) = (Peer::new("e1"), Peer::new("e2"), ControlPlaneServer::start());
     let entries = [e1.entry("Ready"), e2.entry("Terminating")].join(",");
     let coordinator = Peer::new("c");
-    let gateway = Gateway::controlled(&entries, &[machine.address], |config| {
+    let gateway = Gateway::controlled(&entries, &[server.address], |config| {
         config.replace("\"known\":", &format!("\"coordinator\":\"{}\",\"known\":", coordinator.address))
     });
     let (mut watch, _) = coordinator.watch();
     watch.stream();
-    let mut stream = machine.stream();
+    let mut stream = server.stream();
     let mut client = ask(&gateway, 1, "load", "");
     let mut wire = e1.accept();
     assert_eq!(wire.call().query_id(), id(1));
     let pure = changed(|text| text.replace("\"repeat\":\"side_effect\"", "\"repeat\":\"pure\""));
     stream.send(&snapshot(1, &pure));
-    machine.applied(1);
+    server.applied(1);
     watch.event(2, &e2.entry("Ready"));
     gateway.logged("name=\"e2\" state=Ready");
     drop(e1);
@@ -113,11 +115,11 @@
 
 #[test]
 fn a_shorter_deadline_holds_for_new_requests_alone() {
-    let (gateway, engines, machine, mut stream) = follow(|config| config);
+    let (gateway, engines, server, mut stream) = controlled_gateway(|config| config);
     let mut before = ask(&gateway, 1, "report", "");
     let out = engines.next_start(&id(1));
     stream.send(&snapshot(1, &changed(|text| text.replace("\"deadline-s\":20.0", "\"deadline-s\":0.4"))));
-    machine.applied(1);
+    server.applied(1);
     let mut after = ask(&gateway, 2, "report", "");
     assert!(matches!(after.answer(), pg::Answer::Error(..)), "its time is over");
     out.row();
@@ -126,8 +128,8 @@
 }
 
 #[test]
-fn limits_and_projects_are_in_force_at_once() {
-    let (gateway, engines, machine, mut stream) = follow(|config| config);
+fn limits_and_tenants_are_in_force_at_once() {
+    let (gateway, engines, server, mut stream) = controlled_gateway(|config| config);
     let mut first = ask(&gateway, 1, "report", ",t=acme");
     let out = engines.next_start(&id(1));
     let change = |text: String| {
@@ -136,12 +138,12 @@
     };
     let narrow = changed(change);
     stream.send(&snapshot(1, &narrow));
-    machine.applied(1);
-    assert!(turned_down(&gateway, &query(2, "report", ",t=other")).starts_with("53"), "one is open already");
-    assert!(turned_down(&gateway, &query(3, "report", ",t=acme")).contains("unknown tenant"));
+    server.applied(1);
+    assert!(rejection(&gateway, &query(2, "report", ",t=other")).starts_with("53"), "one is open already");
+    assert!(rejection(&gateway, &query(3, "report", ",t=acme")).contains("unknown tenant"));
     let wide = changed(|text| text.replace("\"name\":\"acme\"", "\"name\":\"other\""));
     stream.send(&delta((1, &narrow), (2, &wide)));
-    machine.applied(2);
+    server.applied(2);
     let mut second = ask(&gateway, 4, "report", ",t=other");
     engines.next_start(&id(4)).row();
     is_served(&mut second, 4);
@@ -150,18 +152,18 @@
 }
 
 /// A gateway before this engine that was started with short times for its connections, and has long ones in force.
-fn with_longer_times(engine: &Peer) -> (Gateway, ControlMachine, ControlStream) {
-    let machine = ControlMachine::start();
+fn with_longer_times(engine: &Peer) -> (Gateway, ControlPlaneServer, ControlPlaneStream) {
+    let server = ControlPlaneServer::start();
     let short = |config: String| config.replace("\"keepalive-s\":15.0", "\"keepalive-s\":0.5");
-    let gateway = Gateway::controlled(&engine.entry("Ready"), &[machine.address], short);
-    let mut stream = machine.stream();
+    let gateway = Gateway::controlled(&engine.entry("Ready"), &[server.address], short);
+    let mut stream = server.stream();
     let longer = changed(|text| {
         let text = text.replace("\"keepalive-s\":15.0", "\"keepalive-s\":3600.0");
         text.replace("\"connect-timeout-s\":0.25", "\"connect-timeout-s\":3600.0")
     });
     stream.send(&snapshot(1, &longer));
-    machine.applied(1);
-    (gateway, machine, stream)
+    server.applied(1);
+    (gateway, server, stream)
 }
 
 /// Longer than any connection is kept or waited for by the short times.
@@ -170,7 +172,7 @@
 #[test]
 fn a_longer_keepalive_of_connections_to_engines_is_in_force_at_once() {
     let engine = Peer::new("e1");
-    let (gateway, _machine, _stream) = with_longer_times(&engine);
+    let (gateway, _server, _stream) = with_longer_times(&engine);
     let mut first = ask(&gateway, 1, "report", "");
     let mut wire = engine.accept();
     assert_eq!(wire.call().query_id(), id(1));
@@ -187,7 +189,7 @@
 #[test]
 fn a_longer_time_for_connections_to_come_up_is_in_force_at_once() {
     let mut engine = Peer::shut("e1");
-    let (gateway, _machine, _stream) = with_longer_times(&engine);
+    let (gateway, _server, _stream) = with_longer_times(&engine);
     // A load is not taken back for its silence, however often the kernel has to send its first packet again.
     let mut client = ask(&gateway, 1, "load", "");
     thread::sleep(LONGER);
@@ -202,30 +204,30 @@
 
 #[test]
 fn a_version_in_force_stays_when_the_file_is_read_again() {
-    let (gateway, engines, machine, mut stream) = follow(|config| config);
+    let (gateway, engines, server, mut stream) = controlled_gateway(|config| config);
     let document = changed(|text| text.replace("\"name\":\"report\"", "\"name\":\"digest\""));
     stream.send(&snapshot(1, &document));
-    machine.applied(1);
+    server.applied(1);
     gateway.signal("-HUP");
     gateway.logged("configuration read again");
     let mut client = ask(&gateway, 1, "digest", "");
     engines.next_start(&id(1)).row();
     is_served(&mut client, 1);
-    assert!(turned_down(&gateway, &query(2, "report", "")).contains("unknown class"));
+    assert!(rejection(&gateway, &query(2, "report", "")).contains("unknown class"));
     assert!(status(&gateway).contains("configuration.in_force=1\n"));
     gateway.logged(&format!("answered query_id=\"{}\"", id(1)));
     assert!(!gateway.log().contains("the settings have changed"), "what is in force is not the file's");
 }
 
 #[test]
-fn a_class_that_goes_is_unknown_to_new_requests_and_one_that_comes_is_known() {
-    let (gateway, engines, machine, mut stream) = follow(|config| config);
+fn removed_classes_are_unknown_to_new_requests_and_added_ones_known() {
+    let (gateway, engines, server, mut stream) = controlled_gateway(|config| config);
     let mut first = ask(&gateway, 1, "report", "");
     let out = engines.next_start(&id(1));
-    assert!(turned_down(&gateway, &query(2, "digest", "")).contains("unknown class"));
+    assert!(rejection(&gateway, &query(2, "digest", "")).contains("unknown class"));
     stream.send(&snapshot(1, &changed(|text| text.replace("\"name\":\"report\"", "\"name\":\"digest\""))));
-    machine.applied(1);
-    assert!(turned_down(&gateway, &query(3, "report", "")).contains("unknown class"));
+    server.applied(1);
+    assert!(rejection(&gateway, &query(3, "report", "")).contains("unknown class"));
     let mut second = ask(&gateway, 4, "digest", "");
     engines.next_start(&id(4)).row();
     is_served(&mut second, 4);
@@ -235,11 +237,11 @@
 }
 
 #[test]
-fn a_bad_one_is_refused_whole_with_its_reason_and_the_old_one_stays() {
-    let (gateway, engines, machine, mut stream) = follow(|config| config);
+fn a_bad_version_is_refused_as_a_whole_with_its_reason() {
+    let (gateway, engines, server, mut stream) = controlled_gateway(|config| config);
     let good = changed(|text| text.replace("\"max-attempts\":3", "\"max-attempts\":2"));
     stream.send(&snapshot(1, &good));
-    machine.applied(1);
+    server.applied(1);
     let bad = |what: &str, by: &str| {
         changed(|text| text.replace("\"name\":\"report\"", "\"name\":\"digest\"").replace(what, by))
     };
@@ -251,11 +253,11 @@
     ];
     for (version, (document, part)) in (2..).zip(cases) {
         stream.send(&snapshot(version, &document));
-        let Report::Refused { version: told, reason, in_force } = machine.report() else { panic!() };
+        let Report::Refused { version: told, reason, in_force } = server.report() else { panic!() };
         assert_eq!((told, in_force), (Version(version), Version(1)));
         assert!(reason.contains(part), "{reason}");
         assert!(
-            turned_down(&gateway, &query(version, "digest", "")).contains("unknown class"),
+            rejection(&gateway, &query(version, "digest", "")).contains("unknown class"),
             "nothing of it"
         );
         let text = status(&gateway);
@@ -268,18 +270,18 @@
     is_served(&mut client, 20);
     // A good one counts again, on top of the one in force.
     stream.send(&delta((1, &good), (9, &start_settings().parse().unwrap())));
-    machine.applied(9);
+    server.applied(9);
     assert!(!status(&gateway).contains("refused"));
 }
 
 #[test]
-fn an_older_one_after_a_newer_one_and_one_told_twice_change_nothing() {
-    let (gateway, _engines, machine, mut stream) = follow(|config| config);
+fn old_and_duplicate_versions_change_nothing() {
+    let (gateway, _engines, server, mut stream) = controlled_gateway(|config| config);
     let named =
         |name: &str| changed(|text| text.replace("\"name\":\"report\"", &format!("\"name\":\"{name}\"")));
     let (third, fifth, sixth) = (named("third"), named("fifth"), named("sixth"));
     stream.send(&snapshot(5, &fifth));
-    machine.applied(5);
+    server.applied(5);
     stream.send(&snapshot(3, &third));
     stream.send(&snapshot(5, &fifth));
     stream.send(&delta((3, &third), (4, &sixth)));
@@ -287,63 +289,63 @@
     let step = delta((5, &fifth), (6, &sixth));
     stream.send(&step);
     stream.send(&step);
-    machine.applied(6);
+    server.applied(6);
     stream.send(&snapshot(5, &fifth));
     stream.send(&delta((6, &sixth), (7, &fifth)));
-    machine.applied(7);
+    server.applied(7);
     assert!(status(&gateway).contains("configuration.in_force=7\n"));
     for name in ["third", "sixth", "report"] {
-        assert!(turned_down(&gateway, &query(1, name, "")).contains("unknown class"));
+        assert!(rejection(&gateway, &query(1, name, "")).contains("unknown class"));
     }
 }
 
 #[test]
-fn a_difference_to_something_else_leads_to_a_snapshot() {
-    let (gateway, _engines, machine, mut stream) = follow(|config| config);
+fn a_delta_that_does_not_fit_leads_to_a_snapshot() {
+    let (gateway, _engines, server, mut stream) = controlled_gateway(|config| config);
     let one = changed(|text| text.replace("\"max-attempts\":3", "\"max-attempts\":1"));
     let two = changed(|text| text.replace("\"max-attempts\":3", "\"max-attempts\":2"));
     let few = changed(|text| text.replace("\"max-open\":20000", "\"max-open\":5"));
     stream.send(&snapshot(1, &one));
-    machine.applied(1);
+    server.applied(1);
     // From a version that it does not have.
     stream.send(&delta((7, &two), (8, &one)));
-    let mut stream = machine.stream();
+    let mut stream = server.stream();
     assert_eq!(stream.version, 1, "it says what it has");
     // From its version, but with other contents: what comes out has not the digest that was told.
     stream.send(&delta((1, &start_settings().parse().unwrap()), (8, &few)));
-    let mut stream = machine.stream();
+    let mut stream = server.stream();
     assert_eq!(stream.version, 0, "it asks for everything");
     assert!(status(&gateway).contains("configuration.in_force=1\n"));
     stream.send(&snapshot(8, &two));
-    machine.applied(8);
+    server.applied(8);
     assert!(!gateway.log().contains("silent"), "it went by itself");
 }
 
 #[test]
-fn a_machine_lost_half_way_is_followed_by_the_next() {
-    let (engines, machines) =
-        (HeldEngines::start(&["e1"]), [ControlMachine::start(), ControlMachine::start()]);
-    let addresses = [machines[0].address, machines[1].address];
+fn a_server_lost_within_a_message_is_replaced_by_the_next() {
+    let (engines, servers) =
+        (HeldEngines::start(&["e1"]), [ControlPlaneServer::start(), ControlPlaneServer::start()]);
+    let addresses = [servers[0].address, servers[1].address];
     let gateway = Gateway::controlled(&engines.entries, &addresses, |config| config);
-    let (first, second) = if machines[0].is_first_of(&machines[1]) { (0, 1) } else { (1, 0) };
+    let (first, second) = if servers[0].is_first_of(&servers[1]) { (0, 1) } else { (1, 0) };
     let document = changed(|text| text.replace("\"name\":\"report\"", "\"name\":\"digest\""));
     let message = format!("data: {}\n\n", snapshot(1, &document));
-    let mut stream = machines[first].stream();
+    let mut stream = servers[first].stream();
     stream.wire.say(&message[..message.len() / 2]);
     stream.wire.reset();
-    let mut stream = machines[second].stream();
+    let mut stream = servers[second].stream();
     assert_eq!(stream.version, 0);
-    assert!(turned_down(&gateway, &query(1, "digest", "")).contains("unknown class"));
+    assert!(rejection(&gateway, &query(1, "digest", "")).contains("unknown class"));
     stream.wire.say(&message);
-    machines[second].applied(1);
+    servers[second].applied(1);
     let mut client = ask(&gateway, 2, "digest", "");
     engines.next_start(&id(2)).row();
     is_served(&mut client, 2);
 }
 
 #[test]
-fn a_message_may_come_byte_by_byte_and_counts_only_whole() {
-    let (gateway, engines, machine, mut stream) = follow(|config| config);
+fn a_message_may_come_byte_by_byte_and_counts_when_complete() {
+    let (gateway, engines, server, mut stream) = controlled_gateway(|config| config);
     let document = changed(|text| text.replace("\"name\":\"report\"", "\"name\":\"digest\""));
     let message = format!("id: 1\r\ndata: {}\r\n\r\n", snapshot(1, &document));
     // Cut off at places all over it; what is said before keeps the pause to the next stream short.
@@ -352,63 +354,63 @@
         stream.current(0);
         stream.wire.say(&message[..cut]);
         stream.wire.reset();
-        stream = machine.stream();
+        stream = server.stream();
         assert_eq!(stream.version, 0, "cut at {cut}");
-        assert!(turned_down(&gateway, &query(1, "digest", "")).contains("unknown class"), "cut at {cut}");
+        assert!(rejection(&gateway, &query(1, "digest", "")).contains("unknown class"), "cut at {cut}");
     }
     for byte in message.as_bytes() {
         stream.wire.say(std::str::from_utf8(&[*byte]).unwrap());
     }
-    machine.applied(1);
+    server.applied(1);
     let mut client = ask(&gateway, 2, "digest", "");
     engines.next_start(&id(2)).row();
     is_served(&mut client, 2);
 }
 
 #[test]
-fn a_report_that_is_not_taken_is_sent_again() {
-    let (_gateway, _engines, machine, mut stream) = follow(|config| config);
-    machine.turn_down(2);
+fn a_report_that_is_not_accepted_is_sent_again() {
+    let (_gateway, _engines, server, mut stream) = controlled_gateway(|config| config);
+    server.reject(2);
     stream.send(&snapshot(1, &changed(|text| text.replace("\"max-attempts\":3", "\"max-attempts\":2"))));
-    machine.applied(1);
+    server.applied(1);
 }
 
 #[test]
-fn a_machine_that_falls_silent_is_followed_by_the_next() {
-    let (engines, machines) =
-        (HeldEngines::start(&["e1"]), [ControlMachine::start(), ControlMachine::start()]);
-    let addresses = [machines[0].address, machines[1].address];
+fn a_silent_server_is_replaced_by_the_next() {
+    let (engines, servers) =
+        (HeldEngines::start(&["e1"]), [ControlPlaneServer::start(), ControlPlaneServer::start()]);
+    let addresses = [servers[0].address, servers[1].address];
     let gateway = Gateway::controlled(&engines.entries, &addresses, |config| config);
-    let (first, second) = if machines[0].is_first_of(&machines[1]) { (0, 1) } else { (1, 0) };
-    let mut silent = machines[first].stream();
+    let (first, second) = if servers[0].is_first_of(&servers[1]) { (0, 1) } else { (1, 0) };
+    let mut silent = servers[first].stream();
     silent.current(0);
-    let mut stream = machines[second].stream();
+    let mut stream = servers[second].stream();
     gateway.logged("the control plane server is silent");
     stream.send(&snapshot(1, &start_settings().parse().unwrap()));
-    machines[second].applied(1);
+    servers[second].applied(1);
 }
 
 #[test]
-fn noise_in_the_stream_changes_nothing_and_is_followed_by_a_new_stream() {
-    let (gateway, _engines, machine, mut stream) = follow(|config| config);
+fn garbage_in_the_stream_changes_nothing_and_leads_to_a_new_stream() {
+    let (gateway, _engines, server, mut stream) = controlled_gateway(|config| config);
     let long = "x".repeat(100_000);
     for noise in
         ["data: {\"snapshot\":7}\n\n", "data: nothing\n\n", "data: {}\n\n", &format!("data: {long}\n\n")]
     {
         stream.current(0);
         stream.wire.say(noise);
-        stream = machine.stream();
+        stream = server.stream();
         assert_eq!(stream.version, 0);
     }
     assert!(status(&gateway).contains("configuration.in_force=0\n"));
     assert!(!gateway.log().contains("silent"), "it went by itself");
     stream.send(&snapshot(1, &start_settings().parse().unwrap()));
-    machine.applied(1);
+    server.applied(1);
 }
 
 #[test]
-fn a_gateway_restarted_while_it_applies_has_the_newest_afterwards_and_repeats_nothing() {
-    let (gateway, engines, machine, mut stream) = follow(|config| config);
+fn a_gateway_restarted_while_it_applies_gets_the_newest_version_and_retries_nothing() {
+    let (gateway, engines, server, mut stream) = controlled_gateway(|config| config);
     let _client = ask(&gateway, 1, "load", "");
     let out = engines.next_start(&id(1));
     let document = changed(|text| text.replace("\"name\":\"report\"", "\"name\":\"digest\""));
@@ -419,10 +421,10 @@
         gateway.signal("-KILL");
     });
     let next = gateway.successor();
-    let mut stream = machine.stream();
+    let mut stream = server.stream();
     assert_eq!(stream.version, 0, "it has what its file says");
     stream.send(&message);
-    machine.applied(1);
+    server.applied(1);
     out.row();
     let mut client = ask(&next, 2, "digest", "");
     engines.next_start(&id(2)).row();
@@ -430,17 +432,17 @@
 }
 
 #[test]
-fn two_processes_of_an_upgrade_each_follow_and_the_one_that_ends_leaves() {
-    let (gateway, engines, machine, mut stream) = follow(|config| config);
+fn both_processes_of_a_replacement_follow_and_the_predecessor_disconnects() {
+    let (gateway, engines, server, mut stream) = controlled_gateway(|config| config);
     let document = changed(|text| text.replace("\"name\":\"report\"", "\"name\":\"digest\""));
     stream.send(&snapshot(1, &document));
-    machine.applied(1);
+    server.applied(1);
     let mut client = ask(&gateway, 1, "digest", "");
     let out = engines.next_start(&id(1));
     let next = gateway.successor();
-    let mut fresh = machine.stream();
+    let mut fresh = server.stream();
     fresh.send(&snapshot(1, &document));
-    machine.applied(1);
+    server.applied(1);
     gateway.terminate();
     assert!(stream.wire.is_ended(), "it follows no longer, and serves what it has taken");
     out.row();
@@ -452,8 +454,8 @@
 }
 
 #[test]
-fn many_changes_with_requests_out_end_each_request_once() {
-    let (gateway, engines, machine, mut stream) = follow(keeps_order);
+fn many_changes_with_requests_in_flight_end_each_request_once() {
+    let (gateway, engines, server, mut stream) = controlled_gateway(keeps_order);
     let document = |n: u64| -> Document {
         let deadline = format!("\"deadline-s\":{}.0", 20 + n % 5);
         changed(|text| {
@@ -464,14 +466,14 @@
     };
     let mut before = document(0);
     stream.send(&snapshot(1, &before));
-    machine.applied(1);
+    server.applied(1);
     let mut waiting = std::collections::VecDeque::new();
     for n in 1..=40 {
         let client = ask(&gateway, n, "load", &format!(",o=k{n}"));
         waiting.push_back((n, client, engines.next_start(&id(n))));
         let after = document(n);
         stream.send(&delta((n, &before), (n + 1, &after)));
-        machine.applied(n + 1);
+        server.applied(n + 1);
         before = after;
         if waiting.len() > 3 {
             let (n, mut client, out) = waiting.pop_front().unwrap();
@@ -489,7 +491,7 @@
 }
 
 #[test]
-fn without_a_control_table_nothing_is_followed_and_the_status_is_as_it_was() {
+fn without_a_control_table_there_is_no_control_plane_and_the_status_is_short() {
     let engines = HeldEngines::start(&["e1"]);
     let gateway = Gateway::scripted_with_door(&engines.entries, |config| config);
     assert_eq!(status(&gateway), "ready\n");
