--- a/gateway/src/main.rs
+++ b/gateway/src/main.rs
@@ -109,7 +109,7 @@
         config.names.tenants.len(),
         config.known_list.events.len(),
         config.max_descriptors,
-        net::most_sessions(config)
+        net::max_sessions(config)
     );
     if let Some(mysql) = &config.mysql {
         println!("MySQL on {}: {} engines", mysql.listen, mysql.engines.len());
--- a/gateway/src/net/admin.rs
+++ b/gateway/src/net/admin.rs
@@ -6,8 +6,8 @@
 
 use wrenhatch_sessions::timer_wheel::TimerId;
 
-use super::conn::{Conn, Phase, ReadEnd};
-use super::poll::{Interest, Poll, Told};
+use super::connection::{Connection, Phase, ReadEnd};
+use super::poll::{Interest, Poll, Trigger};
 use super::{ADMIN, ADMIN_LISTENER, ServeError, Server, Timer};
 use crate::admin::call::{self, AdminCall, CallError, MAX_CALL_BYTES};
 use crate::admin::metrics::Gauges;
@@ -21,7 +21,7 @@
 const BACKLOG: u32 = 64;
 
 struct AdminConnection {
-    conn: Conn,
+    conn: Connection,
     serial: u32,
     accepted_us: u64,
     answered: bool,
@@ -61,7 +61,7 @@
         let Some(address) = address else { return Ok(Self::default()) };
         let failed = |e| ServeError::Listen(address, e);
         let listener = super::listeners::listener(address, BACKLOG, false).map_err(failed)?;
-        poll.add(&listener, ADMIN_LISTENER, Interest { read: true, write: false }, Told::Always)?;
+        poll.add(&listener, ADMIN_LISTENER, Interest { read: true, write: false }, Trigger::Level)?;
         Ok(Self { listener: Some(listener), ..Self::default() })
     }
 
@@ -110,7 +110,7 @@
             self.admin.serials = self.admin.serials.wrapping_add(1);
             let (serial, accepted_us) = (self.admin.serials, self.time.now_us);
             let key = ADMIN | u64::from(serial);
-            match Conn::accepted(&self.poll, stream, key, MAX_CALL_BYTES) {
+            match Connection::accepted(&self.poll, stream, key, MAX_CALL_BYTES) {
                 Ok(conn) => {
                     let connection = AdminConnection { conn, serial, accepted_us, answered: false };
                     self.admin.connections.push(connection);
--- a/gateway/src/net/control_plane.rs
+++ b/gateway/src/net/control_plane.rs
@@ -4,7 +4,7 @@
 use wrenhatch_configuration::{Document, SubscriberAction, Version};
 use wrenhatch_sessions::timer_wheel::TimerId;
 
-use super::conn::{Conn, Phase, ReadEnd};
+use super::connection::{Connection, Phase, ReadEnd};
 use super::poll::Interest;
 use super::{CONTROL, REPORT, Server, Timer};
 use crate::control_plane::{
@@ -17,8 +17,8 @@
 /// The client of the control plane with its connections.
 pub struct ControlPlane {
     pub(super) client: ControlPlaneClient,
-    stream: Option<Conn>,
-    report: Option<Conn>,
+    stream: Option<Connection>,
+    report: Option<Connection>,
     /// Tells the stream's connection from earlier ones, for the poller.
     stream_serial: u32,
     /// Tells the report's connection from earlier ones, for the poller.
@@ -122,7 +122,7 @@
         }
         control_plane.client.on_connected();
         if interest.read {
-            if conn.is_cut_off() {
+            if conn.is_hung_up() {
                 return self.control_plane_lost();
             }
             let end = conn.fill(READ_AHEAD_BYTES);
@@ -236,7 +236,7 @@
         if conn.phase == Phase::Connecting {
             return;
         }
-        let end = if interest.read { conn.fill(MAX_REPORT_RESPONSE_BYTES) } else { ReadEnd::Later };
+        let end = if interest.read { conn.fill(MAX_REPORT_RESPONSE_BYTES) } else { ReadEnd::WouldBlock };
         let response = read_report_response(&conn.input);
         let is_broken = conn.flush().is_err() || conn.update(&self.poll, key).is_err();
         let has_ended = is_broken || matches!(end, ReadEnd::Eof | ReadEnd::Broken);
@@ -261,7 +261,7 @@
 }
 
 /// Sees whether a connection that is being opened has come up. False: it never will.
-fn finish_connect(conn: &mut Conn, interest: Interest) -> bool {
+fn finish_connect(conn: &mut Connection, interest: Interest) -> bool {
     let may_be_up = conn.phase == Phase::Connecting && (interest.write || interest.read);
     !may_be_up || conn.finish_connect().is_ok()
 }
--- a/gateway/src/net/process_replacement/peers.rs
+++ b/gateway/src/net/process_replacement/peers.rs
@@ -6,7 +6,7 @@
 
 use super::listener_passing::listen_at;
 use crate::core::PeerProcessId;
-use crate::net::poll::{Interest, Poll, Told};
+use crate::net::poll::{Interest, Poll, Trigger};
 use crate::net::{PEER_LISTENER, PEER_PROCESS};
 use crate::process_replacement::messages::{self, Message, MessageError, PeerFeatures};
 
@@ -96,7 +96,7 @@
             }
         }
         let interest = Interest { read: true, write: !self.output.is_empty() };
-        poll.change(&self.stream, self.poll_key(), interest, Told::Always)
+        poll.change(&self.stream, self.poll_key(), interest, Trigger::Level)
     }
 }
 
@@ -125,7 +125,7 @@
                 if let Some(old) = self.listener.take() {
                     poll.remove(&old);
                 }
-                if let Err(error) = poll.add(&listener, PEER_LISTENER, READABLE, Told::Always) {
+                if let Err(error) = poll.add(&listener, PEER_LISTENER, READABLE, Trigger::Level) {
                     return failed(error);
                 }
                 self.listener = Some(listener);
@@ -160,7 +160,7 @@
         stream.set_nonblocking(true)?;
         self.last_id = self.last_id.wrapping_add(1);
         let id = PeerProcessId(self.last_id);
-        poll.add(&stream, poll_key(id), READABLE, Told::Always)?;
+        poll.add(&stream, poll_key(id), READABLE, Trigger::Level)?;
         self.peers.push(PeerProcess {
             stream,
             id,
