--- a/lab/src/configuration/scenario.rs
+++ b/lab/src/configuration/scenario.rs
@@ -4,7 +4,7 @@
 use serde::Serialize;
 
 use super::fleet::{Fleet, Play};
-use super::network::Tampering;
+use super::network::NetworkFaults;
 use super::random::Random;
 use super::settings::{Author, Size};
 use super::{CHANGES_PER_DAY, MACHINES, SECOND_US};
@@ -203,9 +203,9 @@
     }
 
     fn tampered(&mut self) {
-        self.fleet.network.tampering = Tampering {
+        self.fleet.network.faults = NetworkFaults {
             lost_per_mille: TAMPERED_PER_MILLE,
-            doubled_per_mille: TAMPERED_PER_MILLE,
+            duplicated_per_mille: TAMPERED_PER_MILLE,
             late_per_mille: TAMPERED_PER_MILLE,
         };
         self.watched();
