--- a/gateway/src/config/site.rs
+++ b/gateway/src/config/site.rs
@@ -1,7 +1,10 @@
 //! The `settings` object of a configuration: what the platform says of the deployment, and what may change while the
 //! gateway runs. The themed keys of the platform are mapped here to the terms of the code.
 
-use workload_manager::*;
+use workload_manager::{
+    Capabilities, Class, Idempotency, IdempotencyScope, LoadReportSource, MachineType, MachineTypeId,
+    MemoryShortage, RetryBudget, Rules, Settings, Tenant, ZoneId,
+};
 
 use super::{ConfigError, SettingsNames};
 use crate::json::{self, JsonError, JsonField};
@@ -48,15 +51,7 @@
 
 fn read_settings(site: &JsonField<'_>) -> Result<(Settings, SettingsNames), JsonError> {
     let domain = site.get("domain");
-    let mut names = SettingsNames {
-        machine_types: site.get("kinds").strings()?,
-        zones: site.get("zones").strings()?,
-        load_report_extras: [
-            domain.get("report-x0").string_or_empty()?,
-            domain.get("report-x1").string_or_empty()?,
-        ],
-        ..SettingsNames::default()
-    };
+    let mut names = read_names(site)?;
     let mut classes = Vec::new();
     for (number, class) in site.get("classes").elements()?.iter().enumerate() {
         names.classes.push(class.get("name").string()?);
@@ -79,16 +74,34 @@
         over_quota_weight_ratio: site.get("over-share-worth").number_or(1.0)?,
         rules: read_rules(&site.get("rules"))?,
         capabilities: read_capabilities(site)?,
-        on_memory_shortage: match domain.get("when-short").string_or_empty()?.as_str() {
-            "shrink" => MemoryShortage::Spill,
-            "page" => MemoryShortage::Overcommit,
-            _ => MemoryShortage::Queue,
-        },
+        on_memory_shortage: read_memory_shortage(&domain)?,
         clock_resolution: site.get("resolution-s").number_or(0.0)?,
     };
     Ok((settings, names))
 }
 
+/// The names that are listed apart from what they name.
+fn read_names(site: &JsonField<'_>) -> Result<SettingsNames, JsonError> {
+    let domain = site.get("domain");
+    Ok(SettingsNames {
+        machine_types: site.get("kinds").strings()?,
+        zones: site.get("zones").strings()?,
+        load_report_extras: [
+            domain.get("report-x0").string_or_empty()?,
+            domain.get("report-x1").string_or_empty()?,
+        ],
+        ..SettingsNames::default()
+    })
+}
+
+fn read_memory_shortage(domain: &JsonField<'_>) -> Result<MemoryShortage, JsonError> {
+    Ok(match domain.get("when-short").string_or_empty()?.as_str() {
+        "shrink" => MemoryShortage::Spill,
+        "page" => MemoryShortage::Overcommit,
+        _ => MemoryShortage::Queue,
+    })
+}
+
 fn read_machine_types(domain: &JsonField<'_>, count: usize) -> Result<Vec<MachineType>, JsonError> {
     let cores = domain.get("kind-cores").elements()?;
     let memory_mb = domain.get("memory-by-kind-mb").elements()?;
@@ -182,7 +195,6 @@
         .iter()
         .map(|name| ZoneId(SettingsNames::find_or_add(&mut names.zones, name)))
         .collect();
-    let threads = domain.get("parallelism").elements()?;
     Ok(Class {
         latency_objective: class.get("aim-s").number()?,
         objective_stretch: class.get("aim-stretch").number_or(0.0)?,
@@ -193,7 +205,7 @@
         ordered_by_key: class.get("keep-order").flag()?,
         allowed_machine_types: machine_types.is_present().then_some(allowed_machine_types),
         allowed_zones: zones.is_present().then_some(allowed_zones),
-        threads: threads.get(number).map_or(Ok(1.0), JsonField::number)? as u32,
+        threads: domain.get("parallelism").elements()?.get(number).map_or(Ok(1.0), JsonField::number)? as u32,
         is_load: domain_flag("holds-tables")?,
         waits_for_loads: domain_flag("yields-to-loads")?,
         is_streaming: class.get("streaming").flag()?,
