--- /dev/null
+++ b/gateway/src/engine/http/response.rs
@@ -0,0 +1,163 @@
+//! Responses of an engine, read from a buffer.
+
+use workload_manager::{LoadReport, Progress};
+
+use super::{MAX_RESPONSE, load_report};
+
+const MAX_HEADER_FIELDS: usize = 48;
+const NO_CONTENT: u16 = 204;
+const NOT_MODIFIED: u16 = 304;
+
+/// A response.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct Response {
+    /// Status code.
+    pub status: u16,
+    /// `X-Shed`: it proves that nothing ran.
+    pub shed: bool,
+    /// `Page-Count`.
+    pub page_count: Option<u32>,
+    /// `Page-No`.
+    pub page_no: Option<u32>,
+    /// `X-Remark` with `Figure`.
+    pub progress: Option<Progress>,
+    /// `X-Meter`.
+    pub load_report: Option<LoadReport>,
+    /// The content.
+    pub body: Vec<u8>,
+    /// The engine closes the connection after it.
+    pub close: bool,
+}
+
+/// A response that can't be read.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("the engine's answer is no HTTP")]
+pub struct NotHttp;
+
+/// How the end of the content is found.
+#[derive(Clone, Copy, Debug, Default)]
+struct Framing {
+    content_length: Option<usize>,
+    chunked: bool,
+}
+
+/// Takes one response out of `input`; `None` while it is not complete. Informational responses (1xx) are skipped.
+/// `extras` says what x0 and x1 of a load report stand for.
+///
+/// # Errors
+/// What came is not HTTP, or longer than [`MAX_RESPONSE`].
+pub fn read(input: &mut Vec<u8>, extras: &[String; 2]) -> Result<Option<Response>, NotHttp> {
+    loop {
+        match read_one(input, extras)? {
+            Some(Response { status: 100..=199, .. }) => {}
+            other => return Ok(other),
+        }
+    }
+}
+
+fn read_one(input: &mut Vec<u8>, extras: &[String; 2]) -> Result<Option<Response>, NotHttp> {
+    let mut fields = [httparse::EMPTY_HEADER; MAX_HEADER_FIELDS];
+    let mut head = httparse::Response::new(&mut fields);
+    let body_start = match head.parse(input).map_err(|_| NotHttp)? {
+        httparse::Status::Complete(length) => length,
+        httparse::Status::Partial if input.len() > MAX_RESPONSE => return Err(NotHttp),
+        httparse::Status::Partial => return Ok(None),
+    };
+    let is_http_1_0 = head.version == Some(0);
+    let mut response = Response { status: head.code.unwrap_or(0), close: is_http_1_0, ..Response::default() };
+    let framing = read_fields(head.headers, extras, &mut response)?;
+    let end = if framing.chunked {
+        read_chunked_body(input, body_start, &mut response.body)?
+    } else {
+        read_sized_body(input, body_start, framing, &mut response)?
+    };
+    let Some(end) = end else { return Ok(None) };
+    input.drain(..end);
+    Ok(Some(response))
+}
+
+fn read_fields(
+    fields: &[httparse::Header<'_>],
+    extras: &[String; 2],
+    response: &mut Response,
+) -> Result<Framing, NotHttp> {
+    let mut framing = Framing::default();
+    let (mut remark, mut figure) = (None, 0.0);
+    for field in fields {
+        let value = std::str::from_utf8(field.value).map_err(|_| NotHttp)?.trim();
+        let number = || value.parse::<u32>().map_err(|_| NotHttp);
+        match field.name.to_ascii_lowercase().as_str() {
+            "content-length" => {
+                let length = value.parse::<usize>().map_err(|_| NotHttp)?;
+                // Two different lengths: the end of the response would be a guess.
+                if framing.content_length.replace(length).is_some_and(|other| other != length) {
+                    return Err(NotHttp);
+                }
+            }
+            "transfer-encoding" => framing.chunked = value.eq_ignore_ascii_case("chunked"),
+            "connection" => response.close = value.eq_ignore_ascii_case("close"),
+            "x-shed" => response.shed = value == "1",
+            "page-count" => response.page_count = Some(number()?),
+            "page-no" => response.page_no = Some(number()?),
+            "x-remark" => remark = Some(value.to_owned()),
+            "figure" => figure = value.parse().unwrap_or(0.0),
+            "x-meter" => response.load_report = Some(load_report::parse(value, extras)),
+            _ => {}
+        }
+    }
+    response.progress = remark.and_then(|remark| progress(&remark, figure));
+    Ok(framing)
+}
+
+fn progress(remark: &str, figure: f64) -> Option<Progress> {
+    match remark {
+        "progress" => Some(Progress::Fraction(figure)),
+        "spill_mb" => Some(Progress::Spilling(figure)),
+        "blocked" if figure >= 2.0 => Some(Progress::WaitingForLoad),
+        "blocked" => Some(Progress::WaitingForMemory),
+        _ => None,
+    }
+}
+
+/// Reads the body after `start`; where it ends, or `None` while it is not complete.
+fn read_sized_body(
+    input: &[u8],
+    start: usize,
+    framing: Framing,
+    response: &mut Response,
+) -> Result<Option<usize>, NotHttp> {
+    let length = match (response.status, framing.content_length) {
+        (100..=199 | NO_CONTENT | NOT_MODIFIED, _) => 0,
+        // A result without a stated length could not be told from one that was cut off.
+        (200, None) => return Err(NotHttp),
+        (_, length) => length.unwrap_or(0),
+    };
+    if length > MAX_RESPONSE {
+        return Err(NotHttp);
+    }
+    let Some(body) = input.get(start..start + length) else { return Ok(None) };
+    response.body.extend(body);
+    Ok(Some(start + length))
+}
+
+/// Reads the chunked body after `start`; where it ends, or `None` while it is not complete.
+fn read_chunked_body(input: &[u8], start: usize, body: &mut Vec<u8>) -> Result<Option<usize>, NotHttp> {
+    let mut at = start;
+    loop {
+        let (chunk_start, length) = match httparse::parse_chunk_size(&input[at..]).map_err(|_| NotHttp)? {
+            httparse::Status::Complete((size_line, length)) => (at + size_line, length as usize),
+            httparse::Status::Partial => return Ok(None),
+        };
+        if length > MAX_RESPONSE || body.len() + length > MAX_RESPONSE {
+            return Err(NotHttp);
+        }
+        let chunk_end = chunk_start + length;
+        // Each chunk is followed by CR LF.
+        let Some(chunk) = input.get(chunk_start..chunk_end + 2) else { return Ok(None) };
+        body.extend(&chunk[..length]);
+        at = chunk_end + 2;
+        if length == 0 {
+            return Ok(Some(at));
+        }
+    }
+}
--- a/gateway/src/engine/http/tests.rs
+++ b/gateway/src/engine/http/tests.rs
@@ -1,13 +1,15 @@
 use quickcheck::quickcheck;
 
+use super::pages::MAX_PAGE_BYTES;
 use super::*;
+use workload_manager::Outcome;
 
 quickcheck! {
-    fn noise_never_panics(noise: Vec<u8>, head: u8) -> bool {
+    fn random_bytes_never_panic(bytes: Vec<u8>, head: u8) -> bool {
         let heads = ["", "HTTP/1.1 200 OK\r\n", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nffffffffffffffff\r\n"];
         let mut input = heads[usize::from(head) % heads.len()].as_bytes().to_vec();
-        input.extend(noise);
+        input.extend(bytes);
         let length = input.len();
         !matches!(read(&mut input, &no_extras()), Ok(Some(_))) || input.len() < length
     }
@@ -22,7 +24,7 @@
 }
 
 #[test]
-fn a_client_s_token_goes_on_beside_its_id() {
+fn an_idempotency_key_is_sent_beside_the_query_id() {
     let start = |token| {
         let (query_id, class, statement) = ("9b1f03aa5c7e2d41", "batch", b"SELECT 1".as_slice());
         let mut out = Vec::new();
@@ -45,7 +47,7 @@
 }
 
 #[test]
-fn answers_are_read_whole_or_not_at_all() {
+fn responses_are_read_when_complete() {
     let text = b"HTTP/1.1 200 OK\r\nPage-Count: 2\r\nX-Meter: queue:3;util:0.5\r\nContent-Length: 6\r\n\r\na\tb\tc\nHTTP";
     for cut in 0..text.len() - 4 {
         assert_eq!(read(&mut text[..cut].to_vec(), &no_extras()), Ok(None), "{cut} bytes");
@@ -64,14 +66,14 @@
 }
 
 #[test]
-fn noise_and_endless_heads_are_refused() {
+fn other_protocols_and_endless_heads_are_errors() {
     assert_eq!(read(&mut b"220 smtp ready\r\n".to_vec(), &no_extras()), Err(NotHttp));
     let long = format!("HTTP/1.1 200 OK\r\nX: {}", "a".repeat(MAX_RESPONSE));
     assert_eq!(read(&mut long.into_bytes(), &no_extras()), Err(NotHttp));
 }
 
 #[test]
-fn each_answer_has_its_outcome() {
+fn each_response_has_its_outcome() {
     let end = |text: &str| {
         let mut out = Vec::new();
         Exchange::new("aa").on_response(&mut answer(text), &mut out)
@@ -88,7 +90,7 @@
 }
 
 #[test]
-fn only_the_first_answer_to_the_start_proves_that_nothing_ran() {
+fn only_the_first_response_to_the_start_proves_that_nothing_ran() {
     let empty = "Content-Length: 0\r\n\r\n";
     for status in [503, 504] {
         let shed = answer(&format!("HTTP/1.1 {status} x\r\nX-Shed: 1\r\n{empty}"));
@@ -96,14 +98,10 @@
         let mut e = Exchange::new("aa");
         let later = answer(&format!("HTTP/1.1 202 x\r\n{empty}"));
         assert_eq!(e.on_response(&mut later.clone(), &mut out), Step::CallWritten);
-        assert_eq!(e.on_response(&mut shed.clone(), &mut out), Step::Unusable, "{status} on news");
+        assert_eq!(e.on_response(&mut shed.clone(), &mut out), Step::Unusable, "{status} on a progress call");
         let mut e = Exchange::new("aa");
         e.repeat_call(&mut out);
-        assert_eq!(
-            e.on_response(&mut shed.clone(), &mut out),
-            Step::Unusable,
-            "{status} on a call made again"
-        );
+        assert_eq!(e.on_response(&mut shed.clone(), &mut out), Step::Unusable, "{status} on a repeated call");
         let mut e = Exchange::new("aa");
         let page = answer("HTTP/1.1 200 OK\r\nPage-Count: 2\r\nContent-Length: 2\r\n\r\na\n");
         assert_eq!(e.on_response(&mut page.clone(), &mut out), Step::CallWritten);
@@ -112,7 +110,7 @@
 }
 
 #[test]
-fn all_pages_come_before_the_end() {
+fn an_exchange_ends_when_all_pages_have_come() {
     let mut e = Exchange::new("aa");
     let mut out = Vec::new();
     let first = "HTTP/1.1 200 OK\r\nPage-Count: 2\r\nContent-Length: 6\r\n\r\na\tb\tc\n";
@@ -126,7 +124,7 @@
 }
 
 #[test]
-fn a_query_that_was_given_up_is_withdrawn_not_failed() {
+fn a_cancelled_query_ends_as_cancelled_not_as_an_error() {
     let mut e = Exchange::new("aa");
     e.cancel();
     let mut out = Vec::new();
@@ -135,13 +133,13 @@
         e.on_response(&mut answer(&format!("HTTP/1.1 202 x\r\n{empty}")), &mut out),
         Step::StillRunning
     );
-    assert_eq!(out, b"", "it is asked for no more");
+    assert_eq!(out, b"", "no further call is written");
     let gone = answer(&format!("HTTP/1.1 500 x\r\n{empty}"));
     assert_eq!(e.on_response(&mut gone.clone(), &mut out), Step::Ended(Outcome::Cancelled));
 }
 
 #[test]
-fn the_report_of_the_first_page_lasts() {
+fn the_load_report_of_the_first_page_is_kept() {
     let mut e = Exchange::new("aa");
     let first = "HTTP/1.1 200 OK\r\nPage-Count: 2\r\nX-Meter: queue:2\r\nContent-Length: 2\r\n\r\na\n";
     e.on_response(&mut answer(first), &mut Vec::new());
@@ -151,14 +149,14 @@
 }
 
 #[test]
-fn answers_that_another_follows_are_passed_over() {
+fn informational_responses_are_skipped() {
     let r = answer("HTTP/1.1 103 x\r\nLink: a\r\n\r\nHTTP/1.1 102 y\r\n\r\nHTTP/1.1 202 z\r\n\r\n");
     assert_eq!(r.status, 202);
     assert_eq!(read(&mut b"HTTP/1.1 100 x\r\n\r\nHTTP".to_vec(), &no_extras()), Ok(None));
 }
 
 #[test]
-fn lengths_that_do_not_fit_are_refused() {
+fn contradictory_or_missing_lengths_are_errors() {
     for lengths in ["Content-Length: 2\r\nContent-Length: 3\r\n", "Content-Length: -1\r\n", ""] {
         let text = format!("HTTP/1.1 200 x\r\n{lengths}\r\na\n");
         assert_eq!(read(&mut text.into_bytes(), &no_extras()), Err(NotHttp), "{lengths}");
@@ -168,13 +166,13 @@
 }
 
 #[test]
-fn a_page_of_cut_or_uneven_rows_is_spoilt_and_can_be_asked_for_again() {
+fn a_page_of_cut_or_uneven_rows_is_unusable_and_can_be_called_for_again() {
     let page = |head: &str, body: &str| {
         answer(&format!("HTTP/1.1 200 OK\r\n{head}\r\nContent-Length: {}\r\n\r\n{body}", body.len()))
     };
     let mut out = Vec::new();
     let mut e = Exchange::new("aa");
-    for body in ["a\tb\nc\td", "a\tb\nc\n", &"a\n".repeat(MAX_PAGE)] {
+    for body in ["a\tb\nc\td", "a\tb\nc\n", &"a\n".repeat(MAX_PAGE_BYTES)] {
         assert_eq!(e.on_response(&mut page("Page-Count: 2", body), &mut out), Step::Unusable);
     }
     assert_eq!(e.on_response(&mut page("Page-Count: 2", "a\tb\n"), &mut out), Step::CallWritten);
@@ -189,7 +187,7 @@
 }
 
 #[test]
-fn a_lost_page_is_a_failure() {
+fn an_error_for_a_page_ends_the_exchange_with_an_error() {
     let mut e = Exchange::new("aa");
     let first = "HTTP/1.1 200 OK\r\nPage-Count: 2\r\nContent-Length: 6\r\n\r\na\tb\tc\n";
     e.on_response(&mut answer(first), &mut Vec::new());
--- a/gateway/src/engine/mysql/tests.rs
+++ b/gateway/src/engine/mysql/tests.rs
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn errors_are_told_apart() {
+fn statement_errors_engine_errors_and_rejected_connections_are_told_apart() {
     let end = |code, state| {
         let mut s = ready();
         s.start(Work::Query(b"x".to_vec(), Vec::new()), &mut Vec::new());
--- a/gateway/src/front/fields/tests.rs
+++ b/gateway/src/front/fields/tests.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn bad_fields_are_told_apart() {
+fn each_invalid_field_has_its_error() {
     let error = |text: &str| split(text.as_bytes()).unwrap_err();
     assert_eq!(error("SELECT 1"), FieldError::NoComment);
     assert_eq!(error("/* c=a,i=12 */ x"), FieldError::BadId);
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn order_key_and_retry_mark_are_read_in_any_place() {
+fn order_key_and_retry_mark_are_read_in_any_position() {
     let fields = |text: &str| split(text.as_bytes()).unwrap().0;
     let marked = fields("/* r=1,o=7f3a9c21e0b4d655,c=load */ x");
     assert_eq!((marked.order_key.as_deref(), marked.is_retry), (Some("7f3a9c21e0b4d655"), true));
--- a/gateway/src/front/pg/tests.rs
+++ b/gateway/src/front/pg/tests.rs
@@ -36,7 +36,7 @@
 const LONGEST: usize = 4096;
 const GOOD: &str = "/* c=a,i=9b1f03aa5c7e2d41,d=5 */ SELECT 1";
 
-fn start_up() -> Vec<u8> {
+fn startup_message() -> Vec<u8> {
     let body = b"\0\x03\0\0user\0app\0database\0warehouse\0\0";
     [&(body.len() as u32 + 4).to_be_bytes(), &body[..]].concat()
 }
@@ -121,7 +121,7 @@
 }
 
 quickcheck! {
-    fn a_session_does_as_its_model(steps: Vec<u8>, cut: u8) -> bool {
+    fn a_session_behaves_as_its_model(steps: Vec<u8>, cut: u8) -> bool {
         let steps: Vec<Step> = steps.iter().map(|n| STEPS[usize::from(*n) % STEPS.len()]).collect();
         let mut session = Session::new((1, 2), LONGEST);
         let (mut input, mut out, mut taken) = (Vec::new(), Vec::new(), 0);
@@ -133,7 +133,7 @@
                 }
             }
         };
-        feed(&mut session, &start_up(), &mut out);
+        feed(&mut session, &startup_message(), &mut out);
         for step in &steps {
             if *step == Step::TimeOut && matches!(session.state, State::Ready | State::SkippingToSync) {
                 session.disconnect(DisconnectReason::Timeout, &mut out);
@@ -146,10 +146,10 @@
         (kinds(&out), taken) == model(&steps)
     }
 
-    fn noise_never_panics(noise: Vec<u8>, started: bool) -> bool {
+    fn random_bytes_never_panic(bytes_sent: Vec<u8>, started: bool) -> bool {
         let mut session = Session::new((1, 2), LONGEST);
-        let (mut input, mut out) = (if started { start_up() } else { Vec::new() }, Vec::new());
-        input.extend(noise);
+        let (mut input, mut out) = (if started { startup_message() } else { Vec::new() }, Vec::new());
+        input.extend(bytes_sent);
         let mut reads = 0;
         while session.read(&mut input, &mut out).is_some() {
             reads += 1;
@@ -160,14 +160,14 @@
 
 fn ready_session() -> Session {
     let mut session = Session::new((7, 8), LONGEST);
-    session.read(&mut start_up(), &mut Vec::new());
+    session.read(&mut startup_message(), &mut Vec::new());
     session
 }
 
 #[test]
-fn a_query_may_come_right_behind_the_start_up() {
+fn a_query_may_follow_the_startup_message_at_once() {
     let mut session = Session::new((1, 2), LONGEST);
-    let mut input = [vec![0, 0, 0, 8, 0x04, 0xd2, 0x16, 0x2f], start_up(), bytes(Step::Good)].concat();
+    let mut input = [vec![0, 0, 0, 8, 0x04, 0xd2, 0x16, 0x2f], startup_message(), bytes(Step::Good)].concat();
     let mut out = Vec::new();
     let read = |_| session.read(&mut input, &mut out);
     let [Some(ClientCommand::Handled), Some(ClientCommand::Handled), Some(ClientCommand::Request(demand))] =
@@ -180,14 +180,14 @@
 }
 
 #[test]
-fn a_cancel_names_its_session() {
+fn a_cancel_request_names_its_session() {
     let mut input = vec![0, 0, 0, 16, 0x04, 0xd2, 0x16, 0x2e, 0, 0, 0, 7, 0, 0, 0, 8];
     let want = Session::new((1, 2), LONGEST).read(&mut input, &mut Vec::new());
     assert_eq!(want, Some(ClientCommand::Cancel { session: 7, secret: 8 }));
 }
 
 #[test]
-fn refusals_are_of_class_53_and_say_when_to_come_back() {
+fn rejections_are_of_class_53_and_carry_retry_after() {
     let mut session = ready_session();
     session.read(&mut bytes(Step::Good), &mut Vec::new());
     let mut out = Vec::new();
@@ -197,7 +197,7 @@
 }
 
 #[test]
-fn rows_go_on_unchanged_and_in_order() {
+fn rows_are_forwarded_unchanged_and_in_order() {
     let mut session = ready_session();
     session.read(&mut bytes(Step::Good), &mut Vec::new());
     let columns = ["c1", "c2"].map(str::to_owned).to_vec();
