--- a/lab/src/capacity/stand_ins.rs
+++ b/lab/src/capacity/stand_ins.rs
@@ -156,8 +156,9 @@
             }
             while let Some(length) = call_length(&self.input) {
                 let query = self.input.starts_with(b"POST");
-                self.stream.write_all(if query { ROW } else { GIVEN_UP })?;
+                // Counted first: whoever has the answer finds the query among those seen.
                 seen.queries.fetch_add(u64::from(query), Ordering::SeqCst);
+                self.stream.write_all(if query { ROW } else { GIVEN_UP })?;
                 self.input.drain(..length);
             }
         }
