--- a/lab/src/capacity/estimate/database.rs
+++ b/lab/src/capacity/estimate/database.rs
@@ -11,10 +11,10 @@
     let t = estimate.target;
     let calls = entry(Resource::Messages, Case::Ordinary, "statements", "a second");
     let each = t.statements_per_s / t.databases;
-    estimate.add(Role::Database, calls.by("src/policy.rs"), Source::target(each));
+    estimate.add(Role::Database, calls.by("src/decisions/"), Source::target(each));
     let probes = entry(Resource::Messages, Case::Ordinary, "probes", "a second");
     let none = Source { from: "gateways send none".to_owned(), ..Source::target(0.0) };
-    estimate.add(Role::Database, probes.by("src/policy.rs"), none);
+    estimate.add(Role::Database, probes.by("src/decisions/"), none);
     let Some(held) = estimate.at(E::StatementEngines, Q::Connections, t.databases) else { return };
     connections(estimate, &held.times(1.0 / t.databases));
 }
--- a/lab/src/capacity/estimate/gateway.rs
+++ b/lab/src/capacity/estimate/gateway.rs
@@ -12,14 +12,15 @@
 const FIXED_OPEN: f64 = 16.0;
 /// The fewest engines that were measured.
 const FEWEST_ENGINES: f64 = 16.0;
-/// Descriptors of a process beside connections (`OWN_DESCRIPTORS`, and the operators' door with its callers).
+/// Descriptors of a process beside connections: its own, and the admin interface's with its callers.
 const OWN_DESCRIPTORS: f64 = 49.0;
-/// The share of its memory that the text of one event may take (`SHARE` in `coordinator.rs`).
-const EVENT_SHARE: f64 = 1.0 / 16.0;
-/// A gateway works with as many databases as it gets requests in so many seconds (`WORKING` in `policy.rs`).
-const WORKED_WITH_S: f64 = 2.0;
-/// How long a connection rests behind an answer, in seconds (`REST_US` in `engines.rs`).
-const REST_S: f64 = 0.025;
+/// The part of its memory that the text of one list event may take, `MEMORY_DIVISOR` of `wrenhatch::discovery`.
+const EVENT_MEMORY_RATIO: f64 = 1.0 / 16.0;
+/// A gateway's active subset has as many databases as it gets requests in so many seconds (`REQUESTS_SECONDS` of the
+/// decisions).
+const ACTIVE_SUBSET_SECONDS: f64 = 2.0;
+/// How long a connection is not used after an answer, in seconds (`REUSE_DELAY_US` of the gateway).
+const REUSE_DELAY_SECONDS: f64 = 0.025;
 /// Bytes of the comment that the stream brings each second.
 const COMMENT_BYTES: f64 = super::super::stand_ins::COMMENT.len() as f64;
 
@@ -43,7 +44,7 @@
     let t = estimate.target;
     let (rate, cores) = (t.statements_per_gateway() / SECOND_US, t.gateway_cores);
     let Some(whole) = estimate.at(E::StatementEngines, Q::Cpu, t.databases) else { return };
-    let by = "gateway/src/net/mod.rs, src/policy.rs";
+    let by = "gateway/src/net/mod.rs, src/decisions/";
     let mut total = whole.clone();
     estimate.add(
         Role::Gateway,
@@ -52,13 +53,13 @@
     );
     if let Some(few) = estimate.at(E::StatementEngines, Q::Cpu, FEWEST_ENGINES) {
         let grown = entry(Resource::Processor, Case::Ordinary, "of these, what grows with engines", "cores");
-        estimate.add(Role::Gateway, grown.limit(cores).by("src/policy.rs"), whole.minus(&few).times(rate));
+        estimate.add(Role::Gateway, grown.limit(cores).by("src/decisions/"), whole.minus(&few).times(rate));
     }
     if let Some(decided) = estimate.at(E::DecideStatementEngines, Q::Cpu, t.databases) {
         let what = "of these, decisions alone";
         estimate.add(
             Role::Gateway,
-            processor(Case::Ordinary, what).limit(cores).by("src/policy.rs"),
+            processor(Case::Ordinary, what).limit(cores).by("src/decisions/"),
             decided.times(rate),
         );
     }
@@ -71,7 +72,7 @@
             format!("beside that, {} requests open at once, which share turns", number(t.open_per_gateway));
         estimate.add(
             Role::Gateway,
-            processor(Case::Ordinary, what).limit(cores).by("gateway/src/core.rs, src/policy.rs"),
+            processor(Case::Ordinary, what).limit(cores).by("gateway/src/core/, src/decisions/"),
             more.times(rate),
         );
     }
@@ -81,7 +82,7 @@
         let what = format!("beside that, {} sessions that are idle", number(t.connections_per_gateway()));
         estimate.add(
             Role::Gateway,
-            processor(Case::Ordinary, what).limit(cores).by("gateway/src/net/sessions.rs"),
+            processor(Case::Ordinary, what).limit(cores).by("gateway/src/net/sessions/"),
             more.times(rate),
         );
     }
@@ -102,7 +103,7 @@
 /// The list of engines: processor time and bytes, against what control may take.
 fn list(estimate: &mut CapacityEstimate<'_>) {
     let t = estimate.target;
-    let by = "gateway/src/net/watch.rs, gateway/src/coordinator.rs, src/policy.rs";
+    let by = "gateway/src/net/watch.rs, gateway/src/discovery/, src/decisions/";
     let per_day = list_events_per_day(t);
     let share = |cpu: &Source, events: f64, over_s: f64| cpu.times(100.0 * events / (over_s * SECOND_US));
     let percent = |case, what: String| {
@@ -135,9 +136,9 @@
     if let Some(list) = estimate.at(E::ListEngines, Q::StreamBytes, t.databases) {
         let what = format!("a whole list, over {within_s} s");
         estimate.add(Role::Gateway, bytes(Case::Worst, what), list.times(1.0 / within_s));
-        let room = t.gateway_memory_mb * MEGABYTE * EVENT_SHARE;
+        let room = t.gateway_memory_mb * MEGABYTE * EVENT_MEMORY_RATIO;
         let text = entry(Resource::Memory, Case::Worst, "the text of a whole list", "bytes").limit(room);
-        estimate.add(Role::Gateway, text.by("gateway/src/coordinator.rs"), list);
+        estimate.add(Role::Gateway, text.by("gateway/src/discovery/"), list);
     }
     for (experiment, what) in
         [(E::ChangeEngines, "time to take a change"), (E::ListEngines, "time to take a whole list")]
@@ -172,8 +173,7 @@
         t.configuration_within_s
     );
     let changes = entry(Resource::Messages, Case::Ordinary, what, "a day");
-    let by =
-        "configuration/src/subscriber.rs, gateway/src/net/configuration.rs, gateway/src/settings_change.rs";
+    let by = "configuration/src/subscriber.rs, gateway/src/net/control_plane.rs, gateway/src/live_reconfiguration/";
     estimate.add(Role::Gateway, changes.by(by), Source::target(per_day));
     let what = "were each change of configuration a restart, as before it could be taken over in service";
     let restarted = entry(Resource::Processor, Case::Ordinary, what, "% of a core");
@@ -188,8 +188,7 @@
 fn versions(estimate: &mut CapacityEstimate<'_>) {
     let t = estimate.target;
     let (per_day, per_s) = (t.configuration_per_day, t.configuration_per_day / DAY_S);
-    let by =
-        "configuration/src/subscriber.rs, gateway/src/net/configuration.rs, gateway/src/net/reconfigure.rs";
+    let by = "configuration/src/subscriber.rs, gateway/src/net/control_plane.rs, gateway/src/net/live_reconfiguration.rs";
     let names = [E::VersionClasses, E::VersionTenants];
     if let Some(cpu) = with_names(estimate, E::VersionEngines, names, Q::Cpu) {
         let what = format!("versions of the settings taken over in service, {} a day", number(per_day));
@@ -266,28 +265,28 @@
     let clients = t.connections_per_gateway();
     let held = |what: &str| entry(Resource::State, Case::Ordinary, what, "");
     let Some(engines) = estimate.at(E::StatementEngines, Q::Connections, t.databases) else { return };
-    let to_engines = held("connections to databases").by("gateway/src/net/pools.rs, src/policy.rs");
+    let to_engines = held("connections to databases").by("gateway/src/net/pools.rs, src/decisions/");
     estimate.add(Role::Gateway, to_engines, engines.clone());
     let all = engines.plus(&Source::target(clients + OWN_DESCRIPTORS));
     let descriptors = held("descriptors, with those of clients").limit(t.gateway_descriptors);
-    estimate.add(Role::Gateway, descriptors.by("gateway/src/net/pools.rs, gateway/src/net/sessions.rs"), all);
+    estimate.add(Role::Gateway, descriptors.by("gateway/src/net/pools.rs, gateway/src/net/sessions/"), all);
     let places = held("sessions, of a third of the descriptors").limit(t.gateway_descriptors / 3.0);
-    estimate.add(Role::Gateway, places.by("gateway/src/net/sessions.rs"), Source::target(clients));
+    estimate.add(Role::Gateway, places.by("gateway/src/net/sessions/"), Source::target(clients));
     calls(estimate, &engines);
     let elsewhere = t.databases - t.databases_per_zone();
     let moved =
         entry(Resource::State, Case::Worst, "descriptors, its zone's databases gone, one to each other", "");
     estimate.add(
         Role::Gateway,
-        moved.limit(t.gateway_descriptors).by("gateway/src/net/pools.rs, src/policy.rs"),
+        moved.limit(t.gateway_descriptors).by("gateway/src/net/pools.rs, src/decisions/"),
         Source::target(elsewhere + clients + OWN_DESCRIPTORS),
     );
     let share = engines.amount.value / t.databases;
     let what = "a stable, even subset of databases by zone that a gateway works with";
     let instead = format!(
-        "as many as there are requests in {WORKED_WITH_S} s, {}, those of its zone first where they have room: connections to \
+        "as many as there are requests in {ACTIVE_SUBSET_SECONDS} s, {}, those of its zone first where they have room: connections to \
          {}% of all databases, {} in the fleet",
-        number(WORKED_WITH_S * t.statements_per_gateway()),
+        number(ACTIVE_SUBSET_SECONDS * t.statements_per_gateway()),
         number(100.0 * share),
         number(share * t.pairs())
     );
@@ -300,7 +299,7 @@
 fn calls(estimate: &mut CapacityEstimate<'_>, connections: &Source) {
     let t = estimate.target;
     let what = "calls over each connection, which rests for 25 ms behind an answer";
-    let each = entry(Resource::Messages, Case::Ordinary, what, "a second").limit(1.0 / REST_S);
+    let each = entry(Resource::Messages, Case::Ordinary, what, "a second").limit(1.0 / REUSE_DELAY_SECONDS);
     let rate = Source {
         amount: Amount::exact(t.statements_per_gateway() / connections.amount.value),
         ..connections.times(1.0)
@@ -317,7 +316,7 @@
     let to_mb = 1.0 / MEGABYTE;
     if let Some(kept) = estimate.at(E::StartEngines, Q::Resident, t.databases) {
         let what = "resident with the list and no client";
-        let by = "gateway/src/net/pools.rs, src/policy.rs";
+        let by = "gateway/src/net/pools.rs, src/decisions/";
         estimate.add(Role::Gateway, mb(Case::Ordinary, what, t.control_memory_mb, by), kept.in_unit(to_mb));
     }
     let Some(worked) = estimate.at(E::StatementEngines, Q::Resident, t.databases) else { return };
@@ -331,7 +330,7 @@
         let Some(each) = estimate.slope(experiment, Q::Resident) else { continue };
         total = total.plus(&each.times(count));
     }
-    let by = "sessions/src/table.rs, gateway/src/net/pools.rs, src/policy.rs";
+    let by = "sessions/src/session_table.rs, gateway/src/net/pools.rs, src/decisions/";
     let what = "resident with all sessions, classes, tenants and connections";
     estimate.add(Role::Gateway, mb(Case::Ordinary, what, t.gateway_memory_mb, by), total.times(to_mb));
 }
@@ -351,6 +350,6 @@
     if let Some(metrics) = estimate.at(E::StartClasses, Q::MetricsBytes, t.classes) {
         let each =
             entry(Resource::Messages, Case::Ordinary, "all figures, each time they are fetched", "bytes");
-        estimate.add(Role::Gateway, each.by("gateway/src/metrics.rs"), metrics);
+        estimate.add(Role::Gateway, each.by("gateway/src/admin/metrics.rs"), metrics);
     }
 }
