--- a/lab/src/engines.rs
+++ b/lab/src/engines.rs
@@ -9,6 +9,9 @@
 
 use super::log::{at, each, field};
 
+#[cfg(test)]
+mod tests;
+
 /// Counts what gateways logged of their engines with `--log debug`.
 #[derive(clap::Args)]
 pub struct Options {
@@ -181,50 +184,3 @@
     }
     options.output.write(&figures)
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    const ONE: &str = r#"0.000 DEBUG wrenhatch::net::engines: engine listed engine=0 name="e1" state=Ready since_ms=0 now_us=10
-0.100 DEBUG wrenhatch::net::engines: connection opened engine=0 cancels=false now_us=100000
-0.110 DEBUG wrenhatch::net::engines: attempt forwarded query_id="a" attempt=0 engine=0 class=0 now_us=110000
-0.200 DEBUG wrenhatch::net::engines: connection opened engine=0 cancels=false now_us=200000
-0.300 DEBUG wrenhatch::net::engines: attempt ended query_id="a" attempt=0 engine=0 now_us=300000 outcome=Success
-0.900 DEBUG wrenhatch::net::pools: connection closed engine=0
-1.000 DEBUG wrenhatch::net::pools: connection closed engine=0
-1.100 DEBUG wrenhatch::net::engines: connection opened engine=0 cancels=true now_us=1100000
-1.200 DEBUG wrenhatch::net::engines: attempt ended query_id="b" attempt=0 engine=0 now_us=1200000 outcome=Broken
-1.300 DEBUG wrenhatch::net::engines: engine listed engine=0 name="e1" state=Draining since_ms=0 now_us=1300000
-1.400 DEBUG wrenhatch::net::engines: connection opened engine=7 cancels=false now_us=1400000
-"#;
-    // Another gateway has met another engine first.
-    const OTHER: &str = r#"0.000 DEBUG wrenhatch::net::engines: engine listed engine=0 name="e2" state=Ready since_ms=0 now_us=10
-0.000 DEBUG wrenhatch::net::engines: engine listed engine=1 name="e1" state=Ready since_ms=0 now_us=10
-0.500 DEBUG wrenhatch::net::engines: connection opened engine=1 cancels=false now_us=500000
-1.700 DEBUG wrenhatch::net::engines: engine listed engine=1 name="e1" state=Draining since_ms=0 now_us=1700000
-"#;
-
-    #[test]
-    fn connections_and_attempts_add_up_by_name() {
-        let all = figures(&[read(ONE.as_bytes()).unwrap(), read(OTHER.as_bytes()).unwrap()]);
-        let first = Count { first: 2, more: 1, closed: 1, sent: 1, served: 1, ..Count::default() };
-        let second = Count { again: 1, to_give_up: 1, closed: 1, other: 1, ..Count::default() };
-        assert_eq!(all.seconds, BTreeMap::from([(0, first), (1, second)]));
-        let mut both = first;
-        both.add(&second);
-        assert_eq!(all.engines, BTreeMap::from([("e1".to_owned(), both)]), "none that has no name");
-    }
-
-    #[test]
-    fn it_is_told_when_the_first_and_the_last_gateway_learned() {
-        let learned = learned(&[read(ONE.as_bytes()).unwrap(), read(OTHER.as_bytes()).unwrap()]);
-        let told: Vec<_> = learned
-            .iter()
-            .map(|l| (l.name.as_str(), l.state.as_str(), l.gateways, l.first_s, l.last_s))
-            .collect();
-        let all =
-            [("e1", "Draining", 2, 1.3, 1.7), ("e1", "Ready", 2, 0.0, 0.0), ("e2", "Ready", 1, 0.0, 0.0)];
-        assert_eq!(told, all);
-    }
-}
--- a/lab/src/log.rs
+++ b/lab/src/log.rs
@@ -5,6 +5,9 @@
 
 use anyhow::Context;
 
+#[cfg(test)]
+mod tests;
+
 /// The value of `key=` in a line, without quotes.
 pub fn field<'a>(line: &'a str, key: &str) -> Option<&'a str> {
     let start = line
@@ -37,17 +40,3 @@
     let open = |path: &PathBuf| std::fs::File::open(path).and_then(|file| read(BufReader::new(file)));
     logs(folder)?.iter().map(|path| open(path).with_context(|| path.display().to_string())).collect()
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn lines_without_a_stamp_go_by_the_gateways_own_clock() {
-        assert_eq!(at("DEBUG wrenhatch: taken query_id=\"a\" now_us=2500000"), Some(2.5));
-        assert_eq!(at("[3.25] DEBUG wrenhatch: taken"), Some(3.25));
-        assert_eq!(at("no time"), None);
-        assert_eq!(field("x query_id=\"a\" now_us=1", "now_us"), Some("1"));
-        assert_eq!(field("x unclass=1", "class"), None);
-    }
-}
