--- a/gateway/src/net/engines/attempts.rs
+++ b/gateway/src/net/engines/attempts.rs
@@ -7,6 +7,7 @@
 use crate::core::{AttemptLimits, AttemptTerms, Input};
 use crate::engine::{http, mysql};
 use crate::front::ExecutionMode;
+use crate::front::fields::field_name;
 use crate::mysql_protocol::Parameter;
 use crate::net::{Request, Server};
 
@@ -210,7 +211,7 @@
         max_ms,
         memory_mb: terms.memory_mb,
         priority: terms.priority,
-        idempotency_key: request.token.as_deref(),
+        idempotency_key: request.idempotency_key.as_deref(),
     };
     http::post(&call, &mut start);
     Execution::Http { exchange: http::Exchange::new(&request.query_id), start: Some(start) }
@@ -219,11 +220,13 @@
 /// A request as work for a MySQL engine; its id, class and remaining time go beside it as query attributes.
 fn mysql_work(request: &Request, class: &str, max_ms: u64) -> mysql::Work {
     let mut attributes = vec![
-        Parameter::text("i", &request.query_id),
-        Parameter::text("c", class),
-        Parameter::text("d", &max_ms.to_string()),
+        Parameter::text(field_name::ID, &request.query_id),
+        Parameter::text(field_name::CLASS, class),
+        Parameter::text(field_name::WAIT_MS, &max_ms.to_string()),
     ];
-    attributes.extend(request.token.as_deref().map(|token| Parameter::text("k", token)));
+    attributes.extend(
+        request.idempotency_key.as_deref().map(|key| Parameter::text(field_name::IDEMPOTENCY_KEY, key)),
+    );
     let sql = request.statement.clone();
     match &request.run {
         ExecutionMode::Execute(params) => mysql::Work::Execute(sql, params.clone(), attributes),
