--- a/gateway/src/config/operator_file.rs
+++ b/gateway/src/config/operator_file.rs
@@ -19,11 +19,13 @@
 use crate::engine::mysql::Login;
 use crate::tenants::{Account, Directory};
 
+// The names of the tables stand in error messages (`expected struct MySqlTable`).
+
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 struct OperatorFile {
     clients: ClientsTable,
-    mysql: Option<MysqlTable>,
+    mysql: Option<MySqlTable>,
     control: Option<ControlTable>,
 }
 
@@ -72,7 +74,7 @@
 
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct MysqlTable {
+struct MySqlTable {
     listen: SocketAddr,
     login: LoginTable,
     #[serde(default)]
@@ -209,7 +211,7 @@
 
 fn mysql_settings(
     toml: &TomlFile<'_>,
-    table: MysqlTable,
+    table: MySqlTable,
     tenants: &[String],
 ) -> Result<MysqlSettings, TomlError> {
     let mut accounts = Vec::new();
--- a/gateway/src/config/operator_file/tests.rs
+++ b/gateway/src/config/operator_file/tests.rs
@@ -54,6 +54,7 @@
         error(&format!("{mysql}tenant = \"other\"\n")),
         "f.toml:5: tenant: no tenant of the settings is called other"
     );
+    assert!(error("mysql = 3\n").contains("expected struct MySqlTable"));
     assert!(error("[mysql]\nlisten = \"here\"\n").starts_with("f.toml:2: listen: "));
     assert_eq!(error("[control]\nmachines = []\n"), "f.toml:2: machines: 0 machines are not within 1 and 64");
     assert_eq!(
