--- a/gateway/src/net/poll.rs
+++ b/gateway/src/net/poll.rs
@@ -19,7 +19,7 @@
 }
 
 /// Events that are taken from the kernel in one call.
-const EVENTS_PER_WAIT: NonZeroUsize = NonZeroUsize::new(1024).unwrap();
+const EVENTS_PER_WAIT: NonZeroUsize = NonZeroUsize::new(1024).expect("1024 is not zero");
 /// Calls in a row while more events are there, so that a turn knows all that is ready before it chooses.
 const MAX_WAITS: usize = 64;
 
--- a/gateway/tests/auditor.rs
+++ b/gateway/tests/auditor.rs
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn in_time() {
+fn an_answer_comes_in_time() {
     // 2,000.5 ms, the slack, 50 ms as on sockets, and what is allowed for.
     clean(&[3], &[(2570, error(3, "58000"))]);
     breaks(Rule::Time, 3, &[3], &[(2572, error(3, "58000"))]);
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn what_is_written_behind_another_is_due_from_that_one_s_end() {
+fn a_pipelined_request_is_due_from_the_end_of_the_one_before() {
     let mut terms = terms();
     terms.requests[8].behind = Some(3);
     let events = |late: u64| [(2000, error(3, "58000")), (late, error(8, "58000"))];
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn a_wait_longer_than_the_class_s_is_that_of_the_class() {
+fn a_wait_longer_than_the_class_deadline_is_cut_to_it() {
     let mut terms = terms();
     terms.requests[3].wait_ms = Some(9000.0);
     assert_eq!(told(&terms, &[3], &[(3560, error(3, "58000"))]), []);
@@ -178,14 +178,14 @@
 }
 
 #[test]
-fn once() {
+fn a_request_is_answered_once() {
     let events = [(50, arrived(0, 3)), (90, served(0, 3)), (91, answered(3)), (92, answered(3))];
     clean(&[3], &events[..3]);
     breaks(Rule::OneAnswer, 3, &[3], &events);
 }
 
 #[test]
-fn with_what_an_engine_made_for_it() {
+fn an_answer_holds_the_rows_of_its_own_request() {
     let other = Event::Answered(3, Answer::Rows(vec!["a\tb\td".to_owned()]));
     breaks(Rule::Result, 3, &[3], &[(50, arrived(0, 3)), (90, served(0, 3)), (91, other)]);
     let cut = Event::Answered(3, Answer::Rows(Vec::new()));
@@ -218,7 +218,7 @@
 }
 
 #[test]
-fn also_while_one_is_out_whose_client_has_left() {
+fn a_key_stays_in_use_while_an_attempt_of_a_client_that_left_is_in_flight() {
     let left = |end: Event, at: u64| {
         [(50, arrived(0, 0)), (60, Event::Left(0)), (70, end), (at, arrived(0, 1)), (900, error(1, "58000"))]
     };
@@ -227,7 +227,7 @@
 }
 
 #[test]
-fn in_the_order_in_which_they_were_taken() {
+fn requests_of_a_key_run_in_order_of_arrival() {
     let passed = [(50, arrived(0, 1)), (90, served(0, 1)), (91, answered(1)), (95, arrived(0, 0))];
     let end = [(99, served(0, 0)), (100, answered(0))];
     breaks(Rule::Order, 0, &[0, 1], &[&passed[..], &end].concat());
@@ -240,7 +240,7 @@
 }
 
 #[test]
-fn a_key_rests_after_an_attempt_that_may_still_run() {
+fn a_key_has_a_cooldown_after_an_attempt_that_may_still_run() {
     for end in [Event::GivenUp(0, 0), Event::Dying(0, 0)] {
         let rested = |at: u64| {
             [
@@ -263,7 +263,7 @@
 }
 
 #[test]
-fn a_silent_attempt_is_out_until_it_has_not_been_asked_for_in_two_seconds() {
+fn a_silent_attempt_is_in_flight_until_two_seconds_without_a_call() {
     let next = |at: u64| {
         let mut events = vec![(50, arrived(0, 0)), (600, Event::Asked(0, 0)), (1900, error(0, "58000"))];
         events.push((at, arrived(1, 1)));
@@ -275,7 +275,7 @@
 }
 
 #[test]
-fn no_second_attempt_is_out_beside_the_first() {
+fn no_second_attempt_is_in_flight_beside_the_first() {
     let again = |end: Event, at: u64| {
         [(50, arrived(0, 7)), (at, end), (300, arrived(1, 7)), (400, served(1, 7)), (401, answered(7))]
     };
@@ -293,7 +293,7 @@
 }
 
 #[test]
-fn nor_more_than_are_allowed() {
+fn no_more_attempts_than_allowed() {
     let attempt = |at: u64| [(at, arrived(0, 7)), (at + 1, ending(0, 7, End::Error))];
     let answer = [(401, error(7, "58000"))];
     clean(&[7], &[&attempt(50)[..], &attempt(60), &answer].concat());
@@ -301,7 +301,7 @@
 }
 
 #[test]
-fn once_only_work_reaches_engines_once() {
+fn a_request_that_is_not_idempotent_reaches_engines_once() {
     let again = |end: Event| {
         [(50, arrived(0, 3)), (100, end), (300, arrived(1, 3)), (400, served(1, 3)), (401, answered(3))]
     };
@@ -312,7 +312,7 @@
 }
 
 #[test]
-fn nor_is_its_client_invited_to_repeat_it() {
+fn the_client_of_a_request_that_is_not_idempotent_is_not_invited_to_retry() {
     let ran = |end: Event, code: &str| [(50, arrived(0, 3)), (100, end), (110, error(3, code))];
     clean(&[3], &ran(ending(0, 3, End::NeverRan), "53000"));
     for end in [ending(0, 3, End::Error), Event::GivenUp(0, 3), Event::Dying(0, 3), Event::Asked(0, 3)] {
@@ -326,7 +326,7 @@
 }
 
 #[test]
-fn repeats_go_where_they_are_known() {
+fn retries_with_an_idempotency_key_go_where_it_is_known() {
     let again = |request: Serial, engine: EngineNo, at: u64| {
         let first = [(50, arrived(0, request)), (100, ending(0, request, End::Error))];
         let second =
@@ -347,7 +347,7 @@
 }
 
 #[test]
-fn nothing_new_goes_to_an_engine_that_drains() {
+fn nothing_new_is_forwarded_to_an_engine_that_drains() {
     for state in [State::Draining, State::Gone] {
         let sent = |at: u64| {
             let mut events =
@@ -372,7 +372,7 @@
 }
 
 #[test]
-fn fields_come_through() {
+fn fields_reach_the_engine_unchanged() {
     let with =
         |change: &dyn Fn(&mut Call)| [(50, changed(0, 6, change)), (90, served(0, 6)), (91, answered(6))];
     clean(&[6], &with(&|_| {}));
@@ -415,7 +415,7 @@
 }
 
 #[test]
-fn nothing_is_given_up_or_probed_where_that_is_not_allowed() {
+fn nothing_is_cancelled_or_health_checked_where_that_is_not_allowed() {
     let given_up = [(50, arrived(0, 7)), (100, Event::GivenUp(0, 7)), (110, error(7, "58000"))];
     clean(&[7], &given_up);
     let strict = Terms { may_cancel: false, ..terms() };
@@ -426,7 +426,7 @@
 }
 
 #[test]
-fn lateness_of_the_machine_is_allowed_for() {
+fn the_timer_lag_of_the_machine_is_allowed_for() {
     let rested =
         [(50, arrived(0, 0)), (100, Event::GivenUp(0, 0)), (110, error(0, "58000")), (200, arrived(1, 1))];
     let events = [&rested[..], &[(900, error(1, "58000"))]].concat();
--- a/gateway/tests/common/mod.rs
+++ b/gateway/tests/common/mod.rs
@@ -7,6 +7,7 @@
 pub mod manual;
 pub mod mysql;
 pub mod pg;
+pub mod requests;
 pub mod script;
 
 use std::collections::{HashMap, VecDeque};
@@ -453,8 +454,8 @@
         Self::launch(folder, ([127, 0, 0, 1], 0).into(), descriptors, false)
     }
 
-    /// The same without a coordinator, with a door for operators, so that another process may take its place.
-    pub fn scripted_with_door(entries: &str, change: impl Fn(String) -> String) -> Self {
+    /// The same without a coordinator, with the admin interface, so that another process may take its place.
+    pub fn scripted_with_admin(entries: &str, change: impl Fn(String) -> String) -> Self {
         let folder = Self::scripted_folder(entries, None, "", change);
         Self::launch(folder, ([127, 0, 0, 1], 0).into(), None, true)
     }
@@ -523,8 +524,8 @@
         Self::launch(folder, ([127, 0, 0, 1], 0).into(), None, false)
     }
 
-    /// In front of these engines, with a door for operators.
-    pub fn start_with_door(engines: &[&Engine]) -> Self {
+    /// In front of these engines, with the admin interface.
+    pub fn start_with_admin(engines: &[&Engine]) -> Self {
         Self::launch(Self::folder(engines, false, None, ""), ([127, 0, 0, 1], 0).into(), None, true)
     }
 
@@ -550,12 +551,12 @@
         Starting { child, pipe, config, folder }
     }
 
-    fn launch(folder: Arc<Folder>, listen: SocketAddr, descriptors: Option<u32>, door: bool) -> Self {
-        let child = Self::command(&folder, listen, descriptors, door).spawn().unwrap();
+    fn launch(folder: Arc<Folder>, listen: SocketAddr, descriptors: Option<u32>, admin: bool) -> Self {
+        let child = Self::command(&folder, listen, descriptors, admin).spawn().unwrap();
         Self::serving(child, folder)
     }
 
-    fn command(folder: &Folder, listen: SocketAddr, descriptors: Option<u32>, door: bool) -> Command {
+    fn command(folder: &Folder, listen: SocketAddr, descriptors: Option<u32>, admin: bool) -> Command {
         let program = env!("CARGO_BIN_EXE_wrenhatch");
         let mut command = match descriptors {
             None => Command::new(program),
@@ -566,7 +567,7 @@
             }
         };
         command.arg("serve").env("LB_CONFIG", folder.join("config.json")).env("LB_NAME", "t");
-        command.env("TMPDIR", &**folder).env("LB_OPS", if door { "127.0.0.1:0" } else { "" });
+        command.env("TMPDIR", &**folder).env("LB_OPS", if admin { "127.0.0.1:0" } else { "" });
         command.env("LB_LISTEN", listen.to_string()).stderr(Stdio::piped()).stdout(Stdio::null());
         command.arg("--config").arg(folder.join("operator.toml"));
         if let Ok(level) = std::fs::read_to_string(folder.join("log-level")) {
@@ -595,7 +596,7 @@
         Self { child, pg, mysql, ops, folder, log }
     }
 
-    /// A call to the operators' door, with a method and a path; the answer's status and text.
+    /// A call to the admin interface, with a method and a path; the answer's status and text.
     pub fn call(&self, line: &str) -> (u16, String) {
         let mut stream = TcpStream::connect(self.ops.unwrap()).unwrap();
         stream.set_read_timeout(Some(Duration::from_secs(30))).unwrap();
@@ -606,8 +607,8 @@
         (head.split(' ').nth(1).unwrap().parse().unwrap(), body.to_owned())
     }
 
-    /// A figure that operators see.
-    pub fn told(&self, name: &str) -> u64 {
+    /// A figure of the admin interface.
+    pub fn metric(&self, name: &str) -> u64 {
         let (status, text) = self.call("GET /status/metrics");
         assert_eq!(status, 200);
         let line = text.lines().find_map(|l| l.strip_prefix(&format!("edge_lb.{name}=")));
--- a/gateway/tests/configuration.rs
+++ b/gateway/tests/configuration.rs
@@ -8,14 +8,11 @@
 
 use common::control::{ControlMachine, ControlStream, changed, delta, snapshot, start_settings};
 use common::held::HeldEngines;
+use common::requests::{assert_served, id, wait_answered, wait_taken};
 use common::script::Peer;
 use common::{Gateway, pg};
 use wrenhatch_configuration::{Document, Report, Version};
 
-fn id(n: u64) -> String {
-    format!("{n:016x}")
-}
-
 fn query(n: u64, class: &str, more: &str) -> String {
     format!("/* c={class},i={},d=20000{more} */ SELECT v FROM sales_17.orders", id(n))
 }
@@ -24,14 +21,10 @@
 fn ask(gateway: &Gateway, n: u64, class: &str, more: &str) -> pg::Client {
     let mut client = pg::Client::connect(gateway.pg);
     client.send(&query(n, class, more));
-    gateway.logged(&format!("taken query_id=\"{}\"", id(n)));
+    wait_taken(gateway, n);
     client
 }
 
-fn is_served(client: &mut pg::Client, n: u64) {
-    assert_eq!(client.answer(), pg::Answer::Rows(vec![vec![id(n)]]));
-}
-
 /// The words of an error that a statement is turned down with.
 fn turned_down(gateway: &Gateway, text: &str) -> String {
     match pg::Client::connect(gateway.pg).query(text) {
@@ -70,12 +63,12 @@
     machine.applied(1);
     let mut third = ask(&gateway, 3, "load", ",o=k");
     engines.next_start(&id(3)).row();
-    is_served(&mut third, 3);
+    assert_served(&mut third, 3);
     first_out.row();
-    is_served(&mut first, 1);
+    assert_served(&mut first, 1);
     engines.next_start(&id(2)).row();
-    is_served(&mut second, 2);
-    assert_eq!(gateway.told("served.load"), 3, "counted by name, whatever the number");
+    assert_served(&mut second, 2);
+    assert_eq!(gateway.metric("served.load"), 3, "counted by name, whatever the number");
     assert!(status(&gateway).contains("\nconfiguration.in_force=1\nconfiguration.newest_seen=1\n"));
     gateway.logged("configuration in force version=1");
 }
@@ -108,7 +101,7 @@
     let mut wire = e2.accept();
     assert_eq!(wire.call().query_id(), id(2));
     wire.row(&id(2));
-    is_served(&mut client, 2);
+    assert_served(&mut client, 2);
 }
 
 #[test]
@@ -121,8 +114,8 @@
     let mut after = ask(&gateway, 2, "report", "");
     assert!(matches!(after.answer(), pg::Answer::Error(..)), "its time is over");
     out.row();
-    is_served(&mut before, 1);
-    assert_eq!((gateway.told("served.report"), gateway.told("attempts.report")), (1, 2));
+    assert_served(&mut before, 1);
+    assert_eq!((gateway.metric("served.report"), gateway.metric("attempts.report")), (1, 2));
 }
 
 #[test]
@@ -144,9 +137,9 @@
     machine.applied(2);
     let mut second = ask(&gateway, 4, "report", ",t=other");
     engines.next_start(&id(4)).row();
-    is_served(&mut second, 4);
+    assert_served(&mut second, 4);
     out.row();
-    is_served(&mut first, 1);
+    assert_served(&mut first, 1);
 }
 
 /// A gateway before this engine that was started with short times for its connections, and has long ones in force.
@@ -175,12 +168,12 @@
     let mut wire = engine.accept();
     assert_eq!(wire.call().query_id(), id(1));
     wire.row(&id(1));
-    is_served(&mut first, 1);
+    assert_served(&mut first, 1);
     thread::sleep(LONGER);
     let mut second = ask(&gateway, 2, "report", "");
     assert_eq!(wire.call().query_id(), id(2), "over the same connection");
     wire.row(&id(2));
-    is_served(&mut second, 2);
+    assert_served(&mut second, 2);
     assert!(engine.is_left_alone());
 }
 
@@ -195,8 +188,8 @@
     let mut wire = engine.accept();
     assert_eq!(wire.call().query_id(), id(1));
     wire.row(&id(1));
-    is_served(&mut client, 1);
-    gateway.logged(&format!("answered query_id=\"{}\"", id(1)));
+    assert_served(&mut client, 1);
+    wait_answered(&gateway, 1);
     assert_eq!(gateway.log().matches("connection opened engine=").count(), 1, "none was given up");
 }
 
@@ -210,10 +203,10 @@
     gateway.logged("configuration read again");
     let mut client = ask(&gateway, 1, "digest", "");
     engines.next_start(&id(1)).row();
-    is_served(&mut client, 1);
+    assert_served(&mut client, 1);
     assert!(turned_down(&gateway, &query(2, "report", "")).contains("unknown class"));
     assert!(status(&gateway).contains("configuration.in_force=1\n"));
-    gateway.logged(&format!("answered query_id=\"{}\"", id(1)));
+    wait_answered(&gateway, 1);
     assert!(!gateway.log().contains("the settings have changed"), "what is in force is not the file's");
 }
 
@@ -228,10 +221,10 @@
     assert!(turned_down(&gateway, &query(3, "report", "")).contains("unknown class"));
     let mut second = ask(&gateway, 4, "digest", "");
     engines.next_start(&id(4)).row();
-    is_served(&mut second, 4);
+    assert_served(&mut second, 4);
     out.row();
-    is_served(&mut first, 1);
-    assert_eq!((gateway.told("served.digest"), gateway.told("served.report")), (1, 1));
+    assert_served(&mut first, 1);
+    assert_eq!((gateway.metric("served.digest"), gateway.metric("served.report")), (1, 1));
 }
 
 #[test]
@@ -265,7 +258,7 @@
     gateway.logged("configuration refused version=2 in_force=1");
     let mut client = ask(&gateway, 20, "report", "");
     engines.next_start(&id(20)).row();
-    is_served(&mut client, 20);
+    assert_served(&mut client, 20);
     // A good one counts again, on top of the one in force.
     stream.send(&delta((1, &good), (9, &start_settings().parse().unwrap())));
     machine.applied(9);
@@ -338,7 +331,7 @@
     machines[second].applied(1);
     let mut client = ask(&gateway, 2, "digest", "");
     engines.next_start(&id(2)).row();
-    is_served(&mut client, 2);
+    assert_served(&mut client, 2);
 }
 
 #[test]
@@ -362,7 +355,7 @@
     machine.applied(1);
     let mut client = ask(&gateway, 2, "digest", "");
     engines.next_start(&id(2)).row();
-    is_served(&mut client, 2);
+    assert_served(&mut client, 2);
 }
 
 #[test]
@@ -426,7 +419,7 @@
     out.row();
     let mut client = ask(&next, 2, "digest", "");
     engines.next_start(&id(2)).row();
-    is_served(&mut client, 2);
+    assert_served(&mut client, 2);
 }
 
 #[test]
@@ -444,11 +437,11 @@
     gateway.terminate();
     assert!(stream.wire.is_ended(), "it follows no longer, and serves what it has taken");
     out.row();
-    is_served(&mut client, 1);
+    assert_served(&mut client, 1);
     assert_eq!(gateway.wait().0, Some(0));
     let mut client = ask(&next, 2, "digest", "");
     engines.next_start(&id(2)).row();
-    is_served(&mut client, 2);
+    assert_served(&mut client, 2);
 }
 
 #[test]
@@ -476,21 +469,21 @@
         if waiting.len() > 3 {
             let (n, mut client, out) = waiting.pop_front().unwrap();
             out.row();
-            is_served(&mut client, n);
+            assert_served(&mut client, n);
         }
     }
     for (n, mut client, out) in waiting {
         out.row();
-        is_served(&mut client, n);
+        assert_served(&mut client, n);
     }
-    assert_eq!((gateway.told("served.load"), gateway.told("attempts.load")), (40, 40));
-    assert_eq!((gateway.told("in_flight"), gateway.told("failed.load")), (0, 0));
+    assert_eq!((gateway.metric("served.load"), gateway.metric("attempts.load")), (40, 40));
+    assert_eq!((gateway.metric("in_flight"), gateway.metric("failed.load")), (0, 0));
     assert!(engines.has_started_no_other());
 }
 
 #[test]
 fn without_a_control_table_nothing_is_followed_and_the_status_is_as_it_was() {
     let engines = HeldEngines::start(&["e1"]);
-    let gateway = Gateway::scripted_with_door(&engines.entries, |config| config);
+    let gateway = Gateway::scripted_with_admin(&engines.entries, |config| config);
     assert_eq!(status(&gateway), "ready\n");
 }
--- a/gateway/tests/crossings.rs
+++ b/gateway/tests/crossings.rs
@@ -1,5 +1,6 @@
-//! Where two events cross: clients that leave, connections that close, engines and lists that change their word in
-//! the wrong moment. Peers are scripted, so that the order is forced by what they send, never by the machine's speed.
+//! Races: clients that leave, connections that close, and engines and endpoint lists that change at a moment when
+//! something else is under way. Peers are scripted, so that the order of two events is forced by what they send, never
+//! by the machine's speed.
 
 mod common;
 
@@ -7,28 +8,14 @@
 use std::thread;
 use std::time::Duration;
 
+use common::requests::{error_code, id, row_of, wait_answered, wait_left, wait_taken};
 use common::script::{Peer, Wire, row, run_all};
 use common::{Gateway, pg};
 
-fn id(n: u64) -> String {
-    format!("{n:016x}")
-}
-
 fn text(class: &str, n: u64) -> String {
     format!("/* c={class},i={},d=20000 */ SELECT v FROM sales_17.orders", id(n))
 }
 
-fn code(answer: &pg::Answer) -> &str {
-    match answer {
-        pg::Answer::Error(code, _) => code,
-        other => panic!("an error was expected, not {other:?}"),
-    }
-}
-
-fn rows(n: u64) -> pg::Answer {
-    pg::Answer::Rows(vec![vec![id(n)]])
-}
-
 /// Sends a request until it is served, with a new id for each try.
 fn served(gateway: &Gateway, class: &str, from: u64) -> u64 {
     let mut client = pg::Client::connect(gateway.pg);
@@ -36,7 +23,7 @@
         match client.query(&text(class, n)) {
             pg::Answer::Error(code, _) if code.starts_with("53") => thread::sleep(Duration::from_millis(50)),
             answer => {
-                assert_eq!(answer, rows(n));
+                assert_eq!(answer, row_of(n));
                 return n;
             }
         }
@@ -44,8 +31,8 @@
     panic!("refused a hundred times");
 }
 
-/// One request taken and sent: its client, and the engine's end of the connection with the call read off it.
-fn out_at(engine: &Peer, gateway: &Gateway, class: &str) -> (pg::Client, Wire) {
+/// One request taken and forwarded: its client, and the engine's end of the connection with the call read off it.
+fn request_in_flight(engine: &Peer, gateway: &Gateway, class: &str) -> (pg::Client, Wire) {
     let mut client = pg::Client::connect(gateway.pg);
     client.send(&text(class, 1));
     let mut wire = engine.accept();
@@ -54,20 +41,12 @@
     (client, wire)
 }
 
-fn taken(gateway: &Gateway, n: u64) {
-    gateway.logged(&format!("taken query_id=\"{}\"", id(n)));
-}
-
-fn left(gateway: &Gateway, n: u64) {
-    gateway.logged(&format!("left query_id=\"{}\"", id(n)));
-}
-
-/// What ran at engines that run all.
+/// Ids that engines of [`run_all`] ran.
 fn ran() -> Arc<Mutex<Vec<String>>> {
     Arc::default()
 }
 
-/// Settings in which attempts may not be taken back: nothing but the check at the first byte holds them.
+/// Settings in which attempts may not be cancelled: nothing but the check at the first byte holds them.
 fn no_cancel(config: String) -> String {
     config.replace("\"cancelling\":true", "\"cancelling\":false")
 }
@@ -77,7 +56,7 @@
 }
 
 #[test]
-fn who_leaves_while_its_request_is_held_has_it_sent_nowhere() {
+fn a_queued_request_whose_client_leaves_is_never_forwarded() {
     let (engine, coordinator) = (Peer::new("e1"), Peer::new("c"));
     let gateway = Gateway::scripted(&engine.entry("Terminating"), Some(coordinator.address), "", None, |t| t);
     let (mut watch, last) = coordinator.watch();
@@ -86,7 +65,7 @@
     let mut clients: Vec<_> = (0..5).map(|_| pg::Client::connect(gateway.pg)).collect();
     for (n, client) in clients.iter_mut().enumerate() {
         client.send(&text("load", n as u64));
-        taken(&gateway, n as u64);
+        wait_taken(&gateway, n as u64);
     }
     // One that has more behind its request than anybody reads ahead.
     let mut flooding = clients.pop().unwrap();
@@ -94,11 +73,11 @@
     drop(flooding);
     let (mut cancels, resets) = (clients.pop().unwrap(), clients.pop().unwrap());
     pg::Client::cancel(gateway.pg, cancels.key);
-    assert_eq!(code(&cancels.answer()), "57014");
+    assert_eq!(error_code(&cancels.answer()), "57014");
     resets.reset();
     clients[1].end_writing();
     drop(clients);
-    (0..5).for_each(|n| left(&gateway, n));
+    (0..5).for_each(|n| wait_left(&gateway, n));
     let ran_there = ran();
     watch.event(2, &engine.entry("Ready"));
     run_all(engine, ran_there.clone());
@@ -111,7 +90,7 @@
 
 /// All leave in the very turn in which the engine comes that would serve them.
 #[test]
-fn who_leaves_as_an_engine_comes_has_it_sent_nowhere() {
+fn a_queued_request_whose_client_leaves_in_the_turn_of_a_new_engine_is_never_forwarded() {
     let (engine, coordinator) = (Peer::new("e1"), Peer::new("c"));
     let gateway = Gateway::scripted(&engine.entry("Terminating"), Some(coordinator.address), "", None, |t| t);
     let (mut watch, _) = coordinator.watch();
@@ -119,7 +98,7 @@
     let mut clients: Vec<_> = (0..60).map(|_| pg::Client::connect(gateway.pg)).collect();
     for (n, client) in clients.iter_mut().enumerate() {
         client.send(&text("load", n as u64));
-        taken(&gateway, n as u64);
+        wait_taken(&gateway, n as u64);
     }
     gateway.paused(|| {
         watch.event(2, &engine.entry("Ready"));
@@ -129,11 +108,11 @@
     run_all(engine, ran.clone());
     let n = served(&gateway, "load", 100);
     assert_eq!(*ran.lock().unwrap(), [id(n)]);
-    (0..60).for_each(|n| left(&gateway, n));
+    (0..60).for_each(|n| wait_left(&gateway, n));
 }
 
 #[test]
-fn who_leaves_while_its_connection_comes_up_has_it_sent_nowhere() {
+fn a_request_whose_client_leaves_while_its_connection_is_established_is_never_forwarded() {
     let may_not: fn(String) -> String = |t| no_cancel(patient_connects(t));
     for (change, comes_up) in [(patient_connects as fn(String) -> String, false), (may_not, true)] {
         let mut engine = Peer::shut("e1");
@@ -142,7 +121,7 @@
         client.send(&text("load", 1));
         gateway.logged("connection opened");
         drop(client);
-        left(&gateway, 1);
+        wait_left(&gateway, 1);
         engine.let_in();
         // Where it was not closed it is up at last, long after its request has gone: it may carry another's.
         let wire = comes_up.then(|| engine.accept());
@@ -166,15 +145,15 @@
 }
 
 #[test]
-fn who_leaves_between_two_attempts_has_no_second() {
+fn a_request_whose_client_leaves_between_two_attempts_is_not_retried() {
     let engine = Peer::new("e1");
     let gateway = Gateway::scripted(&engine.entry("Ready"), None, "", None, |t| t);
-    let (client, mut wire) = out_at(&engine, &gateway, "load");
+    let (client, mut wire) = request_in_flight(&engine, &gateway, "load");
     // Full, so that it rests before the next attempt.
     wire.say("HTTP/1.1 503 x\r\nX-Shed: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
     gateway.logged("attempt ended query_id=\"0000000000000001\"");
     drop(client);
-    left(&gateway, 1);
+    wait_left(&gateway, 1);
     let ran = ran();
     run_all(engine, ran.clone());
     let n = served(&gateway, "load", 100);
@@ -182,10 +161,10 @@
 }
 
 #[test]
-fn who_leaves_while_its_request_runs_has_it_given_up_at_the_engine() {
+fn a_running_request_whose_client_leaves_is_cancelled_at_its_engine() {
     let engine = Peer::new("e1");
     let gateway = Gateway::scripted(&engine.entry("Ready"), None, "", None, |t| t);
-    let (mut client, _wire) = out_at(&engine, &gateway, "load");
+    let (mut client, _wire) = request_in_flight(&engine, &gateway, "load");
     assert!(client.flood(1 << 20));
     drop(client);
     let call = engine.accept().call();
@@ -193,7 +172,7 @@
 }
 
 #[test]
-fn a_flood_behind_a_request_costs_its_session_alone() {
+fn a_flood_behind_a_request_ends_its_session_alone() {
     let engine = Peer::new("e1");
     let gateway = Gateway::scripted(&engine.entry("Ready"), None, "", None, |t| t);
     let (mut client, mut other) = (pg::Client::connect(gateway.pg), pg::Client::connect(gateway.pg));
@@ -205,15 +184,15 @@
         assert_eq!(other.query(";"), pg::Answer::Empty, "others are read beside it");
     }
     wire.row(&id(1));
-    assert_eq!(client.answer(), rows(1), "what it asked for is answered");
-    assert_eq!(code(&client.answer()), "54000", "and what cannot be understood behind it, once");
+    assert_eq!(client.answer(), row_of(1), "what it asked for is answered");
+    assert_eq!(error_code(&client.answer()), "54000", "and what cannot be understood behind it, once");
     assert!(client.is_ended());
     let (_, log) = gateway.end();
     assert!(log.contains("invalid=1"), "{log}");
 }
 
 #[test]
-fn a_cancel_overtakes_the_request_that_it_names() {
+fn a_cancel_request_may_overtake_the_request_that_it_names() {
     let engine = Peer::new("e1");
     let operator = "[clients]\nmost_sessions = 180\nturn_ms = 1";
     let gateway = Gateway::scripted(&engine.entry("Ready"), None, operator, None, |t| t);
@@ -229,7 +208,7 @@
         client.send(&text("lookup", 1));
         pg::Client::cancel_unread(gateway.pg, client.key)
     });
-    assert_eq!(code(&client.answer()), "57014");
+    assert_eq!(error_code(&client.answer()), "57014");
     for one in &mut crowd {
         one.answer();
     }
@@ -243,7 +222,7 @@
 }
 
 #[test]
-fn a_second_answer_that_comes_late_is_nobody_else_s() {
+fn a_late_duplicate_response_is_taken_for_no_other_query() {
     let engine = Peer::new("e1");
     let gateway = Gateway::scripted(&engine.entry("Ready"), None, "", None, |t| t);
     thread::spawn(move || {
@@ -262,14 +241,14 @@
     });
     let mut clients = [pg::Client::connect(gateway.pg), pg::Client::connect(gateway.pg)];
     for n in 1..40 {
-        assert_eq!(clients[n as usize % 2].query(&text("lookup", n)), rows(n));
+        assert_eq!(clients[n as usize % 2].query(&text("lookup", n)), row_of(n));
     }
 }
 
 /// The second answer to a call that asks for news makes the next call's look like an answer too many: the connection
 /// seems to be at rest while one is still to come, from an engine that stands still for longer than it rests.
 #[test]
-fn a_connection_with_one_answer_too_many_carries_nobody_else() {
+fn a_connection_with_a_duplicate_response_is_not_reused() {
     let engine = Peer::new("e1");
     let gateway = Gateway::scripted(&engine.entry("Ready"), None, "", None, |t| t);
     let (mut client, mut other) = (pg::Client::connect(gateway.pg), pg::Client::connect(gateway.pg));
@@ -282,13 +261,13 @@
     wire.say(later);
     assert_eq!(wire.call().verb, "GET");
     wire.row(&id(1));
-    assert_eq!(client.answer(), rows(1));
+    assert_eq!(client.answer(), row_of(1));
     thread::sleep(Duration::from_millis(40));
     other.send(&text("lookup", 2));
     thread::sleep(Duration::from_millis(40));
     wire.try_say(&row(&id(1)));
     run_all(engine, ran());
-    assert_eq!(other.answer(), rows(2), "not what was the first one's");
+    assert_eq!(other.answer(), row_of(2), "not what was the first one's");
 }
 
 /// Settings in which a class may be repeated for so many seconds.
@@ -301,7 +280,7 @@
 }
 
 #[test]
-fn a_client_s_token_goes_on_with_every_attempt() {
+fn an_idempotency_key_is_sent_with_every_attempt() {
     let engine = Peer::new("e1");
     let gateway = Gateway::scripted(&engine.entry("Ready"), None, "", None, |t| keyed(&t, "report", 5.0));
     let mut client = pg::Client::connect(gateway.pg);
@@ -311,7 +290,7 @@
     let mut wire = engine.accept();
     assert!(!wire.call().headers.contains_key("x-nonce"), "none of the gateway's own making");
     wire.say(&row(&id(2)).replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n"));
-    assert_eq!(client.answer(), rows(2));
+    assert_eq!(client.answer(), row_of(2));
     client.send(&query("16d2cf6db534bf77e12ba3280ca951ca"));
     let mut wire = engine.accept();
     for attempt in 0..2 {
@@ -323,14 +302,14 @@
         }
     }
     wire.row(&id(1));
-    assert_eq!(client.answer(), rows(1));
+    assert_eq!(client.answer(), row_of(1));
     for bad in ["", "a b", "a\tb", "a\u{7f}", &"k".repeat(129)] {
-        assert_eq!(code(&client.query(&query(bad))), "42601", "{bad:?}");
+        assert_eq!(error_code(&client.query(&query(bad))), "42601", "{bad:?}");
     }
 }
 
 #[test]
-fn a_repeat_whose_window_ends_while_its_connection_comes_up_is_not_sent() {
+fn a_retry_whose_idempotency_window_ends_while_its_connection_is_established_is_not_forwarded() {
     let (one, mut two, coordinator) = (Peer::new("e1"), Peer::shut("e2"), Peer::new("c"));
     let change = |t: String| keyed(&t, "lookup", 0.5);
     let gateway = Gateway::scripted(&one.entry("Ready"), Some(coordinator.address), "", None, change);
@@ -348,7 +327,7 @@
     gateway.logged("connection opened engine=1");
     // A connection that was not let in is tried again by the kernel after a second, twice the window.
     two.let_in();
-    assert!(code(&client.answer()).starts_with("53"), "repeats are known as such everywhere");
+    assert!(error_code(&client.answer()).starts_with("53"), "repeats are known as such everywhere");
     let ran = ran();
     run_all(two, ran.clone());
     let n = served(&gateway, "lookup", 100);
@@ -357,7 +336,7 @@
 }
 
 #[test]
-fn an_engine_that_drains_while_its_connection_comes_up_gets_nothing() {
+fn nothing_is_forwarded_to_an_engine_that_drains_while_its_connection_is_established() {
     let (mut one, two, coordinator) = (Peer::shut("e1"), Peer::new("e2"), Peer::new("c"));
     let change = patient_connects;
     let gateway = Gateway::scripted(&one.entry("Ready"), Some(coordinator.address), "", None, change);
@@ -371,18 +350,18 @@
     let elsewhere = ran();
     run_all(two, elsewhere.clone());
     one.let_in();
-    assert_eq!(client.answer(), rows(1), "it never ran, so it may go elsewhere");
+    assert_eq!(client.answer(), row_of(1), "it never ran, so it may go elsewhere");
     assert_eq!(*elsewhere.lock().unwrap(), [id(1)]);
     // Its connection is of no use; whatever comes over it is no call.
     let n = served(&gateway, "load", 100);
     assert_eq!(*elsewhere.lock().unwrap(), [id(1), id(n)]);
     // The log is read as it comes; up to this line it is whole.
-    gateway.logged(&format!("answered query_id=\"{}\"", id(n)));
+    wait_answered(&gateway, n);
     assert!(gateway.log().matches("attempt forwarded query_id=").count() == 2, "{}", gateway.log());
 }
 
 #[test]
-fn a_drain_told_in_the_turn_in_which_a_request_comes_holds() {
+fn a_drain_in_the_turn_of_a_new_request_is_respected() {
     let (one, two, coordinator) = (Peer::new("e1"), Peer::new("e2"), Peer::new("c"));
     let gateway = Gateway::scripted(&one.entry("Ready"), Some(coordinator.address), "", None, |t| t);
     let (mut watch, _) = coordinator.watch();
@@ -393,39 +372,39 @@
         watch.event(2, &format!("{},{}", one.entry("Terminating"), two.entry("Ready")));
     });
     run_all(two, ran());
-    assert_eq!(client.answer(), rows(1));
+    assert_eq!(client.answer(), row_of(1));
     assert!(one.is_left_alone());
 }
 
 #[test]
-fn calls_for_an_engine_that_has_gone_do_not_reach_who_has_its_address() {
+fn calls_for_a_removed_engine_do_not_reach_another_at_its_address() {
     let (engine, coordinator) = (Peer::new("e1"), Peer::new("c"));
     let gateway = Gateway::scripted(&engine.entry("Ready"), Some(coordinator.address), "", None, |t| t);
     let (mut watch, _) = coordinator.watch();
     watch.stream();
-    let (mut client, wire) = out_at(&engine, &gateway, "report");
+    let (mut client, wire) = request_in_flight(&engine, &gateway, "report");
     let heir = engine.entry("Ready").replace("\"e1\"", "\"e2\"");
     watch.event(2, &format!("{},{heir}", engine.entry("Gone")));
     gateway.logged("name=\"e2\" state=Ready");
     wire.reset();
     // Neither asked for nor given up where nobody knows it.
-    assert!(code(&client.answer()).starts_with("53"));
+    assert!(error_code(&client.answer()).starts_with("53"));
     client.send(&text("report", 2));
     let mut wire = engine.accept();
     let call = wire.call();
     assert_eq!((call.verb.as_str(), call.query_id()), ("POST", id(2).as_str()));
     wire.row(&id(2));
-    assert_eq!(client.answer(), rows(2));
+    assert_eq!(client.answer(), row_of(2));
 }
 
 /// The whole call was written and nothing came: the engine may have closed the connection as idle, or run the query.
 #[test]
-fn a_call_whose_connection_is_closed_in_that_instant_is_repeated_as_its_class_lets_it() {
+fn a_call_whose_connection_is_closed_as_it_is_written_is_retried_as_its_class_allows() {
     let unknown = "HTTP/1.1 500 x\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
     for (class, again) in [("report", true), ("load", false)] {
         let engine = Peer::new("e1");
         let gateway = Gateway::scripted(&engine.entry("Ready"), None, "", None, |t| t);
-        let (mut client, wire) = out_at(&engine, &gateway, class);
+        let (mut client, wire) = request_in_flight(&engine, &gateway, class);
         drop(wire);
         // The engine is asked whether it knows the query.
         let mut asked = engine.accept();
@@ -436,9 +415,9 @@
             let call = second.call();
             assert_eq!((call.verb.as_str(), call.query_id()), ("POST", id(1).as_str()));
             second.row(&id(1));
-            assert_eq!(client.answer(), rows(1));
+            assert_eq!(client.answer(), row_of(1));
         } else {
-            assert_eq!(code(&client.answer()), "58000");
+            assert_eq!(error_code(&client.answer()), "58000");
             client.send(&text(class, 2));
             assert_eq!(engine.accept().call().query_id(), id(2));
         }
@@ -446,7 +425,7 @@
 }
 
 #[test]
-fn events_of_the_list_that_are_skipped_are_asked_for_again() {
+fn skipped_events_of_the_endpoint_list_are_requested_again() {
     let (one, two, coordinator) = (Peer::new("e1"), Peer::new("e2"), Peer::new("c"));
     let list = format!("{},{}", one.entry("Ready"), two.entry("Ready"));
     let gateway = Gateway::scripted(&list, Some(coordinator.address), "", None, |t| t);
@@ -476,7 +455,7 @@
 }
 
 #[test]
-fn what_came_between_two_gaps_of_the_list_counts() {
+fn events_between_two_gaps_of_the_endpoint_list_are_applied() {
     let (one, coordinator) = (Peer::new("e1"), Peer::new("c"));
     let gateway = Gateway::scripted(&one.entry("Ready"), Some(coordinator.address), "", None, |t| t);
     let (mut watch, _) = coordinator.watch();
@@ -493,7 +472,7 @@
 }
 
 #[test]
-fn a_stream_of_the_list_without_an_end_of_line_is_taken_for_dead() {
+fn an_endpoint_stream_without_an_end_of_line_is_given_up_as_silent() {
     let (engine, coordinator) = (Peer::new("e1"), Peer::new("c"));
     let gateway = Gateway::scripted(&engine.entry("Ready"), Some(coordinator.address), "", None, |t| t);
     let (mut watch, _) = coordinator.watch();
@@ -509,7 +488,7 @@
 }
 
 #[test]
-fn a_watch_whose_connection_does_not_come_up_is_tried_anew() {
+fn a_watch_whose_connection_is_not_established_is_retried() {
     let (engine, mut coordinator) = (Peer::new("e1"), Peer::shut("c"));
     let gateway = Gateway::scripted(&engine.entry("Ready"), Some(coordinator.address), "", None, |t| t);
     gateway.logged("the discovery service is silent");
@@ -521,7 +500,7 @@
 }
 
 #[test]
-fn a_stream_of_the_list_is_opened_again_after_errors_and_moved_while_it_comes_up() {
+fn an_endpoint_stream_is_reopened_after_errors_and_moved_while_it_is_established() {
     let (one, two) = (Peer::new("e1"), Peer::new("e2"));
     let (old, new) = (Peer::new("c"), Peer::new("d"));
     let list = format!("{},{}", one.entry("Ready"), two.entry("Ready"));
@@ -550,7 +529,7 @@
 }
 
 #[test]
-fn settings_that_change_in_service_count_from_the_next_start_and_that_is_said_once() {
+fn settings_changed_in_the_file_wait_for_a_restart_and_are_logged_once() {
     let engine = Peer::new("e1");
     let gateway = Gateway::scripted(&engine.entry("Ready"), None, "", None, |t| t);
     let mut client = pg::Client::connect(gateway.pg);
@@ -567,15 +546,15 @@
     });
     gateway.logged("classes_gone=[\"report\"] classes_new=[\"digest\"]");
     wire.row(&id(1));
-    assert_eq!(client.answer(), rows(1), "what is out ends as it was taken");
-    assert_eq!(code(&client.query(&text("digest", 2))), "42601", "a class of the next start");
+    assert_eq!(client.answer(), row_of(1), "what is out ends as it was taken");
+    assert_eq!(error_code(&client.query(&text("digest", 2))), "42601", "a class of the next start");
     client.send(&text("report", 3));
     assert_eq!(wire.call().headers["x-queue"], "report");
     assert_eq!(gateway.log().matches("the settings have changed").count(), 1);
 }
 
 #[test]
-fn a_signal_to_one_that_is_just_starting_neither_ends_it_nor_is_lost() {
+fn a_signal_to_a_starting_process_neither_ends_it_nor_is_lost() {
     for signal in ["-HUP", "-USR1", "-TERM"] {
         let engine = Peer::new("e1");
         let starting = Gateway::starting(&engine.entry("Ready"));
@@ -591,7 +570,7 @@
 }
 
 #[test]
-fn sigterm_takes_who_has_connected_and_what_has_come_in_the_last_moment() {
+fn sigterm_serves_connections_and_requests_of_the_last_moment() {
     let engine = Peer::new("e1");
     // More come than a turn carries.
     let operator = "[clients]\nmost_sessions = 180\nturn_ms = 1";
@@ -617,14 +596,14 @@
         (100..190).map(|n| pg::Client::late(gateway.pg, &text("lookup", n))).collect::<Vec<_>>()
     });
     for client in &mut crossing {
-        assert!(code(&client.answer()).starts_with("53"), "refused, as nothing is sent on any more");
+        assert!(error_code(&client.answer()).starts_with("53"), "refused, as nothing is sent on any more");
     }
     for mut client in late {
         let answer = client.late_answer();
         assert!(answer.starts_with("53") || answer == "57P03", "{answer}");
     }
-    assert_eq!(code(&half.answer()), "57P03");
-    assert_eq!(code(&starting.answer()), "57P03");
+    assert_eq!(error_code(&half.answer()), "57P03");
+    assert_eq!(error_code(&starting.answer()), "57P03");
     assert!(resting.is_ended() && half.is_ended(), "an end, no reset");
     assert!(ran.lock().unwrap().is_empty());
     let (exit, log) = gateway.wait();
@@ -632,7 +611,7 @@
 }
 
 #[test]
-fn sigterm_answers_all_that_is_out_before_the_end_may_come() {
+fn sigterm_answers_all_requests_in_flight_before_exit() {
     let (engine, coordinator) = (Peer::new("e1"), Peer::new("c"));
     // Deadlines beyond all patience here: whoever waited for them would not be answered.
     let long = |t: String| t.replace("\"deadline-s\":2", "\"deadline-s\":32");
@@ -650,7 +629,7 @@
             wire.say("HTTP/1.1 202 x\r\nContent-Length: 0\r\n\r\n");
             wires.push(wire);
         }
-        taken(&gateway, n as u64 + 1);
+        wait_taken(&gateway, n as u64 + 1);
     }
     let news = wires.into_iter().map(|mut wire| {
         thread::spawn(move || {
@@ -666,9 +645,9 @@
         gateway.terminate();
     });
     // Their engine would run them for minutes; repeats of a report do no harm, those of a load would.
-    assert!(code(&clients[0].answer()).starts_with("53"));
-    assert_eq!(code(&clients[1].answer()), "58000");
-    assert!(code(&clients[2].answer()).starts_with("53"));
+    assert!(error_code(&clients[0].answer()).starts_with("53"));
+    assert_eq!(error_code(&clients[1].answer()), "58000");
+    assert!(error_code(&clients[2].answer()).starts_with("53"));
     assert!(clients.iter_mut().all(pg::Client::is_ended));
     let (exit, log) = gateway.wait();
     assert_eq!(exit, Some(0), "{log}");
@@ -677,7 +656,7 @@
 }
 
 #[test]
-fn idle_clients_that_hold_all_descriptors_yield_to_engines_watch_and_newcomers() {
+fn idle_clients_that_hold_all_descriptors_are_evicted_for_engines_watch_and_new_clients() {
     let (engine, coordinator) = (Peer::new("e1"), Peer::new("c"));
     // Fewer descriptors than the configuration says: they run out long before the places do.
     let gateway = Gateway::scripted(&engine.entry("Ready"), Some(coordinator.address), "", Some(64), |t| t);
@@ -697,7 +676,7 @@
         wire.row(&query_id);
     }
     for (n, client) in asking.iter_mut().enumerate() {
-        assert_eq!(client.answer(), rows(n as u64), "an engine is reached");
+        assert_eq!(client.answer(), row_of(n as u64), "an engine is reached");
     }
     drop(wires);
     run_all(engine, ran());
@@ -714,7 +693,7 @@
 }
 
 #[test]
-fn a_restarted_process_is_ready_whatever_discovery_does() {
+fn a_restarted_process_is_ready_whatever_the_discovery_service_does() {
     let list = (0..4000).map(|n| {
         format!(
             "{{\"name\":\"e{n}\",\"address\":\"127.0.0.1:9\",\"zone\":\"z\",\"type\":\"k\",\"group\":{},\"status\":\"Ready\",\"weight\":1,\"since_ms\":0}}",
@@ -732,7 +711,7 @@
 }
 
 #[test]
-fn a_request_over_a_connection_that_is_idle_for_too_long_is_served() {
+fn a_request_is_served_after_its_engine_connection_was_idle_for_too_long() {
     let engine = Peer::new("e1");
     let operator = "[clients]\nidle_limit_s = 1";
     let gateway = Gateway::scripted(&engine.entry("Ready"), None, operator, None, |t| t);
@@ -742,12 +721,12 @@
         thread::sleep(Duration::from_millis(1200));
         crossing.send(&text("lookup", 1));
     });
-    assert_eq!(crossing.answer(), rows(1));
+    assert_eq!(crossing.answer(), row_of(1));
     assert!(idle.is_ended());
 }
 
 #[test]
-fn an_answer_that_breaks_off_is_asked_for_again_and_a_load_runs_once() {
+fn a_response_that_is_cut_off_is_called_for_again_and_a_load_runs_once() {
     let engine = Peer::new("e1");
     let gateway = Gateway::scripted(&engine.entry("Ready"), None, "", None, |t| t);
     let mut client = pg::Client::connect(gateway.pg);
@@ -764,7 +743,7 @@
         let call = again.call();
         assert_eq!((call.verb.as_str(), call.path), ("GET", format!("/data/{}/0", id(1))));
         again.say(&whole);
-        assert_eq!(client.answer(), rows(1));
+        assert_eq!(client.answer(), row_of(1));
         again.reset();
         gateway.logged("connection closed");
     }
--- a/gateway/tests/deployments.rs
+++ b/gateway/tests/deployments.rs
@@ -71,13 +71,13 @@
 }
 
 #[test]
-fn no_engine_is_told_to_give_up_where_cancels_are_not_allowed() {
+fn no_attempt_is_cancelled_where_cancelling_is_not_allowed() {
     none_of(|rule| rule == Rule::Cancel);
 }
 
 /// A rule that no seed puts to the test is not tested.
 #[test]
-fn the_seeds_draw_every_form() {
+fn the_seeds_draw_every_behaviour() {
     let drawn: Vec<Deployment> = SEEDS.map(Deployment::draw).collect();
     let some = |what: &str, is: &dyn Fn(&Deployment) -> bool| {
         assert!(drawn.iter().any(is), "no seed has {what}");
--- a/gateway/tests/fronts.rs
+++ b/gateway/tests/fronts.rs
@@ -1,10 +1,11 @@
-//! Both fronts against stand-ins: the real program, real sockets, loopback only.
+//! Both front ends, with simulated engines: the real program, real sockets, loopback only.
 
 mod common;
 
 use std::thread;
 use std::time::{Duration, Instant};
 
+use common::requests::error_code;
 use common::{Coordinator, Engine, Gateway, Seen, Spoilt, mysql, pg};
 
 const ID: &str = "9b1f03aa5c7e2d41";
@@ -13,33 +14,26 @@
     format!("/* c={class},i={id},d={wait_ms},t=acme,h=20.0,mem=96 */ SELECT v FROM sales_17.orders")
 }
 
-/// Sends until it is served; refusals promise that this is harmless.
-fn until_served<A>(mut ask: impl FnMut() -> A, is_refusal: impl Fn(&A) -> bool) -> A {
+/// Sends a request until it is not rejected; a retry of a rejected request is safe.
+fn until_served<A>(mut ask: impl FnMut() -> A, is_rejection: impl Fn(&A) -> bool) -> A {
     for _ in 0..40 {
         let answer = ask();
-        if !is_refusal(&answer) {
+        if !is_rejection(&answer) {
             return answer;
         }
         thread::sleep(Duration::from_millis(50));
     }
-    panic!("refused 40 times");
+    panic!("rejected 40 times");
 }
 
-fn mysql_refused(a: &mysql::Answer) -> bool {
+fn mysql_rejected(a: &mysql::Answer) -> bool {
     matches!(a, mysql::Answer::Error(1041, state, _) if state == "53000")
 }
 
-fn pg_refused(a: &pg::Answer) -> bool {
+fn pg_rejected(a: &pg::Answer) -> bool {
     matches!(a, pg::Answer::Error(code, _) if code.starts_with("53"))
 }
 
-fn code(a: &pg::Answer) -> &str {
-    match a {
-        pg::Answer::Error(code, _) => code,
-        other => panic!("an error was expected, not {other:?}"),
-    }
-}
-
 #[test]
 fn postgres_clients_get_rows_in_order_and_errors_at_once() {
     let seen = Seen::default();
@@ -55,15 +49,15 @@
     assert_eq!(client.query(&text("lookup", ID, 2000)), rows(["a", "b", "c"]));
     assert_eq!(seen.engines_of(ID), ["e1"]);
 
-    assert_eq!(code(&client.query("SELECT 1")), "42601");
-    assert_eq!(code(&client.query(&text("gossip", ID, 2000))), "42601");
-    assert_eq!(code(&client.query(&text("lookup", "12", 2000))), "42601");
+    assert_eq!(error_code(&client.query("SELECT 1")), "42601");
+    assert_eq!(error_code(&client.query(&text("gossip", ID, 2000))), "42601");
+    assert_eq!(error_code(&client.query(&text("lookup", "12", 2000))), "42601");
     assert_eq!(seen.count(), 1, "nothing of these was forwarded");
     assert_eq!(client.query(&text("lookup", ID, 2000)), rows(["a", "b", "c"]));
 
     let mut other = pg::Client::connect(gateway.pg);
     other.raw(b"Q\x7f\xff\xff\xff");
-    assert_eq!(code(&other.answer()), "54000");
+    assert_eq!(error_code(&other.answer()), "54000");
     assert_eq!(client.query(&text("lookup", ID, 2000)), rows(["a", "b", "c"]), "others are unhurt");
 
     let (exit, log) = gateway.end();
@@ -72,7 +66,7 @@
 }
 
 #[test]
-fn silent_and_idle_clients_make_room_and_open_requests_do_not() {
+fn idle_clients_are_evicted_and_clients_with_open_requests_are_not() {
     let seen = Seen::default();
     let engine = Engine::start("e1", &seen, 1);
     let gateway = Gateway::start(&[&engine], false);
@@ -97,15 +91,15 @@
 }
 
 #[test]
-fn who_does_not_end_a_start_or_a_message_is_told_so() {
+fn unfinished_startups_and_messages_time_out_with_an_error() {
     let seen = Seen::default();
     let engine = Engine::start("e1", &seen, 1);
     let gateway = Gateway::start(&[&engine], false);
     let (mut idle, mut half) = (pg::Client::connect(gateway.pg), pg::Client::connect(gateway.pg));
     let mut silent = pg::Client::silent(gateway.pg);
     half.raw(b"Q\0\0\0\x40/* c=lookup");
-    assert_eq!(code(&silent.answer()), "57014");
-    assert_eq!(code(&half.answer()), "57014");
+    assert_eq!(error_code(&silent.answer()), "57014");
+    assert_eq!(error_code(&half.answer()), "57014");
     assert!(half.is_ended(), "and the connection ends");
     assert_eq!(served_by(&mut idle), "e1", "one that owes nothing stays");
 }
@@ -120,12 +114,12 @@
     for _ in 0..64 {
         client.raw(&[b'x'; 256 * 1024]);
     }
-    assert_eq!(code(&client.answer()), "54000");
+    assert_eq!(error_code(&client.answer()), "54000");
     assert!(client.is_ended());
 }
 
 #[test]
-fn an_id_that_is_open_is_no_other_request_s() {
+fn an_id_in_use_is_invalid_for_another_request() {
     let seen = Seen::default();
     let engine = Engine::start("e1", &seen, 700);
     let gateway = Gateway::start(&[&engine], false);
@@ -135,7 +129,7 @@
         thread::sleep(Duration::from_millis(1));
     }
     for id in ["9b1f03aa5c7e2dff", "9B1F03AA5C7E2DFF"] {
-        assert_eq!(code(&other.query(&text("lookup", id, 2000))), "42601");
+        assert_eq!(error_code(&other.query(&text("lookup", id, 2000))), "42601");
     }
     assert!(matches!(client.answer(), pg::Answer::Rows(_)), "the open one is unhurt");
     assert_eq!(seen.count(), 1, "nothing of the others was sent on");
@@ -149,7 +143,7 @@
     let mut client = pg::Client::connect(gateway.pg);
     let began = Instant::now();
     let answer = client.query(&text("load", ID, 400));
-    assert_eq!(code(&answer), "58000", "a load that may run is not refused");
+    assert_eq!(error_code(&answer), "58000", "a load that may run is not refused");
     assert!(began.elapsed() < Duration::from_secs(2), "long before the engine's answer");
 
     let (address, key) = (gateway.pg, client.key);
@@ -158,16 +152,16 @@
         pg::Client::cancel(address, key);
     });
     let answer = client.query(&text("report", "00000000000000aa", 10_000));
-    assert_eq!(code(&answer), "57014");
+    assert_eq!(error_code(&answer), "57014");
     canceller.join().unwrap();
     engine.set_work_ms(1);
-    let served = until_served(|| client.query(&text("lookup", "00000000000000ab", 2000)), pg_refused);
+    let served = until_served(|| client.query(&text("lookup", "00000000000000ab", 2000)), pg_rejected);
     assert!(matches!(served, pg::Answer::Rows(_)), "{served:?}");
 }
 
 /// The engine that serves one lookup now.
 fn served_by(client: &mut pg::Client) -> String {
-    match until_served(|| client.query(&text("lookup", ID, 2000)), pg_refused) {
+    match until_served(|| client.query(&text("lookup", ID, 2000)), pg_rejected) {
         pg::Answer::Rows(rows) => rows[0][0].clone(),
         other => panic!("rows were expected, not {other:?}"),
     }
@@ -184,7 +178,7 @@
 }
 
 #[test]
-fn the_list_is_followed_over_broken_and_silent_streams() {
+fn the_endpoint_list_is_followed_across_broken_and_silent_streams() {
     let seen = Seen::default();
     let (one, two) = (Engine::start("e1", &seen, 1), Engine::start("e2", &seen, 1));
     let back = format!("{},{}", one.entry("Ready"), two.entry("Gone"));
@@ -204,7 +198,7 @@
 }
 
 #[test]
-fn nothing_goes_to_a_draining_engine() {
+fn nothing_is_forwarded_to_a_draining_engine() {
     let seen = Seen::default();
     let (one, two) = (Engine::start("e1", &seen, 1), Engine::start("e2", &seen, 1));
     let coordinator = Coordinator::start([one.entry("Terminating"), one.entry("Terminating")]);
@@ -220,7 +214,7 @@
 }
 
 #[test]
-fn sighup_moves_the_stream_and_a_bad_file_changes_nothing() {
+fn sighup_moves_the_watch_and_an_invalid_file_changes_nothing() {
     let seen = Seen::default();
     let (one, two) = (Engine::start("e1", &seen, 1), Engine::start("e2", &seen, 1));
     let old = Coordinator::steady(2, vec![Coordinator::change(2, &one.entry("Ready"))]);
@@ -254,7 +248,7 @@
 }
 
 #[test]
-fn an_entry_that_can_t_be_read_costs_no_other_engine() {
+fn an_unreadable_entry_affects_no_other_engine() {
     let seen = Seen::default();
     let engines: Vec<Engine> = ["e1", "e2", "e3"].iter().map(|name| Engine::start(name, &seen, 1)).collect();
     let [one, two, three] = &engines[..] else { unreachable!() };
@@ -274,7 +268,7 @@
 }
 
 #[test]
-fn an_event_that_can_t_be_read_keeps_no_later_one_out() {
+fn an_unreadable_event_does_not_block_later_ones() {
     let seen = Seen::default();
     let (one, two) = (Engine::start("e1", &seen, 1), Engine::start("e2", &seen, 1));
     let events = vec![
@@ -294,7 +288,7 @@
 }
 
 #[test]
-fn a_query_outlives_its_connection_without_a_second_copy() {
+fn a_query_survives_its_connection_without_a_second_attempt() {
     let seen = Seen::default();
     let engine = Engine::start("e1", &seen, 600);
     let gateway = Gateway::start(&[&engine], false);
@@ -310,7 +304,7 @@
 
 /// A reset connection proves nothing of the process: what runs there must still be told.
 #[test]
-fn an_engine_is_told_to_give_up_over_connections_that_are_reset() {
+fn a_cancellation_is_repeated_over_connections_that_are_reset() {
     let seen = Seen::default();
     let engine = Engine::start("e1", &seen, 2000);
     let gateway = Gateway::start(&[&engine], false);
@@ -333,7 +327,7 @@
 
 /// The query has run, and its result is kept: it is asked for again, never run again.
 #[test]
-fn answers_that_come_spoilt_are_asked_for_again() {
+fn unusable_responses_are_called_for_again() {
     let seen = Seen::default();
     let engine = Engine::start("e1", &seen, 1);
     let gateway = Gateway::start(&[&engine], false);
@@ -357,14 +351,14 @@
 }
 
 #[test]
-fn a_silent_engine_gets_no_second_copy_run_elsewhere() {
+fn a_query_at_a_silent_engine_is_not_retried_elsewhere() {
     let seen = Seen::default();
     let engines = ["e1", "e2"].map(|n| Engine::start(n, &seen, 1));
     let gateway = Gateway::start(&[&engines[0], &engines[1]], false);
     engines.iter().for_each(Engine::mute);
     let mut client = pg::Client::connect(gateway.pg);
     let answer = client.query(&text("report", ID, 20_000));
-    assert!(pg_refused(&answer), "the client may ask again, long before its time is up: {answer:?}");
+    assert!(pg_rejected(&answer), "the client may ask again, long before its time is up: {answer:?}");
     assert_eq!(seen.engines_of(ID).len(), 1, "what may run on is not sent elsewhere");
 }
 
@@ -381,7 +375,7 @@
 /// A connection that is refused proves nothing of a query sent over another: an engine that drains, or has all
 /// the connections that it may have, refuses more and runs on what it runs.
 #[test]
-fn a_query_is_sent_nowhere_else_where_its_engine_refuses_to_be_asked_for_it() {
+fn a_query_is_not_retried_elsewhere_when_its_engine_refuses_connections() {
     let seen = Seen::default();
     let engines = ["e1", "e2"].map(|n| Engine::start(n, &seen, 10_000));
     let gateway = Gateway::start(&[&engines[0], &engines[1]], false);
@@ -393,14 +387,14 @@
         engine.refuse_new();
         engine.cut();
         let answer = client.answer();
-        assert_eq!(pg_refused(&answer), class == "report", "{answer:?}");
+        assert_eq!(pg_rejected(&answer), class == "report", "{answer:?}");
         assert_eq!(seen.engines_of(&id).len(), 1, "it may run on where it was sent");
     }
 }
 
 /// The same for the call that gives a query up: where that does not get through, the query may run on.
 #[test]
-fn a_query_that_is_given_up_goes_elsewhere_only_where_its_engine_was_told() {
+fn a_cancelled_query_is_retried_elsewhere_only_after_its_engine_was_notified() {
     let seen = Seen::default();
     let engines = ["e1", "e2"].map(|n| Engine::start(n, &seen, 10_000));
     let gateway = Gateway::start(&[&engines[0], &engines[1]], false);
@@ -414,7 +408,7 @@
 }
 
 #[test]
-fn sigterm_finishes_what_is_open_and_takes_a_little_more() {
+fn sigterm_finishes_open_requests_and_accepts_a_few_more() {
     let seen = Seen::default();
     let engine = Engine::start("e1", &seen, 1500);
     let gateway = Gateway::start(&[&engine], false);
@@ -485,7 +479,7 @@
 }
 
 #[test]
-fn mysql_deadlines_refusals_and_failures() {
+fn mysql_deadlines_rejections_and_failures() {
     let seen = Seen::default();
     let engine = Engine::start("e1", &seen, 3000);
     let gateway = Gateway::start(&[&engine], true);
@@ -496,17 +490,17 @@
     assert!(matches!(answer, mysql::Answer::Error(1105, ..)), "a load that may run failed: {answer:?}");
     assert!(began.elapsed() < Duration::from_secs(2), "its deadline is its own");
     let answer = client.query("/* c=lookup,d=300 */ SELECT 1", &[]);
-    assert!(mysql_refused(&answer), "trying a lookup again is harmless: {answer:?}");
+    assert!(mysql_rejected(&answer), "trying a lookup again is harmless: {answer:?}");
     engine.set_work_ms(1);
     let fails = "/* c=load */ INSERT fail";
-    let answer = until_served(|| client.query(fails, &[("i", "00000000000000ff")]), mysql_refused);
+    let answer = until_served(|| client.query(fails, &[("i", "00000000000000ff")]), mysql_rejected);
     assert!(matches!(answer, mysql::Answer::Error(1105, ..)), "{answer:?}");
     assert_eq!(seen.engines_of("00000000000000ff").len(), 1, "a load that failed is not sent again");
     assert_eq!(seen.engines_of(ID).len(), 1);
 }
 
 #[test]
-fn a_mysql_client_that_leaves_ends_its_work_at_the_engine() {
+fn a_mysql_statement_is_killed_when_its_client_leaves() {
     let seen = Seen::default();
     let engine = Engine::start("e1", &seen, 3000);
     let gateway = Gateway::start(&[&engine], true);
@@ -538,10 +532,10 @@
     let mysql::Answer::Rows(rows) = client.execute(lookup, &["1"], &[]) else { panic!("no rows") };
     let (dead, alive) = if rows[0] == "e1" { (&one, &two) } else { (&two, &one) };
     dead.kill();
-    let answer = until_served(|| client.execute(lookup, &["2"], &[]), mysql_refused);
+    let answer = until_served(|| client.execute(lookup, &["2"], &[]), mysql_rejected);
     assert_eq!(answer, mysql::Answer::Rows(vec![alive.name.clone(), "2".to_owned()]));
     // Never sent to the dead one, the load may go to the other; it runs once.
-    let answer = until_served(|| client.execute(load, &["3"], &[("i", ID)]), mysql_refused);
+    let answer = until_served(|| client.execute(load, &["3"], &[("i", ID)]), mysql_rejected);
     assert_eq!(answer, mysql::Answer::Done);
     assert_eq!(seen.engines_of(ID), [alive.name.as_str()]);
     // The engine dies with the load in hand: it may have run, so it fails and goes nowhere else.
@@ -564,7 +558,7 @@
 
 /// A statement may outlive its connection, and MySQL has no way to ask for it over another.
 #[test]
-fn a_mysql_statement_whose_connection_breaks_is_run_nowhere_else() {
+fn a_mysql_statement_whose_connection_breaks_is_not_retried() {
     let seen = Seen::default();
     let engines = ["e1", "e2"].map(|n| Engine::start(n, &seen, 10_000));
     let gateway = Gateway::start(&[&engines[0], &engines[1]], true);
@@ -572,7 +566,7 @@
     let (lookup, _) = client.prepare("/* c=lookup,h=20 */ SELECT v FROM a_1.b WHERE c = ?").unwrap();
     let asker = thread::spawn(move || client.execute(lookup, &["1"], &[("i", ID)]));
     engine_of(&seen, ID, &engines).cut();
-    assert!(mysql_refused(&asker.join().unwrap()), "its client may ask again");
+    assert!(mysql_rejected(&asker.join().unwrap()), "its client may ask again");
     assert_eq!(seen.engines_of(ID).len(), 1, "no second copy beside one that may run on");
 }
 
@@ -600,11 +594,11 @@
                         (Some((lookup, insert)), Some(mysql)) => {
                             let handle = if load { insert } else { lookup };
                             let a = mysql.execute(handle, &["1"], &[("i", &id), ("d", "3000")]);
-                            (matches!(a, mysql::Answer::Rows(_) | mysql::Answer::Done), mysql_refused(&a))
+                            (matches!(a, mysql::Answer::Rows(_) | mysql::Answer::Done), mysql_rejected(&a))
                         }
                         _ => {
                             let a = pg.query(&text(if load { "load" } else { "lookup" }, &id, 3000));
-                            (matches!(a, pg::Answer::Rows(_)), pg_refused(&a))
+                            (matches!(a, pg::Answer::Rows(_)), pg_rejected(&a))
                         }
                     };
                     if served && !load {
@@ -627,7 +621,7 @@
 }
 
 #[test]
-fn mixed_traffic_outlives_an_engine_killed_in_mid_batch() {
+fn mixed_traffic_survives_an_engine_killed_in_mid_batch() {
     let seen = Seen::default();
     let engines: Vec<Engine> = ["e1", "e2", "e3"].map(|n| Engine::start(n, &seen, 5)).into();
     let gateway = Gateway::start(&engines.iter().collect::<Vec<_>>(), true);
--- a/gateway/tests/operation.rs
+++ b/gateway/tests/operation.rs
@@ -37,7 +37,7 @@
 fn calls_are_answered_whoever_stands_in_the_door() {
     let seen = Seen::default();
     let engine = Engine::start("e1", &seen, 1);
-    let gateway = Gateway::start_with_door(&[&engine]);
+    let gateway = Gateway::start_with_admin(&[&engine]);
     // More than there are places, silent or with half a call, and staying.
     let half: Vec<TcpStream> = (0..40)
         .map(|n| {
@@ -79,7 +79,7 @@
 fn figures_are_what_clients_and_engines_saw() {
     let seen = Seen::default();
     let engines = [Engine::start("e1", &seen, 2), Engine::start("e2", &seen, 2)];
-    let gateway = Gateway::start_with_door(&[&engines[0], &engines[1]]);
+    let gateway = Gateway::start_with_admin(&[&engines[0], &engines[1]]);
     let mut client = pg::Client::connect(gateway.pg);
     let lookups = ask(&mut client, "lookup", 1_000, 30);
     let reports = ask(&mut client, "report", 5_000, 8);
@@ -90,24 +90,24 @@
     waits.send(&text("report", 9_000));
     let began = Instant::now();
     let attempts =
-        || ["lookup", "report", "load"].map(|c| gateway.told(&format!("attempts.{c}"))).iter().sum::<u64>();
+        || ["lookup", "report", "load"].map(|c| gateway.metric(&format!("attempts.{c}"))).iter().sum::<u64>();
     // The engine may read it a little after it was written.
-    while gateway.told("in_flight") != 1 || attempts() <= seen_before || attempts() != seen.count() as u64 {
+    while gateway.metric("in_flight") != 1 || attempts() <= seen_before || attempts() != seen.count() as u64 {
         assert!(began.elapsed() < Duration::from_secs(30), "under way, and counted as engines count it");
     }
-    assert_eq!(gateway.told("served.lookup"), 30);
-    assert_eq!((gateway.told("refused.lookup"), gateway.told("failed.lookup")), lookups);
-    assert_eq!(gateway.told("served.report"), 8);
-    assert_eq!((gateway.told("refused.report"), gateway.told("failed.report")), reports);
-    assert_eq!(gateway.told("served.load"), 0);
-    assert_eq!((gateway.told("engines_known"), gateway.told("engines_excluded")), (2, 0));
+    assert_eq!(gateway.metric("served.lookup"), 30);
+    assert_eq!((gateway.metric("refused.lookup"), gateway.metric("failed.lookup")), lookups);
+    assert_eq!(gateway.metric("served.report"), 8);
+    assert_eq!((gateway.metric("refused.report"), gateway.metric("failed.report")), reports);
+    assert_eq!(gateway.metric("served.load"), 0);
+    assert_eq!((gateway.metric("engines_known"), gateway.metric("engines_excluded")), (2, 0));
 }
 
 #[test]
 fn an_engine_out_by_hand_gets_nothing_until_it_is_called_back() {
     let seen = Seen::default();
     let engines = [Engine::start("e1", &seen, 1), Engine::start("e2", &seen, 1)];
-    let gateway = Gateway::start_with_door(&[&engines[0], &engines[1]]);
+    let gateway = Gateway::start_with_admin(&[&engines[0], &engines[1]]);
     let mut client = pg::Client::connect(gateway.pg);
     let used = |from: u64| {
         let by = |id: u64| seen.engines_of(&format!("{id:016x}"));
@@ -118,13 +118,13 @@
     for _ in 0..2 {
         assert_eq!(gateway.call("PUT /maintenance/enter/e1").0, 200);
     }
-    assert_eq!((gateway.told("engines_known"), gateway.told("engines_excluded")), (2, 1));
+    assert_eq!((gateway.metric("engines_known"), gateway.metric("engines_excluded")), (2, 1));
     for (class, from) in [("lookup", 2_000), ("report", 3_000), ("load", 4_000)] {
         ask(&mut client, class, from, 10);
         assert_eq!(used(from), 0, "{class}");
     }
     assert_eq!(gateway.call("PUT /maintenance/exit/e1").0, 200);
-    assert_eq!(gateway.told("engines_excluded"), 0);
+    assert_eq!(gateway.metric("engines_excluded"), 0);
     ask(&mut client, "lookup", 5_000, 40);
     assert!(used(5_000) > 0, "one call back is enough");
 }
@@ -151,7 +151,7 @@
 fn a_successor_replaces_its_predecessor_without_a_lost_request() {
     let seen = Seen::default();
     let engines = ["e1", "e2", "e3"].map(|name| Engine::start(name, &seen, 5));
-    let mut gateway = Gateway::start_with_door(&[&engines[0], &engines[1], &engines[2]]);
+    let mut gateway = Gateway::start_with_admin(&[&engines[0], &engines[1], &engines[2]]);
     assert_eq!(gateway.call("PUT /maintenance/enter/e1").0, 200);
     let stop = Arc::new(AtomicBool::new(false));
     let clients: Vec<_> =
@@ -171,7 +171,7 @@
         assert_eq!(successor.pg, gateway.pg);
         assert_eq!(successor.call("GET /status").0, 200);
         assert_eq!(
-            successor.told("engines_excluded"),
+            successor.metric("engines_excluded"),
             if round < 2 { 1 } else { 2 },
             "it knows the engines in maintenance"
         );
@@ -179,7 +179,7 @@
             // A call to one process holds for both.
             assert_eq!(successor.call("PUT /maintenance/enter/e3").0, 200);
             let began = Instant::now();
-            while gateway.told("engines_excluded") != 2 {
+            while gateway.metric("engines_excluded") != 2 {
                 assert!(began.elapsed() < Duration::from_secs(30), "the predecessor learns it");
             }
         }
@@ -207,7 +207,7 @@
 fn a_killed_successor_leaves_the_predecessor_serving_and_replaceable() {
     let seen = Seen::default();
     let engines = [Engine::start("e1", &seen, 1), Engine::start("e2", &seen, 1)];
-    let gateway = Gateway::start_with_door(&[&engines[0], &engines[1]]);
+    let gateway = Gateway::start_with_admin(&[&engines[0], &engines[1]]);
     assert_eq!(gateway.call("PUT /maintenance/enter/e2").0, 200);
     let mut client = pg::Client::connect(gateway.pg);
     for round in 0..3 {
@@ -223,7 +223,7 @@
     foreign.write_all(b"{\"hello\":\"other\",\"listen\":\"127.0.0.1:1\",\"form\":1}\n").unwrap();
     assert_eq!(foreign.read(&mut [0; 64]).unwrap(), 0);
     let successor = gateway.successor();
-    assert_eq!(successor.told("engines_excluded"), 1);
+    assert_eq!(successor.metric("engines_excluded"), 1);
     assert_eq!(gateway.end().0, Some(0));
     let mut client = pg::Client::connect(successor.pg);
     ask(&mut client, "lookup", 9_000, 5);
@@ -235,7 +235,7 @@
 fn a_cancel_request_reaches_the_process_that_has_the_session() {
     let seen = Seen::default();
     let engine = Engine::start("e1", &seen, 20_000);
-    let gateway = Gateway::start_with_door(&[&engine]);
+    let gateway = Gateway::start_with_admin(&[&engine]);
     let mut client = pg::Client::connect(gateway.pg);
     client.send(&text("report", 1).replace("d=2500", "d=20000"));
     while seen.count() == 0 {
--- a/gateway/tests/order.rs
+++ b/gateway/tests/order.rs
@@ -7,6 +7,7 @@
 use std::time::{Duration, Instant};
 
 use common::manual::Engines;
+use common::requests::{assert_served, id, wait_left, wait_taken};
 use common::script::{Peer, Wire};
 use common::{Engine, Gateway, Seen, mysql, pg};
 
@@ -15,10 +16,6 @@
 /// The cooldown of a key after an attempt that may still run.
 const KEY_COOLDOWN: Duration = Duration::from_millis(300);
 
-fn id(n: u64) -> String {
-    format!("{n:016x}")
-}
-
 fn load(n: u64, key: &str) -> String {
     format!("/* c=load,i={},d=20000,o={key} */ INSERT INTO sales_17.orders VALUES (1)", id(n))
 }
@@ -32,14 +29,10 @@
 fn ask(gateway: &Gateway, n: u64, key: &str) -> pg::Client {
     let mut client = pg::Client::connect(gateway.pg);
     client.send(&load(n, key));
-    gateway.logged(&format!("taken query_id=\"{}\"", id(n)));
+    wait_taken(gateway, n);
     client
 }
 
-fn is_served(client: &mut pg::Client, n: u64) {
-    assert_eq!(client.answer(), pg::Answer::Rows(vec![vec![id(n)]]));
-}
-
 #[test]
 fn requests_of_one_key_are_forwarded_one_at_a_time_in_order_of_arrival() {
     let engines = Engines::start(&["e1", "e2"]);
@@ -48,10 +41,10 @@
     let mut out = engines.next_start(&id(1));
     let mut other = ask(&gateway, 4, "k2");
     engines.next_start(&id(4)).row();
-    is_served(&mut other, 4);
+    assert_served(&mut other, 4);
     for n in 1..=3 {
         out.row();
-        is_served(&mut clients[n as usize - 1], n);
+        assert_served(&mut clients[n as usize - 1], n);
         if n == 3 {
             break;
         }
@@ -70,11 +63,11 @@
     let out = engines.next_start(&id(1));
     let mut second = ask(&gateway, 2, "k1");
     out.row();
-    is_served(&mut first, 1);
+    assert_served(&mut first, 1);
     engines.next_start(&id(2)).row();
-    is_served(&mut second, 2);
+    assert_served(&mut second, 2);
     engines.next_start(&id(3)).row();
-    is_served(&mut first, 3);
+    assert_served(&mut first, 3);
 }
 
 #[test]
@@ -97,7 +90,7 @@
     assert_eq!(wire.call().query_id(), id(2));
     assert!(began.elapsed() >= ABANDONED + KEY_COOLDOWN, "after {:?}", began.elapsed());
     wire.row(&id(2));
-    is_served(&mut second, 2);
+    assert_served(&mut second, 2);
 }
 
 /// Loads may be queued for as long as their clients wait.
@@ -144,7 +137,7 @@
     let mut wire = e2.accept();
     assert_eq!(wire.call().query_id(), id(3));
     wire.row(&id(3));
-    is_served(&mut other, 3);
+    assert_served(&mut other, 3);
     e1.let_in();
     let mut healed = e1.accept();
     let call = healed.call();
@@ -154,7 +147,7 @@
     assert_eq!(wire.call().query_id(), id(2));
     assert!(given_up.elapsed() >= KEY_COOLDOWN, "after {:?}", given_up.elapsed());
     wire.row(&id(2));
-    is_served(&mut second, 2);
+    assert_served(&mut second, 2);
 }
 
 #[test]
@@ -164,7 +157,7 @@
     let mut wire = e2.accept();
     assert_eq!(wire.call().query_id(), id(2));
     wire.row(&id(2));
-    is_served(&mut second, 2);
+    assert_served(&mut second, 2);
 }
 
 #[test]
@@ -176,7 +169,7 @@
     let mut wire = e2.accept();
     assert_eq!(wire.call().query_id(), id(2));
     wire.row(&id(2));
-    is_served(&mut second, 2);
+    assert_served(&mut second, 2);
 }
 
 #[test]
@@ -189,12 +182,12 @@
     let first = ask(&gateway, 1, "k1");
     let mut second = ask(&gateway, 2, "k1");
     drop(first);
-    gateway.logged(&format!("left query_id=\"{}\"", id(1)));
+    wait_left(&gateway, 1);
     watch.event(2, &engine.entry("Ready"));
     let mut wire = engine.accept();
     assert_eq!(wire.call().query_id(), id(2));
     wire.row(&id(2));
-    is_served(&mut second, 2);
+    assert_served(&mut second, 2);
 }
 
 #[test]
@@ -210,13 +203,13 @@
     // What another key does meanwhile shows that the gateway has had its turns.
     let mut other = ask(&gateway, 4, "k2");
     engines.next_start(&id(4)).row();
-    is_served(&mut other, 4);
+    assert_served(&mut other, 4);
     let given_up = Instant::now();
     delete.given_up();
     let out = engines.next_start(&id(2));
     assert!(given_up.elapsed() >= KEY_COOLDOWN, "after {:?}", given_up.elapsed());
     out.row();
-    is_served(&mut second, 2);
+    assert_served(&mut second, 2);
 }
 
 #[test]
@@ -237,7 +230,7 @@
     let out: Vec<_> = (0..4).map(|_| engines.next()).collect();
     out.into_iter().for_each(|call| call.row());
     for (client, n) in clients.iter_mut().zip(1..) {
-        is_served(client, n);
+        assert_served(client, n);
     }
     for wrong in ["o=", "o=a b", "r=2"] {
         let answer = clients[0].query(&format!("/* c=load,i={},d=3000,{wrong} */ {statement}", id(9)));
@@ -274,7 +267,7 @@
 #[test]
 fn a_key_keeps_its_order_across_both_processes_of_a_replacement() {
     let engines = Engines::start(&["e1", "e2"]);
-    let predecessor = Gateway::scripted_with_door(&engines.entries, keeps_order);
+    let predecessor = Gateway::scripted_with_admin(&engines.entries, keeps_order);
     let (mut first, mut second) = (ask(&predecessor, 1, "k1"), ask(&predecessor, 2, "k1"));
     let mut held = pg::Client::connect(predecessor.pg);
     let out = engines.next_start(&id(1));
@@ -283,23 +276,23 @@
     let mut third = ask(&successor, 3, "k1");
     predecessor.logged("peer process claims the lease of a key");
     held.send(&load(4, "k1"));
-    predecessor.logged(&format!("taken query_id=\"{}\"", id(4)));
+    wait_taken(&predecessor, 4);
     // A request of another key is forwarded at once, which shows that the successor has had its turns.
     let mut other = ask(&successor, 9, "k2");
     engines.next_start(&id(9)).row();
-    is_served(&mut other, 9);
+    assert_served(&mut other, 9);
     out.row();
-    is_served(&mut first, 1);
+    assert_served(&mut first, 1);
     for (client, n) in [(&mut second, 2), (&mut third, 3), (&mut held, 4)] {
         engines.next_start(&id(n)).row();
-        is_served(client, n);
+        assert_served(client, n);
     }
 }
 
 #[test]
 fn a_key_is_free_once_nothing_of_a_killed_predecessor_can_run() {
     let engines = Engines::start(&["e1", "e2"]);
-    let predecessor = Gateway::scripted_with_door(&engines.entries, keeps_order);
+    let predecessor = Gateway::scripted_with_admin(&engines.entries, keeps_order);
     let _first = ask(&predecessor, 1, "k1");
     let _out = engines.next_start(&id(1));
     let successor = predecessor.successor();
@@ -311,17 +304,17 @@
     let out = engines.next_start(&id(2));
     assert!(died.elapsed() >= ABANDONED + KEY_COOLDOWN, "after {:?}", died.elapsed());
     out.row();
-    is_served(&mut second, 2);
+    assert_served(&mut second, 2);
     let mut third = ask(&successor, 3, "k1");
     engines.next_start(&id(3)).row();
-    is_served(&mut third, 3);
+    assert_served(&mut third, 3);
 }
 
 /// The predecessor exits while the successor waits for a lease that it holds.
 #[test]
 fn a_predecessor_that_exits_grants_its_leases() {
     let engines = Engines::start(&["e1", "e2"]);
-    let predecessor = Gateway::scripted_with_door(&engines.entries, keeps_order);
+    let predecessor = Gateway::scripted_with_admin(&engines.entries, keeps_order);
     let mut first = ask(&predecessor, 1, "k1");
     let out = engines.next_start(&id(1));
     let successor = predecessor.successor();
@@ -331,11 +324,11 @@
     predecessor.terminate();
     predecessor.signal("-HUP");
     out.row();
-    is_served(&mut first, 1);
+    assert_served(&mut first, 1);
     engines.next_start(&id(2)).row();
-    is_served(&mut second, 2);
+    assert_served(&mut second, 2);
     assert_eq!(predecessor.wait().0, Some(0));
     let mut third = ask(&successor, 3, "k1");
     engines.next_start(&id(3)).row();
-    is_served(&mut third, 3);
+    assert_served(&mut third, 3);
 }
