--- a/gateway/src/net/admin.rs
+++ b/gateway/src/net/admin.rs
@@ -8,7 +8,8 @@
 
 use super::connection::{Connection, Phase, ReadEnd};
 use super::poll::{Interest, Poll, Trigger};
-use super::{ADMIN, ADMIN_LISTENER, ServeError, Server, Timer};
+use super::poll_key::PollKey;
+use super::{ServeError, Server, Timer};
 use crate::admin::call::{self, AdminCall, CallError, MAX_CALL_BYTES};
 use crate::admin::metrics::Gauges;
 use crate::discovery::UnknownEngine;
@@ -29,7 +30,7 @@
 
 impl AdminConnection {
     fn key(&self) -> u64 {
-        ADMIN | u64::from(self.serial)
+        PollKey::AdminConnection(self.serial).encode()
     }
 
     fn awaits_close(&self) -> bool {
@@ -61,7 +62,12 @@
         let Some(address) = address else { return Ok(Self::default()) };
         let failed = |e| ServeError::Listen(address, e);
         let listener = super::listeners::listener(address, BACKLOG, false).map_err(failed)?;
-        poll.add(&listener, ADMIN_LISTENER, Interest { read: true, write: false }, Trigger::Level)?;
+        poll.add(
+            &listener,
+            PollKey::AdminListener.encode(),
+            Interest { read: true, write: false },
+            Trigger::Level,
+        )?;
         Ok(Self { listener: Some(listener), ..Self::default() })
     }
 
@@ -109,7 +115,7 @@
             self.admin.make_room(&self.poll);
             self.admin.serials = self.admin.serials.wrapping_add(1);
             let (serial, accepted_us) = (self.admin.serials, self.time.now_us);
-            let key = ADMIN | u64::from(serial);
+            let key = PollKey::AdminConnection(serial).encode();
             match Connection::accepted(&self.poll, stream, key, MAX_CALL_BYTES) {
                 Ok(conn) => {
                     let connection = AdminConnection { conn, serial, accepted_us, answered: false };
--- a/gateway/src/net/clients/accept.rs
+++ b/gateway/src/net/clients/accept.rs
@@ -6,7 +6,7 @@
 
 use crate::net::Server;
 use crate::net::connection::Connection;
-use crate::net::listeners::{self, Front};
+use crate::net::listeners::{self, FrontEnd};
 use crate::net::sessions::Sessions;
 
 /// Rejected clients that are held beyond the limit of sessions until they have read why.
@@ -25,7 +25,7 @@
 impl Server {
     /// Gives a new client a session, if need be the place of another one. A client that is rejected may have sent a
     /// request behind its start-up message, which thereby is rejected too.
-    pub(in crate::net) fn accept_client(&mut self, stream: TcpStream, from: SocketAddr, front: Front) {
+    pub(in crate::net) fn accept_client(&mut self, stream: TcpStream, from: SocketAddr, front: FrontEnd) {
         let place = self.find_place();
         if place == Place::None {
             return;
--- a/gateway/src/net/clients/read.rs
+++ b/gateway/src/net/clients/read.rs
@@ -10,12 +10,11 @@
 use crate::net::Server;
 use crate::net::connection::{MAX_UNSENT_BYTES, Phase, ReadEnd};
 use crate::net::poll::Interest;
-use crate::net::sessions::{ProtocolSession, Sessions};
+use crate::net::sessions::ProtocolSession;
 
 impl Server {
     /// Something is ready on a client's connection. It is read when the read scheduler comes to it.
-    pub(in crate::net) fn session_ready(&mut self, key: u64, interest: Interest) {
-        let Some(handle) = Sessions::handle_of(key) else { return };
+    pub(in crate::net) fn session_ready(&mut self, handle: Handle, interest: Interest) {
         if interest.write {
             self.sessions.mark_dirty(handle);
         }
--- a/gateway/src/net/control_plane.rs
+++ b/gateway/src/net/control_plane.rs
@@ -6,7 +6,8 @@
 
 use super::connection::{Connection, Phase, ReadEnd};
 use super::poll::Interest;
-use super::{CONTROL, REPORT, Server, Timer};
+use super::poll_key::PollKey;
+use super::{Server, Timer};
 use crate::control_plane::{
     ControlPlaneClient, MAX_REPORT_RESPONSE_BYTES, MessageOutcome, ReportResponse, read_report_response,
 };
@@ -32,11 +33,11 @@
     }
 
     fn stream_key(&self) -> u64 {
-        CONTROL | u64::from(self.stream_serial)
+        PollKey::ControlPlaneStream(self.stream_serial).encode()
     }
 
     fn report_key(&self) -> u64 {
-        REPORT | u64::from(self.report_serial)
+        PollKey::ControlPlaneReport(self.report_serial).encode()
     }
 }
 
--- a/gateway/src/net/listeners.rs
+++ b/gateway/src/net/listeners.rs
@@ -8,7 +8,8 @@
 use wrenhatch_sessions::read_scheduler::Work;
 
 use super::poll::{Interest, Poll, Trigger};
-use super::{MYSQL_LISTENER, PG_LISTENER, ServeError, Server, Timer};
+use super::poll_key::PollKey;
+use super::{ServeError, Server, Timer};
 use crate::config::Config;
 
 /// Where descriptors have run out and nobody yields one, nobody is accepted for so long.
@@ -18,18 +19,18 @@
 
 /// Which protocol a listener speaks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Front {
+pub enum FrontEnd {
     /// PostgreSQL.
-    Pg,
+    PostgreSql,
     /// MySQL.
     MySql,
 }
 
-impl Front {
+impl FrontEnd {
     fn key(self) -> u64 {
         match self {
-            Front::Pg => PG_LISTENER,
-            Front::MySql => MYSQL_LISTENER,
+            FrontEnd::PostgreSql => PollKey::PostgreSqlListener.encode(),
+            FrontEnd::MySql => PollKey::MySqlListener.encode(),
         }
     }
 }
@@ -54,7 +55,7 @@
     pub fn open(config: &Config, poll: &Poll, left: Vec<TcpListener>) -> Result<Self, ServeError> {
         let backlog = config.clients.backlog;
         let mut left = left;
-        let mut listen = |address, front: Front| -> Result<TcpListener, ServeError> {
+        let mut listen = |address, front: FrontEnd| -> Result<TcpListener, ServeError> {
             let inherited = left.iter().position(|l| l.local_addr().is_ok_and(|a| a == address));
             let listener = match inherited {
                 Some(at) => left.swap_remove(at),
@@ -65,23 +66,23 @@
             Ok(listener)
         };
         Ok(Self {
-            pg: Some(listen(config.listen, Front::Pg)?),
-            mysql: config.mysql.as_ref().map(|m| listen(m.listen, Front::MySql)).transpose()?,
+            pg: Some(listen(config.listen, FrontEnd::PostgreSql)?),
+            mysql: config.mysql.as_ref().map(|m| listen(m.listen, FrontEnd::MySql)).transpose()?,
             spare: File::open("/dev/null").ok(),
             shut: false,
             handed_over: false,
         })
     }
 
-    fn listener(&self, front: Front) -> Option<&TcpListener> {
+    fn listener(&self, front: FrontEnd) -> Option<&TcpListener> {
         match front {
-            Front::Pg => self.pg.as_ref(),
-            Front::MySql => self.mysql.as_ref(),
+            FrontEnd::PostgreSql => self.pg.as_ref(),
+            FrontEnd::MySql => self.mysql.as_ref(),
         }
     }
 
     /// Where a front listens.
-    pub fn address(&self, front: Front) -> Option<String> {
+    pub fn address(&self, front: FrontEnd) -> Option<String> {
         Some(self.listener(front)?.local_addr().ok()?.to_string())
     }
 
@@ -94,7 +95,7 @@
 
     fn set_interest(&mut self, poll: &Poll, interest: Interest) {
         self.shut = interest == NOTHING;
-        for front in [Front::Pg, Front::MySql] {
+        for front in [FrontEnd::PostgreSql, FrontEnd::MySql] {
             let changed = self.listener(front).map(|l| poll.change(l, front.key(), interest, Trigger::Level));
             if let Some(Err(e)) = changed {
                 tracing::warn!("a listener: {e}");
@@ -138,7 +139,7 @@
 
     /// Accepts one connection with the descriptor kept back, tells it that there is no place, and closes it.
     /// False if not even that can be done.
-    fn turn_one_away(&mut self, front: Front, word: &[u8]) -> bool {
+    fn turn_one_away(&mut self, front: FrontEnd, word: &[u8]) -> bool {
         if self.spare.take().is_none() {
             return false;
         }
@@ -175,7 +176,7 @@
 
 impl Server {
     /// Accepts as many as the turn can carry; the rest is told of again at the next. False once nobody knocks.
-    pub(super) fn accept(&mut self, front: Front) -> bool {
+    pub(super) fn accept(&mut self, front: FrontEnd) -> bool {
         for _ in 0..self.sessions.scheduler.accepts() {
             let Some(listener) = self.listeners.listener(front) else { return false };
             match listener.accept() {
@@ -202,7 +203,7 @@
 
     /// No descriptor is left, whatever the budget says. Whoever yields its place gives one; else the one who
     /// knocks is turned away with the spare one; else the listeners pause for a moment, or the loop would spin.
-    fn find_descriptor(&mut self, front: Front) -> bool {
+    fn find_descriptor(&mut self, front: FrontEnd) -> bool {
         if self.evict_one() {
             return true;
         }
--- a/gateway/src/net/pools.rs
+++ b/gateway/src/net/pools.rs
@@ -7,10 +7,11 @@
 use workload_manager::EngineId;
 use wrenhatch_sessions::timer_wheel::{TimerId, TimerWheel};
 
+use super::Timer;
 use super::connection::Connection;
 use super::engines::{Attempt, AttemptId, Engine, Link, Unconfirmed};
 use super::poll::Poll;
-use super::{LINK, Timer};
+use super::poll_key::PollKey;
 use crate::front::Payload;
 
 /// A connection to an engine.
@@ -72,7 +73,7 @@
     }
 
     pub fn key(slot: usize, serial: u32) -> u64 {
-        LINK | u64::from(serial & 0x3fff_ffff) << 32 | slot as u64
+        PollKey::EngineConnection { slot: slot as u32, serial }.encode()
     }
 
     /// The slot of the connection that a key of the poller names, if it is still open.
--- a/gateway/src/net/process_replacement/peers.rs
+++ b/gateway/src/net/process_replacement/peers.rs
@@ -7,7 +7,7 @@
 use super::listener_passing::listen_at;
 use crate::core::PeerProcessId;
 use crate::net::poll::{Interest, Poll, Trigger};
-use crate::net::{PEER_LISTENER, PEER_PROCESS};
+use crate::net::poll_key::PollKey;
 use crate::process_replacement::messages::{self, Message, MessageError, PeerFeatures};
 
 /// Connections at once. One process replaces another, or two do where the platform has started one too many; others
@@ -101,7 +101,7 @@
 }
 
 fn poll_key(id: PeerProcessId) -> u64 {
-    PEER_PROCESS | u64::from(id.0)
+    PollKey::PeerProcess(id.0).encode()
 }
 
 /// The peer processes, and the socket at which this process waits for a successor.
@@ -125,7 +125,9 @@
                 if let Some(old) = self.listener.take() {
                     poll.remove(&old);
                 }
-                if let Err(error) = poll.add(&listener, PEER_LISTENER, READABLE, Trigger::Level) {
+                if let Err(error) =
+                    poll.add(&listener, PollKey::PeerListener.encode(), READABLE, Trigger::Level)
+                {
                     return failed(error);
                 }
                 self.listener = Some(listener);
--- a/gateway/src/net/sessions/mod.rs
+++ b/gateway/src/net/sessions/mod.rs
@@ -21,9 +21,9 @@
 use wrenhatch_sessions::session_table::{Activity, Handle, RemovedSession, SessionTable};
 use wrenhatch_sessions::timer_wheel::TimerId;
 
-use super::SESSION;
 use super::connection::{Connection, Phase};
-use super::listeners::Front;
+use super::listeners::FrontEnd;
+use super::poll_key::PollKey;
 use crate::config::Config;
 use crate::front::{mysql, pg};
 use state::{ActiveSession, ReservedBytes, SuspendedProtocol, SuspendedSession};
@@ -88,12 +88,7 @@
 
     /// The poller's key of a session.
     pub fn key(handle: Handle) -> u64 {
-        SESSION | handle.to_bits()
-    }
-
-    /// The session of a poller's key.
-    pub fn handle_of(key: u64) -> Option<Handle> {
-        Handle::from_bits(key & (SESSION - 1))
+        PollKey::Session(handle).encode()
     }
 
     /// A random number that no client can guess: a multiplicative sequence over a seed of this start.
@@ -139,14 +134,14 @@
     pub fn insert(
         &mut self,
         mut connection: Connection,
-        front: Front,
+        front: FrontEnd,
         from: SocketAddr,
         config: &Config,
         now_us: u64,
     ) -> Handle {
         let (slot, secret) = (self.table.next_handle().index + 1, self.secret());
         let protocol = match (front, &config.mysql) {
-            (Front::MySql, Some(m)) => {
+            (FrontEnd::MySql, Some(m)) => {
                 let mut scramble = [0; 20];
                 for part in scramble.chunks_mut(4) {
                     part.copy_from_slice(&self.secret().to_le_bytes());
--- a/gateway/src/net/sessions/protocol.rs
+++ b/gateway/src/net/sessions/protocol.rs
@@ -2,7 +2,7 @@
 
 use crate::front::{ClientCommand, FinalAnswer, mysql, pg};
 use crate::mysql_protocol::{SqlError, write_packet};
-use crate::net::listeners::Front;
+use crate::net::listeners::FrontEnd;
 
 /// The protocol state of an active session.
 pub enum ProtocolSession {
@@ -81,11 +81,11 @@
 }
 
 /// The error for a client that is closed without a session, as no descriptor is left for one.
-pub fn too_many_clients(front: Front) -> Vec<u8> {
+pub fn too_many_clients(front: FrontEnd) -> Vec<u8> {
     let mut output = Vec::new();
     match front {
-        Front::Pg => pg::Session::new((0, 0), 0).turn_away(&mut output),
-        Front::MySql => {
+        FrontEnd::PostgreSql => pg::Session::new((0, 0), 0).turn_away(&mut output),
+        FrontEnd::MySql => {
             write_packet(&mut output, &mut 0, &SqlError::new(1040, "08004", "Too many connections").payload())
         }
     }
--- a/gateway/src/net/shutdown.rs
+++ b/gateway/src/net/shutdown.rs
@@ -12,7 +12,7 @@
 use workload_manager::Settings;
 
 use super::connection::Phase;
-use super::listeners::Front;
+use super::listeners::FrontEnd;
 use super::{Server, Timer};
 use crate::core::Input;
 
@@ -138,7 +138,7 @@
     /// that have arrived. A successor that listens at the same queues accepts them itself.
     fn close_listeners(&mut self) {
         if !self.listeners.is_handed_over() {
-            for front in [Front::Pg, Front::MySql] {
+            for front in [FrontEnd::PostgreSql, FrontEnd::MySql] {
                 while self.accept(front) {}
             }
         }
--- a/gateway/src/net/watch.rs
+++ b/gateway/src/net/watch.rs
@@ -7,7 +7,8 @@
 
 use super::connection::{Connection, Phase, ReadEnd};
 use super::poll::Interest;
-use super::{Server, Timer, WATCH};
+use super::poll_key::PollKey;
+use super::{Server, Timer};
 use crate::discovery::{DueActions, EndpointListEvent, EndpointWatch, WatchError};
 
 /// Bytes read ahead from the discovery service.
@@ -29,7 +30,7 @@
     }
 
     fn key(&self) -> u64 {
-        WATCH | u64::from(self.serial)
+        PollKey::Watch(self.serial).encode()
     }
 }
 
