--- a/gateway/src/front/mod.rs
+++ b/gateway/src/front/mod.rs
@@ -49,7 +49,7 @@
     pub fn name(&self) -> &'static str {
         match self {
             FinalAnswer::Served(_) => "served",
-            FinalAnswer::Rejected(_) => "refused",
+            FinalAnswer::Rejected(_) => "rejected",
             FinalAnswer::Failed(_) => "failed",
             FinalAnswer::Cancelled => "cancelled",
         }
--- a/gateway/src/net/clients/requests.rs
+++ b/gateway/src/net/clients/requests.rs
@@ -88,7 +88,7 @@
             key = fields.order_key.as_deref(),
             retry = fields.retry,
             now_us = self.time.now_us,
-            "taken"
+            "request admitted"
         );
         self.sessions.memory.reserve(MemoryPurpose::Requests, request.bytes());
         self.requests.insert(id, request);
@@ -121,7 +121,7 @@
     /// The client of an open request waits no longer.
     pub(super) fn client_left(&mut self, id: RequestId) {
         if let Some(request) = self.close_request(id) {
-            tracing::debug!(query_id = request.query_id, now_us = self.time.now_us, "left");
+            tracing::debug!(query_id = request.query_id, now_us = self.time.now_us, "client left");
             self.counters.left += 1;
             self.inputs.push(Input::ClientLeft(id));
         }
@@ -146,8 +146,8 @@
         tracing::debug!(
             query_id = request.query_id,
             now_us = self.time.now_us,
-            how = answer.name(),
-            "answered"
+            outcome = answer.name(),
+            "request answered"
         );
         let (counter, end) = match answer {
             FinalAnswer::Served(Payload::MySql(ResultSet::StatementError(_))) => {
--- a/gateway/tests/configuration.rs
+++ b/gateway/tests/configuration.rs
@@ -24,7 +24,7 @@
 fn ask(gateway: &Gateway, n: u64, class: &str, more: &str) -> pg::Client {
     let mut client = pg::Client::connect(gateway.pg);
     client.send(&query(n, class, more));
-    gateway.logged(&format!("taken query_id=\"{}\"", id(n)));
+    gateway.logged(&format!("request admitted query_id=\"{}\"", id(n)));
     client
 }
 
@@ -196,7 +196,7 @@
     assert_eq!(wire.call().query_id(), id(1));
     wire.row(&id(1));
     is_served(&mut client, 1);
-    gateway.logged(&format!("answered query_id=\"{}\"", id(1)));
+    gateway.logged(&format!("request answered query_id=\"{}\"", id(1)));
     assert_eq!(gateway.log().matches("connection opened engine=").count(), 1, "none was given up");
 }
 
@@ -213,7 +213,7 @@
     is_served(&mut client, 1);
     assert!(turned_down(&gateway, &query(2, "report", "")).contains("unknown class"));
     assert!(status(&gateway).contains("configuration.in_force=1\n"));
-    gateway.logged(&format!("answered query_id=\"{}\"", id(1)));
+    gateway.logged(&format!("request answered query_id=\"{}\"", id(1)));
     assert!(!gateway.log().contains("the settings have changed"), "what is in force is not the file's");
 }
 
--- a/gateway/tests/crossings.rs
+++ b/gateway/tests/crossings.rs
@@ -55,11 +55,11 @@
 }
 
 fn taken(gateway: &Gateway, n: u64) {
-    gateway.logged(&format!("taken query_id=\"{}\"", id(n)));
+    gateway.logged(&format!("request admitted query_id=\"{}\"", id(n)));
 }
 
 fn left(gateway: &Gateway, n: u64) {
-    gateway.logged(&format!("left query_id=\"{}\"", id(n)));
+    gateway.logged(&format!("client left query_id=\"{}\"", id(n)));
 }
 
 /// What ran at engines that run all.
@@ -377,7 +377,7 @@
     let n = served(&gateway, "load", 100);
     assert_eq!(*elsewhere.lock().unwrap(), [id(1), id(n)]);
     // The log is read as it comes; up to this line it is whole.
-    gateway.logged(&format!("answered query_id=\"{}\"", id(n)));
+    gateway.logged(&format!("request answered query_id=\"{}\"", id(n)));
     assert!(gateway.log().matches("attempt forwarded query_id=").count() == 2, "{}", gateway.log());
 }
 
--- a/gateway/tests/deployments/run.rs
+++ b/gateway/tests/deployments/run.rs
@@ -127,7 +127,7 @@
     fn wait_taken(&self, step: &Step) {
         let request = step.requests[0];
         let id = self.deployment.terms.requests[request].id.as_deref().unwrap_or_default();
-        let taken = format!("taken query_id=\"{id}\"");
+        let taken = format!("request admitted query_id=\"{id}\"");
         let began = Instant::now();
         while !self.log().contains(&taken) && !self.world.is_settled(request) && began.elapsed() < PATIENCE {
             thread::sleep(Duration::from_millis(5));
--- a/gateway/tests/order.rs
+++ b/gateway/tests/order.rs
@@ -32,7 +32,7 @@
 fn ask(gateway: &Gateway, n: u64, key: &str) -> pg::Client {
     let mut client = pg::Client::connect(gateway.pg);
     client.send(&load(n, key));
-    gateway.logged(&format!("taken query_id=\"{}\"", id(n)));
+    gateway.logged(&format!("request admitted query_id=\"{}\"", id(n)));
     client
 }
 
@@ -189,7 +189,7 @@
     let first = ask(&gateway, 1, "k1");
     let mut second = ask(&gateway, 2, "k1");
     drop(first);
-    gateway.logged(&format!("left query_id=\"{}\"", id(1)));
+    gateway.logged(&format!("client left query_id=\"{}\"", id(1)));
     watch.event(2, &engine.entry("Ready"));
     let mut wire = engine.accept();
     assert_eq!(wire.call().query_id(), id(2));
@@ -283,7 +283,7 @@
     let mut third = ask(&successor, 3, "k1");
     predecessor.logged("peer process claims the lease of a key");
     held.send(&load(4, "k1"));
-    predecessor.logged(&format!("taken query_id=\"{}\"", id(4)));
+    predecessor.logged(&format!("request admitted query_id=\"{}\"", id(4)));
     // A request of another key is forwarded at once, which shows that the successor has had its turns.
     let mut other = ask(&successor, 9, "k2");
     engines.next_start(&id(9)).row();
--- a/lab/src/classes.rs
+++ b/lab/src/classes.rs
@@ -23,7 +23,7 @@
 /// What was seen of one class.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Count {
-    /// Requests taken.
+    /// Requests admitted.
     pub taken: u64,
     /// Attempts sent, and those that were given up.
     pub attempts: u64,
@@ -37,9 +37,9 @@
     pub failed: u64,
     /// Refused while held, by the guard that kept it from most engines.
     pub guards: BTreeMap<String, u64>,
-    /// Seconds from taken to first sent, of those that were sent.
+    /// Seconds from admission to first sent, of those that were sent.
     pub held_s: f64,
-    /// Seconds from taken to answered, of those that were served.
+    /// Seconds from admission to answered, of those that were served.
     pub took_s: f64,
     /// How many were sent at least once.
     pub sent: u64,
@@ -68,7 +68,7 @@
 /// Counts one gateway's log.
 pub fn count(log: impl BufRead) -> std::io::Result<Seconds> {
     let mut seconds = Seconds::new();
-    // By query id: class, when it was taken, whether it was sent.
+    // By query id: class, when it was admitted, whether it was sent.
     let mut open: HashMap<String, (usize, f64, bool)> = HashMap::new();
     for line in log.lines() {
         let line = line?;
@@ -82,7 +82,7 @@
             continue;
         }
         let Some(query_id) = field(&line, "query_id") else { continue };
-        if line.contains(" taken ") {
+        if line.contains(" request admitted ") {
             let Some(class) = field(&line, "class").and_then(|c| c.parse().ok()) else { continue };
             open.insert(query_id.to_owned(), (class, now, false));
             seconds.entry((class, now as u64)).or_default().taken += 1;
@@ -98,13 +98,13 @@
             }
         } else if line.contains(" attempt cancelled ") {
             count.given_up += 1;
-        } else if line.contains(" answered ") {
-            match field(&line, "how") {
+        } else if line.contains(" request answered ") {
+            match field(&line, "outcome") {
                 Some("served") => {
                     count.served += 1;
                     count.took_s += now - *taken;
                 }
-                Some("refused") => count.refused += 1,
+                Some("rejected") => count.refused += 1,
                 _ => count.failed += 1,
             }
             // Its last attempt may still be given up behind the answer.
@@ -181,14 +181,14 @@
     use super::*;
 
     const LOG: &str = r#"0.000  INFO wrenhatch: serving name=n1
-0.054 DEBUG wrenhatch::net::clients: taken query_id="a1" request=1 class=0 wait_us=2087000 now_us=41676
+0.054 DEBUG wrenhatch::net::clients::requests: request admitted query_id="a1" request=1 class=0 wait_us=2087000 now_us=41676
 0.104 DEBUG wrenhatch::net::engines: attempt forwarded query_id="a1" attempt=0 engine=1 class=0 now_us=42104
 0.207 DEBUG wrenhatch::net::engines: attempt ended query_id="a1" attempt=0 engine=1 now_us=194537 outcome=Success
-0.254 DEBUG wrenhatch::net::clients: answered query_id="a1" now_us=194537 how="served"
-0.300 DEBUG wrenhatch::net::clients: taken query_id="b2" request=2 class=1 wait_us=13921000 now_us=300000
+0.254 DEBUG wrenhatch::net::clients::requests: request answered query_id="a1" now_us=194537 outcome="served"
+0.300 DEBUG wrenhatch::net::clients::requests: request admitted query_id="b2" request=2 class=1 wait_us=13921000 now_us=300000
 1.400 DEBUG workload_manager::decisions::explain: queued request shed request=2 class=1 why=concurrency_limit open=0 concurrency_limit=80 queued_seconds=1.10
-1.400 DEBUG wrenhatch::net::clients: answered query_id="b2" now_us=1400000 how="refused"
-1.500 DEBUG wrenhatch::net::clients: taken query_id="c3" request=3 class=1 wait_us=13921000 now_us=1500000
+1.400 DEBUG wrenhatch::net::clients::requests: request answered query_id="b2" now_us=1400000 outcome="rejected"
+1.500 DEBUG wrenhatch::net::clients::requests: request admitted query_id="c3" request=3 class=1 wait_us=13921000 now_us=1500000
 1.500 DEBUG wrenhatch::net::engines: attempt forwarded query_id="c3" attempt=0 engine=1 class=1 now_us=1500000
 1.700 DEBUG wrenhatch::net::engines: attempt cancelled query_id="c3" attempt=0 now_us=1700000
 1.800 DEBUG wrenhatch::net::engines: attempt forwarded query_id="c3" attempt=1 engine=2 class=1 now_us=1800000
--- a/lab/src/log.rs
+++ b/lab/src/log.rs
@@ -44,8 +44,8 @@
 
     #[test]
     fn lines_without_a_stamp_go_by_the_gateways_own_clock() {
-        assert_eq!(at("DEBUG wrenhatch: taken query_id=\"a\" now_us=2500000"), Some(2.5));
-        assert_eq!(at("[3.25] DEBUG wrenhatch: taken"), Some(3.25));
+        assert_eq!(at("DEBUG wrenhatch: request admitted query_id=\"a\" now_us=2500000"), Some(2.5));
+        assert_eq!(at("[3.25] DEBUG wrenhatch: request admitted"), Some(3.25));
         assert_eq!(at("no time"), None);
         assert_eq!(field("x query_id=\"a\" now_us=1", "now_us"), Some("1"));
         assert_eq!(field("x unclass=1", "class"), None);
