--- a/gateway/src/net/clients/requests.rs
+++ b/gateway/src/net/clients/requests.rs
@@ -18,7 +18,7 @@
     /// its verdict.
     pub(super) fn handle_request(&mut self, handle: Handle, request: ClientRequest) {
         let ClientRequest { mut fields, statement, run } = request;
-        let id_in_use = fields.id.as_ref().is_some_and(|id| self.requests.is_under_way(id));
+        let id_in_use = fields.id.as_ref().is_some_and(|id| self.requests.is_query_id_in_use(id));
         let query_id = fields.id.take().unwrap_or_else(|| self.sessions.new_query_id());
         let Some(session) = self.sessions.table.active_mut(handle) else { return };
         let Subject { class, tenant } = match admission::validate(&self.names, &fields, id_in_use) {
@@ -68,7 +68,7 @@
     /// Hands a request to the core. From here on its client is owed an answer.
     fn open_request(&mut self, request: Request, new_request: NewRequest, fields: &Fields, wait_us: u64) {
         let handle = request.client;
-        let id = self.requests.next();
+        let id = self.requests.next_id();
         let Some(session) = self.sessions.table.active_mut(handle) else { return };
         session.request_opened(id);
         // A session that is owed an answer is never evicted.
--- a/gateway/src/net/listeners.rs
+++ b/gateway/src/net/listeners.rs
@@ -1,4 +1,4 @@
-//! Listeners, and what is done where no descriptor is left for who knocks.
+//! The listeners of the front ends, and what is done where no descriptor is left for a client that connects.
 
 use std::fs::File;
 use std::io::{ErrorKind, Write};
@@ -12,12 +12,12 @@
 use super::{ServeError, Server, Timer};
 use crate::config::Config;
 
-/// Where descriptors have run out and nobody yields one, nobody is accepted for so long.
-const SHUT_US: u64 = 50_000;
+/// How long no client is accepted once the system has no descriptor left and no session can be evicted.
+const ACCEPT_PAUSE_US: u64 = 50_000;
 /// EMFILE and ENFILE on Linux: the process, or the machine, has no descriptor left.
 const OUT_OF_DESCRIPTORS: [i32; 2] = [24, 23];
 
-/// Which protocol a listener speaks.
+/// The protocol that clients of a listener speak.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FrontEnd {
     /// PostgreSQL.
@@ -39,11 +39,11 @@
 pub struct Listeners {
     pg: Option<TcpListener>,
     mysql: Option<TcpListener>,
-    /// A descriptor kept back, so that one who can't be held can be accepted and told so.
+    /// A descriptor kept in reserve, so that a client can be accepted and rejected when there is no other.
     spare: Option<File>,
-    /// They are not listened at for the moment.
-    shut: bool,
-    /// A newer process listens at them.
+    /// No client is accepted for the moment.
+    paused: bool,
+    /// The successor accepts clients.
     handed_over: bool,
 }
 
@@ -51,14 +51,17 @@
 const NOTHING: Interest = Interest { read: false, write: false };
 
 impl Listeners {
-    /// Listens where the configuration says, with what an older process has left where it is that.
-    pub fn open(config: &Config, poll: &Poll, left: Vec<TcpListener>) -> Result<Self, ServeError> {
+    /// Listens at the configured addresses, with the listeners inherited from the predecessor where it has these.
+    ///
+    /// # Errors
+    /// An address can't be listened at, or the poller refuses.
+    pub fn open(config: &Config, poll: &Poll, inherited: Vec<TcpListener>) -> Result<Self, ServeError> {
         let backlog = config.clients.backlog;
-        let mut left = left;
+        let mut inherited = inherited;
         let mut listen = |address, front: FrontEnd| -> Result<TcpListener, ServeError> {
-            let inherited = left.iter().position(|l| l.local_addr().is_ok_and(|a| a == address));
-            let listener = match inherited {
-                Some(at) => left.swap_remove(at),
+            let at = inherited.iter().position(|l| l.local_addr().is_ok_and(|a| a == address));
+            let listener = match at {
+                Some(at) => inherited.swap_remove(at),
                 None => listener(address, backlog, config.admin.is_some())
                     .map_err(|e| ServeError::Listen(address, e))?,
             };
@@ -69,7 +72,7 @@
             pg: Some(listen(config.listen, FrontEnd::PostgreSql)?),
             mysql: config.mysql.as_ref().map(|m| listen(m.listen, FrontEnd::MySql)).transpose()?,
             spare: File::open("/dev/null").ok(),
-            shut: false,
+            paused: false,
             handed_over: false,
         })
     }
@@ -81,12 +84,12 @@
         }
     }
 
-    /// Where a front listens.
+    /// Where a front end listens.
     pub fn address(&self, front: FrontEnd) -> Option<String> {
         Some(self.listener(front)?.local_addr().ok()?.to_string())
     }
 
-    /// Listens no more.
+    /// Closes the listeners.
     pub fn close(&mut self, poll: &Poll) {
         for listener in [self.pg.take(), self.mysql.take()].into_iter().flatten() {
             poll.remove(&listener);
@@ -94,11 +97,11 @@
     }
 
     fn set_interest(&mut self, poll: &Poll, interest: Interest) {
-        self.shut = interest == NOTHING;
+        self.paused = interest == NOTHING;
         for front in [FrontEnd::PostgreSql, FrontEnd::MySql] {
             let changed = self.listener(front).map(|l| poll.change(l, front.key(), interest, Trigger::Level));
             if let Some(Err(e)) = changed {
-                tracing::warn!("a listener: {e}");
+                tracing::warn!("a listener could not be paused or resumed: {e}");
             }
         }
     }
@@ -113,48 +116,47 @@
         self.pg.as_ref()?.local_addr().ok()
     }
 
-    /// A newer process accepts from the same queues: nobody is accepted here.
+    /// The successor accepts from the same queues: no client is accepted here.
     pub fn hand_over(&mut self, poll: &Poll) {
         self.handed_over = true;
         self.set_interest(poll, NOTHING);
     }
 
-    /// Whether a newer process accepts from these queues.
+    /// Whether the successor accepts from these queues.
     pub fn is_handed_over(&self) -> bool {
         self.handed_over
     }
 
-    /// The newer process has ended.
+    /// The successor has ended.
     pub fn take_back(&mut self, poll: &Poll) {
         self.handed_over = false;
         self.resume(poll);
     }
 
-    /// Listens again.
+    /// Accepts clients again after a pause.
     pub fn resume(&mut self, poll: &Poll) {
-        if self.shut && !self.handed_over {
+        if self.paused && !self.handed_over {
             self.set_interest(poll, ACCEPTS);
         }
     }
 
-    /// Accepts one connection with the descriptor kept back, tells it that there is no place, and closes it.
-    /// False if not even that can be done.
-    fn turn_one_away(&mut self, front: FrontEnd, word: &[u8]) -> bool {
+    /// Accepts one connection with the spare descriptor, writes an error, and closes it. False if that can't be done.
+    fn reject_one(&mut self, front: FrontEnd, error: &[u8]) -> bool {
         if self.spare.take().is_none() {
             return false;
         }
-        let told = match self.listener(front).map(TcpListener::accept) {
+        let rejected = match self.listener(front).map(TcpListener::accept) {
             Some(Ok((mut stream, _))) => {
-                // Its buffer is empty, so this never waits; and a client that is gone needs no word.
+                // Its buffer is empty, so this never waits; and a client that is gone needs no error.
                 let _ = stream.set_nonblocking(true);
-                let _ = stream.write(word);
+                let _ = stream.write(error);
                 let _ = stream.shutdown(Shutdown::Write);
                 true
             }
             _ => false,
         };
         self.spare = File::open("/dev/null").ok();
-        told
+        rejected
     }
 }
 
@@ -163,7 +165,10 @@
     e.raw_os_error().is_some_and(|code| OUT_OF_DESCRIPTORS.contains(&code))
 }
 
-/// Listens. A shared address may be listened at by another process too.
+/// A listener at an address. Where that is shared, another process may listen at it too.
+///
+/// # Errors
+/// The system refuses.
 pub fn listener(address: SocketAddr, backlog: u32, shared: bool) -> std::io::Result<TcpListener> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
     socket.set_reuse_address(true)?;
@@ -175,7 +180,8 @@
 }
 
 impl Server {
-    /// Accepts as many as the turn can carry; the rest is told of again at the next. False once nobody knocks.
+    /// Accepts as many connections as the turn can carry; for the rest the poller has another event. False once none
+    /// waits any more.
     pub(super) fn accept(&mut self, front: FrontEnd) -> bool {
         for _ in 0..self.sessions.scheduler.accepts() {
             let Some(listener) = self.listeners.listener(front) else { return false };
@@ -185,7 +191,7 @@
                     self.accept_client(stream, from, front);
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return false,
-                // It was there and has gone again, as after a reset: the next one may be well.
+                // The connection was reset before it was accepted; the next one may be there.
                 Err(e) if matches!(e.kind(), ErrorKind::Interrupted | ErrorKind::ConnectionAborted) => {}
                 Err(e) if is_out_of_descriptors(&e) => {
                     if !self.find_descriptor(front) {
@@ -201,25 +207,28 @@
         true
     }
 
-    /// No descriptor is left, whatever the budget says. Whoever yields its place gives one; else the one who
-    /// knocks is turned away with the spare one; else the listeners pause for a moment, or the loop would spin.
+    /// The system has no descriptor left, whatever the budget says. An evicted session gives one; else the client is
+    /// rejected over the spare one; else the listeners pause, as the loop would spin.
     fn find_descriptor(&mut self, front: FrontEnd) -> bool {
         if self.evict_one() {
             return true;
         }
-        if self.listeners.turn_one_away(front, &super::sessions::too_many_clients(front)) {
+        if self.listeners.reject_one(front, &super::sessions::too_many_clients(front)) {
             self.counters.turned_away += 1;
             return true;
         }
-        tracing::warn!("no descriptor is left: nobody is accepted for a moment");
+        tracing::warn!("no descriptor is left: no client is accepted for a moment");
         self.listeners.set_interest(&self.poll, NOTHING);
-        self.timers.arm(self.time.now_us + SHUT_US, Timer::Listeners);
+        self.timers.arm(self.time.now_us + ACCEPT_PAUSE_US, Timer::Listeners);
         false
     }
 }
 
-/// A connection whose other end may vanish without a word is asked for from time to time, where the operator
-/// wants that.
+/// Has the system probe an idle connection, where the operator configures that: its other end may vanish without a
+/// reset.
+///
+/// # Errors
+/// The system refuses.
 pub fn keep_alive(stream: &TcpStream, config: &Config) -> std::io::Result<()> {
     let Some(k) = &config.clients.keepalive else { return Ok(()) };
     let probing =
--- a/gateway/src/net/listeners/tests.rs
+++ b/gateway/src/net/listeners/tests.rs
@@ -3,7 +3,7 @@
 use crate::json::JsonField;
 
 #[test]
-fn ends_that_vanish_without_a_word_are_asked_for_where_the_operator_wants_that() {
+fn idle_connections_are_probed_where_the_operator_configures_that() {
     let text = include_str!("../../../tests/common/config.json").replace("LIST", "");
     let mut config = config::read(&JsonField::root(&text.parse().unwrap(), "config")).unwrap();
     let listener = listener(([127, 0, 0, 1], 0).into(), 8, false).unwrap();
--- a/gateway/src/net/requests/tests.rs
+++ b/gateway/src/net/requests/tests.rs
@@ -1,13 +1,15 @@
 use super::*;
 
 #[test]
-fn an_id_is_under_way_until_the_last_that_goes_by_it_has_ended() {
+fn a_query_id_is_in_use_until_the_last_that_uses_it_has_ended() {
     let mut requests = Requests::default();
     requests.retain_query_id("00000000000000aB");
     requests.retain_query_id("00000000000000ab");
     requests.release_query_id("00000000000000AB");
-    assert!(requests.is_under_way("00000000000000Ab") && !requests.is_under_way("00000000000000ac"));
+    assert!(
+        requests.is_query_id_in_use("00000000000000Ab") && !requests.is_query_id_in_use("00000000000000ac")
+    );
     requests.release_query_id("00000000000000ab");
     requests.release_query_id("00000000000000ab");
-    assert!(!requests.is_under_way("00000000000000ab"));
+    assert!(!requests.is_query_id_in_use("00000000000000ab"));
 }
