--- a/gateway/src/net/requests.rs
+++ b/gateway/src/net/requests.rs
@@ -19,8 +19,8 @@
     pub query_id: String,
     pub class: ClassId,
     pub statement: Vec<u8>,
-    /// The client's idempotency key.
-    pub token: Option<String>,
+    /// The client's idempotency key, by which engines know a repeat of the same work.
+    pub idempotency_key: Option<String>,
     pub run: ExecutionMode,
 }
 
@@ -33,9 +33,9 @@
             }
             ExecutionMode::Simple | ExecutionMode::Query => 0,
         };
-        // An attempt has a copy of statement and token until it is written.
-        let token = self.token.as_ref().map_or(0, String::len);
-        size_of::<Self>() + self.query_id.len() + 2 * token + 2 * self.statement.len() + params
+        // An attempt has a copy of statement and key until it is written.
+        let key_bytes = self.idempotency_key.as_ref().map_or(0, String::len);
+        size_of::<Self>() + self.query_id.len() + 2 * key_bytes + 2 * self.statement.len() + params
     }
 }
 
