--- a/gateway/src/net/clients/requests.rs
+++ b/gateway/src/net/clients/requests.rs
@@ -19,7 +19,7 @@
     /// its verdict.
     pub(super) fn handle_request(&mut self, handle: Handle, request: ClientRequest) {
         let ClientRequest { mut fields, statement, run } = request;
-        let id_in_use = fields.id.as_ref().is_some_and(|id| self.requests.is_under_way(id));
+        let id_in_use = fields.id.as_ref().is_some_and(|id| self.requests.is_query_id_in_use(id));
         let query_id = fields.id.take().unwrap_or_else(|| self.sessions.new_query_id());
         let Some(session) = self.sessions.table.active_mut(handle) else { return };
         let Subject { class, tenant } = match admission::validate(&self.names, &fields, id_in_use) {
@@ -75,7 +75,7 @@
         wait_us: u64,
     ) {
         let handle = request.client;
-        let id = self.requests.next();
+        let id = self.requests.next_id();
         let Some(session) = self.sessions.table.active_mut(handle) else { return };
         session.request_opened(id);
         // A session that is owed an answer is never evicted.
@@ -95,7 +95,7 @@
             key = fields.order_key.as_deref(),
             retry = fields.is_retry,
             now_us = self.time.now_us,
-            "taken"
+            "request admitted"
         );
         self.sessions.memory.reserve(MemoryPurpose::Requests, request.bytes());
         self.requests.insert(id, request);
@@ -128,7 +128,7 @@
     /// The client of an open request waits no longer.
     pub(super) fn client_left(&mut self, id: RequestId) {
         if let Some(request) = self.close_request(id) {
-            tracing::debug!(query_id = request.query_id, now_us = self.time.now_us, "left");
+            tracing::debug!(query_id = request.query_id, now_us = self.time.now_us, "client left");
             self.counters.left += 1;
             self.inputs.push(Input::ClientLeft(id));
         }
@@ -153,8 +153,8 @@
         tracing::debug!(
             query_id = request.query_id,
             now_us = self.time.now_us,
-            how = answer.name(),
-            "answered"
+            outcome = answer.name(),
+            "request answered"
         );
         let (counter, end) = match answer {
             FinalAnswer::Served(Payload::MySql(ResultSet::StatementError(_))) => {
--- a/gateway/tests/common/requests.rs
+++ b/gateway/tests/common/requests.rs
@@ -9,17 +9,17 @@
 
 /// Waits until the gateway has taken request `n`.
 pub fn wait_taken(gateway: &Gateway, n: u64) {
-    gateway.logged(&format!("taken query_id=\"{}\"", id(n)));
+    gateway.logged(&format!("request admitted query_id=\"{}\"", id(n)));
 }
 
 /// Waits until the gateway has noticed that the client of request `n` left.
 pub fn wait_left(gateway: &Gateway, n: u64) {
-    gateway.logged(&format!("left query_id=\"{}\"", id(n)));
+    gateway.logged(&format!("client left query_id=\"{}\"", id(n)));
 }
 
 /// Waits until the gateway has answered request `n`.
 pub fn wait_answered(gateway: &Gateway, n: u64) {
-    gateway.logged(&format!("answered query_id=\"{}\"", id(n)));
+    gateway.logged(&format!("request answered query_id=\"{}\"", id(n)));
 }
 
 /// The answer of a scripted engine to request `n`: one row with its id.
--- a/lab/src/classes.rs
+++ b/lab/src/classes.rs
@@ -26,7 +26,7 @@
 /// What was seen of one class.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Count {
-    /// Requests taken.
+    /// Requests admitted.
     pub taken: u64,
     /// Attempts sent, and those that were given up.
     pub attempts: u64,
@@ -40,9 +40,9 @@
     pub failed: u64,
     /// Refused while held, by the guard that kept it from most engines.
     pub guards: BTreeMap<String, u64>,
-    /// Seconds from taken to first sent, of those that were sent.
+    /// Seconds from admission to first sent, of those that were sent.
     pub held_s: f64,
-    /// Seconds from taken to answered, of those that were served.
+    /// Seconds from admission to answered, of those that were served.
     pub took_s: f64,
     /// How many were sent at least once.
     pub sent: u64,
@@ -71,7 +71,7 @@
 /// Counts one gateway's log.
 pub fn count(log: impl BufRead) -> std::io::Result<Seconds> {
     let mut seconds = Seconds::new();
-    // By query id: class, when it was taken, whether it was sent.
+    // By query id: class, when it was admitted, whether it was sent.
     let mut open: HashMap<String, (usize, f64, bool)> = HashMap::new();
     for line in log.lines() {
         let line = line?;
@@ -85,7 +85,7 @@
             continue;
         }
         let Some(query_id) = field(&line, "query_id") else { continue };
-        if line.contains(" taken ") {
+        if line.contains(" request admitted ") {
             let Some(class) = field(&line, "class").and_then(|c| c.parse().ok()) else { continue };
             open.insert(query_id.to_owned(), (class, now, false));
             seconds.entry((class, now as u64)).or_default().taken += 1;
@@ -101,13 +101,13 @@
             }
         } else if line.contains(" attempt cancelled ") {
             count.given_up += 1;
-        } else if line.contains(" answered ") {
-            match field(&line, "how") {
+        } else if line.contains(" request answered ") {
+            match field(&line, "outcome") {
                 Some("served") => {
                     count.served += 1;
                     count.took_s += now - *taken;
                 }
-                Some("refused") => count.refused += 1,
+                Some("rejected") => count.refused += 1,
                 _ => count.failed += 1,
             }
             // Its last attempt may still be given up behind the answer.
