--- /dev/null
+++ b/lab/src/configuration/fleet/mod.rs
@@ -0,0 +1,191 @@
+//! A fleet of gateways and control machines in simulated time. [`Fleet`] owns the clock, the queue of events and all
+//! state, and hands each event to the module of the side at which it happens: `gateways`, `control_machines`.
+//! `transmission` delays what is sent, `faults` is called by scenarios, `measure` keeps what is measured.
+//!
+//! Events of the same microsecond happen in the order in which they were scheduled; random numbers are drawn in the
+//! order of events. So a run is the same each time for the same seed.
+
+mod control_machines;
+mod event;
+mod faults;
+mod gateways;
+mod measure;
+mod transmission;
+
+use std::cmp::Reverse;
+use std::collections::{BTreeMap, BinaryHeap, HashMap};
+
+use hdrhistogram::Histogram;
+use wrenhatch_configuration::{Document, GatewayId, Pacing, Publisher, Subscriber, Version};
+
+use super::network::Network;
+use super::random::Random;
+use super::{MACHINES, SECOND_US};
+use crate::spread::histogram;
+use control_machines::{ControlMachine, MERGE_INTERVAL_US};
+use event::{Event, StreamId};
+use gateways::Gateway;
+pub use measure::SimulationResult;
+use measure::{AwaitedVersion, Traffic};
+
+/// A simulated fleet.
+pub struct Fleet {
+    now_us: u64,
+    events: BinaryHeap<Reverse<(u64, u64)>>,
+    contents: HashMap<u64, Event>,
+    scheduled: u64,
+    streams: StreamId,
+    gateways: Vec<Gateway>,
+    machines: Vec<ControlMachine>,
+    /// The network between all; gateways and machines are spread evenly over its zones.
+    pub network: Network,
+    /// For faults.
+    pub random: Random,
+    published: BTreeMap<Version, Document>,
+    awaited: Vec<AwaitedVersion>,
+    gateway_traffic: Vec<Traffic>,
+    machine_traffic: Vec<Traffic>,
+    gateway_delays_us: Histogram<u64>,
+    fleet_delays_us: Histogram<u64>,
+    refused: u64,
+    /// A gateway starts again with this chance, of a thousand, when it has checked a version and before it is in force.
+    pub restarts_while_applying_per_mille: u64,
+}
+
+impl Fleet {
+    /// A fleet whose gateways start at any time in the first second, without a version.
+    pub fn new(gateways: usize, seed: u64) -> Self {
+        let machine = |_| ControlMachine {
+            publisher: Some(Publisher::new(Pacing::default())),
+            streams: HashMap::new(),
+            is_cut: false,
+            turn_at_us: u64::MAX,
+        };
+        let mut fleet = Self {
+            now_us: 0,
+            events: BinaryHeap::new(),
+            contents: HashMap::new(),
+            scheduled: 0,
+            streams: 0,
+            gateways: Vec::new(),
+            machines: (0..MACHINES).map(machine).collect(),
+            network: Network::new(seed),
+            random: Random::new(seed ^ 0xfa17),
+            published: BTreeMap::new(),
+            awaited: Vec::new(),
+            gateway_traffic: (0..gateways).map(|_| Traffic::default()).collect(),
+            machine_traffic: (0..MACHINES).map(|_| Traffic::default()).collect(),
+            gateway_delays_us: histogram(),
+            fleet_delays_us: histogram(),
+            refused: 0,
+            restarts_while_applying_per_mille: 0,
+        };
+        for number in 0..gateways {
+            fleet.add_gateway(number);
+        }
+        fleet.schedule_at(MERGE_INTERVAL_US, Event::VersionExchange);
+        fleet
+    }
+
+    fn add_gateway(&mut self, number: usize) {
+        let seed = self.random.next();
+        self.gateways.push(Gateway {
+            id: GatewayId(format!("gateway-{number:04}")),
+            subscriber: Subscriber::new(MACHINES, seed, Version::NONE, Document::default()),
+            incarnation: 0,
+            stream: None,
+            is_connecting: false,
+            report: None,
+            is_cut: false,
+            is_up: true,
+            last_arrival_us: 0,
+        });
+        let starts_us = self.random.below(SECOND_US);
+        self.schedule_at(starts_us, Event::GatewayCheck { gateway: number });
+    }
+
+    /// Handles all events of the next `duration_us` microseconds.
+    pub fn run_for(&mut self, duration_us: u64) {
+        let until_us = self.now_us + duration_us;
+        while let Some(Reverse((at_us, number))) = self.events.peek().copied() {
+            if at_us > until_us {
+                break;
+            }
+            self.events.pop();
+            self.now_us = at_us;
+            if let Some(event) = self.contents.remove(&number) {
+                self.dispatch(event);
+            }
+        }
+        self.now_us = until_us;
+    }
+
+    /// An operator sends a version to all machines, from the place of the first.
+    pub fn publish(&mut self, version: Version, document: &Document) {
+        self.published.insert(version, document.clone());
+        for machine in 0..MACHINES {
+            let delay_us = self.network.one_way_us(0, machine);
+            self.schedule_after(
+                delay_us,
+                Event::VersionPublished { machine, version, document: document.clone() },
+            );
+        }
+    }
+
+    /// How many gateways a machine has.
+    pub fn streams_of(&self, machine: usize) -> usize {
+        let is_there = |gateway: &&Gateway| gateway.stream.is_some_and(|(at, _)| at == machine);
+        self.gateways.iter().filter(is_there).count()
+    }
+
+    fn schedule_at(&mut self, at_us: u64, event: Event) {
+        self.scheduled += 1;
+        self.events.push(Reverse((at_us, self.scheduled)));
+        self.contents.insert(self.scheduled, event);
+    }
+
+    fn schedule_after(&mut self, delay_us: u64, event: Event) {
+        self.schedule_at(self.now_us + delay_us, event);
+    }
+
+    fn dispatch(&mut self, event: Event) {
+        match event {
+            Event::StreamOpened { gateway, machine, stream } => {
+                self.on_stream_opened(gateway, machine, stream)
+            }
+            Event::ConnectFailed { gateway, stream } => self.on_connect_failed(gateway, stream),
+            Event::MessageArrived { gateway, machine, stream, text } => {
+                if self.is_reachable(gateway, machine) {
+                    self.on_message(gateway, machine, stream, &text);
+                }
+            }
+            Event::GatewayStarted { gateway, incarnation } => self.on_gateway_started(gateway, incarnation),
+            Event::VersionApplied { gateway, incarnation, version, is_good } => {
+                self.on_applied(gateway, incarnation, version, is_good);
+            }
+            Event::ReportArrived { gateway, machine, report } => {
+                if self.is_reachable(gateway, machine) {
+                    self.on_report_arrived(gateway, machine, report);
+                }
+            }
+            Event::ReportAcknowledged { gateway, report } => {
+                let gateway = &mut self.gateways[gateway];
+                gateway.report.take_if(|(sent, _)| *sent == report);
+            }
+            Event::StreamReset { gateway, stream } => {
+                if self.gateways[gateway].stream.is_some_and(|(_, open)| open == stream) {
+                    self.disconnect(gateway, false);
+                }
+            }
+            Event::ControlMachineTurn { machine } => self.on_control_machine_turn(machine),
+            Event::GatewayCheck { gateway } => self.on_gateway_check(gateway),
+            Event::VersionExchange => self.on_version_exchange(),
+            Event::VersionReceived { machine, version, document } => {
+                self.on_version_received(machine, version, document)
+            }
+            Event::VersionPublished { machine, version, document } => {
+                self.on_version_published(machine, version, document)
+            }
+        }
+    }
+}
--- a/lab/src/configuration/mod.rs
+++ b/lab/src/configuration/mod.rs
@@ -62,7 +62,7 @@
     output: Output,
 }
 
-/// Plays all scenarios on all fleets, measures the costs, and prints both.
+/// Simulates all scenarios on all fleets, measures the costs, and prints both.
 pub fn run(options: &Options) -> anyhow::Result<()> {
     let size = settings::Size { classes: options.classes, tenants: options.tenants };
     // First, while nothing was freed that could be used again.
@@ -71,9 +71,9 @@
         figures.costs.push(cost::measure(size, *gateways)?);
         for scenario in Scenario::ALL {
             let times = if scenario == Scenario::Ordinary { 1 } else { options.repeats };
-            let plays = (options.seed..).take(times as usize);
-            let plays = plays.map(|seed| scenario.play(*gateways, size, seed, options.changes));
-            figures.rows.push(report::Row::new(scenario, *gateways, plays));
+            let seeds = (options.seed..).take(times as usize);
+            let runs = seeds.map(|seed| scenario.simulate(*gateways, size, seed, options.changes));
+            figures.rows.push(report::Row::new(scenario, *gateways, runs));
         }
     }
     print!("{figures}");
--- a/lab/src/configuration/report.rs
+++ b/lab/src/configuration/report.rs
@@ -1,11 +1,11 @@
-//! The figures of all plays, as a table and as JSON.
+//! The figures of all runs, as a table and as JSON.
 
 use std::fmt;
 
 use serde::Serialize;
 
 use super::cost::{Cost, Memory};
-use super::fleet::Play;
+use super::fleet::SimulationResult;
 use super::scenario::Scenario;
 use super::settings::Size;
 use super::{LIMIT_BYTES_PER_S, LIMIT_CORE_PERCENT, LIMIT_MEMORY_BYTES, LIMIT_MS, MACHINES};
@@ -30,7 +30,7 @@
     pub costs: Vec<Cost>,
 }
 
-/// A scenario on a fleet, all its plays together.
+/// A scenario on a fleet, over all its runs.
 #[derive(Debug, Serialize)]
 pub struct Row {
     scenario: Scenario,
@@ -44,7 +44,7 @@
     /// Versions that not all gateways had a minute later.
     pub missed: u64,
     refused: u64,
-    /// Of the gateway with the most, in the mean of a play; in the worst play.
+    /// Of the gateway with the most, in the mean of a play; in the worst run.
     pub gateway_bytes_per_s: f64,
     gateway_peak_bytes: u64,
     /// Of the machine with the most, as above.
@@ -53,8 +53,8 @@
 }
 
 impl Row {
-    /// Adds plays up.
-    pub fn new(scenario: Scenario, gateways: usize, plays: impl Iterator<Item = Play>) -> Self {
+    /// Sums up the runs.
+    pub fn new(scenario: Scenario, gateways: usize, runs: impl Iterator<Item = SimulationResult>) -> Self {
         let (mut each, mut all) = (histogram(), histogram());
         let mut row = Self {
             scenario,
@@ -69,17 +69,17 @@
             machine_bytes_per_s: 0.0,
             machine_peak_bytes: 0,
         };
-        for play in plays {
+        for run in runs {
             // All histograms have the same bounds.
-            let _ = each.add(&play.each);
-            let _ = all.add(&play.all);
+            let _ = each.add(&run.gateway_delays_us);
+            let _ = all.add(&run.fleet_delays_us);
             row.plays += 1;
-            row.missed += play.missed;
-            row.refused += play.refused;
-            row.gateway_bytes_per_s = row.gateway_bytes_per_s.max(play.gateway_bytes_per_s);
-            row.gateway_peak_bytes = row.gateway_peak_bytes.max(play.gateway_peak_bytes);
-            row.machine_bytes_per_s = row.machine_bytes_per_s.max(play.machine_bytes_per_s);
-            row.machine_peak_bytes = row.machine_peak_bytes.max(play.machine_peak_bytes);
+            row.missed += run.missed;
+            row.refused += run.refused;
+            row.gateway_bytes_per_s = row.gateway_bytes_per_s.max(run.gateway_bytes_per_s);
+            row.gateway_peak_bytes = row.gateway_peak_bytes.max(run.gateway_peak_bytes);
+            row.machine_bytes_per_s = row.machine_bytes_per_s.max(run.machine_bytes_per_s);
+            row.machine_peak_bytes = row.machine_peak_bytes.max(run.machine_peak_bytes);
         }
         (row.each, row.all) = (Spread::from(&each), Spread::from(&all));
         row
--- a/lab/src/configuration/scenario.rs
+++ b/lab/src/configuration/scenario.rs
@@ -1,9 +1,9 @@
-//! What is played: ordinary days, and faults at the worst moment, when a version has got to some gateways and not to
+//! What is simulated: ordinary days, and faults at the worst moment, when a version has got to some gateways and not to
 //! others.
 
 use serde::Serialize;
 
-use super::fleet::{Fleet, Play};
+use super::fleet::{Fleet, SimulationResult};
 use super::network::Tampering;
 use super::random::Random;
 use super::settings::{Author, Size};
@@ -12,13 +12,13 @@
 /// All gateways are there and have the first version by then.
 const WARM_UP_US: u64 = 20 * SECOND_US;
 
-/// Versions before the one that is watched.
+/// Versions before the one that is measured.
 const VERSIONS_BEFORE: usize = 12;
 
 /// A fault comes so long after publication: some gateways have the version, some have not.
 const WORST_MOMENT_US: u64 = 30_000;
 
-/// How long a play goes on after its fault.
+/// How long a run goes on after its fault.
 const AFTERWARDS_US: u64 = 60 * SECOND_US;
 
 /// How long gateways are cut off.
@@ -43,7 +43,7 @@
 /// One of these restarts while it applies.
 const RESTARTS_WHILE_APPLYING_PER_MILLE: u64 = 333;
 
-/// What is played.
+/// What is simulated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Scenario {
@@ -53,9 +53,9 @@
     Burst,
     /// A machine's process ends, and comes back after 5 s with a version that is ten older.
     MachineLost,
-    /// A machine can't be reached any more, and nobody is told.
+    /// A machine can't be reached any more, without notice to its peers.
     MachineSilent,
-    /// Three of seven machines can't be reached any more, and nobody is told.
+    /// Three of seven machines can't be reached any more, without notice to their peers.
     ThreeMachinesSilent,
     /// Half of all gateways are cut off for a minute; counted from the end of it.
     Partition,
@@ -84,47 +84,48 @@
         Self::BadBetween,
     ];
 
-    /// Plays it once.
-    pub fn play(self, gateways: usize, size: Size, seed: u64, changes: u64) -> Play {
-        let mut stage = Stage::new(gateways, size, seed);
+    /// Simulates it once.
+    pub fn simulate(self, gateways: usize, size: Size, seed: u64, changes: u64) -> SimulationResult {
+        let mut simulation = Simulation::new(gateways, size, seed);
         match self {
-            Self::Ordinary => stage.ordinary(seed, changes),
-            Self::Burst => stage.burst(),
-            Self::MachineLost => stage.machine_lost(),
-            Self::MachineSilent => stage.machines_silent(1),
-            Self::ThreeMachinesSilent => stage.machines_silent(3),
-            Self::Partition => stage.partition(),
-            Self::AllRestart => stage.all_restart(),
+            Self::Ordinary => simulation.ordinary(seed, changes),
+            Self::Burst => simulation.burst(),
+            Self::MachineLost => simulation.machine_lost(),
+            Self::MachineSilent => simulation.machines_silent(1),
+            Self::ThreeMachinesSilent => simulation.machines_silent(3),
+            Self::Partition => simulation.partition(),
+            Self::AllRestart => simulation.all_restart(),
             Self::RestartWhileApplying => {
-                stage.fleet.restarts_while_applying_per_mille = RESTARTS_WHILE_APPLYING_PER_MILLE;
-                stage.watched();
+                simulation.fleet.restarts_while_applying_per_mille = RESTARTS_WHILE_APPLYING_PER_MILLE;
+                simulation.publish_awaited();
             }
-            Self::Tampered => stage.tampered(),
-            Self::BadBetween => stage.bad_between(),
+            Self::Tampered => simulation.tampered(),
+            Self::BadBetween => simulation.bad_between(),
         }
         if self != Self::Ordinary {
-            stage.fleet.run_for(AFTERWARDS_US);
+            simulation.fleet.run_for(AFTERWARDS_US);
         }
-        stage.fleet.finish()
+        simulation.fleet.finish()
     }
 }
 
-/// A fleet, and who publishes.
-struct Stage {
+/// A fleet and the operator that publishes versions.
+struct Simulation {
     fleet: Fleet,
     author: Author,
     gateways: usize,
 }
 
-impl Stage {
+impl Simulation {
     /// All gateways have a version that was not the first.
     fn new(gateways: usize, size: Size, seed: u64) -> Self {
-        let mut stage = Self { fleet: Fleet::new(gateways, seed), author: Author::new(size, seed), gateways };
+        let mut simulation =
+            Self { fleet: Fleet::new(gateways, seed), author: Author::new(size, seed), gateways };
         for _ in 0..VERSIONS_BEFORE {
-            stage.publish();
+            simulation.publish();
         }
-        stage.fleet.run_for(WARM_UP_US);
-        stage
+        simulation.fleet.run_for(WARM_UP_US);
+        simulation
     }
 
     fn publish(&mut self) {
@@ -132,8 +133,8 @@
         self.fleet.publish(version, &document);
     }
 
-    /// Publishes a version whose way to all gateways is watched.
-    fn watched(&mut self) {
+    /// Publishes a version and measures how it spreads.
+    fn publish_awaited(&mut self) {
         let (version, document) = self.author.next();
         self.fleet.publish(version, &document);
         self.fleet.await_version(version);
@@ -143,7 +144,7 @@
         let mut random = Random::new(seed);
         let mean_us = (24 * 3_600 * SECOND_US / CHANGES_PER_DAY) as f64;
         for _ in 0..changes {
-            self.watched();
+            self.publish_awaited();
             self.fleet.run_for(random.exponential(mean_us) as u64);
         }
         self.fleet.run_for(mean_us as u64);
@@ -154,7 +155,7 @@
             self.publish();
             self.fleet.run_for(BURST_GAP_US);
         }
-        self.watched();
+        self.publish_awaited();
     }
 
     /// The machine with the most gateways.
@@ -166,7 +167,7 @@
 
     fn machine_lost(&mut self) {
         let machine = self.busiest(0);
-        self.watched();
+        self.publish_awaited();
         self.fleet.run_for(WORST_MOMENT_US);
         self.fleet.lose_machine(machine);
         self.fleet.run_for(MACHINE_GONE_US);
@@ -175,7 +176,7 @@
 
     fn machines_silent(&mut self, count: usize) {
         let machines: Vec<usize> = (0..count).map(|rank| self.busiest(rank)).collect();
-        self.watched();
+        self.publish_awaited();
         self.fleet.run_for(WORST_MOMENT_US);
         machines.into_iter().for_each(|machine| self.fleet.cut_machine(machine));
     }
@@ -194,7 +195,7 @@
     }
 
     fn all_restart(&mut self) {
-        self.watched();
+        self.publish_awaited();
         self.fleet.run_for(WORST_MOMENT_US);
         for gateway in 0..self.gateways {
             let pause_us = self.fleet.random.below(SECOND_US);
@@ -208,13 +209,13 @@
             doubled_per_mille: TAMPERED_PER_MILLE,
             late_per_mille: TAMPERED_PER_MILLE,
         };
-        self.watched();
+        self.publish_awaited();
     }
 
     fn bad_between(&mut self) {
         let (version, document) = self.author.next_bad();
         self.fleet.publish(version, &document);
         self.fleet.run_for(BAD_FOR_US);
-        self.watched();
+        self.publish_awaited();
     }
 }
--- a/lab/src/configuration/tests.rs
+++ b/lab/src/configuration/tests.rs
@@ -7,7 +7,7 @@
 const CHANGES: u64 = 5;
 
 fn row(scenario: Scenario, gateways: usize, seeds: std::ops::Range<u64>) -> Row {
-    Row::new(scenario, gateways, seeds.map(|seed| scenario.play(gateways, SIZE, seed, CHANGES)))
+    Row::new(scenario, gateways, seeds.map(|seed| scenario.simulate(gateways, SIZE, seed, CHANGES)))
 }
 
 #[test]
@@ -23,9 +23,9 @@
 }
 
 #[test]
-fn a_play_is_the_same_each_time() {
-    let play = || serde_json::to_string(&row(Scenario::Tampered, 20, 5..7)).unwrap();
-    assert_eq!(play(), play());
+fn a_run_is_the_same_each_time() {
+    let run = || serde_json::to_string(&row(Scenario::Tampered, 20, 5..7)).unwrap();
+    assert_eq!(run(), run());
 }
 
 #[test]
