--- a/lab/src/hollow/list.rs
+++ b/lab/src/hollow/list.rs
@@ -103,7 +103,7 @@
         self.last
     }
 
-    /// What a stream behind event `after` is told, each text with its event's number.
+    /// The events behind event `after` as a stream gets them: number and text of each.
     pub fn events(&self, after: u64) -> Vec<(u64, Arc<[u8]>)> {
         let oldest = self.kept.front().map_or(self.last + 1, |(number, _)| *number);
         if after == 0 || after + 1 < oldest && after < self.last {
--- a/lab/src/hollow/model/control.rs
+++ b/lab/src/hollow/model/control.rs
@@ -9,13 +9,13 @@
 use crate::hollow::load::Load;
 
 /// Time that a call takes until its stream has begun, in microseconds: an assumption.
-pub const CALL_US: u64 = 200;
+pub const CALL_COST_US: u64 = 200;
 /// Time that one write to one stream takes, in microseconds: an assumption.
-pub const WRITE_US: u64 = 10;
+pub const WRITE_COST_US: u64 = 10;
 /// Time that each 1,000 bytes of it take, in microseconds: an assumption.
-pub const KILOBYTE_US: u64 = 2;
+pub const KILOBYTE_COST_US: u64 = 2;
 /// A stream that takes no bytes for so long is closed, in microseconds: an assumption.
-pub const STALLED_US: u64 = 10_000_000;
+pub const STALL_TIMEOUT_US: u64 = 10_000_000;
 
 /// Whether a control machine can be reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -32,7 +32,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct ControlStream {
     /// The number of the last event that was written.
-    pub told: u64,
+    pub last_sent: u64,
     /// What was written while the network took nothing, oldest first.
     pub unsent: Vec<Arc<[u8]>>,
     /// Since when the network has taken nothing.
@@ -99,7 +99,7 @@
     /// A stream begins behind this event.
     pub fn accept(&mut self, now_us: u64, connection: ConnectionId, after: u64) {
         self.calls.add(now_us, 1);
-        self.streams.insert(connection, ControlStream { told: after, ..ControlStream::default() });
+        self.streams.insert(connection, ControlStream { last_sent: after, ..ControlStream::default() });
         self.most_streams = self.most_streams.max(self.streams.len());
     }
 
@@ -129,5 +129,5 @@
 
 /// What one write of so many bytes costs, in microseconds.
 pub fn write_cost_us(bytes: usize) -> u64 {
-    WRITE_US + bytes as u64 * KILOBYTE_US / 1000
+    WRITE_COST_US + bytes as u64 * KILOBYTE_COST_US / 1000
 }
--- /dev/null
+++ b/lab/src/hollow/model/control_side.rs
@@ -0,0 +1,90 @@
+//! The control machines' side: calls, streams of the list, and changes that reach a machine.
+
+use super::control::{CALL_COST_US, ControlState, STALL_TIMEOUT_US};
+use super::event::Event;
+use super::{ConnectionId, Model};
+use crate::hollow::list::{COMMENT, COMMENT_PERIOD_US, STREAM_HEAD};
+
+impl Model {
+    pub(super) fn on_connect_arrived(&mut self, connection: ConnectionId) {
+        let latency_us = self.connection_latency_us(connection);
+        match self.machine_of(connection).state {
+            ControlState::Serves => {
+                self.schedule(self.now_us + latency_us, Event::ConnectAccepted(connection))
+            }
+            ControlState::Ended => self.schedule(self.now_us + latency_us, Event::ConnectRefused(connection)),
+            ControlState::Vanished => {}
+        }
+    }
+
+    pub(super) fn on_call_arrived(&mut self, connection: ConnectionId, after: u64) {
+        let now_us = self.now_us;
+        match self.machine_of(connection).state {
+            ControlState::Serves => {
+                let done_us = self.machine_of(connection).work(now_us, CALL_COST_US);
+                self.schedule(done_us, Event::StreamBegins { connection, after });
+            }
+            ControlState::Ended => self.end_to_gateway(connection),
+            ControlState::Vanished => {}
+        }
+    }
+
+    pub(super) fn on_stream_begins(&mut self, connection: ConnectionId, after: u64) {
+        if self.machine_of(connection).state != ControlState::Serves {
+            return;
+        }
+        let now_us = self.now_us;
+        self.machine_of(connection).accept(now_us, connection, after);
+        self.write(connection, STREAM_HEAD.into());
+        self.send_events(connection);
+        self.schedule(now_us + COMMENT_PERIOD_US, Event::CommentDue(connection));
+    }
+
+    /// Writes all events that the stream has not been sent.
+    fn send_events(&mut self, connection: ConnectionId) {
+        let now_us = self.now_us;
+        let machine = self.machine_of(connection);
+        let Some(stream) = machine.streams.get_mut(&connection) else { return };
+        let events = machine.list.events(stream.last_sent);
+        if let Some((number, _)) = events.last() {
+            stream.last_sent = *number;
+        }
+        machine.events.add(now_us, events.len() as u64);
+        machine.event_bytes += events.iter().map(|(_, text)| text.len() as u64).sum::<u64>();
+        for (_, text) in events {
+            self.write(connection, text);
+        }
+    }
+
+    pub(super) fn on_comment_due(&mut self, connection: ConnectionId) {
+        let now_us = self.now_us;
+        let machine = self.machine_of(connection);
+        let Some(stream) = machine.streams.get(&connection) else { return };
+        if stream.stalled_since_us.is_some_and(|since_us| now_us >= since_us + STALL_TIMEOUT_US) {
+            machine.streams.remove(&connection);
+            return;
+        }
+        if !self.is_silent {
+            self.write(connection, COMMENT.into());
+        }
+        self.schedule(now_us + COMMENT_PERIOD_US, Event::CommentDue(connection));
+    }
+
+    pub(super) fn on_changes_replicated(&mut self, machine: usize, changes: usize) {
+        if self.machines[machine].state != ControlState::Serves {
+            return;
+        }
+        let known = self.machines[machine].list.last() as usize - 1;
+        for change in self.changes.iter().take(changes).skip(known) {
+            self.machines[machine].list.change(&change.databases);
+        }
+        let streams: Vec<_> = self.machines[machine].streams.keys().copied().collect();
+        for connection in streams {
+            self.send_events(connection);
+        }
+    }
+
+    pub(super) fn on_stream_ended_at_control(&mut self, connection: ConnectionId) {
+        self.machine_of(connection).streams.remove(&connection);
+    }
+}
--- a/lab/src/hollow/model/measure.rs
+++ b/lab/src/hollow/model/measure.rs
@@ -22,6 +22,14 @@
     pub bytes: Load,
 }
 
+/// A change of the list, at its time.
+pub struct ListChange {
+    /// When it was decided.
+    pub at_us: u64,
+    /// The databases that changed.
+    pub databases: Vec<Database>,
+}
+
 /// How long changes of the list took until they were in force.
 pub struct InForce {
     changes: Histogram<u64>,
@@ -43,17 +51,17 @@
         started_us: u64,
         last: u64,
         now_last: u64,
-        changes: &[(u64, Vec<Database>)],
+        changes: &[ListChange],
     ) {
         if last == 0 && now_last > 0 {
             self.first_lists.saturating_record(now_us - started_us);
         }
         // The change at place 0 is event 2.
-        for (told_us, _) in
+        for ListChange { at_us, .. } in
             changes.iter().take(now_last as usize - now_last.min(1) as usize).skip(last.max(1) as usize - 1)
         {
-            if *told_us >= started_us {
-                self.changes.saturating_record(now_us - told_us);
+            if *at_us >= started_us {
+                self.changes.saturating_record(now_us - at_us);
             }
         }
     }
@@ -64,7 +72,7 @@
 pub struct Worst {
     /// In its worst second.
     pub second: u64,
-    /// In its worst ten seconds, all together.
+    /// In its worst ten seconds, in all.
     pub ten_seconds: u64,
     /// Over the whole event.
     pub total: u64,
--- /dev/null
+++ b/lab/src/hollow/model/network.rs
@@ -0,0 +1,130 @@
+//! The network between gateways and control machines: routers, latencies, and what a cut holds back.
+
+use std::sync::Arc;
+
+use super::control::{ControlMachine, ControlState, ControlStream, write_cost_us};
+use super::event::Event;
+use super::{ConnectionId, Model};
+use crate::hollow::fleet;
+
+/// Least one-way latency within a zone, between zones of a region and between regions, in microseconds: assumptions.
+const ONE_WAY_US: [u64; 3] = [150, 500, 15_000];
+/// By up to this part a one-way trip takes longer at random.
+const JITTER_RATIO: f64 = 0.2;
+/// From a change of what can be reached until the router uses it, in microseconds: an assumption.
+pub(super) const ROUTER_DETECTION_US: u64 = 2_000_000;
+/// Within this, bytes that a cut held back are sent again once it is over, in microseconds: an assumption.
+pub(super) const MAX_RETRANSMISSION_DELAY_US: u64 = 1_000_000;
+
+/// A connection of a gateway to a control machine.
+pub(super) struct Connection {
+    pub(super) gateway: usize,
+    pub(super) machine: usize,
+    /// When the last bytes reach the gateway: later ones don't overtake them.
+    pub(super) arrives_us: u64,
+}
+
+impl Model {
+    /// A control machine writes on a stream.
+    pub(super) fn write(&mut self, connection: ConnectionId, text: Arc<[u8]>) {
+        let now_us = self.now_us;
+        let machine = self.machine_of(connection);
+        machine.bytes.add(now_us, text.len() as u64);
+        let done_us = machine.work(now_us, write_cost_us(text.len()));
+        if !self.is_path_open(connection) {
+            return self.hold(connection, text);
+        }
+        self.deliver(connection, done_us, text);
+    }
+
+    /// Has bytes arrive at the gateway, behind those that were sent before.
+    fn deliver(&mut self, connection: ConnectionId, sent_us: u64, text: Arc<[u8]>) {
+        let arrives_us = sent_us + self.connection_latency_us(connection);
+        let arrives_us = arrives_us.max(self.connections[connection].arrives_us);
+        self.connections[connection].arrives_us = arrives_us;
+        self.schedule(arrives_us, Event::BytesArrived { connection, text });
+    }
+
+    /// Keeps bytes that the network does not take now, until the stream is retransmitted or has stalled for too long.
+    pub(super) fn hold(&mut self, connection: ConnectionId, text: Arc<[u8]>) {
+        let now_us = self.now_us;
+        let machine = self.machine_of(connection);
+        if let Some(stream) = machine.streams.get_mut(&connection) {
+            stream.stalled_since_us.get_or_insert(now_us);
+            stream.unsent.push(text);
+            machine.note_unsent();
+        }
+    }
+
+    /// Sends again what was kept.
+    pub(super) fn on_retransmission(&mut self, connection: ConnectionId) {
+        if !self.is_path_open(connection) {
+            return;
+        }
+        let Some(stream) = self.machine_of(connection).streams.get_mut(&connection) else { return };
+        let ControlStream { unsent, stalled_since_us, .. } = stream;
+        *stalled_since_us = None;
+        for text in std::mem::take(unsent) {
+            self.deliver(connection, self.now_us, text);
+        }
+    }
+
+    pub(super) fn end_to_gateway(&mut self, connection: ConnectionId) {
+        if self.is_path_open(connection) {
+            let arrives_us = self.now_us + self.connection_latency_us(connection);
+            let arrives_us = arrives_us.max(self.connections[connection].arrives_us);
+            self.schedule(arrives_us, Event::StreamEndedAtGateway(connection));
+        }
+    }
+
+    pub(super) fn end_to_control(&mut self, connection: ConnectionId) {
+        if self.is_path_open(connection) {
+            let latency_us = self.connection_latency_us(connection);
+            self.schedule(self.now_us + latency_us, Event::StreamEndedAtControl(connection));
+        }
+    }
+
+    pub(super) fn machine_of(&mut self, connection: ConnectionId) -> &mut ControlMachine {
+        &mut self.machines[self.connections[connection].machine]
+    }
+
+    /// Whether the gateway still uses this connection.
+    pub(super) fn is_current(&self, connection: ConnectionId) -> bool {
+        let running = &self.gateways[self.connections[connection].gateway].running;
+        running.as_ref().is_some_and(|gateway| gateway.watch.connection() == Some(connection))
+    }
+
+    /// Whether two regions are cut off from each other.
+    pub(super) fn is_apart(&self, one: usize, other: usize) -> bool {
+        self.is_cut && one != other
+    }
+
+    pub(super) fn is_path_open(&self, connection: ConnectionId) -> bool {
+        let Connection { gateway, machine, .. } = &self.connections[connection];
+        let (from, to) = (fleet::zone(*gateway), self.machines[*machine].zone);
+        self.gateways[*gateway].running.is_some()
+            && self.machines[*machine].state != ControlState::Vanished
+            && !self.is_apart(fleet::region(from), fleet::region(to))
+    }
+
+    /// Draws the one-way latency of a message on this connection, in either direction, in microseconds.
+    pub(super) fn connection_latency_us(&mut self, connection: ConnectionId) -> u64 {
+        let Connection { gateway, machine, .. } = &self.connections[connection];
+        let (from, to) = (fleet::zone(*gateway), self.machines[*machine].zone);
+        self.latency_us(from, to)
+    }
+
+    /// Draws the one-way latency between two zones, in microseconds.
+    pub(super) fn latency_us(&mut self, from: usize, to: usize) -> u64 {
+        let apart = usize::from(from != to) + usize::from(fleet::region(from) != fleet::region(to));
+        let least_us = ONE_WAY_US[apart];
+        least_us + self.within((least_us as f64 * JITTER_RATIO) as u64)
+    }
+
+    /// The router of a region notices whether a control machine can be reached.
+    pub(super) fn on_router_updated(&mut self, region: usize, machine: usize) {
+        let serves = self.machines[machine].state == ControlState::Serves;
+        self.routed[region][machine] =
+            serves && !self.is_apart(region, fleet::region(self.machines[machine].zone));
+    }
+}
--- a/lab/src/hollow/model/watch.rs
+++ b/lab/src/hollow/model/watch.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WatchRequest {
     /// Open a connection, and ask there for what is behind [`Watch::last`].
-    Dial,
+    Connect,
     /// Close the connection.
     Close(ConnectionId),
 }
@@ -51,7 +51,7 @@
         self.state.deadline_us()
     }
 
-    /// Drops a silent stream, and dials where there is none.
+    /// Closes a silent stream, and requests a connection where there is none.
     pub fn check(&mut self, now_us: u64, requests: &mut Vec<WatchRequest>) -> Vec<EndpointListEvent> {
         let mut events = Vec::new();
         let due = self.state.on_deadline(now_us, || chance(&mut self.random), &mut events);
@@ -59,13 +59,13 @@
             self.close(requests);
         }
         if due.connect {
-            requests.push(WatchRequest::Dial);
+            requests.push(WatchRequest::Connect);
         }
         events
     }
 
     /// The connection that was asked for is being opened.
-    pub fn dialled(&mut self, now_us: u64, id: ConnectionId) {
+    pub fn connecting(&mut self, now_us: u64, id: ConnectionId) {
         self.state.on_connecting(now_us);
         self.connection = Some(id);
         self.input.clear();
--- a/lab/src/hollow/sockets/control.rs
+++ b/lab/src/hollow/sockets/control.rs
@@ -61,7 +61,7 @@
     /// Streams that it has now.
     pub streams: u64,
     /// Streams that have been written the last event, to its last byte.
-    pub told: u64,
+    pub up_to_date: u64,
     /// How late a comment was at the worst, in microseconds.
     pub late_us: u64,
 }
@@ -165,7 +165,7 @@
     input: Vec<u8>,
     output: Vec<u8>,
     /// The last event that was put into the output; none before the call has come.
-    told: Option<u64>,
+    last_sent: Option<u64>,
     comment_due_us: u64,
 }
 
@@ -212,7 +212,7 @@
 
     /// Until the next comment is due.
     fn wait(&self) -> Duration {
-        let due = self.streams.iter().flatten().filter(|stream| stream.told.is_some());
+        let due = self.streams.iter().flatten().filter(|stream| stream.last_sent.is_some());
         let next_us = due.map(|stream| stream.comment_due_us).min().unwrap_or(u64::MAX);
         Duration::from_micros(next_us.saturating_sub(self.now_us())).min(LONGEST_WAIT)
     }
@@ -289,7 +289,7 @@
             });
             self.poll.add(&socket, FIRST_STREAM + place as u64, READ, Trigger::Level)?;
             let (input, output) = (Vec::new(), Vec::new());
-            self.streams[place] = Some(Stream { socket, input, output, told: None, comment_due_us: 0 });
+            self.streams[place] = Some(Stream { socket, input, output, last_sent: None, comment_due_us: 0 });
         }
         Ok(())
     }
@@ -309,7 +309,7 @@
         if stream.input.len() > LONGEST_CALL {
             return self.close(place);
         }
-        if let (None, Some(after)) = (stream.told, last_event_id(&stream.input)) {
+        if let (None, Some(after)) = (stream.last_sent, last_event_id(&stream.input)) {
             self.begin(place, after);
         }
         self.flush(place);
@@ -318,7 +318,7 @@
     fn begin(&mut self, place: usize, after: u64) {
         let now_us = self.now_us();
         let Some(Some(stream)) = self.streams.get_mut(place) else { return };
-        stream.told = Some(after);
+        stream.last_sent = Some(after);
         stream.comment_due_us = now_us + COMMENT_PERIOD_US;
         stream.output.extend(STREAM_HEAD);
         let mut counts = counted(&self.counts);
@@ -328,15 +328,15 @@
         self.tell(place);
     }
 
-    /// Writes all events that the stream has not been told.
+    /// Writes all events that the stream has not been sent.
     fn tell(&mut self, place: usize) {
         let now_us = self.now_us();
         let Some(Some(stream)) = self.streams.get_mut(place) else { return };
-        let Some(told) = stream.told else { return };
+        let Some(last_sent) = stream.last_sent else { return };
         let mut counts = counted(&self.counts);
-        for (number, text) in self.list.events(told) {
+        for (number, text) in self.list.events(last_sent) {
             stream.output.extend(&text[..]);
-            stream.told = Some(number);
+            stream.last_sent = Some(number);
             counts.events.add(now_us, 1);
             counts.event_bytes.add(now_us, text.len() as u64);
             counts.bytes.add(now_us, text.len() as u64);
@@ -349,7 +349,7 @@
         let now_us = self.now_us();
         for place in 0..self.streams.len() {
             let Some(stream) = &mut self.streams[place] else { continue };
-            if stream.told.is_none() || stream.comment_due_us > now_us {
+            if stream.last_sent.is_none() || stream.comment_due_us > now_us {
                 continue;
             }
             let late_us = now_us - stream.comment_due_us;
@@ -383,9 +383,10 @@
 
     fn count_streams(&mut self) {
         let last = self.list.last();
-        let begun = || self.streams.iter().flatten().filter(|stream| stream.told.is_some());
-        let told = begun().filter(|stream| stream.told == Some(last) && stream.output.is_empty()).count();
+        let begun = || self.streams.iter().flatten().filter(|stream| stream.last_sent.is_some());
+        let up_to_date =
+            begun().filter(|stream| stream.last_sent == Some(last) && stream.output.is_empty()).count();
         let mut counts = counted(&self.counts);
-        (counts.streams, counts.told) = (begun().count() as u64, told as u64);
+        (counts.streams, counts.up_to_date) = (begun().count() as u64, up_to_date as u64);
     }
 }
--- a/lab/src/hollow/sockets/run.rs
+++ b/lab/src/hollow/sockets/run.rs
@@ -147,7 +147,7 @@
     pub counts: GatewayCounts,
     /// Anonymous memory of a gateway at the end, in the mean, in bytes.
     pub bytes_a_gateway: f64,
-    /// Anonymous memory of one process of gateways beside theirs can't be told apart: how many processes shared it.
+    /// Gateways of one process share its anonymous memory: how many processes there were.
     pub processes: usize,
 }
 
@@ -206,13 +206,13 @@
         loop {
             self.bounds.check(&self.gateways.processes())?;
             self.gateways.check()?;
-            let told: u64 = self.control.iter().map(|machine| machine.counts().told).sum();
-            if told == self.size.gateways as u64 {
+            let up_to_date: u64 = self.control.iter().map(|machine| machine.counts().up_to_date).sum();
+            if up_to_date == self.size.gateways as u64 {
                 return Ok(());
             }
             if began.elapsed() > START_PATIENCE {
                 let of = self.size.gateways;
-                return Err(HollowError::Peer(format!("{told} of {of} gateways have the list")));
+                return Err(HollowError::Peer(format!("{up_to_date} of {of} gateways have the list")));
             }
             sleep(START_LOOK);
         }
