--- a/lab/src/capacity/control_machine.rs
+++ b/lab/src/capacity/control_machine.rs
@@ -83,7 +83,7 @@
     ///
     /// # Errors
     /// The gateway has ended its stream.
-    pub fn tell(&mut self, message: &Message) -> Result<usize, CapacityError> {
+    pub fn send(&mut self, message: &Message) -> Result<usize, CapacityError> {
         let text = format!("id: {}\ndata: {}\n\n", message.version().0, message.encode());
         self.stream.write_all(text.as_bytes())?;
         Ok(text.len())
--- a/lab/src/capacity/decisions.rs
+++ b/lab/src/capacity/decisions.rs
@@ -34,7 +34,7 @@
     engines: usize,
     service_us: u64,
     running: VecDeque<Running>,
-    asked: u64,
+    requests: u64,
     /// Requests that were answered with all rows.
     pub served: u64,
     /// Requests that were not.
@@ -73,7 +73,7 @@
             engines,
             service_us,
             running: VecDeque::new(),
-            asked: 0,
+            requests: 0,
             served: 0,
             unserved: 0,
             commands: Vec::new(),
@@ -82,8 +82,8 @@
         let gap_us = (service_us / open.max(1) as u64).max(1);
         for _ in 0..open {
             decisions.now_us += gap_us;
-            let ask = decisions.ask();
-            decisions.turn(vec![ask]);
+            let request = decisions.new_request();
+            decisions.turn(vec![request]);
         }
         Ok(decisions)
     }
@@ -99,8 +99,8 @@
         }
     }
 
-    fn ask(&mut self) -> Input {
-        self.asked += 1;
+    fn new_request(&mut self) -> Input {
+        self.requests += 1;
         let request = NewRequest {
             class: ClassId(0),
             tenant: Some(TenantId(0)),
@@ -111,7 +111,7 @@
             key: None,
             is_retry: false,
         };
-        Input::RequestArrived { id: RequestId(self.asked), request }
+        Input::RequestArrived { id: RequestId(self.requests), request }
     }
 
     /// One turn of the core; attempts that start are answered later.
@@ -136,40 +136,40 @@
     }
 
     /// Turns for the core's own timers up to a time; how many.
-    fn look_until(&mut self, until_us: u64) -> u64 {
-        let mut looks = 0;
+    fn run_timers_until(&mut self, until_us: u64) -> u64 {
+        let mut ticks = 0;
         while let Some(due_us) = self.core.next_timer_us().filter(|due_us| *due_us < until_us) {
             self.now_us = self.now_us.max(due_us);
             self.turn(Vec::new());
-            looks += 1;
+            ticks += 1;
         }
         self.now_us = self.now_us.max(until_us);
-        looks
+        ticks
     }
 
     /// The oldest attempt is answered, and its client asks again.
     fn statement(&mut self) {
         let Some(next) = self.running.pop_front() else { return };
-        self.look_until(next.done_us);
+        self.run_timers_until(next.done_us);
         let report = LoadReport { queued: Some(0.0), ..LoadReport::default() };
         let ended = Input::AttemptEnded {
             attempt: next.attempt,
             outcome: Outcome::Success,
             load_report: Some(report),
         };
-        let ask = self.ask();
-        self.turn(vec![ended, ask]);
+        let request = self.new_request();
+        self.turn(vec![ended, request]);
     }
 
-    /// So many statements; processor time of each, looks that fall between included.
+    /// So many statements; processor time of each, control ticks between them included.
     pub fn statements(&mut self, count: u64) -> f64 {
         let began_us = thread_cpu_us();
         (0..count).for_each(|_| self.statement());
         (thread_cpu_us() - began_us) / count as f64
     }
 
-    /// So many looks with all requests out and nothing else; processor time of each.
-    pub fn looks(&mut self, count: u64) -> f64 {
+    /// So many control ticks with all requests in flight and nothing else; processor time of each.
+    pub fn control_ticks(&mut self, count: u64) -> f64 {
         let (mut seen, mut cpu_us) = (0, 0.0);
         while seen < count {
             let Some(next) = self.core.next_timer_us() else { break };
@@ -179,7 +179,7 @@
                 continue;
             }
             let began_us = thread_cpu_us();
-            seen += self.look_until(next + 1);
+            seen += self.run_timers_until(next + 1);
             cpu_us += thread_cpu_us() - began_us;
         }
         cpu_us / seen.max(1) as f64
@@ -227,6 +227,6 @@
         while self.running.front().is_some_and(|r| r.done_us <= until_us) {
             self.statement();
         }
-        self.look_until(until_us);
+        self.run_timers_until(until_us);
     }
 }
--- a/lab/src/capacity/experiment.rs
+++ b/lab/src/capacity/experiment.rs
@@ -157,3 +157,70 @@
         })
     }
 }
+
+impl Experiment {
+    /// What is varied.
+    pub fn variable(self) -> Variable {
+        use Experiment as E;
+        match self {
+            E::DecideStatementOpen | E::StatementOpen => Variable::OpenRequests,
+            E::StatementSessions | E::IdleSessions => Variable::Sessions,
+            E::ReloadClasses | E::VersionClasses | E::StartClasses => Variable::Classes,
+            E::ReloadTenants | E::VersionTenants | E::StartTenants => Variable::Tenants,
+            E::DecideStatementEngines
+            | E::DecideLookEngines
+            | E::DecideChangeEngines
+            | E::DecideListEngines
+            | E::StatementEngines
+            | E::StatementTogether
+            | E::ChangeEngines
+            | E::ListEngines
+            | E::ReloadEngines
+            | E::VersionEngines
+            | E::StartEngines
+            | E::IdleEngines => Variable::Engines,
+        }
+    }
+
+    /// What is held fixed.
+    pub fn fixed(self) -> &'static str {
+        use Experiment as E;
+        match self {
+            E::DecideStatementEngines
+            | E::DecideLookEngines
+            | E::DecideChangeEngines
+            | E::DecideListEngines => {
+                "in memory, simulated time: 16 open requests, 2,364 statements a second"
+            }
+            E::DecideStatementOpen => "in memory, simulated time: 80 engines, 2,364 statements a second",
+            E::StatementEngines => {
+                "closed loop of 16 sessions, after one of 64; engines of 5 zones that answer at once"
+            }
+            E::StatementOpen => {
+                "80 engines of 5 zones that answer at once, a closed loop of as many sessions, after one of 64"
+            }
+            E::StatementSessions => {
+                "80 engines of 5 zones, closed loop of 16 sessions beside the idle ones, after one of 64"
+            }
+            E::StatementTogether => {
+                "closed loop of 64 sessions beside 3,455 idle ones; engines of 5 zones that answer at once"
+            }
+            E::ChangeEngines | E::ListEngines | E::IdleEngines => "no clients",
+            E::ReloadEngines | E::VersionEngines | E::StartEngines => "3 classes, 1 tenant, no clients",
+            E::ReloadClasses | E::VersionClasses | E::StartClasses => "80 engines, 1 tenant, no clients",
+            E::ReloadTenants | E::VersionTenants | E::StartTenants => "80 engines, 3 classes, no clients",
+            E::IdleSessions => "80 engines, sessions that ask nothing",
+        }
+    }
+
+    /// The sizes that it is played at.
+    pub fn sizes(self) -> &'static [usize] {
+        match self.variable() {
+            Variable::Engines => &[16, 80, 200, 400, 810],
+            Variable::OpenRequests => &[4, 16, 64, 256],
+            Variable::Sessions => &[250, 1_000, 2_000, 3_455],
+            Variable::Classes => &[3, 10, 40, 160],
+            Variable::Tenants => &[1, 100, 400, 1_600],
+        }
+    }
+}
--- /dev/null
+++ b/lab/src/capacity/experiments/settings.rs
@@ -0,0 +1,84 @@
+//! Settings: versions in service, the file read again, and the start.
+
+use std::time::Instant;
+
+use wrenhatch_configuration::{Delta, Document, Message, Snapshot, Version};
+
+use super::{ExperimentRun, ExperimentRunner, SETTLE_TIME, SLOW_INTERVAL};
+use crate::capacity::control_machine::ControlMachine;
+use crate::capacity::error::CapacityError;
+use crate::capacity::experiment::Quantity;
+use crate::capacity::fit::Point;
+use crate::capacity::process::Gateway;
+use crate::capacity::site::Site;
+
+impl ExperimentRunner {
+    pub(super) fn reloads(&self, site: Site) -> Result<ExperimentRun, CapacityError> {
+        let gateway = Gateway::start(&self.program, &site, "info")?;
+        let before = gateway.counter("reloads")?;
+        let (cpu_us, logged, count) = (gateway.cpu_us()?, gateway.log_bytes(), self.effort.lists);
+        let lag = self.repeat_at_interval(count, SLOW_INTERVAL, &gateway, |_| gateway.reload())?;
+        let (cpu_us, logged) = (gateway.cpu_us()? - cpu_us, gateway.log_bytes() - logged);
+        let taken = gateway.counter("reloads")? - before;
+        let missing = (taken != count).then(|| format!("{taken} of {count} readings were made"));
+        let each = count as f64;
+        let run = ExperimentRun::of(vec![
+            (Quantity::Cpu, cpu_us / each),
+            (Quantity::FileBytes, gateway.file_bytes as f64),
+            (Quantity::LogBytes, logged as f64 / each),
+        ]);
+        Ok(run.unless(lag).unless(missing))
+    }
+
+    /// Versions of the settings, each a difference to the one before.
+    pub(super) fn versions(&self, site: Site) -> Result<ExperimentRun, CapacityError> {
+        let machine = ControlMachine::start()?;
+        let site = Site { control: Some(machine.address), ..site };
+        let gateway = Gateway::start(&self.program, &site, "info")?;
+        let mut stream = machine.stream()?;
+        let mut in_force = (Version(1), document(&site, 1)?);
+        stream.send(&Message::Snapshot(Snapshot::of(in_force.0, &in_force.1)))?;
+        machine.applied(1)?;
+        self.guard.sleep(SETTLE_TIME, Some(gateway.process()))?;
+        let (cpu_us, logged, count) = (gateway.cpu_us()?, gateway.log_bytes(), self.effort.lists);
+        let (mut bytes, mut times) = (0, Vec::new());
+        let lag = self.repeat_at_interval(count, SLOW_INTERVAL, &gateway, |n| {
+            let next = (Version(n + 2), document(&site, n + 2)?);
+            let from = (in_force.0, &in_force.1);
+            let message = Message::Delta(Delta::between(from, (next.0, &next.1)));
+            let began = Instant::now();
+            bytes += stream.send(&message)?;
+            machine.applied(next.0.0)?;
+            times.push(began.elapsed().as_secs_f64() * 1e3);
+            in_force = next;
+            Ok(())
+        })?;
+        let (cpu_us, logged) = (gateway.cpu_us()? - cpu_us, gateway.log_bytes() - logged);
+        let each = count as f64;
+        let run = ExperimentRun::of(vec![
+            (Quantity::Cpu, cpu_us / each),
+            (Quantity::StreamBytes, bytes as f64 / each),
+            (Quantity::LogBytes, logged as f64 / each),
+            (Quantity::Taken, Point { size: each, plays: times }.median()),
+        ]);
+        Ok(run.unless(lag))
+    }
+
+    pub(super) fn start(&self, site: &Site) -> Result<ExperimentRun, CapacityError> {
+        let gateway = Gateway::start(&self.program, site, "info")?;
+        self.guard.sleep(SETTLE_TIME, Some(gateway.process()))?;
+        Ok(ExperimentRun::of(vec![
+            (Quantity::Cpu, gateway.cpu_us()?),
+            (Quantity::Resident, gateway.resident_bytes()?),
+            (Quantity::FileBytes, gateway.file_bytes as f64),
+            (Quantity::LogBytes, gateway.log_bytes() as f64),
+            (Quantity::MetricsBytes, gateway.metrics()?.len() as f64),
+        ]))
+    }
+}
+
+/// The settings of a version.
+fn document(site: &Site, version: u64) -> Result<Document, CapacityError> {
+    let text = site.changed_settings(version).to_string();
+    text.parse().map_err(|e| CapacityError::Peer(format!("settings that are no document: {e}")))
+}
--- /dev/null
+++ b/lab/src/capacity/experiments/statements.rs
@@ -0,0 +1,65 @@
+//! Statements through the process, in a closed loop.
+
+use super::{
+    ExperimentRun, ExperimentRunner, FIXED_OPEN_REQUESTS, SETTLE_TIME, WARM_UP_STATEMENTS_PER_ENGINE,
+    unserved,
+};
+use crate::capacity::error::CapacityError;
+use crate::capacity::experiment::Quantity;
+use crate::capacity::process::Gateway;
+use crate::capacity::sessions::{Session, Tally, closed_loop};
+use crate::capacity::site::Site;
+use crate::capacity::stand_ins::Engines;
+
+/// Sessions that send the statements of the warm-up.
+const WARM_UP_SESSIONS: usize = 64;
+
+impl ExperimentRunner {
+    pub(super) fn statements(
+        &self,
+        engines: usize,
+        active: usize,
+        idle: usize,
+    ) -> Result<ExperimentRun, CapacityError> {
+        let engines = Engines::start(engines)?;
+        let site = Site { clients: active + idle + 100, ..Site::new(engines.addresses.clone()) };
+        let gateway = Gateway::start(&self.program, &site, "info")?;
+        let idle = Session::open_all(gateway.listen, idle)?;
+        self.warm_up(&gateway, site.engines.len() as u64)?;
+        let mut sessions = Session::open_all(gateway.listen, active)?;
+        closed_loop(&mut sessions, active as u64)?;
+        self.guard.sleep(SETTLE_TIME, Some(gateway.process()))?;
+        let (cpu_us, logged) = (gateway.cpu_us()?, gateway.log_bytes());
+        let tally = closed_loop(&mut sessions, self.effort.statements)?;
+        self.guard.sleep(SETTLE_TIME, Some(gateway.process()))?;
+        let each = (tally.served + tally.unserved) as f64;
+        let run = ExperimentRun::of(vec![
+            (Quantity::Cpu, (gateway.cpu_us()? - cpu_us) / each),
+            (Quantity::LatencyP99, tally.latencies.value_at_quantile(0.99) as f64 / 1e3),
+            (Quantity::Connections, engines.seen.connections() as f64),
+            (Quantity::Descriptors, gateway.descriptors()? as f64),
+            (Quantity::Resident, gateway.resident_bytes()?),
+            (Quantity::LogBytes, (gateway.log_bytes() - logged) as f64 / each),
+        ]);
+        drop(idle);
+        let debug = self.debug_log_bytes(&site)?;
+        Ok(run.with(Quantity::DebugLogBytes, debug).unless(unserved(tally.unserved)))
+    }
+
+    /// Has a gateway use all of its engines, from sessions of its own.
+    fn warm_up(&self, gateway: &Gateway, engines: u64) -> Result<(), CapacityError> {
+        let mut sessions = Session::open_all(gateway.listen, WARM_UP_SESSIONS)?;
+        closed_loop(&mut sessions, WARM_UP_STATEMENTS_PER_ENGINE * engines)?;
+        self.guard.check(Some(gateway.process()))
+    }
+
+    /// Bytes of the log at debug for each statement: of a process of its own, as writing them takes time.
+    fn debug_log_bytes(&self, site: &Site) -> Result<f64, CapacityError> {
+        let gateway = Gateway::start(&self.program, site, "debug")?;
+        let mut sessions = Session::open_all(gateway.listen, FIXED_OPEN_REQUESTS)?;
+        let before = gateway.log_bytes();
+        let tally: Tally = closed_loop(&mut sessions, self.effort.logged)?;
+        self.guard.sleep(SETTLE_TIME, Some(gateway.process()))?;
+        Ok((gateway.log_bytes() - before) as f64 / tally.served.max(1) as f64)
+    }
+}
--- a/lab/src/capacity/mod.rs
+++ b/lab/src/capacity/mod.rs
@@ -25,7 +25,7 @@
 use bounds::{Guard, Limits};
 use error::CapacityError;
 use experiment::Experiment;
-use experiments::{Bench, Effort};
+use experiments::{Effort, ExperimentRunner};
 use hollow::Hollow;
 use slopes::{Machine, Measured, Slopes};
 use target::Target;
@@ -119,9 +119,9 @@
         Some(program) => program.clone(),
         None => build()?,
     };
-    let bench = Bench { program, effort: Effort::default(), guard: Guard::new(options.limits) };
+    let runner = ExperimentRunner { program, effort: Effort::default(), guard: Guard::new(options.limits) };
     for experiment in &options.experiments {
-        let measured = bench.run(
+        let measured = runner.run(
             *experiment,
             &sizes(options, *experiment),
             options.plays.max(1),
--- a/lab/tests/capacity.rs
+++ b/lab/tests/capacity.rs
@@ -337,7 +337,7 @@
     decisions.statements(200);
     decisions.changes(10);
     decisions.lists(3);
-    decisions.looks(5);
+    decisions.control_ticks(5);
     assert!(decisions.served >= 200, "{}", decisions.served);
     assert_eq!(decisions.unserved, 0);
 }
--- a/lab/tests/capacity_process.rs
+++ b/lab/tests/capacity_process.rs
@@ -8,7 +8,7 @@
 use wrenhatch_lab::capacity::bounds::{Guard, Limits};
 use wrenhatch_lab::capacity::error::CapacityError;
 use wrenhatch_lab::capacity::experiment::{Experiment, Quantity};
-use wrenhatch_lab::capacity::experiments::{Bench, Effort, MOST, Play};
+use wrenhatch_lab::capacity::experiments::{Effort, ExperimentRun, ExperimentRunner, MAX_SIZE};
 use wrenhatch_lab::capacity::process::Gateway;
 use wrenhatch_lab::capacity::sessions::{Session, closed_loop};
 use wrenhatch_lab::capacity::site::Site;
@@ -25,7 +25,7 @@
     BUILT.get_or_init(build).clone()
 }
 
-fn bench(limits: Limits) -> Bench {
+fn bench(limits: Limits) -> ExperimentRunner {
     let effort = Effort {
         decided: 40,
         statements: 40,
@@ -34,10 +34,10 @@
         lists: 2,
         idle: Duration::from_millis(10),
     };
-    Bench { program: program(), effort, guard: Guard::new(limits) }
+    ExperimentRunner { program: program(), effort, guard: Guard::new(limits) }
 }
 
-fn figure(play: &Play, quantity: Quantity) -> f64 {
+fn figure(play: &ExperimentRun, quantity: Quantity) -> f64 {
     play.figures.iter().find(|(q, _)| *q == quantity).unwrap().1
 }
 
@@ -74,16 +74,16 @@
 #[test]
 fn small_plays_give_their_counts() {
     let bench = bench(Limits::default());
-    let play = bench.play(Experiment::StatementEngines, 3).unwrap();
+    let play = bench.run_once(Experiment::StatementEngines, 3).unwrap();
     assert_eq!(play.unusable, None);
     assert!(figure(&play, Quantity::Connections) >= 3.0);
     assert!(figure(&play, Quantity::DebugLogBytes) > 0.0);
-    let play = bench.play(Experiment::IdleSessions, 20).unwrap();
+    let play = bench.run_once(Experiment::IdleSessions, 20).unwrap();
     assert!(figure(&play, Quantity::Descriptors) >= 20.0);
-    let play = bench.play(Experiment::ChangeEngines, 3).unwrap();
+    let play = bench.run_once(Experiment::ChangeEngines, 3).unwrap();
     assert!(figure(&play, Quantity::StreamBytes) > 100.0);
-    let few = bench.play(Experiment::StartTenants, 1).unwrap();
-    let many = bench.play(Experiment::StartTenants, 100).unwrap();
+    let few = bench.run_once(Experiment::StartTenants, 1).unwrap();
+    let many = bench.run_once(Experiment::StartTenants, 100).unwrap();
     assert!(figure(&many, Quantity::FileBytes) > figure(&few, Quantity::FileBytes));
 }
 
@@ -91,7 +91,7 @@
 fn versions_are_taken_over_one_by_one_and_cost_as_many_bytes_with_more_tenants() {
     let bench = bench(Limits::default());
     let bytes = [1, 100].map(|tenants| {
-        let play = bench.play(Experiment::VersionTenants, tenants).unwrap();
+        let play = bench.run_once(Experiment::VersionTenants, tenants).unwrap();
         assert!(figure(&play, Quantity::Cpu) > 0.0 && figure(&play, Quantity::Taken) > 0.0);
         figure(&play, Quantity::StreamBytes)
     });
@@ -100,8 +100,8 @@
 
 #[test]
 fn a_size_that_can_t_be_played_is_turned_down() {
-    for size in [0, MOST + 1] {
-        let error = bench(Limits::default()).play(Experiment::ChangeEngines, size).unwrap_err();
+    for size in [0, MAX_SIZE + 1] {
+        let error = bench(Limits::default()).run_once(Experiment::ChangeEngines, size).unwrap_err();
         assert_eq!(error.to_string(), format!("size {size} is not within 1 and 8000"));
     }
 }
