--- a/gateway/src/admin/metrics.rs
+++ b/gateway/src/admin/metrics.rs
@@ -37,7 +37,7 @@
     pub in_flight: usize,
     /// Engines in the endpoint list.
     pub engines_known: usize,
-    /// Of these, the ones that get nothing new gauges.
+    /// Of these, those that get no new attempts: draining, in maintenance, ejected or resting.
     pub engines_excluded: usize,
 }
 
--- a/gateway/src/admission.rs
+++ b/gateway/src/admission.rs
@@ -4,8 +4,9 @@
 //!
 //! 1. [`validate`]: what the request names has to be known, and its id has to be free. A violation is the client's
 //!    mistake; it is answered with the text of the [`InvalidRequest`].
-//! 2. [`admit`]: the gateway has to be able to serve the request. All [`Guard`]s are weighed, in the order of
-//!    [`Guard::ALL`]; those that fail are the [`Rejection`]. Nothing was sent to an engine, so that a retry is safe.
+//! 2. [`admit`]: the gateway has to be able to serve the request. All [`RejectionReason`]s are checked, in the order of
+//!    [`RejectionReason::ALL`]; those that apply are the [`Rejection`]. Nothing was sent to an engine, so that a retry
+//!    is safe.
 //!
 //! There is no I/O and no state here: the event loop gathers the [`AdmissionInput`] and carries out the verdict.
 
@@ -95,9 +96,9 @@
     }
 }
 
-/// A condition under which a valid request is rejected.
+/// Why a valid request is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Guard {
+pub enum RejectionReason {
     /// The process ends; another one takes the request.
     ShuttingDown,
     /// As many requests are open as the configuration allows.
@@ -108,17 +109,21 @@
     TooLate,
 }
 
-impl Guard {
-    /// All guards, in the order in which they are weighed.
-    pub const ALL: [Guard; 4] =
-        [Guard::ShuttingDown, Guard::TooManyOpenRequests, Guard::MemoryShort, Guard::TooLate];
+impl RejectionReason {
+    /// All reasons, in the order in which they are checked.
+    pub const ALL: [RejectionReason; 4] = [
+        RejectionReason::ShuttingDown,
+        RejectionReason::TooManyOpenRequests,
+        RejectionReason::MemoryShort,
+        RejectionReason::TooLate,
+    ];
 
-    fn rejects(self, input: &AdmissionInput) -> bool {
+    fn applies(self, input: &AdmissionInput) -> bool {
         match self {
-            Guard::ShuttingDown => input.shutting_down,
-            Guard::TooManyOpenRequests => input.open_requests >= input.max_open_requests,
-            Guard::MemoryShort => input.memory.is_err(),
-            Guard::TooLate => {
+            RejectionReason::ShuttingDown => input.shutting_down,
+            RejectionReason::TooManyOpenRequests => input.open_requests >= input.max_open_requests,
+            RejectionReason::MemoryShort => input.memory.is_err(),
+            RejectionReason::TooLate => {
                 !ReadScheduler::can_meet_deadline(input.now_us, input.work_ahead_us, input.deadline_us())
             }
         }
@@ -127,15 +132,15 @@
     /// Whether the client is sent a Retry-After: the time at which the work that waits here will be done. That says
     /// nothing of a process that ends or of requests that stay open.
     pub fn sends_retry_after(self) -> bool {
-        matches!(self, Guard::MemoryShort | Guard::TooLate)
+        matches!(self, RejectionReason::MemoryShort | RejectionReason::TooLate)
     }
 
     /// The counter of its rejections; each is counted as refused beside it.
     pub fn counter(self) -> Option<RejectionCounter> {
         match self {
-            Guard::ShuttingDown | Guard::TooManyOpenRequests => None,
-            Guard::MemoryShort => Some(RejectionCounter::NoMemory),
-            Guard::TooLate => Some(RejectionCounter::TooLate),
+            RejectionReason::ShuttingDown | RejectionReason::TooManyOpenRequests => None,
+            RejectionReason::MemoryShort => Some(RejectionCounter::NoMemory),
+            RejectionReason::TooLate => Some(RejectionCounter::TooLate),
         }
     }
 }
@@ -149,26 +154,26 @@
     TooLate,
 }
 
-/// The guards that rejected a request; at least one.
+/// The reasons for which a request is rejected; at least one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rejection {
-    failed: [Option<Guard>; Guard::ALL.len()],
+    reasons: [Option<RejectionReason>; RejectionReason::ALL.len()],
 }
 
 impl Rejection {
-    /// The guards, in the order of [`Guard::ALL`].
-    pub fn guards(&self) -> impl Iterator<Item = Guard> {
-        self.failed.into_iter().flatten()
+    /// The reasons, in the order of [`RejectionReason::ALL`].
+    pub fn reasons(&self) -> impl Iterator<Item = RejectionReason> {
+        self.reasons.into_iter().flatten()
     }
 
     /// The counters, each of which counts the request once.
     pub fn counters(&self) -> impl Iterator<Item = RejectionCounter> {
-        self.guards().filter_map(Guard::counter)
+        self.reasons().filter_map(RejectionReason::counter)
     }
 
-    /// Whether the client is sent a Retry-After: one guard that asks for it is enough.
+    /// Whether the client is sent a Retry-After: one reason that sends it is enough.
     pub fn sends_retry_after(&self) -> bool {
-        self.guards().any(Guard::sends_retry_after)
+        self.reasons().any(RejectionReason::sends_retry_after)
     }
 }
 
@@ -182,13 +187,13 @@
 /// Admits a valid request, or rejects it.
 ///
 /// # Errors
-/// All guards that reject it.
+/// All reasons to reject it.
 pub fn admit(input: &AdmissionInput) -> Result<Admitted, Rejection> {
-    let failed = Guard::ALL.map(|guard| guard.rejects(input).then_some(guard));
-    if failed.iter().all(Option::is_none) {
+    let reasons = RejectionReason::ALL.map(|reason| reason.applies(input).then_some(reason));
+    if reasons.iter().all(Option::is_none) {
         Ok(Admitted { deadline_us: input.deadline_us() })
     } else {
-        Err(Rejection { failed })
+        Err(Rejection { reasons })
     }
 }
 
--- a/gateway/src/admission/tests.rs
+++ b/gateway/src/admission/tests.rs
@@ -12,7 +12,7 @@
     RequestFields { class: class.to_owned(), tenant: tenant.map(str::to_owned), ..RequestFields::default() }
 }
 
-/// A request that passes all guards: ready at 1 s, read at 2 s, its client waits for 3 s.
+/// A request that no reason rejects: ready at 1 s, read at 2 s, its client waits for 3 s.
 fn admissible() -> AdmissionInput {
     AdmissionInput {
         now_us: 2_000_000,
@@ -27,11 +27,11 @@
 }
 
 fn rejection(input: AdmissionInput) -> Rejection {
-    admit(&input).expect_err("a request that a guard rejects")
+    admit(&input).expect_err("a request that is rejected")
 }
 
-fn guards(input: AdmissionInput) -> Vec<Guard> {
-    rejection(input).guards().collect()
+fn reasons(input: AdmissionInput) -> Vec<RejectionReason> {
+    rejection(input).reasons().collect()
 }
 
 #[test]
@@ -74,14 +74,14 @@
 #[test]
 fn a_process_that_shuts_down_rejects_without_a_retry_after() {
     let rejected = rejection(AdmissionInput { shutting_down: true, ..admissible() });
-    assert_eq!(rejected.guards().collect::<Vec<_>>(), [Guard::ShuttingDown]);
+    assert_eq!(rejected.reasons().collect::<Vec<_>>(), [RejectionReason::ShuttingDown]);
     assert_eq!((rejected.sends_retry_after(), rejected.counters().next()), (false, None));
 }
 
 #[test]
 fn too_many_open_requests_reject_without_a_retry_after() {
     let rejected = rejection(AdmissionInput { open_requests: 10, ..admissible() });
-    assert_eq!(rejected.guards().collect::<Vec<_>>(), [Guard::TooManyOpenRequests]);
+    assert_eq!(rejected.reasons().collect::<Vec<_>>(), [RejectionReason::TooManyOpenRequests]);
     assert_eq!((rejected.sends_retry_after(), rejected.counters().next()), (false, None));
 }
 
@@ -89,7 +89,7 @@
 fn short_memory_rejects_with_a_retry_after_whichever_bound_is_reached() {
     for bound in [InsufficientMemory::Budget, InsufficientMemory::Purpose] {
         let rejected = rejection(AdmissionInput { memory: Err(bound), ..admissible() });
-        assert_eq!(rejected.guards().collect::<Vec<_>>(), [Guard::MemoryShort]);
+        assert_eq!(rejected.reasons().collect::<Vec<_>>(), [RejectionReason::MemoryShort]);
         assert!(rejected.sends_retry_after());
         assert_eq!(rejected.counters().collect::<Vec<_>>(), [RejectionCounter::NoMemory]);
     }
@@ -100,18 +100,18 @@
     let just_in_time = AdmissionInput { work_ahead_us: 1_999_999, ..admissible() };
     assert!(admit(&just_in_time).is_ok());
     let rejected = rejection(AdmissionInput { work_ahead_us: 2_000_000, ..admissible() });
-    assert_eq!(rejected.guards().collect::<Vec<_>>(), [Guard::TooLate]);
+    assert_eq!(rejected.reasons().collect::<Vec<_>>(), [RejectionReason::TooLate]);
     assert!(rejected.sends_retry_after());
     assert_eq!(rejected.counters().collect::<Vec<_>>(), [RejectionCounter::TooLate]);
 }
 
 #[test]
 fn a_request_that_has_waited_past_its_deadline_is_rejected_without_work_before_it() {
-    assert_eq!(guards(AdmissionInput { now_us: 4_000_000, ..admissible() }), [Guard::TooLate]);
+    assert_eq!(reasons(AdmissionInput { now_us: 4_000_000, ..admissible() }), [RejectionReason::TooLate]);
 }
 
 #[test]
-fn guards_are_told_together_and_in_their_order() {
+fn all_reasons_are_reported_in_their_order() {
     let worst = AdmissionInput {
         work_ahead_us: 2_000_000,
         shutting_down: true,
@@ -119,13 +119,13 @@
         memory: Err(InsufficientMemory::Budget),
         ..admissible()
     };
-    assert_eq!(guards(worst), Guard::ALL);
+    assert_eq!(reasons(worst), RejectionReason::ALL);
     let rejected = rejection(worst);
     assert_eq!(
         rejected.counters().collect::<Vec<_>>(),
         [RejectionCounter::NoMemory, RejectionCounter::TooLate],
-        "each guard is counted, also beside others"
+        "each reason is counted, also beside others"
     );
     let ends_and_late = AdmissionInput { memory: Ok(()), open_requests: 0, ..worst };
-    assert!(rejection(ends_and_late).sends_retry_after(), "one guard that asks for it is enough");
+    assert!(rejection(ends_and_late).sends_retry_after(), "one reason that sends it is enough");
 }
--- a/gateway/src/config/config_file.rs
+++ b/gateway/src/config/config_file.rs
@@ -59,8 +59,9 @@
     for event in known.get("updates").elements()? {
         match read_event(&event) {
             Ok(event) => events.push(event),
-            Err(e) => {
-                tracing::warn!("{e}: the events behind it are requested from the discovery service");
+            Err(error) => {
+                // The discovery service is asked for the events behind it.
+                tracing::warn!(%error, "event of the known endpoint list can't be read");
                 return Ok(KnownList { last_index: events.last().map_or(0, |event| event.index), events });
             }
         }
--- a/gateway/src/config/mod.rs
+++ b/gateway/src/config/mod.rs
@@ -1,4 +1,5 @@
-//! Configuration of the gateway, read once at the start into typed settings.
+//! Typed configuration. Read at the start; `config.json` is read again on SIGHUP, and its settings may be replaced by
+//! the control plane.
 //!
 //! Three sources: the environment ([`from_environment`]), the `config.json` that `LB_CONFIG` names ([`read`],
 //! [`from_file`]; its `settings` object is read in `site`), and the operator's TOML file (`operator_file`), which sets
--- a/gateway/src/net/clients/accept.rs
+++ b/gateway/src/net/clients/accept.rs
@@ -31,14 +31,14 @@
         if place == Place::None {
             return;
         }
-        if let Err(e) = listeners::keep_alive(&stream, &self.config) {
-            tracing::debug!("keepalive: {e}");
+        if let Err(error) = listeners::keep_alive(&stream, &self.config) {
+            tracing::debug!(%error, "setting TCP keepalive failed");
         }
         let key = Sessions::key(self.sessions.table.next_handle());
         let connection = match Connection::accepted(&self.poll, stream, key, self.sessions.read_ahead_bytes())
         {
             Ok(connection) => connection,
-            Err(e) => return tracing::warn!("a client connection could not be registered: {e}"),
+            Err(error) => return tracing::warn!(%error, "registering a client connection failed"),
         };
         let handle = self.sessions.insert(connection, front, from, &self.config, self.time.now_us);
         self.counters.clients += 1;
--- a/gateway/src/net/clients/requests.rs
+++ b/gateway/src/net/clients/requests.rs
@@ -48,18 +48,26 @@
                 let new_request = new_request(&request, tenant, deadline_us, &fields);
                 self.open_request(request, new_request, &fields, input.wait_us);
             }
-            Err(rejection) => self.reject_request(handle, class, &rejection),
+            Err(rejection) => self.reject_request(handle, &request, &rejection),
         }
     }
 
-    fn reject_request(&mut self, handle: Handle, class: ClassId, rejection: &Rejection) {
+    fn reject_request(&mut self, handle: Handle, request: &Request, rejection: &Rejection) {
         self.counters.refused += 1;
-        self.metrics.ended(class, RequestEnd::Rejected);
+        self.metrics.ended(request.class, RequestEnd::Rejected);
         for counter in rejection.counters() {
             *self.counters.rejected_for(counter) += 1;
         }
         let retry_after = self.config.settings.capabilities.retry_after && rejection.sends_retry_after();
         let retry_after_ms = retry_after.then(|| self.sessions.scheduler.retry_after_ms(self.time.now_us));
+        tracing::debug!(
+            query_id = request.query_id,
+            class = request.class.0,
+            reasons = ?rejection.reasons().collect::<Vec<_>>(),
+            retry_after_ms,
+            now_us = self.time.now_us,
+            "request rejected by admission"
+        );
         if let Some(session) = self.sessions.table.active_mut(handle) {
             let output = &mut session.connection.output;
             session.protocol.answer(FinalAnswer::Rejected(retry_after_ms), output);
--- a/gateway/src/net/control_plane.rs
+++ b/gateway/src/net/control_plane.rs
@@ -93,8 +93,8 @@
                 control_plane.client.on_connecting(now_us, &mut conn.output);
                 control_plane.stream = Some(conn);
             }
-            Err(e) => {
-                tracing::warn!(%server, "can't connect to the control plane server: {e}");
+            Err(error) => {
+                tracing::warn!(%server, %error, "can't connect to the control plane server");
                 control_plane.client.on_disconnected(now_us);
             }
         }
--- a/gateway/src/net/listeners.rs
+++ b/gateway/src/net/listeners.rs
@@ -1,4 +1,4 @@
-//! The listeners of the front ends, and what is done where no descriptor is left for a client that connects.
+//! Listeners, and what happens when no descriptor is left for a new connection.
 
 use std::fs::File;
 use std::io::{ErrorKind, Write};
@@ -100,8 +100,8 @@
         self.paused = interest == NOTHING;
         for front in [FrontEnd::PostgreSql, FrontEnd::MySql] {
             let changed = self.listener(front).map(|l| poll.change(l, front.key(), interest, Trigger::Level));
-            if let Some(Err(e)) = changed {
-                tracing::warn!("a listener could not be paused or resumed: {e}");
+            if let Some(Err(error)) = changed {
+                tracing::warn!(%error, "changing a listener's interest failed");
             }
         }
     }
@@ -198,8 +198,8 @@
                         return false;
                     }
                 }
-                Err(e) => {
-                    tracing::warn!("accept: {e}");
+                Err(error) => {
+                    tracing::warn!(%error, "accepting a client connection failed");
                     return false;
                 }
             }
@@ -217,7 +217,7 @@
             self.counters.turned_away += 1;
             return true;
         }
-        tracing::warn!("no descriptor is left: no client is accepted for a moment");
+        tracing::warn!("no descriptor is left; accepting clients is paused");
         self.listeners.set_interest(&self.poll, NOTHING);
         self.timers.arm(self.time.now_us + ACCEPT_PAUSE_US, Timer::Listeners);
         false
--- a/gateway/src/net/live_reconfiguration.rs
+++ b/gateway/src/net/live_reconfiguration.rs
@@ -1,4 +1,4 @@
-//! Applies new settings between two turns of the loop, while the gateway serves: all of them or none.
+//! Applies new settings between two turns of the core, within a turn of the event loop: all of them or none.
 
 use std::collections::BTreeSet;
 
--- a/gateway/src/net/mod.rs
+++ b/gateway/src/net/mod.rs
@@ -55,8 +55,8 @@
 /// Descriptors of the control plane: its stream and a report.
 const CONTROL_PLANE_DESCRIPTORS: usize = 2;
 
-/// Descriptors that neither clients nor engines may have: those of the process, of the admin interface and of the
-/// control plane, where there is one.
+/// Descriptors that the gateway needs beside those of clients and engines: those of the process, the admin listener
+/// with its connections, and two for the control plane.
 fn own_descriptors(config: &Config) -> usize {
     let admin = config.admin.map_or(0, |_| 1 + admin::MAX_ADMIN_CONNECTIONS);
     let control_plane = config.control_plane.as_ref().map_or(0, |_| CONTROL_PLANE_DESCRIPTORS);
--- a/gateway/src/net/reload.rs
+++ b/gateway/src/net/reload.rs
@@ -24,14 +24,18 @@
                 new.known_list.events.iter().for_each(|event| self.known_list_event(event));
                 match new.discovery {
                     Some(to) => self.move_watch(to),
-                    None => tracing::warn!("no discovery service is named any more: the old one is kept"),
+                    None => {
+                        tracing::warn!("the configuration names no discovery service; the old one is kept")
+                    }
                 }
             }
-            Err(e) if failures + 1 < MAX_ATTEMPTS => {
-                tracing::debug!("configuration: {e}; trying again");
+            Err(error) if failures + 1 < MAX_ATTEMPTS => {
+                tracing::debug!(%error, "reading the configuration again failed; it will be tried again");
                 self.timers.arm(self.time.now_us + RETRY_US, Timer::Reload(failures + 1));
             }
-            Err(e) => tracing::error!("configuration: {e}; the old settings are kept"),
+            Err(error) => {
+                tracing::error!(%error, "reading the configuration again failed; the old settings are kept")
+            }
         }
     }
 
@@ -52,7 +56,7 @@
                 classes_new = ?missing(&old_names.classes, &new_names.classes),
                 tenants_gone = ?missing(&new_names.tenants, &old_names.tenants),
                 tenants_new = ?missing(&old_names.tenants, &new_names.tenants),
-                "the settings have changed: they count from the next start of the gateway, not before"
+                "settings in the file differ from those in force and are not applied"
             );
         }
     }
--- a/gateway/src/net/watch.rs
+++ b/gateway/src/net/watch.rs
@@ -20,7 +20,7 @@
     conn: Option<Connection>,
     /// Tells the connection from earlier ones, for the poller.
     serial: u32,
-    /// Rings at the deadline of the state.
+    /// Fires at the deadline of the state.
     timer: Option<TimerId>,
 }
 
@@ -62,7 +62,7 @@
                 self.watch.state.on_connecting(self.time.now_us);
                 self.counters.list_connects += 1;
             }
-            Err(e) => tracing::warn!(%address, "can't connect to the discovery service: {e}"),
+            Err(error) => tracing::warn!(%address, %error, "can't connect to the discovery service"),
         }
     }
 
@@ -147,7 +147,9 @@
                 }
                 // The log line of the event itself names the entry.
                 WatchError::UnreadableEntries(_) => {}
-                WatchError::Stream(e) => tracing::warn!("{e}"),
+                WatchError::Stream(error) => {
+                    tracing::warn!(%error, "endpoint list stream can't be followed");
+                }
             }
             self.close_watch_conn();
         }
--- a/gateway/tests/configuration.rs
+++ b/gateway/tests/configuration.rs
@@ -209,7 +209,10 @@
     assert!(rejection(&gateway, &query(2, "report", "")).contains("unknown class"));
     assert!(status(&gateway).contains("configuration.in_force=1\n"));
     wait_answered(&gateway, 1);
-    assert!(!gateway.log().contains("the settings have changed"), "what is in force is not the file's");
+    assert!(
+        !gateway.log().contains("settings in the file differ from those in force"),
+        "what is in force is not the file's"
+    );
 }
 
 #[test]
--- a/gateway/tests/crossings.rs
+++ b/gateway/tests/crossings.rs
@@ -550,7 +550,7 @@
     assert_eq!(error_code(&client.query(&text("digest", 2))), "42601", "a class of the next start");
     client.send(&text("report", 3));
     assert_eq!(wire.call().headers["x-queue"], "report");
-    assert_eq!(gateway.log().matches("the settings have changed").count(), 1);
+    assert_eq!(gateway.log().matches("settings in the file differ from those in force").count(), 1);
 }
 
 #[test]
--- a/sessions/src/read_scheduler.rs
+++ b/sessions/src/read_scheduler.rs
@@ -118,8 +118,8 @@
     queues: ReadQueues,
     turn_work: TurnWork,
     turn_reads: usize,
-    /// The time of the last retry that a Retry-After was given for, in microseconds.
-    last_retry_us: f64,
+    /// Latest time, in microseconds, at which a rejected client was told to retry; the next one gets a later time.
+    last_assigned_retry_us: f64,
     deferred: u64,
     longest_waits_us: [u64; QUEUES],
     longest_turn_us: u64,
@@ -134,7 +134,7 @@
             queues: ReadQueues::default(),
             turn_work: TurnWork::default(),
             turn_reads: 0,
-            last_retry_us: 0.0,
+            last_assigned_retry_us: 0.0,
             deferred: 0,
             longest_waits_us: [0; QUEUES],
             longest_turn_us: 0,
@@ -247,8 +247,8 @@
         let ReadLimits { min_retry_after_ms, max_retry_after_ms, .. } = self.limits;
         let interval_us = self.request_cost_us() / RETRY_CORE_RATIO;
         let first_us = (now_us + self.backlog_us()) as f64 + min_retry_after_ms as f64 * 1e3;
-        self.last_retry_us = self.last_retry_us.max(first_us) + interval_us;
-        let wait_ms = ((self.last_retry_us - now_us as f64) / 1e3).ceil() as u64;
+        self.last_assigned_retry_us = self.last_assigned_retry_us.max(first_us) + interval_us;
+        let wait_ms = ((self.last_assigned_retry_us - now_us as f64) / 1e3).ceil() as u64;
         if wait_ms <= max_retry_after_ms {
             return wait_ms;
         }
