--- /dev/null
+++ b/lab/src/idle/report.rs
@@ -0,0 +1,92 @@
+//! What a round has measured, and how it is printed.
+
+use serde::Serialize;
+
+use super::time_outs::TimeOut;
+use crate::helper::Done;
+use crate::spread::Spread;
+
+/// What one round found.
+#[derive(Clone, Debug, Serialize)]
+pub struct Round {
+    pub build: String,
+    pub bytes_per_session: f64,
+    pub open_ms_each: f64,
+    pub idle_wakeups_per_s: f64,
+    pub idle_cpu_percent: f64,
+    pub latency_alone: Spread,
+    pub latency_beside_parked: Spread,
+    pub wake_half: Done,
+    pub wake_half_least_ms: f64,
+    pub wake_half_most_ms: f64,
+    pub wake_cpu_ms: f64,
+    pub active_during_wake: Spread,
+    pub wake_half_and_reconnect: Done,
+    pub reconnected: Done,
+    pub active_during_both: Spread,
+    pub time_outs: Vec<TimeOut>,
+    pub churn_per_s: f64,
+    pub churn_cpu_percent: f64,
+    pub churn_system_part: f64,
+    pub bytes_after: f64,
+    pub timers_late: String,
+    pub longest_waits: String,
+}
+
+impl std::fmt::Display for Round {
+    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        writeln!(f, "== {}", self.build)?;
+        writeln!(
+            f,
+            "resident for each session    {:.0} bytes, {:.0} at the end of the round",
+            self.bytes_per_session, self.bytes_after
+        )?;
+        writeln!(f, "opened, each                 {:.3} ms", self.open_ms_each)?;
+        writeln!(
+            f,
+            "while all are idle           {:.2} wake-ups a second, {:.3}% of a core",
+            self.idle_wakeups_per_s, self.idle_cpu_percent
+        )?;
+        writeln!(f, "lookups, nobody parked       {}", self.latency_alone)?;
+        writeln!(f, "lookups beside the parked    {}", self.latency_beside_parked)?;
+        let ratio = |of: fn(&Spread) -> f64| of(&self.latency_beside_parked) / of(&self.latency_alone);
+        writeln!(
+            f,
+            "  ratio                      p50 {:.3}, p99 {:.3}",
+            ratio(|s| s.p50_ms),
+            ratio(|s| s.p99_ms)
+        )?;
+        let wake = |d: &Done| {
+            format!(
+                "{} in {:.1} ms (single: p99 {:.1}, max {:.1}), lost {}",
+                d.done, d.ms, d.p99_ms, d.max_ms, d.lost
+            )
+        };
+        writeln!(f, "half wake up                 {}", wake(&self.wake_half))?;
+        writeln!(
+            f,
+            "  least and most             {:.1} and {:.1} ms, {:.1} ms of the core each with what is between",
+            self.wake_half_least_ms, self.wake_half_most_ms, self.wake_cpu_ms
+        )?;
+        writeln!(f, "  active lookups             {}", self.active_during_wake)?;
+        writeln!(f, "half wake up, a tenth anew   {}", wake(&self.wake_half_and_reconnect))?;
+        writeln!(f, "  those that connect anew    {}", wake(&self.reconnected))?;
+        writeln!(f, "  active lookups             {}", self.active_during_both)?;
+        for t in &self.time_outs {
+            let TimeOut { class, wait_ms, count, apart_ms, late_ms } = t;
+            writeln!(
+                f,
+                "{count} of {class}, {wait_ms} ms           ended {late_ms:.1} ms late at most, {apart_ms:.1} ms apart"
+            )?;
+        }
+        writeln!(
+            f,
+            "opened and closed            {:.0} a second at {:.0}% of a core, {:.0}% of that in the kernel",
+            self.churn_per_s,
+            self.churn_cpu_percent,
+            100.0 * self.churn_system_part
+        )?;
+        writeln!(f, "longest wait to be read      {}", self.longest_waits)?;
+        write!(f, "timers late                  {}", self.timers_late)
+    }
+}
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -7,7 +7,6 @@
 mod helper;
 mod idle;
 mod log;
-mod memory;
 mod spread;
 
 use std::net::{IpAddr, SocketAddr};
