--- a/gateway/tests/configuration.rs
+++ b/gateway/tests/configuration.rs
@@ -8,14 +8,11 @@
 
 use common::control::{ControlPlaneServer, ControlPlaneStream, changed, delta, snapshot, start_settings};
 use common::held::HeldEngines;
+use common::requests::{assert_served, id, wait_answered, wait_taken};
 use common::script::Peer;
 use common::{Gateway, pg};
 use wrenhatch_configuration::{Document, Report, Version};
 
-fn id(n: u64) -> String {
-    format!("{n:016x}")
-}
-
 fn query(n: u64, class: &str, more: &str) -> String {
     format!("/* c={class},i={},d=20000{more} */ SELECT v FROM sales_17.orders", id(n))
 }
@@ -24,14 +21,10 @@
 fn ask(gateway: &Gateway, n: u64, class: &str, more: &str) -> pg::Client {
     let mut client = pg::Client::connect(gateway.pg);
     client.send(&query(n, class, more));
-    gateway.logged(&format!("request admitted query_id=\"{}\"", id(n)));
+    wait_taken(gateway, n);
     client
 }
 
-fn is_served(client: &mut pg::Client, n: u64) {
-    assert_eq!(client.answer(), pg::Answer::Rows(vec![vec![id(n)]]));
-}
-
 /// The words of an error that a statement is turned down with.
 fn rejection(gateway: &Gateway, text: &str) -> String {
     match pg::Client::connect(gateway.pg).query(text) {
@@ -72,12 +65,12 @@
     server.applied(1);
     let mut third = ask(&gateway, 3, "load", ",o=k");
     engines.next_start(&id(3)).row();
-    is_served(&mut third, 3);
+    assert_served(&mut third, 3);
     first_out.row();
-    is_served(&mut first, 1);
+    assert_served(&mut first, 1);
     engines.next_start(&id(2)).row();
-    is_served(&mut second, 2);
-    assert_eq!(gateway.told("served.load"), 3, "counted by name, whatever the number");
+    assert_served(&mut second, 2);
+    assert_eq!(gateway.metric("served.load"), 3, "counted by name, whatever the number");
     assert!(status(&gateway).contains("\nconfiguration.in_force=1\nconfiguration.newest_seen=1\n"));
     gateway.logged("configuration in force version=1");
 }
@@ -110,7 +103,7 @@
     let mut wire = e2.accept();
     assert_eq!(wire.call().query_id(), id(2));
     wire.row(&id(2));
-    is_served(&mut client, 2);
+    assert_served(&mut client, 2);
 }
 
 #[test]
@@ -123,8 +116,8 @@
     let mut after = ask(&gateway, 2, "report", "");
     assert!(matches!(after.answer(), pg::Answer::Error(..)), "its time is over");
     out.row();
-    is_served(&mut before, 1);
-    assert_eq!((gateway.told("served.report"), gateway.told("attempts.report")), (1, 2));
+    assert_served(&mut before, 1);
+    assert_eq!((gateway.metric("served.report"), gateway.metric("attempts.report")), (1, 2));
 }
 
 #[test]
@@ -146,9 +139,9 @@
     server.applied(2);
     let mut second = ask(&gateway, 4, "report", ",t=other");
     engines.next_start(&id(4)).row();
-    is_served(&mut second, 4);
+    assert_served(&mut second, 4);
     out.row();
-    is_served(&mut first, 1);
+    assert_served(&mut first, 1);
 }
 
 /// A gateway before this engine that was started with short times for its connections, and has long ones in force.
@@ -177,12 +170,12 @@
     let mut wire = engine.accept();
     assert_eq!(wire.call().query_id(), id(1));
     wire.row(&id(1));
-    is_served(&mut first, 1);
+    assert_served(&mut first, 1);
     thread::sleep(LONGER);
     let mut second = ask(&gateway, 2, "report", "");
     assert_eq!(wire.call().query_id(), id(2), "over the same connection");
     wire.row(&id(2));
-    is_served(&mut second, 2);
+    assert_served(&mut second, 2);
     assert!(engine.is_left_alone());
 }
 
@@ -197,8 +190,8 @@
     let mut wire = engine.accept();
     assert_eq!(wire.call().query_id(), id(1));
     wire.row(&id(1));
-    is_served(&mut client, 1);
-    gateway.logged(&format!("request answered query_id=\"{}\"", id(1)));
+    assert_served(&mut client, 1);
+    wait_answered(&gateway, 1);
     assert_eq!(gateway.log().matches("connection opened engine=").count(), 1, "none was given up");
 }
 
@@ -212,10 +205,10 @@
     gateway.logged("configuration read again");
     let mut client = ask(&gateway, 1, "digest", "");
     engines.next_start(&id(1)).row();
-    is_served(&mut client, 1);
+    assert_served(&mut client, 1);
     assert!(rejection(&gateway, &query(2, "report", "")).contains("unknown class"));
     assert!(status(&gateway).contains("configuration.in_force=1\n"));
-    gateway.logged(&format!("request answered query_id=\"{}\"", id(1)));
+    wait_answered(&gateway, 1);
     assert!(!gateway.log().contains("the settings have changed"), "what is in force is not the file's");
 }
 
@@ -230,10 +223,10 @@
     assert!(rejection(&gateway, &query(3, "report", "")).contains("unknown class"));
     let mut second = ask(&gateway, 4, "digest", "");
     engines.next_start(&id(4)).row();
-    is_served(&mut second, 4);
+    assert_served(&mut second, 4);
     out.row();
-    is_served(&mut first, 1);
-    assert_eq!((gateway.told("served.digest"), gateway.told("served.report")), (1, 1));
+    assert_served(&mut first, 1);
+    assert_eq!((gateway.metric("served.digest"), gateway.metric("served.report")), (1, 1));
 }
 
 #[test]
@@ -267,7 +260,7 @@
     gateway.logged("configuration refused version=2 in_force=1");
     let mut client = ask(&gateway, 20, "report", "");
     engines.next_start(&id(20)).row();
-    is_served(&mut client, 20);
+    assert_served(&mut client, 20);
     // A good one counts again, on top of the one in force.
     stream.send(&delta((1, &good), (9, &start_settings().parse().unwrap())));
     server.applied(9);
@@ -340,7 +333,7 @@
     servers[second].applied(1);
     let mut client = ask(&gateway, 2, "digest", "");
     engines.next_start(&id(2)).row();
-    is_served(&mut client, 2);
+    assert_served(&mut client, 2);
 }
 
 #[test]
@@ -364,7 +357,7 @@
     server.applied(1);
     let mut client = ask(&gateway, 2, "digest", "");
     engines.next_start(&id(2)).row();
-    is_served(&mut client, 2);
+    assert_served(&mut client, 2);
 }
 
 #[test]
@@ -428,7 +421,7 @@
     out.row();
     let mut client = ask(&next, 2, "digest", "");
     engines.next_start(&id(2)).row();
-    is_served(&mut client, 2);
+    assert_served(&mut client, 2);
 }
 
 #[test]
@@ -446,11 +439,11 @@
     gateway.terminate();
     assert!(stream.wire.is_ended(), "it follows no longer, and serves what it has taken");
     out.row();
-    is_served(&mut client, 1);
+    assert_served(&mut client, 1);
     assert_eq!(gateway.wait().0, Some(0));
     let mut client = ask(&next, 2, "digest", "");
     engines.next_start(&id(2)).row();
-    is_served(&mut client, 2);
+    assert_served(&mut client, 2);
 }
 
 #[test]
@@ -478,21 +471,21 @@
         if waiting.len() > 3 {
             let (n, mut client, out) = waiting.pop_front().unwrap();
             out.row();
-            is_served(&mut client, n);
+            assert_served(&mut client, n);
         }
     }
     for (n, mut client, out) in waiting {
         out.row();
-        is_served(&mut client, n);
+        assert_served(&mut client, n);
     }
-    assert_eq!((gateway.told("served.load"), gateway.told("attempts.load")), (40, 40));
-    assert_eq!((gateway.told("in_flight"), gateway.told("failed.load")), (0, 0));
+    assert_eq!((gateway.metric("served.load"), gateway.metric("attempts.load")), (40, 40));
+    assert_eq!((gateway.metric("in_flight"), gateway.metric("failed.load")), (0, 0));
     assert!(engines.has_started_no_other());
 }
 
 #[test]
 fn without_a_control_table_there_is_no_control_plane_and_the_status_is_short() {
     let engines = HeldEngines::start(&["e1"]);
-    let gateway = Gateway::scripted_with_door(&engines.entries, |config| config);
+    let gateway = Gateway::scripted_with_admin(&engines.entries, |config| config);
     assert_eq!(status(&gateway), "ready\n");
 }
