--- a/lab/src/capacity/bounds.rs
+++ b/lab/src/capacity/bounds.rs
@@ -55,8 +55,8 @@
     }
 }
 
-/// How often bounds are looked at while something is waited for.
-const LOOK: Duration = Duration::from_millis(50);
+/// The longest time between two checks of the bounds during a wait.
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Holds a run to its bounds.
 #[derive(Clone, Copy, Debug)]
@@ -86,7 +86,7 @@
         self.limits.check(usage)
     }
 
-    /// Waits, and looks at the bounds meanwhile.
+    /// Waits, and checks the bounds meanwhile.
     ///
     /// # Errors
     /// A bound is passed.
@@ -98,7 +98,7 @@
             if left.is_zero() {
                 return Ok(());
             }
-            std::thread::sleep(left.min(LOOK));
+            std::thread::sleep(left.min(CHECK_INTERVAL));
         }
     }
 }
--- a/lab/src/capacity/estimate/control.rs
+++ b/lab/src/capacity/estimate/control.rs
@@ -1,5 +1,5 @@
 //! What the target needs of a control machine. None of its programs is in this repository: what gateways cause is
-//! reckoned, what it costs there is not measured.
+//! calculated, what it costs there is not measured.
 
 use super::super::experiment::{Experiment as E, Quantity as Q};
 use super::super::stand_ins::COMMENT;
--- a/lab/src/capacity/estimate/mod.rs
+++ b/lab/src/capacity/estimate/mod.rs
@@ -16,8 +16,8 @@
 pub const MEGABYTE: f64 = 1e6;
 /// Events of the list for a database that is restarted or fails: it drains, goes and comes back.
 pub const EVENTS_PER_RESTART: f64 = 3.0;
-/// From this share of its limit a need is listed as near it.
-pub const NEAR: f64 = 0.5;
+/// From this part of its limit on a need is listed as near it.
+pub const NEAR_LIMIT_RATIO: f64 = 0.5;
 
 /// A role of a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -180,7 +180,7 @@
     pub role: Role,
     /// What it is.
     pub resource: Resource,
-    /// In words.
+    /// Its description.
     pub what: String,
     /// When.
     pub case: Case,
@@ -271,7 +271,7 @@
 }
 
 impl<'a> CapacityEstimate<'a> {
-    /// Reckons all needs of a target.
+    /// Calculates all needs of a target.
     pub fn new(target: &'a Target, slopes: &'a Slopes) -> Self {
         let mut estimate = Self { target, slopes, needs: Vec::new(), unmeasured: Vec::new() };
         gateway::add_needs(&mut estimate);
@@ -289,7 +289,7 @@
     pub fn missing(&self) -> Vec<&Need> {
         let weight = |need: &Need| match (need.ratio(), &need.carrier) {
             (Ratio::None, Carrier::Nothing(instead)) => Some((true, instead.ratio.unwrap_or(0.0))),
-            (Ratio::Of(ratio), _) if ratio >= NEAR => Some((false, ratio)),
+            (Ratio::Of(ratio), _) if ratio >= NEAR_LIMIT_RATIO => Some((false, ratio)),
             _ => None,
         };
         let mut missing: Vec<_> = self.needs.iter().filter_map(|n| Some((weight(n)?, n))).collect();
@@ -319,7 +319,7 @@
         let measured = self.measured(experiment, quantity)?;
         let fit = measured.fit?;
         let amount = Amount { value: fit.slope, spread: fit.slope_error };
-        Some(Source { amount, from: format!("slope of {}", measured.name()), mark: Mark::Reckoned })
+        Some(Source { amount, from: format!("slope of {}", measured.name()), mark: Mark::Calculated })
     }
 
     fn add(&mut self, role: Role, entry: Entry, source: Source) {
@@ -340,7 +340,7 @@
 impl Source {
     /// From the target alone.
     fn target(value: f64) -> Self {
-        Self { amount: Amount::exact(value), from: "the target".to_owned(), mark: Mark::Reckoned }
+        Self { amount: Amount::exact(value), from: "the target".to_owned(), mark: Mark::Calculated }
     }
 
     /// The same in a unit of which one is so many times less.
@@ -349,7 +349,7 @@
     }
 
     fn times(&self, factor: f64) -> Self {
-        Self { mark: Mark::Reckoned, ..self.in_unit(factor) }
+        Self { mark: Mark::Calculated, ..self.in_unit(factor) }
     }
 
     fn plus(&self, other: &Self) -> Self {
@@ -358,7 +358,7 @@
         } else {
             format!("{}; {}", self.from, other.from)
         };
-        Self { amount: self.amount.plus(other.amount), from, mark: Mark::Reckoned }
+        Self { amount: self.amount.plus(other.amount), from, mark: Mark::Calculated }
     }
 
     fn minus(&self, other: &Self) -> Self {
--- a/lab/src/capacity/experiment.rs
+++ b/lab/src/capacity/experiment.rs
@@ -42,8 +42,10 @@
     DecideStatementEngines,
     /// The decisions of a statement in memory, by open requests.
     DecideStatementOpen,
-    /// A look of the module that no event asks for, in memory, by engines.
-    DecideLookEngines,
+    /// A control tick of the decisions, in memory, by engines.
+    #[serde(rename = "decide-look-engines")]
+    #[value(name = "decide-look-engines")]
+    DecideControlTickEngines,
     /// Taking a change of one engine in memory, by engines.
     DecideChangeEngines,
     /// Taking a whole list in memory, by engines.
@@ -56,9 +58,9 @@
     StatementSessions,
     /// A statement through the process, by engines, with many requests open and many sessions idle.
     StatementTogether,
-    /// A change of one engine told by the coordinator, by engines.
+    /// A change of one engine sent by the coordinator, by engines.
     ChangeEngines,
-    /// A whole list told by the coordinator, by engines.
+    /// A whole list sent by the coordinator, by engines.
     ListEngines,
     /// The configuration read again on SIGHUP, by engines in it.
     ReloadEngines,
@@ -66,7 +68,7 @@
     ReloadClasses,
     /// The configuration read again on SIGHUP, by tenants in it.
     ReloadTenants,
-    /// A version of the settings told by a control machine and taken over in service, by engines.
+    /// A version of the settings sent by a control machine and taken over in service, by engines.
     VersionEngines,
     /// The same by classes.
     VersionClasses,
@@ -168,7 +170,7 @@
             E::ReloadClasses | E::VersionClasses | E::StartClasses => Variable::Classes,
             E::ReloadTenants | E::VersionTenants | E::StartTenants => Variable::Tenants,
             E::DecideStatementEngines
-            | E::DecideLookEngines
+            | E::DecideControlTickEngines
             | E::DecideChangeEngines
             | E::DecideListEngines
             | E::StatementEngines
@@ -187,7 +189,7 @@
         use Experiment as E;
         match self {
             E::DecideStatementEngines
-            | E::DecideLookEngines
+            | E::DecideControlTickEngines
             | E::DecideChangeEngines
             | E::DecideListEngines => {
                 "in memory, simulated time: 16 open requests, 2,364 statements a second"
--- a/lab/src/capacity/experiments/mod.rs
+++ b/lab/src/capacity/experiments/mod.rs
@@ -145,7 +145,7 @@
         match experiment {
             E::DecideStatementEngines => self.decide_statements(size, FIXED_OPEN_REQUESTS),
             E::DecideStatementOpen => self.decide_statements(FIXED_ENGINES, size),
-            E::DecideLookEngines => {
+            E::DecideControlTickEngines => {
                 self.decide(size, FIXED_OPEN_REQUESTS, |d| d.control_ticks(self.effort.changes))
             }
             E::DecideChangeEngines => {
--- a/lab/src/capacity/experiments/statements.rs
+++ b/lab/src/capacity/experiments/statements.rs
@@ -36,7 +36,7 @@
         let run = ExperimentRun::of(vec![
             (Quantity::Cpu, (gateway.cpu_us()? - cpu_us) / each),
             (Quantity::LatencyP99, tally.latencies.value_at_quantile(0.99) as f64 / 1e3),
-            (Quantity::Connections, engines.seen.connections() as f64),
+            (Quantity::Connections, engines.counters.connections() as f64),
             (Quantity::Descriptors, gateway.descriptors()? as f64),
             (Quantity::Resident, gateway.resident_bytes()?),
             (Quantity::LogBytes, (gateway.log_bytes() - logged) as f64 / each),
--- a/lab/src/capacity/process.rs
+++ b/lab/src/capacity/process.rs
@@ -88,7 +88,9 @@
         let path = PathBuf::from(format!("/proc/{}/schedstat", self.process()));
         let text = std::fs::read_to_string(&path).map_err(CapacityError::file(&path))?;
         let spent = text.split_whitespace().next().and_then(|ns| ns.parse::<f64>().ok());
-        spent.map(|ns| ns / 1e3).ok_or_else(|| CapacityError::Peer("no processor time is told".to_owned()))
+        spent
+            .map(|ns| ns / 1e3)
+            .ok_or_else(|| CapacityError::Peer("no processor time in schedstat".to_owned()))
     }
 
     /// Anonymous memory that is resident, in bytes.
@@ -132,9 +134,9 @@
         self.signal(Signal::USR1)?;
         let line = self.line_with("counters=")?;
         let key = format!("{name}=");
-        let word = line.split(['"', ' ']).find_map(|word| word.strip_prefix(&key));
+        let value = line.split(['"', ' ']).find_map(|part| part.strip_prefix(&key));
         let unknown = || CapacityError::Peer(format!("no counter {name} in {line}"));
-        word.and_then(|n| n.parse().ok()).ok_or_else(unknown)
+        value.and_then(|n| n.parse().ok()).ok_or_else(unknown)
     }
 
     /// The answer to `GET /status/metrics`, head included.
@@ -197,7 +199,7 @@
 }
 
 fn address(line: &str, key: &str) -> Result<SocketAddr, CapacityError> {
-    let word = line.split_whitespace().find_map(|word| word.strip_prefix(key));
+    let value = line.split_whitespace().find_map(|part| part.strip_prefix(key));
     let none = || CapacityError::Peer(format!("no address behind {key} in: {line}"));
-    word.and_then(|w| w.trim_matches('"').parse().ok()).ok_or_else(none)
+    value.and_then(|value| value.trim_matches('"').parse().ok()).ok_or_else(none)
 }
--- a/lab/src/capacity/slopes.rs
+++ b/lab/src/capacity/slopes.rs
@@ -43,7 +43,8 @@
     /// From simulated time.
     Simulated,
     /// By arithmetic from others.
-    Reckoned,
+    #[serde(rename = "reckoned")]
+    Calculated,
 }
 
 impl fmt::Display for Mark {
@@ -52,7 +53,7 @@
             Mark::Measured => "measured",
             Mark::Hollow => "hollow",
             Mark::Simulated => "simulated",
-            Mark::Reckoned => "reckoned",
+            Mark::Calculated => "reckoned",
         })
     }
 }
@@ -103,7 +104,7 @@
         }
         let fit = self.fit?;
         let value = if fit.linear { fit.intercept + fit.slope * size } else { self.between(size)? };
-        Some(Estimate { value, spread: fit.noise.max(fit.misfit), mark: Mark::Reckoned })
+        Some(Estimate { value, spread: fit.noise.max(fit.misfit), mark: Mark::Calculated })
     }
 
     fn between(&self, size: f64) -> Option<f64> {
--- a/lab/src/capacity/stand_ins.rs
+++ b/lab/src/capacity/stand_ins.rs
@@ -12,27 +12,28 @@
 
 use super::error::CapacityError;
 
-/// What is read from a connection at a time.
-const CHUNK: usize = 4_096;
-/// How often the engines look whether they are to end.
-const LOOK: Duration = Duration::from_millis(50);
-/// Keys of connections; those below are listeners'.
-const CONNECTION: u64 = 1 << 32;
-/// The one row that a query gets, on its only page.
-const ROW: &[u8] = b"HTTP/1.1 200 OK\r\nPage-Count: 1\r\nX-Meter: queue:0\r\nContent-Length: 2\r\n\r\n1\n";
-/// The answer to a query that is given up.
-const GIVEN_UP: &[u8] = b"HTTP/1.1 204 No Content\r\n\r\n";
+/// The most bytes that are read from a connection at a time.
+const READ_BYTES: usize = 4_096;
+/// The longest time between two checks whether the engines are to end.
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// The least poller key of a connection; keys below are listeners'.
+const FIRST_CONNECTION_KEY: u64 = 1 << 32;
+/// The answer to a query: one row on one page.
+const ROW_RESPONSE: &[u8] =
+    b"HTTP/1.1 200 OK\r\nPage-Count: 1\r\nX-Meter: queue:0\r\nContent-Length: 2\r\n\r\n1\n";
+/// The answer to the cancellation of a query.
+const CANCELLED_RESPONSE: &[u8] = b"HTTP/1.1 204 No Content\r\n\r\n";
 /// For reading only: answers are short and fit the socket's buffer.
 const READABLE: Interest = Interest { read: true, write: false };
 
-/// What engines have seen, all together.
+/// Counters of all engines.
 #[derive(Clone, Debug, Default)]
-pub struct Seen {
+pub struct EngineCounters {
     connections: Arc<AtomicU64>,
     queries: Arc<AtomicU64>,
 }
 
-impl Seen {
+impl EngineCounters {
     /// Connections accepted.
     pub fn connections(&self) -> u64 {
         self.connections.load(Ordering::SeqCst)
@@ -48,8 +49,8 @@
 pub struct Engines {
     /// Where each listens.
     pub addresses: Vec<SocketAddr>,
-    /// What they have seen.
-    pub seen: Seen,
+    /// Their counters.
+    pub counters: EngineCounters,
     stop: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
 }
@@ -68,12 +69,18 @@
             listener.set_nonblocking(true)?;
             poll.add(listener, key as u64, READABLE, Trigger::Level)?;
         }
-        let (seen, stop) = (Seen::default(), Arc::<AtomicBool>::default());
-        let mut crowd =
-            Crowd { poll, listeners, connections: Vec::new(), free: Vec::new(), seen: seen.clone() };
+        let (counters, stop) = (EngineCounters::default(), Arc::<AtomicBool>::default());
+        let mut engine_loop = EngineLoop {
+            poll,
+            listeners,
+            connections: Vec::new(),
+            free: Vec::new(),
+            counters: counters.clone(),
+        };
         let ends = stop.clone();
-        let thread = thread::spawn(move || while !ends.load(Ordering::SeqCst) && crowd.turn().is_ok() {});
-        Ok(Self { addresses, seen, stop, thread: Some(thread) })
+        let thread =
+            thread::spawn(move || while !ends.load(Ordering::SeqCst) && engine_loop.turn().is_ok() {});
+        Ok(Self { addresses, counters, stop, thread: Some(thread) })
     }
 }
 
@@ -92,23 +99,24 @@
     input: Vec<u8>,
 }
 
-struct Crowd {
+/// The event loop that serves all engines.
+struct EngineLoop {
     poll: Poll,
     listeners: Vec<TcpListener>,
     connections: Vec<Option<Connection>>,
     free: Vec<usize>,
-    seen: Seen,
+    counters: EngineCounters,
 }
 
-impl Crowd {
+impl EngineLoop {
     fn turn(&mut self) -> io::Result<()> {
         let mut ready = Vec::new();
-        self.poll.wait(Some(LOOK), &mut ready)?;
+        self.poll.wait(Some(STOP_CHECK_INTERVAL), &mut ready)?;
         for (key, _) in ready {
-            if key < CONNECTION {
+            if key < FIRST_CONNECTION_KEY {
                 self.accept(key as usize);
             } else {
-                self.read((key - CONNECTION) as usize);
+                self.read((key - FIRST_CONNECTION_KEY) as usize);
             }
         }
         Ok(())
@@ -121,19 +129,19 @@
                 self.connections.len() - 1
             });
             let ready = stream.set_nonblocking(true).and_then(|()| stream.set_nodelay(true));
-            let key = CONNECTION + at as u64;
+            let key = FIRST_CONNECTION_KEY + at as u64;
             if ready.and_then(|()| self.poll.add(&stream, key, READABLE, Trigger::Level)).is_err() {
                 self.free.push(at);
                 continue;
             }
             self.connections[at] = Some(Connection { stream, input: Vec::new() });
-            self.seen.connections.fetch_add(1, Ordering::SeqCst);
+            self.counters.connections.fetch_add(1, Ordering::SeqCst);
         }
     }
 
     fn read(&mut self, at: usize) {
         let Some(connection) = &mut self.connections[at] else { return };
-        if connection.serve(&self.seen).is_ok() {
+        if connection.serve(&self.counters).is_ok() {
             return;
         }
         if let Some(ended) = self.connections[at].take() {
@@ -145,8 +153,8 @@
 
 impl Connection {
     /// Reads what has come and answers each call that is whole; an error once it has ended.
-    fn serve(&mut self, seen: &Seen) -> io::Result<()> {
-        let mut chunk = [0; CHUNK];
+    fn serve(&mut self, counters: &EngineCounters) -> io::Result<()> {
+        let mut chunk = [0; READ_BYTES];
         loop {
             match self.stream.read(&mut chunk) {
                 Ok(0) => return Err(ErrorKind::UnexpectedEof.into()),
@@ -156,9 +164,9 @@
             }
             while let Some(length) = call_length(&self.input) {
                 let query = self.input.starts_with(b"POST");
-                // Counted first: whoever has the answer finds the query among those seen.
-                seen.queries.fetch_add(u64::from(query), Ordering::SeqCst);
-                self.stream.write_all(if query { ROW } else { GIVEN_UP })?;
+                // Counted first: whoever has the answer finds the query among those counters.
+                counters.queries.fetch_add(u64::from(query), Ordering::SeqCst);
+                self.stream.write_all(if query { ROW_RESPONSE } else { CANCELLED_RESPONSE })?;
                 self.input.drain(..length);
             }
         }
--- a/lab/src/engines.rs
+++ b/lab/src/engines.rs
@@ -1,5 +1,5 @@
 //! What a fleet does to its engines, summed over the gateways' logs at debug: connections, attempts, and when each
-//! gateway learned of a change.
+//! gateway was notified of a change.
 
 use std::collections::{BTreeMap, HashMap};
 use std::io::BufRead;
@@ -62,16 +62,24 @@
     }
 }
 
+/// A change of an engine, as the endpoint list has it.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct EngineChange {
+    name: String,
+    state: String,
+    since_ms: u64,
+}
+
 /// What one gateway's log holds.
 #[derive(Debug, Default)]
 pub struct Log {
     /// By engine and second.
     counts: BTreeMap<(String, u64), Count>,
-    /// When it was first told of an engine's state, by name, state and start.
-    told: BTreeMap<(String, String, u64), f64>,
+    /// When it was first notified of a state of an engine.
+    first_notified_s: BTreeMap<EngineChange, f64>,
 }
 
-/// Reads one gateway's log. Engines that it was not told of by name are left out.
+/// Reads one gateway's log. Engines whose names the log does not hold are left out.
 pub fn read(log: impl BufRead) -> std::io::Result<Log> {
     let mut out = Log::default();
     // Numbers are this gateway's own; names are the fleet's.
@@ -82,10 +90,11 @@
         let line = line?;
         let (Some(now), Some(number)) = (at(&line), field(&line, "engine")) else { continue };
         if line.contains("engine listed") {
-            let word = |key| field(&line, key).unwrap_or_default().to_owned();
-            names.insert(number.to_owned(), word("name"));
-            let since = word("since_ms").parse().unwrap_or(0);
-            out.told.entry((word("name"), word("state"), since)).or_insert(now);
+            let text = |key| field(&line, key).unwrap_or_default().to_owned();
+            names.insert(number.to_owned(), text("name"));
+            let since_ms = text("since_ms").parse().unwrap_or(0);
+            let change = EngineChange { name: text("name"), state: text("state"), since_ms };
+            out.first_notified_s.entry(change).or_insert(now);
             continue;
         }
         let Some(name) = names.get(number) else { continue };
@@ -111,7 +120,7 @@
     Ok(out)
 }
 
-/// When the first and the last of the gateways that were told learned of a change, and how many they were.
+/// When the first and the last gateway were notified of a change, and how many were.
 #[derive(Debug, PartialEq, Serialize)]
 pub struct Learned {
     name: String,
@@ -123,12 +132,14 @@
 }
 
 fn learned(logs: &[Log]) -> Vec<Learned> {
-    let mut times: BTreeMap<&(String, String, u64), Vec<f64>> = BTreeMap::new();
-    logs.iter().flat_map(|l| &l.told).for_each(|(change, at)| times.entry(change).or_default().push(*at));
-    let learned = times.into_iter().map(|((name, state, since_ms), at)| Learned {
-        name: name.clone(),
-        state: state.clone(),
-        since_ms: *since_ms,
+    let mut times: BTreeMap<&EngineChange, Vec<f64>> = BTreeMap::new();
+    logs.iter()
+        .flat_map(|l| &l.first_notified_s)
+        .for_each(|(change, at)| times.entry(change).or_default().push(*at));
+    let learned = times.into_iter().map(|(change, at)| Learned {
+        name: change.name.clone(),
+        state: change.state.clone(),
+        since_ms: change.since_ms,
         gateways: at.len(),
         first_s: at.iter().copied().fold(f64::INFINITY, f64::min),
         last_s: at.iter().copied().fold(0.0, f64::max),
@@ -175,7 +186,7 @@
     for (name, count) in figures.engines.iter().filter(|_| options.each) {
         print(name, count, count.opened() as i64 - count.closed as i64);
     }
-    println!("engine, state, start in ms: gateways told, first and last at s");
+    println!("engine, state, start in ms: gateways notified, first and last at s");
     for l in &figures.learned {
         println!(
             "{}, {}, {}: {}, {:.2}, {:.2}",
--- a/lab/src/engines/tests.rs
+++ b/lab/src/engines/tests.rs
@@ -31,12 +31,12 @@
 }
 
 #[test]
-fn it_is_told_when_the_first_and_the_last_gateway_learned() {
+fn the_first_and_the_last_notification_of_a_change_are_found() {
     let learned = learned(&[read(ONE.as_bytes()).unwrap(), read(OTHER.as_bytes()).unwrap()]);
-    let told: Vec<_> = learned
+    let found: Vec<_> = learned
         .iter()
         .map(|l| (l.name.as_str(), l.state.as_str(), l.gateways, l.first_s, l.last_s))
         .collect();
     let all = [("e1", "Draining", 2, 1.3, 1.7), ("e1", "Ready", 2, 0.0, 0.0), ("e2", "Ready", 1, 0.0, 0.0)];
-    assert_eq!(told, all);
+    assert_eq!(found, all);
 }
--- a/lab/src/fleet.rs
+++ b/lab/src/fleet.rs
@@ -137,12 +137,12 @@
         let serving = lines.by_ref().map_while(Result::ok).find(|l| l.contains("serving"));
         let serving = serving.ok_or_else(|| anyhow!("the gateway did not start"))?;
         let address = |key: &str| {
-            let word = serving.split_whitespace().find_map(|w| w.strip_prefix(key))?;
-            word.parse::<SocketAddr>().ok()
+            let value = serving.split_whitespace().find_map(|w| w.strip_prefix(key))?;
+            value.parse::<SocketAddr>().ok()
         };
         let (pg, mysql) = (address("listen=").context("no address")?, address("mysql="));
-        let (tell, log) = channel();
-        thread::spawn(move || lines.map_while(Result::ok).for_each(|l| drop(tell.send(l))));
+        let (lines_sender, log) = channel();
+        thread::spawn(move || lines.map_while(Result::ok).for_each(|l| drop(lines_sender.send(l))));
         Ok(Self { child, folder, log, pg, mysql })
     }
 
--- a/lab/src/helper.rs
+++ b/lab/src/helper.rs
@@ -209,14 +209,14 @@
     Done { done, lost, ms: took.as_secs_f64() * 1e3, p99_ms: each.p99_ms, max_ms: each.max_ms }
 }
 
-/// Holds sessions and does as it is told until its input ends.
+/// Holds sessions, and carries out the commands of its input until that ends.
 pub fn run(address: SocketAddr, source: IpAddr, front: Front, connections: usize) -> anyhow::Result<()> {
     let mut held = Held { address, source, front, sessions: Vec::new() };
     for line in std::io::stdin().lock().lines() {
         let line = line?;
-        let (word, number) = line.split_once(' ').unwrap_or((&line, "0"));
+        let (command, number) = line.split_once(' ').unwrap_or((&line, "0"));
         let number: usize = number.parse()?;
-        let done = match word {
+        let done = match command {
             "open" => held.open(connections)?,
             "wake" => held.wake(number)?,
             "reconnect" => held.reconnect(number)?,
--- a/lab/src/hollow/compare.rs
+++ b/lab/src/hollow/compare.rs
@@ -7,13 +7,13 @@
 use serde::{Deserialize, Serialize};
 
 use super::bounds::Bounds;
+use super::control_state::ControlState;
 use super::error::HollowError;
 use super::events::{Action, Script};
 use super::figures::{comparison_path, write_json};
 use super::fleet::{self, FleetSize};
 use super::list::{Database, DatabaseState};
 use super::model::Model;
-use super::model::control::ControlState;
 use super::options::{BoundOptions, SizeOptions};
 use super::sockets::gateways::{Manner, Programs};
 use super::sockets::print;
--- a/lab/src/hollow/events.rs
+++ b/lab/src/hollow/events.rs
@@ -3,31 +3,31 @@
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 
+use super::control_state::ControlState;
 use super::error::HollowError;
 use super::fleet::{self, FleetSize};
 use super::list::{Database, DatabaseState};
-use super::model::control::ControlState;
 
-/// A second, in microseconds.
-const SECOND: u64 = 1_000_000;
+/// Microseconds of a second.
+const SECOND_US: u64 = 1_000_000;
 /// When an event begins: all streams are up and quiet by then.
-const BEGIN: u64 = 20 * SECOND;
+const BEGIN_US: u64 = 20 * SECOND_US;
 /// From a database's failure to its entry in the list: an assumption about control.
-const DETECTION: u64 = 3 * SECOND;
-/// The window in which many restarts or a release are squeezed.
-const WINDOW: u64 = 60 * SECOND;
-/// For how long a single machine, a rack or a zone is away.
-const AWAY: u64 = 60 * SECOND;
+const FAILURE_DETECTION_US: u64 = 3 * SECOND_US;
+/// Time within which many restarts, or the restarts of a release, are spread.
+const RESTART_WINDOW_US: u64 = 60 * SECOND_US;
+/// How long a single machine, a rack or a zone is down.
+const OUTAGE_US: u64 = 60 * SECOND_US;
 /// For how long the regions are cut off from each other.
-const CUT: u64 = 180 * SECOND;
+const PARTITION_US: u64 = 180 * SECOND_US;
 /// How long a database is away for a restart.
-const DATABASE_RESTART: u64 = 10 * SECOND;
-/// Quiet time behind the last action.
-const AFTER: u64 = 30 * SECOND;
+const DATABASE_RESTART_US: u64 = 10 * SECOND_US;
+/// Time without actions at the end.
+const QUIET_END_US: u64 = 30 * SECOND_US;
 /// Restarts and replacements of a day.
-const RESTARTS_A_DAY: usize = 110;
+const RESTARTS_PER_DAY: usize = 110;
 /// Failures of a day.
-const FAILURES_A_DAY: usize = 2;
+const FAILURES_PER_DAY: usize = 2;
 
 /// What happens.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -36,7 +36,7 @@
     Change(Vec<Database>),
     /// A control machine ends or vanishes, or serves again.
     Control(usize, ControlState),
-    /// A gateway vanishes without a word.
+    /// A gateway vanishes without notice.
     GatewayVanishes(usize),
     /// A gateway starts; if it ran before, it ends first.
     GatewayStarts(usize),
@@ -101,9 +101,9 @@
     let mut random = Pcg32::seed_from_u64(seed);
     let mut actions = build(size, &mut random);
     actions.sort_by_key(|(at, _)| *at);
-    let last_us = actions.last().map_or(BEGIN, |(at, _)| *at);
-    let ends_us = if *name == "ordinary hour" { BEGIN + 3600 * SECOND } else { last_us + AFTER };
-    Ok(Script { name, actions, begins_us: BEGIN, ends_us })
+    let last_us = actions.last().map_or(BEGIN_US, |(at, _)| *at);
+    let ends_us = if *name == "ordinary hour" { BEGIN_US + 3600 * SECOND_US } else { last_us + QUIET_END_US };
+    Ok(Script { name, actions, begins_us: BEGIN_US, ends_us })
 }
 
 fn below(random: &mut Pcg32, most: usize) -> usize {
@@ -123,13 +123,16 @@
 fn database_restart(number: usize, at_us: u64) -> [(u64, Action); 3] {
     [
         state(number, DatabaseState::Terminating, at_us),
-        state(number, DatabaseState::Gone, at_us + 2 * SECOND),
-        state(number, DatabaseState::Ready, at_us + DATABASE_RESTART),
+        state(number, DatabaseState::Gone, at_us + 2 * SECOND_US),
+        state(number, DatabaseState::Ready, at_us + DATABASE_RESTART_US),
     ]
 }
 
 fn database_away(number: usize, from_us: u64, until_us: u64) -> [(u64, Action); 2] {
-    [state(number, DatabaseState::Gone, from_us + DETECTION), state(number, DatabaseState::Ready, until_us)]
+    [
+        state(number, DatabaseState::Gone, from_us + FAILURE_DETECTION_US),
+        state(number, DatabaseState::Ready, until_us),
+    ]
 }
 
 fn gateway_away(number: usize, from_us: u64, until_us: u64) -> [(u64, Action); 2] {
@@ -147,77 +150,77 @@
     let mut actions = Vec::new();
     for _ in 0..count.min(all) {
         let machine = machines.swap_remove(below(random, machines.len()));
-        let at_us = BEGIN + within(random, window_us);
+        let at_us = BEGIN_US + within(random, window_us);
         if machine < size.gateways {
             actions.push((at_us, Action::GatewayStarts(machine)));
         } else if machine < size.gateways + size.databases {
             actions.extend(database_restart(machine - size.gateways, at_us));
         } else {
             let control = machine - size.gateways - size.databases;
-            actions.extend(control_away(control, ControlState::Ended, at_us, at_us + DATABASE_RESTART));
+            actions.extend(control_away(control, ControlState::Ended, at_us, at_us + DATABASE_RESTART_US));
         }
     }
     actions
 }
 
 fn ordinary_hour(size: FleetSize, random: &mut Pcg32) -> Vec<(u64, Action)> {
-    let hour_us = 3600 * SECOND;
-    let mut actions = restarts(size, random, RESTARTS_A_DAY.div_ceil(24), hour_us - 120 * SECOND);
-    for _ in 0..FAILURES_A_DAY.div_ceil(24) {
-        let at_us = BEGIN + within(random, hour_us - 120 * SECOND);
-        actions.extend(database_away(below(random, size.databases), at_us, at_us + AWAY));
+    let hour_us = 3600 * SECOND_US;
+    let mut actions = restarts(size, random, RESTARTS_PER_DAY.div_ceil(24), hour_us - 120 * SECOND_US);
+    for _ in 0..FAILURES_PER_DAY.div_ceil(24) {
+        let at_us = BEGIN_US + within(random, hour_us - 120 * SECOND_US);
+        actions.extend(database_away(below(random, size.databases), at_us, at_us + OUTAGE_US));
     }
     actions
 }
 
 fn gateway_fails(size: FleetSize, random: &mut Pcg32) -> Vec<(u64, Action)> {
-    gateway_away(below(random, size.gateways), BEGIN, BEGIN + AWAY).into()
+    gateway_away(below(random, size.gateways), BEGIN_US, BEGIN_US + OUTAGE_US).into()
 }
 
 fn database_fails(size: FleetSize, random: &mut Pcg32) -> Vec<(u64, Action)> {
-    database_away(below(random, size.databases), BEGIN, BEGIN + AWAY).into()
+    database_away(below(random, size.databases), BEGIN_US, BEGIN_US + OUTAGE_US).into()
 }
 
 fn control_fails(size: FleetSize, random: &mut Pcg32) -> Vec<(u64, Action)> {
-    control_away(below(random, size.control), ControlState::Vanished, BEGIN, BEGIN + AWAY).into()
+    control_away(below(random, size.control), ControlState::Vanished, BEGIN_US, BEGIN_US + OUTAGE_US).into()
 }
 
 fn control_ends(size: FleetSize, random: &mut Pcg32) -> Vec<(u64, Action)> {
-    control_away(below(random, size.control), ControlState::Ended, BEGIN, BEGIN + AWAY).into()
+    control_away(below(random, size.control), ControlState::Ended, BEGIN_US, BEGIN_US + OUTAGE_US).into()
 }
 
 fn restarts_in_one_window(size: FleetSize, random: &mut Pcg32) -> Vec<(u64, Action)> {
-    restarts(size, random, RESTARTS_A_DAY, WINDOW)
+    restarts(size, random, RESTARTS_PER_DAY, RESTART_WINDOW_US)
 }
 
 fn restarts_at_once(size: FleetSize, random: &mut Pcg32) -> Vec<(u64, Action)> {
-    restarts(size, random, RESTARTS_A_DAY, 0)
+    restarts(size, random, RESTARTS_PER_DAY, 0)
 }
 
 fn release(size: FleetSize, random: &mut Pcg32) -> Vec<(u64, Action)> {
     (0..size.gateways)
-        .map(|gateway| (BEGIN + within(random, WINDOW), Action::GatewayStarts(gateway)))
+        .map(|gateway| (BEGIN_US + within(random, RESTART_WINDOW_US), Action::GatewayStarts(gateway)))
         .collect()
 }
 
 /// What stands in one place is away for a while, and returns in the same moment.
 fn place_away(size: FleetSize, is_there: impl Fn(usize) -> bool) -> Vec<(u64, Action)> {
-    let until_us = BEGIN + AWAY;
+    let until_us = BEGIN_US + OUTAGE_US;
     let mut actions = Vec::new();
     for control in (0..size.control).filter(|machine| is_there(*machine)) {
-        actions.extend(control_away(control, ControlState::Vanished, BEGIN, until_us));
+        actions.extend(control_away(control, ControlState::Vanished, BEGIN_US, until_us));
     }
     for gateway in (0..size.gateways).filter(|machine| is_there(*machine)) {
-        actions.extend(gateway_away(gateway, BEGIN, until_us));
+        actions.extend(gateway_away(gateway, BEGIN_US, until_us));
     }
     for database in (0..size.databases).filter(|machine| is_there(*machine)) {
-        actions.extend(database_away(database, BEGIN, until_us));
+        actions.extend(database_away(database, BEGIN_US, until_us));
     }
     actions
 }
 
 fn rack_fails(size: FleetSize, random: &mut Pcg32) -> Vec<(u64, Action)> {
-    let (zone, rack) = (below(random, fleet::ZONES), below(random, fleet::RACKS_A_ZONE));
+    let (zone, rack) = (below(random, fleet::ZONES), below(random, fleet::RACKS_PER_ZONE));
     place_away(size, |machine| fleet::zone(machine) == zone && fleet::rack(machine) == rack)
 }
 
@@ -227,16 +230,19 @@
 }
 
 fn regions_cut(size: FleetSize, random: &mut Pcg32) -> Vec<(u64, Action)> {
-    let mut actions = vec![(BEGIN, Action::Cut(true)), (BEGIN + CUT, Action::Cut(false))];
+    let mut actions = vec![(BEGIN_US, Action::Cut(true)), (BEGIN_US + PARTITION_US, Action::Cut(false))];
     // Databases are restarted meanwhile, as on any day.
     for restart in 0..10 {
-        actions.extend(database_restart(below(random, size.databases), BEGIN + (restart + 1) * 15 * SECOND));
+        actions.extend(database_restart(
+            below(random, size.databases),
+            BEGIN_US + (restart + 1) * 15 * SECOND_US,
+        ));
     }
     actions
 }
 
 fn one_change(size: FleetSize, random: &mut Pcg32) -> Vec<(u64, Action)> {
-    vec![state(below(random, size.databases), DatabaseState::Terminating, BEGIN)]
+    vec![state(below(random, size.databases), DatabaseState::Terminating, BEGIN_US)]
 }
 
 fn change_in_zone(size: FleetSize, random: &mut Pcg32) -> Vec<(u64, Action)> {
@@ -244,7 +250,7 @@
     let database = below(random, size.databases);
     for tenths in [1, 10, 25, 30, 35, 605, 620] {
         let changed = if tenths % 2 == 0 { DatabaseState::Ready } else { DatabaseState::Terminating };
-        actions.push(state(database, changed, BEGIN + tenths * SECOND / 10));
+        actions.push(state(database, changed, BEGIN_US + tenths * SECOND_US / 10));
     }
     actions
 }
@@ -252,5 +258,5 @@
 /// Two of seven control machines stay, or as much of any other number.
 fn all_reconnect(size: FleetSize, _: &mut Pcg32) -> Vec<(u64, Action)> {
     let left = (size.control * 2 / 7).max(1);
-    vec![(BEGIN, Action::ControlLeft(left)), (BEGIN + AWAY, Action::ControlLeft(size.control))]
+    vec![(BEGIN_US, Action::ControlLeft(left)), (BEGIN_US + OUTAGE_US, Action::ControlLeft(size.control))]
 }
--- a/lab/src/hollow/fleet.rs
+++ b/lab/src/hollow/fleet.rs
@@ -7,7 +7,7 @@
 /// Zones of the first region; the others are the second's.
 pub const FIRST_REGION_ZONES: usize = 3;
 /// Machines of a zone stand in so many racks. The operators name no size of a rack: this is an assumption.
-pub const RACKS_A_ZONE: usize = 8;
+pub const RACKS_PER_ZONE: usize = 8;
 
 /// How many machines of each role there are.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -56,5 +56,5 @@
 
 /// The rack of the machine of this number in its role, within its zone.
 pub fn rack(machine: usize) -> usize {
-    machine / ZONES % RACKS_A_ZONE
+    machine / ZONES % RACKS_PER_ZONE
 }
--- a/lab/src/hollow/mod.rs
+++ b/lab/src/hollow/mod.rs
@@ -1,12 +1,13 @@
 //! `wrenhatch-lab hollow`: what control costs a fleet, without its clients' traffic.
 //!
-//! `simulate` plays events in simulated time on the gateway's own control-side code, `sockets` runs whole gateways
+//! `simulate` runs events in simulated time on the gateway's own control-side code, `sockets` runs whole gateways
 //! without clients over loopback, and `compare` runs the same small fleet hollow, as real processes and in simulated
 //! time, and compares counts, processor time and memory. How they work, and what they leave out, stands in
 //! `docs/design/capacity-hollow.md`.
 
 pub mod bounds;
 pub mod compare;
+pub mod control_state;
 pub mod error;
 pub mod events;
 pub mod figures;
--- a/lab/src/hollow/model/actions.rs
+++ b/lab/src/hollow/model/actions.rs
@@ -1,10 +1,10 @@
 //! The scripted actions: changes of the list, and what happens to machines and to the network.
 
-use super::control::ControlState;
 use super::event::Event;
 use super::measure::ListChange;
 use super::network::MAX_RETRANSMISSION_DELAY_US;
 use super::{Model, fleet};
+use crate::hollow::control_state::ControlState;
 use crate::hollow::events::Action;
 use crate::hollow::list::{COMMENT, Database};
 
--- a/lab/src/hollow/model/control.rs
+++ b/lab/src/hollow/model/control.rs
@@ -5,6 +5,7 @@
 use std::sync::Arc;
 
 use super::ConnectionId;
+use crate::hollow::control_state::ControlState;
 use crate::hollow::list::DatabaseList;
 use crate::hollow::load::Load;
 
@@ -17,17 +18,6 @@
 /// A stream that takes no bytes for so long is closed, in microseconds: an assumption.
 pub const STALL_TIMEOUT_US: u64 = 10_000_000;
 
-/// Whether a control machine can be reached.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ControlState {
-    /// It serves.
-    Serves,
-    /// Its machine is up, its process is not: calls are refused.
-    Ended,
-    /// It is silent.
-    Vanished,
-}
-
 /// A stream as its control machine has it.
 #[derive(Clone, Debug, Default)]
 pub struct ControlStream {
--- a/lab/src/hollow/model/control_side.rs
+++ b/lab/src/hollow/model/control_side.rs
@@ -1,8 +1,9 @@
 //! The control machines' side: calls, streams of the list, and changes that reach a machine.
 
-use super::control::{CALL_COST_US, ControlState, STALL_TIMEOUT_US};
+use super::control::{CALL_COST_US, STALL_TIMEOUT_US};
 use super::event::Event;
 use super::{ConnectionId, Model};
+use crate::hollow::control_state::ControlState;
 use crate::hollow::list::{COMMENT, COMMENT_PERIOD_US, STREAM_HEAD};
 
 impl Model {
--- a/lab/src/hollow/model/network.rs
+++ b/lab/src/hollow/model/network.rs
@@ -2,9 +2,10 @@
 
 use std::sync::Arc;
 
-use super::control::{ControlMachine, ControlState, ControlStream, write_cost_us};
+use super::control::{ControlMachine, ControlStream, write_cost_us};
 use super::event::Event;
 use super::{ConnectionId, Model};
+use crate::hollow::control_state::ControlState;
 use crate::hollow::fleet;
 
 /// Least one-way latency within a zone, between zones of a region and between regions, in microseconds: assumptions.
--- a/lab/src/hollow/sockets/gateways.rs
+++ b/lab/src/hollow/sockets/gateways.rs
@@ -15,7 +15,7 @@
 
 /// How long gateways may take to end after SIGTERM.
 const END_PATIENCE: Duration = Duration::from_secs(20);
-/// Between two looks at whether they have.
+/// Between two checks whether they have.
 const END_LOOK: Duration = Duration::from_millis(20);
 
 /// How gateways are run.
@@ -232,8 +232,8 @@
 fn counts_in_log(log: &str) -> Option<GatewayCounts> {
     let line = log.lines().rfind(|line| line.contains("counters=") && line.contains("ended"))?;
     let number = |key: &str| {
-        let word = line.split_whitespace().find_map(|word| word.strip_prefix(key)?.strip_prefix('='))?;
-        word.parse().ok()
+        let value = line.split_whitespace().find_map(|part| part.strip_prefix(key)?.strip_prefix('='))?;
+        value.parse().ok()
     };
     Some(GatewayCounts {
         list_connects: number("list_connects")?,
--- a/lab/src/hollow/sockets/run.rs
+++ b/lab/src/hollow/sockets/run.rs
@@ -13,7 +13,7 @@
 use crate::hollow::fleet::{self, FleetSize};
 use crate::hollow::list::{Database, DatabaseList, DatabaseState};
 
-/// Time between two looks at the gateways' processor time.
+/// Time between two readings of the gateways' processor time.
 const SAMPLE: Duration = Duration::from_secs(1);
 /// How late a step or a comment may be in a phase whose figures are used.
 const MOST_LATE: Duration = Duration::from_millis(250);
@@ -21,7 +21,7 @@
 const SETTLE: Duration = Duration::from_secs(2);
 /// How long all gateways may take to have the list.
 const START_PATIENCE: Duration = Duration::from_secs(60);
-/// Between two looks at whether they have.
+/// Between two checks whether they have.
 const START_LOOK: Duration = Duration::from_millis(50);
 /// Control machines write no comments for so long in the phase `silence`: gateways take a stream for dead after
 /// 2.5 to 3 s without one.
@@ -280,7 +280,7 @@
         }
     }
 
-    /// Processor time of each gateway since the last look, in nanoseconds.
+    /// Processor time of each gateway since the last reading, in nanoseconds.
     fn sample(&mut self) -> Vec<u64> {
         let now_ns = self.gateways.processor_ns();
         let last_ns = std::mem::replace(&mut self.last_sample_ns, now_ns.clone());
--- a/lab/src/log.rs
+++ b/lab/src/log.rs
@@ -14,7 +14,7 @@
         .match_indices(key)
         .find(|(at, _)| line[..*at].ends_with(' ') && line[at + key.len()..].starts_with('='))?;
     let rest = &line[start.0 + key.len() + 1..];
-    rest.split_whitespace().next().map(|word| word.trim_matches('"'))
+    rest.split_whitespace().next().map(|value| value.trim_matches('"'))
 }
 
 /// Seconds of a line: what stands before it, as `0.054` or `[0.05]`, or else the gateway's own clock.
--- a/lab/tests/capacity.rs
+++ b/lab/tests/capacity.rs
@@ -66,12 +66,12 @@
 }
 
 #[test]
-fn a_size_that_was_played_has_its_middle_play_and_others_are_reckoned() {
+fn a_size_that_was_played_has_its_middle_play_and_others_are_calculated() {
     let line = measured(plays(&SIZES, [-1.0, 0.0, 4.0], |size| 5.0 + 2.0 * size));
     let at = line.at(40.0).unwrap();
     assert_eq!((at.value, at.spread, at.mark), (85.0, 2.5, Mark::Measured));
     let at = line.at(100.0).unwrap();
-    assert!((at.value - 206.0).abs() < 1e-9 && at.mark == Mark::Reckoned, "{at:?}");
+    assert!((at.value - 206.0).abs() < 1e-9 && at.mark == Mark::Calculated, "{at:?}");
 }
 
 #[test]
@@ -93,7 +93,7 @@
 }
 
 /// The message for a target in which something is put in place of something else.
-fn mistake(from: &str, to: &str) -> String {
+fn error_message(from: &str, to: &str) -> String {
     let text = target_text();
     assert!(text.contains(from), "{from}");
     Target::parse("size.toml", &text.replacen(from, to, 1)).unwrap_err().to_string()
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn mistakes_in_a_target_name_file_line_and_key() {
+fn errors_in_a_target_name_file_line_and_key() {
     let cases = [
         ("databases = 810", "databases = 0", "databases: 0 is not within 1 and 1000000"),
         ("databases = 810", "databases = -3", "databases: -3 is not within 1 and 1000000"),
@@ -128,17 +128,17 @@
         ),
     ];
     for (from, to, message) in cases {
-        let told = mistake(from, to);
+        let actual = error_message(from, to);
         let start = format!("size.toml:{}: {message}", line_of(from));
-        assert!(told.starts_with(&start), "{told} does not start with {start}");
+        assert!(actual.starts_with(&start), "{actual} does not start with {start}");
     }
 }
 
 #[test]
 fn a_key_that_is_missing_or_there_twice_is_named() {
-    assert!(mistake("regions = 2\n", "").contains("missing field `regions`"));
-    assert!(mistake("regions = 2\n", "regions = 2\nregions = 3\n").contains("duplicate key"));
-    assert!(mistake("[gateway]", "[gateways]").contains("unknown field `gateways`"));
+    assert!(error_message("regions = 2\n", "").contains("missing field `regions`"));
+    assert!(error_message("regions = 2\n", "regions = 2\nregions = 3\n").contains("duplicate key"));
+    assert!(error_message("[gateway]", "[gateways]").contains("unknown field `gateways`"));
 }
 
 #[test]
@@ -196,7 +196,7 @@
 }
 
 #[test]
-fn needs_are_reckoned_from_slopes_and_target() {
+fn needs_are_calculated_from_slopes_and_target() {
     let (target, slopes) = (Target::parse("t", &target_text()).unwrap(), round_slopes());
     let estimate = CapacityEstimate::new(&target, &slopes);
     let need = |what: &str| estimate.needs.iter().find(|n| n.what.contains(what)).unwrap();
--- a/lab/tests/capacity_process.rs
+++ b/lab/tests/capacity_process.rs
@@ -49,9 +49,9 @@
     let mut sessions = Session::open_all(gateway.listen, 2).unwrap();
     let tally = closed_loop(&mut sessions, 60).unwrap();
     assert_eq!((tally.served, tally.unserved, tally.latencies.len()), (60, 0, 60));
-    assert_eq!(engines.seen.queries(), 60);
+    assert_eq!(engines.counters.queries(), 60);
     assert_eq!(gateway.counter("served").unwrap(), 60);
-    assert_eq!(gateway.counter("engine_connects").unwrap(), engines.seen.connections());
+    assert_eq!(gateway.counter("engine_connects").unwrap(), engines.counters.connections());
 }
 
 #[test]
@@ -95,11 +95,11 @@
         assert!(figure(&play, Quantity::Cpu) > 0.0 && figure(&play, Quantity::Taken) > 0.0);
         figure(&play, Quantity::StreamBytes)
     });
-    assert_eq!(bytes[0], bytes[1], "only the difference is told");
+    assert_eq!(bytes[0], bytes[1], "only the difference is sent");
 }
 
 #[test]
-fn a_size_that_can_t_be_played_is_turned_down() {
+fn a_size_out_of_range_is_refused() {
     for size in [0, MAX_SIZE + 1] {
         let error = bench(Limits::default()).run_once(Experiment::ChangeEngines, size).unwrap_err();
         assert_eq!(error.to_string(), format!("size {size} is not within 1 and 8000"));
