--- a/gateway/src/discovery/watch.rs
+++ b/gateway/src/discovery/watch.rs
@@ -18,9 +18,13 @@
 use super::silence::SilenceDetector;
 use super::stream::{EndpointStream, EndpointStreamError, write_stream_request};
 
-/// Mean time between two attempts to open the stream; each is drawn up to a quarter shorter or longer, as all gateways
-/// lose their streams in the same moment.
+/// Mean time between two attempts to open the stream, in microseconds; each is drawn up to a quarter shorter or longer,
+/// as all gateways lose their streams in the same moment.
 const RETRY_US: u64 = 200_000;
+/// The shortest time between two attempts, in parts of the mean.
+const MIN_JITTER_RATIO: f64 = 0.75;
+/// From the shortest time to the longest, in parts of the mean.
+const JITTER_RANGE_RATIO: f64 = 0.5;
 /// A connection that is not up within this is given up: one that was begun during a network partition may come up long
 /// after that has healed.
 const CONNECT_TIMEOUT_US: u64 = 1_000_000;
@@ -140,7 +144,7 @@
             due.close_silent = true;
         }
         if now_us >= self.retry_at_us {
-            let pause_us = RETRY_US as f64 * (0.75 + 0.5 * chance());
+            let pause_us = RETRY_US as f64 * (MIN_JITTER_RATIO + JITTER_RANGE_RATIO * chance());
             self.retry_at_us = now_us + pause_us as u64;
             due.connect = true;
         }
--- a/gateway/src/engine/http/exchange.rs
+++ b/gateway/src/engine/http/exchange.rs
@@ -4,7 +4,7 @@
 use workload_manager::{LoadReport, Outcome};
 
 use super::pages::Pages;
-use super::{Response, get};
+use super::{Response, get, status};
 use crate::front::Rows;
 
 /// The calls and responses of one attempt.
@@ -65,12 +65,12 @@
         self.load_report = response.load_report.or(self.load_report);
         let starting = std::mem::replace(&mut self.starting, false);
         match response.status {
-            202 if self.cancelled => Step::StillRunning,
-            202 if self.pages.next_page() == 0 => {
+            status::ACCEPTED if self.cancelled => Step::StillRunning,
+            status::ACCEPTED if self.pages.next_page() == 0 => {
                 get(&self.query_id, 0, out);
                 Step::CallWritten
             }
-            200 if self.pages.is_next(response) => {
+            status::OK if self.pages.is_next(response) => {
                 self.pages.push(response);
                 if self.pages.is_complete() {
                     return Step::Ended(Outcome::Success);
@@ -81,13 +81,15 @@
             // Only these prove that it never ran, and only for the call that starts it: after a response that it
             // runs, or over another connection, perhaps to another engine at its address, they may mean the call for
             // a progress report. The same status without the mark may hide anything.
-            503 if response.shed && starting => Step::Ended(Outcome::Rejected),
-            504 if response.shed && starting => Step::Ended(Outcome::NeverSent),
-            503 | 504 if response.shed => Step::Unusable,
+            status::SERVICE_UNAVAILABLE if response.shed && starting => Step::Ended(Outcome::Rejected),
+            status::GATEWAY_TIMEOUT if response.shed && starting => Step::Ended(Outcome::NeverSent),
+            status::SERVICE_UNAVAILABLE | status::GATEWAY_TIMEOUT if response.shed => Step::Unusable,
             // The engine took the cancellation before it answered the last call. That it does not know the query any
             // more is the end that was wanted, and no fault of the engine's.
-            200 | 500 if self.cancelled => Step::Ended(Outcome::Cancelled),
-            500 | 503 | 504 => Step::Ended(Outcome::Error),
+            status::OK | status::INTERNAL_SERVER_ERROR if self.cancelled => Step::Ended(Outcome::Cancelled),
+            status::INTERNAL_SERVER_ERROR | status::SERVICE_UNAVAILABLE | status::GATEWAY_TIMEOUT => {
+                Step::Ended(Outcome::Error)
+            }
             _ => Step::Unusable,
         }
     }
--- a/gateway/src/engine/http/mod.rs
+++ b/gateway/src/engine/http/mod.rs
@@ -9,13 +9,14 @@
 mod pages;
 mod request;
 mod response;
+pub mod status;
 
 pub use exchange::{Exchange, Step};
 pub use request::{Start, delete, get, post, put_priority};
 pub use response::{NotHttp, Response, read};
 
 /// The longest head or body of a response, in bytes.
-pub const MAX_RESPONSE: usize = 16 * 1024;
+pub const MAX_RESPONSE_BYTES: usize = 16 * 1024;
 
 /// How long a call for a progress report may stand at the engine before its response, in microseconds.
 const PROGRESS_CALL_US: u64 = 250_000;
--- a/gateway/src/engine/http/response.rs
+++ b/gateway/src/engine/http/response.rs
@@ -2,10 +2,9 @@
 
 use workload_manager::{LoadReport, Progress};
 
-use super::{MAX_RESPONSE, load_report};
+use super::{MAX_RESPONSE_BYTES, load_report, status};
 
 const MAX_HEADER_FIELDS: usize = 48;
-const NO_CONTENT: u16 = 204;
 const NOT_MODIFIED: u16 = 304;
 
 /// A response.
@@ -45,7 +44,7 @@
 /// `extras` says what x0 and x1 of a load report stand for.
 ///
 /// # Errors
-/// What came is not HTTP, or longer than [`MAX_RESPONSE`].
+/// What came is not HTTP, or longer than [`MAX_RESPONSE_BYTES`].
 pub fn read(input: &mut Vec<u8>, extras: &[String; 2]) -> Result<Option<Response>, NotHttp> {
     loop {
         match read_one(input, extras)? {
@@ -60,7 +59,7 @@
     let mut head = httparse::Response::new(&mut fields);
     let body_start = match head.parse(input).map_err(|_| NotHttp)? {
         httparse::Status::Complete(length) => length,
-        httparse::Status::Partial if input.len() > MAX_RESPONSE => return Err(NotHttp),
+        httparse::Status::Partial if input.len() > MAX_RESPONSE_BYTES => return Err(NotHttp),
         httparse::Status::Partial => return Ok(None),
     };
     let is_http_1_0 = head.version == Some(0);
@@ -127,12 +126,12 @@
     response: &mut Response,
 ) -> Result<Option<usize>, NotHttp> {
     let length = match (response.status, framing.content_length) {
-        (100..=199 | NO_CONTENT | NOT_MODIFIED, _) => 0,
+        (100..=199 | status::NO_CONTENT | NOT_MODIFIED, _) => 0,
         // A result without a stated length could not be told from one that was cut off.
-        (200, None) => return Err(NotHttp),
+        (status::OK, None) => return Err(NotHttp),
         (_, length) => length.unwrap_or(0),
     };
-    if length > MAX_RESPONSE {
+    if length > MAX_RESPONSE_BYTES {
         return Err(NotHttp);
     }
     let Some(body) = input.get(start..start + length) else { return Ok(None) };
@@ -148,7 +147,7 @@
             httparse::Status::Complete((size_line, length)) => (at + size_line, length as usize),
             httparse::Status::Partial => return Ok(None),
         };
-        if length > MAX_RESPONSE || body.len() + length > MAX_RESPONSE {
+        if length > MAX_RESPONSE_BYTES || body.len() + length > MAX_RESPONSE_BYTES {
             return Err(NotHttp);
         }
         let chunk_end = chunk_start + length;
--- a/gateway/src/engine/http/tests.rs
+++ b/gateway/src/engine/http/tests.rs
@@ -68,7 +68,7 @@
 #[test]
 fn other_protocols_and_endless_heads_are_errors() {
     assert_eq!(read(&mut b"220 smtp ready\r\n".to_vec(), &no_extras()), Err(NotHttp));
-    let long = format!("HTTP/1.1 200 OK\r\nX: {}", "a".repeat(MAX_RESPONSE));
+    let long = format!("HTTP/1.1 200 OK\r\nX: {}", "a".repeat(MAX_RESPONSE_BYTES));
     assert_eq!(read(&mut long.into_bytes(), &no_extras()), Err(NotHttp));
 }
 
--- a/gateway/src/front/mod.rs
+++ b/gateway/src/front/mod.rs
@@ -98,16 +98,16 @@
     Execute(Vec<Parameter>),
 }
 
-/// What a client asks for by a message.
+/// What a client's message requires of the event loop.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ClientCommand {
-    /// The final answer to a request.
+    /// Admit this request; it is owed one [`FinalAnswer`].
     Request(ClientRequest),
-    /// A check whether the settings know what these fields of a prepared statement name.
+    /// Check whether the settings know what these fields of a prepared statement name.
     Prepare(fields::RequestFields),
-    /// The cancellation of another session's request.
+    /// Cancel another session's request.
     Cancel {
-        /// The session's id, as its client was told it.
+        /// The session's id, as its client got it at the start.
         session: u32,
         /// The session's secret.
         secret: u32,
@@ -116,6 +116,6 @@
     Handled,
     /// Nothing more: the message was answered with an error.
     Invalid,
-    /// The end of this session, once its output is written.
+    /// End this session, once its output is written.
     Close,
 }
--- a/gateway/src/front/mysql/mod.rs
+++ b/gateway/src/front/mysql/mod.rs
@@ -31,6 +31,9 @@
     | capabilities::CLIENT_QUERY_ATTRIBUTES;
 
 const CHALLENGE_BYTES: usize = 20;
+/// The bytes of the challenge are printable ASCII characters without the space: this one and those behind it.
+const FIRST_PRINTABLE: u8 = b'!';
+const PRINTABLE_CHARACTERS: u8 = 94;
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum State {
@@ -90,7 +93,7 @@
             state: State::AwaitingHandshakeResponse,
             directory,
             // A NUL would end the challenge early.
-            challenge: challenge.map(|b| b % 94 + 33),
+            challenge: challenge.map(|b| b % PRINTABLE_CHARACTERS + FIRST_PRINTABLE),
             capabilities: 0,
             tenant: None,
             sequence: 0,
--- a/gateway/src/front/pg/messages.rs
+++ b/gateway/src/front/pg/messages.rs
@@ -1,5 +1,6 @@
 //! Messages: their formats, and the encoding of those that the server sends.
 
+use super::BackendKey;
 use crate::front::Rows;
 
 /// SQLSTATE codes, by their condition names.
@@ -111,10 +112,10 @@
     });
 }
 
-pub fn backend_key_data(out: &mut Vec<u8>, (process_id, secret_key): (u32, u32)) {
+pub fn backend_key_data(out: &mut Vec<u8>, key: BackendKey) {
     write_message(out, BACKEND_KEY_DATA, |body| {
-        body.extend(process_id.to_be_bytes());
-        body.extend(secret_key.to_be_bytes());
+        body.extend(key.process_id.to_be_bytes());
+        body.extend(key.secret.to_be_bytes());
     });
 }
 
--- a/gateway/src/front/pg/mod.rs
+++ b/gateway/src/front/pg/mod.rs
@@ -24,11 +24,19 @@
     Closed,
 }
 
+/// What BackendKeyData tells a client, and its CancelRequest has to carry.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct BackendKey {
+    /// The session's id.
+    pub process_id: u32,
+    /// The session's secret key.
+    pub secret: u32,
+}
+
 /// One session.
 pub struct Session {
     state: State,
-    /// Process id and secret key of BackendKeyData, which a CancelRequest has to carry.
-    key: (u32, u32),
+    key: BackendKey,
     /// The open statement is no INSERT: what its CommandComplete says.
     returns_rows: bool,
     /// The longest message taken, in bytes; a longer one ends the session.
@@ -37,12 +45,12 @@
 
 impl Session {
     /// A session that a client has just opened; `key` is what its CancelRequest will carry.
-    pub fn new(key: (u32, u32), max_message_bytes: usize) -> Self {
+    pub fn new(key: BackendKey, max_message_bytes: usize) -> Self {
         Self { state: State::StartUp, key, returns_rows: true, max_message_bytes }
     }
 
     /// Continues a session that was idle.
-    pub fn resume(key: (u32, u32), max_message_bytes: usize) -> Self {
+    pub fn resume(key: BackendKey, max_message_bytes: usize) -> Self {
         Self { state: State::Ready, ..Self::new(key, max_message_bytes) }
     }
 
--- a/gateway/src/front/pg/tests.rs
+++ b/gateway/src/front/pg/tests.rs
@@ -123,7 +123,7 @@
 quickcheck! {
     fn a_session_behaves_as_its_model(steps: Vec<u8>, cut: u8) -> bool {
         let steps: Vec<Step> = steps.iter().map(|n| STEPS[usize::from(*n) % STEPS.len()]).collect();
-        let mut session = Session::new((1, 2), LONGEST);
+        let mut session = Session::new(BackendKey { process_id: 1, secret: 2 }, LONGEST);
         let (mut input, mut out, mut taken) = (Vec::new(), Vec::new(), 0);
         let mut feed = |session: &mut Session, bytes: &[u8], out: &mut Vec<u8>| {
             for piece in bytes.chunks(usize::from(cut % 40) + 1).chain([&[][..]]) {
@@ -147,7 +147,7 @@
     }
 
     fn random_bytes_never_panic(bytes_sent: Vec<u8>, started: bool) -> bool {
-        let mut session = Session::new((1, 2), LONGEST);
+        let mut session = Session::new(BackendKey { process_id: 1, secret: 2 }, LONGEST);
         let (mut input, mut out) = (if started { startup_message() } else { Vec::new() }, Vec::new());
         input.extend(bytes_sent);
         let mut reads = 0;
@@ -159,14 +159,14 @@
 }
 
 fn ready_session() -> Session {
-    let mut session = Session::new((7, 8), LONGEST);
+    let mut session = Session::new(BackendKey { process_id: 7, secret: 8 }, LONGEST);
     session.read(&mut startup_message(), &mut Vec::new());
     session
 }
 
 #[test]
 fn a_query_may_follow_the_startup_message_at_once() {
-    let mut session = Session::new((1, 2), LONGEST);
+    let mut session = Session::new(BackendKey { process_id: 1, secret: 2 }, LONGEST);
     let mut input = [vec![0, 0, 0, 8, 0x04, 0xd2, 0x16, 0x2f], startup_message(), bytes(Step::Good)].concat();
     let mut out = Vec::new();
     let read = |_| session.read(&mut input, &mut out);
@@ -182,7 +182,8 @@
 #[test]
 fn a_cancel_request_names_its_session() {
     let mut input = vec![0, 0, 0, 16, 0x04, 0xd2, 0x16, 0x2e, 0, 0, 0, 7, 0, 0, 0, 8];
-    let want = Session::new((1, 2), LONGEST).read(&mut input, &mut Vec::new());
+    let want =
+        Session::new(BackendKey { process_id: 1, secret: 2 }, LONGEST).read(&mut input, &mut Vec::new());
     assert_eq!(want, Some(ClientCommand::Cancel { session: 7, secret: 8 }));
 }
 
--- a/gateway/src/live_reconfiguration/mod.rs
+++ b/gateway/src/live_reconfiguration/mod.rs
@@ -53,7 +53,7 @@
     let mut names = current.names.clone();
     slots::add_machine_types_and_zones(&mut names, new.names)?;
     let classes =
-        new.settings.classes.iter().map(|class| slots::renumber(class, new.names, &mut names)).collect();
+        new.settings.classes.iter().map(|class| slots::translate_ids(class, new.names, &mut names)).collect();
     let class_slots = ClassSlots::new(current, classes_in_use).assign(&new.names.classes, classes);
     names.classes = class_slots.names;
     names.retired_classes = class_slots.retired;
--- a/gateway/src/live_reconfiguration/slots.rs
+++ b/gateway/src/live_reconfiguration/slots.rs
@@ -36,8 +36,9 @@
     Ok(())
 }
 
-/// A class of the new settings with the numbers that its machine types and zones have in `names`.
-pub(super) fn renumber(class: &Class, new: &SettingsNames, names: &mut SettingsNames) -> Class {
+/// A class of the new settings with the numbers that its machine types and zones have in `names`. Names that are not
+/// there yet are added.
+pub(super) fn translate_ids(class: &Class, new: &SettingsNames, names: &mut SettingsNames) -> Class {
     let machine_type = |id: &MachineTypeId| {
         MachineTypeId(SettingsNames::find_or_add(&mut names.machine_types, &new.machine_types[id.0]))
     };
--- a/gateway/src/net/admin.rs
+++ b/gateway/src/net/admin.rs
@@ -207,7 +207,8 @@
         }
     }
 
-    /// Takes over a change of an engine's maintenance state, in this process alone.
+    /// Takes over a change of an engine's maintenance state, in this process alone. A change that has an effect runs a
+    /// whole turn of the core, commands and output included, before this returns.
     ///
     /// # Errors
     /// No engine of this name was ever in the endpoint list.
--- a/gateway/src/net/engines.rs
+++ b/gateway/src/net/engines.rs
@@ -64,17 +64,37 @@
     mysql: Option<SocketAddr>,
     state: EndpointState,
     since_ms: u64,
-    /// Slots of idle connections by [`EngineProtocol`], the longest idle first.
-    idle: [Vec<usize>; 2],
+    idle: IdleConnections,
+}
+
+/// Slots of an engine's idle connections, the longest idle first.
+#[derive(Default)]
+struct IdleConnections {
+    http: Vec<usize>,
+    mysql: Vec<usize>,
+}
+
+impl IdleConnections {
+    fn of(&mut self, protocol: EngineProtocol) -> &mut Vec<usize> {
+        match protocol {
+            EngineProtocol::Http => &mut self.http,
+            EngineProtocol::MySql => &mut self.mysql,
+        }
+    }
+
+    /// Those of all protocols.
+    fn all(&mut self) -> [&mut Vec<usize>; 2] {
+        [&mut self.http, &mut self.mysql]
+    }
 }
 
 impl Engine {
     fn take_all_idle(&mut self) -> impl Iterator<Item = usize> + '_ {
-        self.idle.iter_mut().flat_map(std::mem::take)
+        self.idle.all().into_iter().flat_map(std::mem::take)
     }
 
     fn remove_idle(&mut self, slot: usize) {
-        self.idle.iter_mut().for_each(|idle| idle.retain(|other| *other != slot));
+        self.idle.all().into_iter().for_each(|idle| idle.retain(|other| *other != slot));
     }
 }
 
--- a/gateway/src/net/engines/attempts.rs
+++ b/gateway/src/net/engines/attempts.rs
@@ -136,11 +136,22 @@
         }
     }
 
-    /// A query belongs to no connection: its engine runs it on or keeps its result, and another copy elsewhere would
-    /// be a second one. So the call is repeated over another connection. That one is refused where the process has
-    /// died, but also by one that drains and by one that has all the connections it may have, and these run on what
-    /// they run: as where no connection is established at all, the end is not known. An engine whose responses stay
-    /// unusable is told to cancel the query, where that is allowed.
+    /// The first row that applies decides.
+    ///
+    /// | forwarded? | the connection's end | further condition | next step |
+    /// | --- | --- | --- | --- |
+    /// | yes | any | it is being cancelled | await the cancellation |
+    /// | no | any | MySQL, or no retries are left | connecting failed |
+    /// | no | not established | | connecting failed |
+    /// | yes | any | MySQL | lost |
+    /// | yes | not established | the call was repeated before | lost |
+    /// | any | any | retries are left | repeat the call |
+    /// | yes | any | attempts may be cancelled | cancel |
+    /// | yes | any | | lost |
+    ///
+    /// A query belongs to no connection: its engine goes on running it, so the same call is repeated rather than the
+    /// query started elsewhere. An engine that refuses a connection may still run the query, as it may be draining or
+    /// have all the connections it may have.
     fn next_step(
         &self,
         attempt: &Attempt,
--- a/gateway/src/net/engines/calls.rs
+++ b/gateway/src/net/engines/calls.rs
@@ -103,7 +103,7 @@
         }
         // Only over an idle connection: opening one would cost more than the change is worth.
         let idle = self.pools.engines.get_mut(&attempt.engine);
-        let Some(slot) = idle.and_then(|e| e.idle[super::EngineProtocol::Http as usize].pop()) else {
+        let Some(slot) = idle.and_then(|e| e.idle.of(super::EngineProtocol::Http).pop()) else {
             return;
         };
         let now_us = self.time.now_us;
--- a/gateway/src/net/engines/connection_events.rs
+++ b/gateway/src/net/engines/connection_events.rs
@@ -19,9 +19,10 @@
 /// a call for a progress report for 250 ms.
 const DISCARD_TIMEOUT_US: u64 = 1_000_000;
 
-/// Tenths of the engines' idle timeout for which a connection is kept idle: past it the engine may close the connection any
-/// moment, and a start written to one that is being closed could not be told from one that ran.
-const IDLE_TIMEOUT_TENTHS: u64 = 6;
+/// The part of the engines' idle timeout for which a connection is kept idle, as a fraction: past it the engine may close
+/// the connection any moment, and a start written to one that is being closed could not be told from one that ran.
+const MAX_IDLE_NUMERATOR: u64 = 6;
+const MAX_IDLE_DENOMINATOR: u64 = 10;
 
 /// What came over a connection is not its protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
@@ -47,9 +48,9 @@
             return Some(link.write_after_us);
         }
         match (link.job, &link.protocol_state) {
-            (Job::Idle { since_us }, _) => {
-                Some(since_us + self.config.engine_idle_timeout_us * IDLE_TIMEOUT_TENTHS / 10)
-            }
+            (Job::Idle { since_us }, _) => Some(
+                since_us + self.config.engine_idle_timeout_us * MAX_IDLE_NUMERATOR / MAX_IDLE_DENOMINATOR,
+            ),
             (Job::Attempt(_), ProtocolState::Http) => Some(link.call_written_us + RESPONSE_TIMEOUT_US + 1),
             (Job::Attempt(_), ProtocolState::MySql(_)) => None,
             (Job::Discarding { since_us }, _) => Some(since_us + DISCARD_TIMEOUT_US + 1),
--- a/gateway/src/net/engines/connections.rs
+++ b/gateway/src/net/engines/connections.rs
@@ -13,7 +13,7 @@
 pub(super) const REUSE_DELAY_US: u64 = 25_000;
 
 /// Bytes of responses that are read ahead over MySQL.
-const MYSQL_READ_AHEAD: usize = 512 * 1024;
+const MYSQL_READ_AHEAD_BYTES: usize = 512 * 1024;
 
 impl Server {
     /// Acquires a connection to an engine for a job: an idle one, best with the statement prepared, or one that is
@@ -67,7 +67,7 @@
             let job = link(slot).map(|link| link.job);
             matches!(job, Some(Job::Idle { since_us }) if now_us >= since_us + REUSE_DELAY_US)
         };
-        let idle = &mut self.pools.engines.get_mut(&engine)?.idle[protocol as usize];
+        let idle = self.pools.engines.get_mut(&engine)?.idle.of(protocol);
         let best = idle
             .iter()
             .rposition(|slot| is_reusable(slot) && has_prepared(slot))
@@ -111,7 +111,11 @@
             _ => ProtocolState::Http,
         };
         let (slot, key) = self.pools.allocate_slot();
-        let ahead = if protocol == EngineProtocol::Http { 2 * http::MAX_RESPONSE } else { MYSQL_READ_AHEAD };
+        let ahead = if protocol == EngineProtocol::Http {
+            2 * http::MAX_RESPONSE_BYTES
+        } else {
+            MYSQL_READ_AHEAD_BYTES
+        };
         match self.dial(address, key, ahead) {
             Ok(conn) => {
                 let link = Link {
@@ -148,7 +152,7 @@
 
     /// Closes the longest idle connection of the engine that has most of them; false where none is idle.
     fn close_idle_connection(&mut self) -> bool {
-        let pools = self.pools.engines.values_mut().flat_map(|e| &mut e.idle);
+        let pools = self.pools.engines.values_mut().flat_map(|e| e.idle.all());
         let fullest = pools.max_by_key(|idle| idle.len()).filter(|idle| !idle.is_empty());
         let Some(slot) = fullest.map(|idle| idle.remove(0)) else { return false };
         self.pools.close(&self.poll, &mut self.timers, slot);
@@ -174,7 +178,7 @@
             && conn.output.is_empty();
         match self.pools.engines.get_mut(&link.engine) {
             Some(e) if reusable && e.state != EndpointState::Removed => {
-                e.idle[link.protocol() as usize].push(slot);
+                e.idle.of(link.protocol()).push(slot);
             }
             _ => {
                 self.pools.close(&self.poll, &mut self.timers, slot);
@@ -191,7 +195,7 @@
         }
     }
 
-    /// A connection to an engine has ended, and what it was used for goes on without it.
+    /// A connection to an engine ended; its job decides what follows.
     pub(in crate::net) fn connection_ended(&mut self, slot: usize, end: ConnectionEnd) {
         let Some(link) = self.pools.close(&self.poll, &mut self.timers, slot) else { return };
         match link.job {
--- a/gateway/src/net/engines/http_responses.rs
+++ b/gateway/src/net/engines/http_responses.rs
@@ -6,7 +6,7 @@
 use super::connections::REUSE_DELAY_US;
 use super::{AttemptId, ConnectionEnd, Execution, Job};
 use crate::core::Input;
-use crate::engine::http::{Response, Step};
+use crate::engine::http::{Response, Step, status};
 use crate::front::Payload;
 use crate::net::Server;
 
@@ -16,7 +16,7 @@
         // The response may be good, but what stands behind it would be taken for the next one.
         response.close |= !connection.conn.input.is_empty();
         // The call has arrived whole, or the engine does not know the query any more: the attempt has ended.
-        let cancelled = matches!(response.status, 204 | 500);
+        let cancelled = matches!(response.status, status::NO_CONTENT | status::INTERNAL_SERVER_ERROR);
         match connection.link.job {
             Job::Cancel(id) if cancelled => {
                 self.release_or_close(slot, response.close);
@@ -53,8 +53,13 @@
             Step::CallWritten => self.write_next_call(slot, id, &response, next_call),
             Step::StillRunning => self.release_or_close(slot, response.close),
             Step::Unusable => {
-                let (query_id, status) = (&attempt.query_id, response.status);
-                tracing::debug!(query_id, attempt = id.number, status, "unusable response from an engine");
+                let query_id = &attempt.query_id;
+                tracing::debug!(
+                    query_id,
+                    attempt = id.number,
+                    status = response.status,
+                    "unusable response from an engine"
+                );
                 self.connection_ended(slot, ConnectionEnd::Broken);
             }
             Step::Ended(outcome) => self.http_attempt_ended(slot, id, outcome, was_repeated, response.close),
@@ -68,7 +73,8 @@
         let link = &mut connection.link;
         // An engine that has nothing to report takes its time to say so.
         let early = now_us < link.call_written_us + REUSE_DELAY_US;
-        link.duplicate_response_possible |= response.status == 202 && response.progress.is_none() && early;
+        link.duplicate_response_possible |=
+            response.status == status::ACCEPTED && response.progress.is_none() && early;
         let progress = response.progress.unwrap_or(Progress::Running);
         self.inputs.push(Input::AttemptProgress { attempt: id, progress });
         if response.close {
--- a/gateway/src/net/engines/list.rs
+++ b/gateway/src/net/engines/list.rs
@@ -4,7 +4,7 @@
 
 use workload_manager::{EndpointEntry, EndpointListMode, EndpointState, EngineId, MachineTypeId, ZoneId};
 
-use super::{Engine, Server};
+use super::{Engine, IdleConnections, Server};
 use crate::config::SettingsNames;
 use crate::core::Input;
 use crate::discovery::{Endpoint, EndpointListEvent};
@@ -67,7 +67,7 @@
             mysql,
             state: endpoint.state,
             since_ms: endpoint.started_ms,
-            idle: Default::default(),
+            idle: IdleConnections::default(),
         });
         let is_removed = endpoint.state == EndpointState::Removed;
         let has_restarted = endpoint.started_ms != engine.since_ms;
--- a/gateway/src/net/sessions/mod.rs
+++ b/gateway/src/net/sessions/mod.rs
@@ -51,8 +51,8 @@
     pub max_sessions: usize,
     /// The longest message taken from a client, in bytes.
     longest_message: usize,
-    /// The next handle of a prepared statement, over all sessions.
-    statement_handles: Rc<Cell<u32>>,
+    /// The next id of a prepared statement, over all sessions.
+    statement_ids: Rc<Cell<u32>>,
     random_state: u64,
     /// Fires when the session that has been idle for longest may have been so for too long.
     pub idle_timer: Option<TimerId>,
@@ -80,7 +80,7 @@
             dirty: Vec::new(),
             max_sessions: max_sessions(config),
             longest_message: limits::longest_message_bytes(config),
-            statement_handles: Rc::new(Cell::new((config.seed as u32).max(1))),
+            statement_ids: Rc::new(Cell::new((config.seed as u32).max(1))),
             random_state: config.seed ^ salt,
             idle_timer: None,
         }
@@ -142,17 +142,24 @@
         let (slot, secret) = (self.table.next_handle().index + 1, self.secret());
         let protocol = match (front, &config.mysql) {
             (FrontEnd::MySql, Some(m)) => {
-                let mut scramble = [0; 20];
-                for part in scramble.chunks_mut(4) {
+                let mut challenge = [0; 20];
+                for part in challenge.chunks_mut(4) {
                     part.copy_from_slice(&self.secret().to_le_bytes());
                 }
-                let (directory, handles) = (m.directory.clone(), self.statement_handles.clone());
+                let (directory, statement_ids) = (m.directory.clone(), self.statement_ids.clone());
                 let output = &mut connection.output;
                 ProtocolSession::MySql(Box::new(mysql::Session::new(
-                    slot, scramble, directory, handles, output,
+                    slot,
+                    challenge,
+                    directory,
+                    statement_ids,
+                    output,
                 )))
             }
-            _ => ProtocolSession::Pg(pg::Session::new((slot, secret), self.longest_message)),
+            _ => ProtocolSession::Pg(pg::Session::new(
+                pg::BackendKey { process_id: slot, secret },
+                self.longest_message,
+            )),
         };
         self.memory.reserve(MemoryPurpose::Sessions, Self::active_session_bytes());
         let session = ActiveSession::new(connection, protocol, secret, group(from));
@@ -162,14 +169,17 @@
     /// Resumes a session if it is suspended; false if it has ended.
     pub fn resume(&mut self, handle: Handle, config: &Config, now_us: u64) -> bool {
         let (longest, read_ahead) = (self.longest_message, self.read_ahead_bytes());
-        let (memory, handles) = (&mut self.memory, &self.statement_handles);
+        let (memory, statement_ids) = (&mut self.memory, &self.statement_ids);
         self.table.resume(handle, now_us, |suspended| {
             let statements = suspended.statement_bytes();
             let protocol = match (suspended.protocol, &config.mysql) {
                 (SuspendedProtocol::MySql(protocol), Some(m)) => ProtocolSession::MySql(Box::new(
-                    mysql::Session::resume(protocol, m.directory.clone(), handles.clone()),
+                    mysql::Session::resume(protocol, m.directory.clone(), statement_ids.clone()),
                 )),
-                _ => ProtocolSession::Pg(pg::Session::resume((handle.index + 1, suspended.secret), longest)),
+                _ => {
+                    let key = pg::BackendKey { process_id: handle.index + 1, secret: suspended.secret };
+                    ProtocolSession::Pg(pg::Session::resume(key, longest))
+                }
             };
             memory.reserve(MemoryPurpose::Sessions, ACTIVE_SESSION_BYTES);
             let connection = Connection::resume(suspended.stream, read_ahead);
--- a/gateway/src/net/sessions/protocol.rs
+++ b/gateway/src/net/sessions/protocol.rs
@@ -64,9 +64,8 @@
 pub fn too_many_clients(front: FrontEnd) -> Vec<u8> {
     let mut output = Vec::new();
     match front {
-        FrontEnd::PostgreSql => {
-            pg::Session::new((0, 0), 0).disconnect(DisconnectReason::TooManyConnections, &mut output)
-        }
+        FrontEnd::PostgreSql => pg::Session::new(pg::BackendKey::default(), 0)
+            .disconnect(DisconnectReason::TooManyConnections, &mut output),
         FrontEnd::MySql => {
             write_packet(&mut output, &mut 0, &SqlError::new(1040, "08004", "Too many connections").payload())
         }
--- a/gateway/src/process_replacement/messages.rs
+++ b/gateway/src/process_replacement/messages.rs
@@ -17,7 +17,7 @@
 /// The version of the protocol. No other one is understood.
 pub const PROTOCOL_VERSION: u32 = 1;
 
-/// A longer line is an error, in bytes.
+/// An unfinished line longer than this is an error, in bytes.
 const MAX_LINE_BYTES: usize = 8192;
 
 /// The members of messages; the first of each message says which message it is.
--- a/sessions/src/memory_budget.rs
+++ b/sessions/src/memory_budget.rs
@@ -43,6 +43,17 @@
 
 const PURPOSES: usize = MemoryPurpose::ALL.len();
 
+/// The budget is the process's memory divided by this.
+const BUDGET_DIVISOR: usize = 2;
+/// Sessions may have the budget divided by this.
+const SESSIONS_DIVISOR: usize = 2;
+/// Prepared statements may have the budget divided by this.
+const STATEMENTS_DIVISOR: usize = 4;
+/// Quarters of the budget from which memory pressure is elevated.
+const ELEVATED_QUARTERS: usize = 3;
+/// Eighths of the budget from which memory pressure is high.
+const HIGH_EIGHTHS: usize = 7;
+
 /// How much of the budget is held.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum MemoryPressure {
@@ -80,10 +91,10 @@
     /// A budget for a process that may have `memory` bytes. Half of them is left to the program, the workload manager
     /// and the allocator; of the budget prepared statements may have a quarter and sessions a half, the others all.
     pub fn new(memory: usize) -> Self {
-        let limit = memory / 2;
+        let limit = memory / BUDGET_DIVISOR;
         let mut purpose_limits = [limit; PURPOSES];
-        purpose_limits[MemoryPurpose::Sessions as usize] = limit / 2;
-        purpose_limits[MemoryPurpose::Statements as usize] = limit / 4;
+        purpose_limits[MemoryPurpose::Sessions as usize] = limit / SESSIONS_DIVISOR;
+        purpose_limits[MemoryPurpose::Statements as usize] = limit / STATEMENTS_DIVISOR;
         Self { limit, purpose_limits, held: [0; PURPOSES], peak: 0 }
     }
 
@@ -113,11 +124,11 @@
     }
 
     fn elevated(&self) -> usize {
-        self.limit / 4 * 3
+        self.limit / 4 * ELEVATED_QUARTERS
     }
 
     fn high(&self) -> usize {
-        self.limit / 8 * 7
+        self.limit / 8 * HIGH_EIGHTHS
     }
 
     /// How much of the budget is held.
