--- a/lab/src/capacity/control_machine.rs
+++ b/lab/src/capacity/control_machine.rs
@@ -1,4 +1,4 @@
-//! A stand-in for a control machine: it tells one gateway of versions of the settings, and hears its reports.
+//! A stand-in for a control machine: it sends one gateway versions of the settings, and receives its reports.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -11,7 +11,7 @@
 use super::error::CapacityError;
 
 /// How long the gateway is waited for.
-const PATIENCE: Duration = Duration::from_secs(10);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
 /// A report's body has no more bytes than this.
 const LONGEST_REPORT: usize = 64 * 1024;
 /// The head of the stream of versions.
@@ -57,7 +57,7 @@
     /// None comes.
     pub fn stream(&self) -> Result<VersionStream, CapacityError> {
         let none = |_| CapacityError::Peer("the gateway opens no stream of versions".to_owned());
-        let stream = self.streams.recv_timeout(PATIENCE).map_err(none)?;
+        let stream = self.streams.recv_timeout(ANSWER_TIMEOUT).map_err(none)?;
         Ok(VersionStream { stream })
     }
 
@@ -67,7 +67,7 @@
     /// It reports something else, or nothing.
     pub fn applied(&self, version: u64) -> Result<(), CapacityError> {
         let none = |_| CapacityError::Peer(format!("no report of version {version}"));
-        let report = self.reports.recv_timeout(PATIENCE).map_err(none)?;
+        let report = self.reports.recv_timeout(ANSWER_TIMEOUT).map_err(none)?;
         let expected = Report::Applied { version: Version(version) };
         if report == expected {
             return Ok(());
@@ -96,7 +96,7 @@
     reports: &Sender<Report>,
 ) -> Result<(), CapacityError> {
     connection.set_nodelay(true)?;
-    connection.set_read_timeout(Some(PATIENCE))?;
+    connection.set_read_timeout(Some(ANSWER_TIMEOUT))?;
     let mut reader = BufReader::new(connection.try_clone()?);
     let mut verb = String::new();
     reader.read_line(&mut verb)?;
--- a/lab/src/capacity/decisions.rs
+++ b/lab/src/capacity/decisions.rs
@@ -11,15 +11,15 @@
 use super::site::Site;
 
 /// Statements a second that the loop in memory makes: about what a gateway gets at the operators' size.
-const RATE_PER_S: f64 = 2_364.0;
+const STATEMENTS_PER_SECOND: f64 = 2_364.0;
 /// How long clients wait, in microseconds.
-const PATIENCE_US: u64 = 3_000_000;
+const CLIENT_TIMEOUT_US: u64 = 3_000_000;
 /// Zones of the site.
 const ZONES: usize = 5;
 /// Seed of the core's random numbers.
 const SEED: u64 = 0x8c1f_30d2_7a5b_e964;
 /// Simulated time between two changes of the list, in microseconds.
-const CHANGE_US: u64 = 10_000;
+const CHANGE_INTERVAL_US: u64 = 10_000;
 
 /// An attempt that its engine answers at a time.
 struct Running {
@@ -66,7 +66,7 @@
     pub fn new(engines: usize, open: usize) -> Result<Self, CapacityError> {
         let site = Site::new(vec![SocketAddr::from(([127, 0, 0, 1], 1)); 1]);
         let core = Core::new(settings(&site)?, SEED)?;
-        let service_us = (open as f64 / RATE_PER_S * 1e6) as u64;
+        let service_us = (open as f64 / STATEMENTS_PER_SECOND * 1e6) as u64;
         let mut decisions = Self {
             core,
             now_us: 0,
@@ -104,7 +104,7 @@
         let request = NewRequest {
             class: ClassId(0),
             tenant: Some(TenantId(0)),
-            deadline_us: self.now_us + PATIENCE_US,
+            deadline_us: self.now_us + CLIENT_TIMEOUT_US,
             estimated_work: Some(0.002),
             estimated_memory_mb: None,
             table_group: Some(TableGroupId(1)),
@@ -147,7 +147,7 @@
         ticks
     }
 
-    /// The oldest attempt is answered, and its client asks again.
+    /// The oldest attempt ends, and its client sends the next request.
     fn statement(&mut self) {
         let Some(next) = self.running.pop_front() else { return };
         self.run_timers_until(next.done_us);
@@ -189,7 +189,7 @@
     pub fn changes(&mut self, count: u64) -> f64 {
         let mut cpu_us = 0.0;
         for change in 0..count {
-            self.pass(CHANGE_US);
+            self.pass(CHANGE_INTERVAL_US);
             let engine = (change / 2) as usize % self.engines;
             let state = if change % 2 == 0 { EndpointState::Draining } else { EndpointState::Ready };
             let list = Input::EndpointList {
@@ -207,7 +207,7 @@
     pub fn lists(&mut self, count: u64) -> f64 {
         let mut cpu_us = 0.0;
         for _ in 0..count {
-            self.pass(CHANGE_US);
+            self.pass(CHANGE_INTERVAL_US);
             cpu_us += self.whole_list();
         }
         cpu_us / count as f64
--- a/lab/src/capacity/error.rs
+++ b/lab/src/capacity/error.rs
@@ -81,12 +81,12 @@
         /// The most.
         most: usize,
     },
-    /// Not a single play gave figures that can be used.
+    /// No run gave figures that can be used.
     #[error("unusable: no play of {experiment} gave figures: {}", .why.join("; "))]
     Unusable {
         /// Of which experiment.
         experiment: Experiment,
-        /// Why, for each play.
+        /// Why, for each run.
         why: Vec<String>,
     },
     /// The system refuses.
--- a/lab/src/capacity/estimate/mod.rs
+++ b/lab/src/capacity/estimate/mod.rs
@@ -96,17 +96,17 @@
     }
 }
 
-/// A value with the spread of the plays behind it.
+/// A value with the spread of the runs behind it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Amount {
     /// The value.
     pub value: f64,
-    /// How far it may be off, by the plays alone.
+    /// How far it may be off, by the runs alone.
     pub spread: f64,
 }
 
 impl Amount {
-    /// A value that no play stands behind.
+    /// A value that no run stands behind.
     pub fn exact(value: f64) -> Self {
         Self { value, spread: 0.0 }
     }
@@ -231,7 +231,7 @@
     format!("{sign}{grouped}{rest}")
 }
 
-/// All needs, and the slopes that were asked for and are not there.
+/// All needs, and the slopes that are missing for them.
 pub struct CapacityEstimate<'a> {
     target: &'a Target,
     slopes: &'a Slopes,
--- a/lab/src/capacity/experiment.rs
+++ b/lab/src/capacity/experiment.rs
@@ -52,7 +52,7 @@
     DecideListEngines,
     /// A statement through the process, by engines.
     StatementEngines,
-    /// A statement through the process, by sessions that ask at once.
+    /// A statement through the process, by sessions that are active at once.
     StatementOpen,
     /// A statement through the process, by sessions that are idle beside.
     StatementSessions,
@@ -98,7 +98,7 @@
 pub enum Quantity {
     /// Processor time of the process (of the thread, in memory) for each of what is done.
     Cpu,
-    /// Share of a core while nothing is asked.
+    /// Share of a core without requests.
     IdleCpu,
     /// Anonymous memory that is resident.
     Resident,
@@ -116,9 +116,9 @@
     DebugLogBytes,
     /// Bytes of one answer with all figures.
     MetricsBytes,
-    /// The 99th percentile of what clients waited.
+    /// The 99th percentile of the latency at clients.
     LatencyP99,
-    /// From an event's writing until the gateway's figures show it, in the middle, with the call that fetches them; of a
+    /// From an event's writing until the gateway's figures show it, the median, with the call that fetches them; of a
     /// version, until its report has come.
     Taken,
 }
@@ -215,7 +215,7 @@
         }
     }
 
-    /// The sizes that it is played at.
+    /// The sizes that it is run at.
     pub fn sizes(self) -> &'static [usize] {
         match self.variable() {
             Variable::Engines => &[16, 80, 200, 400, 810],
--- a/lab/src/capacity/experiments/endpoint_list.rs
+++ b/lab/src/capacity/experiments/endpoint_list.rs
@@ -47,7 +47,7 @@
             }
             times.push(began.elapsed().as_secs_f64() * 1e3);
         }
-        Ok(Point { size: all as f64, plays: times }.median())
+        Ok(Point { size: all as f64, runs: times }.median())
     }
 }
 
--- a/lab/src/capacity/experiments/mod.rs
+++ b/lab/src/capacity/experiments/mod.rs
@@ -182,8 +182,8 @@
     });
     let points_of_quantity = &mut points[at].1;
     match points_of_quantity.iter_mut().find(|p| p.size == size as f64) {
-        Some(point) => point.plays.push(value),
-        None => points_of_quantity.push(Point { size: size as f64, plays: vec![value] }),
+        Some(point) => point.runs.push(value),
+        None => points_of_quantity.push(Point { size: size as f64, runs: vec![value] }),
     }
 }
 
--- a/lab/src/capacity/experiments/settings.rs
+++ b/lab/src/capacity/experiments/settings.rs
@@ -59,7 +59,7 @@
             (Quantity::Cpu, cpu_us / each),
             (Quantity::StreamBytes, bytes as f64 / each),
             (Quantity::LogBytes, logged as f64 / each),
-            (Quantity::Taken, Point { size: each, plays: times }.median()),
+            (Quantity::Taken, Point { size: each, runs: times }.median()),
         ]);
         Ok(run.unless(lag))
     }
--- a/lab/src/capacity/fit.rs
+++ b/lab/src/capacity/fit.rs
@@ -1,25 +1,26 @@
-//! A line through plays by least squares, with the error of its slope and a test of whether growth is linear.
+//! A line through runs by least squares, with the error of its slope and a test of whether growth is linear.
 
 use serde::{Deserialize, Serialize};
 
-/// Plays at one size.
+/// Runs at one size.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Point {
     /// The size.
     pub size: f64,
-    /// What each play gave.
-    pub plays: Vec<f64>,
+    /// The figure of each run.
+    #[serde(rename = "plays")]
+    pub runs: Vec<f64>,
 }
 
 impl Point {
-    /// The mean of the plays.
+    /// The mean of the runs.
     pub fn mean(&self) -> f64 {
-        self.plays.iter().sum::<f64>() / self.plays.len().max(1) as f64
+        self.runs.iter().sum::<f64>() / self.runs.len().max(1) as f64
     }
 
-    /// The middle play; of an even number, the mean of the two in the middle.
+    /// The median run; of an even number, the mean of the two in the middle.
     pub fn median(&self) -> f64 {
-        let mut sorted = self.plays.clone();
+        let mut sorted = self.runs.clone();
         sorted.sort_by(f64::total_cmp);
         let middle = sorted.len() / 2;
         match sorted.len() {
@@ -29,15 +30,15 @@
         }
     }
 
-    /// Half of what lies between the least and the most play.
+    /// Half of what lies between the least and the largest run.
     pub fn spread(&self) -> f64 {
-        let least = self.plays.iter().copied().fold(f64::INFINITY, f64::min);
-        let most = self.plays.iter().copied().fold(f64::NEG_INFINITY, f64::max);
+        let least = self.runs.iter().copied().fold(f64::INFINITY, f64::min);
+        let most = self.runs.iter().copied().fold(f64::NEG_INFINITY, f64::max);
         0.5 * (most - least).max(0.0)
     }
 }
 
-/// A line through plays.
+/// A line through runs.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Fit {
     /// What the line gives at size 0.
@@ -46,9 +47,9 @@
     pub slope: f64,
     /// The standard error of the slope.
     pub slope_error: f64,
-    /// The standard deviation of plays of one size round their mean.
+    /// The standard deviation of runs of one size round their mean.
     pub noise: f64,
-    /// Root of the mean square by which the means of the sizes miss the line, weighed by their plays.
+    /// Root of the mean square by which the means of the sizes miss the line, weighed by their runs.
     pub misfit: f64,
     /// Whether the misfit is within what the noise explains.
     pub linear: bool,
@@ -59,12 +60,12 @@
 }
 
 /// Growth is called other than linear where the misfit is more than so many times the noise: the root of the 99%
-/// point of Snedecor's F with 2 and 8 degrees of freedom (four sizes of three plays), 8.65.
+/// point of Snedecor's F with 2 and 8 degrees of freedom (four sizes of three runs), 8.65.
 const MOST_MISFIT: f64 = 2.94;
-/// A misfit under this share of the largest mean does not matter here, however quiet the plays were.
+/// A misfit under this share of the largest mean does not matter here, however quiet the runs were.
 const SMALL_MISFIT: f64 = 0.05;
 
-/// Sums over all plays, about their means.
+/// Sums over all runs, about their means.
 struct Sums {
     count: f64,
     size_mean: f64,
@@ -75,27 +76,27 @@
 
 impl Sums {
     fn of(points: &[Point]) -> Self {
-        let plays = || points.iter().flat_map(|p| p.plays.iter().map(|value| (p.size, *value)));
-        let count = plays().count() as f64;
-        let size_mean = plays().map(|(size, _)| size).sum::<f64>() / count;
-        let value_mean = plays().map(|(_, value)| value).sum::<f64>() / count;
-        let size_squares = plays().map(|(size, _)| (size - size_mean).powi(2)).sum();
-        let products = plays().map(|(size, value)| (size - size_mean) * (value - value_mean)).sum();
+        let values = || points.iter().flat_map(|p| p.runs.iter().map(|value| (p.size, *value)));
+        let count = values().count() as f64;
+        let size_mean = values().map(|(size, _)| size).sum::<f64>() / count;
+        let value_mean = values().map(|(_, value)| value).sum::<f64>() / count;
+        let size_squares = values().map(|(size, _)| (size - size_mean).powi(2)).sum();
+        let products = values().map(|(size, value)| (size - size_mean) * (value - value_mean)).sum();
         Self { count, size_mean, value_mean, size_squares, products }
     }
 }
 
-/// Fits a line through plays at three sizes or more, sorted by size; `None` for fewer.
+/// Fits a line through runs at three sizes or more, sorted by size; `None` for fewer.
 pub fn fit(points: &[Point]) -> Option<Fit> {
     let sizes = points.len();
-    if sizes < 3 || points.iter().any(|p| p.plays.is_empty()) {
+    if sizes < 3 || points.iter().any(|p| p.runs.is_empty()) {
         return None;
     }
     let sums = Sums::of(points);
     let slope = sums.products / sums.size_squares;
     let intercept = sums.value_mean - slope * sums.size_mean;
     let line = |size: f64| intercept + slope * size;
-    let about = |p: &Point, centre: f64| p.plays.iter().map(|v| (v - centre).powi(2)).sum::<f64>();
+    let about = |p: &Point, centre: f64| p.runs.iter().map(|v| (v - centre).powi(2)).sum::<f64>();
     let from_line: f64 = points.iter().map(|p| about(p, line(p.size))).sum();
     let from_means: f64 = points.iter().map(|p| about(p, p.mean())).sum();
     let free_plays = sums.count - sizes as f64;
--- a/lab/src/capacity/mod.rs
+++ b/lab/src/capacity/mod.rs
@@ -39,7 +39,7 @@
 
 #[derive(Subcommand)]
 enum Action {
-    /// Plays experiments and puts what they give into the file of slopes.
+    /// Runs experiments and puts their figures into the file of slopes.
     Measure(MeasureOptions),
     /// Makes the page from slopes, target and, where they are there, figures of hollow runs.
     Page(PageOptions),
@@ -77,7 +77,7 @@
     /// Other sizes than those of the experiment.
     #[arg(long, value_delimiter = ',')]
     sizes: Vec<usize>,
-    /// Plays at each size.
+    /// Runs at each size.
     #[arg(long, default_value_t = 3)]
     plays: usize,
     /// A gateway that is built already; without it the workspace's is built.
@@ -138,7 +138,7 @@
     Ok(())
 }
 
-/// The sizes to play, each once and in order.
+/// The sizes to run at, each once and in order.
 fn sizes(options: &MeasureOptions, experiment: Experiment) -> Vec<usize> {
     if options.sizes.is_empty() {
         return experiment.sizes().to_vec();
@@ -156,7 +156,7 @@
 fn print(measured: &Measured) {
     println!("{} by {} ({})", measured.name(), measured.of, measured.fixed);
     for point in &measured.points {
-        let plays: Vec<String> = point.plays.iter().map(|v| format!("{v:.3}")).collect();
+        let plays: Vec<String> = point.runs.iter().map(|v| format!("{v:.3}")).collect();
         println!("  {:>6}  {:>14.3} {}  of {}", point.size, point.median(), measured.unit, plays.join(", "));
     }
     if let Some(fit) = &measured.fit {
--- a/lab/src/capacity/process.rs
+++ b/lab/src/capacity/process.rs
@@ -17,7 +17,7 @@
 use super::site::Site;
 
 /// How long an answer of the gateway is waited for.
-const PATIENCE: Duration = Duration::from_secs(10);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
 /// Bytes of a line end.
 const LINE_END: u64 = 1;
 
@@ -145,7 +145,7 @@
     /// It does not answer.
     pub fn metrics(&self) -> Result<String, CapacityError> {
         let mut stream = TcpStream::connect(self.ops)?;
-        stream.set_read_timeout(Some(PATIENCE))?;
+        stream.set_read_timeout(Some(ANSWER_TIMEOUT))?;
         stream.write_all(b"GET /status/metrics HTTP/1.1\r\nHost: capacity\r\n\r\n")?;
         let mut answer = String::new();
         stream.read_to_string(&mut answer)?;
@@ -172,7 +172,7 @@
     fn line_with(&self, text: &str) -> Result<String, CapacityError> {
         loop {
             let none = |_| CapacityError::Peer(format!("the gateway logs nothing with {text}"));
-            let line = self.lines.recv_timeout(PATIENCE).map_err(none)?;
+            let line = self.lines.recv_timeout(ANSWER_TIMEOUT).map_err(none)?;
             if line.contains(text) {
                 return Ok(line);
             }
--- a/lab/src/capacity/sessions.rs
+++ b/lab/src/capacity/sessions.rs
@@ -1,4 +1,4 @@
-//! Clients: sessions of PostgreSQL that ask in a closed loop, or idle.
+//! Clients: sessions of PostgreSQL that send statements in a closed loop, or are idle.
 
 use std::io::{BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -10,7 +10,7 @@
 use super::error::CapacityError;
 
 /// How long an answer is waited for.
-const PATIENCE: Duration = Duration::from_secs(10);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
 /// Latencies are counted in microseconds up to ten minutes, with three digits.
 const LATENCIES: (u64, u64, u8) = (1, 600_000_000, 3);
 /// Type and length of a message.
@@ -20,10 +20,10 @@
 pub struct Session {
     stream: BufReader<TcpStream>,
     number: usize,
-    asked: u64,
+    statements: u64,
 }
 
-/// What came of what sessions asked.
+/// Outcomes of the statements of sessions.
 #[derive(Clone, Debug)]
 pub struct Tally {
     /// Statements with all their rows.
@@ -35,7 +35,7 @@
 }
 
 impl Tally {
-    /// Nothing was asked yet.
+    /// No statement yet.
     pub fn new() -> Result<Self, CapacityError> {
         let (low, high, digits) = LATENCIES;
         let latencies = Histogram::new_with_bounds(low, high, digits);
@@ -58,8 +58,8 @@
     pub fn open(gateway: SocketAddr, number: usize) -> Result<Self, CapacityError> {
         let stream = TcpStream::connect(gateway)?;
         stream.set_nodelay(true)?;
-        stream.set_read_timeout(Some(PATIENCE))?;
-        let mut session = Self { stream: BufReader::new(stream), number, asked: 0 };
+        stream.set_read_timeout(Some(ANSWER_TIMEOUT))?;
+        let mut session = Self { stream: BufReader::new(stream), number, statements: 0 };
         let body = b"\0\x03\0\0user\0app\0database\0warehouse\0\0";
         let mut start = (body.len() as u32 + 4).to_be_bytes().to_vec();
         start.extend(body);
@@ -76,11 +76,12 @@
         (0..count).map(|number| Self::open(gateway, number)).collect()
     }
 
-    /// Asks for a lookup and reads its answer; whether it was served.
-    fn ask(&mut self) -> Result<bool, CapacityError> {
-        let (run, number, asked) = (std::process::id() as u16, self.number as u16, self.asked as u32);
-        self.asked += 1;
-        let id = format!("{run:04x}{number:04x}{asked:08x}");
+    /// Sends a lookup and reads its answer; whether it was served.
+    fn send_lookup(&mut self) -> Result<bool, CapacityError> {
+        let (run, number, statement) =
+            (std::process::id() as u16, self.number as u16, self.statements as u32);
+        self.statements += 1;
+        let id = format!("{run:04x}{number:04x}{statement:08x}");
         let text = format!("/* c=lookup,i={id},d=3000,t=t0,h=2 */ SELECT v FROM a_1.b");
         let mut message = vec![b'Q'];
         message.extend((text.len() as u32 + 5).to_be_bytes());
@@ -107,11 +108,11 @@
         }
     }
 
-    fn ask_often(&mut self, statements: u64) -> Result<Tally, CapacityError> {
+    fn send_lookups(&mut self, statements: u64) -> Result<Tally, CapacityError> {
         let mut tally = Tally::new()?;
         for _ in 0..statements {
             let began = Instant::now();
-            if self.ask()? {
+            if self.send_lookup()? {
                 tally.served += 1;
             } else {
                 tally.unserved += 1;
@@ -122,15 +123,16 @@
     }
 }
 
-/// Has all sessions ask at once, each in a thread of its own and again as soon as it is answered, until so many
-/// statements are asked by all together; at least one each.
+/// Has all sessions send statements at once, each in a thread of its own and again as soon as it is answered, until
+/// there were so many of all sessions; at least one each.
 ///
 /// # Errors
 /// A session was lost.
 pub fn closed_loop(sessions: &mut [Session], statements: u64) -> Result<Tally, CapacityError> {
     let each = statements.div_ceil(sessions.len().max(1) as u64);
     let tallies: Vec<Result<Tally, CapacityError>> = thread::scope(|scope| {
-        let started: Vec<_> = sessions.iter_mut().map(|s| scope.spawn(move || s.ask_often(each))).collect();
+        let started: Vec<_> =
+            sessions.iter_mut().map(|s| scope.spawn(move || s.send_lookups(each))).collect();
         let lost = || Err(CapacityError::Peer("a client has ended".to_owned()));
         started.into_iter().map(|thread| thread.join().unwrap_or_else(|_| lost())).collect()
     });
--- a/lab/src/capacity/site.rs
+++ b/lab/src/capacity/site.rs
@@ -4,7 +4,7 @@
 
 use serde_json::{Value, json};
 
-/// What a gateway is told at its start.
+/// What a gateway reads at its start.
 #[derive(Clone, Debug)]
 pub struct Site {
     /// Where engines listen; each stands in the list as `e` and its number.
@@ -23,7 +23,7 @@
 
 /// Zones that engines are dealt out to in turn; gateways are in the first.
 const ZONES: [&str; 5] = ["z0", "z1", "z2", "z3", "z4"];
-/// A tenant's share that no play reaches.
+/// A tenant's share that no run reaches.
 const QUOTA_PER_S: f64 = 100_000.0;
 /// Descriptors beside clients': connections to engines and the process's own.
 const OTHER_DESCRIPTORS: usize = 4_096;
--- a/lab/src/capacity/slopes.rs
+++ b/lab/src/capacity/slopes.rs
@@ -9,7 +9,7 @@
 use super::experiment::{Experiment, Quantity, Variable};
 use super::fit::{Fit, Point, fit};
 
-/// A measured thing: plays at some sizes, and the line through them.
+/// A measured quantity: runs at some sizes, and the line through them.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Measured {
     /// In which experiment.
@@ -24,11 +24,11 @@
     pub fixed: String,
     /// The command that measured it.
     pub command: String,
-    /// The plays, by size.
+    /// The runs, by size.
     pub points: Vec<Point>,
     /// The line through them.
     pub fit: Option<Fit>,
-    /// Why plays can't be used, each with its size; such plays are not among the points.
+    /// Why runs can't be used, each with its size; such runs are not among the points.
     pub unusable: Vec<String>,
 }
 
@@ -63,14 +63,14 @@
 pub struct Estimate {
     /// The value.
     pub value: f64,
-    /// Half of what lies between the least and the most play, or the deviation of plays from the line.
+    /// Half of what lies between the least and the largest run, or the deviation of runs from the line.
     pub spread: f64,
     /// Measured at this size, or estimated from other sizes.
     pub mark: Mark,
 }
 
 impl Measured {
-    /// Makes one from its plays.
+    /// Makes one from its runs.
     pub fn new(
         experiment: Experiment,
         quantity: Quantity,
@@ -96,7 +96,7 @@
         format!("{} {}", self.experiment, self.quantity)
     }
 
-    /// The value at a size: the middle play where that size was played, else the line where growth is linear, else
+    /// The value at a size: the median run where that size was measured, else the line where growth is linear, else
     /// between the sizes beside it, or on from the two nearest.
     pub fn at(&self, size: f64) -> Option<Estimate> {
         if let Some(point) = self.points.iter().find(|p| p.size == size) {
@@ -116,7 +116,7 @@
     }
 }
 
-/// On what the plays ran.
+/// The machine of the runs.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Machine {
     /// Its processor.
@@ -140,7 +140,7 @@
 /// All that was measured.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Slopes {
-    /// On what.
+    /// Of the runs.
     pub machine: Machine,
     /// The measured things, by experiment.
     pub measured: Vec<Measured>,
--- a/lab/src/capacity/stand_ins.rs
+++ b/lab/src/capacity/stand_ins.rs
@@ -186,7 +186,7 @@
 }
 
 /// How long a gateway is waited for.
-const PATIENCE: Duration = Duration::from_secs(10);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
 /// Between two comments on a stream.
 const COMMENTS: Duration = Duration::from_secs(1);
 
@@ -217,7 +217,7 @@
         let stream = self.accept()?;
         stream.set_nonblocking(false)?;
         stream.set_nodelay(true)?;
-        stream.set_read_timeout(Some(PATIENCE))?;
+        stream.set_read_timeout(Some(ANSWER_TIMEOUT))?;
         let mut reader = BufReader::new(stream.try_clone()?);
         let mut line = String::new();
         while reader.read_line(&mut line)? > 2 {
@@ -234,7 +234,7 @@
             match self.listener.accept() {
                 Ok((stream, _)) => return Ok(stream),
                 Err(e) if e.kind() != ErrorKind::WouldBlock => return Err(e.into()),
-                Err(_) if began.elapsed() > PATIENCE => {
+                Err(_) if began.elapsed() > ANSWER_TIMEOUT => {
                     return Err(CapacityError::Peer("the gateway opens no stream".to_owned()));
                 }
                 Err(_) => thread::sleep(Duration::from_millis(1)),
--- a/lab/src/classes.rs
+++ b/lab/src/classes.rs
@@ -28,9 +28,9 @@
 pub struct Count {
     /// Requests admitted.
     pub taken: u64,
-    /// Attempts sent, and those that were given up.
+    /// Attempts forwarded.
     pub attempts: u64,
-    /// Attempts that were given up.
+    /// Attempts that were cancelled.
     pub given_up: u64,
     /// Final answers.
     pub served: u64,
@@ -38,7 +38,7 @@
     pub refused: u64,
     /// Final answers.
     pub failed: u64,
-    /// Refused while held, by the guard that kept it from most engines.
+    /// Shed while queued, by the guard that kept it from most engines.
     pub guards: BTreeMap<String, u64>,
     /// Seconds from admission to first sent, of those that were sent.
     pub held_s: f64,
@@ -110,7 +110,7 @@
                 Some("rejected") => count.refused += 1,
                 _ => count.failed += 1,
             }
-            // Its last attempt may still be given up behind the answer.
+            // Its last attempt may still be cancelled after the answer.
         }
     }
     Ok(seconds)
--- a/lab/src/configuration/cost.rs
+++ b/lab/src/configuration/cost.rs
@@ -172,7 +172,7 @@
     core_percent: f64,
 }
 
-/// A machine that publishes, sends to its gateways at the pace of its budget, and hears their reports.
+/// A machine that publishes, sends to its gateways within its pacing, and receives their reports.
 fn publisher(versions: &[(Version, Document)], gateways: usize) -> anyhow::Result<PublisherCost> {
     let mut publisher = Publisher::new(Pacing::default());
     let (first, document) = &versions[0];
@@ -202,7 +202,7 @@
 
 fn run_until(publisher: &mut Publisher, now_us: &mut u64, until_us: u64) -> anyhow::Result<()> {
     loop {
-        let next_us = publisher.next_due_us().context("nobody is connected")?.max(*now_us);
+        let next_us = publisher.next_due_us().context("no gateway is connected")?.max(*now_us);
         if next_us > until_us {
             *now_us = until_us;
             return Ok(());
--- a/lab/src/configuration/mod.rs
+++ b/lab/src/configuration/mod.rs
@@ -37,7 +37,7 @@
 
 const SECOND_US: u64 = 1_000_000;
 
-/// Which fleets to play, and on what settings.
+/// Which fleets to simulate, and with what settings.
 #[derive(clap::Args)]
 pub struct Options {
     /// Gateways, one run for each number.
@@ -49,10 +49,10 @@
     /// Tenants of the settings.
     #[arg(long, default_value_t = 100)]
     tenants: usize,
-    /// How often each fault is played, with a seed for each.
+    /// How often each fault is simulated, with a seed for each.
     #[arg(long, default_value_t = 20)]
     repeats: u64,
-    /// Changes that are played of an ordinary day.
+    /// Changes that are simulated of an ordinary day.
     #[arg(long, default_value_t = 60)]
     changes: u64,
     /// The seed of the first run.
--- a/lab/src/configuration/report.rs
+++ b/lab/src/configuration/report.rs
@@ -44,7 +44,7 @@
     /// Versions that not all gateways had a minute later.
     pub missed: u64,
     refused: u64,
-    /// Of the gateway with the most, in the mean of a play; in the worst run.
+    /// Of the gateway with the most, mean of a run; of the worst run.
     pub gateway_bytes_per_s: f64,
     gateway_peak_bytes: u64,
     /// Of the machine with the most, as above.
--- a/lab/src/configuration/settings.rs
+++ b/lab/src/configuration/settings.rs
@@ -15,7 +15,7 @@
     pub tenants: usize,
 }
 
-/// Who publishes: settings of a size, of which each version changes one figure.
+/// The operator that publishes: settings of a size, of which each version changes one figure.
 pub struct Author {
     value: Value,
     size: Size,
--- a/lab/src/fleet.rs
+++ b/lab/src/fleet.rs
@@ -79,7 +79,7 @@
         let answer: &[u8] = if head.starts_with("DELETE") {
             b"HTTP/1.1 204 No Content\r\n\r\n"
         } else if never || head.starts_with("GET") {
-            // Only what never ends is asked for twice.
+            // Only a statement that never ends is polled.
             thread::sleep(Duration::from_millis(200));
             b"HTTP/1.1 202 later\r\nContent-Length: 0\r\n\r\n"
         } else {
--- a/lab/src/helper.rs
+++ b/lab/src/helper.rs
@@ -29,7 +29,7 @@
 }
 
 /// How long an answer is waited for.
-const PATIENCE: Duration = Duration::from_secs(10);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// A session of either front, started.
 pub fn open(address: SocketAddr, source: IpAddr, front: Front) -> anyhow::Result<TcpStream> {
@@ -38,7 +38,7 @@
     socket.connect(&address.into())?;
     let mut stream = TcpStream::from(socket);
     stream.set_nodelay(true)?;
-    stream.set_read_timeout(Some(PATIENCE))?;
+    stream.set_read_timeout(Some(ANSWER_TIMEOUT))?;
     match front {
         Front::Pg => {
             let body = b"\0\x03\0\0user\0app\0database\0warehouse\0\0";
@@ -108,21 +108,22 @@
 }
 
 /// A message that an engine has nothing to do with, and the bytes of its answer.
-fn nothing_asked(front: Front) -> (&'static [u8], usize) {
+fn empty_query(front: Front) -> (&'static [u8], usize) {
     match front {
         Front::Pg => (b"Q\0\0\0\x05\0", 11),
         Front::Mysql => (b"\x01\0\0\0\x0e", 11),
     }
 }
 
-struct Held {
+/// The sessions that this process holds.
+struct IdleSessions {
     address: SocketAddr,
     source: IpAddr,
     front: Front,
     sessions: Vec<TcpStream>,
 }
 
-impl Held {
+impl IdleSessions {
     fn open(&mut self, n: usize) -> anyhow::Result<Done> {
         let began = Instant::now();
         let mut each = histogram();
@@ -134,33 +135,33 @@
         Ok(done(n, 0, began.elapsed(), &Spread::from(&each)))
     }
 
-    /// Has the first `n` sessions ask for nothing, all at once.
+    /// Has the first `n` sessions send an empty query, all at once.
     fn wake(&mut self, n: usize) -> anyhow::Result<Done> {
-        let (ask, answer) = nothing_asked(self.front);
+        let (query, answer_bytes) = empty_query(self.front);
         let mut poll = Poll::new()?;
         let began = Instant::now();
         let n = n.min(self.sessions.len());
         let mut sent = Vec::with_capacity(n);
         for (at, stream) in self.sessions[..n].iter_mut().enumerate() {
-            stream.write_all(ask)?;
+            stream.write_all(query)?;
             sent.push(Instant::now());
             stream.set_nonblocking(true)?;
             poll.add(stream, at as u64, Interest { read: true, write: false }, Trigger::Edge)?;
         }
-        let mut owed = vec![answer; n];
+        let mut missing_bytes = vec![answer_bytes; n];
         let (mut each, mut answered, mut lost) = (histogram(), 0, 0);
         let mut last = began;
         let mut ready = Vec::new();
-        while answered + lost < n && began.elapsed() < PATIENCE {
+        while answered + lost < n && began.elapsed() < ANSWER_TIMEOUT {
             poll.wait(Some(Duration::from_millis(100)), &mut ready)?;
             for (key, _) in &ready {
                 let at = *key as usize;
                 let mut bytes = [0; 64];
                 loop {
                     match self.sessions[at].read(&mut bytes) {
-                        Ok(n) if n > 0 && owed[at] > 0 => {
-                            owed[at] = owed[at].saturating_sub(n);
-                            if owed[at] == 0 {
+                        Ok(n) if n > 0 && missing_bytes[at] > 0 => {
+                            missing_bytes[at] = missing_bytes[at].saturating_sub(n);
+                            if missing_bytes[at] == 0 {
                                 answered += 1;
                                 last = Instant::now();
                                 each.saturating_record(sent[at].elapsed().as_micros() as u64);
@@ -168,7 +169,7 @@
                         }
                         Err(e) if e.kind() == ErrorKind::WouldBlock => break,
                         _ => {
-                            lost += usize::from(std::mem::take(&mut owed[at]) > 0);
+                            lost += usize::from(std::mem::take(&mut missing_bytes[at]) > 0);
                             break;
                         }
                     }
@@ -182,7 +183,7 @@
         Ok(done(answered, n - answered, last - began, &Spread::from(&each)))
     }
 
-    /// Opens `n` sessions anew before the ends of as many old ones are heard.
+    /// Opens `n` sessions anew before the gateway can read the ends of as many old ones.
     fn reconnect(&mut self, n: usize) -> anyhow::Result<Done> {
         let n = n.min(self.sessions.len());
         let opened = self.open(n)?;
@@ -197,7 +198,7 @@
             let one = Instant::now();
             let stream = open(self.address, self.source, self.front)?;
             each.saturating_record(one.elapsed().as_micros() as u64);
-            // A port in TIME_WAIT is no use to anyone here; the gateway hears of the end first.
+            // The gateway reads the end of the session before the socket is closed.
             stream.shutdown(Shutdown::Write)?;
             count += 1;
         }
@@ -211,18 +212,18 @@
 
 /// Holds sessions, and carries out the commands of its input until that ends.
 pub fn run(address: SocketAddr, source: IpAddr, front: Front, connections: usize) -> anyhow::Result<()> {
-    let mut held = Held { address, source, front, sessions: Vec::new() };
+    let mut sessions = IdleSessions { address, source, front, sessions: Vec::new() };
     for line in std::io::stdin().lock().lines() {
         let line = line?;
         let (command, number) = line.split_once(' ').unwrap_or((&line, "0"));
         let number: usize = number.parse()?;
         let done = match command {
-            "open" => held.open(connections)?,
-            "wake" => held.wake(number)?,
-            "reconnect" => held.reconnect(number)?,
-            "churn" => held.churn(Duration::from_millis(number as u64))?,
+            "open" => sessions.open(connections)?,
+            "wake" => sessions.wake(number)?,
+            "reconnect" => sessions.reconnect(number)?,
+            "churn" => sessions.churn(Duration::from_millis(number as u64))?,
             "close" => {
-                held.sessions.clear();
+                sessions.sessions.clear();
                 Done::default()
             }
             other => bail!("no such command: {other}"),
--- a/lab/src/hollow/compare.rs
+++ b/lab/src/hollow/compare.rs
@@ -192,7 +192,7 @@
         list_calls: measured.calls.saturating_sub(measured.ended),
         list_events: measured.events,
         event_bytes: measured.event_bytes,
-        // Nothing is asked for, and so no connection opened; the core of a hollow gateway sends nothing.
+        // Without requests no connection is opened; the core of a hollow gateway sends nothing.
         engine_connects: 0,
     })
 }
--- a/lab/src/hollow/list.rs
+++ b/lab/src/hollow/list.rs
@@ -7,7 +7,7 @@
 
 use super::fleet;
 
-/// Events that a control machine keeps for gateways that come back; one that asks for older ones gets the whole list.
+/// Events that a control machine keeps for gateways that reconnect; one that requests older ones gets the whole list.
 pub const KEPT_EVENTS: usize = 1024;
 /// The head of the answer that a stream begins with.
 pub const STREAM_HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n";
--- a/lab/src/hollow/mod.rs
+++ b/lab/src/hollow/mod.rs
@@ -42,7 +42,7 @@
     Host(sockets::host::Options),
 }
 
-/// Runs what was asked for.
+/// Runs the chosen command.
 ///
 /// # Errors
 /// An option is wrong, a bound is passed, or figures are not usable.
--- a/lab/src/hollow/model/gateway_side.rs
+++ b/lab/src/hollow/model/gateway_side.rs
@@ -1,4 +1,4 @@
-//! The gateways' side: starts, timers of the watch, and what a watch asks for.
+//! The gateways' side: starts, timers of the watch, and its requests.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/lab/src/hollow/model/mod.rs
+++ b/lab/src/hollow/model/mod.rs
@@ -1,5 +1,5 @@
 //! A fleet in simulated time: hollow gateways with the gateway's own list reader, registry and core, hollow control
-//! machines, and a network between them. Databases exist as entries of the list only, as nothing is asked of them
+//! machines, and a network between them. Databases exist as entries of the list only, as they get no requests
 //! without client traffic.
 //!
 //! [`Model`] owns the clock, the queue of events and all state. Each event is handled at the side where it happens:
--- a/lab/src/hollow/model/watch.rs
+++ b/lab/src/hollow/model/watch.rs
@@ -10,7 +10,7 @@
 /// What the watch wants done with connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WatchRequest {
-    /// Open a connection, and ask there for what is behind [`Watch::last`].
+    /// Open a connection, and request there the events behind [`Watch::last`].
     Connect,
     /// Close the connection.
     Close(ConnectionId),
@@ -64,7 +64,7 @@
         events
     }
 
-    /// The connection that was asked for is being opened.
+    /// The requested connection is being opened.
     pub fn connecting(&mut self, now_us: u64, id: ConnectionId) {
         self.state.on_connecting(now_us);
         self.connection = Some(id);
--- a/lab/src/hollow/simulate.rs
+++ b/lab/src/hollow/simulate.rs
@@ -15,18 +15,18 @@
 use super::options::{BoundOptions, SizeOptions};
 
 /// Fleets that are played at once.
-const AT_ONCE: usize = 4;
+const SIMULATION_THREADS: usize = 4;
 /// Seeds of a run.
 const MOST_SEEDS: u64 = 100;
 
-/// What to play.
+/// What to simulate.
 #[derive(Args)]
 pub struct Options {
     #[command(flatten)]
     size: SizeOptions,
     #[command(flatten)]
     bounds: BoundOptions,
-    /// The event to play; all without it.
+    /// The event to simulate; all without it.
     #[arg(long)]
     event: Option<String>,
     /// Each event is played with the seeds from 1 to this; figures are the worst of them.
@@ -37,7 +37,7 @@
     json: Option<PathBuf>,
 }
 
-/// Plays events and prints what they did.
+/// Simulates events and prints their loads.
 ///
 /// # Errors
 /// An option is wrong, or a bound is passed.
@@ -51,7 +51,7 @@
         Some(name) => vec![events::script(name, size, 1)?.name],
         None => events::names().collect(),
     };
-    let measured = play_all(&names, size, options.seeds, &bounds)?;
+    let measured = simulate_all(&names, size, options.seeds, &bounds)?;
     let mut figures = Vec::new();
     for (name, measured) in names.iter().zip(&measured) {
         let command = command(size, options.seeds, name);
@@ -65,28 +65,28 @@
     }
 }
 
-/// Plays an event with one seed.
+/// Simulates an event with one seed.
 ///
 /// # Errors
 /// No event has this name, or a bound is passed.
-pub fn play(name: &str, size: FleetSize, seed: u64, bounds: &Bounds) -> Result<Measured, HollowError> {
+pub fn simulate(name: &str, size: FleetSize, seed: u64, bounds: &Bounds) -> Result<Measured, HollowError> {
     let script = events::script(name, size, seed)?;
     Model::new(size, seed).run(&script, bounds)
 }
 
-/// Plays all events with all seeds, some at once; the worst of each event.
-fn play_all(
+/// Simulates all events with all seeds, some in parallel; the worst of each event.
+fn simulate_all(
     names: &[&'static str],
     size: FleetSize,
     seeds: u64,
     bounds: &Bounds,
 ) -> Result<Vec<Measured>, HollowError> {
-    let plays: Vec<(usize, u64)> =
+    let runs: Vec<(usize, u64)> =
         (0..names.len()).flat_map(|event| (1..=seeds).map(move |seed| (event, seed))).collect();
     let (next, results) = (AtomicUsize::new(0), Mutex::new(vec![Measured::default(); names.len()]));
     let worker = || -> Result<(), HollowError> {
-        while let Some((event, seed)) = plays.get(next.fetch_add(1, Ordering::Relaxed)) {
-            let measured = play(names[*event], size, *seed, bounds)?;
+        while let Some((event, seed)) = runs.get(next.fetch_add(1, Ordering::Relaxed)) {
+            let measured = simulate(names[*event], size, *seed, bounds)?;
             if let Ok(mut results) = results.lock() {
                 results[*event] = results[*event].worse(measured);
             }
@@ -94,7 +94,7 @@
         Ok(())
     };
     std::thread::scope(|scope| {
-        let workers: Vec<_> = (0..AT_ONCE).map(|_| scope.spawn(worker)).collect();
+        let workers: Vec<_> = (0..SIMULATION_THREADS).map(|_| scope.spawn(worker)).collect();
         workers.into_iter().try_for_each(|worker| match worker.join() {
             Ok(result) => result,
             Err(panic) => std::panic::resume_unwind(panic),
--- a/lab/src/hollow/sockets/gateways.rs
+++ b/lab/src/hollow/sockets/gateways.rs
@@ -14,7 +14,7 @@
 use crate::hollow::settings;
 
 /// How long gateways may take to end after SIGTERM.
-const END_PATIENCE: Duration = Duration::from_secs(20);
+const END_TIMEOUT: Duration = Duration::from_secs(20);
 /// Between two checks whether they have.
 const END_LOOK: Duration = Duration::from_millis(20);
 
@@ -183,7 +183,7 @@
         let began = Instant::now();
         for child in &mut self.children {
             while child.try_wait()?.is_none() {
-                if began.elapsed() > END_PATIENCE {
+                if began.elapsed() > END_TIMEOUT {
                     return Err(HollowError::Peer(format!("process {} does not end", child.id())));
                 }
                 std::thread::sleep(END_LOOK);
--- a/lab/src/hollow/sockets/run.rs
+++ b/lab/src/hollow/sockets/run.rs
@@ -20,7 +20,7 @@
 /// Between having been written the list and the end of the start: gateways take it in meanwhile.
 const SETTLE: Duration = Duration::from_secs(2);
 /// How long all gateways may take to have the list.
-const START_PATIENCE: Duration = Duration::from_secs(60);
+const START_TIMEOUT: Duration = Duration::from_secs(60);
 /// Between two checks whether they have.
 const START_LOOK: Duration = Duration::from_millis(50);
 /// Control machines write no comments for so long in the phase `silence`: gateways take a stream for dead after
@@ -210,7 +210,7 @@
             if up_to_date == self.size.gateways as u64 {
                 return Ok(());
             }
-            if began.elapsed() > START_PATIENCE {
+            if began.elapsed() > START_TIMEOUT {
                 let of = self.size.gateways;
                 return Err(HollowError::Peer(format!("{up_to_date} of {of} gateways have the list")));
             }
--- a/lab/tests/capacity.rs
+++ b/lab/tests/capacity.rs
@@ -25,7 +25,7 @@
 
 /// Plays of a function of size, each off by these.
 fn plays(sizes: &[f64], off: [f64; 3], value: impl Fn(f64) -> f64) -> Vec<Point> {
-    let point = |size: &f64| Point { size: *size, plays: off.iter().map(|off| value(*size) + off).collect() };
+    let point = |size: &f64| Point { size: *size, runs: off.iter().map(|off| value(*size) + off).collect() };
     sizes.iter().map(point).collect()
 }
 
@@ -57,7 +57,7 @@
 fn too_few_sizes_or_no_plays_give_no_line() {
     assert_eq!(fit(&plays(&SIZES[..2], [0.0; 3], |size| size)), None);
     let mut points = plays(&SIZES, [0.0; 3], |size| size);
-    points[1].plays.clear();
+    points[1].runs.clear();
     assert_eq!(fit(&points), None);
 }
 
--- a/lab/tests/hollow.rs
+++ b/lab/tests/hollow.rs
@@ -13,7 +13,7 @@
 use wrenhatch_lab::hollow::list::{Database, DatabaseList, DatabaseState, KEPT_EVENTS, last_event_id};
 use wrenhatch_lab::hollow::load::{Load, SECOND_US, SlidingMaximum};
 use wrenhatch_lab::hollow::model::Measured;
-use wrenhatch_lab::hollow::simulate::{event_figures, play};
+use wrenhatch_lab::hollow::simulate::{event_figures, simulate};
 use wrenhatch_lab::hollow::sockets::gateways::{Manner, Programs};
 use wrenhatch_lab::hollow::sockets::run::{self, Phase, PhaseFigures, Plan};
 
@@ -24,7 +24,7 @@
 }
 
 fn played(event: &str, seed: u64) -> Measured {
-    play(event, SMALL, seed, &bounds()).unwrap()
+    simulate(event, SMALL, seed, &bounds()).unwrap()
 }
 
 fn changed(number: usize) -> [Database; 1] {
@@ -151,7 +151,7 @@
     drop(held);
     let late = Bounds::new(MOST_MEMORY_MB, Duration::ZERO);
     let large = FleetSize { gateways: 400, databases: 10, control: 7 };
-    let stopped = play("regions cut off", large, 1, &late);
+    let stopped = simulate("regions cut off", large, 1, &late);
     assert!(matches!(stopped, Err(HollowError::Bound { bound: "time", .. })));
 }
 
