--- a/gateway/src/admission/tests.rs
+++ b/gateway/src/admission/tests.rs
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn nobody_waits_for_longer_than_the_deadline_of_its_class() {
+fn no_client_waits_for_longer_than_the_deadline_of_its_class() {
     assert_eq!(wait_us(None, 3.0), 3_000_000);
     assert_eq!(wait_us(Some(500), 3.0), 500_000);
     assert_eq!(wait_us(Some(86_400_000), 3.0), 3_000_000);
--- a/gateway/src/net/event_loop.rs
+++ b/gateway/src/net/event_loop.rs
@@ -99,7 +99,7 @@
     }
 
     /// Accepts and reads clients. Where the table is full, sessions are read first: clients that have left make place,
-    /// and nobody is rejected in vain.
+    /// and no client is rejected in vain.
     fn serve_clients(&mut self, connecting: Connecting) {
         if connecting.front_ends().next().is_some() && self.sessions.is_full() {
             self.read_sessions();
--- a/gateway/src/net/sessions/state.rs
+++ b/gateway/src/net/sessions/state.rs
@@ -153,7 +153,7 @@
     pub fn statement_bytes(&self) -> usize {
         match &self.protocol {
             SuspendedProtocol::Pg => 0,
-            SuspendedProtocol::MySql(parked) => parked.statement_bytes(),
+            SuspendedProtocol::MySql(session) => session.statement_bytes(),
         }
     }
 }
--- a/gateway/tests/idle.rs
+++ b/gateway/tests/idle.rs
@@ -1,4 +1,4 @@
-//! Many sessions on the real program: crowds that wake up or come anew, clients that trickle, flood or fall silent,
+//! Many sessions on the real program: surges of sessions that wake up or connect, clients that trickle, flood or fall silent,
 //! and descriptors and memory that run out. No verdict rests on how fast the machine is.
 
 mod common;
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn half_of_all_wake_up_while_a_tenth_connects_anew_and_nobody_is_forgotten() {
+fn half_of_all_wake_up_while_a_tenth_reconnects_and_each_is_answered() {
     let seen = Seen::default();
     let engine = Engine::start("e1", &seen, 1500);
     let gateway = large(&[&engine], "");
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn all_connect_anew_before_the_ends_of_the_old_ones_are_heard() {
+fn all_reconnect_before_the_ends_of_their_old_connections_are_seen() {
     let seen = Seen::default();
     let engine = Engine::start("e1", &seen, 1);
     let gateway = Gateway::start(&[&engine], false);
@@ -97,12 +97,12 @@
 }
 
 #[test]
-fn a_silent_crowd_takes_no_parked_session_s_place() {
+fn a_silent_surge_evicts_no_suspended_session() {
     let seen = Seen::default();
     let engine = Engine::start("e1", &seen, 1);
     let gateway = large(&[&engine], "");
     let mut parked = idle(&gateway, 120);
-    // They come faster than anyone can be told from a slow one, and more of them than there are places.
+    // They connect faster than a silent one can be distinguished from a slow one, and are more than there are places.
     let silent: Vec<_> = (0..500)
         .map(|_| {
             thread::sleep(Duration::from_micros(500));
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn a_message_that_trickles_in_ends_as_one_that_does_not_come() {
+fn a_message_that_trickles_in_times_out_as_one_that_does_not_come() {
     let seen = Seen::default();
     let engine = Engine::start("e1", &seen, 1);
     let gateway = Gateway::start(&[&engine], false);
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn who_floods_and_reads_nothing_is_answered_in_full_when_it_does_and_keeps_nobody_waiting() {
+fn a_client_that_floods_and_reads_nothing_is_answered_in_full_when_it_does_and_delays_no_other() {
     let seen = Seen::default();
     let engine = Engine::start("e1", &seen, 1);
     let gateway = Gateway::start(&[&engine], false);
@@ -185,7 +185,7 @@
 }
 
 #[test]
-fn out_of_descriptors_idle_sessions_yield() {
+fn out_of_descriptors_idle_sessions_are_evicted() {
     let seen = Seen::default();
     let engine = Engine::start("e1", &seen, 1);
     let gateway = Gateway::start_as(&[&engine], false, None, "", Some(48));
@@ -206,7 +206,7 @@
 }
 
 #[test]
-fn out_of_descriptors_with_no_place_to_give_who_comes_is_told_so() {
+fn out_of_descriptors_without_a_session_to_evict_a_new_client_is_rejected_with_an_error() {
     let seen = Seen::default();
     let engine = Engine::start("e1", &seen, 30_000);
     let gateway = Gateway::start_as(&[&engine], false, None, "", Some(48));
@@ -264,7 +264,7 @@
 }
 
 #[test]
-fn parked_statements_stay_and_take_no_more_than_their_share_of_memory() {
+fn prepared_statements_of_suspended_sessions_stay_within_their_memory_limit() {
     let seen = Seen::default();
     let engine = Engine::start("e1", &seen, 1);
     let gateway = Gateway::start_as(&[&engine], true, None, "[clients]\nmost_sessions = 180\n", None);
@@ -310,9 +310,9 @@
     assert_eq!(gateway.turns() - before, 1, "but for the one that tells this");
 }
 
-/// Guards the ledger: what a session held is given back when it is parked, and when it ends.
+/// Guards the memory budget: what a session held is released when it is suspended, and when it ends.
 #[test]
-fn what_was_held_for_requests_is_given_back_whatever_became_of_them() {
+fn memory_reserved_for_requests_is_released_however_they_end() {
     let seen = Seen::default();
     let engine = Engine::start("e1", &seen, 0);
     let gateway = Gateway::start_as(&[&engine], true, None, "[clients]\nmost_sessions = 100\n", None);
--- a/lab/src/idle/in_memory.rs
+++ b/lab/src/idle/in_memory.rs
@@ -21,7 +21,7 @@
     sessions: usize,
     resident_bytes_per_session: f64,
     slot_bytes: usize,
-    /// After all have been woken, parked, ended and taken in again; no growth means no more than before.
+    /// After all have been resumed, suspended, removed and inserted again; no growth means no more than before.
     resident_bytes_after_reuse: f64,
     wake_half_ms: f64,
     yield_ns: f64,
@@ -31,17 +31,17 @@
     timer_cpu_percent: f64,
 }
 
-fn park(table: &mut Sessions, who: Handle, now_us: u64) {
-    table.set_activity(who, Activity::Idle, now_us);
-    table.suspend(who, |hot| Ok([hot[0]; SUSPENDED_SESSION_BYTES / 8]));
+fn suspend(table: &mut Sessions, handle: Handle, now_us: u64) {
+    table.set_activity(handle, Activity::Idle, now_us);
+    table.suspend(handle, |active| Ok([active[0]; SUSPENDED_SESSION_BYTES / 8]));
 }
 
-fn take_in(table: &mut Sessions, n: usize) -> Vec<Handle> {
+fn insert_all(table: &mut Sessions, n: usize) -> Vec<Handle> {
     (0..n)
         .map(|i| {
-            let who = table.insert(i as u64, Box::new([i as u64; ACTIVE_SESSION_BYTES / 8]));
-            park(table, who, i as u64);
-            who
+            let handle = table.insert(i as u64, Box::new([i as u64; ACTIVE_SESSION_BYTES / 8]));
+            suspend(table, handle, i as u64);
+            handle
         })
         .collect()
 }
@@ -50,17 +50,19 @@
 fn wake_half(table: &mut Sessions, all: &[Handle], now_us: u64) -> Duration {
     let mut scheduler = ReadScheduler::new(ReadLimits::default());
     let began = Instant::now();
-    for who in all.iter().step_by(2) {
-        if table.set_queued(*who) {
-            scheduler.enqueue(*who, ReadPriority::LongIdle, who.index % 1000, now_us);
+    for handle in all.iter().step_by(2) {
+        if table.set_queued(*handle) {
+            scheduler.enqueue(*handle, ReadPriority::LongIdle, handle.index % 1000, now_us);
         }
     }
     while scheduler.waiting() > 0 {
         let turn = Instant::now();
         while let Some(read) = scheduler.next_read(now_us) {
             if table.clear_queued(read.handle) {
-                table.resume(read.handle, now_us, |cold| Box::new([cold[0]; ACTIVE_SESSION_BYTES / 8]));
-                park(table, read.handle, now_us);
+                table.resume(read.handle, now_us, |suspended| {
+                    Box::new([suspended[0]; ACTIVE_SESSION_BYTES / 8])
+                });
+                suspend(table, read.handle, now_us);
             }
         }
         scheduler.end_turn(turn.elapsed().as_micros() as u64);
@@ -103,7 +105,7 @@
     let mut all = Vec::with_capacity(n);
     // The list of handles is the experiment's, not the table's.
     let list_bytes = n * size_of::<Handle>();
-    all.extend(take_in(&mut table, n));
+    all.extend(insert_all(&mut table, n));
     let per_session = |bytes: u64| (bytes.saturating_sub(before) as f64 - list_bytes as f64) / n as f64;
     let first = per_session(resident_bytes(std::process::id())?);
     let wake = wake_half(&mut table, &all, n as u64);
@@ -113,10 +115,10 @@
         black_box(table.eviction_candidate(black_box(n as u64), n / 4));
     }
     let yield_ns = began.elapsed().as_nanos() as f64 / f64::from(rounds);
-    for who in all.drain(..) {
-        table.remove(who);
+    for handle in all.drain(..) {
+        table.remove(handle);
     }
-    all.extend(take_in(&mut table, n));
+    all.extend(insert_all(&mut table, n));
     let again = per_session(resident_bytes(std::process::id())?);
     let (timer_drift, timer_wakeups, timer_cpu_percent) = drift(n);
     Ok(Figures {
--- a/sessions/benches/structures.rs
+++ b/sessions/benches/structures.rs
@@ -25,7 +25,7 @@
     (0..n).map(next).collect()
 }
 
-/// A heap whose cancelled timers stay until they are due, told from others by their generation.
+/// A heap whose cancelled timers stay until they are due, distinguished by their generation.
 #[derive(Default)]
 struct Heap {
     heap: BinaryHeap<Reverse<(u64, u32, u32)>>,
@@ -202,9 +202,9 @@
     fn lists(bencher: Bencher, n: usize) {
         let mut table: SessionTable<u64, [u64; 40]> = SessionTable::new();
         for i in 0..n as u64 {
-            let who = table.insert(i, Box::new([i; 40]));
-            table.set_activity(who, Activity::Idle, i);
-            table.suspend(who, |active| Ok(active[0]));
+            let handle = table.insert(i, Box::new([i; 40]));
+            table.set_activity(handle, Activity::Idle, i);
+            table.suspend(handle, |active| Ok(active[0]));
         }
         bencher.bench_local(|| table.eviction_candidate(black_box(10_000_000), n / 4));
     }
--- a/sessions/src/read_scheduler/tests.rs
+++ b/sessions/src/read_scheduler/tests.rs
@@ -118,7 +118,7 @@
     let span_ms = waits[9_999] - waits[0];
     let wanted = 10_000.0 * each / RETRY_CORE_RATIO / 1e3;
     assert!((span_ms as f64 - wanted).abs() < 0.01 * wanted, "{span_ms} ms, not {wanted}");
-    // Where they may be told no more than half a second, they still don't come together.
+    // Where a Retry-After is half a second at most, retries still don't come together.
     scheduler.limits.max_retry_after_ms = 500;
     waits = (0..10_000).map(|_| scheduler.retry_after_ms(1_000_000)).collect();
     let mut buckets = [0; 10];
--- a/sessions/src/session_table/tests.rs
+++ b/sessions/src/session_table/tests.rs
@@ -58,7 +58,10 @@
     let new = table.insert(2, Box::new(7));
     assert_eq!((old.index, old == new), (new.index, false));
     assert!(!table.contains(old) && table.active(old).is_none() && table.remove(old).is_none());
-    assert!(!table.resume(old, 3, |_| Box::new(9)), "an event of the one that has gone wakes nobody");
+    assert!(
+        !table.resume(old, 3, |_| Box::new(9)),
+        "an event of a session that has ended resumes no other one"
+    );
     assert!(!table.suspend(old, |_| Ok(1)));
     table.set_activity(old, Activity::Closing, 3);
     assert_eq!((table.activity(new), table.active(new)), (Some((Activity::Busy, 2)), Some(&7)));
--- a/sessions/src/timer_wheel/tests.rs
+++ b/sessions/src/timer_wheel/tests.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_clock_that_stands_still_and_jumps_on_skips_nobody() {
+fn a_clock_that_stands_still_and_jumps_on_skips_no_timer() {
     let mut wheel = TimerWheel::new();
     for n in 0..1000_u64 {
         wheel.arm(5_000_000 + (n * 7919) % 20_000_000, n);
--- a/sessions/tests/crowd.rs
+++ b/sessions/tests/surge.rs
@@ -41,10 +41,10 @@
             let Some((_, arrival)) = self.coming.pop() else { break };
             match arrival {
                 Arrival::Connects => self.connects += 1,
-                Arrival::Ready(who, priority, group) => {
-                    if self.table.set_queued(who) {
-                        self.scheduler.enqueue(who, priority, group, self.now_us);
-                        self.ready.insert(who, self.now_us);
+                Arrival::Ready(handle, priority, group) => {
+                    if self.table.set_queued(handle) {
+                        self.scheduler.enqueue(handle, priority, group, self.now_us);
+                        self.ready.insert(handle, self.now_us);
                     }
                 }
             }
@@ -55,7 +55,7 @@
         self.scheduler.charge(Work::Accept, accepts);
         took_us += accepts as u64 * ACCEPT_US;
         while let Some(read) = self.scheduler.next_read(self.now_us) {
-            assert!(self.table.clear_queued(read.handle), "nobody is read without having been ready");
+            assert!(self.table.clear_queued(read.handle), "no session is read without having been ready");
             assert!(self.table.resume(read.handle, self.now_us, Box::new));
             took_us += READ_US;
             let since_us = self.ready.remove(&read.handle).unwrap();
@@ -64,7 +64,7 @@
             if ReadScheduler::can_meet_deadline(self.now_us, backlog_us, since_us + patience_us) {
                 self.scheduler.charge(Work::Request, 1);
                 took_us += REQUEST_US;
-                // Which of them it was is told by its group.
+                // Which of them it was is known by its group.
                 let priority = if *self.table.active(read.handle).unwrap() == 0 {
                     ReadPriority::RecentlyActive
                 } else {
@@ -101,26 +101,26 @@
         longest_turn_us: 0,
     };
     let suspend = |w: &mut World, kind: u32| {
-        let who = w.table.insert(0, Box::new(kind));
-        w.table.set_activity(who, Activity::Idle, 0);
-        w.table.suspend(who, |active| Ok(*active));
-        who
+        let handle = w.table.insert(0, Box::new(kind));
+        w.table.set_activity(handle, Activity::Idle, 0);
+        w.table.suspend(handle, |active| Ok(*active));
+        handle
     };
     let start_us = w.now_us;
     for i in 0..n / 2 {
-        let who = suspend(&mut w, 1);
+        let handle = suspend(&mut w, 1);
         let at_us = start_us + u64::from(i) * 50_000 / u64::from(n / 2);
-        w.coming.push((at_us, Arrival::Ready(who, ReadPriority::LongIdle, i % 100)));
+        w.coming.push((at_us, Arrival::Ready(handle, ReadPriority::LongIdle, i % 100)));
         if i % 5 == 0 {
             w.coming.push((at_us, Arrival::Connects));
         }
     }
     for i in 0..10 {
-        let who = suspend(&mut w, 0);
+        let handle = suspend(&mut w, 0);
         for ms in 0..100 {
             w.coming.push((
                 start_us + ms * 20_000 + i * 1_000,
-                Arrival::Ready(who, ReadPriority::RecentlyActive, 1000),
+                Arrival::Ready(handle, ReadPriority::RecentlyActive, 1000),
             ));
         }
     }
