--- a/lab/src/capacity/experiment.rs
+++ b/lab/src/capacity/experiment.rs
@@ -42,23 +42,25 @@
     DecideStatementEngines,
     /// The decisions of a statement in memory, by open requests.
     DecideStatementOpen,
-    /// A look of the module that no event asks for, in memory, by engines.
-    DecideLookEngines,
+    /// A control tick of the decisions, in memory, by engines.
+    #[serde(rename = "decide-look-engines")]
+    #[value(name = "decide-look-engines")]
+    DecideControlTickEngines,
     /// Taking a change of one engine in memory, by engines.
     DecideChangeEngines,
     /// Taking a whole list in memory, by engines.
     DecideListEngines,
     /// A statement through the process, by engines.
     StatementEngines,
-    /// A statement through the process, by sessions that ask at once.
+    /// A statement through the process, by sessions that are active at once.
     StatementOpen,
     /// A statement through the process, by sessions that are idle beside.
     StatementSessions,
     /// A statement through the process, by engines, with many requests open and many sessions idle.
     StatementTogether,
-    /// A change of one engine told by the coordinator, by engines.
+    /// A change of one engine sent by the coordinator, by engines.
     ChangeEngines,
-    /// A whole list told by the coordinator, by engines.
+    /// A whole list sent by the coordinator, by engines.
     ListEngines,
     /// The configuration read again on SIGHUP, by engines in it.
     ReloadEngines,
@@ -66,7 +68,7 @@
     ReloadClasses,
     /// The configuration read again on SIGHUP, by tenants in it.
     ReloadTenants,
-    /// A version of the settings told by a control machine and taken over in service, by engines.
+    /// A version of the settings sent by a control machine and taken over in service, by engines.
     VersionEngines,
     /// The same by classes.
     VersionClasses,
@@ -96,7 +98,7 @@
 pub enum Quantity {
     /// Processor time of the process (of the thread, in memory) for each of what is done.
     Cpu,
-    /// Share of a core while nothing is asked.
+    /// Share of a core without requests.
     IdleCpu,
     /// Anonymous memory that is resident.
     Resident,
@@ -114,9 +116,9 @@
     DebugLogBytes,
     /// Bytes of one answer with all figures.
     MetricsBytes,
-    /// The 99th percentile of what clients waited.
+    /// The 99th percentile of the latency at clients.
     LatencyP99,
-    /// From an event's writing until the gateway's figures show it, in the middle, with the call that fetches them; of a
+    /// From an event's writing until the gateway's figures show it, the median, with the call that fetches them; of a
     /// version, until its report has come.
     Taken,
 }
@@ -157,3 +159,70 @@
         })
     }
 }
+
+impl Experiment {
+    /// What is varied.
+    pub fn variable(self) -> Variable {
+        use Experiment as E;
+        match self {
+            E::DecideStatementOpen | E::StatementOpen => Variable::OpenRequests,
+            E::StatementSessions | E::IdleSessions => Variable::Sessions,
+            E::ReloadClasses | E::VersionClasses | E::StartClasses => Variable::Classes,
+            E::ReloadTenants | E::VersionTenants | E::StartTenants => Variable::Tenants,
+            E::DecideStatementEngines
+            | E::DecideControlTickEngines
+            | E::DecideChangeEngines
+            | E::DecideListEngines
+            | E::StatementEngines
+            | E::StatementTogether
+            | E::ChangeEngines
+            | E::ListEngines
+            | E::ReloadEngines
+            | E::VersionEngines
+            | E::StartEngines
+            | E::IdleEngines => Variable::Engines,
+        }
+    }
+
+    /// What is held fixed.
+    pub fn fixed(self) -> &'static str {
+        use Experiment as E;
+        match self {
+            E::DecideStatementEngines
+            | E::DecideControlTickEngines
+            | E::DecideChangeEngines
+            | E::DecideListEngines => {
+                "in memory, simulated time: 16 open requests, 2,364 statements a second"
+            }
+            E::DecideStatementOpen => "in memory, simulated time: 80 engines, 2,364 statements a second",
+            E::StatementEngines => {
+                "closed loop of 16 sessions, after one of 64; engines of 5 zones that answer at once"
+            }
+            E::StatementOpen => {
+                "80 engines of 5 zones that answer at once, a closed loop of as many sessions, after one of 64"
+            }
+            E::StatementSessions => {
+                "80 engines of 5 zones, closed loop of 16 sessions beside the idle ones, after one of 64"
+            }
+            E::StatementTogether => {
+                "closed loop of 64 sessions beside 3,455 idle ones; engines of 5 zones that answer at once"
+            }
+            E::ChangeEngines | E::ListEngines | E::IdleEngines => "no clients",
+            E::ReloadEngines | E::VersionEngines | E::StartEngines => "3 classes, 1 tenant, no clients",
+            E::ReloadClasses | E::VersionClasses | E::StartClasses => "80 engines, 1 tenant, no clients",
+            E::ReloadTenants | E::VersionTenants | E::StartTenants => "80 engines, 3 classes, no clients",
+            E::IdleSessions => "80 engines, sessions that ask nothing",
+        }
+    }
+
+    /// The sizes that it is run at.
+    pub fn sizes(self) -> &'static [usize] {
+        match self.variable() {
+            Variable::Engines => &[16, 80, 200, 400, 810],
+            Variable::OpenRequests => &[4, 16, 64, 256],
+            Variable::Sessions => &[250, 1_000, 2_000, 3_455],
+            Variable::Classes => &[3, 10, 40, 160],
+            Variable::Tenants => &[1, 100, 400, 1_600],
+        }
+    }
+}
--- a/lab/src/hollow/list.rs
+++ b/lab/src/hollow/list.rs
@@ -7,7 +7,7 @@
 
 use super::fleet;
 
-/// Events that a control machine keeps for gateways that come back; one that asks for older ones gets the whole list.
+/// Events that a control machine keeps for gateways that reconnect; one that requests older ones gets the whole list.
 pub const KEPT_EVENTS: usize = 1024;
 /// The head of the answer that a stream begins with.
 pub const STREAM_HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n";
@@ -103,7 +103,7 @@
         self.last
     }
 
-    /// What a stream behind event `after` is told, each text with its event's number.
+    /// The events behind event `after` as a stream gets them: number and text of each.
     pub fn events(&self, after: u64) -> Vec<(u64, Arc<[u8]>)> {
         let oldest = self.kept.front().map_or(self.last + 1, |(number, _)| *number);
         if after == 0 || after + 1 < oldest && after < self.last {
