--- /dev/null
+++ b/gateway/tests/common/engine.rs
@@ -0,0 +1,322 @@
+//! Engines, simulated: processes that speak both of an engine's protocols.
+
+use std::collections::{HashMap, VecDeque};
+use std::io::{BufRead, BufReader, Read, Write};
+use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
+use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
+use std::sync::{Arc, Mutex};
+use std::thread;
+use std::time::{Duration, Instant};
+
+use super::mysql;
+
+/// What the engines of a test saw, all together.
+#[derive(Clone, Default)]
+pub struct Seen {
+    runs: Arc<Mutex<Vec<(String, String)>>>,
+    kills: Arc<Mutex<Vec<u32>>>,
+    deletes: Arc<Mutex<Vec<String>>>,
+    connections: Arc<AtomicU64>,
+}
+
+impl Seen {
+    pub fn ran(&self, engine: &str, query_id: &str) {
+        self.runs.lock().unwrap().push((engine.to_owned(), query_id.to_owned()));
+    }
+
+    /// Engines that began to run this query_id, in order.
+    pub fn engines_of(&self, query_id: &str) -> Vec<String> {
+        self.runs.lock().unwrap().iter().filter(|(_, t)| t == query_id).map(|(e, _)| e.clone()).collect()
+    }
+
+    /// Query ids that were cancelled over HTTP.
+    pub fn deletes(&self) -> Vec<String> {
+        self.deletes.lock().unwrap().clone()
+    }
+
+    /// Connections that were to be ended.
+    pub fn kills(&self) -> Vec<u32> {
+        self.kills.lock().unwrap().clone()
+    }
+
+    pub fn killed(&self, connection: u32) {
+        self.kills.lock().unwrap().push(connection);
+    }
+
+    /// The number of a new MySQL connection, from 1.
+    pub fn connection(&self) -> u32 {
+        self.connections.fetch_add(1, Ordering::SeqCst) as u32 + 1
+    }
+
+    pub fn count(&self) -> usize {
+        self.runs.lock().unwrap().len()
+    }
+}
+
+/// How a response is spoilt on its way.
+#[derive(Clone, Copy, Debug)]
+pub enum ResponseFault {
+    Garbage,
+    BadStatusLine,
+    Endless,
+    Short,
+    CutOff,
+    Silent,
+    Preceded,
+    Twice,
+}
+
+/// An engine process with both of its protocols; killed, it resets every connection.
+pub struct Engine {
+    pub name: String,
+    pub http: SocketAddr,
+    pub mysql: SocketAddr,
+    dead: Arc<AtomicBool>,
+    refuses: Arc<AtomicBool>,
+    streams: Arc<Mutex<Vec<TcpStream>>>,
+    work_ms: Arc<AtomicU64>,
+    mute: Arc<AtomicBool>,
+    response_faults: Arc<Mutex<VecDeque<ResponseFault>>>,
+    resets: Arc<AtomicU64>,
+}
+
+/// What a connection of an engine is served with.
+#[derive(Clone)]
+pub struct Host {
+    pub name: String,
+    pub seen: Seen,
+    pub dead: Arc<AtomicBool>,
+    mute: Arc<AtomicBool>,
+    response_faults: Arc<Mutex<VecDeque<ResponseFault>>>,
+    work_ms: Arc<AtomicU64>,
+    queries: Arc<Mutex<HashMap<String, Instant>>>,
+}
+
+impl Host {
+    /// Works for as long as a statement takes; false if the engine died meanwhile.
+    pub fn work(&self) -> bool {
+        let done = Instant::now() + Duration::from_millis(self.work_ms.load(Ordering::SeqCst));
+        while !self.dead.load(Ordering::SeqCst) && Instant::now() < done {
+            let left = done.saturating_duration_since(Instant::now());
+            thread::sleep(left.min(Duration::from_millis(10)));
+        }
+        !self.dead.load(Ordering::SeqCst)
+    }
+}
+
+impl Engine {
+    pub fn start(name: &str, seen: &Seen, work_ms: u64) -> Self {
+        let dead = Arc::new(AtomicBool::new(false));
+        let streams = Arc::new(Mutex::new(Vec::new()));
+        let (work_ms, mute) = (Arc::new(AtomicU64::new(work_ms)), Arc::<AtomicBool>::default());
+        let response_faults = Arc::<Mutex<VecDeque<ResponseFault>>>::default();
+        let host = Host {
+            name: name.to_owned(),
+            seen: seen.clone(),
+            dead: dead.clone(),
+            mute: mute.clone(),
+            response_faults: response_faults.clone(),
+            work_ms: work_ms.clone(),
+            queries: Arc::default(),
+        };
+        let (resets, refuses) = (Arc::<AtomicU64>::default(), Arc::<AtomicBool>::default());
+        let listen = |serve: fn(TcpStream, Host)| {
+            let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+            let address = listener.local_addr().unwrap();
+            let (host, streams, resets) = (host.clone(), streams.clone(), resets.clone());
+            let refuses = refuses.clone();
+            thread::spawn(move || {
+                for stream in listener.incoming().flatten() {
+                    if host.dead.load(Ordering::SeqCst) || refuses.load(Ordering::SeqCst) {
+                        return;
+                    }
+                    let one_less = |n: u64| n.checked_sub(1);
+                    if resets.fetch_update(Ordering::SeqCst, Ordering::SeqCst, one_less).is_ok() {
+                        socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO)).unwrap();
+                        continue;
+                    }
+                    stream.set_nodelay(true).unwrap();
+                    streams.lock().unwrap().push(stream.try_clone().unwrap());
+                    let host = host.clone();
+                    thread::spawn(move || serve(stream, host));
+                }
+            });
+            address
+        };
+        let (http, mysql) = (listen(serve_http), listen(mysql::serve));
+        Self {
+            name: name.to_owned(),
+            http,
+            mysql,
+            dead,
+            refuses,
+            streams,
+            work_ms,
+            mute,
+            response_faults,
+            resets,
+        }
+    }
+
+    pub fn set_work_ms(&self, ms: u64) {
+        self.work_ms.store(ms, Ordering::SeqCst);
+    }
+
+    /// Its entry in the list.
+    pub fn entry(&self, status: &str) -> String {
+        format!(
+            "{{\"name\":\"{}\",\"address\":\"{}\",\"zone\":\"z\",\"type\":\"k\",\"group\":0,\"status\":\"{status}\",\"weight\":1,\"since_ms\":0}}",
+            self.name, self.http
+        )
+    }
+
+    /// From now on it hears and runs everything and answers nothing.
+    pub fn mute(&self) {
+        self.mute.store(true, Ordering::SeqCst);
+    }
+
+    /// Spoils its next answers to HTTP calls, each in one of these ways.
+    pub fn spoil(&self, ways: &[ResponseFault]) {
+        self.response_faults.lock().unwrap().extend(ways);
+    }
+
+    /// Resets so many new connections; the process lives.
+    pub fn reset_new(&self, connections: u64) {
+        self.resets.store(connections, Ordering::SeqCst);
+    }
+
+    /// Breaks every connection; the process and what it runs live on.
+    pub fn cut(&self) {
+        for stream in self.streams.lock().unwrap().drain(..) {
+            let _ = stream.shutdown(Shutdown::Both);
+        }
+    }
+
+    /// Refuses new connections, as one that drains does; what it runs and the connections that it has live on.
+    pub fn refuse_new(&self) {
+        self.refuses.store(true, Ordering::SeqCst);
+        for address in [self.http, self.mysql] {
+            // The listener wakes up, sees that it is to close, and closes.
+            while TcpStream::connect(address).is_ok() {
+                thread::sleep(Duration::from_millis(1));
+            }
+        }
+    }
+
+    pub fn kill(&self) {
+        self.dead.store(true, Ordering::SeqCst);
+        self.refuse_new();
+        self.cut();
+    }
+}
+
+/// A call over HTTP.
+struct HttpCall {
+    verb: String,
+    path: String,
+    headers: HashMap<String, String>,
+    body: Vec<u8>,
+}
+
+impl HttpCall {
+    /// Reads the next call; `None` once the other side has ended.
+    fn read(reader: &mut impl BufRead) -> Option<Self> {
+        let mut line = String::new();
+        if reader.read_line(&mut line).unwrap_or(0) == 0 {
+            return None;
+        }
+        let mut headers = HashMap::new();
+        loop {
+            let mut header = String::new();
+            if reader.read_line(&mut header).unwrap_or(0) == 0 {
+                return None;
+            }
+            let Some((name, value)) = header.trim_end().split_once(": ") else { break };
+            headers.insert(name.to_ascii_lowercase(), value.to_owned());
+        }
+        let length = headers.get("content-length").map_or(0, |l| l.parse().unwrap());
+        let mut body = vec![0; length];
+        reader.read_exact(&mut body).ok()?;
+        let mut words = line.split(' ').map(str::to_owned);
+        let (verb, path) = (words.next().unwrap(), words.next().unwrap());
+        Some(Self { verb, path, headers, body })
+    }
+
+    /// The query id in the path.
+    fn query_id(&self) -> &str {
+        self.path.split('/').nth(2).unwrap()
+    }
+}
+
+fn serve_http(mut stream: TcpStream, host: Host) {
+    let mut reader = BufReader::new(stream.try_clone().unwrap());
+    while let Some(call) = HttpCall::read(&mut reader) {
+        let response = respond(&host, &call);
+        if host.mute.load(Ordering::SeqCst) {
+            continue;
+        }
+        let fault = host.response_faults.lock().unwrap().pop_front();
+        let (bytes, ends) = fault.map_or((response.clone(), false), |fault| fault.apply(&response));
+        if host.dead.load(Ordering::SeqCst) || stream.write_all(bytes.as_bytes()).is_err() || ends {
+            return;
+        }
+    }
+}
+
+/// `POST /data`, `GET /data/ID/N`, `DELETE /data/ID`: three rows on two pages for every statement.
+fn respond(host: &Host, call: &HttpCall) -> String {
+    match call.verb.as_str() {
+        "POST" => {
+            let query_id = &call.headers["x-ticket"];
+            host.seen.ran(&host.name, query_id);
+            if String::from_utf8_lossy(&call.body).contains("fail") {
+                return "HTTP/1.1 500 no\r\nContent-Length: 0\r\n\r\n".to_owned();
+            }
+            let ms = host.work_ms.load(Ordering::SeqCst);
+            let done = Instant::now() + Duration::from_millis(ms);
+            host.queries.lock().unwrap().insert(query_id.clone(), done);
+            progress_or_first_page(host, query_id)
+        }
+        "GET" if call.path.ends_with("/0") => progress_or_first_page(host, call.query_id()),
+        "GET" => page("Page-No: 1", &format!("{}\tc\t\n", host.name)),
+        _ => {
+            host.seen.deletes.lock().unwrap().push(call.query_id().to_owned());
+            "HTTP/1.1 204 No Content\r\n\r\n".to_owned()
+        }
+    }
+}
+
+fn page(headers: &str, body: &str) -> String {
+    format!("HTTP/1.1 200 OK\r\n{headers}\r\nContent-Length: {}\r\n\r\n{body}", body.len())
+}
+
+impl ResponseFault {
+    /// What is written in place of a response, and whether the connection ends behind it.
+    fn apply(self, response: &str) -> (String, bool) {
+        let (head, body) = response.split_once("\r\n\r\n").unwrap();
+        match self {
+            ResponseFault::Garbage => ("\u{1}\u{fe}\r\n\r\n".to_owned(), false),
+            ResponseFault::BadStatusLine => (format!("HTTP/1.1 2x0 OK\r\n\r\n{body}"), false),
+            ResponseFault::Endless => {
+                (format!("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n{body}"), false)
+            }
+            ResponseFault::Short => (format!("{head}\r\n\r\n{}", &body[..body.len() / 2]), false),
+            ResponseFault::CutOff => (head[..head.len() / 2].to_owned(), true),
+            ResponseFault::Silent => (String::new(), false),
+            ResponseFault::Preceded => (format!("HTTP/1.1 103 Early Hints\r\n\r\n{response}"), false),
+            ResponseFault::Twice => (response.repeat(2), false),
+        }
+    }
+}
+
+fn progress_or_first_page(host: &Host, query_id: &str) -> String {
+    let done = host.queries.lock().unwrap().get(query_id).copied();
+    let Some(done) = done else { return "HTTP/1.1 500 unknown\r\nContent-Length: 0\r\n\r\n".to_owned() };
+    let left = done.saturating_duration_since(Instant::now());
+    thread::sleep(left.min(Duration::from_millis(250)));
+    if left > Duration::from_millis(250) {
+        return "HTTP/1.1 202 later\r\nX-Remark: progress\r\nFigure: 0.5\r\nContent-Length: 0\r\n\r\n"
+            .to_owned();
+    }
+    page("Page-Count: 2\r\nX-Meter: queue:0", &format!("{}\ta\t\n{}\tb\t\n", host.name, host.name))
+}
--- /dev/null
+++ b/gateway/tests/common/gateway.rs
@@ -0,0 +1,362 @@
+//! The gateway's program, as a process with a configuration of its own.
+
+use std::io::{BufRead, BufReader, Read, Write};
+use std::net::{SocketAddr, TcpStream};
+use std::process::{Child, Command, Stdio};
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::sync::{Arc, Mutex};
+use std::thread;
+use std::time::{Duration, Instant};
+
+use super::Engine;
+
+/// A folder that goes with the last process that has it.
+struct Folder(std::path::PathBuf);
+
+impl Drop for Folder {
+    fn drop(&mut self) {
+        let _ = std::fs::remove_dir_all(&self.0);
+    }
+}
+
+impl std::ops::Deref for Folder {
+    type Target = std::path::Path;
+
+    fn deref(&self) -> &Self::Target {
+        &self.0
+    }
+}
+
+/// The real program, started with a configuration of its own.
+pub struct Gateway {
+    child: Child,
+    pub pg: SocketAddr,
+    pub mysql: Option<SocketAddr>,
+    pub ops: Option<SocketAddr>,
+    folder: Arc<Folder>,
+    log: Arc<Mutex<String>>,
+}
+
+/// A figure of the log, by the key before it.
+pub fn figure(log: &str, key: &str) -> usize {
+    let word = log.split_whitespace().rev().find_map(|w| w.split_once(key)).expect(key);
+    word.1.parse().unwrap()
+}
+
+static FOLDERS: AtomicU64 = AtomicU64::new(0);
+
+impl Gateway {
+    /// Starts it in front of these engines, with the MySQL front if `mysql` says so.
+    pub fn start(engines: &[&Engine], mysql: bool) -> Self {
+        Self::start_with(engines, mysql, None)
+    }
+
+    /// The same, with a coordinator that knows more than the start.
+    pub fn start_with(engines: &[&Engine], mysql: bool, coordinator: Option<SocketAddr>) -> Self {
+        Self::start_as(engines, mysql, coordinator, "", None)
+    }
+
+    /// The same, with an operator's file and a limit on the process's descriptors.
+    pub fn start_as(
+        engines: &[&Engine],
+        mysql: bool,
+        coordinator: Option<SocketAddr>,
+        operator: &str,
+        descriptors: Option<u32>,
+    ) -> Self {
+        let folder = Self::folder(engines, mysql, coordinator, operator);
+        Self::launch(folder, ([127, 0, 0, 1], 0).into(), descriptors, false)
+    }
+
+    /// In front of whoever these entries of the list name, with a coordinator if there is one, with the configuration
+    /// as `change` makes it and a log that tells each request.
+    pub fn scripted(
+        entries: &str,
+        coordinator: Option<SocketAddr>,
+        operator: &str,
+        descriptors: Option<u32>,
+        change: impl Fn(String) -> String,
+    ) -> Self {
+        let folder = Self::scripted_folder(entries, coordinator, operator, change);
+        Self::launch(folder, ([127, 0, 0, 1], 0).into(), descriptors, false)
+    }
+
+    /// The same without a coordinator, with the admin interface, so that another process may take its place.
+    pub fn scripted_with_admin(entries: &str, change: impl Fn(String) -> String) -> Self {
+        let folder = Self::scripted_folder(entries, None, "", change);
+        Self::launch(folder, ([127, 0, 0, 1], 0).into(), None, true)
+    }
+
+    /// The same, following these control machines.
+    pub fn controlled(entries: &str, machines: &[SocketAddr], change: impl Fn(String) -> String) -> Self {
+        let list = machines.iter().map(|machine| format!("\"{machine}\"")).collect::<Vec<_>>().join(", ");
+        let operator = format!("[control]\nmachines = [{list}]\n");
+        let folder = Self::scripted_folder(entries, None, &operator, change);
+        Self::launch(folder, ([127, 0, 0, 1], 0).into(), None, true)
+    }
+
+    fn scripted_folder(
+        entries: &str,
+        coordinator: Option<SocketAddr>,
+        operator: &str,
+        change: impl Fn(String) -> String,
+    ) -> Arc<Folder> {
+        let folder = Self::folder(&[], false, coordinator, operator);
+        let file = folder.join("config.json");
+        let list = |text: String| text.replace("\"endpoints\":[]", &format!("\"endpoints\":[{entries}]"));
+        std::fs::write(&file, change(list(std::fs::read_to_string(&file).unwrap()))).unwrap();
+        std::fs::write(folder.join("log-level"), "debug").unwrap();
+        folder
+    }
+
+    /// Its folder.
+    pub fn path(&self) -> &std::path::Path {
+        &self.folder
+    }
+
+    /// A folder with its configuration.
+    fn folder(
+        engines: &[&Engine],
+        mysql: bool,
+        coordinator: Option<SocketAddr>,
+        operator: &str,
+    ) -> Arc<Folder> {
+        let number = FOLDERS.fetch_add(1, Ordering::SeqCst);
+        let folder = std::env::temp_dir().join(format!("wrenhatch-{}-{number}", std::process::id()));
+        std::fs::create_dir_all(&folder).unwrap();
+        let list = engines.iter().map(|e| e.entry("Ready")).collect::<Vec<_>>().join(",");
+        let mut config = include_str!("config.json").replace("LIST", &list);
+        if let Some(address) = coordinator {
+            config = config.replace("\"known\":", &format!("\"coordinator\":\"{address}\",\"known\":"));
+        }
+        std::fs::write(folder.join("config.json"), config).unwrap();
+        let mut operator = operator.to_owned();
+        if mysql {
+            operator += "\n[mysql]\nlisten = \"127.0.0.1:0\"\n\
+                login = { user = \"gw\", password = \"secret\" }\n\
+                [mysql.users]\nunit = { tenant = \"acme\", password = \"pw\" }\n[mysql.engines]\n";
+            for engine in engines {
+                operator += &format!("{} = \"{}\"\n", engine.name, engine.mysql);
+            }
+        }
+        std::fs::write(folder.join("operator.toml"), operator).unwrap();
+        Arc::new(Folder(folder))
+    }
+
+    /// In front of these engines with the MySQL front, with the configuration as `change` makes it.
+    pub fn start_changed(engines: &[&Engine], change: impl Fn(String) -> String) -> Self {
+        let folder = Self::folder(engines, true, None, "");
+        let file = folder.join("config.json");
+        std::fs::write(&file, change(std::fs::read_to_string(&file).unwrap())).unwrap();
+        Self::launch(folder, ([127, 0, 0, 1], 0).into(), None, false)
+    }
+
+    /// In front of these engines, with the admin interface.
+    pub fn start_with_admin(engines: &[&Engine]) -> Self {
+        Self::launch(Self::folder(engines, false, None, ""), ([127, 0, 0, 1], 0).into(), None, true)
+    }
+
+    /// Starts another process that is to take this one's place.
+    pub fn successor(&self) -> Self {
+        Self::launch(self.folder.clone(), self.pg, None, true)
+    }
+
+    /// A process that has begun and waits for its configuration, which is to come through a pipe.
+    pub fn starting(entries: &str) -> Starting {
+        let folder = Self::folder(&[], false, None, "");
+        let file = folder.join("config.json");
+        let list = format!("\"endpoints\":[{entries}]");
+        let config = std::fs::read_to_string(&file).unwrap().replace("\"endpoints\":[]", &list);
+        std::fs::remove_file(&file).unwrap();
+        assert!(Command::new("mkfifo").arg(&file).status().unwrap().success());
+        let child = Self::command(&folder, ([127, 0, 0, 1], 0).into(), None, false).spawn().unwrap();
+        // It comes through once the process reads.
+        let pipe = std::fs::File::options().write(true).open(&file).unwrap();
+        // Who reads it again finds a file.
+        std::fs::remove_file(&file).unwrap();
+        std::fs::write(&file, &config).unwrap();
+        Starting { child, pipe, config, folder }
+    }
+
+    fn launch(folder: Arc<Folder>, listen: SocketAddr, descriptors: Option<u32>, admin: bool) -> Self {
+        let child = Self::command(&folder, listen, descriptors, admin).spawn().unwrap();
+        Self::serving(child, folder)
+    }
+
+    fn command(folder: &Folder, listen: SocketAddr, descriptors: Option<u32>, admin: bool) -> Command {
+        let program = env!("CARGO_BIN_EXE_wrenhatch");
+        let mut command = match descriptors {
+            None => Command::new(program),
+            Some(n) => {
+                let mut shell = Command::new("/bin/sh");
+                shell.args(["-c", &format!("ulimit -n {n}; exec \"$0\" \"$@\""), program]);
+                shell
+            }
+        };
+        command.arg("serve").env("LB_CONFIG", folder.join("config.json")).env("LB_NAME", "t");
+        command.env("TMPDIR", &**folder).env("LB_OPS", if admin { "127.0.0.1:0" } else { "" });
+        command.env("LB_LISTEN", listen.to_string()).stderr(Stdio::piped()).stdout(Stdio::null());
+        command.arg("--config").arg(folder.join("operator.toml"));
+        if let Ok(level) = std::fs::read_to_string(folder.join("log-level")) {
+            command.arg("--log").arg(level);
+        }
+        command
+    }
+
+    /// Waits until it serves.
+    fn serving(mut child: Child, folder: Arc<Folder>) -> Self {
+        let mut lines = BufReader::new(child.stderr.take().unwrap()).lines();
+        let serving =
+            lines.by_ref().map_while(Result::ok).find(|l| l.contains("serving")).expect("it serves");
+        let address = |key: &str| {
+            let word = serving.split_whitespace().find_map(|w| w.strip_prefix(key)).unwrap();
+            word.parse::<SocketAddr>().ok()
+        };
+        let (pg, mysql, ops) = (address("listen=").unwrap(), address("mysql="), address("ops="));
+        let log = Arc::new(Mutex::new(String::new()));
+        let kept = log.clone();
+        thread::spawn(move || {
+            for line in lines.map_while(Result::ok) {
+                kept.lock().unwrap().push_str(&(line + "\n"));
+            }
+        });
+        Self { child, pg, mysql, ops, folder, log }
+    }
+
+    /// A call to the admin interface, with a method and a path; the answer's status and text.
+    pub fn call(&self, line: &str) -> (u16, String) {
+        let mut stream = TcpStream::connect(self.ops.unwrap()).unwrap();
+        stream.set_read_timeout(Some(Duration::from_secs(30))).unwrap();
+        stream.write_all(format!("{line} HTTP/1.1\r\nHost: t\r\n\r\n").as_bytes()).unwrap();
+        let mut answer = String::new();
+        stream.read_to_string(&mut answer).unwrap();
+        let (head, body) = answer.split_once("\r\n\r\n").unwrap();
+        (head.split(' ').nth(1).unwrap().parse().unwrap(), body.to_owned())
+    }
+
+    /// A figure of the admin interface.
+    pub fn metric(&self, name: &str) -> u64 {
+        let (status, text) = self.call("GET /status/metrics");
+        assert_eq!(status, 200);
+        let line = text.lines().find_map(|l| l.strip_prefix(&format!("edge_lb.{name}=")));
+        line.unwrap_or_else(|| panic!("no {name} in {text}")).parse().unwrap()
+    }
+
+    /// Sends SIGTERM.
+    pub fn terminate(&self) {
+        self.signal("-TERM");
+    }
+
+    /// Sends a signal, named as `kill` wants it.
+    pub fn signal(&self, signal: &str) {
+        let id = self.child.id().to_string();
+        assert!(Command::new("kill").args([signal, &id]).status().unwrap().success());
+    }
+
+    /// Kills it.
+    pub fn kill(mut self) {
+        self.child.kill().unwrap();
+        self.child.wait().unwrap();
+    }
+
+    /// Where it waits for a process that is to take its place.
+    pub fn socket(&self) -> std::path::PathBuf {
+        self.folder.join("wrenhatch-t.sock")
+    }
+
+    /// Replaces its configuration's file by what `change` makes of it, and sends SIGHUP.
+    pub fn reconfigure(&self, change: impl Fn(String) -> String) {
+        let file = self.folder.join("config.json");
+        std::fs::write(&file, change(std::fs::read_to_string(&file).unwrap())).unwrap();
+        self.signal("-HUP");
+    }
+
+    /// Stands still while `during` goes on: all that comes meanwhile is there at its next turn.
+    pub fn paused<T>(&self, during: impl FnOnce() -> T) -> T {
+        self.signal("-STOP");
+        let result = during();
+        self.signal("-CONT");
+        result
+    }
+
+    /// What it has logged so far.
+    pub fn log(&self) -> String {
+        self.log.lock().unwrap().clone()
+    }
+
+    /// Waits until its log holds this.
+    pub fn logged(&self, text: &str) {
+        let began = Instant::now();
+        while !self.log.lock().unwrap().contains(text) {
+            assert!(began.elapsed() < Duration::from_secs(60), "no {text} in the log");
+            thread::sleep(Duration::from_millis(5));
+        }
+    }
+
+    /// The turns that its loop has made, by its own word.
+    pub fn turns(&self) -> u64 {
+        let before = self.log.lock().unwrap().len();
+        self.signal("-USR1");
+        let began = Instant::now();
+        loop {
+            let new = self.log.lock().unwrap().get(before..).unwrap_or_default().to_owned();
+            if new.contains("turns=") && new.ends_with('\n') {
+                return figure(&new, "turns=") as u64;
+            }
+            assert!(began.elapsed() < Duration::from_secs(60), "it tells no counters");
+            thread::sleep(Duration::from_millis(5));
+        }
+    }
+
+    /// Asks it to end; its exit code and its last words.
+    pub fn end(self) -> (Option<i32>, String) {
+        self.terminate();
+        self.wait()
+    }
+
+    /// Waits for its end; its exit code and its last words.
+    pub fn wait(mut self) -> (Option<i32>, String) {
+        let code = self.child.wait().unwrap().code();
+        thread::sleep(Duration::from_millis(100));
+        let log = self.log.lock().unwrap().clone();
+        (code, log)
+    }
+
+    /// The clients that it holds at once with the 256 descriptors of its configuration.
+    pub fn most_clients(&self) -> usize {
+        256 / 3 + 16
+    }
+
+    pub fn mysql(&self) -> SocketAddr {
+        self.mysql.unwrap()
+    }
+}
+
+/// A process that waits for its configuration.
+pub struct Starting {
+    child: Child,
+    pipe: std::fs::File,
+    config: String,
+    folder: Arc<Folder>,
+}
+
+impl Starting {
+    pub fn signal(&self, signal: &str) {
+        let id = self.child.id().to_string();
+        assert!(Command::new("kill").args([signal, &id]).status().unwrap().success());
+    }
+
+    /// It gets its configuration, and serves.
+    pub fn go_on(mut self) -> Gateway {
+        self.pipe.write_all(self.config.as_bytes()).unwrap();
+        drop(self.pipe);
+        Gateway::serving(self.child, self.folder)
+    }
+}
+
+impl Drop for Gateway {
+    fn drop(&mut self) {
+        let _ = self.child.kill();
+        let _ = self.child.wait();
+    }
+}
--- a/gateway/tests/common/script.rs
+++ b/gateway/tests/common/script.rs
@@ -181,7 +181,7 @@
 
     /// An event of the list that changes these entries.
     pub fn event(&mut self, id: u64, entries: &str) {
-        self.say(&format!("id: {id}\ndata: {}\n\n", super::Coordinator::change(id as usize, entries)));
+        self.say(&format!("id: {id}\ndata: {}\n\n", super::DiscoveryService::change(id as usize, entries)));
     }
 
     /// One row on one page, the end of a query.
--- a/gateway/tests/crossings.rs
+++ b/gateway/tests/crossings.rs
@@ -57,9 +57,9 @@
 
 #[test]
 fn a_queued_request_whose_client_leaves_is_never_forwarded() {
-    let (engine, coordinator) = (Peer::new("e1"), Peer::new("c"));
-    let gateway = Gateway::scripted(&engine.entry("Terminating"), Some(coordinator.address), "", None, |t| t);
-    let (mut watch, last) = coordinator.watch();
+    let (engine, discovery) = (Peer::new("e1"), Peer::new("c"));
+    let gateway = Gateway::scripted(&engine.entry("Terminating"), Some(discovery.address), "", None, |t| t);
+    let (mut watch, last) = discovery.watch();
     assert_eq!(last, 1);
     watch.stream();
     let mut clients: Vec<_> = (0..5).map(|_| pg::Client::connect(gateway.pg)).collect();
@@ -91,9 +91,9 @@
 /// All leave in the very turn in which the engine comes that would serve them.
 #[test]
 fn a_queued_request_whose_client_leaves_in_the_turn_of_a_new_engine_is_never_forwarded() {
-    let (engine, coordinator) = (Peer::new("e1"), Peer::new("c"));
-    let gateway = Gateway::scripted(&engine.entry("Terminating"), Some(coordinator.address), "", None, |t| t);
-    let (mut watch, _) = coordinator.watch();
+    let (engine, discovery) = (Peer::new("e1"), Peer::new("c"));
+    let gateway = Gateway::scripted(&engine.entry("Terminating"), Some(discovery.address), "", None, |t| t);
+    let (mut watch, _) = discovery.watch();
     watch.stream();
     let mut clients: Vec<_> = (0..60).map(|_| pg::Client::connect(gateway.pg)).collect();
     for (n, client) in clients.iter_mut().enumerate() {
@@ -310,10 +310,10 @@
 
 #[test]
 fn a_retry_whose_idempotency_window_ends_while_its_connection_is_established_is_not_forwarded() {
-    let (one, mut two, coordinator) = (Peer::new("e1"), Peer::shut("e2"), Peer::new("c"));
+    let (one, mut two, discovery) = (Peer::new("e1"), Peer::shut("e2"), Peer::new("c"));
     let change = |t: String| keyed(&t, "lookup", 0.5);
-    let gateway = Gateway::scripted(&one.entry("Ready"), Some(coordinator.address), "", None, change);
-    let (mut watch, _) = coordinator.watch();
+    let gateway = Gateway::scripted(&one.entry("Ready"), Some(discovery.address), "", None, change);
+    let (mut watch, _) = discovery.watch();
     watch.stream();
     let mut client = pg::Client::connect(gateway.pg);
     client.send(&text("lookup", 1));
@@ -337,10 +337,10 @@
 
 #[test]
 fn nothing_is_forwarded_to_an_engine_that_drains_while_its_connection_is_established() {
-    let (mut one, two, coordinator) = (Peer::shut("e1"), Peer::new("e2"), Peer::new("c"));
+    let (mut one, two, discovery) = (Peer::shut("e1"), Peer::new("e2"), Peer::new("c"));
     let change = patient_connects;
-    let gateway = Gateway::scripted(&one.entry("Ready"), Some(coordinator.address), "", None, change);
-    let (mut watch, _) = coordinator.watch();
+    let gateway = Gateway::scripted(&one.entry("Ready"), Some(discovery.address), "", None, change);
+    let (mut watch, _) = discovery.watch();
     watch.stream();
     let mut client = pg::Client::connect(gateway.pg);
     client.send(&text("load", 1));
@@ -362,9 +362,9 @@
 
 #[test]
 fn a_drain_in_the_turn_of_a_new_request_is_respected() {
-    let (one, two, coordinator) = (Peer::new("e1"), Peer::new("e2"), Peer::new("c"));
-    let gateway = Gateway::scripted(&one.entry("Ready"), Some(coordinator.address), "", None, |t| t);
-    let (mut watch, _) = coordinator.watch();
+    let (one, two, discovery) = (Peer::new("e1"), Peer::new("e2"), Peer::new("c"));
+    let gateway = Gateway::scripted(&one.entry("Ready"), Some(discovery.address), "", None, |t| t);
+    let (mut watch, _) = discovery.watch();
     watch.stream();
     let mut client = pg::Client::connect(gateway.pg);
     gateway.paused(|| {
@@ -378,9 +378,9 @@
 
 #[test]
 fn calls_for_a_removed_engine_do_not_reach_another_at_its_address() {
-    let (engine, coordinator) = (Peer::new("e1"), Peer::new("c"));
-    let gateway = Gateway::scripted(&engine.entry("Ready"), Some(coordinator.address), "", None, |t| t);
-    let (mut watch, _) = coordinator.watch();
+    let (engine, discovery) = (Peer::new("e1"), Peer::new("c"));
+    let gateway = Gateway::scripted(&engine.entry("Ready"), Some(discovery.address), "", None, |t| t);
+    let (mut watch, _) = discovery.watch();
     watch.stream();
     let (mut client, wire) = request_in_flight(&engine, &gateway, "report");
     let heir = engine.entry("Ready").replace("\"e1\"", "\"e2\"");
@@ -426,14 +426,14 @@
 
 #[test]
 fn skipped_events_of_the_endpoint_list_are_requested_again() {
-    let (one, two, coordinator) = (Peer::new("e1"), Peer::new("e2"), Peer::new("c"));
+    let (one, two, discovery) = (Peer::new("e1"), Peer::new("e2"), Peer::new("c"));
     let list = format!("{},{}", one.entry("Ready"), two.entry("Ready"));
-    let gateway = Gateway::scripted(&list, Some(coordinator.address), "", None, |t| t);
-    let (mut watch, last) = coordinator.watch();
+    let gateway = Gateway::scripted(&list, Some(discovery.address), "", None, |t| t);
+    let (mut watch, last) = discovery.watch();
     assert_eq!(last, 1);
     watch.stream();
     watch.event(3, &two.entry("Terminating"));
-    let (mut again, last) = coordinator.watch();
+    let (mut again, last) = discovery.watch();
     assert_eq!(last, 1, "the second has not come");
     assert!(watch.is_ended(), "one stream at a time");
     again.stream();
@@ -443,7 +443,7 @@
     assert!(gateway.log().contains("name=\"e1\" state=Draining"), "in their order");
     // What is not there the second time either is not waited for; an old one changes nothing.
     again.event(6, &one.entry("Ready"));
-    let (mut last_one, last) = coordinator.watch();
+    let (mut last_one, last) = discovery.watch();
     assert_eq!(last, 3);
     last_one.stream();
     last_one.event(6, &one.entry("Ready"));
@@ -456,31 +456,31 @@
 
 #[test]
 fn events_between_two_gaps_of_the_endpoint_list_are_applied() {
-    let (one, coordinator) = (Peer::new("e1"), Peer::new("c"));
-    let gateway = Gateway::scripted(&one.entry("Ready"), Some(coordinator.address), "", None, |t| t);
-    let (mut watch, _) = coordinator.watch();
+    let (one, discovery) = (Peer::new("e1"), Peer::new("c"));
+    let gateway = Gateway::scripted(&one.entry("Ready"), Some(discovery.address), "", None, |t| t);
+    let (mut watch, _) = discovery.watch();
     watch.stream();
     watch.event(4, "");
-    let (mut again, last) = coordinator.watch();
+    let (mut again, last) = discovery.watch();
     assert_eq!(last, 1);
     again.stream();
     again.event(2, &one.entry("Terminating"));
     again.event(6, "");
-    let (_third, last) = coordinator.watch();
+    let (_third, last) = discovery.watch();
     assert_eq!(last, 2, "the second has come, and is not asked for again");
     gateway.logged("name=\"e1\" state=Draining");
 }
 
 #[test]
 fn an_endpoint_stream_without_an_end_of_line_is_given_up_as_silent() {
-    let (engine, coordinator) = (Peer::new("e1"), Peer::new("c"));
-    let gateway = Gateway::scripted(&engine.entry("Ready"), Some(coordinator.address), "", None, |t| t);
-    let (mut watch, _) = coordinator.watch();
+    let (engine, discovery) = (Peer::new("e1"), Peer::new("c"));
+    let gateway = Gateway::scripted(&engine.entry("Ready"), Some(discovery.address), "", None, |t| t);
+    let (mut watch, _) = discovery.watch();
     watch.stream();
     watch.say(": here\n\n");
     // Half a character of half a line, byte by byte.
     watch.say("id: 2\ndata: \u{e9}");
-    while coordinator.is_left_alone() {
+    while discovery.is_left_alone() {
         watch.say("x");
         thread::sleep(Duration::from_millis(50));
     }
@@ -489,13 +489,13 @@
 
 #[test]
 fn a_watch_whose_connection_is_not_established_is_retried() {
-    let (engine, mut coordinator) = (Peer::new("e1"), Peer::shut("c"));
-    let gateway = Gateway::scripted(&engine.entry("Ready"), Some(coordinator.address), "", None, |t| t);
+    let (engine, mut discovery) = (Peer::new("e1"), Peer::shut("c"));
+    let gateway = Gateway::scripted(&engine.entry("Ready"), Some(discovery.address), "", None, |t| t);
     gateway.logged("the discovery service is silent");
-    coordinator.let_in();
+    discovery.let_in();
     // The connection that was given up may have come up after all, and ends without a call.
-    let mut wire = coordinator.accept();
-    let call = wire.next_call().unwrap_or_else(|| coordinator.accept().call());
+    let mut wire = discovery.accept();
+    let call = wire.next_call().unwrap_or_else(|| discovery.accept().call());
     assert_eq!(call.path, "/v2/stream");
 }
 
@@ -612,12 +612,12 @@
 
 #[test]
 fn sigterm_answers_all_requests_in_flight_before_exit() {
-    let (engine, coordinator) = (Peer::new("e1"), Peer::new("c"));
+    let (engine, discovery) = (Peer::new("e1"), Peer::new("c"));
     // Deadlines beyond all patience here: whoever waited for them would not be answered.
     let long = |t: String| t.replace("\"deadline-s\":2", "\"deadline-s\":32");
-    let gateway = Gateway::scripted(&engine.entry("Ready"), Some(coordinator.address), "", None, long);
+    let gateway = Gateway::scripted(&engine.entry("Ready"), Some(discovery.address), "", None, long);
     // Discovery answers nothing, and moves in the very turn of the signal.
-    let (_mute, _) = coordinator.watch();
+    let (_mute, _) = discovery.watch();
     let mut clients: Vec<_> = (0..3).map(|_| pg::Client::connect(gateway.pg)).collect();
     let mut wires = Vec::new();
     for (n, (client, class)) in clients.iter_mut().zip(["report", "load", "report"]).enumerate() {
@@ -657,12 +657,12 @@
 
 #[test]
 fn idle_clients_that_hold_all_descriptors_are_evicted_for_engines_watch_and_new_clients() {
-    let (engine, coordinator) = (Peer::new("e1"), Peer::new("c"));
+    let (engine, discovery) = (Peer::new("e1"), Peer::new("c"));
     // Fewer descriptors than the configuration says: they run out long before the places do.
-    let gateway = Gateway::scripted(&engine.entry("Ready"), Some(coordinator.address), "", Some(64), |t| t);
-    let (watch, _) = coordinator.watch();
-    let address = coordinator.address;
-    drop((watch, coordinator));
+    let gateway = Gateway::scripted(&engine.entry("Ready"), Some(discovery.address), "", Some(64), |t| t);
+    let (watch, _) = discovery.watch();
+    let address = discovery.address;
+    drop((watch, discovery));
     // Discovery is down: what it held may be taken by clients.
     let mut clients: Vec<_> = (0..80).map(|_| pg::Client::connect(gateway.pg)).collect();
     let mut asking = clients.split_off(76);
@@ -703,8 +703,8 @@
     let list = list.collect::<Vec<_>>().join(",");
     let mute = Peer::new("c");
     let down = Peer::new("d").address;
-    for coordinator in [mute.address, down] {
-        let gateway = Gateway::scripted(&list, Some(coordinator), "", None, |t| t);
+    for discovery in [mute.address, down] {
+        let gateway = Gateway::scripted(&list, Some(discovery), "", None, |t| t);
         let mut client = pg::Client::connect(gateway.pg);
         assert_eq!(client.query(";"), pg::Answer::Empty);
     }
--- a/gateway/tests/fronts.rs
+++ b/gateway/tests/fronts.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use common::requests::error_code;
-use common::{Coordinator, Engine, Gateway, Seen, Spoilt, mysql, pg};
+use common::{DiscoveryService, Engine, Gateway, ResponseFault, Seen, mysql, pg};
 
 const ID: &str = "9b1f03aa5c7e2d41";
 
@@ -182,16 +182,16 @@
     let seen = Seen::default();
     let (one, two) = (Engine::start("e1", &seen, 1), Engine::start("e2", &seen, 1));
     let back = format!("{},{}", one.entry("Ready"), two.entry("Gone"));
-    let coordinator = Coordinator::start([one.entry("Terminating"), back]);
-    let gateway = Gateway::start_with(&[&one, &two], false, Some(coordinator.address));
+    let discovery = DiscoveryService::unsteady([one.entry("Terminating"), back]);
+    let gateway = Gateway::start_with(&[&one, &two], false, Some(discovery.address));
     let mut client = pg::Client::connect(gateway.pg);
     // The third stream is opened for the second's silence, behind the last event.
     let began = Instant::now();
-    while coordinator.asked.lock().unwrap().len() < 3 {
-        assert!(began.elapsed() < Duration::from_secs(60), "{:?}", coordinator.asked);
+    while discovery.requested.lock().unwrap().len() < 3 {
+        assert!(began.elapsed() < Duration::from_secs(60), "{:?}", discovery.requested);
         thread::sleep(Duration::from_millis(20));
     }
-    assert_eq!(*coordinator.asked.lock().unwrap(), ["1", "2", "3"]);
+    assert_eq!(*discovery.requested.lock().unwrap(), ["1", "2", "3"]);
     for _ in 0..10 {
         assert_eq!(served_by(&mut client), "e1", "the other has gone");
     }
@@ -201,11 +201,11 @@
 fn nothing_is_forwarded_to_a_draining_engine() {
     let seen = Seen::default();
     let (one, two) = (Engine::start("e1", &seen, 1), Engine::start("e2", &seen, 1));
-    let coordinator = Coordinator::start([one.entry("Terminating"), one.entry("Terminating")]);
-    let gateway = Gateway::start_with(&[&one, &two], false, Some(coordinator.address));
+    let discovery = DiscoveryService::unsteady([one.entry("Terminating"), one.entry("Terminating")]);
+    let gateway = Gateway::start_with(&[&one, &two], false, Some(discovery.address));
     let mut client = pg::Client::connect(gateway.pg);
     // The second stream is opened behind the first event: it has been read.
-    while coordinator.asked.lock().unwrap().len() < 2 {
+    while discovery.requested.lock().unwrap().len() < 2 {
         thread::sleep(Duration::from_millis(5));
     }
     for _ in 0..20 {
@@ -217,7 +217,7 @@
 fn sighup_moves_the_watch_and_an_invalid_file_changes_nothing() {
     let seen = Seen::default();
     let (one, two) = (Engine::start("e1", &seen, 1), Engine::start("e2", &seen, 1));
-    let old = Coordinator::steady(2, vec![Coordinator::change(2, &one.entry("Ready"))]);
+    let old = DiscoveryService::steady(2, vec![DiscoveryService::change(2, &one.entry("Ready"))]);
     let gateway = Gateway::start_with(&[&one, &two], false, Some(old.address));
     let mut client = pg::Client::connect(gateway.pg);
     assert!(matches!(client.query(&text("lookup", ID, 2000)), pg::Answer::Rows(_)));
@@ -226,10 +226,10 @@
     gateway.reconfigure(|t| t[..t.len() / 2].to_owned());
     gateway.logged("the old settings are kept");
     served_by(&mut client);
-    assert_eq!(old.asked.lock().unwrap().len(), 1, "the old stream stays");
+    assert_eq!(old.requested.lock().unwrap().len(), 1, "the old stream stays");
 
     // Half a file that is written out a little later.
-    let new = Coordinator::steady(3, vec![Coordinator::change(3, &two.entry("Gone"))]);
+    let new = DiscoveryService::steady(3, vec![DiscoveryService::change(3, &two.entry("Gone"))]);
     let list = format!("{},{}", one.entry("Ready"), two.entry("Ready"));
     let whole = include_str!("common/config.json").replace("LIST", &list);
     let whole = whole.replace("\"known\":", &format!("\"coordinator\":\"{}\",\"known\":", new.address));
@@ -237,11 +237,11 @@
     thread::sleep(Duration::from_millis(50));
     gateway.reconfigure(|_| whole.clone());
     let began = Instant::now();
-    while new.asked.lock().unwrap().is_empty() {
-        assert!(began.elapsed() < Duration::from_secs(60), "the new coordinator is asked");
+    while new.requested.lock().unwrap().is_empty() {
+        assert!(began.elapsed() < Duration::from_secs(60), "the new discovery is asked");
         thread::sleep(Duration::from_millis(5));
     }
-    assert_eq!(*new.asked.lock().unwrap(), ["2"], "the numbers go on");
+    assert_eq!(*new.requested.lock().unwrap(), ["2"], "the numbers go on");
     only_served_by(&mut client, "e1");
     let (exit, log) = gateway.end();
     assert_eq!(exit, Some(0), "{log}");
@@ -254,17 +254,17 @@
     let [one, two, three] = &engines[..] else { unreachable!() };
     // The second is in a state that nobody knows, the third drains.
     let list = format!("{},{}", two.entry("Sick"), three.entry("Terminating"));
-    let coordinator = Coordinator::steady(2, vec![Coordinator::change(2, &list)]);
-    let gateway = Gateway::start_with(&[one, two, three], false, Some(coordinator.address));
+    let discovery = DiscoveryService::steady(2, vec![DiscoveryService::change(2, &list)]);
+    let gateway = Gateway::start_with(&[one, two, three], false, Some(discovery.address));
     gateway.logged("engine=\"e2\" unread=1");
     let began = Instant::now();
-    while coordinator.asked.lock().unwrap().len() < 2 {
+    while discovery.requested.lock().unwrap().len() < 2 {
         assert!(began.elapsed() < Duration::from_secs(60), "asked for once more");
         thread::sleep(Duration::from_millis(5));
     }
     let mut client = pg::Client::connect(gateway.pg);
     only_served_by(&mut client, "e1");
-    assert_eq!(*coordinator.asked.lock().unwrap(), ["1", "1"]);
+    assert_eq!(*discovery.requested.lock().unwrap(), ["1", "1"]);
 }
 
 #[test]
@@ -273,16 +273,20 @@
     let (one, two) = (Engine::start("e1", &seen, 1), Engine::start("e2", &seen, 1));
     let events = vec![
         "{\"index\":2,\"endpoints\":{\"endpoints\":7}}".to_owned(),
-        Coordinator::change(3, &two.entry("Gone")),
+        DiscoveryService::change(3, &two.entry("Gone")),
     ];
-    let coordinator = Coordinator::steady(2, events);
-    let gateway = Gateway::start_with(&[&one, &two], false, Some(coordinator.address));
+    let discovery = DiscoveryService::steady(2, events);
+    let gateway = Gateway::start_with(&[&one, &two], false, Some(discovery.address));
     let began = Instant::now();
-    while coordinator.asked.lock().unwrap().len() < 3 {
-        assert!(began.elapsed() < Duration::from_secs(60), "{:?}", coordinator.asked);
+    while discovery.requested.lock().unwrap().len() < 3 {
+        assert!(began.elapsed() < Duration::from_secs(60), "{:?}", discovery.requested);
         thread::sleep(Duration::from_millis(5));
     }
-    assert_eq!(*coordinator.asked.lock().unwrap(), ["1", "1", "2"], "asked for once more, then passed over");
+    assert_eq!(
+        *discovery.requested.lock().unwrap(),
+        ["1", "1", "2"],
+        "asked for once more, then passed over"
+    );
     let mut client = pg::Client::connect(gateway.pg);
     only_served_by(&mut client, "e1");
 }
@@ -333,13 +337,13 @@
     let gateway = Gateway::start(&[&engine], false);
     let mut client = pg::Client::connect(gateway.pg);
     let ways = [
-        &[Spoilt::Noise][..],
-        &[Spoilt::NoHead, Spoilt::CutOff],
-        &[Spoilt::Endless, Spoilt::Short],
-        &[Spoilt::Silent],
-        &[Spoilt::Preceded, Spoilt::Preceded],
+        &[ResponseFault::Garbage][..],
+        &[ResponseFault::BadStatusLine, ResponseFault::CutOff],
+        &[ResponseFault::Endless, ResponseFault::Short],
+        &[ResponseFault::Silent],
+        &[ResponseFault::Preceded, ResponseFault::Preceded],
         // The first page's second copy must not be taken for the second page, nor that one's for the next result.
-        &[Spoilt::Twice, Spoilt::Twice],
+        &[ResponseFault::Twice, ResponseFault::Twice],
     ];
     for (n, ways) in ways.iter().enumerate() {
         engine.spoil(ways);
