--- a/src/decisions/class_profile.rs
+++ b/src/decisions/class_profile.rs
@@ -15,12 +15,12 @@
 const MIN_MEAN_WORK_SECONDS: f64 = 1e-6;
 
 /// Thread-seconds that attempts take for a second of their estimated work.
-#[derive(Clone)]
-struct TimeForWork {
+#[derive(Clone, Copy)]
+pub(super) struct TimeForWork {
     /// Running mean; 0 before the first sample.
-    mean_ratio: f64,
+    pub(super) mean_ratio: f64,
     /// The lowest that the mean was.
-    lowest_ratio: f64,
+    pub(super) lowest_ratio: f64,
 }
 
 /// Running means of one class.
@@ -93,8 +93,8 @@
     }
 
     /// Mean time for work, and the lowest that it was.
-    pub(super) fn time_for_work_ratios(&self) -> (f64, f64) {
-        (self.time_for_work.mean_ratio, self.time_for_work.lowest_ratio)
+    pub(super) fn time_for_work(&self) -> TimeForWork {
+        self.time_for_work
     }
 
     /// The lowest mean time for work, in thread-seconds for a second of estimated work.
--- a/src/decisions/explain.rs
+++ b/src/decisions/explain.rs
@@ -6,18 +6,29 @@
 
 use super::WorkloadManager;
 use super::admission::{Admission, Guard, OVERLOAD_THREADS_PER_CORE};
+use super::class_profile::TimeForWork;
 use super::request_path::PendingRequest;
+use super::shedding::SheddingRule;
 
-/// Logs what kept a request from all engines that is shed now; costs nothing where debug lines are not
-/// wanted.
-pub(super) fn log_shed_request(manager: &WorkloadManager, id: RequestId, now: f64) {
+/// Logs by which rule a request is shed now, and what kept it from all engines; costs nothing where debug
+/// lines are not wanted.
+pub(super) fn log_shed_request(manager: &WorkloadManager, id: RequestId, rule: SheddingRule, now: f64) {
     if !tracing::enabled!(tracing::Level::DEBUG) {
         return;
     }
     let Some(pending) = manager.requests.get(&id) else { return };
     let class = pending.request.class.0;
-    let why = Explanation { manager, pending, now };
-    tracing::debug!(request = id.0, class, %why, "queued request shed");
+    let (rule, why) = (rule.name(), Explanation { manager, pending, now });
+    tracing::debug!(request = id.0, class, %rule, %why, "queued request shed");
+}
+
+/// Engines by the first guard that keeps the request from them.
+#[derive(Default)]
+struct EngineCounts {
+    /// For each guard, in order, the engines that it is the first to close.
+    closed: [u32; Guard::ALL.len()],
+    /// Engines that would take the request.
+    open: u32,
 }
 
 /// How many engines each guard kept the request from, and the figures that guards go by.
@@ -28,18 +39,23 @@
 }
 
 impl Explanation<'_> {
-    /// For each guard the engines that it is the first to close; and the engines that would take the request.
-    fn count(&self) -> ([u32; Guard::ALL.len()], u32) {
+    fn count_engines(&self) -> EngineCounts {
         let admission = Admission::new(self.manager, self.manager.needs(self.pending), self.now);
-        let (mut closed, mut open) = ([0; Guard::ALL.len()], 0);
+        let mut counts = EngineCounts::default();
         for engine in self.manager.engines.values() {
             let first = admission.first_closed_guard(engine);
             match first.and_then(|first| Guard::ALL.iter().position(|guard| *guard == first)) {
-                Some(at) => closed[at] += 1,
-                None => open += 1,
+                Some(at) => counts.closed[at] += 1,
+                None => counts.open += 1,
             }
         }
-        (closed, open)
+        counts
+    }
+
+    /// What keeps the request where no guard of an engine does.
+    fn no_guard(&self) -> &'static str {
+        let has_turn = self.manager.key_queues.has_turn(&self.pending.request, self.now);
+        if has_turn { "no_guard" } else { "order_key" }
     }
 
     fn write_figures(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -59,17 +75,18 @@
         write!(f, " interactive_latency={:.3}", manager.latency.mean_seconds)?;
         write!(f, " class_latency={:.2}", profile.latency_seconds)?;
         write!(f, " max_queue_seconds={:.2}", manager.max_queue_seconds(class))?;
-        let (mean, lowest) = profile.time_for_work_ratios();
-        write!(f, " time_for_work={mean:.2} lowest_time_for_work={lowest:.2}")
+        let TimeForWork { mean_ratio, lowest_ratio } = profile.time_for_work();
+        write!(f, " time_for_work={mean_ratio:.2} lowest_time_for_work={lowest_ratio:.2}")
     }
 }
 
 impl fmt::Display for Explanation<'_> {
-    /// The guard that closes most engines, or `order_key` if an engine is open; then all figures.
+    /// The guard that closes most engines; if an engine is open, `order_key` where the request's key has no
+    /// turn, else `no_guard`. Then all figures.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let (closed, open) = self.count();
+        let EngineCounts { closed, open } = self.count_engines();
         let most = (0..closed.len()).max_by_key(|at| (closed[*at], closed.len() - at));
-        let first = if open > 0 { "order_key" } else { most.map_or("none", |at| Guard::ALL[at].name()) };
+        let first = if open > 0 { self.no_guard() } else { most.map_or("none", |at| Guard::ALL[at].name()) };
         write!(f, "{first} open={open}")?;
         for (guard, engines) in Guard::ALL.iter().zip(closed).filter(|(_, engines)| *engines > 0) {
             write!(f, " {}={engines}", guard.name())?;
--- a/src/decisions/shedding.rs
+++ b/src/decisions/shedding.rs
@@ -3,8 +3,9 @@
 
 use crate::{Action, ClassId, RequestId};
 
+use super::explain::log_shed_request;
 use super::request_path::PendingRequest;
-use super::{WorkloadManager, explain, unit_interval};
+use super::{WorkloadManager, unit_interval};
 
 /// Part of what the objective leaves beside the usual latency for which a request may be queued.
 const INTERACTIVE_QUEUE_TIME_RATIO: f64 = 0.25;
@@ -18,22 +19,55 @@
 /// Retry-After lies between this part of the longest wait that clients obey, and all of it.
 const MIN_RETRY_AFTER_RATIO: f64 = 0.5;
 
+/// Why a queued request is shed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum SheddingRule {
+    /// It was queued for too long to be answered within its objective.
+    QueueTime,
+    /// It has an order key, and arrived with little time left.
+    ShortDeadline,
+    /// No attempt may follow: by the time left, the attempts that it has had, or the effect of a repeat.
+    NoAttemptPossible,
+}
+
+impl SheddingRule {
+    /// The name in log lines.
+    pub(super) fn name(self) -> &'static str {
+        match self {
+            Self::QueueTime => "queue_time",
+            Self::ShortDeadline => "short_deadline",
+            Self::NoAttemptPossible => "no_attempt_possible",
+        }
+    }
+}
+
 impl WorkloadManager {
     /// Sheds queued requests that have waited too long or can no longer be served in time.
     pub(super) fn shed_overdue(&mut self, now: f64, actions: &mut Vec<Action>) {
-        let is_overdue = |id: &&RequestId| {
-            let pending = &self.requests[id];
-            now - pending.arrived_at > self.max_queue_seconds(pending.request.class)
-                || self.is_short_of_time(pending)
-                || !self.another_attempt_may_follow(pending, now)
-        };
-        let overdue: Vec<RequestId> = self.queue.values().filter(is_overdue).copied().collect();
-        for id in overdue {
-            explain::log_shed_request(self, id, now);
+        let overdue = |id: &RequestId| Some((*id, self.shedding_rule(&self.requests[id], now)?));
+        let overdue: Vec<(RequestId, SheddingRule)> = self.queue.values().filter_map(overdue).collect();
+        // All lines come first: a request that leaves the queue gives its key's turn to the next.
+        for (id, rule) in &overdue {
+            log_shed_request(self, *id, *rule, now);
+        }
+        for (id, _) in overdue {
             self.give_up(id, true, actions);
         }
     }
 
+    /// The first rule by which a queued request is shed; none if it stays queued.
+    fn shedding_rule(&self, pending: &PendingRequest, now: f64) -> Option<SheddingRule> {
+        if now - pending.arrived_at > self.max_queue_seconds(pending.request.class) {
+            Some(SheddingRule::QueueTime)
+        } else if self.is_short_of_time(pending) {
+            Some(SheddingRule::ShortDeadline)
+        } else if !self.another_attempt_may_follow(pending, now) {
+            Some(SheddingRule::NoAttemptPossible)
+        } else {
+            None
+        }
+    }
+
     /// The final answer to a request that was not served: rejected where a retry by the client is safe,
     /// else failed. With `retry_after` a rejection says how long to wait, where clients heed that.
     pub(super) fn give_up(&mut self, id: RequestId, retry_after: bool, actions: &mut Vec<Action>) {
--- a/tests/explain.rs
+++ b/tests/explain.rs
@@ -47,22 +47,27 @@
     fn exit(&self, _: &Id) {}
 }
 
+/// The lines on shed requests that this leaves.
+fn lines_of_shed_requests(run: impl FnOnce()) -> Vec<String> {
+    let lines = Lines::default();
+    tracing::subscriber::with_default(lines.clone(), run);
+    let lines = lines.0.lock().unwrap();
+    lines.iter().filter(|line| line.contains("queued request shed")).cloned().collect()
+}
+
 /// The lines that these engines leave when a request of this class has waited for a second.
 fn lines_of_a_shed_request(
     engines: Vec<EndpointEntry>,
     class: ClassId,
     prepare: fn(&mut Driver),
 ) -> Vec<String> {
-    let lines = Lines::default();
-    tracing::subscriber::with_default(lines.clone(), || {
+    lines_of_shed_requests(|| {
         let mut driver = Driver::new(settings(), engines);
         prepare(&mut driver);
         assert!(forwarded_to(&driver.arrive(1, class)).is_none());
         driver.now += 4.0;
         assert_eq!(final_answers(&driver.control_tick()), [(1, true)]);
-    });
-    let lines = lines.0.lock().unwrap();
-    lines.iter().filter(|line| line.contains("queued request shed")).cloned().collect()
+    })
 }
 
 #[test]
@@ -70,7 +75,13 @@
     let draining = |id| EndpointEntry { state: EndpointState::Draining, ..engine(id) };
     let lines = lines_of_a_shed_request(vec![draining(1), draining(2)], INTERACTIVE, |_| {});
     let [line] = lines.as_slice() else { panic!("{lines:?}") };
-    for part in [" request=1 ", " class=0 ", " why=state open=0 state=2 ", " queued_seconds=4.00 "] {
+    for part in [
+        " request=1 ",
+        " class=0 ",
+        " rule=queue_time ",
+        " why=state open=0 state=2 ",
+        " queued_seconds=4.00 ",
+    ] {
         assert!(line.contains(part), "no{part}in{line}");
     }
 
@@ -80,3 +91,33 @@
     let [line] = lines.as_slice() else { panic!("{lines:?}") };
     assert!(line.contains(" why=concurrency_limit open=0 concurrency_limit=1 "), "{line}");
 }
+
+#[test]
+fn a_request_without_time_for_an_attempt_is_shed_by_that_rule_and_no_guard() {
+    let lines = lines_of_shed_requests(|| {
+        let mut driver = Driver::new(settings(), vec![engine(1)]);
+        let request = Request { deadline: driver.now + 0.01, ..driver.request(1, INTERACTIVE) };
+        assert!(forwarded_to(&driver.event(&Event::RequestArrived(request))).is_none());
+        assert_eq!(final_answers(&driver.control_tick()), [(1, true)]);
+    });
+    let [line] = lines.as_slice() else { panic!("{lines:?}") };
+    assert!(line.contains(" rule=no_attempt_possible why=no_guard open=1 "), "{line}");
+}
+
+#[test]
+fn a_request_with_a_short_deadline_is_shed_by_that_rule_and_its_order_key() {
+    let lines = lines_of_shed_requests(|| {
+        let mut driver = Driver::new(settings(), vec![engine(1), engine(2)]);
+        for (id, wait) in [(1, 30.0), (2, 14.0), (3, 14.0)] {
+            let request =
+                Request { key: Some(KeyId(5)), deadline: driver.now + wait, ..driver.request(id, LOAD) };
+            driver.event(&Event::RequestArrived(request));
+        }
+        driver.now += 0.05;
+        assert_eq!(final_answers(&driver.control_tick()), [(2, true), (3, true)]);
+    });
+    let [second, third] = lines.as_slice() else { panic!("{lines:?}") };
+    for line in [second, third] {
+        assert!(line.contains(" rule=short_deadline why=order_key open="), "{line}");
+    }
+}
