--- a/lab/src/capacity/estimate/gateway.rs
+++ b/lab/src/capacity/estimate/gateway.rs
@@ -16,7 +16,7 @@
 const OWN_DESCRIPTORS: f64 = 49.0;
 /// The part of its memory that the text of one list event may take, `MEMORY_DIVISOR` of `wrenhatch::discovery`.
 const EVENT_MEMORY_RATIO: f64 = 1.0 / 16.0;
-/// A gateway's active subset has as many databases as it gets requests in so many seconds (`REQUESTS_SECONDS` of the
+/// A gateway's active subset has as many databases as it gets requests in so many seconds (`ARRIVALS_WINDOW_SECONDS` of the
 /// decisions).
 const ACTIVE_SUBSET_SECONDS: f64 = 2.0;
 /// How long a connection is not used after an answer, in seconds (`REUSE_DELAY_US` of the gateway).
--- a/src/decisions/active_subset.rs
+++ b/src/decisions/active_subset.rs
@@ -8,45 +8,59 @@
 use super::engine::Engine;
 use super::relative_latency::SLOW_RATIO;
 
-/// Engines in the subset: as many as requests arrive in this time, but some at least.
-const REQUESTS_SECONDS: f64 = 2.0;
+/// The size of the subset is the number of requests that arrive in this time, but some at least.
+const ARRIVALS_WINDOW_SECONDS: f64 = 2.0;
 const MIN_ENGINES: f64 = 4.0;
 /// Time after the start in which the rate of requests is not known, and all engines are active.
 const RATE_UNKNOWN_SECONDS: f64 = 5.0;
 
-/// Engines of one zone, or of the others: those that may be sent to, and those of them in the active subset.
+/// Engines of the own zone, or of the others: those that may be sent to, and those in the active subset.
 #[derive(Clone, Copy, Default)]
 struct Counts {
     available: f64,
     active: f64,
 }
 
+/// Counts of this gateway's own zone, and of all other zones together.
+#[derive(Default)]
+struct CountsByZone {
+    own: Counts,
+    others: Counts,
+}
+
+impl CountsByZone {
+    /// The counts that an engine belongs to.
+    fn of(&mut self, engine: &Engine, own_zone: Option<ZoneId>) -> &mut Counts {
+        if own_zone == Some(engine.entry.zone) { &mut self.own } else { &mut self.others }
+    }
+}
+
 impl WorkloadManager {
     /// Picks the subset anew, and from its size this gateway's share of slow-start budgets.
     pub(super) fn update_active_subset(&mut self, now: f64) {
         let last_rank = self.last_active_rank(now);
         let mean_relative_latency = self.fleet.mean_relative_latency;
         let own_zone = self.settings.zone;
-        let in_own_zone = |engine: &Engine| usize::from(own_zone == Some(engine.entry.zone));
-        let mut counts = [Counts::default(); 2];
+        let mut counts = CountsByZone::default();
         for engine in self.engines.values_mut() {
             engine.active = engine.rank <= last_rank && is_fit(engine, mean_relative_latency, now);
-            let zone = &mut counts[in_own_zone(engine)];
+            let zone = counts.of(engine, own_zone);
             zone.available += f64::from(u8::from(engine.is_available(now)));
             zone.active += f64::from(u8::from(engine.active));
         }
         for engine in self.engines.values_mut() {
-            let Counts { available, active } = counts[in_own_zone(engine)];
+            let Counts { available, active } = *counts.of(engine, own_zone);
             let active_ratio = active / available.max(1.0);
             engine.slow_start.set_share(engine.active, active_ratio, self.settings.gateways);
         }
     }
 
-    /// The highest rank of an engine in the subset.
+    /// The highest rank of an engine in the subset, or the highest of all if there are too few engines. The
+    /// engine at place `size`, counted from 0, is the last of the subset: it has one engine more than `size`.
     fn last_active_rank(&self, now: f64) -> u32 {
         let age = now - self.ticks.started_at.unwrap_or(now);
         let rate = if age < RATE_UNKNOWN_SECONDS { f64::INFINITY } else { self.arrivals as f64 / age };
-        let size = (rate * REQUESTS_SECONDS).max(MIN_ENGINES) as usize;
+        let size = (rate * ARRIVALS_WINDOW_SECONDS).max(MIN_ENGINES) as usize;
         let fit = |engine: &&Engine| is_fit(engine, self.fleet.mean_relative_latency, now);
         let mut ranks: Vec<u32> = self.engines.values().filter(fit).map(|engine| engine.rank).collect();
         ranks.sort_unstable();
--- a/src/decisions/admission.rs
+++ b/src/decisions/admission.rs
@@ -1,6 +1,6 @@
 //! Admission: the guards that an engine has to pass before a request may be sent to it.
 //!
-//! [`Guard::ALL`] is the one list of them, in the order in which they are asked. The release of queued
+//! [`EngineGuard::ALL`] is the one list of them, in the order in which they are asked. The release of queued
 //! requests and the log line on a shed request both go by it. Guards have no side effects.
 
 use crate::{Class, ClassId, EndpointEntry, EndpointState, EngineId};
@@ -29,14 +29,14 @@
     pub(super) memory_mb: f64,
 }
 
-/// A guard: a reason not to send a request to an engine.
+/// A condition that an engine must meet before a request is sent to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Guard {
+pub(super) enum EngineGuard {
     /// The endpoint list has the engine as ready.
     State,
     /// The class may run on its machine type and in its zone.
     Placement,
-    /// It is neither ejected nor at the end of its recovery ramp.
+    /// The engine is not ejected, and has fewer attempts in flight than its recovery ramp allows.
     Health,
     /// Its slow-start budget has capacity left.
     SlowStart,
@@ -48,7 +48,7 @@
     Memory,
 }
 
-impl Guard {
+impl EngineGuard {
     /// All guards, in order.
     pub(super) const ALL: [Self; 7] = [
         Self::State,
@@ -110,15 +110,15 @@
     }
 
     /// The first guard that keeps the request from an engine; none if the engine takes it.
-    pub(super) fn first_closed_guard(&self, engine: &Engine) -> Option<Guard> {
-        Guard::ALL.into_iter().find(|guard| !self.passes(*guard, engine))
+    pub(super) fn first_closed_guard(&self, engine: &Engine) -> Option<EngineGuard> {
+        EngineGuard::ALL.into_iter().find(|guard| !self.passes(*guard, engine))
     }
 
     /// The engines of the active subset, or the others, that take requests of this class but for their
     /// memory.
     pub(super) fn admitting_engines(&self, active: bool) -> Vec<EngineId> {
         let passes_all = |engine: &Engine| {
-            let mut guards = Guard::ALL.into_iter().filter(|guard| guard.is_alike_in_class());
+            let mut guards = EngineGuard::ALL.into_iter().filter(|guard| guard.is_alike_in_class());
             guards.all(|guard| self.passes(guard, engine))
         };
         let admitting =
@@ -127,24 +127,24 @@
     }
 
     /// Whether the request passes a guard of an engine.
-    pub(super) fn passes(&self, guard: Guard, engine: &Engine) -> bool {
+    pub(super) fn passes(&self, guard: EngineGuard, engine: &Engine) -> bool {
         let (manager, interactive) = (self.manager, self.profile.interactive);
         match guard {
-            Guard::State => engine.entry.state == EndpointState::Ready,
-            Guard::Placement => may_be_placed(self.class, &engine.entry),
-            Guard::Health => engine.health.admits(self.now),
-            Guard::SlowStart => {
+            EngineGuard::State => engine.entry.state == EndpointState::Ready,
+            EngineGuard::Placement => may_be_placed(self.class, &engine.entry),
+            EngineGuard::Health => engine.health.admits(self.now),
+            EngineGuard::SlowStart => {
                 engine.slow_start_admits(self.now, self.profile, self.class, &manager.settings)
             }
-            Guard::ConcurrencyLimit if interactive => manager.is_not_overloaded(engine),
-            Guard::ConcurrencyLimit => self.is_within_limit(engine),
+            EngineGuard::ConcurrencyLimit if interactive => manager.is_not_overloaded(engine),
+            EngineGuard::ConcurrencyLimit => self.is_within_limit(engine),
             // Time for work tells no utilization here: a bound by background work itself would never lift.
-            Guard::Utilization => {
+            EngineGuard::Utilization => {
                 interactive
                     || !manager.load.has_reports
                     || manager.load.utilization(engine, self.now) < MAX_BACKGROUND_UTILIZATION_RATIO
             }
-            Guard::Memory => interactive || manager.has_memory(engine, self.needs.memory_mb),
+            EngineGuard::Memory => interactive || manager.has_memory(engine, self.needs.memory_mb),
         }
     }
 
--- a/src/decisions/concurrency_limit.rs
+++ b/src/decisions/concurrency_limit.rs
@@ -10,7 +10,7 @@
 use super::load_estimate::{LoadEstimate, MAX_BACKGROUND_UTILIZATION_RATIO};
 
 /// Completions that make an interval's sample (q of the thesis, 4.5.1).
-pub(super) const MIN_COMPLETIONS: u32 = 20;
+const MIN_COMPLETIONS: u32 = 20;
 /// An interval is closed after this at the latest.
 const MAX_INTERVAL_SECONDS: f64 = 5.0;
 /// Upper bound of the ceiling, all gateways together.
--- a/src/decisions/explain.rs
+++ b/src/decisions/explain.rs
@@ -5,7 +5,7 @@
 use crate::RequestId;
 
 use super::WorkloadManager;
-use super::admission::{Admission, Guard, OVERLOAD_THREADS_PER_CORE};
+use super::admission::{Admission, EngineGuard, OVERLOAD_THREADS_PER_CORE};
 use super::class_profile::TimeForWork;
 use super::request_path::PendingRequest;
 use super::shedding::SheddingRule;
@@ -26,7 +26,7 @@
 #[derive(Default)]
 struct EngineCounts {
     /// For each guard, in order, the engines that it is the first to close.
-    closed: [u32; Guard::ALL.len()],
+    closed: [u32; EngineGuard::ALL.len()],
     /// Engines that would take the request.
     open: u32,
 }
@@ -44,7 +44,7 @@
         let mut counts = EngineCounts::default();
         for engine in self.manager.engines.values() {
             let first = admission.first_closed_guard(engine);
-            match first.and_then(|first| Guard::ALL.iter().position(|guard| *guard == first)) {
+            match first.and_then(|first| EngineGuard::ALL.iter().position(|guard| *guard == first)) {
                 Some(at) => counts.closed[at] += 1,
                 None => counts.open += 1,
             }
@@ -86,9 +86,10 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let EngineCounts { closed, open } = self.count_engines();
         let most = (0..closed.len()).max_by_key(|at| (closed[*at], closed.len() - at));
-        let first = if open > 0 { self.no_guard() } else { most.map_or("none", |at| Guard::ALL[at].name()) };
+        let first =
+            if open > 0 { self.no_guard() } else { most.map_or("none", |at| EngineGuard::ALL[at].name()) };
         write!(f, "{first} open={open}")?;
-        for (guard, engines) in Guard::ALL.iter().zip(closed).filter(|(_, engines)| *engines > 0) {
+        for (guard, engines) in EngineGuard::ALL.iter().zip(closed).filter(|(_, engines)| *engines > 0) {
             write!(f, " {}={engines}", guard.name())?;
         }
         self.write_figures(f)
--- a/src/decisions/interactive_latency.rs
+++ b/src/decisions/interactive_latency.rs
@@ -1,11 +1,13 @@
 //! Latency of interactive requests over all engines: the signal that background work is admitted by.
 
-use super::concurrency_limit::{ControllerTerms, MIN_COMPLETIONS};
+use super::concurrency_limit::ControllerTerms;
 
 /// Control intervals over which the controllers correct an error (n of the thesis, 4.8.5).
 const CORRECTION_INTERVALS: f64 = 3.0;
 /// How much the lightest latency may rise at a control tick.
 const LIGHTEST_RISE_RATIO: f64 = 1.001;
+/// Samples over which the mean is taken.
+const MEAN_SAMPLES: f64 = 20.0;
 /// Objectives and lightest latencies count as this at least.
 const MIN_LATENCY_SECONDS: f64 = 1e-3;
 
@@ -41,7 +43,7 @@
 
     /// Counts an attempt that has ended.
     pub(super) fn record(&mut self, now: f64, latency_seconds: f64) {
-        self.mean_seconds += (latency_seconds - self.mean_seconds) / f64::from(MIN_COMPLETIONS);
+        self.mean_seconds += (latency_seconds - self.mean_seconds) / MEAN_SAMPLES;
         self.sampled_at = now;
     }
 
--- a/src/decisions/mod.rs
+++ b/src/decisions/mod.rs
@@ -20,7 +20,7 @@
 //! | May a request go to an engine? | `admission` |
 //! | Which of those engines gets it? | `selection` |
 //! | Whose turn is it among requests of a key? | `order_by_key` |
-//! | Is an attempt lost or stalled? | `supervision` |
+//! | Does an attempt lack progress reports, or is it stalled? | `supervision` |
 //! | What does an attempt's end tell? | `outcome` |
 //! | May another attempt follow? | `retry` |
 //! | When is a request given up, and with which answer? | `shedding` |
@@ -256,7 +256,7 @@
     /// or rest as they are full.
     pub fn engines_avoided(&self, now: f64) -> usize {
         let is_avoided = |engine: &&Engine| match engine.entry.state {
-            EndpointState::Ready => engine.health.is_ejected(now),
+            EndpointState::Ready => engine.health.is_paused(now),
             EndpointState::Draining => true,
             EndpointState::Removed => false,
         };
--- a/src/decisions/outcome.rs
+++ b/src/decisions/outcome.rs
@@ -6,6 +6,7 @@
 use super::class_profile::ClassProfile;
 use super::engine::Engine;
 use super::interactive_latency::InteractiveLatency;
+use super::outlier::log_health_change;
 use super::supervision::{Attempt, AttemptId};
 
 /// How an attempt ended, as [`Event::AttemptEnded`] has it.
@@ -53,13 +54,31 @@
 impl WorkloadManager {
     /// Takes the attempt out of all sums and learns from its outcome.
     pub(super) fn record_outcome(&mut self, now: f64, attempt: &Attempt, end: &AttemptEnd) {
-        let class = attempt.request.class;
-        let threads = f64::from(self.settings.classes[class.0].threads);
+        self.record_time_for_work(now, attempt, end);
+        // The terms are those of before the attempt's latency is counted.
+        let terms = self.controller_terms();
+        self.remove_from_sums(attempt, end);
+        self.record_latency_and_cost(now, attempt, end);
+        self.record_engine_health(now, attempt, end);
+        if let Some(engine) = self.engines.get_mut(&attempt.engine) {
+            let utilization = self.load.utilization(engine, now);
+            engine.limit.close_interval_if_over(now, &self.latency, &self.load, utilization, &terms);
+        }
+    }
+
+    fn record_time_for_work(&mut self, now: f64, attempt: &Attempt, end: &AttemptEnd) {
         if end.outcome == Outcome::Success {
+            let class = attempt.request.class;
             let work = end.cost.map_or(attempt.request.estimated_work.unwrap_or(0.0), |cost| cost.work);
-            self.on_time_for_work(now, attempt.engine, class, end.elapsed_seconds * threads / work);
+            let thread_seconds = end.elapsed_seconds * self.threads_of(attempt);
+            self.on_time_for_work(now, attempt.engine, class, thread_seconds / work);
         }
-        let terms = self.controller_terms();
+    }
+
+    /// Takes the attempt out of its engine's sums and the fleet's, and charges the token bucket for the time
+    /// that it was not charged for before.
+    fn remove_from_sums(&mut self, attempt: &Attempt, end: &AttemptEnd) {
+        let threads = self.threads_of(attempt);
         let Some(engine) = self.engines.get_mut(&attempt.engine) else { return };
         let memory_mb = attempt.request.estimated_memory_mb.unwrap_or(0.0);
         engine.remove_attempt(threads, memory_mb, attempt.interactive);
@@ -67,7 +86,11 @@
         if !attempt.interactive {
             self.tokens.charge_excess(threads * (end.elapsed_seconds - attempt.charged_seconds));
         }
-        let profile = &mut self.profiles[class.0];
+    }
+
+    fn record_latency_and_cost(&mut self, now: f64, attempt: &Attempt, end: &AttemptEnd) {
+        let Some(engine) = self.engines.get_mut(&attempt.engine) else { return };
+        let profile = &mut self.profiles[attempt.request.class.0];
         record_latency(now, engine, &mut self.latency, profile, attempt, end);
         if end.outcome == Outcome::Success {
             if !attempt.stalled {
@@ -75,12 +98,20 @@
             }
             profile.record_success(end.elapsed_seconds, end.cost);
         }
-        engine.health.attempt_ended(now, attempt.health_epoch, end.outcome);
+    }
+
+    fn record_engine_health(&mut self, now: f64, attempt: &Attempt, end: &AttemptEnd) {
+        let Some(engine) = self.engines.get_mut(&attempt.engine) else { return };
+        let change = engine.health.attempt_ended(now, attempt.health_epoch, end.outcome);
+        log_health_change(attempt.engine, change);
         if end.outcome == Outcome::Rejected {
             engine.record_rejecting(now);
         }
-        let utilization = self.load.utilization(engine, now);
-        engine.limit.close_interval_if_over(now, &self.latency, &self.load, utilization, &terms);
+    }
+
+    /// Threads that the attempt runs on.
+    fn threads_of(&self, attempt: &Attempt) -> f64 {
+        f64::from(self.settings.classes[attempt.request.class.0].threads)
     }
 
     /// Closes the control intervals that are over.
--- a/src/decisions/outlier.rs
+++ b/src/decisions/outlier.rs
@@ -24,10 +24,10 @@
 const RECOVERED_ATTEMPTS: u32 = 16;
 /// Attempts in flight to an engine that has not answered yet: the endpoint list may be stale.
 const UNPROVEN_ATTEMPTS: u32 = RECOVERED_ATTEMPTS / 4;
-/// Faults that a success leaves.
+/// Factor applied to the fault sum by a success.
 const SUCCESS_FAULTS_RATIO: f64 = 0.5;
 
-/// Faults in all at which an engine is ejected, and the weight of each kind of fault.
+/// Weighted sum of faults, without unit, at which an engine is ejected; and the weight of each kind of fault.
 const EJECTION_FAULTS: f64 = 1.0;
 pub(super) const SILENCE_FAULTS: f64 = 1.0;
 const CONNECT_FAILED_FAULTS: f64 = 1.0;
@@ -36,11 +36,34 @@
 const ERROR_FAULTS: f64 = 0.03;
 pub(super) const CONFIRMED_ERROR_FAULTS: f64 = 0.5;
 
+/// A change of an engine's health, for the log at debug.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(super) enum HealthChange {
+    /// It gets nothing for so many seconds; a new epoch has begun.
+    Ejected { ejection_seconds: f64, epoch: u32 },
+    /// It has come to the end of the recovery ramp after an ejection.
+    Recovered { epoch: u32 },
+}
+
+/// Logs the change of an engine's health, if there is one.
+pub(super) fn log_health_change(engine: EngineId, change: Option<HealthChange>) {
+    let engine = engine.0;
+    match change {
+        Some(HealthChange::Ejected { ejection_seconds, epoch }) => {
+            tracing::debug!(engine, ejection_seconds, epoch, "engine ejected");
+        }
+        Some(HealthChange::Recovered { epoch }) => tracing::debug!(engine, epoch, "engine recovered"),
+        None => {}
+    }
+}
+
 /// Health of one engine.
 #[derive(Default)]
 pub(super) struct EngineHealth {
+    /// Weighted sum of faults.
     faults: f64,
-    ejected_until: f64,
+    /// End of the backoff of an ejection, or of the rest after a rejected attempt.
+    paused_until: f64,
     rejection_rest_seconds: f64,
     ejection_seconds: f64,
     /// Most attempts in flight on the recovery ramp; none when well.
@@ -72,12 +95,13 @@
 
     /// Whether another attempt may be sent.
     pub(super) fn admits(&self, now: f64) -> bool {
-        !self.is_ejected(now) && self.ramp_attempts.is_none_or(|most| self.attempts_of_epoch < most)
+        !self.is_paused(now) && self.ramp_attempts.is_none_or(|most| self.attempts_of_epoch < most)
     }
 
-    /// Whether a backoff or rest is running.
-    pub(super) fn is_ejected(&self, now: f64) -> bool {
-        now < self.ejected_until
+    /// Whether the engine gets nothing new: the backoff of an ejection is running, or the rest after it
+    /// rejected an attempt.
+    pub(super) fn is_paused(&self, now: f64) -> bool {
+        now < self.paused_until
     }
 
     pub(super) fn attempt_started(&mut self) {
@@ -85,7 +109,7 @@
     }
 
     /// Counts an attempt that has ended out of its epoch, and what its outcome says of the engine's health.
-    pub(super) fn attempt_ended(&mut self, now: f64, epoch: u32, outcome: Outcome) {
+    pub(super) fn attempt_ended(&mut self, now: f64, epoch: u32, outcome: Outcome) -> Option<HealthChange> {
         let of_this_epoch = epoch == self.epoch;
         self.attempts_of_epoch -= u32::from(of_this_epoch);
         match outcome {
@@ -93,35 +117,45 @@
             Outcome::ConnectFailed => self.record_fault(now, CONNECT_FAILED_FAULTS),
             Outcome::ConnectionLost => self.record_fault(now, CONNECTION_LOST_FAULTS),
             Outcome::Error => self.record_fault(now, ERROR_FAULTS),
-            Outcome::Rejected => self.record_rejection(now),
+            Outcome::Rejected => {
+                self.record_rejection(now);
+                None
+            }
             // A load may have been in the way; an engine that hangs shows as silence.
-            Outcome::TimedOut | Outcome::Cancelled | Outcome::NeverSent => {}
+            Outcome::TimedOut | Outcome::Cancelled | Outcome::NeverSent => None,
         }
     }
 
     /// Adds a fault; ejects the engine if that makes one in all.
-    pub(super) fn record_fault(&mut self, now: f64, faults: f64) {
+    pub(super) fn record_fault(&mut self, now: f64, faults: f64) -> Option<HealthChange> {
         self.faults += faults;
-        if self.faults < EJECTION_FAULTS || self.is_ejected(now) {
-            return;
+        if self.faults < EJECTION_FAULTS || self.is_paused(now) {
+            return None;
         }
         self.ejection_seconds =
             (BACKOFF_FACTOR * self.ejection_seconds).clamp(MIN_EJECTION_SECONDS, MAX_EJECTION_SECONDS);
-        self.ejected_until = now + self.ejection_seconds * self.backoff_ratio;
+        let ejection_seconds = self.ejection_seconds * self.backoff_ratio;
+        self.paused_until = now + ejection_seconds;
         self.ramp_attempts = Some(1);
         self.faults = 0.0;
         self.epoch += 1;
         self.attempts_of_epoch = 0;
+        Some(HealthChange::Ejected { ejection_seconds, epoch: self.epoch })
     }
 
-    fn record_success(&mut self, now: f64, of_this_epoch: bool) {
+    fn record_success(&mut self, now: f64, of_this_epoch: bool) -> Option<HealthChange> {
         self.last_heard_at = now;
         self.faults *= SUCCESS_FAULTS_RATIO;
         self.rejection_rest_seconds *= SUCCESS_REST_RATIO;
-        if let (true, Some(most)) = (of_this_epoch, self.ramp_attempts) {
-            self.ramp_attempts = (RAMP_FACTOR * most <= RECOVERED_ATTEMPTS).then_some(RAMP_FACTOR * most);
-            self.ejection_seconds = self.ramp_attempts.map_or(0.0, |_| self.ejection_seconds);
+        let most = self.ramp_attempts.filter(|_| of_this_epoch)?;
+        self.ramp_attempts = (RAMP_FACTOR * most <= RECOVERED_ATTEMPTS).then_some(RAMP_FACTOR * most);
+        if self.ramp_attempts.is_some() {
+            return None;
         }
+        // An engine that has not answered before comes to the end of its ramp without an ejection.
+        let was_ejected = self.ejection_seconds > 0.0;
+        self.ejection_seconds = 0.0;
+        was_ejected.then_some(HealthChange::Recovered { epoch: self.epoch })
     }
 
     /// An engine that rejects at once has the fewest attempts in flight and would draw all the more.
@@ -129,7 +163,7 @@
         self.rejection_rest_seconds = (BACKOFF_FACTOR * self.rejection_rest_seconds)
             .clamp(MIN_REJECTION_REST_SECONDS, MAX_REJECTION_REST_SECONDS);
         let rested_at = now + self.rejection_rest_seconds * self.backoff_ratio;
-        self.ejected_until = self.ejected_until.max(rested_at);
+        self.paused_until = self.paused_until.max(rested_at);
     }
 }
 
--- a/src/decisions/request_path.rs
+++ b/src/decisions/request_path.rs
@@ -7,9 +7,9 @@
 use crate::{Action, EngineId, Outcome, Request, RequestId};
 
 use super::WorkloadManager;
-use super::admission::{Admission, Guard, Needs};
+use super::admission::{Admission, EngineGuard, Needs};
 use super::outcome::AttemptEnd;
-use super::outlier::CONFIRMED_ERROR_FAULTS;
+use super::outlier::{CONFIRMED_ERROR_FAULTS, log_health_change};
 use super::release::Release;
 use super::supervision::{Attempt, AttemptId};
 
@@ -105,7 +105,7 @@
             let any_admits = !admitting.is_empty();
             let mut candidates = admitting.to_vec();
             let admission = Admission::new(self, *needs, now);
-            candidates.retain(|engine| admission.passes(Guard::Memory, &self.engines[engine]));
+            candidates.retain(|engine| admission.passes(EngineGuard::Memory, &self.engines[engine]));
             if any_admits {
                 let blocked_mb = if candidates.is_empty() { needs.memory_mb } else { f64::INFINITY };
                 least_blocked_mb = least_blocked_mb.max(blocked_mb);
@@ -168,8 +168,8 @@
             actions.push(Action::Fail(id));
             return self.forget_request(id, actions);
         }
-        if let Some(engine) = erred_elsewhere.and_then(|engine| self.engines.get_mut(&engine)) {
-            engine.health.record_fault(now, CONFIRMED_ERROR_FAULTS);
+        if let Some((at, engine)) = erred_elsewhere.and_then(|at| Some((at, self.engines.get_mut(&at)?))) {
+            log_health_change(at, engine.health.record_fault(now, CONFIRMED_ERROR_FAULTS));
         }
         if end.request_settled {
             return self.forget_request(id, actions);
--- a/src/decisions/selection.rs
+++ b/src/decisions/selection.rs
@@ -38,7 +38,7 @@
         now: f64,
     ) -> Option<EngineId> {
         let interactive = self.profiles[self.requests[&id].request.class.0].interactive;
-        let locked_at = self.engines_with_own_load(&self.requests[&id].request);
+        let engines_with_own_load = self.engines_with_own_load(&self.requests[&id].request);
         let mut best: Option<(Reluctance, EngineId)> = None;
         for candidate in candidates {
             let random = MAX_RANDOM_RATIO * unit_interval(self.next_draw());
@@ -48,7 +48,7 @@
             }
             let engine = &self.engines[candidate];
             let reluctance = Reluctance {
-                to_avoid: locked_at.contains(candidate) || pending.erred_at == Some(*candidate),
+                to_avoid: engines_with_own_load.contains(candidate) || pending.erred_at == Some(*candidate),
                 own_threads: own_threads(engine, interactive, now),
                 tie_break: self.tie_break(engine, now) + random,
             };
--- a/src/decisions/supervision.rs
+++ b/src/decisions/supervision.rs
@@ -1,5 +1,5 @@
-//! Supervision of attempts in flight: which are lost, stalled or hopelessly slow, and which engines are
-//! silent.
+//! Supervision of attempts in flight: which lack progress reports, are stalled or hopelessly slow, and which
+//! engines are silent.
 //!
 //! An attempt is cancelled only where the deployment permits that and its request is idempotent. It then
 //! ends like any other, and its request is queued again. A request is cancelled once for being slow: slow
@@ -13,16 +13,16 @@
 use super::class_profile::ClassProfile;
 use super::engine::Engine;
 use super::interactive_latency::InteractiveLatency;
-use super::outlier::SILENCE_FAULTS;
+use super::outlier::{SILENCE_FAULTS, log_health_change};
 use super::relative_latency::RelativeLatency;
 use super::request_path::PendingRequest;
 use super::smoothing::{NEWEST_SAMPLE_RATIO, TimedValue, blend};
 use super::token_bucket::TokenBucket;
 
-/// An attempt is lost after so many periods of progress reports without any, or without one that tells more
-/// than that it still runs.
-const LOST_AFTER_SILENT_PERIODS: f64 = 1.5;
-const LOST_AFTER_PERIODS_WITHOUT_PROGRESS: f64 = 2.6;
+/// An attempt lacks progress reports after so many periods without any, or without one that tells more than
+/// that it still runs.
+const MAX_PERIODS_WITHOUT_REPORT: f64 = 1.5;
+const MAX_PERIODS_WITHOUT_PROGRESS: f64 = 2.6;
 /// Times its expected latency after which an attempt without progress is stalled.
 const STALLED_LATENCIES: f64 = 4.0;
 /// Part of the usual latency that an attempt is expected to take at least, however small its request.
@@ -59,7 +59,7 @@
     /// When its last progress report came, and the last that said more than that it still runs.
     pub(super) reported_at: f64,
     pub(super) progressed_at: f64,
-    /// Whether it was found lost or stalled.
+    /// Whether it was found to lack progress reports, or stalled.
     pub(super) stalled: bool,
     /// Epoch of its engine's health in which it was sent.
     pub(super) health_epoch: u32,
@@ -98,11 +98,12 @@
         now - self.sent_at
     }
 
-    /// Whether its answer is lost: progress reports come, but none of this attempt.
-    fn is_lost(&self, now: f64, report_period: f64) -> bool {
+    /// Whether progress reports should come, but none of this attempt does, or none that shows progress: its
+    /// answer may be lost.
+    fn lacks_progress_reports(&self, now: f64, report_period: f64) -> bool {
         report_period > 0.0
-            && (now - self.reported_at > LOST_AFTER_SILENT_PERIODS * report_period
-                || now - self.progressed_at > LOST_AFTER_PERIODS_WITHOUT_PROGRESS * report_period)
+            && (now - self.reported_at > MAX_PERIODS_WITHOUT_REPORT * report_period
+                || now - self.progressed_at > MAX_PERIODS_WITHOUT_PROGRESS * report_period)
     }
 
     /// Whether it makes no progress at an engine that answers others.
@@ -129,7 +130,7 @@
         let unanswered =
             self.health_epoch == engine.health.epoch() && self.sent_at >= engine.health.last_heard_at;
         if unanswered && age > silent_after_seconds(class, profile, latency) {
-            engine.health.record_fault(now, SILENCE_FAULTS);
+            log_health_change(self.engine, engine.health.record_fault(now, SILENCE_FAULTS));
         }
     }
 
@@ -196,13 +197,13 @@
             let Some(engine) = self.engines.get_mut(&attempt.engine) else { continue };
             let pending = cancellable(&mut self.requests, id.request, class, capabilities);
             let may_be_slow = pending.as_ref().is_some_and(|pending| !pending.cancelled_as_slow);
-            let lost = attempt.is_lost(now, capabilities.progress_period);
+            let lacks_reports = attempt.lacks_progress_reports(now, capabilities.progress_period);
             let stalled = may_be_slow && attempt.is_stalled(now, engine);
-            if (lost || stalled) && !attempt.stalled {
+            if (lacks_reports || stalled) && !attempt.stalled {
                 attempt.stalled = true;
                 engine.stalled.record(now, true);
             }
-            if let Some(pending) = pending.filter(|_| lost || stalled) {
+            if let Some(pending) = pending.filter(|_| lacks_reports || stalled) {
                 pending.cancelled_as_slow |= stalled;
                 actions.push(Action::CancelAttempt { request: id.request, attempt: id.number });
             }
--- a/src/event.rs
+++ b/src/event.rs
@@ -40,7 +40,8 @@
     TimedOut,
     /// No connection could be opened; it never ran.
     ConnectFailed,
-    /// The connection was lost; it may have run or still run.
+    /// The connection was lost; it may have run or still run. Reported by the simulator's adapter only; the
+    /// gateway reports `TimedOut` for an attempt whose connection was lost for good.
     ConnectionLost,
     /// It was cancelled; it may have run or still run.
     Cancelled,
@@ -71,7 +72,7 @@
     pub core_utilization: Option<f64>,
     /// Ratio of its memory granted.
     pub memory_utilization: Option<f64>,
-    /// Ratio of its disks busy.
+    /// Ratio of its disks busy. No decision uses it.
     pub disk_utilization: Option<f64>,
 }
 
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -49,8 +49,10 @@
     /// Seconds after which the client stops waiting.
     pub deadline: f64,
     /// What a request is worth.
+    /// Checked, and compared between versions of the class; no decision uses it.
     pub priority_weight: f64,
     /// Ratio of the weight that an answer past the objective still earns.
+    /// Checked, and compared between versions of the class; no decision uses it.
     pub late_weight_ratio: f64,
     /// What repeating it would do.
     pub idempotency: Idempotency,
@@ -67,6 +69,7 @@
     /// Whether it waits while a load holds its table group.
     pub waits_for_loads: bool,
     /// Whether answers are streams.
+    /// Compared between versions of the class; no decision uses it.
     pub is_streaming: bool,
 }
 
@@ -83,6 +86,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
     /// Requests a second that it may send, over all gateways; 0 if not stated.
+    /// Checked; no decision uses it.
     pub quota_per_second: f64,
 }
 
@@ -112,8 +116,10 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Rules {
     /// Seconds past the client's deadline in which a final answer still counts.
+    /// Checked; no decision uses it.
     pub answer_grace: f64,
     /// Seconds after which nothing may be sent to a draining engine any more.
+    /// Checked; no decision uses it.
     pub drain_grace: f64,
     /// Ratio of its capacity with which an engine starts at least.
     pub slow_start_min_ratio: f64,
@@ -146,6 +152,7 @@
     /// Attempts may be cancelled.
     pub cancels_attempts: bool,
     /// Health checks may be sent.
+    /// No decision uses it.
     pub health_checks: bool,
     /// Where load reports come from.
     pub load_reports: LoadReportSource,
@@ -158,6 +165,7 @@
     /// Attempts that a request may have; 0: no limit.
     pub max_attempts: u32,
     /// Engines heed memory grants.
+    /// No decision uses it.
     pub memory_grants: bool,
     /// Engines heed priorities.
     pub priorities: bool,
@@ -179,6 +187,7 @@
     /// Tenants, if any.
     pub tenants: Vec<Tenant>,
     /// Ratio of its priority weight that a request beyond its tenant's quota has.
+    /// Checked; no decision uses it.
     pub over_quota_weight_ratio: f64,
     /// Figures of the rules.
     pub rules: Rules,
--- a/tests/explain.rs
+++ b/tests/explain.rs
@@ -1,4 +1,5 @@
-//! The debug line on a shed request: which guard kept it from the engines. Operators and the lab search for it.
+//! Debug lines of the decisions, which operators and the lab search for: by which rule a request was shed and which
+//! guard kept it from the engines, and when an engine was ejected and had recovered.
 
 mod common;
 
@@ -47,12 +48,12 @@
     fn exit(&self, _: &Id) {}
 }
 
-/// The lines on shed requests that this leaves.
-fn lines_of_shed_requests(run: impl FnOnce()) -> Vec<String> {
+/// The lines with this message that this leaves.
+fn lines_with(message: &str, run: impl FnOnce()) -> Vec<String> {
     let lines = Lines::default();
     tracing::subscriber::with_default(lines.clone(), run);
     let lines = lines.0.lock().unwrap();
-    lines.iter().filter(|line| line.contains("queued request shed")).cloned().collect()
+    lines.iter().filter(|line| line.contains(message)).cloned().collect()
 }
 
 /// The lines that these engines leave when a request of this class has waited for a second.
@@ -61,7 +62,7 @@
     class: ClassId,
     prepare: fn(&mut Driver),
 ) -> Vec<String> {
-    lines_of_shed_requests(|| {
+    lines_with("queued request shed", || {
         let mut driver = Driver::new(settings(), engines);
         prepare(&mut driver);
         assert!(forwarded_to(&driver.arrive(1, class)).is_none());
@@ -94,7 +95,7 @@
 
 #[test]
 fn a_request_without_time_for_an_attempt_is_shed_by_that_rule_and_no_guard() {
-    let lines = lines_of_shed_requests(|| {
+    let lines = lines_with("queued request shed", || {
         let mut driver = Driver::new(settings(), vec![engine(1)]);
         let request = Request { deadline: driver.now + 0.01, ..driver.request(1, INTERACTIVE) };
         assert!(forwarded_to(&driver.event(&Event::RequestArrived(request))).is_none());
@@ -106,7 +107,7 @@
 
 #[test]
 fn a_request_with_a_short_deadline_is_shed_by_that_rule_and_its_order_key() {
-    let lines = lines_of_shed_requests(|| {
+    let lines = lines_with("queued request shed", || {
         let mut driver = Driver::new(settings(), vec![engine(1), engine(2)]);
         for (id, wait) in [(1, 30.0), (2, 14.0), (3, 14.0)] {
             let request =
@@ -121,3 +122,24 @@
         assert!(line.contains(" rule=short_deadline why=order_key open="), "{line}");
     }
 }
+
+#[test]
+fn an_ejection_and_the_end_of_its_recovery_ramp_leave_a_line_each() {
+    let lines = lines_with("message=engine ", || {
+        let mut driver = Driver::new(settings(), vec![engine(1)]);
+        // A new engine comes to the end of its ramp without a line.
+        driver.serve_interactive(0, 20, 0.1);
+        assert!(forwarded_to(&driver.arrive(100, INTERACTIVE)).is_some());
+        driver.attempt_ended(100, 0, 1, Outcome::ConnectFailed, 0.1);
+        driver.event(&Event::RequestAborted(RequestId(100)));
+        driver.now += 2.0;
+        driver.serve_interactive(200, 20, 0.1);
+    });
+    let [ejected, recovered] = lines.as_slice() else { panic!("{lines:?}") };
+    for part in ["message=engine ejected", " engine=1 ejection_seconds=", " epoch=1"] {
+        assert!(ejected.contains(part), "no{part}in{ejected}");
+    }
+    for part in ["message=engine recovered", " engine=1 epoch=1"] {
+        assert!(recovered.contains(part), "no{part}in{recovered}");
+    }
+}
