--- a/gateway/src/admin/metrics.rs
+++ b/gateway/src/admin/metrics.rs
@@ -30,7 +30,7 @@
     Failed,
 }
 
-/// What is looked up when the metrics are asked for.
+/// Values that are read when the metrics are requested.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Gauges {
     /// Requests taken and not ended.
--- a/gateway/src/config/config_file.rs
+++ b/gateway/src/config/config_file.rs
@@ -53,7 +53,7 @@
 }
 
 /// The endpoint list up to the first event that can't be read; the discovery service is asked for the rest. A gateway
-/// that refused to start for it would serve nobody.
+/// that did not start because of it would serve no client.
 fn read_known_list(known: &JsonField<'_>) -> Result<KnownList, ConfigError> {
     let mut events: Vec<EndpointListEvent> = Vec::new();
     for event in known.get("updates").elements()? {
--- a/gateway/src/engine/mysql/handshake.rs
+++ b/gateway/src/engine/mysql/handshake.rs
@@ -43,7 +43,7 @@
         write_packet(out, &mut self.sequence, &payload);
     }
 
-    /// Reads the engine's verdict, or its AuthSwitchRequest, which is answered for the one plugin spoken here.
+    /// Reads the engine's verdict, or its AuthSwitchRequest, which is answered for the one plugin that is supported.
     pub(super) fn authentication_response(
         &mut self,
         payload: &[u8],
--- a/gateway/src/front/pg/messages.rs
+++ b/gateway/src/front/pg/messages.rs
@@ -38,7 +38,7 @@
 /// The length of a NULL column in a DataRow; the size of a type of variable length; no type modifier.
 const NONE: i32 = -1;
 
-/// What the gateway tells apart of the messages that clients send.
+/// The kinds of client messages that the gateway distinguishes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FrontendMessage {
     Query,
--- a/gateway/src/mysql_protocol/authentication.rs
+++ b/gateway/src/mysql_protocol/authentication.rs
@@ -1,4 +1,4 @@
-//! The authentication plugin `mysql_native_password`, the only one that is spoken here.
+//! The authentication plugin `mysql_native_password`, the only one that is supported.
 
 use sha1::{Digest, Sha1};
 
--- a/gateway/src/mysql_protocol/error.rs
+++ b/gateway/src/mysql_protocol/error.rs
@@ -2,7 +2,7 @@
 
 use super::{ERR_HEADER, PacketError, Reader};
 
-/// Error codes that are sent or told apart here, by their names in the server's documentation.
+/// Error codes that are sent or distinguished here, by their names in the server's documentation.
 pub mod error_code {
     /// Too many connections.
     pub const ER_CON_COUNT_ERROR: u16 = 1040;
--- a/gateway/src/mysql_protocol/parameters.rs
+++ b/gateway/src/mysql_protocol/parameters.rs
@@ -2,7 +2,7 @@
 
 use super::{PacketError, Reader, write_lenenc_string};
 
-/// Column types, as far as they are told apart here.
+/// Column types, as far as they are distinguished here.
 pub mod column_type {
     /// DECIMAL.
     pub const DECIMAL: u8 = 0x00;
--- a/gateway/src/net/admin.rs
+++ b/gateway/src/net/admin.rs
@@ -9,7 +9,7 @@
 use super::connection::{Connection, Phase, ReadEnd};
 use super::poll::{Interest, Poll, Trigger};
 use super::poll_key::PollKey;
-use super::{ServeError, Server, Timer};
+use super::{NetTimer, ServeError, Server};
 use crate::admin::call::{self, AdminCall, CallError, MAX_CALL_BYTES};
 use crate::admin::metrics::Gauges;
 use crate::discovery::UnknownEngine;
@@ -170,7 +170,7 @@
     fn set_admin_timer(&mut self) {
         if let (None, Some(oldest)) = (self.admin.timer, self.admin.connections.first()) {
             let due_us = oldest.accepted_us + CONNECTION_TIMEOUT_US;
-            self.admin.timer = Some(self.timers.arm(due_us, Timer::Admin));
+            self.admin.timer = Some(self.timers.arm(due_us, NetTimer::Admin));
         }
     }
 
--- a/gateway/src/net/clients/requests.rs
+++ b/gateway/src/net/clients/requests.rs
@@ -1,6 +1,6 @@
 //! Requests of clients: admitted, answered, cancelled.
 
-use workload_manager::*;
+use workload_manager::{RequestId, TableGroupId, TenantId};
 use wrenhatch_sessions::memory_budget::MemoryPurpose;
 use wrenhatch_sessions::read_scheduler::Work;
 use wrenhatch_sessions::session_table::{Activity, Handle};
@@ -12,7 +12,7 @@
 use crate::front::table_group;
 use crate::front::{ClientRequest, FinalAnswer, Payload};
 use crate::mysql_protocol::ResultSet;
-use crate::net::{Request, Server};
+use crate::net::{OpenClientRequest, Server};
 
 impl Server {
     /// Has a request admitted, rejected, or answered as invalid: gathers what [`admission`] weighs, and carries out
@@ -32,7 +32,7 @@
         };
         let (ready_us, read_ahead) = (session.ready_us, session.read_ahead);
         let idempotency_key = fields.idempotency_key.take();
-        let request = Request { client: handle, query_id, class, statement, idempotency_key, run };
+        let request = OpenClientRequest { client: handle, query_id, class, statement, idempotency_key, run };
         let input = AdmissionInput {
             now_us: self.time.now_us,
             ready_us,
@@ -52,7 +52,7 @@
         }
     }
 
-    fn reject_request(&mut self, handle: Handle, request: &Request, rejection: &Rejection) {
+    fn reject_request(&mut self, handle: Handle, request: &OpenClientRequest, rejection: &Rejection) {
         self.counters.refused += 1;
         self.metrics.ended(request.class, RequestEnd::Rejected);
         for counter in rejection.counters() {
@@ -77,7 +77,7 @@
     /// Hands a request to the core. From here on its client is owed an answer.
     fn open_request(
         &mut self,
-        request: Request,
+        request: OpenClientRequest,
         new_request: NewRequest,
         fields: &RequestFields,
         wait_us: u64,
@@ -127,7 +127,7 @@
         }
     }
 
-    fn close_request(&mut self, id: RequestId) -> Option<Request> {
+    fn close_request(&mut self, id: RequestId) -> Option<OpenClientRequest> {
         let request = self.requests.remove(id)?;
         self.sessions.memory.release(MemoryPurpose::Requests, request.bytes());
         Some(request)
@@ -188,7 +188,7 @@
 
 /// A request as the core gets it.
 fn new_request(
-    request: &Request,
+    request: &OpenClientRequest,
     tenant: Option<TenantId>,
     deadline_us: u64,
     fields: &RequestFields,
--- a/gateway/src/net/clients/settle.rs
+++ b/gateway/src/net/clients/settle.rs
@@ -4,7 +4,7 @@
 
 use crate::net::connection::{MAX_UNSENT_BYTES, Phase};
 use crate::net::sessions::Sessions;
-use crate::net::{Server, Timer};
+use crate::net::{NetTimer, Server};
 
 impl Server {
     /// Settles a session at the end of a turn: its output is written, its timer armed, the memory that it holds
@@ -24,7 +24,7 @@
             return self.read_messages(handle);
         }
         let due_us = session.due_us();
-        self.timers.reschedule(&mut session.timer, due_us, Timer::Client(handle));
+        self.timers.reschedule(&mut session.timer, due_us, NetTimer::Client(handle));
         let (activity, since_us) = (session.activity(), session.awaited_since_us.unwrap_or(now_us));
         if session.can_go_on() {
             session.has_unread_input = false;
--- a/gateway/src/net/clients/timeouts.rs
+++ b/gateway/src/net/clients/timeouts.rs
@@ -5,7 +5,7 @@
 
 use crate::net::connection::Phase;
 use crate::net::sessions::{CLOSE_TIMEOUT_US, MESSAGE_TIMEOUT_US};
-use crate::net::{Server, Timer};
+use crate::net::{NetTimer, Server};
 
 const IDLE: [Activity; 2] = [Activity::Idle, Activity::IdleWithStatements];
 
@@ -37,7 +37,7 @@
         }
         let oldest = IDLE.map(|activity| self.sessions.table.oldest(activity));
         if let Some(since_us) = oldest.into_iter().flatten().map(|(_, since_us)| since_us).min() {
-            self.sessions.idle_timer = Some(self.timers.arm(since_us + limit_us, Timer::IdleLimit));
+            self.sessions.idle_timer = Some(self.timers.arm(since_us + limit_us, NetTimer::IdleLimit));
         }
     }
 
--- a/gateway/src/net/control_plane.rs
+++ b/gateway/src/net/control_plane.rs
@@ -7,7 +7,7 @@
 use super::connection::{Connection, Phase, ReadEnd};
 use super::poll::Interest;
 use super::poll_key::PollKey;
-use super::{Server, Timer};
+use super::{NetTimer, Server};
 use crate::control_plane::{
     ControlPlaneClient, MAX_REPORT_RESPONSE_BYTES, MessageOutcome, ReportResponse, read_report_response,
 };
@@ -77,7 +77,7 @@
         let Some(control_plane) = &mut self.control_plane else { return };
         let deadline_us = control_plane.client.deadline_us(self.time.now_us);
         if !control_plane.timer.is_some_and(|timer| self.timers.rearm(timer, deadline_us)) {
-            control_plane.timer = Some(self.timers.arm(deadline_us, Timer::ControlPlane));
+            control_plane.timer = Some(self.timers.arm(deadline_us, NetTimer::ControlPlane));
         }
     }
 
--- a/gateway/src/net/engines.rs
+++ b/gateway/src/net/engines.rs
@@ -19,7 +19,7 @@
 
 use std::net::SocketAddr;
 
-use workload_manager::*;
+use workload_manager::{EndpointState, EngineId};
 use wrenhatch_sessions::timer_wheel::TimerId;
 
 use super::Server;
--- a/gateway/src/net/engines/attempts.rs
+++ b/gateway/src/net/engines/attempts.rs
@@ -1,6 +1,6 @@
 //! Attempts at engines: how they start and end, and what follows when their connection ends first.
 
-use workload_manager::*;
+use workload_manager::{EngineId, LoadReport, Outcome};
 use wrenhatch_sessions::memory_budget::MemoryPurpose;
 
 use super::{Attempt, AttemptId, ConnectionEnd, EngineProtocol, Execution, Job, Link, ProtocolState};
@@ -9,7 +9,7 @@
 use crate::front::ExecutionMode;
 use crate::front::fields::field_name;
 use crate::mysql_protocol::Parameter;
-use crate::net::{Request, Server};
+use crate::net::{OpenClientRequest, Server};
 
 /// How often a call is repeated whose response was unusable or did not come.
 pub(super) const MAX_CALL_RETRIES: u32 = 4;
@@ -213,7 +213,7 @@
     }
 }
 
-fn http_execution(request: &Request, class: &str, max_ms: u64, terms: AttemptTerms) -> Execution {
+fn http_execution(request: &OpenClientRequest, class: &str, max_ms: u64, terms: AttemptTerms) -> Execution {
     let mut start = Vec::with_capacity(256 + request.statement.len());
     let call = http::Start {
         query_id: &request.query_id,
@@ -229,7 +229,7 @@
 }
 
 /// A request as work for a MySQL engine; its id, class and remaining time go beside it as query attributes.
-fn mysql_work(request: &Request, class: &str, max_ms: u64) -> mysql::Work {
+fn mysql_work(request: &OpenClientRequest, class: &str, max_ms: u64) -> mysql::Work {
     let mut attributes = vec![
         Parameter::text(field_name::ID, &request.query_id),
         Parameter::text(field_name::CLASS, class),
--- a/gateway/src/net/engines/calls.rs
+++ b/gateway/src/net/engines/calls.rs
@@ -1,6 +1,6 @@
 //! What is written to an engine once its connection is established: the call that a connection was acquired for.
 
-use workload_manager::*;
+use workload_manager::{EndpointState, EngineId, Outcome};
 
 use super::{AttemptId, Execution, Job, ProtocolState};
 use crate::engine::http;
--- a/gateway/src/net/engines/cancellation.rs
+++ b/gateway/src/net/engines/cancellation.rs
@@ -1,11 +1,11 @@
 //! Attempts that the gateway no longer waits for: their engines are notified, and the end is awaited for a while.
 
-use workload_manager::*;
+use workload_manager::Outcome;
 
 use super::attempts::MAX_CALL_RETRIES;
 use super::{AttemptId, ConnectionEnd, EngineProtocol, Execution, Job, Link, ProtocolState, Unconfirmed};
 use crate::core::Input;
-use crate::net::{Server, Timer};
+use crate::net::{NetTimer, Server};
 
 /// How long the end of a cancelled attempt is waited for, in microseconds. Engines stall for 370 ms at times; one that
 /// has said nothing for longer may have vanished, and what it still runs can't be known.
@@ -37,7 +37,7 @@
         if let Execution::Http { exchange, .. } = &mut attempt.execution {
             exchange.cancel();
         }
-        attempt.cancel_timer = Some(self.timers.arm(now_us + CANCEL_TIMEOUT_US, Timer::CancelTimeout(id)));
+        attempt.cancel_timer = Some(self.timers.arm(now_us + CANCEL_TIMEOUT_US, NetTimer::CancelTimeout(id)));
         match self.acquire_connection(engine, Job::Cancel(id), protocol, None) {
             Ok(slot) => self.write_first_call(slot),
             Err(outcome) => {
--- a/gateway/src/net/engines/confirmation.rs
+++ b/gateway/src/net/engines/confirmation.rs
@@ -4,12 +4,12 @@
 //! partition, a call that was written may still be on its way, and the engine may run the query to its end. So the
 //! engine must be reached once more before that time counts.
 
-use workload_manager::*;
+use workload_manager::{EndpointState, EngineId, Outcome};
 
 use super::{AttemptId, ConnectionEnd, EngineProtocol, Job, Server};
 use crate::core::Input;
 use crate::engine::http;
-use crate::net::Timer;
+use crate::net::NetTimer;
 
 /// How long a connection for a confirmation may take to be established, in microseconds: longer than one that is
 /// established late, and short enough that the end of a partition is seen soon.
@@ -106,6 +106,6 @@
     }
 
     fn retry_confirmation(&mut self, id: AttemptId) {
-        self.timers.arm(self.time.now_us + CONFIRMATION_RETRY_US, Timer::Confirmation(id));
+        self.timers.arm(self.time.now_us + CONFIRMATION_RETRY_US, NetTimer::Confirmation(id));
     }
 }
--- a/gateway/src/net/engines/connection_events.rs
+++ b/gateway/src/net/engines/connection_events.rs
@@ -8,7 +8,7 @@
 use crate::net::connection::{Phase, ReadEnd};
 use crate::net::poll::Interest;
 use crate::net::pools::{EngineConnection, Pools};
-use crate::net::{Server, Timer};
+use crate::net::{NetTimer, Server};
 
 /// How long a response is waited for, in microseconds. A call is answered within 250 ms, by engines that stall for
 /// 370 ms at times. One without a response for this long gets none: it is repeated over another connection, where the
@@ -71,7 +71,7 @@
         let Some(connection) = self.pools.connections.get(slot).and_then(Option::as_ref) else { return };
         let due_us = self.connection_due_us(connection);
         if let Some(connection) = self.pools.connection(slot) {
-            let timer = Timer::EngineConnection(slot, connection.serial);
+            let timer = NetTimer::EngineConnection(slot, connection.serial);
             self.timers.reschedule(&mut connection.timer, due_us, timer);
         }
     }
--- a/gateway/src/net/engines/connections.rs
+++ b/gateway/src/net/engines/connections.rs
@@ -1,6 +1,6 @@
 //! Connections to engines: acquired, opened, reused and closed, within the descriptor budget.
 
-use workload_manager::*;
+use workload_manager::{EndpointState, EngineId, Outcome};
 
 use super::{ConnectionEnd, Engine, EngineProtocol, Job, Link, ProtocolState};
 use crate::engine::{http, mysql};
--- a/gateway/src/net/engines/http_responses.rs
+++ b/gateway/src/net/engines/http_responses.rs
@@ -1,6 +1,6 @@
 //! HTTP responses of engines, and what they mean for the job of their connection.
 
-use workload_manager::*;
+use workload_manager::{Outcome, Progress};
 use wrenhatch_sessions::memory_budget::MemoryPurpose;
 
 use super::connections::REUSE_DELAY_US;
--- a/gateway/src/net/engines/list.rs
+++ b/gateway/src/net/engines/list.rs
@@ -71,7 +71,7 @@
         });
         let is_removed = endpoint.state == EndpointState::Removed;
         let has_restarted = endpoint.started_ms != engine.since_ms;
-        // Connections to a process that was removed, moved or restarted lead nowhere.
+        // Connections to a process that was removed, moved or restarted are of no use.
         if is_removed || has_restarted || endpoint.address != engine.address {
             stale_connections.extend(engine.take_all_idle());
         }
--- a/gateway/src/net/engines/mysql_events.rs
+++ b/gateway/src/net/engines/mysql_events.rs
@@ -1,6 +1,6 @@
 //! Events of MySQL connections to engines, and what they mean for the job of their connection.
 
-use workload_manager::*;
+use workload_manager::Outcome;
 
 use super::{AttemptId, ConnectionEnd, Job, ProtocolState};
 use crate::engine::mysql::Event;
--- a/gateway/src/net/event_loop.rs
+++ b/gateway/src/net/event_loop.rs
@@ -15,7 +15,7 @@
 use super::listeners::{self, FrontEnd};
 use super::poll::Interest;
 use super::poll_key::PollKey;
-use super::{ServeError, Server, Timer};
+use super::{NetTimer, ServeError, Server};
 use crate::core::Command;
 use crate::counters::Counters;
 use crate::process_replacement::Message;
@@ -99,7 +99,7 @@
     }
 
     /// Accepts and reads clients. Where the table is full, sessions are read first: clients that have left make place,
-    /// and no client is rejected in vain.
+    /// and no client is rejected without need.
     fn serve_clients(&mut self, connecting: Connecting) {
         if connecting.front_ends().next().is_some() && self.sessions.is_full() {
             self.read_sessions();
@@ -172,18 +172,18 @@
             self.timer_lag.record(due_us, self.time.now_us);
             self.sessions.scheduler.charge(Work::Event, 1);
             match timer {
-                Timer::EngineConnection(at, serial) => self.connection_timer_fired(at, serial),
-                Timer::CancelTimeout(id) => self.attempt_lost(id),
-                Timer::Confirmation(id) => self.request_confirmation(id),
-                Timer::Client(handle) => self.client_timer_fired(handle),
-                Timer::IdleLimit => self.close_long_idle(),
-                Timer::Watch => self.check_watch(),
-                Timer::ControlPlane => self.check_control_plane(),
-                Timer::Reload(failures) => self.reload(failures),
-                Timer::Listeners => self.listeners.resume(&self.poll),
-                Timer::Admin => self.admin_timer_fired(),
+                NetTimer::EngineConnection(at, serial) => self.connection_timer_fired(at, serial),
+                NetTimer::CancelTimeout(id) => self.attempt_lost(id),
+                NetTimer::Confirmation(id) => self.request_confirmation(id),
+                NetTimer::Client(handle) => self.client_timer_fired(handle),
+                NetTimer::IdleLimit => self.close_long_idle(),
+                NetTimer::Watch => self.check_watch(),
+                NetTimer::ControlPlane => self.check_control_plane(),
+                NetTimer::Reload(failures) => self.reload(failures),
+                NetTimer::Listeners => self.listeners.resume(&self.poll),
+                NetTimer::Admin => self.admin_timer_fired(),
                 // It only wakes the loop, which advances the shutdown at the end of each turn.
-                Timer::Shutdown => {}
+                NetTimer::Shutdown => {}
             }
         }
     }
--- a/gateway/src/net/listeners.rs
+++ b/gateway/src/net/listeners.rs
@@ -9,7 +9,7 @@
 
 use super::poll::{Interest, Poll, Trigger};
 use super::poll_key::PollKey;
-use super::{ServeError, Server, Timer};
+use super::{NetTimer, ServeError, Server};
 use crate::config::Config;
 
 /// How long no client is accepted once the system has no descriptor left and no session can be evicted.
@@ -219,7 +219,7 @@
         }
         tracing::warn!("no descriptor is left; accepting clients is paused");
         self.listeners.set_interest(&self.poll, NOTHING);
-        self.timers.arm(self.time.now_us + ACCEPT_PAUSE_US, Timer::Listeners);
+        self.timers.arm(self.time.now_us + ACCEPT_PAUSE_US, NetTimer::Listeners);
         false
     }
 }
--- a/gateway/src/net/mod.rs
+++ b/gateway/src/net/mod.rs
@@ -36,7 +36,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant, SystemTime};
 
-use workload_manager::*;
+use workload_manager::SettingsError;
 use wrenhatch_sessions::timer_wheel::TimerWheel;
 
 use crate::admin::metrics::Metrics;
@@ -48,9 +48,9 @@
 use crate::timer_lag::TimerLag;
 use listeners::{FrontEnd, Listeners};
 use poll::Poll;
-use requests::{Request, Requests};
+use requests::{OpenClientRequest, Requests};
 use sessions::Sessions;
-use timer::Timer;
+use timer::NetTimer;
 
 /// Descriptors of the control plane: its stream and a report.
 const CONTROL_PLANE_DESCRIPTORS: usize = 2;
@@ -106,7 +106,7 @@
 
     poll: Poll,
     time: Time,
-    timers: TimerWheel<Timer>,
+    timers: TimerWheel<NetTimer>,
     timer_lag: TimerLag,
     signals: Signals,
 
@@ -142,7 +142,7 @@
         let admin = admin::AdminInterface::open(config.admin, &poll)?;
         let known_list = std::mem::take(&mut config.known_list);
         let mut server = Self::assemble(config, poll, listeners, admin, signals, known_list.last_index)?;
-        server.timers.arm(0, Timer::Watch);
+        server.timers.arm(0, NetTimer::Watch);
         server.check_control_plane();
         known_list.events.iter().for_each(|event| server.apply_list_event(event));
         let predecessor = predecessor.map(|state| {
--- a/gateway/src/net/pools.rs
+++ b/gateway/src/net/pools.rs
@@ -7,7 +7,7 @@
 use workload_manager::EngineId;
 use wrenhatch_sessions::timer_wheel::{TimerId, TimerWheel};
 
-use super::Timer;
+use super::NetTimer;
 use super::connection::Connection;
 use super::engines::{Attempt, AttemptId, Engine, Link, Unconfirmed};
 use super::poll::Poll;
@@ -84,7 +84,7 @@
     }
 
     /// The one place where a connection to an engine is closed.
-    pub fn close(&mut self, poll: &Poll, timers: &mut TimerWheel<Timer>, slot: usize) -> Option<Link> {
+    pub fn close(&mut self, poll: &Poll, timers: &mut TimerWheel<NetTimer>, slot: usize) -> Option<Link> {
         let connection = self.connections.get_mut(slot)?.take()?;
         if let Some((_, timer)) = connection.timer {
             timers.cancel(timer);
--- a/gateway/src/net/process_replacement/mod.rs
+++ b/gateway/src/net/process_replacement/mod.rs
@@ -179,7 +179,7 @@
     fn remove_peer_process(&mut self, at: usize) {
         let peer = self.peer_processes.remove(&self.poll, at);
         if peer.features.key_leases {
-            // One that died without a word may have left attempts that run as long as engines allow.
+            // One that died without a message may have left attempts that run as long as engines allow.
             let latest_us = self.core.key_cooldown_end_us(self.time.now_us + MAX_RUN_AFTER_LAST_CALL_US);
             let cooldown_until_us = peer.cooldown_until_us.unwrap_or(latest_us);
             let event = PeerProcessEvent::Ended { cooldown_until_us };
--- a/gateway/src/net/reload.rs
+++ b/gateway/src/net/reload.rs
@@ -2,7 +2,7 @@
 
 use wrenhatch_configuration::Version;
 
-use super::{Server, Timer};
+use super::{NetTimer, Server};
 use crate::config;
 
 /// Time between two attempts to read a file that may still be being written.
@@ -31,7 +31,7 @@
             }
             Err(error) if failures + 1 < MAX_ATTEMPTS => {
                 tracing::debug!(%error, "reading the configuration again failed; it will be tried again");
-                self.timers.arm(self.time.now_us + RETRY_US, Timer::Reload(failures + 1));
+                self.timers.arm(self.time.now_us + RETRY_US, NetTimer::Reload(failures + 1));
             }
             Err(error) => {
                 tracing::error!(%error, "reading the configuration again failed; the old settings are kept")
--- a/gateway/src/net/requests.rs
+++ b/gateway/src/net/requests.rs
@@ -14,7 +14,7 @@
 const PARAMETER_BYTES: usize = 64;
 
 /// An open request: its client is owed an answer.
-pub struct Request {
+pub struct OpenClientRequest {
     pub client: Handle,
     pub query_id: String,
     pub class: ClassId,
@@ -24,7 +24,7 @@
     pub run: ExecutionMode,
 }
 
-impl Request {
+impl OpenClientRequest {
     /// Bytes that it takes, for the memory budget.
     pub fn bytes(&self) -> usize {
         let params = match &self.run {
@@ -42,7 +42,7 @@
 /// All open requests.
 #[derive(Default)]
 pub struct Requests {
-    pub open: BTreeMap<RequestId, Request>,
+    pub open: BTreeMap<RequestId, OpenClientRequest>,
     last_id: u64,
     /// How many requests and attempts use a query id, by its number.
     query_ids: HashMap<u64, u32>,
@@ -60,12 +60,12 @@
         RequestId(self.last_id)
     }
 
-    pub fn insert(&mut self, id: RequestId, request: Request) {
+    pub fn insert(&mut self, id: RequestId, request: OpenClientRequest) {
         self.retain_query_id(&request.query_id);
         self.open.insert(id, request);
     }
 
-    pub fn remove(&mut self, id: RequestId) -> Option<Request> {
+    pub fn remove(&mut self, id: RequestId) -> Option<OpenClientRequest> {
         let request = self.open.remove(&id)?;
         self.release_query_id(&request.query_id);
         Some(request)
--- a/gateway/src/net/shutdown.rs
+++ b/gateway/src/net/shutdown.rs
@@ -14,7 +14,7 @@
 
 use super::connection::Phase;
 use super::listeners::FrontEnd;
-use super::{Server, Timer};
+use super::{NetTimer, Server};
 use crate::core::Input;
 
 /// How long new work is accepted after SIGTERM.
@@ -87,8 +87,8 @@
         let kill_after_us = ACCEPT_US + self.shutdown.longest_deadline_us.min(max_deadline_us);
         let answer_within_us = kill_after_us.saturating_sub(ANSWER_MARGIN_US).max(ACCEPT_US);
         self.shutdown.answer_within_us = answer_within_us;
-        self.timers.arm(now_us + ACCEPT_US, Timer::Shutdown);
-        self.timers.arm(now_us + answer_within_us, Timer::Shutdown);
+        self.timers.arm(now_us + ACCEPT_US, NetTimer::Shutdown);
+        self.timers.arm(now_us + answer_within_us, NetTimer::Shutdown);
         tracing::info!(accept_us = ACCEPT_US, answer_within_us, "graceful shutdown begins");
     }
 
@@ -128,7 +128,7 @@
         let now_us = self.time.now_us;
         let Some(since_us) = self.shutdown.lingers_since_us else {
             self.shutdown.lingers_since_us = Some(now_us);
-            self.timers.arm(now_us + LINGER_US, Timer::Shutdown);
+            self.timers.arm(now_us + LINGER_US, NetTimer::Shutdown);
             self.end_sessions();
             return false;
         };
@@ -147,7 +147,7 @@
     }
 
     /// Reads once more from every client, whose new requests are rejected, and ends the gateway's side. A client that
-    /// has begun a message or its session is told why; to an idle one the connection just ends.
+    /// has begun a message or its session gets an error; to an idle one the connection just ends.
     fn end_sessions(&mut self) {
         let sessions: Vec<_> = self.sessions.table.handles().collect();
         for handle in sessions {
--- a/gateway/src/net/timer.rs
+++ b/gateway/src/net/timer.rs
@@ -6,18 +6,18 @@
 
 /// A timer of the event loop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Timer {
+pub enum NetTimer {
     /// Something must have happened on a connection to an engine: its slot and serial.
     EngineConnection(usize, u32),
     /// An engine should have confirmed a cancellation by now.
     CancelTimeout(engines::AttemptId),
-    /// The engine of a lost attempt is asked again to confirm its end.
+    /// Another call asks the engine of a lost attempt to confirm its end.
     Confirmation(engines::AttemptId),
     /// A client may have exceeded its time limit: for its start-up, a message, or a graceful close.
     Client(Handle),
     /// The session that has been idle for longest may have been so for too long.
     IdleLimit,
-    /// The coordinator's stream is looked at.
+    /// The stream of the endpoint list is checked.
     Watch,
     /// The control plane's stream is checked, and the report that is due.
     ControlPlane,
--- a/gateway/src/net/watch.rs
+++ b/gateway/src/net/watch.rs
@@ -8,7 +8,7 @@
 use super::connection::{Connection, Phase, ReadEnd};
 use super::poll::Interest;
 use super::poll_key::PollKey;
-use super::{Server, Timer};
+use super::{NetTimer, Server};
 use crate::discovery::{DueActions, EndpointListEvent, EndpointWatch, WatchError};
 
 /// Bytes read ahead from the discovery service.
@@ -69,7 +69,7 @@
     fn arm_watch_timer(&mut self) {
         let deadline_us = self.watch.state.deadline_us();
         if !self.watch.timer.is_some_and(|timer| self.timers.rearm(timer, deadline_us)) {
-            self.watch.timer = Some(self.timers.arm(deadline_us, Timer::Watch));
+            self.watch.timer = Some(self.timers.arm(deadline_us, NetTimer::Watch));
         }
     }
 
--- a/sessions/src/read_scheduler/cost_model.rs
+++ b/sessions/src/read_scheduler/cost_model.rs
@@ -39,7 +39,7 @@
 const LONG_TURN_STEP_RATIO: f64 = 0.4;
 const LONG_TURN_US: f64 = 1_000.0;
 /// The largest error that one turn counts for, relative to its predicted time: a turn in which the system ran
-/// something else tells nothing of the work.
+/// something else says nothing of the work.
 const MAX_ERROR_RATIO: f64 = 4.0;
 /// Costs before the first turn, in the order of [`Work`].
 const INITIAL_COSTS_US: [f64; WORK_KINDS] = [30.0, 15.0, 40.0, 2.0, 10.0];
