--- a/gateway/src/net/clients/accept.rs
+++ b/gateway/src/net/clients/accept.rs
@@ -7,7 +7,7 @@
 
 use crate::net::Server;
 use crate::net::connection::Connection;
-use crate::net::listeners::{self, Front};
+use crate::net::listeners::{self, FrontEnd};
 use crate::net::sessions::Sessions;
 
 /// Rejected clients that are held beyond the limit of sessions until they have read why.
@@ -26,19 +26,19 @@
 impl Server {
     /// Gives a new client a session, if need be the place of another one. A client that is rejected may have sent a
     /// request behind its start-up message, which thereby is rejected too.
-    pub(in crate::net) fn accept_client(&mut self, stream: TcpStream, from: SocketAddr, front: Front) {
+    pub(in crate::net) fn accept_client(&mut self, stream: TcpStream, from: SocketAddr, front: FrontEnd) {
         let place = self.find_place();
         if place == Place::None {
             return;
         }
-        if let Err(e) = listeners::keep_alive(&stream, &self.config) {
-            tracing::debug!("keepalive: {e}");
+        if let Err(error) = listeners::keep_alive(&stream, &self.config) {
+            tracing::debug!(%error, "setting TCP keepalive failed");
         }
         let key = Sessions::key(self.sessions.table.next_handle());
         let connection = match Connection::accepted(&self.poll, stream, key, self.sessions.read_ahead_bytes())
         {
             Ok(connection) => connection,
-            Err(e) => return tracing::warn!("a client connection could not be registered: {e}"),
+            Err(error) => return tracing::warn!(%error, "registering a client connection failed"),
         };
         let handle = self.sessions.insert(connection, front, from, &self.config, self.time.now_us);
         self.counters.clients += 1;
--- a/lab/src/capacity/process.rs
+++ b/lab/src/capacity/process.rs
@@ -17,7 +17,7 @@
 use super::site::Site;
 
 /// How long an answer of the gateway is waited for.
-const PATIENCE: Duration = Duration::from_secs(10);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
 /// Bytes of a line end.
 const LINE_END: u64 = 1;
 
@@ -88,7 +88,9 @@
         let path = PathBuf::from(format!("/proc/{}/schedstat", self.process()));
         let text = std::fs::read_to_string(&path).map_err(CapacityError::file(&path))?;
         let spent = text.split_whitespace().next().and_then(|ns| ns.parse::<f64>().ok());
-        spent.map(|ns| ns / 1e3).ok_or_else(|| CapacityError::Peer("no processor time is told".to_owned()))
+        spent
+            .map(|ns| ns / 1e3)
+            .ok_or_else(|| CapacityError::Peer("no processor time in schedstat".to_owned()))
     }
 
     /// Anonymous memory that is resident, in bytes.
@@ -132,9 +134,9 @@
         self.signal(Signal::USR1)?;
         let line = self.line_with("counters=")?;
         let key = format!("{name}=");
-        let word = line.split(['"', ' ']).find_map(|word| word.strip_prefix(&key));
+        let value = line.split(['"', ' ']).find_map(|part| part.strip_prefix(&key));
         let unknown = || CapacityError::Peer(format!("no counter {name} in {line}"));
-        word.and_then(|n| n.parse().ok()).ok_or_else(unknown)
+        value.and_then(|n| n.parse().ok()).ok_or_else(unknown)
     }
 
     /// The answer to `GET /status/metrics`, head included.
@@ -143,7 +145,7 @@
     /// It does not answer.
     pub fn metrics(&self) -> Result<String, CapacityError> {
         let mut stream = TcpStream::connect(self.ops)?;
-        stream.set_read_timeout(Some(PATIENCE))?;
+        stream.set_read_timeout(Some(ANSWER_TIMEOUT))?;
         stream.write_all(b"GET /status/metrics HTTP/1.1\r\nHost: capacity\r\n\r\n")?;
         let mut answer = String::new();
         stream.read_to_string(&mut answer)?;
@@ -170,7 +172,7 @@
     fn line_with(&self, text: &str) -> Result<String, CapacityError> {
         loop {
             let none = |_| CapacityError::Peer(format!("the gateway logs nothing with {text}"));
-            let line = self.lines.recv_timeout(PATIENCE).map_err(none)?;
+            let line = self.lines.recv_timeout(ANSWER_TIMEOUT).map_err(none)?;
             if line.contains(text) {
                 return Ok(line);
             }
@@ -197,7 +199,7 @@
 }
 
 fn address(line: &str, key: &str) -> Result<SocketAddr, CapacityError> {
-    let word = line.split_whitespace().find_map(|word| word.strip_prefix(key));
+    let value = line.split_whitespace().find_map(|part| part.strip_prefix(key));
     let none = || CapacityError::Peer(format!("no address behind {key} in: {line}"));
-    word.and_then(|w| w.trim_matches('"').parse().ok()).ok_or_else(none)
+    value.and_then(|value| value.trim_matches('"').parse().ok()).ok_or_else(none)
 }
--- a/lab/src/classes.rs
+++ b/lab/src/classes.rs
@@ -8,6 +8,9 @@
 
 use super::log::{at, each, field};
 
+#[cfg(test)]
+mod tests;
+
 /// Counts by class what gateways logged with `--log debug`.
 #[derive(clap::Args)]
 pub struct Options {
@@ -23,11 +26,11 @@
 /// What was seen of one class.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Count {
-    /// Requests taken.
+    /// Requests admitted.
     pub taken: u64,
-    /// Attempts sent, and those that were given up.
+    /// Attempts forwarded.
     pub attempts: u64,
-    /// Attempts that were given up.
+    /// Attempts that were cancelled.
     pub given_up: u64,
     /// Final answers.
     pub served: u64,
@@ -35,11 +38,11 @@
     pub refused: u64,
     /// Final answers.
     pub failed: u64,
-    /// Refused while held, by the guard that kept it from most engines.
+    /// Shed while queued, by the guard that kept it from most engines.
     pub guards: BTreeMap<String, u64>,
-    /// Seconds from taken to first sent, of those that were sent.
+    /// Seconds from admission to first sent, of those that were sent.
     pub held_s: f64,
-    /// Seconds from taken to answered, of those that were served.
+    /// Seconds from admission to answered, of those that were served.
     pub took_s: f64,
     /// How many were sent at least once.
     pub sent: u64,
@@ -68,7 +71,7 @@
 /// Counts one gateway's log.
 pub fn count(log: impl BufRead) -> std::io::Result<Seconds> {
     let mut seconds = Seconds::new();
-    // By query id: class, when it was taken, whether it was sent.
+    // By query id: class, when it was admitted, whether it was sent.
     let mut open: HashMap<String, (usize, f64, bool)> = HashMap::new();
     for line in log.lines() {
         let line = line?;
@@ -82,7 +85,7 @@
             continue;
         }
         let Some(query_id) = field(&line, "query_id") else { continue };
-        if line.contains(" taken ") {
+        if line.contains(" request admitted ") {
             let Some(class) = field(&line, "class").and_then(|c| c.parse().ok()) else { continue };
             open.insert(query_id.to_owned(), (class, now, false));
             seconds.entry((class, now as u64)).or_default().taken += 1;
@@ -98,16 +101,16 @@
             }
         } else if line.contains(" attempt cancelled ") {
             count.given_up += 1;
-        } else if line.contains(" answered ") {
-            match field(&line, "how") {
+        } else if line.contains(" request answered ") {
+            match field(&line, "outcome") {
                 Some("served") => {
                     count.served += 1;
                     count.took_s += now - *taken;
                 }
-                Some("refused") => count.refused += 1,
+                Some("rejected") => count.refused += 1,
                 _ => count.failed += 1,
             }
-            // Its last attempt may still be given up behind the answer.
+            // Its last attempt may still be cancelled after the answer.
         }
     }
     Ok(seconds)
@@ -175,35 +178,3 @@
     busiest_tenth.iter().for_each(|(class, count)| print(&format!("{class}, busiest"), count));
     options.output.write(&Figures { classes, quietest_tenth, busiest_tenth })
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    const LOG: &str = r#"0.000  INFO wrenhatch: serving name=n1
-0.054 DEBUG wrenhatch::net::clients: taken query_id="a1" request=1 class=0 wait_us=2087000 now_us=41676
-0.104 DEBUG wrenhatch::net::engines: attempt forwarded query_id="a1" attempt=0 engine=1 class=0 now_us=42104
-0.207 DEBUG wrenhatch::net::engines: attempt ended query_id="a1" attempt=0 engine=1 now_us=194537 outcome=Success
-0.254 DEBUG wrenhatch::net::clients: answered query_id="a1" now_us=194537 how="served"
-0.300 DEBUG wrenhatch::net::clients: taken query_id="b2" request=2 class=1 wait_us=13921000 now_us=300000
-1.400 DEBUG workload_manager::decisions::explain: queued request shed request=2 class=1 why=concurrency_limit open=0 concurrency_limit=80 queued_seconds=1.10
-1.400 DEBUG wrenhatch::net::clients: answered query_id="b2" now_us=1400000 how="refused"
-1.500 DEBUG wrenhatch::net::clients: taken query_id="c3" request=3 class=1 wait_us=13921000 now_us=1500000
-1.500 DEBUG wrenhatch::net::engines: attempt forwarded query_id="c3" attempt=0 engine=1 class=1 now_us=1500000
-1.700 DEBUG wrenhatch::net::engines: attempt cancelled query_id="c3" attempt=0 now_us=1700000
-1.800 DEBUG wrenhatch::net::engines: attempt forwarded query_id="c3" attempt=1 engine=2 class=1 now_us=1800000
-"#;
-
-    #[test]
-    fn a_log_is_counted_by_class_and_second() {
-        let seconds = count(LOG.as_bytes()).unwrap();
-        let first = &seconds[&(0, 0)];
-        assert_eq!((first.taken, first.served, first.attempts, first.sent), (1, 1, 1, 1));
-        assert!((first.held_s - 0.05).abs() < 1e-9 && (first.took_s - 0.2).abs() < 1e-9, "{first:?}");
-        assert_eq!(seconds[&(1, 0)].taken, 1);
-        let second = &seconds[&(1, 1)];
-        assert_eq!((second.taken, second.refused, second.attempts, second.given_up), (1, 1, 2, 1));
-        assert_eq!(second.guards, BTreeMap::from([("concurrency_limit".to_owned(), 1)]));
-        assert_eq!((second.sent, sums(&seconds)[&1].taken), (1, 2));
-    }
-}
--- a/lab/src/configuration/mod.rs
+++ b/lab/src/configuration/mod.rs
@@ -37,7 +37,7 @@
 
 const SECOND_US: u64 = 1_000_000;
 
-/// Which fleets to play, and on what settings.
+/// Which fleets to simulate, and with what settings.
 #[derive(clap::Args)]
 pub struct Options {
     /// Gateways, one run for each number.
@@ -49,10 +49,10 @@
     /// Tenants of the settings.
     #[arg(long, default_value_t = 100)]
     tenants: usize,
-    /// How often each fault is played, with a seed for each.
+    /// How often each fault is simulated, with a seed for each.
     #[arg(long, default_value_t = 20)]
     repeats: u64,
-    /// Changes that are played of an ordinary day.
+    /// Changes that are simulated of an ordinary day.
     #[arg(long, default_value_t = 60)]
     changes: u64,
     /// The seed of the first run.
@@ -62,7 +62,7 @@
     output: Output,
 }
 
-/// Plays all scenarios on all fleets, measures the costs, and prints both.
+/// Simulates all scenarios on all fleets, measures the costs, and prints both.
 pub fn run(options: &Options) -> anyhow::Result<()> {
     let size = settings::Size { classes: options.classes, tenants: options.tenants };
     // First, while nothing was freed that could be used again.
@@ -71,9 +71,9 @@
         figures.costs.push(cost::measure(size, *gateways)?);
         for scenario in Scenario::ALL {
             let times = if scenario == Scenario::Ordinary { 1 } else { options.repeats };
-            let plays = (options.seed..).take(times as usize);
-            let plays = plays.map(|seed| scenario.play(*gateways, size, seed, options.changes));
-            figures.rows.push(report::Row::new(scenario, *gateways, plays));
+            let seeds = (options.seed..).take(times as usize);
+            let runs = seeds.map(|seed| scenario.simulate(*gateways, size, seed, options.changes));
+            figures.rows.push(report::Row::new(scenario, *gateways, runs));
         }
     }
     print!("{figures}");
--- a/lab/src/hollow/compare.rs
+++ b/lab/src/hollow/compare.rs
@@ -7,13 +7,13 @@
 use serde::{Deserialize, Serialize};
 
 use super::bounds::Bounds;
+use super::control_state::ControlState;
 use super::error::HollowError;
 use super::events::{Action, Script};
 use super::figures::{comparison_path, write_json};
 use super::fleet::{self, FleetSize};
 use super::list::{Database, DatabaseState};
 use super::model::Model;
-use super::model::control::ControlState;
 use super::options::{BoundOptions, SizeOptions};
 use super::sockets::gateways::{Manner, Programs};
 use super::sockets::print;
@@ -192,7 +192,7 @@
         list_calls: measured.calls.saturating_sub(measured.ended),
         list_events: measured.events,
         event_bytes: measured.event_bytes,
-        // Nothing is asked for, and so no connection opened; the core of a hollow gateway sends nothing.
+        // Without requests no connection is opened; the core of a hollow gateway sends nothing.
         engine_connects: 0,
     })
 }
--- a/lab/src/hollow/sockets/run.rs
+++ b/lab/src/hollow/sockets/run.rs
@@ -13,15 +13,15 @@
 use crate::hollow::fleet::{self, FleetSize};
 use crate::hollow::list::{Database, DatabaseList, DatabaseState};
 
-/// Time between two looks at the gateways' processor time.
+/// Time between two readings of the gateways' processor time.
 const SAMPLE: Duration = Duration::from_secs(1);
 /// How late a step or a comment may be in a phase whose figures are used.
 const MOST_LATE: Duration = Duration::from_millis(250);
 /// Between having been written the list and the end of the start: gateways take it in meanwhile.
 const SETTLE: Duration = Duration::from_secs(2);
 /// How long all gateways may take to have the list.
-const START_PATIENCE: Duration = Duration::from_secs(60);
-/// Between two looks at whether they have.
+const START_TIMEOUT: Duration = Duration::from_secs(60);
+/// Between two checks whether they have.
 const START_LOOK: Duration = Duration::from_millis(50);
 /// Control machines write no comments for so long in the phase `silence`: gateways take a stream for dead after
 /// 2.5 to 3 s without one.
@@ -147,7 +147,7 @@
     pub counts: GatewayCounts,
     /// Anonymous memory of a gateway at the end, in the mean, in bytes.
     pub bytes_a_gateway: f64,
-    /// Anonymous memory of one process of gateways beside theirs can't be told apart: how many processes shared it.
+    /// Gateways of one process share its anonymous memory: how many processes there were.
     pub processes: usize,
 }
 
@@ -206,13 +206,13 @@
         loop {
             self.bounds.check(&self.gateways.processes())?;
             self.gateways.check()?;
-            let told: u64 = self.control.iter().map(|machine| machine.counts().told).sum();
-            if told == self.size.gateways as u64 {
+            let up_to_date: u64 = self.control.iter().map(|machine| machine.counts().up_to_date).sum();
+            if up_to_date == self.size.gateways as u64 {
                 return Ok(());
             }
-            if began.elapsed() > START_PATIENCE {
+            if began.elapsed() > START_TIMEOUT {
                 let of = self.size.gateways;
-                return Err(HollowError::Peer(format!("{told} of {of} gateways have the list")));
+                return Err(HollowError::Peer(format!("{up_to_date} of {of} gateways have the list")));
             }
             sleep(START_LOOK);
         }
@@ -280,7 +280,7 @@
         }
     }
 
-    /// Processor time of each gateway since the last look, in nanoseconds.
+    /// Processor time of each gateway since the last reading, in nanoseconds.
     fn sample(&mut self) -> Vec<u64> {
         let now_ns = self.gateways.processor_ns();
         let last_ns = std::mem::replace(&mut self.last_sample_ns, now_ns.clone());
