--- a/gateway/src/core/attempts.rs
+++ b/gateway/src/core/attempts.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use workload_manager::*;
+use workload_manager::{ClassId, EndpointState, EngineId, Event, KeyId, LoadReport, Outcome, RequestId};
 use wrenhatch_sessions::timer_wheel::TimerId;
 
 use super::command::{AttemptLimits, AttemptTerms};
--- a/gateway/src/core/command.rs
+++ b/gateway/src/core/command.rs
@@ -1,6 +1,6 @@
 //! What the core wants done outside: its commands.
 
-use workload_manager::*;
+use workload_manager::{EngineId, KeyId, RequestId};
 
 use super::{AttemptId, PeerProcessId};
 
--- a/gateway/src/core/input.rs
+++ b/gateway/src/core/input.rs
@@ -1,6 +1,9 @@
 //! What happens outside of the core: its inputs.
 
-use workload_manager::*;
+use workload_manager::{
+    ClassId, EndpointEntry, EndpointListMode, KeyId, LoadReport, Outcome, Progress, RequestId, TableGroupId,
+    TenantId,
+};
 
 use super::{AttemptId, PeerProcessId};
 
--- a/gateway/src/core/mod.rs
+++ b/gateway/src/core/mod.rs
@@ -29,8 +29,10 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use workload_manager::WorkloadManager;
-use workload_manager::*;
+use workload_manager::{
+    Action, ClassId, EndpointEntry, EndpointListMode, EndpointState, EngineId, Event, KeyId, RequestId,
+    Settings, SettingsChange, SettingsError, WorkloadManager,
+};
 
 use crate::timer_lag::TimerLag;
 use attempts::{InFlightAttempts, MayRunUntil};
@@ -80,8 +82,8 @@
         })
     }
 
-    /// Takes over changed settings between two turns. Open requests and attempts in flight keep the class that they
-    /// came with, and keys their leases; settings that belong to no class hold for all from here on.
+    /// Takes over changed settings between two calls of [`Core::turn`]. Open requests and attempts in flight keep the
+    /// class that they came with, and keys their leases; settings that belong to no class hold for all from here on.
     ///
     /// # Errors
     /// The settings are contradictory or out of range; the old ones stay.
--- a/gateway/src/core/order_keys.rs
+++ b/gateway/src/core/order_keys.rs
@@ -1,6 +1,6 @@
 //! Order keys: the core carries out what [`super::key_leases`] decides, and tells it of peer processes and cooldowns.
 
-use workload_manager::*;
+use workload_manager::Event;
 
 use super::key_leases::LeaseEffect;
 use super::timers::Timer;
--- a/gateway/src/core/requests.rs
+++ b/gateway/src/core/requests.rs
@@ -1,6 +1,6 @@
 //! Open requests, and the one final answer of each.
 
-use workload_manager::*;
+use workload_manager::{ClassId, Event, KeyId, Request, RequestId};
 use wrenhatch_sessions::timer_wheel::TimerId;
 
 use super::command::AttemptTerms;
--- a/gateway/src/core/rules.rs
+++ b/gateway/src/core/rules.rs
@@ -1,7 +1,7 @@
 //! The rules of retry safety that the core enforces whatever the workload manager asks for, and the limits that it
 //! takes from the settings for them.
 
-use workload_manager::*;
+use workload_manager::{ClassId, Idempotency, KeyId, Settings};
 
 use super::time::micros;
 
@@ -9,8 +9,8 @@
 /// client, and that the request needed from it, which the gateway's clock has not seen.
 pub(super) const CLIENT_DEADLINE_MARGIN_US: u64 = 25_000;
 
-/// Retry-After of a request whose engine fell silent: other engines can take it at once.
-const SILENT_ENGINE_RETRY_AFTER_SECONDS: f64 = 0.05;
+/// Retry-After of requests that the core itself ends: shutdown, lease not granted in time, silent engine.
+const CORE_RETRY_AFTER_SECONDS: f64 = 0.05;
 
 /// Limits that the core enforces itself.
 pub(super) struct RequestRules {
@@ -29,7 +29,7 @@
 impl RequestRules {
     pub(super) fn new(settings: &Settings) -> Self {
         let capabilities = &settings.capabilities;
-        let retry_after_seconds = SILENT_ENGINE_RETRY_AFTER_SECONDS.min(capabilities.max_retry_after);
+        let retry_after_seconds = CORE_RETRY_AFTER_SECONDS.min(capabilities.max_retry_after);
         Self {
             idempotency: settings.classes.iter().map(|class| class.idempotency).collect(),
             ordered_by_key: settings.classes.iter().map(|class| class.ordered_by_key).collect(),
--- a/gateway/src/core/tests.rs
+++ b/gateway/src/core/tests.rs
@@ -1,6 +1,7 @@
 //! Tests of the core on a simulated clock.
 
 use quickcheck::quickcheck;
+use workload_manager::*;
 
 use super::rules::CLIENT_DEADLINE_MARGIN_US;
 use super::*;
--- a/gateway/src/core/timers.rs
+++ b/gateway/src/core/timers.rs
@@ -1,6 +1,6 @@
 //! Timers of the core.
 
-use workload_manager::*;
+use workload_manager::{Event, KeyId, RequestId};
 use wrenhatch_sessions::timer_wheel::{TimerId, TimerWheel};
 
 use super::{AttemptId, Command, Core};
