--- a/lab/src/capacity/decisions.rs
+++ b/lab/src/capacity/decisions.rs
@@ -11,15 +11,15 @@
 use super::site::Site;
 
 /// Statements a second that the loop in memory makes: about what a gateway gets at the operators' size.
-const RATE_PER_S: f64 = 2_364.0;
+const STATEMENTS_PER_SECOND: f64 = 2_364.0;
 /// How long clients wait, in microseconds.
-const PATIENCE_US: u64 = 3_000_000;
+const CLIENT_TIMEOUT_US: u64 = 3_000_000;
 /// Zones of the site.
 const ZONES: usize = 5;
 /// Seed of the core's random numbers.
 const SEED: u64 = 0x8c1f_30d2_7a5b_e964;
 /// Simulated time between two changes of the list, in microseconds.
-const CHANGE_US: u64 = 10_000;
+const CHANGE_INTERVAL_US: u64 = 10_000;
 
 /// An attempt that its engine answers at a time.
 struct Running {
@@ -34,7 +34,7 @@
     engines: usize,
     service_us: u64,
     running: VecDeque<Running>,
-    asked: u64,
+    requests: u64,
     /// Requests that were answered with all rows.
     pub served: u64,
     /// Requests that were not.
@@ -66,14 +66,14 @@
     pub fn new(engines: usize, open: usize) -> Result<Self, CapacityError> {
         let site = Site::new(vec![SocketAddr::from(([127, 0, 0, 1], 1)); 1]);
         let core = Core::new(settings(&site)?, SEED)?;
-        let service_us = (open as f64 / RATE_PER_S * 1e6) as u64;
+        let service_us = (open as f64 / STATEMENTS_PER_SECOND * 1e6) as u64;
         let mut decisions = Self {
             core,
             now_us: 0,
             engines,
             service_us,
             running: VecDeque::new(),
-            asked: 0,
+            requests: 0,
             served: 0,
             unserved: 0,
             commands: Vec::new(),
@@ -82,8 +82,8 @@
         let gap_us = (service_us / open.max(1) as u64).max(1);
         for _ in 0..open {
             decisions.now_us += gap_us;
-            let ask = decisions.ask();
-            decisions.turn(vec![ask]);
+            let request = decisions.new_request();
+            decisions.turn(vec![request]);
         }
         Ok(decisions)
     }
@@ -99,19 +99,19 @@
         }
     }
 
-    fn ask(&mut self) -> Input {
-        self.asked += 1;
+    fn new_request(&mut self) -> Input {
+        self.requests += 1;
         let request = NewRequest {
             class: ClassId(0),
             tenant: Some(TenantId(0)),
-            deadline_us: self.now_us + PATIENCE_US,
+            deadline_us: self.now_us + CLIENT_TIMEOUT_US,
             estimated_work: Some(0.002),
             estimated_memory_mb: None,
             table_group: Some(TableGroupId(1)),
             key: None,
             is_retry: false,
         };
-        Input::RequestArrived { id: RequestId(self.asked), request }
+        Input::RequestArrived { id: RequestId(self.requests), request }
     }
 
     /// One turn of the core; attempts that start are answered later.
@@ -136,40 +136,40 @@
     }
 
     /// Turns for the core's own timers up to a time; how many.
-    fn look_until(&mut self, until_us: u64) -> u64 {
-        let mut looks = 0;
+    fn run_timers_until(&mut self, until_us: u64) -> u64 {
+        let mut ticks = 0;
         while let Some(due_us) = self.core.next_timer_us().filter(|due_us| *due_us < until_us) {
             self.now_us = self.now_us.max(due_us);
             self.turn(Vec::new());
-            looks += 1;
+            ticks += 1;
         }
         self.now_us = self.now_us.max(until_us);
-        looks
+        ticks
     }
 
-    /// The oldest attempt is answered, and its client asks again.
+    /// The oldest attempt ends, and its client sends the next request.
     fn statement(&mut self) {
         let Some(next) = self.running.pop_front() else { return };
-        self.look_until(next.done_us);
+        self.run_timers_until(next.done_us);
         let report = LoadReport { queued: Some(0.0), ..LoadReport::default() };
         let ended = Input::AttemptEnded {
             attempt: next.attempt,
             outcome: Outcome::Success,
             load_report: Some(report),
         };
-        let ask = self.ask();
-        self.turn(vec![ended, ask]);
+        let request = self.new_request();
+        self.turn(vec![ended, request]);
     }
 
-    /// So many statements; processor time of each, looks that fall between included.
+    /// So many statements; processor time of each, control ticks between them included.
     pub fn statements(&mut self, count: u64) -> f64 {
         let began_us = thread_cpu_us();
         (0..count).for_each(|_| self.statement());
         (thread_cpu_us() - began_us) / count as f64
     }
 
-    /// So many looks with all requests out and nothing else; processor time of each.
-    pub fn looks(&mut self, count: u64) -> f64 {
+    /// So many control ticks with all requests in flight and nothing else; processor time of each.
+    pub fn control_ticks(&mut self, count: u64) -> f64 {
         let (mut seen, mut cpu_us) = (0, 0.0);
         while seen < count {
             let Some(next) = self.core.next_timer_us() else { break };
@@ -179,7 +179,7 @@
                 continue;
             }
             let began_us = thread_cpu_us();
-            seen += self.look_until(next + 1);
+            seen += self.run_timers_until(next + 1);
             cpu_us += thread_cpu_us() - began_us;
         }
         cpu_us / seen.max(1) as f64
@@ -189,7 +189,7 @@
     pub fn changes(&mut self, count: u64) -> f64 {
         let mut cpu_us = 0.0;
         for change in 0..count {
-            self.pass(CHANGE_US);
+            self.pass(CHANGE_INTERVAL_US);
             let engine = (change / 2) as usize % self.engines;
             let state = if change % 2 == 0 { EndpointState::Draining } else { EndpointState::Ready };
             let list = Input::EndpointList {
@@ -207,7 +207,7 @@
     pub fn lists(&mut self, count: u64) -> f64 {
         let mut cpu_us = 0.0;
         for _ in 0..count {
-            self.pass(CHANGE_US);
+            self.pass(CHANGE_INTERVAL_US);
             cpu_us += self.whole_list();
         }
         cpu_us / count as f64
@@ -227,6 +227,6 @@
         while self.running.front().is_some_and(|r| r.done_us <= until_us) {
             self.statement();
         }
-        self.look_until(until_us);
+        self.run_timers_until(until_us);
     }
 }
