--- a/lab/src/capacity/process.rs
+++ b/lab/src/capacity/process.rs
@@ -1,4 +1,4 @@
-//! The gateway as a process, and what the system tells of it.
+//! The gateway as a process, and what the system says of it.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -61,10 +61,10 @@
         command.stdout(Stdio::null()).stderr(Stdio::piped());
         let mut child = command.spawn().map_err(CapacityError::file(program))?;
         let log_bytes = Arc::<AtomicU64>::default();
-        let (tell, lines) = channel();
+        let (lines_sender, lines) = channel();
         if let Some(log) = child.stderr.take() {
             let counted = log_bytes.clone();
-            thread::spawn(move || read_log(log, &counted, &tell));
+            thread::spawn(move || read_log(log, &counted, &lines_sender));
         }
         let unset = SocketAddr::from(([127, 0, 0, 1], 0));
         let mut gateway =
@@ -155,12 +155,12 @@
     /// Engines in its list, by its own figures.
     ///
     /// # Errors
-    /// It does not answer, or does not tell.
+    /// It does not answer, or its metrics do not say.
     pub fn engines_known(&self) -> Result<usize, CapacityError> {
         let figures = self.metrics()?;
         let known = figures.lines().find_map(|line| line.strip_prefix("edge_lb.engines_known="));
-        let untold = || CapacityError::Peer("it does not tell how many engines it knows".to_owned());
-        known.and_then(|n| n.parse().ok()).ok_or_else(untold)
+        let unknown = || CapacityError::Peer("its metrics do not say how many engines it knows".to_owned());
+        known.and_then(|n| n.parse().ok()).ok_or_else(unknown)
     }
 
     fn signal(&self, signal: Signal) -> Result<(), CapacityError> {
@@ -189,11 +189,11 @@
 }
 
 /// Counts the bytes of the log and passes on the lines that are waited for; those of single requests are not kept.
-fn read_log(log: ChildStderr, counted: &AtomicU64, tell: &Sender<String>) {
+fn read_log(log: ChildStderr, counted: &AtomicU64, lines_sender: &Sender<String>) {
     for line in BufReader::new(log).lines().map_while(Result::ok) {
         counted.fetch_add(line.len() as u64 + LINE_END, Ordering::SeqCst);
         if line.contains("serving") || line.contains("counters=") {
-            let _ = tell.send(line);
+            let _ = lines_sender.send(line);
         }
     }
 }
--- a/lab/src/hollow/sockets/control.rs
+++ b/lab/src/hollow/sockets/control.rs
@@ -127,7 +127,7 @@
     }
 
     /// Has it do something; it does so at once.
-    pub fn tell(&self, command: Command) {
+    pub fn send(&self, command: Command) {
         // Both fail only once it has ended.
         let _ = self.commands.send(command);
         let _ = (&self.wake).write(&[0]);
@@ -141,7 +141,7 @@
 
 impl Drop for ControlStandIn {
     fn drop(&mut self) {
-        self.tell(Command::Stop);
+        self.send(Command::Stop);
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
@@ -226,7 +226,7 @@
         match command {
             Command::Change(changed) => {
                 self.list.change(&changed);
-                (0..self.streams.len()).for_each(|place| self.tell(place));
+                (0..self.streams.len()).for_each(|place| self.send_events(place));
             }
             Command::EndStreams => self.end_streams(),
             Command::Leave => {
@@ -325,11 +325,11 @@
         counts.calls.add(now_us, 1);
         counts.bytes.add(now_us, STREAM_HEAD.len() as u64);
         drop(counts);
-        self.tell(place);
+        self.send_events(place);
     }
 
     /// Writes all events that the stream has not been sent.
-    fn tell(&mut self, place: usize) {
+    fn send_events(&mut self, place: usize) {
         let now_us = self.now_us();
         let Some(Some(stream)) = self.streams.get_mut(place) else { return };
         let Some(last_sent) = stream.last_sent else { return };
--- a/lab/src/hollow/sockets/gateways.rs
+++ b/lab/src/hollow/sockets/gateways.rs
@@ -43,7 +43,7 @@
     /// This program, and the gateway beside it.
     ///
     /// # Errors
-    /// The system does not tell this program's place.
+    /// The path of this program is not known.
     pub fn beside_this() -> Result<Self, HollowError> {
         let lab = std::env::current_exe()?;
         Ok(Self { gateway: lab.with_file_name("wrenhatch"), lab })
--- a/lab/src/hollow/sockets/run.rs
+++ b/lab/src/hollow/sockets/run.rs
@@ -219,7 +219,7 @@
     }
 
     fn phase(&mut self, phase: Phase, phase_s: u64) -> Result<PhaseFigures, HollowError> {
-        self.control.iter().for_each(|machine| machine.tell(Command::Measure));
+        self.control.iter().for_each(|machine| machine.send(Command::Measure));
         self.sample();
         self.late = Duration::ZERO;
         let began = Instant::now();
@@ -249,12 +249,12 @@
         self.late = self.late.max(due.elapsed());
     }
 
-    fn tell_all(&self, command: &Command) {
-        self.control.iter().for_each(|machine| machine.tell(command.clone()));
+    fn send_to_all(&self, command: &Command) {
+        self.control.iter().for_each(|machine| machine.send(command.clone()));
     }
 
     fn change(&self, number: usize, state: DatabaseState, since_ms: u64) {
-        self.tell_all(&Command::Change(vec![Database { number, state, since_ms }]));
+        self.send_to_all(&Command::Change(vec![Database { number, state, since_ms }]));
     }
 
     fn act(&self, phase: Phase) {
@@ -266,16 +266,16 @@
             Phase::ZoneReturns => {
                 zone().for_each(|number| self.change(number, DatabaseState::Ready, RETURN_MS));
             }
-            Phase::ControlEnds => self.control[0].tell(Command::Leave),
-            Phase::StreamsEnd => self.tell_all(&Command::EndStreams),
-            Phase::Silence => self.tell_all(&Command::Silent(true)),
+            Phase::ControlEnds => self.control[0].send(Command::Leave),
+            Phase::StreamsEnd => self.send_to_all(&Command::EndStreams),
+            Phase::Silence => self.send_to_all(&Command::Silent(true)),
         }
     }
 
     fn act_at_end(&self, phase: Phase) {
         match phase {
-            Phase::ControlEnds => self.control[0].tell(Command::Return),
-            Phase::Silence => self.tell_all(&Command::Silent(false)),
+            Phase::ControlEnds => self.control[0].send(Command::Return),
+            Phase::Silence => self.send_to_all(&Command::Silent(false)),
             _ => {}
         }
     }
