--- a/gateway/src/core/input.rs
+++ b/gateway/src/core/input.rs
@@ -20,7 +20,7 @@
     pub estimated_work: Option<f64>,
     /// Estimated memory, in MB.
     pub estimated_memory_mb: Option<f64>,
-    /// The group of tables that it reads.
+    /// The group of tables that it reads or loads.
     pub table_group: Option<TableGroupId>,
     /// Its order key; ignored in a class that is not ordered by key.
     pub key: Option<KeyId>,
--- a/gateway/src/core/key_leases.rs
+++ b/gateway/src/core/key_leases.rs
@@ -1,11 +1,12 @@
 //! Leases of order keys: which process of a gateway may run requests of a key.
 //!
-//! While one process of a gateway replaces another, both get requests of the same keys, and the order of a key holds
-//! across both. So each key has a lease that one process holds at a time. This is K. Raymond's algorithm ("A
-//! tree-based algorithm for distributed mutual exclusion", 1989), once for each key: the processes form a tree, here
-//! with the oldest one at its root; a process knows only which of its neighbours is nearer to the holder (`holder`),
-//! whether it has claimed the lease there (`has_claimed`, the paper's *asked*), and whom it will serve in turn
-//! (`request_queue`). The paper's messages *request* and *privilege* are a claim and a grant here.
+//! While one process of a gateway replaces another, both get requests of the same keys, and the order of a
+//! key holds across both. So each key has a lease that one process holds at a time. This is K. Raymond's
+//! algorithm ("A tree-based algorithm for distributed mutual exclusion", 1989), once for each key: the
+//! processes form a tree, here with the oldest one at its root; a process knows only which of its peers is
+//! nearer to the holder (`holder`), whether it has claimed the lease there (`has_claimed`, the paper's
+//! *asked*), and whom it will serve in turn (`request_queue`). The paper's messages *request* and *privilege*
+//! are a claim and a grant here.
 //!
 //! Two things differ from the paper. Several requests of the holding process may use a lease at once, as the workload
 //! manager orders them; `in_use` counts them. And a lease that nobody uses goes back to the root, so that the table
@@ -18,7 +19,7 @@
 
 use workload_manager::{KeyId, RequestId};
 
-/// A neighbouring process, by the number of the connection to it.
+/// A peer process, by the number of the connection to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PeerProcessId(pub u32);
 
--- a/gateway/src/core/mod.rs
+++ b/gateway/src/core/mod.rs
@@ -105,7 +105,8 @@
         self.open_requests.len()
     }
 
-    /// Engines of the endpoint list that get nothing new: they are draining, or ejected.
+    /// Engines of the endpoint list that get nothing new: they are draining, ejected, or rest after a
+    /// rejected attempt.
     pub fn engines_avoided(&self, now_us: u64) -> usize {
         self.workload_manager.engines_avoided(seconds(now_us))
     }
@@ -120,7 +121,8 @@
         self.timers.lag()
     }
 
-    /// Armed timers: one for each open request, one for each attempt with a timeout, and the workload manager's.
+    /// Armed timers: one for each open request, one for each attempt with a timeout, those of key cooldowns,
+    /// and the workload manager's.
     pub fn timers(&self) -> usize {
         self.timers.len()
     }
--- a/gateway/src/discovery/watch.rs
+++ b/gateway/src/discovery/watch.rs
@@ -11,8 +11,9 @@
 //! Methods append the events that are to be applied now, in order, to the `events` that they are given. Random numbers
 //! come from `chance`, from 0 to 1.
 //!
-//! Invariant: an event is applied at most once, in the order of the numbers, and `last_index` is the number of the last
-//! event that was taken; a stream is always requested behind it.
+//! Invariant: an event is applied at most once (twice if entries of it can't be read), in the order of the
+//! numbers, and `last_index` is the number of the last event that was taken; a stream is always requested
+//! behind it.
 
 use super::endpoint::EndpointListEvent;
 use super::silence::SilenceDetector;
--- a/gateway/src/front/mod.rs
+++ b/gateway/src/front/mod.rs
@@ -64,7 +64,7 @@
 /// Why the gateway ends a session; the client gets an error that says so.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DisconnectReason {
-    /// There is no capacity for the session; a retry is safe.
+    /// There is no place for the session; a retry is safe.
     TooManyConnections,
     /// The session did not start, or a message that its client began did not end, in time.
     Timeout,
--- a/gateway/src/net/engines.rs
+++ b/gateway/src/net/engines.rs
@@ -130,12 +130,12 @@
     pub engine: EngineId,
     job: Job,
     protocol_state: ProtocolState,
-    /// When the call was written whose response is awaited.
+    /// When the call was written whose response is awaited, or before that when the connection was opened.
     call_written_us: u64,
     /// The first call of its job is not written before this.
     write_after_us: u64,
-    /// A response came sooner than the engine gives such: it may have been a duplicate of the one before, and then
-    /// one is still to come when the last seems to be here.
+    /// A response came sooner than engines send one without progress: it may have been a duplicate of the one
+    /// before, and then one is still to come when the last seems to be here.
     duplicate_response_possible: bool,
 }
 
--- a/gateway/src/net/engines/cancellation.rs
+++ b/gateway/src/net/engines/cancellation.rs
@@ -51,9 +51,9 @@
         }
     }
 
-    /// The connection of the call that cancels an attempt ended first: the call is repeated, as long as the end is
-    /// awaited. An engine that refuses the connection may run the query on: it drains, or has all the connections
-    /// that it may have.
+    /// The connection of the call that cancels an attempt ended first: the call is repeated, up to
+    /// [`MAX_CALL_RETRIES`] times. Where the engine refuses the connection it is not, and the time limit
+    /// decides; the engine may run the query on: it drains, or has all the connections that it may have.
     pub(super) fn retry_cancellation(&mut self, id: AttemptId, over: &Link, end: ConnectionEnd) {
         let attempt = self.pools.attempts.get_mut(&id).filter(|a| a.call_retries < MAX_CALL_RETRIES);
         let Some(attempt) = attempt else { return };
--- a/gateway/src/net/engines/confirmation.rs
+++ b/gateway/src/net/engines/confirmation.rs
@@ -15,7 +15,7 @@
 /// established late, and short enough that the end of a partition is seen soon.
 pub(super) const CONFIRMATION_CONNECT_TIMEOUT_US: u64 = 2_000_000;
 
-/// How long after one that broke, or for which there was no capacity, the next is opened, in microseconds.
+/// How long after one that broke, or for which no descriptor was left, the next is opened, in microseconds.
 const CONFIRMATION_RETRY_US: u64 = 250_000;
 
 /// A lost attempt whose end is to be confirmed.
--- a/gateway/src/net/engines/connections.rs
+++ b/gateway/src/net/engines/connections.rs
@@ -48,8 +48,9 @@
         self.connect(engine, job, protocol)
     }
 
-    /// Takes the best idle connection out of an engine's pool: one past its reuse delay, with the statement prepared
-    /// and idle for the shortest time, or else the one that has been idle for longest.
+    /// Takes the best idle connection out of an engine's pool: of those past their reuse delay the one idle
+    /// for the shortest time, best with the statement prepared; if none is past it, the one that has been
+    /// idle for longest.
     fn take_idle(
         &mut self,
         engine: EngineId,
--- a/gateway/src/net/event_loop.rs
+++ b/gateway/src/net/event_loop.rs
@@ -1,7 +1,8 @@
 //! The event loop. A turn
 //!
 //! 1. waits for events or the next timer, and reads the clock;
-//! 2. takes in what engines, the control planes and peer processes have sent, and fires timers;
+//! 2. takes in what engines, the discovery service, the control plane, operators and peer processes have
+//!   sent, and fires timers;
 //! 3. accepts and reads clients, as far as the read scheduler lets it;
 //! 4. hands all inputs to the core, executes its commands, and writes to all connections that have output.
 
@@ -36,8 +37,8 @@
 }
 
 impl Server {
-    /// Serves until SIGTERM has come and the graceful shutdown is over. SIGUSR1 logs the counters, SIGHUP reloads the
-    /// configuration.
+    /// Serves until SIGTERM has come and the graceful shutdown is over. SIGUSR1 logs the counters, SIGHUP
+    /// reads the configuration's file again for the discovery service and the endpoint list alone.
     ///
     /// # Errors
     /// The poller fails.
--- a/gateway/src/net/mod.rs
+++ b/gateway/src/net/mod.rs
@@ -1,4 +1,5 @@
-//! The network: the event loop, and all sockets, signals and timers of the gateway.
+//! The network: the event loop, and all sockets and signals of the gateway, and the timers of connections;
+//! those of requests are in [`crate::core`].
 //!
 //! [`Server`] owns the state; each concern has its own and a module for it:
 //! - `event_loop`: a turn, from events to output
--- a/gateway/src/net/process_replacement/mod.rs
+++ b/gateway/src/net/process_replacement/mod.rs
@@ -185,7 +185,8 @@
             let event = PeerProcessEvent::Ended { cooldown_until_us };
             self.inputs.push(Input::PeerProcess { peer: peer.id(), event });
         }
-        // The successor ended before this process: it serves again, and waits for the next successor.
+        // The successor ended before this process: this one accepts clients again, and waits for the next
+        // successor.
         if peer.role == PeerRole::Successor
             && !self.shutdown.has_begun()
             && !self.peer_processes.has_successor()
--- a/gateway/src/net/reload.rs
+++ b/gateway/src/net/reload.rs
@@ -7,7 +7,7 @@
 
 /// Time between two attempts to read a file that may still be being written.
 const RETRY_US: u64 = 100_000;
-/// Attempts until the old settings are kept for good.
+/// Attempts until the reload is given up.
 const MAX_ATTEMPTS: u32 = 20;
 
 impl Server {
@@ -39,7 +39,8 @@
         }
     }
 
-    /// Classes, tenants and rules of the file count from the next start. One line says what that would change.
+    /// Classes, tenants and rules of the file count from the next start. One line says what that would
+    /// change, unless the settings in force came from the control plane.
     fn warn_of_differences(&self, new: &config::Config) {
         if self.control_plane.as_ref().is_some_and(|c| c.client.in_force() > Version::NONE) {
             // The settings in force came from the control plane and not from the file.
--- a/gateway/src/net/sessions/mod.rs
+++ b/gateway/src/net/sessions/mod.rs
@@ -91,7 +91,8 @@
         PollKey::Session(handle).encode()
     }
 
-    /// A random number that no client can guess: a multiplicative sequence over a seed of this start.
+    /// A random number: a linear congruential sequence over a seed of this start. Whoever has seen several of
+    /// its numbers may work out others.
     pub fn secret(&mut self) -> u32 {
         self.random_state =
             self.random_state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
--- a/gateway/src/net/shutdown.rs
+++ b/gateway/src/net/shutdown.rs
@@ -20,11 +20,11 @@
 /// How long new work is accepted after SIGTERM.
 const ACCEPT_US: u64 = 700_000;
 
-/// SIGKILL comes no sooner than the longest deadline of a class after [`ACCEPT_US`]; that counts as this at most where
-/// the process has no peer,
+/// SIGKILL comes no sooner than the longest deadline of a class after [`ACCEPT_US`]; that deadline counts as
+/// this at most where the process has no peer.
 const MAX_DEADLINE_ALONE_US: u64 = 3_000_000;
 
-/// and as this at most where another process of the gateway runs beside it.
+/// The same where another process of the gateway runs beside it.
 const MAX_DEADLINE_WITH_PEER_US: u64 = 5_000_000;
 
 /// Open requests get their final answers this long before SIGKILL may come: the time to write and read them.
--- a/sessions/src/memory_budget.rs
+++ b/sessions/src/memory_budget.rs
@@ -61,9 +61,11 @@
     Normal,
     /// Three quarters or more: no new sessions and prepared statements, and idle sessions with statements are evicted.
     Elevated,
-    /// Seven eighths or more: no new requests, and no more is read from clients.
+    /// Seven eighths or more: no new requests, and sessions with incomplete messages are evicted. Reading
+    /// goes on.
     High,
-    /// All of it: not even results of open requests may take more.
+    /// All of it: sessions that don't read their answers are evicted too. Results of open requests still
+    /// grow.
     Exhausted,
 }
 
--- a/sessions/src/read_scheduler.rs
+++ b/sessions/src/read_scheduler.rs
@@ -1,5 +1,6 @@
-//! The read scheduler: when more sessions are ready than a turn of the event loop can carry, it decides which are
-//! read now, which wait, and which requests are rejected with a Retry-After, and how long that is.
+//! The read scheduler: when more sessions are ready than a turn of the event loop can carry, it decides which
+//! are read now, which wait, and which are read ahead of their turn so that their requests may be rejected,
+//! and how long a Retry-After is.
 //!
 //! - Sessions wait in queues by [`ReadPriority`], which share every turn by stride scheduling; within a queue,
 //!   groups (a tenant, or an address where the tenant is not known) take turns, whatever the number of their sessions.
@@ -19,7 +20,8 @@
 
 use crate::session_table::Handle;
 
-/// What a session that is ready to be read is doing, in the order in which sessions are read.
+/// What a session that is ready to be read is doing. Open requests are read first; the others share the turns
+/// by stride, earlier ones with no smaller part.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[repr(u8)]
 pub enum ReadPriority {
--- a/src/decisions/admission.rs
+++ b/src/decisions/admission.rs
@@ -148,8 +148,8 @@
         }
     }
 
-    /// Background threads stay within the concurrency limit. A request wider than the limit still goes
-    /// where this gateway has no background work.
+    /// Background threads stay within the concurrency limit. A request beyond the limit still goes where this
+    /// gateway has no background work, if the token bucket admits it.
     fn is_within_limit(&self, engine: &Engine) -> bool {
         let warmth = engine.warmth_ratio(self.now, &self.manager.settings.rules);
         let limit = (engine.limit.threads + 0.5).floor().max(1.0) * warmth;
--- a/src/decisions/outlier.rs
+++ b/src/decisions/outlier.rs
@@ -108,7 +108,8 @@
         self.attempts_of_epoch += 1;
     }
 
-    /// Counts an attempt that has ended out of its epoch, and what its outcome says of the engine's health.
+    /// Takes an ended attempt out of its epoch's count, and records what its outcome says of the engine's
+    /// health.
     pub(super) fn attempt_ended(&mut self, now: f64, epoch: u32, outcome: Outcome) -> Option<HealthChange> {
         let of_this_epoch = epoch == self.epoch;
         self.attempts_of_epoch -= u32::from(of_this_epoch);
--- a/src/decisions/request_path.rs
+++ b/src/decisions/request_path.rs
@@ -119,7 +119,7 @@
         selected
     }
 
-    /// Sends the next attempt of a request to an engine. Nothing is sent anywhere else.
+    /// Sends the next attempt of a request to an engine. The one place from which attempts are sent.
     fn forward(&mut self, now: f64, id: RequestId, engine_id: EngineId, actions: &mut Vec<Action>) {
         let (Some(pending), Some(engine)) = (self.requests.get_mut(&id), self.engines.get_mut(&engine_id))
         else {
--- a/src/decisions/shedding.rs
+++ b/src/decisions/shedding.rs
@@ -14,7 +14,8 @@
 const MIN_LEFT_OBJECTIVE_RATIO: f64 = 0.3;
 /// Part of its class's deadline that is always enough time for an attempt.
 const SUFFICIENT_DEADLINE_RATIO: f64 = 0.5;
-/// A keyed request that arrives with less than this part of its class's deadline left is short of time.
+/// A request with an order key that arrives with less than this part of its class's deadline left is short of
+/// time.
 const SHORT_DEADLINE_RATIO: f64 = 0.5;
 /// Retry-After lies between this part of the longest wait that clients obey, and all of it.
 const MIN_RETRY_AFTER_RATIO: f64 = 0.5;
@@ -109,8 +110,8 @@
             .min(SUFFICIENT_DEADLINE_RATIO * self.settings.classes[class].deadline)
     }
 
-    /// Whether a request with a key arrived with little time left: it is sent at once, or leaves its place
-    /// in the order of its key to others.
+    /// Whether a request with an order key arrived with little time left: it is sent at once, or leaves its
+    /// place in the order of its key to others.
     fn is_short_of_time(&self, pending: &PendingRequest) -> bool {
         let deadline = self.settings.classes[pending.request.class.0].deadline;
         pending.request.key.is_some()
--- a/src/decisions/supervision.rs
+++ b/src/decisions/supervision.rs
@@ -1,9 +1,9 @@
 //! Supervision of attempts in flight: which lack progress reports, are stalled or hopelessly slow, and which
 //! engines are silent.
 //!
-//! An attempt is cancelled only where the deployment permits that and its request is idempotent. It then
-//! ends like any other, and its request is queued again. A request is cancelled once for being slow: slow
-//! again it is truly heavy.
+//! While its request is open, an attempt is cancelled only where the deployment permits that and the request
+//! is idempotent. It then ends like any other, and its request is queued again. A request is cancelled once
+//! for being slow: slow again it is truly heavy.
 
 use std::collections::BTreeMap;
 
--- a/src/decisions/token_bucket.rs
+++ b/src/decisions/token_bucket.rs
@@ -47,9 +47,9 @@
         self.debt_thread_seconds = (self.debt_thread_seconds + thread_seconds).min(most);
     }
 
-    /// Whether a request may start: one of the usual size while nothing is owed, a larger one out of what
-    /// is saved up, a smaller one also while a little is owed. What is short goes to many small requests
-    /// first.
+    /// Whether a request beyond the concurrency limit may start on an engine without other background work:
+    /// one of the usual size while nothing is owed, a larger one out of what is saved up, a smaller one also
+    /// while a little is owed. What is short goes to many small requests first.
     ///
     /// `usual_thread_seconds` is the cost of a usual request of its class, `relative_size` its own size
     /// against that.
