--- a/gateway/tests/common/gateway.rs
+++ b/gateway/tests/common/gateway.rs
@@ -274,11 +274,28 @@
     /// Stands still while `during` goes on: all that comes meanwhile is there at its next turn.
     pub fn paused<T>(&self, during: impl FnOnce() -> T) -> T {
         self.signal("-STOP");
+        self.await_stopped();
         let result = during();
         self.signal("-CONT");
         result
     }
 
+    /// Waits until the process has stopped: the signal has been sent before, but it goes on until it is delivered.
+    fn await_stopped(&self) {
+        let path = format!("/proc/{}/stat", self.child.id());
+        let began = Instant::now();
+        loop {
+            // proc(5): the state stands behind the name in parentheses, which may itself hold some.
+            let stat = std::fs::read_to_string(&path).unwrap();
+            let state = stat.rsplit_once(") ").and_then(|(_, rest)| rest.chars().next());
+            if state == Some('T') {
+                return;
+            }
+            assert!(began.elapsed() < Duration::from_secs(60), "it does not stop: {stat}");
+            thread::sleep(Duration::from_millis(1));
+        }
+    }
+
     /// What it has logged so far.
     pub fn log(&self) -> String {
         self.log.lock().unwrap().clone()
