--- a/gateway/src/net/event_loop.rs
+++ b/gateway/src/net/event_loop.rs
@@ -2,7 +2,7 @@
 //!
 //! 1. waits for events or the next timer, and reads the clock;
 //! 2. takes in what engines, the discovery service, the control plane, operators and peer processes have
-//!   sent, and fires timers;
+//!    sent, and fires timers;
 //! 3. accepts and reads clients, as far as the read scheduler lets it;
 //! 4. hands all inputs to the core, executes its commands, and writes to all connections that have output.
 
