--- a/lab/src/idle/round.rs
+++ b/lab/src/idle/round.rs
@@ -216,16 +216,27 @@
     }
 }
 
-/// The value of a key in the log line of the counters.
+/// The number of timers that fired, as the log line of the counters names it; the second name is that of
+/// earlier builds, which `--against` measures.
+const TIMERS_FIRED_KEYS: [&str; 2] = ["timer_lag=timers_rung=", "lateness=timers_rung="];
+
+/// The value of the first of these keys in the log line of the counters, or `-`.
+fn figure_of(counters: &str, keys: &[&str]) -> String {
+    let value =
+        |word: &str| keys.iter().find_map(|key| word.trim_matches('"').strip_prefix(key).map(str::to_owned));
+    let found = counters.split_whitespace().find_map(value);
+    found.unwrap_or_else(|| "-".to_owned()).trim_matches('"').to_owned()
+}
+
+/// The value of a key in the log line of the counters, or `-`.
 fn figure(counters: &str, key: &str) -> String {
-    let found = counters.split_whitespace().find_map(|w| w.trim_matches('"').strip_prefix(key));
-    found.unwrap_or("-").trim_matches('"').to_owned()
+    figure_of(counters, &[key])
 }
 
 fn timers_late(counters: &str) -> String {
     format!(
         "n={} p50={} p99={} max={} us",
-        figure(counters, "timer_lag=timers_rung="),
+        figure_of(counters, &TIMERS_FIRED_KEYS),
         figure(counters, "late_p50_us="),
         figure(counters, "late_p99_us="),
         figure(counters, "late_max_us=")
@@ -241,3 +252,6 @@
         figure(counters, "longest_turn_us=")
     )
 }
+
+#[cfg(test)]
+mod tests;
