--- a/gateway/src/net/admin.rs
+++ b/gateway/src/net/admin.rs
@@ -1,4 +1,4 @@
-//! The admin interface on the network: its listener, its connections, and what calls do.
+//! The connections of the admin interface, and the execution of its calls.
 
 use std::io::ErrorKind;
 use std::net::{SocketAddr, TcpListener};
@@ -15,9 +15,10 @@
 use crate::discovery::UnknownEngine;
 use crate::process_replacement::Message;
 
-/// Connections at once. A further one evicts one that was answered, or else the oldest without a complete call.
+/// Maximum number of connections. At the limit, a new connection evicts one whose response is written, or else the
+/// oldest one without a complete call.
 pub const MAX_ADMIN_CONNECTIONS: usize = 16;
-/// A connection without a complete call, or whose response is not read, by then is closed, in microseconds.
+/// Maximum lifetime of a connection, in microseconds.
 const CONNECTION_TIMEOUT_US: u64 = 5_000_000;
 const BACKLOG: u32 = 64;
 
@@ -38,30 +39,31 @@
     }
 }
 
-/// The listener of the admin interface and its connections, oldest first.
+/// The listener of the admin interface and its connections.
 #[derive(Default)]
 pub struct AdminInterface {
     listener: Option<TcpListener>,
+    /// Ordered by the time of acceptance, oldest first.
     connections: Vec<AdminConnection>,
-    serials: u32,
+    last_serial: u32,
     timer: Option<TimerId>,
 }
 
 /// A change of an engine's maintenance state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MaintenanceChange {
-    /// The engine is excluded.
+    /// The engine is excluded from new attempts.
     Enter,
-    /// The engine may serve again, since this Unix time in milliseconds.
+    /// Maintenance has ended at this Unix time in milliseconds.
     Exit { at_ms: u64 },
 }
 
 impl AdminInterface {
-    /// Listens at the address, where the configuration names one.
+    /// Opens the listener. Without an address the interface is disabled.
     pub fn open(address: Option<SocketAddr>, poll: &Poll) -> Result<Self, ServeError> {
         let Some(address) = address else { return Ok(Self::default()) };
         let failed = |e| ServeError::Listen(address, e);
-        let listener = super::listeners::listener(address, BACKLOG, false).map_err(failed)?;
+        let listener = super::listeners::open_listener(address, BACKLOG, false).map_err(failed)?;
         poll.add(
             &listener,
             PollKey::AdminListener.encode(),
@@ -71,12 +73,12 @@
         Ok(Self { listener: Some(listener), ..Self::default() })
     }
 
-    /// Where it listens.
+    /// Local address of the listener; `None` if the interface is disabled.
     pub fn address(&self) -> Option<SocketAddr> {
         self.listener.as_ref().and_then(|l| l.local_addr().ok())
     }
 
-    /// Whether a response is still to be written.
+    /// Whether any connection has an unsent response.
     pub fn is_answering(&self) -> bool {
         self.connections.iter().any(|c| c.answered && !c.conn.output.is_empty())
     }
@@ -89,8 +91,8 @@
         self.connections.remove(index).conn.close(poll);
     }
 
-    /// Evicts a connection where there are as many as there may be.
-    fn make_room(&mut self, poll: &Poll) {
+    /// Evicts a connection if the limit is reached.
+    fn evict_if_full(&mut self, poll: &Poll) {
         if self.connections.len() < MAX_ADMIN_CONNECTIONS {
             return;
         }
@@ -112,9 +114,9 @@
                 }
                 Err(_) => return,
             };
-            self.admin.make_room(&self.poll);
-            self.admin.serials = self.admin.serials.wrapping_add(1);
-            let (serial, accepted_us) = (self.admin.serials, self.time.now_us);
+            self.admin.evict_if_full(&self.poll);
+            self.admin.last_serial = self.admin.last_serial.wrapping_add(1);
+            let (serial, accepted_us) = (self.admin.last_serial, self.time.now_us);
             let key = PollKey::AdminConnection(serial).encode();
             match Connection::accepted(&self.poll, stream, key, MAX_CALL_BYTES) {
                 Ok(conn) => {
@@ -140,7 +142,7 @@
         self.set_admin_timer();
     }
 
-    /// Answers the call of a connection, once it is complete or has proved wrong.
+    /// Answers the call of a connection once the call is complete or found invalid.
     fn answer_admin_call(&mut self, index: usize) {
         let connection = &self.admin.connections[index];
         if connection.answered {
@@ -148,7 +150,7 @@
         }
         let response = match call::read(&connection.conn.input) {
             Ok(None) => return,
-            Ok(Some(call)) => self.carry_out_admin_call(call),
+            Ok(Some(call)) => self.execute_admin_call(call),
             Err(error) => Err(error),
         };
         let connection = &mut self.admin.connections[index];
@@ -156,7 +158,7 @@
         (connection.answered, connection.conn.phase) = (true, Phase::Closing);
     }
 
-    /// Closes connections that have been open for too long.
+    /// Closes connections that have reached their maximum lifetime.
     pub(super) fn admin_timer_fired(&mut self) {
         self.admin.timer = None;
         let now_us = self.time.now_us;
@@ -174,7 +176,7 @@
         }
     }
 
-    fn carry_out_admin_call(&mut self, call: AdminCall) -> Result<String, CallError> {
+    fn execute_admin_call(&mut self, call: AdminCall) -> Result<String, CallError> {
         match call {
             AdminCall::Status if self.shutdown.has_begun() => Err(CallError::ShuttingDown),
             AdminCall::Status => {
@@ -207,8 +209,8 @@
         }
     }
 
-    /// Takes over a change of an engine's maintenance state, in this process alone. A change that has an effect runs a
-    /// whole turn of the core, commands and output included, before this returns.
+    /// Changes an engine's maintenance state in this process. If the change has an effect, a complete turn of the core,
+    /// including commands and output, is run before this function returns.
     ///
     /// # Errors
     /// No engine of this name was ever in the endpoint list.
@@ -225,7 +227,8 @@
         tracing::info!(engine, in_maintenance, changed = event.is_some(), "maintenance of an engine");
         if let Some(event) = event {
             self.update_engines(&event);
-            // Before the response is written: what was gathered in this turn must not be forwarded there after it.
+            // The turn must run before the response is written: attempts that the inputs of this turn cause must not be
+            // forwarded to the engine after the response.
             self.turn();
         }
         Ok(())
--- a/gateway/src/net/clients/accept.rs
+++ b/gateway/src/net/clients/accept.rs
@@ -1,4 +1,4 @@
-//! New client connections.
+//! New client connections: each gets a session, an error, or an immediate close.
 
 use crate::front::DisconnectReason;
 use std::net::{SocketAddr, TcpStream};
@@ -10,28 +10,28 @@
 use crate::net::listeners::{self, FrontEnd};
 use crate::net::sessions::Sessions;
 
-/// Rejected clients that are held beyond the limit of sessions until they have read why.
+/// Maximum number of rejected clients that are kept beyond the session limit until they have read the error.
 const MAX_REJECTED_CLIENTS: usize = 12;
 
-/// What a new client gets.
+/// The decision on a new connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Place {
+enum AcceptDecision {
     Session,
-    /// An error, for which it is held until it has read that.
+    /// The client gets an error, and the connection is kept until the client has read it.
     Rejection,
-    /// Nothing: it is closed at once.
-    None,
+    /// The connection is closed at once.
+    Close,
 }
 
 impl Server {
-    /// Gives a new client a session, if need be the place of another one. A client that is rejected may have sent a
-    /// request behind its start-up message, which thereby is rejected too.
-    pub(in crate::net) fn accept_client(&mut self, stream: TcpStream, from: SocketAddr, front: FrontEnd) {
-        let place = self.find_place();
-        if place == Place::None {
+    /// Creates a session for a new client, evicting another one if necessary, or rejects the client. Rejection also
+    /// covers a request that the client may have sent behind its start-up message.
+    pub(in crate::net) fn accept_client(&mut self, stream: TcpStream, from: SocketAddr, front_end: FrontEnd) {
+        let decision = self.decide_accept();
+        if decision == AcceptDecision::Close {
             return;
         }
-        if let Err(error) = listeners::keep_alive(&stream, &self.config) {
+        if let Err(error) = listeners::set_tcp_keepalive(&stream, &self.config) {
             tracing::debug!(%error, "setting TCP keepalive failed");
         }
         let key = Sessions::key(self.sessions.table.next_handle());
@@ -40,9 +40,9 @@
             Ok(connection) => connection,
             Err(error) => return tracing::warn!(%error, "registering a client connection failed"),
         };
-        let handle = self.sessions.insert(connection, front, from, &self.config, self.time.now_us);
+        let handle = self.sessions.insert(connection, front_end, from, &self.config, self.time.now_us);
         self.counters.clients += 1;
-        if place == Place::Rejection {
+        if decision == AcceptDecision::Rejection {
             if let Some(session) = self.sessions.table.active_mut(handle) {
                 session
                     .protocol
@@ -51,18 +51,18 @@
             self.counters.turned_away += 1;
             self.close_gracefully(handle);
         }
-        self.note_progress(handle, true);
+        self.record_progress(handle, true);
     }
 
-    fn find_place(&mut self) -> Place {
+    fn decide_accept(&mut self) -> AcceptDecision {
         let session_bytes = Sessions::active_session_bytes();
         let memory_short = self.sessions.memory.check(MemoryPurpose::Sessions, session_bytes).is_err();
         if !(self.sessions.is_full() || memory_short) || self.evict_one() {
-            Place::Session
+            AcceptDecision::Session
         } else if self.sessions.table.len() < self.sessions.max_sessions + MAX_REJECTED_CLIENTS {
-            Place::Rejection
+            AcceptDecision::Rejection
         } else {
-            Place::None
+            AcceptDecision::Close
         }
     }
 }
--- a/gateway/src/net/clients/eviction.rs
+++ b/gateway/src/net/clients/eviction.rs
@@ -1,5 +1,5 @@
-//! Eviction: sessions that are closed so that another client, an engine's connection or an open request may have what
-//! they hold.
+//! Eviction: closes sessions to free a place, a descriptor or memory for another client, an engine connection or an
+//! open request.
 
 use crate::front::DisconnectReason;
 use wrenhatch_sessions::memory_budget::MemoryPressure;
@@ -7,17 +7,17 @@
 
 use crate::net::Server;
 
-/// Candidates that are tried in a row, as each may turn out to have a request to be read.
+/// Maximum number of candidates tried for one eviction. A candidate is skipped if it has unread input.
 const MAX_CANDIDATES: usize = 16;
-/// Sessions that are closed in one turn to free memory.
+/// Maximum number of sessions closed in one turn to free memory.
 const MAX_MEMORY_EVICTIONS: usize = 64;
 
 impl Server {
-    /// Closes the session whose place is needed least; false if there is none.
+    /// Evicts the best candidate. Returns false if no session can be evicted.
     pub(in crate::net) fn evict_one(&mut self) -> bool {
         for _ in 0..MAX_CANDIDATES {
             let Some(handle) = self.sessions.eviction_candidate(self.time.now_us) else { return false };
-            if self.close_if_silent(handle) {
+            if self.close_if_safe(handle) {
                 self.counters.evicted += 1;
                 return true;
             }
@@ -25,9 +25,9 @@
         false
     }
 
-    /// Whether a session that is to be closed has sent nothing that is unread: reads it once more. A request that
-    /// crosses the close would be lost, and a close over unread bytes resets the connection.
-    pub(super) fn is_silent(&mut self, handle: Handle) -> bool {
+    /// Whether a session can be closed without losing a request. An idle session is read once more first: a request
+    /// that has arrived would be lost, and closing a socket with unread input resets the connection.
+    pub(super) fn is_safe_to_close(&mut self, handle: Handle) -> bool {
         if self.sessions.table.activity(handle).is_some_and(|(activity, _)| activity.is_idle()) {
             self.read_now(handle);
             if let Some(session) = self.sessions.table.active(handle) {
@@ -41,18 +41,18 @@
         true
     }
 
-    /// Closes a session at once, as its descriptor is needed, unless something has come over it. True if it is closed.
-    fn close_if_silent(&mut self, handle: Handle) -> bool {
-        let is_silent = self.is_silent(handle);
-        if is_silent {
+    /// Closes a session at once, unless that could lose a request. Returns whether the session was closed.
+    fn close_if_safe(&mut self, handle: Handle) -> bool {
+        let is_safe_to_close = self.is_safe_to_close(handle);
+        if is_safe_to_close {
             self.close_client(handle);
         }
-        is_silent
+        is_safe_to_close
     }
 
-    /// Frees memory under pressure: sessions with prepared statements are closed first, then those with incomplete
-    /// messages, then those that don't read their answers. Open requests are never ended for it.
-    pub(in crate::net) fn relieve_memory(&mut self) {
+    /// Closes sessions while the memory budget is under pressure: first those with prepared statements, then those with
+    /// incomplete messages, then those that don't read their answers. Sessions with open requests are never closed.
+    pub(in crate::net) fn relieve_memory_pressure(&mut self) {
         for _ in 0..MAX_MEMORY_EVICTIONS {
             let evictable: &[Activity] = match self.sessions.memory.pressure() {
                 MemoryPressure::Normal => return,
@@ -75,7 +75,7 @@
                     self.settle_session(handle);
                 }
                 _ => {
-                    self.close_if_silent(handle);
+                    self.close_if_safe(handle);
                 }
             }
         }
--- a/gateway/src/net/clients/mod.rs
+++ b/gateway/src/net/clients/mod.rs
@@ -1,14 +1,14 @@
-//! The clients' side of the event loop: what is done with the connections and the sessions of clients.
+//! Handling of client connections and sessions in the event loop.
 //!
-//! The state is that of [`super::sessions`]; each concern stands in a module of its own:
-//! - `accept`: gives a new connection a place, or rejects it
+//! The state is kept in [`super::sessions`]. Each concern has a module:
+//! - `accept`: creates a session for a new connection, or rejects the connection
 //! - `read`: reads sessions in the order of the read scheduler, and handles their messages
-//! - `requests`: admission of a request, its final answer, and its cancellation
-//! - `eviction`: closes sessions to free a place, a descriptor or memory
-//! - `timeouts`: clients that make no progress, and sessions idle for too long
-//! - `settle`: what is done for a session at the end of a turn, and how a connection is closed
+//! - `requests`: admission, final answer and cancellation of a request
+//! - `eviction`: closes sessions to free a place in the table, a descriptor or memory
+//! - `timeouts`: clients that make no progress, and sessions that exceed the idle limit
+//! - `settle`: flushes and updates a session at the end of a turn, and closes connections
 //!
-//! Invariant: a session whose request is open is never closed by this side, except with its process.
+//! Invariant: the gateway never closes a session with an open request, except when the process exits.
 
 mod accept;
 mod eviction;
--- a/gateway/src/net/clients/read.rs
+++ b/gateway/src/net/clients/read.rs
@@ -1,4 +1,4 @@
-//! Reading: which sessions are read in a turn, and what their messages lead to.
+//! Reads sessions in the order of the read scheduler, and dispatches their messages.
 
 use crate::front::DisconnectReason;
 use wrenhatch_sessions::memory_budget::MemoryPurpose;
@@ -14,7 +14,7 @@
 use crate::net::sessions::ProtocolSession;
 
 impl Server {
-    /// Something is ready on a client's connection. It is read when the read scheduler comes to it.
+    /// Handles a poller event of a client connection. Input is queued with the read scheduler and not read here.
     pub(in crate::net) fn session_ready(&mut self, handle: Handle, interest: Interest) {
         if interest.write {
             self.sessions.mark_dirty(handle);
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Reads the sessions whose turn it is.
+    /// Reads queued sessions until the read scheduler ends the turn's reads.
     pub(in crate::net) fn read_sessions(&mut self) {
         while let Some(read) = self.sessions.scheduler.next_read(self.time.now_us) {
             if self.sessions.table.clear_queued(read.handle) {
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Reads a session now, whether or not its turn has come.
+    /// Reads a session immediately, outside the order of the read scheduler.
     pub(in crate::net) fn read_now(&mut self, handle: Handle) {
         self.sessions.table.clear_queued(handle);
         self.read_session(ScheduledRead { handle, ready_us: self.time.now_us, read_ahead: false });
@@ -70,9 +70,9 @@
         self.sessions.mark_dirty(handle);
     }
 
-    /// Notes since when a client owes the rest of its start-up or of a message, if it does. `progressed` says that it
-    /// has sent a whole message since.
-    pub(super) fn note_progress(&mut self, handle: Handle, progressed: bool) {
+    /// Updates the time at which the wait for the rest of a client's start-up or message began. `progressed` is true if
+    /// a complete message was read since the last call.
+    pub(super) fn record_progress(&mut self, handle: Handle, progressed: bool) {
         let now_us = self.time.now_us;
         self.sessions.mark_dirty(handle);
         let Some(session) = self.sessions.table.active_mut(handle) else { return };
@@ -82,7 +82,7 @@
         let is_starting = session.protocol.is_starting();
         let is_incomplete =
             is_starting || (session.open_request.is_none() && !session.connection.input.is_empty());
-        // All of a start-up has one time limit, however many messages it takes.
+        // The time limit of a start-up covers all of its messages.
         let restarts = progressed && !is_starting;
         if is_incomplete && (restarts || session.awaited_since_us.is_none()) {
             session.awaited_since_us = Some(now_us);
@@ -91,23 +91,23 @@
         }
     }
 
-    /// Handles messages until the next one is incomplete, a request is open, the client has answers to read, or the
-    /// session has had its part of the turn.
+    /// Handles messages until the next one is incomplete, a request is open, too much output is unsent, or the session
+    /// has reached its message limit for this turn.
     pub(super) fn read_messages(&mut self, handle: Handle) {
-        let mut left = self.sessions.scheduler.limits().messages_per_turn;
+        let mut remaining = self.sessions.scheduler.limits().messages_per_turn;
         let mut progressed = false;
-        while left > 0 && self.read_message(handle) {
-            (left, progressed) = (left - 1, true);
+        while remaining > 0 && self.read_message(handle) {
+            (remaining, progressed) = (remaining - 1, true);
         }
-        if left == 0 {
+        if remaining == 0 {
             if let Some(session) = self.sessions.table.active_mut(handle) {
                 session.has_unread_input |= !session.connection.input.is_empty();
             }
         }
-        self.note_progress(handle, progressed);
+        self.record_progress(handle, progressed);
     }
 
-    /// Handles one message; false if there was none.
+    /// Handles one message. Returns false if there is no complete message, or none may be handled now.
     fn read_message(&mut self, handle: Handle) -> bool {
         let Some(session) = self.sessions.table.active_mut(handle) else { return false };
         let connection = &mut session.connection;
@@ -136,13 +136,14 @@
         true
     }
 
-    /// Answers whether a statement is prepared: the settings must know what its fields name, and there must be memory.
+    /// Answers a request to prepare a statement. Preparing fails if the settings do not contain a name in the
+    /// statement's fields, or if memory is short.
     fn prepare_statement(&mut self, handle: Handle, fields: &RequestFields) {
         let invalid = admission::subject(&self.names, fields).err();
         let Some(session) = self.sessions.table.active_mut(handle) else { return };
         let ProtocolSession::MySql(mysql) = &mut session.protocol else { return };
         let output = &mut session.connection.output;
-        // Its bytes are reserved when the turn is over, and count beside the others of its session until then.
+        // The statement is not reserved yet, so that its bytes are checked in addition to the reserved ones.
         let memory = self.sessions.memory.check(MemoryPurpose::Statements, mysql.pending_bytes());
         match (invalid, memory) {
             (Some(invalid), _) => {
--- a/gateway/src/net/clients/requests.rs
+++ b/gateway/src/net/clients/requests.rs
@@ -1,4 +1,4 @@
-//! Requests of clients: admitted, answered, cancelled.
+//! Client requests: admission, final answer and cancellation.
 
 use workload_manager::{RequestId, TableGroupId, TenantId};
 use wrenhatch_sessions::memory_budget::MemoryPurpose;
@@ -15,8 +15,7 @@
 use crate::net::{OpenClientRequest, Server};
 
 impl Server {
-    /// Has a request admitted, rejected, or answered as invalid: gathers what [`admission`] weighs, and carries out
-    /// its verdict.
+    /// Validates a request and admits or rejects it. The decision is made by [`admission`].
     pub(super) fn handle_request(&mut self, handle: Handle, request: ClientRequest) {
         let ClientRequest { mut fields, statement, run } = request;
         let id_in_use = fields.id.as_ref().is_some_and(|id| self.requests.is_query_id_in_use(id));
@@ -74,7 +73,7 @@
         }
     }
 
-    /// Hands a request to the core. From here on its client is owed an answer.
+    /// Passes an admitted request to the core. From here on, the client must get exactly one final answer.
     fn open_request(
         &mut self,
         request: OpenClientRequest,
@@ -85,8 +84,8 @@
         let handle = request.client;
         let id = self.requests.next_id();
         let Some(session) = self.sessions.table.active_mut(handle) else { return };
-        session.request_opened(id);
-        // A session that is owed an answer is never evicted.
+        session.set_open_request(id);
+        // A session with an open request is never evicted, as it is busy.
         self.sessions.table.set_activity(handle, Activity::Busy, self.time.now_us);
         if let Some(tenant) = new_request.tenant {
             self.sessions.set_tenant(handle, tenant.0);
@@ -110,16 +109,17 @@
         self.inputs.push(Input::RequestArrived { id, request: new_request });
     }
 
-    /// Ends the request of the session that a CancelRequest names; its client waits no longer.
+    /// Cancels the open request of the session named by a CancelRequest, and answers the client at once. A
+    /// CancelRequest for an unknown session is forwarded to the predecessor.
     pub(in crate::net) fn cancel(&mut self, session: u32, secret: u32) {
         let handle = session.checked_sub(1).and_then(|slot| self.sessions.table.handle_of_slot(slot));
         let Some(handle) = handle.filter(|handle| self.sessions.secret_of(*handle) == Some(secret)) else {
             return self.forward_cancel_request(session, secret);
         };
-        // The request may have come before the CancelRequest, over its own connection, and still wait to be read.
+        // The request arrives over another connection than the CancelRequest and may still be unread.
         self.read_now(handle);
         let Some(session) = self.sessions.table.active_mut(handle) else { return };
-        if let Some(id) = session.request_closed() {
+        if let Some(id) = session.take_open_request() {
             session.protocol.answer(FinalAnswer::Cancelled, &mut session.connection.output);
             session.ready_us = self.time.now_us;
             self.client_left(id);
@@ -133,7 +133,7 @@
         Some(request)
     }
 
-    /// The client of an open request waits no longer.
+    /// Closes an open request whose client has disconnected or cancelled it.
     pub(super) fn client_left(&mut self, id: RequestId) {
         if let Some(request) = self.close_request(id) {
             tracing::debug!(query_id = request.query_id, now_us = self.time.now_us, "client left");
@@ -142,7 +142,7 @@
         }
     }
 
-    /// Writes the core's final answer to the client of a request.
+    /// Writes the core's final answer to the client of a request. Requests that were closed before are ignored.
     pub(in crate::net) fn answer(&mut self, command: Command) {
         let id = match command {
             Command::Serve(attempt) => attempt.request,
@@ -178,7 +178,7 @@
         self.metrics.ended(request.class, end);
         let Some(session) = self.sessions.table.active_mut(request.client) else { return };
         if session.open_request == Some(id) {
-            session.request_closed();
+            session.take_open_request();
             session.ready_us = self.time.now_us;
             session.protocol.answer(answer, &mut session.connection.output);
             self.read_messages(request.client);
@@ -186,7 +186,7 @@
     }
 }
 
-/// A request as the core gets it.
+/// Converts an admitted request to the form that the core receives.
 fn new_request(
     request: &OpenClientRequest,
     tenant: Option<TenantId>,
--- a/gateway/src/net/clients/settle.rs
+++ b/gateway/src/net/clients/settle.rs
@@ -1,4 +1,4 @@
-//! The end of a turn for a session that something has happened to, and the end of a session.
+//! Settling a dirty session at the end of a turn, and closing a session.
 
 use wrenhatch_sessions::session_table::{Activity, Handle, RemovedSession};
 
@@ -7,8 +7,8 @@
 use crate::net::{NetTimer, Server};
 
 impl Server {
-    /// Settles a session at the end of a turn: its output is written, its timer armed, the memory that it holds
-    /// reserved, its activity noted, and if it is idle it is suspended.
+    /// Settles a session at the end of a turn: writes its output, arms its timer, updates its memory reservation and
+    /// its activity, and suspends it if it is idle.
     pub(in crate::net) fn settle_session(&mut self, handle: Handle) {
         let now_us = self.time.now_us;
         let Some(session) = self.sessions.table.active_mut(handle) else { return };
@@ -20,18 +20,19 @@
         }
         if was_blocked && connection.output.len() <= MAX_UNSENT_BYTES && connection.phase == Phase::Open {
             session.ready_us = now_us;
-            // Messages that waited for this go on; the session is dirty again and settled once more.
+            // Messages that were held back by unsent output are handled now. This marks the session dirty again, so
+            // that it is settled once more.
             return self.read_messages(handle);
         }
-        let due_us = session.due_us();
-        self.timers.reschedule(&mut session.timer, due_us, NetTimer::Client(handle));
+        let deadline_us = session.deadline_us();
+        self.timers.reschedule(&mut session.timer, deadline_us, NetTimer::Client(handle));
         let (activity, since_us) = (session.activity(), session.awaited_since_us.unwrap_or(now_us));
-        if session.can_go_on() {
+        if session.should_read_again() {
             session.has_unread_input = false;
             self.sessions.enqueue_read(handle, now_us);
         }
         self.sessions.update_reservation(handle);
-        // A session that waits to be read may have sent a request: it is not idle.
+        // A session that is queued for reading may have sent a request and does not count as idle.
         let may_have_request = activity.is_idle() && self.sessions.table.is_queued(handle);
         let activity = if may_have_request { Activity::Busy } else { activity };
         self.sessions.table.set_activity(handle, activity, since_us);
@@ -41,7 +42,8 @@
         }
     }
 
-    /// Closes a connection once all output is written and the other side has ended too, or when that takes too long.
+    /// Begins a graceful close: the connection is closed once all output is written and the client has closed its side,
+    /// or after [`CLOSE_TIMEOUT_US`](crate::net::sessions::CLOSE_TIMEOUT_US).
     pub(in crate::net) fn close_gracefully(&mut self, handle: Handle) {
         let now_us = self.time.now_us;
         if let Some(session) = self.sessions.table.active_mut(handle) {
@@ -52,7 +54,7 @@
         self.sessions.mark_dirty(handle);
     }
 
-    /// Closes a client's connection at once and ends its session; the one place where that is done.
+    /// Closes a client's connection at once and removes its session. All client connections are closed here.
     pub(super) fn close_client(&mut self, handle: Handle) {
         match self.sessions.remove(handle) {
             Some(RemovedSession::Active(session)) => {
--- a/gateway/src/net/clients/timeouts.rs
+++ b/gateway/src/net/clients/timeouts.rs
@@ -1,4 +1,4 @@
-//! Time limits of clients: for a start-up and a message to be complete, for a graceful close, and for idle sessions.
+//! Time limits of clients: for completing a start-up or a message, for a graceful close, and for idle sessions.
 
 use crate::front::DisconnectReason;
 use wrenhatch_sessions::session_table::{Activity, Handle};
@@ -7,11 +7,11 @@
 use crate::net::sessions::{CLOSE_TIMEOUT_US, MESSAGE_TIMEOUT_US};
 use crate::net::{NetTimer, Server};
 
-const IDLE: [Activity; 2] = [Activity::Idle, Activity::IdleWithStatements];
+const IDLE_ACTIVITIES: [Activity; 2] = [Activity::Idle, Activity::IdleWithStatements];
 
 impl Server {
-    /// A client may have exceeded its time limit: for an incomplete start-up or message it gets an error and is
-    /// closed gracefully; one that does not end that either is closed at once.
+    /// Enforces the time limit of a client. A client with an incomplete start-up or message gets an error and is closed
+    /// gracefully. A client that does not complete the graceful close is closed at once.
     pub(in crate::net) fn client_timer_fired(&mut self, handle: Handle) {
         let now_us = self.time.now_us;
         let Some(session) = self.sessions.table.active_mut(handle) else { return };
@@ -29,29 +29,29 @@
         self.sessions.mark_dirty(handle);
     }
 
-    /// Where idle sessions have a limit, one timer is armed for the one that has been idle for longest.
+    /// Arms the timer for the longest idle session, if idle sessions have a limit and the timer is not armed.
     pub(super) fn arm_idle_timer(&mut self) {
         let Some(limit_us) = self.config.clients.idle_limit_us else { return };
         if self.sessions.idle_timer.is_some() {
             return;
         }
-        let oldest = IDLE.map(|activity| self.sessions.table.oldest(activity));
+        let oldest = IDLE_ACTIVITIES.map(|activity| self.sessions.table.oldest(activity));
         if let Some(since_us) = oldest.into_iter().flatten().map(|(_, since_us)| since_us).min() {
             self.sessions.idle_timer = Some(self.timers.arm(since_us + limit_us, NetTimer::IdleLimit));
         }
     }
 
-    /// Closes sessions that have been idle for longer than the operator allows.
-    pub(in crate::net) fn close_long_idle(&mut self) {
+    /// Closes sessions that have exceeded the configured idle limit.
+    pub(in crate::net) fn close_idle_sessions(&mut self) {
         self.sessions.idle_timer = None;
         let Some(limit_us) = self.config.clients.idle_limit_us else { return };
-        for activity in IDLE {
+        for activity in IDLE_ACTIVITIES {
             while let Some((handle, since_us)) = self.sessions.table.oldest(activity) {
                 if self.time.now_us < since_us + limit_us {
                     break;
                 }
-                if self.is_silent(handle) {
-                    // Nothing waits for its place: it ends when its client has seen that this side does.
+                if self.is_safe_to_close(handle) {
+                    // The place is not needed at once, so that the close is graceful.
                     self.close_gracefully(handle);
                     self.sessions.table.set_activity(handle, Activity::Closing, self.time.now_us);
                     self.counters.idle_closed += 1;
--- a/gateway/src/net/connection.rs
+++ b/gateway/src/net/connection.rs
@@ -1,7 +1,7 @@
-//! One TCP connection with its buffers, without blocking.
+//! A non-blocking TCP connection with input and output buffers.
 //!
-//! Its owner calls [`Connection::fill`] and parses [`Connection::input`], appends to [`Connection::output`], and at the
-//! end of a turn calls [`Connection::flush`] and [`Connection::update`].
+//! The owner calls [`Connection::fill`] and parses [`Connection::input`], appends to [`Connection::output`], and at the
+//! end of each turn calls [`Connection::flush`] and [`Connection::update`].
 
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -11,76 +11,76 @@
 
 use super::poll::{Interest, Poll, Trigger};
 
-/// How far a connection has come.
+/// The state of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// It is being established.
+    /// The TCP handshake is in progress.
     Connecting,
-    /// It is established.
+    /// Data can be read and written.
     Open,
-    /// The output is still written, then this side is shut down. Input is discarded until the other side ends too:
-    /// closed with bytes unread, the connection would be reset, and the last output could be lost.
+    /// Remaining output is written, then the sending side is shut down. Input is discarded until the peer closes:
+    /// closing a socket with unread input resets the connection, which may discard the last output.
     Closing,
 }
 
-/// Bytes that are discarded in one call, so that other connections have their turn.
+/// Maximum number of bytes discarded in one call of [`Connection::fill`], so that one peer can't occupy the event loop.
 const MAX_DISCARDED_BYTES: usize = 256 * 1024;
-/// Larger buffers are freed once they are empty.
+/// Empty buffers with a larger capacity than this are freed.
 const MAX_IDLE_BUFFER_BYTES: usize = 16 * 1024;
-/// With more output than this, no more input is read.
+/// Input is not read while more output than this, in bytes, is unsent.
 pub const MAX_UNSENT_BYTES: usize = 16 * 1024;
 
-/// A connection.
+/// A non-blocking TCP connection, registered with the poller.
 pub struct Connection {
     stream: TcpStream,
     registered: Interest,
     trigger: Trigger,
-    /// This side is shut down.
+    /// The sending side was shut down.
     is_shut_down: bool,
-    /// How far it has come.
+    /// Determines which operations are polled for and what happens to input.
     pub phase: Phase,
-    /// Bytes read and not yet parsed.
+    /// Bytes read and not yet parsed. The owner removes what it has parsed.
     pub input: Vec<u8>,
-    /// Bytes to be written.
+    /// Bytes not yet written to the socket.
     pub output: Vec<u8>,
-    /// No more than this is read ahead.
+    /// Size of [`Self::input`], in bytes, at which reading stops. The last read may exceed it.
     pub read_ahead: usize,
-    /// A request of the other side is open, and its end must be seen whatever it sends meanwhile: input beyond the
-    /// read-ahead is discarded instead of being left unread.
+    /// Set while the peer has an open request, so that its end of stream is detected behind any amount of input. Input
+    /// beyond the read-ahead is discarded instead of being left unread.
     pub detects_end: bool,
-    /// Input was discarded: what follows can't be parsed.
+    /// Set once input was discarded. Input that follows can't be parsed.
     pub overrun: bool,
 }
 
-/// How reading ended.
+/// Reason for which [`Connection::fill`] stopped reading.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadEnd {
-    /// All that has come was read.
+    /// All available input was read.
     WouldBlock,
-    /// More may be there than was read in one call.
+    /// A limit was reached; more input may be available.
     More,
-    /// The other side has closed.
+    /// The peer has shut down its sending side.
     Eof,
-    /// The connection is broken.
+    /// Reading failed; the connection is unusable.
     Broken,
 }
 
 impl Connection {
-    /// An accepted connection. It is ready to be read once for all that has come: an owner that stops at
-    /// [`ReadEnd::More`] reads again without another event.
+    /// Creates a connection from an accepted socket. The socket is registered with [`Trigger::Edge`], so that an owner
+    /// must call [`Connection::fill`] again after [`ReadEnd::More`] without waiting for an event.
     ///
     /// # Errors
-    /// The socket or the poller refuses.
+    /// Setting a socket option or registering the socket failed.
     pub fn accepted(poll: &Poll, stream: TcpStream, key: u64, read_ahead: usize) -> io::Result<Self> {
         stream.set_nonblocking(true)?;
         stream.set_nodelay(true)?;
         Self::register(poll, stream, key, Phase::Open, read_ahead, Trigger::Edge)
     }
 
-    /// A connection that is being established.
+    /// Begins to establish a connection to `address`.
     ///
     /// # Errors
-    /// No descriptor, or the system refuses at once.
+    /// Creating or registering the socket failed, or connecting failed immediately.
     pub fn connect(poll: &Poll, address: SocketAddr, key: u64, read_ahead: usize) -> io::Result<Self> {
         let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
         socket.set_nonblocking(true)?;
@@ -106,7 +106,8 @@
         Ok(Self { registered, phase, trigger, ..Self::resume(stream, read_ahead) })
     }
 
-    /// The socket of an idle connection, which stays in the poller; the connection itself where it is not idle.
+    /// Returns the socket of an idle connection, which stays registered with the poller. A connection that is not idle
+    /// is returned unchanged.
     pub fn into_idle_stream(self) -> Result<TcpStream, Self> {
         let waits_to_read = Interest { read: true, write: false };
         let is_empty = self.input.is_empty() && self.output.is_empty();
@@ -117,7 +118,7 @@
         }
     }
 
-    /// A connection over the socket of an idle one.
+    /// Creates a connection from the socket of an idle one. Reverses [`Connection::into_idle_stream`].
     pub fn resume(stream: TcpStream, read_ahead: usize) -> Self {
         Self {
             stream,
@@ -133,26 +134,26 @@
         }
     }
 
-    /// Bytes that its buffers take.
+    /// Capacity of both buffers in bytes.
     pub fn buffer_bytes(&self) -> usize {
         self.input.capacity() + self.output.capacity()
     }
 
-    /// Whether more is read from it at present.
+    /// Whether the connection is currently polled for input.
     pub fn wants_read(&self) -> bool {
         match self.phase {
             Phase::Connecting => false,
             Phase::Open if self.detects_end => true,
-            // A client that does not read its answers gets no more requests read.
+            // No requests are read from a client that does not read its answers.
             Phase::Open => self.input.len() < self.read_ahead && self.output.len() <= MAX_UNSENT_BYTES,
             Phase::Closing => true,
         }
     }
 
-    /// Notes that the connection is established.
+    /// Completes the connection attempt once the socket is ready.
     ///
     /// # Errors
-    /// It could not be established.
+    /// The connection could not be established.
     pub fn finish_connect(&mut self) -> io::Result<()> {
         if let Some(e) = self.stream.take_error()? {
             return Err(e);
@@ -162,7 +163,7 @@
         Ok(())
     }
 
-    /// Reads what has come, up to the read-ahead and to about `max_bytes`.
+    /// Reads available input, up to the read-ahead and to about `max_bytes`.
     pub fn fill(&mut self, max_bytes: usize) -> ReadEnd {
         let mut chunk = [0; 16 * 1024];
         let closing = self.phase == Phase::Closing;
@@ -188,10 +189,11 @@
         ReadEnd::More
     }
 
-    /// Writes what the socket takes.
+    /// Writes as much output as the socket accepts. In [`Phase::Closing`] the sending side is shut down once all output
+    /// is written.
     ///
     /// # Errors
-    /// The connection is broken.
+    /// Writing failed; the connection is unusable.
     pub fn flush(&mut self) -> io::Result<()> {
         let mut done = 0;
         let end = loop {
@@ -209,10 +211,10 @@
         self.output.drain(..done);
         if self.phase == Phase::Closing && self.output.is_empty() && !self.is_shut_down {
             self.is_shut_down = true;
-            // Fails only where the other side is gone, which the next read finds.
+            // Shutting down fails only if the peer has closed the connection, which the next read detects.
             let _ = self.stream.shutdown(Shutdown::Write);
         }
-        // An idle connection keeps no buffer of its largest message.
+        // An idle connection does not retain a buffer of the size of its largest message.
         if self.output.is_empty() && self.output.capacity() > MAX_IDLE_BUFFER_BYTES {
             self.output = Vec::new();
         }
@@ -222,15 +224,16 @@
         end
     }
 
-    /// Whether an event to read can only mean that the other side is gone, as reading was not waited for.
+    /// Whether a read event means that the peer has gone. True while the connection is not polled for input: the poller
+    /// then reports only errors and hang-ups.
     pub fn is_hung_up(&self) -> bool {
         self.phase != Phase::Connecting && !self.registered.read
     }
 
-    /// Has the poller wait for what is wanted next.
+    /// Updates the interest registered with the poller.
     ///
     /// # Errors
-    /// The poller refuses.
+    /// The system call failed.
     pub fn update(&mut self, poll: &Poll, key: u64) -> io::Result<()> {
         let write = self.phase == Phase::Connecting || !self.output.is_empty();
         let wanted = Interest { read: self.wants_read(), write };
@@ -241,18 +244,18 @@
         Ok(())
     }
 
-    /// Output that is not acknowledged is discarded when the connection is closed: the system would else go on sending
-    /// it over a partitioned network, and it would arrive once that has healed.
+    /// Makes a later close discard unacknowledged output. By default the system retransmits it after the close, so that
+    /// it could still arrive once a network partition has ended.
     pub fn discard_unsent_on_close(&self) {
-        // Fails only where the connection is gone, and then nothing is sent any more.
+        // Setting the option fails only if the connection is gone, and then nothing is retransmitted.
         let _ = SockRef::from(&self.stream).set_linger(Some(Duration::ZERO));
     }
 
-    /// Removes it from the poller and closes it.
+    /// Removes the connection from the poller and closes it.
     pub fn close(self, poll: &Poll) {
         poll.remove(&self.stream);
     }
 }
 
-/// EINPROGRESS on Linux, for which the standard library has no stable name.
+/// EINPROGRESS on Linux. The standard library has no stable name for it.
 const IN_PROGRESS: i32 = 115;
--- a/gateway/src/net/control_plane.rs
+++ b/gateway/src/net/control_plane.rs
@@ -1,5 +1,5 @@
-//! The connections to the control plane: the stream of versions, and one for a report. When they are opened and what
-//! they carry is decided by [`ControlPlaneClient`]; this module carries it out.
+//! The connections to the control plane: the stream of configuration versions, and one for each report. The protocol
+//! and its timing are implemented by [`ControlPlaneClient`]. This module does the I/O.
 
 use wrenhatch_configuration::{Document, SubscriberAction, Version};
 use wrenhatch_sessions::timer_wheel::TimerId;
@@ -12,17 +12,17 @@
     ControlPlaneClient, MAX_REPORT_RESPONSE_BYTES, MessageOutcome, ReportResponse, read_report_response,
 };
 
-/// Bytes read ahead from a control plane server.
+/// Read-ahead of the stream from a control plane server.
 const READ_AHEAD_BYTES: usize = 256 * 1024;
 
-/// The client of the control plane with its connections.
+/// The control plane client and its connections.
 pub struct ControlPlane {
     pub(super) client: ControlPlaneClient,
     stream: Option<Connection>,
     report: Option<Connection>,
-    /// Tells the stream's connection from earlier ones, for the poller.
+    /// Distinguishes the stream's connection from earlier ones in poller keys.
     stream_serial: u32,
-    /// Tells the report's connection from earlier ones, for the poller.
+    /// Distinguishes the report's connection from earlier ones in poller keys.
     report_serial: u32,
     timer: Option<TimerId>,
 }
@@ -42,12 +42,12 @@
 }
 
 impl Server {
-    /// Opens the stream where it is due, closes it where it is silent, and sends the report that is due. A process that
-    /// shuts down leaves the control plane to its successor.
+    /// Performs the actions that are due: closes a silent stream, connects, and sends a report. A process that is
+    /// shutting down closes its connections, as its successor has connections of its own.
     pub(super) fn check_control_plane(&mut self) {
         let now_us = self.time.now_us;
         if self.shutdown.has_begun() {
-            return self.leave_control_plane();
+            return self.close_control_plane();
         }
         let Some(control_plane) = &self.control_plane else { return };
         if control_plane.client.is_stream_lost(now_us) {
@@ -65,7 +65,7 @@
         self.arm_control_plane_timer();
     }
 
-    fn leave_control_plane(&mut self) {
+    fn close_control_plane(&mut self) {
         let Some(control_plane) = &mut self.control_plane else { return };
         control_plane.client.shut_down();
         for conn in [control_plane.stream.take(), control_plane.report.take()].into_iter().flatten() {
@@ -100,7 +100,7 @@
         }
     }
 
-    /// The stream has ended, or is given up.
+    /// Closes the stream after it has ended or was given up.
     fn control_plane_lost(&mut self) {
         let Some(control_plane) = &mut self.control_plane else { return };
         if let Some(conn) = control_plane.stream.take() {
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Takes what was read. Complete messages count also where the stream has ended.
+    /// Handles the messages that were read. Complete messages are also handled if the stream has ended.
     fn read_control_plane(&mut self, end: ReadEnd) {
         let now_us = self.time.now_us;
         let Some(control_plane) = &mut self.control_plane else { return };
@@ -146,7 +146,7 @@
                 log_announced(&outcome);
                 return self.control_plane_lost();
             }
-            self.act_on_message(outcome);
+            self.handle_message(outcome);
         }
         if read.is_err() || matches!(end, ReadEnd::Eof | ReadEnd::Broken) {
             return self.control_plane_lost();
@@ -154,7 +154,7 @@
         self.arm_control_plane_timer();
     }
 
-    fn act_on_message(&mut self, outcome: MessageOutcome) {
+    fn handle_message(&mut self, outcome: MessageOutcome) {
         log_announced(&outcome);
         match outcome.action {
             SubscriberAction::Nothing | SubscriberAction::Resync => {}
@@ -188,7 +188,7 @@
         tracing::warn!(%version, %in_force, %reason, "configuration refused");
     }
 
-    /// Sends a report that has taken the place of another.
+    /// Sends a new report and aborts a report in progress, which is outdated.
     fn send_new_report(&mut self) {
         if let Some(conn) = self.control_plane.as_mut().and_then(|c| c.report.take()) {
             conn.close(&self.poll);
@@ -217,7 +217,7 @@
     }
 
     fn report_failed(&mut self) {
-        let random = self.sessions.secret();
+        let random = self.sessions.next_random();
         let Some(control_plane) = &mut self.control_plane else { return };
         if let Some(conn) = control_plane.report.take() {
             conn.close(&self.poll);
@@ -261,8 +261,8 @@
     }
 }
 
-/// Sees whether a connection that is being opened has come up. False: it never will.
+/// Completes the connection attempt once the socket is ready. Returns false if connecting failed.
 fn finish_connect(conn: &mut Connection, interest: Interest) -> bool {
-    let may_be_up = conn.phase == Phase::Connecting && (interest.write || interest.read);
-    !may_be_up || conn.finish_connect().is_ok()
+    let is_ready = conn.phase == Phase::Connecting && (interest.write || interest.read);
+    !is_ready || conn.finish_connect().is_ok()
 }
--- a/gateway/src/net/engines.rs
+++ b/gateway/src/net/engines.rs
@@ -1,17 +1,17 @@
-//! The engines' side of the network: connections to engines and the attempts that run over them.
+//! Connections to engines and the attempts that run over them.
 //!
-//! This module holds the types; what is done with them stands in a module for each concern:
-//! - `list`: the endpoint list as the network keeps it
-//! - `connections`: acquire, open, reuse and close connections, within the descriptor budget
+//! This module defines the types. Each concern has a module:
+//! - `list`: applying events of the endpoint list
+//! - `connections`: acquiring, opening, reusing and closing connections, within the descriptor budget
 //! - `connection_events`: readiness and timers of connections
-//! - `attempts`: start and end of an attempt, and what follows when its connection ends first
-//! - `calls`: what is written to an engine once its connection is established
-//! - `cancellation`: attempts that the gateway no longer waits for
-//! - `confirmation`: lost attempts that others of their order key wait for
-//! - `http_responses`, `mysql_events`: what engines answer
+//! - `attempts`: start and end of an attempt, and recovery if its connection ends first
+//! - `calls`: writing calls to an engine
+//! - `cancellation`: cancelling an attempt at its engine
+//! - `confirmation`: confirming the end of lost attempts that hold up other requests of their order key
+//! - `http_responses`, `mysql_events`: handling responses of engines
 //!
-//! Invariant: each attempt in flight ends in exactly one [`Input::AttemptEnded`], [`Input::AttemptLost`] or
-//! [`Input::AttemptUnconfirmed`] to the core.
+//! Invariant: for each attempt in flight, the core receives exactly one [`Input::AttemptEnded`], [`Input::AttemptLost`]
+//! or [`Input::AttemptUnconfirmed`].
 //!
 //! [`Input::AttemptEnded`]: crate::core::Input::AttemptEnded
 //! [`Input::AttemptLost`]: crate::core::Input::AttemptLost
@@ -36,38 +36,39 @@
 mod list;
 mod mysql_events;
 
-pub use confirmation::Unconfirmed;
+pub use confirmation::LostAttempt;
 
 pub use crate::core::AttemptId;
 
-/// How a connection to an engine ended.
+/// Reason for which a connection to an engine ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionEnd {
-    /// Refused: no process listens at the address.
+    /// The connection was refused: no process listens at the address.
     Refused,
-    /// It was not established in time: the machine may be gone.
+    /// The connection was not established in time. The machine may be down.
     TimedOut,
-    /// It broke, or what came over it can't be used.
+    /// The connection broke, no response came in time, or a response was unusable.
     Broken,
 }
 
-/// Which protocol a connection to an engine speaks; the index of its pool in [`Engine`].
+/// Protocol of a connection to an engine. Idle connections are pooled by protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum EngineProtocol {
     Http,
     MySql,
 }
 
-/// An engine and its idle connections. Engines are identified by name, as addresses are reused.
+/// An engine of the endpoint list and its idle connections. Engines are identified by name, as addresses are reused.
 pub struct Engine {
     address: SocketAddr,
     mysql: Option<SocketAddr>,
     state: EndpointState,
-    since_ms: u64,
+    /// Unix time of the start of the engine's process.
+    started_ms: u64,
     idle: IdleConnections,
 }
 
-/// Slots of an engine's idle connections, the longest idle first.
+/// Slots of an engine's idle connections by protocol, the longest idle first.
 #[derive(Default)]
 struct IdleConnections {
     http: Vec<usize>,
@@ -82,7 +83,6 @@
         }
     }
 
-    /// Those of all protocols.
     fn all(&mut self) -> [&mut Vec<usize>; 2] {
         [&mut self.http, &mut self.mysql]
     }
@@ -98,23 +98,23 @@
     }
 }
 
-/// What a connection to an engine is used for.
+/// Current use of a connection to an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Job {
-    /// Nothing: it waits in its engine's pool.
+    /// The connection is idle in its engine's pool.
     Idle { since_us: u64 },
     /// The calls of an attempt.
     Attempt(AttemptId),
-    /// The call that cancels an attempt.
+    /// The call that cancels an attempt in flight.
     Cancel(AttemptId),
-    /// The same call for a lost attempt, to confirm that it has ended.
+    /// The call that cancels a lost attempt, in order to confirm the end of that attempt.
     Confirm(AttemptId),
-    /// A response that no longer matters.
+    /// Reading and discarding a response that is no longer needed.
     Discarding { since_us: u64 },
 }
 
 impl Job {
-    /// Whether it cancels an attempt, with or without a confirmation.
+    /// Whether the connection carries a call that cancels an attempt, in flight or lost.
     fn cancels(self) -> bool {
         matches!(self, Job::Cancel(_) | Job::Confirm(_))
     }
@@ -125,28 +125,29 @@
     MySql(Box<mysql::Session>),
 }
 
-/// The protocol and the use of a connection to an engine.
+/// Protocol state and current use of a connection to an engine.
 pub struct Link {
     pub engine: EngineId,
     job: Job,
     protocol_state: ProtocolState,
-    /// When the call was written whose response is awaited, or before that when the connection was opened.
+    /// Time at which the call whose response is awaited was written. Before the first call, the time at which the
+    /// connection was opened, or at which MySQL authentication began.
     call_written_us: u64,
-    /// The first call of its job is not written before this.
+    /// Earliest time for writing the first call of the current job.
     write_after_us: u64,
-    /// A response came sooner than engines send one without progress: it may have been a duplicate of the one
-    /// before, and then one is still to come when the last seems to be here.
+    /// A response without progress came sooner than engines send one. It may have been a duplicate of the previous
+    /// response, and in this case one more response follows the last expected one.
     duplicate_response_possible: bool,
 }
 
 impl Link {
-    /// Whether the connection can't carry a call yet: it is being established or authenticated.
+    /// Whether the connection is still being established or authenticated, so that no call can be written.
     pub fn is_connecting(&self, phase: Phase) -> bool {
         let authenticating = matches!(&self.protocol_state, ProtocolState::MySql(s) if s.is_authenticating());
         phase == Phase::Connecting || authenticating
     }
 
-    /// Whether its job has begun and its first call is still held back.
+    /// Whether the first call of the current job is delayed.
     fn is_write_delayed(&self) -> bool {
         self.write_after_us > self.call_written_us
     }
@@ -159,15 +160,15 @@
     }
 }
 
-/// How an attempt is executed over its connection.
+/// Protocol-specific state of an attempt.
 enum Execution {
     Http {
         exchange: http::Exchange,
-        /// The call that starts it, until it is written.
+        /// The call that starts the query, until the call is written.
         start: Option<Vec<u8>>,
     },
     MySql {
-        /// The statement, until it is handed to the connection.
+        /// The statement, until it is passed to the protocol session of the connection.
         work: Option<mysql::Work>,
     },
 }
@@ -175,34 +176,34 @@
 /// An attempt in flight.
 pub struct Attempt {
     engine: EngineId,
-    /// The slot of the connection that its calls go over.
+    /// Slot of the connection that carries the attempt's calls.
     slot: usize,
     execution: Execution,
     query_id: String,
-    /// Its first byte must be written before this.
+    /// Deadline for writing the first byte.
     begin_by_us: u64,
-    /// It is not waited for beyond this, and its engine was notified of it.
+    /// Deadline of the attempt, which the engine has received as a time limit.
     until_us: u64,
-    /// Others of its order key wait for its end.
+    /// Other requests of the same order key wait for the end of this attempt.
     in_order: bool,
-    /// Its MySQL connection's id at the engine, noted when it is cancelled: by the time the engine is notified, that
-    /// connection's slot may be another's.
+    /// The engine's id of the attempt's MySQL connection. It is recorded when the attempt is cancelled, as the slot may
+    /// have been reused by the time the KILL statement is written.
     mysql_connection_id: u32,
-    /// It was cancelled, and the engine is being notified.
+    /// The attempt was cancelled, and the engine's confirmation is awaited.
     cancelling: bool,
-    /// Bytes of its result that are reserved in the memory budget.
+    /// Bytes reserved in the memory budget for the result.
     reserved_bytes: usize,
-    /// Fires when the engine should have confirmed the cancellation.
+    /// Fires if the engine has not confirmed the cancellation in time.
     cancel_timer: Option<TimerId>,
-    /// How often in a row the present call had no usable response and was repeated over another connection.
+    /// Number of times that the current call was repeated over another connection for lack of a usable response.
     call_retries: u32,
-    /// When the engine last got a call for it: its start, or one for a progress report or a page.
+    /// Time at which the last call of this attempt was written: its start, or a call for a progress report or a page.
     last_call_us: u64,
 }
 
 impl Attempt {
-    /// Until when an engine that says nothing more may run it, in microseconds. Over MySQL only the time limit that
-    /// the statement was sent with bounds it.
+    /// Latest time at which the engine may still run this attempt if no further call reaches the engine, in
+    /// microseconds. Over MySQL, only the time limit sent with the statement bounds this time.
     fn may_run_until_us(&self, now_us: u64) -> u64 {
         match self.execution {
             Execution::Http { .. } => now_us.max(self.last_call_us + http::MAX_RUN_AFTER_LAST_CALL_US),
@@ -210,7 +211,7 @@
         }
     }
 
-    /// Whether the call that starts it was written; over MySQL there is no such call.
+    /// Whether the HTTP call that starts the attempt was written. Always false over MySQL.
     fn is_http_started(&self) -> bool {
         matches!(self.execution, Execution::Http { start: None, .. })
     }
--- a/gateway/src/net/engines/attempts.rs
+++ b/gateway/src/net/engines/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts at engines: how they start and end, and what follows when their connection ends first.
+//! Start and end of attempts, and recovery of an attempt whose connection ends first.
 
 use workload_manager::{EngineId, LoadReport, Outcome};
 use wrenhatch_sessions::memory_budget::MemoryPurpose;
@@ -11,25 +11,25 @@
 use crate::mysql_protocol::Parameter;
 use crate::net::{OpenClientRequest, Server};
 
-/// How often a call is repeated whose response was unusable or did not come.
+/// Maximum number of times that a call is repeated if its response was unusable or missing.
 pub(super) const MAX_CALL_RETRIES: u32 = 4;
 
-/// What follows when the connection of an attempt ends before the attempt.
+/// Action taken when the connection of an attempt ends before the attempt.
 enum NextStep {
-    /// The call is repeated over another connection.
+    /// Repeat the call over another connection.
     RepeatCall,
-    /// Nothing of it was executed.
+    /// End the attempt. No part of it was executed.
     ConnectFailed,
-    /// Its engine may still run it, and will not say.
+    /// Give up the attempt. The engine may still run it, and its end can't be learnt.
     Lost,
-    /// Its engine may still run it, and is told to stop.
+    /// Cancel the attempt, as the engine may still run it.
     Cancel,
-    /// Its cancellation is under way and decides.
+    /// Do nothing. The cancellation in progress determines the end of the attempt.
     AwaitCancellation,
 }
 
 impl Server {
-    /// Starts an attempt over a connection to its engine, an idle one if there is any.
+    /// Starts an attempt over an idle connection to its engine, or over a new one if none is idle.
     pub(in crate::net) fn start_attempt(
         &mut self,
         id: AttemptId,
@@ -81,7 +81,7 @@
         self.inputs.push(Input::AttemptEnded { attempt: id, outcome, load_report: None });
     }
 
-    /// Removes an attempt with all that is held for it: its query id, its memory and its timer.
+    /// Removes an attempt and releases its query id, its memory and its timer.
     pub(super) fn remove_attempt(&mut self, id: AttemptId) -> Option<Attempt> {
         let attempt = self.pools.attempts.remove(&id)?;
         self.requests.release_query_id(&attempt.query_id);
@@ -92,7 +92,7 @@
         Some(attempt)
     }
 
-    /// The attempt has ended; the core is notified.
+    /// Ends an attempt and reports its outcome to the core.
     pub(in crate::net) fn end_attempt(
         &mut self,
         id: AttemptId,
@@ -113,7 +113,7 @@
         self.inputs.push(Input::AttemptEnded { attempt: id, outcome, load_report });
     }
 
-    /// Whether no byte that executes this attempt has been written.
+    /// Whether no byte that could make the engine execute this attempt has been written.
     pub(super) fn is_not_forwarded(&self, id: AttemptId, protocol_state: &ProtocolState) -> bool {
         match (self.pools.attempts.get(&id).map(|a| &a.execution), protocol_state) {
             (Some(Execution::Http { start, .. }), _) => start.is_some(),
@@ -122,13 +122,12 @@
         }
     }
 
-    /// An attempt's connection ended, or what came over it can't be used: the call is repeated over another one, or
-    /// the attempt ends.
-    pub(super) fn attempt_connection_ended(&mut self, id: AttemptId, over: &Link, end: ConnectionEnd) {
-        let not_forwarded = self.is_not_forwarded(id, &over.protocol_state);
+    /// Handles the end of an attempt's connection. `link` is the state of the closed connection.
+    pub(super) fn attempt_connection_ended(&mut self, id: AttemptId, link: &Link, end: ConnectionEnd) {
+        let not_forwarded = self.is_not_forwarded(id, &link.protocol_state);
         let Some(attempt) = self.pools.attempts.get(&id) else { return };
-        match self.next_step(attempt, over.protocol(), end, not_forwarded) {
-            NextStep::RepeatCall => self.repeat_call(id, over.engine, not_forwarded),
+        match self.next_step(attempt, link.protocol(), end, not_forwarded) {
+            NextStep::RepeatCall => self.repeat_call(id, link.engine, not_forwarded),
             NextStep::ConnectFailed => self.end_attempt(id, Outcome::ConnectFailed, None),
             NextStep::Lost => self.attempt_lost(id),
             NextStep::Cancel => self.cancel_attempt(id),
@@ -136,22 +135,22 @@
         }
     }
 
-    /// The first row that applies decides.
+    /// Chooses the action after the end of an attempt's connection. The first matching row of the table applies.
     ///
-    /// | forwarded? | the connection's end | further condition | next step |
+    /// | forwarded? | connection | further condition | next step |
     /// | --- | --- | --- | --- |
-    /// | yes | any | it is being cancelled | await the cancellation |
+    /// | yes | any | the attempt is being cancelled | await the cancellation |
     /// | no | any | MySQL, or no retries are left | connecting failed |
     /// | no | not established | | connecting failed |
     /// | yes | any | MySQL | lost |
     /// | yes | not established | the call was repeated before | lost |
     /// | any | any | retries are left | repeat the call |
-    /// | yes | any | attempts may be cancelled | cancel |
+    /// | yes | any | the settings allow cancelling attempts | cancel |
     /// | yes | any | | lost |
     ///
-    /// A query belongs to no connection: its engine goes on running it, so the same call is repeated rather than the
-    /// query started elsewhere. An engine that refuses a connection may still run the query, as it may be draining or
-    /// have all the connections it may have.
+    /// Over HTTP a query is independent of the connection, and the engine continues to run it after the connection has
+    /// ended. Therefore the same call is repeated, and the query is not started at another engine. An engine that
+    /// refuses a connection may still run the query: it may be draining, or have reached its connection limit.
     fn next_step(
         &self,
         attempt: &Attempt,
@@ -167,7 +166,8 @@
         if not_forwarded && (protocol == EngineProtocol::MySql || not_established || retries_spent) {
             return NextStep::ConnectFailed;
         }
-        // MySQL has no way to ask for a statement again, and one may outlive its connection.
+        // The MySQL protocol can't resume a statement over another connection, and a statement may outlive its
+        // connection.
         if protocol == EngineProtocol::MySql || (not_established && attempt.call_retries > 0) {
             return NextStep::Lost;
         }
@@ -196,7 +196,7 @@
         }
     }
 
-    /// A connection no longer works for this attempt.
+    /// Ends the use of a connection by an attempt.
     pub(super) fn detach_connection(&mut self, slot: usize, id: AttemptId) {
         let now_us = self.time.now_us;
         let Some(connection) = self.pools.connection(slot) else { return };
@@ -205,7 +205,7 @@
             link.job = Job::Discarding { since_us: now_us };
             let protocol = link.protocol();
             self.pools.dirty.push(slot);
-            // A MySQL connection whose statement was ended is of no more use.
+            // A MySQL connection can't be reused before its statement has ended.
             if protocol == EngineProtocol::MySql {
                 self.pools.close(&self.poll, &mut self.timers, slot);
             }
@@ -228,7 +228,7 @@
     Execution::Http { exchange: http::Exchange::new(&request.query_id), start: Some(start) }
 }
 
-/// A request as work for a MySQL engine; its id, class and remaining time go beside it as query attributes.
+/// Converts a request to work for a MySQL engine. Its id, class and remaining time are sent as query attributes.
 fn mysql_work(request: &OpenClientRequest, class: &str, max_ms: u64) -> mysql::Work {
     let mut attributes = vec![
         Parameter::text(field_name::ID, &request.query_id),
--- a/gateway/src/net/engines/calls.rs
+++ b/gateway/src/net/engines/calls.rs
@@ -1,4 +1,4 @@
-//! What is written to an engine once its connection is established: the call that a connection was acquired for.
+//! Writing calls to engines over established connections.
 
 use workload_manager::{EndpointState, EngineId, Outcome};
 
@@ -7,15 +7,17 @@
 use crate::net::Server;
 
 impl Server {
-    /// Whether the first byte of an attempt may still be written. It is asked when it would be: while its connection
-    /// was established the engine may have begun to drain, the client may have left, or the time may be over.
+    /// Whether the first byte of an attempt may still be written. This must be checked directly before writing: since
+    /// the connection was acquired, the engine may have begun to drain, the client may have disconnected, or the
+    /// deadline may have passed.
     pub(super) fn may_forward(&self, id: AttemptId, engine: EngineId) -> bool {
         let ready = self.pools.engines.get(&engine).is_some_and(|e| e.state == EndpointState::Ready);
         let in_time = self.pools.attempts.get(&id).is_some_and(|a| self.time.now_us < a.begin_by_us);
         ready && in_time && self.requests.open.contains_key(&id.request)
     }
 
-    /// Writes the call that a connection was acquired for, if the connection can carry it now.
+    /// Writes the first call of a connection's job, unless the connection is not established yet or the call is
+    /// delayed.
     pub(super) fn write_first_call(&mut self, slot: usize) {
         self.pools.dirty.push(slot);
         let now_us = self.time.now_us;
@@ -33,13 +35,13 @@
         }
     }
 
-    /// Writes the first call of an attempt, or the call whose response was lost once more.
+    /// Writes the first call of an attempt, or repeats the call whose response was lost.
     fn write_attempt_call(&mut self, slot: usize, id: AttemptId) {
         let now_us = self.time.now_us;
         let Some(connection) = self.pools.connections.get_mut(slot).and_then(Option::as_mut) else { return };
         let Some(attempt) = self.pools.attempts.get_mut(&id) else { return };
         match &mut attempt.execution {
-            // It was forwarded before, so its engine may be asked for it in any state.
+            // The attempt was forwarded before, so that the engine's state no longer matters.
             Execution::Http { exchange, start: None } => {
                 exchange.repeat_call(&mut connection.conn.output);
                 attempt.last_call_us = now_us;
@@ -95,13 +97,13 @@
         }
     }
 
-    /// Notifies an engine of a new priority of an attempt.
+    /// Sends a new priority of an attempt to its engine, if an idle connection is available.
     pub(in crate::net) fn set_priority(&mut self, id: AttemptId, priority: u8) {
         let Some(attempt) = self.pools.attempts.get(&id).filter(|a| !a.cancelling) else { return };
         if !attempt.is_http_started() {
             return;
         }
-        // Only over an idle connection: opening one would cost more than the change is worth.
+        // A connection is not opened for a change of priority.
         let idle = self.pools.engines.get_mut(&attempt.engine);
         let Some(slot) = idle.and_then(|e| e.idle.of(super::EngineProtocol::Http).pop()) else {
             return;
--- a/gateway/src/net/engines/cancellation.rs
+++ b/gateway/src/net/engines/cancellation.rs
@@ -1,23 +1,24 @@
-//! Attempts that the gateway no longer waits for: their engines are notified, and the end is awaited for a while.
+//! Cancellation of attempts: the engine is told to stop, and its confirmation is awaited up to a time limit.
 
 use workload_manager::Outcome;
 
 use super::attempts::MAX_CALL_RETRIES;
-use super::{AttemptId, ConnectionEnd, EngineProtocol, Execution, Job, Link, ProtocolState, Unconfirmed};
+use super::{AttemptId, ConnectionEnd, EngineProtocol, Execution, Job, Link, LostAttempt, ProtocolState};
 use crate::core::Input;
 use crate::net::{NetTimer, Server};
 
-/// How long the end of a cancelled attempt is waited for, in microseconds. Engines stall for 370 ms at times; one that
-/// has said nothing for longer may have vanished, and what it still runs can't be known.
+/// Time limit for the confirmation of a cancellation, in microseconds. Longer than the stalls of up to 370 ms of a
+/// running engine. The state of an attempt without a confirmation is unknown.
 pub(super) const CANCEL_TIMEOUT_US: u64 = 500_000;
 
 impl Server {
-    /// Cancels an attempt: it ends at once if nothing of it was written, else when its engine has confirmed that.
+    /// Cancels an attempt. It ends at once if no byte of it was written, and otherwise when its engine has confirmed
+    /// the cancellation or the time limit has passed.
     pub(in crate::net) fn cancel_attempt(&mut self, id: AttemptId) {
         let in_flight = self.pools.attempts.get(&id).filter(|a| !a.cancelling);
         let Some((engine, slot)) = in_flight.map(|a| (a.engine, a.slot)) else { return };
         self.counters.stopped += 1;
-        // Its connection may be closed, and its slot another's.
+        // The attempt's connection may have been closed and its slot reused.
         let link = self.pools.connections.get(slot).and_then(Option::as_ref).map(|c| &c.link);
         let link = link.filter(|link| link.job == Job::Attempt(id));
         if link.is_some_and(|link| self.is_not_forwarded(id, &link.protocol_state)) {
@@ -45,19 +46,19 @@
                     attempt = id.number,
                     engine = engine.0,
                     ?outcome,
-                    "no connection to cancel an attempt over"
+                    "cancelling an attempt failed: no connection"
                 );
             }
         }
     }
 
-    /// The connection of the call that cancels an attempt ended first: the call is repeated, up to
-    /// [`MAX_CALL_RETRIES`] times. Where the engine refuses the connection it is not, and the time limit
-    /// decides; the engine may run the query on: it drains, or has all the connections that it may have.
-    pub(super) fn retry_cancellation(&mut self, id: AttemptId, over: &Link, end: ConnectionEnd) {
+    /// Repeats the call that cancels an attempt after its connection has ended, up to [`MAX_CALL_RETRIES`] times. The
+    /// call is not repeated if the engine has refused the connection; the attempt then ends at the time limit. Such an
+    /// engine may still run the query: it may be draining, or have reached its connection limit.
+    pub(super) fn retry_cancellation(&mut self, id: AttemptId, link: &Link, end: ConnectionEnd) {
         let attempt = self.pools.attempts.get_mut(&id).filter(|a| a.call_retries < MAX_CALL_RETRIES);
         let Some(attempt) = attempt else { return };
-        let engine = over.engine.0;
+        let engine = link.engine.0;
         tracing::debug!(
             query_id = attempt.query_id,
             attempt = id.number,
@@ -69,12 +70,12 @@
         if end == ConnectionEnd::Refused {
             return;
         }
-        if let Ok(slot) = self.connect(over.engine, Job::Cancel(id), EngineProtocol::Http) {
+        if let Ok(slot) = self.connect(link.engine, Job::Cancel(id), EngineProtocol::Http) {
             self.write_first_call(slot);
         }
     }
 
-    /// The end of an attempt will not be known: its engine may still run it.
+    /// Gives up an attempt whose end can't be learnt. Its engine may still run it.
     pub(in crate::net) fn attempt_lost(&mut self, id: AttemptId) {
         let Some(attempt) = self.remove_attempt(id) else { return };
         self.detach_connection(attempt.slot, id);
@@ -85,7 +86,7 @@
         let may_run_until_us = attempt.may_run_until_us(now_us);
         match attempt.execution {
             Execution::Http { .. } if attempt.in_order => {
-                let unconfirmed = Unconfirmed::new(attempt.engine, attempt.query_id, may_run_until_us);
+                let unconfirmed = LostAttempt::new(attempt.engine, attempt.query_id, may_run_until_us);
                 self.begin_confirmation(id, unconfirmed);
             }
             _ => self.inputs.push(Input::AttemptLost { attempt: id, runs_until_us: may_run_until_us }),
--- a/gateway/src/net/engines/confirmation.rs
+++ b/gateway/src/net/engines/confirmation.rs
@@ -1,8 +1,8 @@
-//! Lost attempts that others of their order key wait for.
+//! Confirms the end of lost attempts that hold up other requests of their order key.
 //!
-//! An engine drops a query that it has had no call for in a while, but only where calls reach it: across a network
-//! partition, a call that was written may still be on its way, and the engine may run the query to its end. So the
-//! engine must be reached once more before that time counts.
+//! An engine drops a query for which it has received no call for some time. During a network partition, a call that was
+//! written may still be in transit, and the engine may later run the query to its end. Therefore the time only counts
+//! after the engine has been reached once more.
 
 use workload_manager::{EndpointState, EngineId, Outcome};
 
@@ -11,43 +11,42 @@
 use crate::engine::http;
 use crate::net::NetTimer;
 
-/// How long a connection for a confirmation may take to be established, in microseconds: longer than one that is
-/// established late, and short enough that the end of a partition is seen soon.
+/// Minimum connect timeout of a connection for a confirmation, in microseconds. Longer than a delayed connection takes
+/// to be established, and short enough to detect the end of a partition soon.
 pub(super) const CONFIRMATION_CONNECT_TIMEOUT_US: u64 = 2_000_000;
 
-/// How long after one that broke, or for which no descriptor was left, the next is opened, in microseconds.
+/// Delay before a connection for a confirmation is opened again after a failure, in microseconds.
 const CONFIRMATION_RETRY_US: u64 = 250_000;
 
 /// A lost attempt whose end is to be confirmed.
-pub struct Unconfirmed {
+pub struct LostAttempt {
     pub engine: EngineId,
     query_id: String,
-    /// The engine drops it by then, if calls reach the engine, in microseconds.
+    /// Time by which the engine has dropped the query, in microseconds. Valid only if calls reach the engine.
     dropped_by_us: u64,
 }
 
-impl Unconfirmed {
-    /// One whose last call was written so long ago that its engine drops it by then.
+impl LostAttempt {
     pub fn new(engine: EngineId, query_id: String, dropped_by_us: u64) -> Self {
         Self { engine, query_id, dropped_by_us }
     }
 }
 
 impl Server {
-    /// An attempt was lost that others of its order key wait for: its engine is asked to confirm the end.
-    pub(super) fn begin_confirmation(&mut self, id: AttemptId, attempt: Unconfirmed) {
+    /// Begins to confirm the end of a lost attempt.
+    pub(super) fn begin_confirmation(&mut self, id: AttemptId, attempt: LostAttempt) {
         self.requests.retain_query_id(&attempt.query_id);
         self.pools.unconfirmed.insert(id, attempt);
         self.inputs.push(Input::AttemptUnconfirmed(id));
         self.request_confirmation(id);
     }
 
-    /// Opens a connection over which the engine is told to cancel the attempt.
+    /// Opens a connection for the call that cancels the attempt.
     pub(in crate::net) fn request_confirmation(&mut self, id: AttemptId) {
         let Some(attempt) = self.pools.unconfirmed.get(&id) else { return };
         let engine = attempt.engine;
         let state = self.pools.engines.get(&engine).map(|e| e.state);
-        // The endpoint list says that its process runs no more.
+        // The endpoint list has removed the engine, so that its process no longer runs.
         if matches!(state, None | Some(EndpointState::Removed)) {
             return self.confirm_dropped(id);
         }
@@ -58,7 +57,8 @@
         }
     }
 
-    /// The connection is established: the engine is told, where that is allowed.
+    /// Writes the call that cancels the attempt. If the settings do not allow cancelling, the established connection
+    /// alone proves that calls reach the engine.
     pub(super) fn write_confirmation_call(&mut self, slot: usize, id: AttemptId) {
         let query_id = self.pools.unconfirmed.get(&id).map(|attempt| attempt.query_id.clone());
         let Some(query_id) = query_id else { return self.release(slot) };
@@ -71,12 +71,13 @@
         }
     }
 
-    /// The engine does not know the attempt any more, or has cancelled it.
+    /// Confirms that the attempt has ended: the engine has cancelled it or no longer knows it.
     pub(super) fn confirm_ended(&mut self, id: AttemptId) {
         self.confirm(id, self.time.now_us);
     }
 
-    /// The engine can be reached, or runs no more: a query that it gets no call for is dropped in time.
+    /// Confirms that the attempt ends by the time at which an engine without further calls drops it. The engine was
+    /// reached or no longer runs.
     pub(super) fn confirm_dropped(&mut self, id: AttemptId) {
         let dropped_by_us = self.pools.unconfirmed.get(&id).map_or(0, |attempt| attempt.dropped_by_us);
         self.confirm(id, dropped_by_us.max(self.time.now_us));
@@ -96,10 +97,11 @@
         self.inputs.push(Input::AttemptEndConfirmed { attempt: id, runs_until_us: may_run_until_us });
     }
 
-    /// The connection for a confirmation has ended without a response.
+    /// Handles the end of a connection for a confirmation without a response.
     pub(super) fn confirmation_connection_ended(&mut self, id: AttemptId, end: ConnectionEnd) {
         match end {
-            // The machine is reached: a process that has died, drains or takes no more connections says so.
+            // The refusal proves that the machine was reached. The process has exited, is draining, or has reached its
+            // connection limit.
             ConnectionEnd::Refused => self.confirm_dropped(id),
             ConnectionEnd::TimedOut | ConnectionEnd::Broken => self.retry_confirmation(id),
         }
--- a/gateway/src/net/engines/connection_events.rs
+++ b/gateway/src/net/engines/connection_events.rs
@@ -1,4 +1,4 @@
-//! Readiness and timers of connections to engines.
+//! Handling of readiness events and deadlines of connections to engines.
 
 use super::cancellation::CANCEL_TIMEOUT_US;
 use super::confirmation::CONFIRMATION_CONNECT_TIMEOUT_US;
@@ -10,21 +10,20 @@
 use crate::net::pools::{EngineConnection, Pools};
 use crate::net::{NetTimer, Server};
 
-/// How long a response is waited for, in microseconds. A call is answered within 250 ms, by engines that stall for
-/// 370 ms at times. One without a response for this long gets none: it is repeated over another connection, where the
-/// query may be well.
+/// Time limit for the response to a call of an attempt, in microseconds. Engines respond within 250 ms and may stall
+/// for up to 370 ms. After the limit the call is repeated over another connection, as the query may still be running.
 const RESPONSE_TIMEOUT_US: u64 = 500_000;
 
-/// How long a response that no longer matters is waited for, to keep its connection, in microseconds: an engine holds
-/// a call for a progress report for 250 ms.
+/// Time limit for a response that is no longer needed, in microseconds. The connection can be reused once the response
+/// has arrived. Engines hold a call for a progress report for 250 ms.
 const DISCARD_TIMEOUT_US: u64 = 1_000_000;
 
-/// The part of the engines' idle timeout for which a connection is kept idle, as a fraction: past it the engine may close
-/// the connection any moment, and a start written to one that is being closed could not be told from one that ran.
+/// Fraction of the engines' idle timeout after which an idle connection is closed. A call must not be written to a
+/// connection that the engine is about to close, as it would be unknown whether the call was executed.
 const MAX_IDLE_NUMERATOR: u64 = 6;
 const MAX_IDLE_DENOMINATOR: u64 = 10;
 
-/// What came over a connection is not its protocol.
+/// Input that violates the protocol of its connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 enum ResponseError {
     #[error(transparent)]
@@ -34,12 +33,12 @@
 }
 
 impl Server {
-    /// When something must have happened on a connection, in microseconds: it must be established, or a response must
-    /// have come, also one that no longer matters; or it must not be idle any longer.
-    fn connection_due_us(&self, connection: &EngineConnection) -> Option<u64> {
+    /// Deadline of a connection for its current state, in microseconds: for being established, for writing a delayed
+    /// call, for a response, or for being idle.
+    fn connection_deadline_us(&self, connection: &EngineConnection) -> Option<u64> {
         let link = &connection.link;
         if link.is_connecting(connection.conn.phase) {
-            // All other jobs may go another way; only this engine can confirm what it runs.
+            // Only this engine can confirm the end of its attempt. All other jobs have an alternative.
             let confirms = matches!(link.job, Job::Confirm(_));
             let at_least_us = if confirms { CONFIRMATION_CONNECT_TIMEOUT_US } else { 0 };
             return Some(link.call_written_us + self.config.connect_timeout_us.max(at_least_us));
@@ -58,7 +57,7 @@
         }
     }
 
-    /// Writes a connection's output, updates what it is polled for, and sets its timer.
+    /// Writes a connection's output, updates its interest at the poller, and sets its timer.
     pub(in crate::net) fn flush_connection(&mut self, slot: usize) {
         let Some(connection) = self.pools.connection(slot) else { return };
         if connection.conn.phase != Phase::Connecting {
@@ -69,24 +68,24 @@
             }
         }
         let Some(connection) = self.pools.connections.get(slot).and_then(Option::as_ref) else { return };
-        let due_us = self.connection_due_us(connection);
+        let deadline_us = self.connection_deadline_us(connection);
         if let Some(connection) = self.pools.connection(slot) {
             let timer = NetTimer::EngineConnection(slot, connection.serial);
-            self.timers.reschedule(&mut connection.timer, due_us, timer);
+            self.timers.reschedule(&mut connection.timer, deadline_us, timer);
         }
     }
 
-    /// The timer of a connection fired; `serial` tells the connection from later ones in its slot.
+    /// Handles the timer of a connection. `serial` distinguishes the connection from later ones in its slot.
     pub(in crate::net) fn connection_timer_fired(&mut self, slot: usize, serial: u32) {
         let now_us = self.time.now_us;
         let connection = self.pools.connections.get(slot).and_then(Option::as_ref);
         let Some(connection) = connection.filter(|c| c.serial == serial) else { return };
-        let is_due = self.connection_due_us(connection).is_some_and(|due_us| due_us <= now_us);
+        let is_due = self.connection_deadline_us(connection).is_some_and(|deadline_us| deadline_us <= now_us);
         let connecting = connection.link.is_connecting(connection.conn.phase);
         let (job, write_delayed) = (connection.link.job, connection.link.is_write_delayed());
         if let Some(connection) = self.pools.connection(slot) {
             connection.timer = None;
-            // A call without a response may not have arrived yet, and must not arrive any more.
+            // A call without a response may still be in transit and must not arrive after it was given up.
             let unanswered = matches!(job, Job::Attempt(_) | Job::Discarding { .. } | Job::Confirm(_));
             if is_due && !connecting && !write_delayed && unanswered {
                 connection.conn.discard_unsent_on_close();
@@ -105,7 +104,7 @@
         }
     }
 
-    /// An established connection has no response in time, or has been idle for long enough.
+    /// Handles the deadline of an established connection for its response, or for being idle.
     fn response_timed_out(&mut self, slot: usize, job: Job) {
         match job {
             Job::Attempt(id) => {
@@ -122,11 +121,11 @@
                     connection.link.call_written_us = now_us;
                 }
             }
-            // The machine may have vanished, and the connection would keep its descriptor for good.
+            // The machine may be down, and the connection would occupy its descriptor forever.
             Job::Cancel(_) | Job::Discarding { .. } => {
                 self.pools.close(&self.poll, &mut self.timers, slot);
             }
-            // It was established, and what was written reached the machine.
+            // The connection was established, which proves that calls reach the machine.
             Job::Confirm(id) => {
                 self.pools.close(&self.poll, &mut self.timers, slot);
                 self.confirm_dropped(id);
@@ -141,7 +140,7 @@
         }
     }
 
-    /// Something is ready on a connection to an engine.
+    /// Handles a poller event of a connection to an engine.
     pub(in crate::net) fn connection_ready(&mut self, slot: usize, interest: Interest) {
         let Some(connection) = self.pools.connection(slot) else { return };
         if connection.conn.phase == Phase::Connecting {
@@ -150,7 +149,7 @@
             }
             match connection.conn.finish_connect() {
                 Ok(()) => {}
-                // Only this proves that no process listens: a reset strikes connections of running ones too.
+                // Only a refusal proves that no process listens. A reset also occurs with running processes.
                 Err(e) if e.kind() == std::io::ErrorKind::ConnectionRefused => {
                     return self.connection_ended(slot, ConnectionEnd::Refused);
                 }
@@ -171,7 +170,7 @@
         }
     }
 
-    /// Takes in all responses that have come whole.
+    /// Handles all complete responses in the input.
     fn read_responses(&mut self, slot: usize, end: ReadEnd) {
         loop {
             match self.read_response(slot) {
@@ -188,7 +187,7 @@
         }
     }
 
-    /// Takes in the next response; false where there is none that is whole, or its connection has ended.
+    /// Handles the next response. Returns false if the input has no complete response, or the connection has ended.
     fn read_response(&mut self, slot: usize) -> Result<bool, ResponseError> {
         let Some(connection) = self.pools.connections.get_mut(slot).and_then(Option::as_mut) else {
             return Ok(false);
@@ -223,7 +222,7 @@
         let Some(connection) = self.pools.connection(slot) else { return };
         match &connection.link.protocol_state {
             ProtocolState::Http => self.write_first_call(slot),
-            // The engine speaks first, within the time that a connection may take to be established.
+            // In the MySQL protocol the server sends the first packet. The connect timeout restarts for authentication.
             ProtocolState::MySql(_) => {
                 connection.link.call_written_us = now_us;
                 self.pools.dirty.push(slot);
--- a/gateway/src/net/engines/connections.rs
+++ b/gateway/src/net/engines/connections.rs
@@ -1,4 +1,4 @@
-//! Connections to engines: acquired, opened, reused and closed, within the descriptor budget.
+//! Acquiring, opening, reusing and closing connections to engines, within the descriptor budget.
 
 use workload_manager::{EndpointState, EngineId, Outcome};
 
@@ -7,20 +7,21 @@
 use crate::net::Server;
 use crate::net::connection::{Phase, ReadEnd};
 
-/// How long an idle connection is left alone behind a response before the next call is written, in microseconds: a
-/// duplicate may come some milliseconds late, and would be taken for the next call's response. The call is delayed
-/// rather than that another connection is opened, as many of those are established late.
+/// Minimum time between a response and the next call over the same connection, in microseconds. A duplicate of a
+/// response may arrive some milliseconds late and would be mistaken for the response to the next call. If no other idle
+/// connection is available, the call is delayed and no new connection is opened, as establishing one often takes
+/// longer.
 pub(super) const REUSE_DELAY_US: u64 = 25_000;
 
-/// Bytes of responses that are read ahead over MySQL.
+/// Read-ahead of a MySQL connection.
 const MYSQL_READ_AHEAD_BYTES: usize = 512 * 1024;
 
 impl Server {
-    /// Acquires a connection to an engine for a job: an idle one, best with the statement prepared, or one that is
-    /// being opened.
+    /// Acquires a connection to an engine for a job and returns its slot. Prefers an idle connection on which the
+    /// statement `prepared` is prepared, then any idle connection, then opens a new one.
     ///
     /// # Errors
-    /// The outcome of an attempt for which there is no connection.
+    /// No connection is available. The error is the outcome of an attempt for which it was to be acquired.
     pub(super) fn acquire_connection(
         &mut self,
         engine: EngineId,
@@ -48,9 +49,9 @@
         self.connect(engine, job, protocol)
     }
 
-    /// Takes the best idle connection out of an engine's pool: of those past their reuse delay the one idle
-    /// for the shortest time, best with the statement prepared; if none is past it, the one that has been
-    /// idle for longest.
+    /// Removes the best idle connection from an engine's pool. Among connections past their reuse delay, this is the
+    /// most recently used one, with preference for those with the statement prepared. If none is past its reuse delay,
+    /// it is the one that has been idle for longest.
     fn take_idle(
         &mut self,
         engine: EngineId,
@@ -77,17 +78,18 @@
         Some(idle.remove(best))
     }
 
-    /// Whether nothing has come over an idle connection. Bytes behind a response would be taken for the next one, and
-    /// over a connection that the engine has closed a start could not be told from one that ran.
+    /// Whether an idle connection is open and has no input. Unexpected input would be mistaken for the next response.
+    /// If the engine has closed the connection, it would be unknown whether a call written to it was executed.
     fn has_no_unread_input(&mut self, slot: usize) -> bool {
         let Some(connection) = self.pools.connection(slot) else { return false };
         connection.conn.fill(usize::MAX) == ReadEnd::WouldBlock && connection.conn.input.is_empty()
     }
 
-    /// Opens a connection to an engine, within the descriptor budget.
+    /// Opens a connection to an engine and returns its slot. If the descriptor budget is exhausted, an idle connection
+    /// is closed first.
     ///
     /// # Errors
-    /// The outcome of an attempt for which there is no connection.
+    /// No connection could be opened. The error is the outcome of an attempt for which it was to be opened.
     pub(super) fn connect(
         &mut self,
         engine: EngineId,
@@ -97,7 +99,7 @@
         let Some(e) = self.pools.engines.get(&engine) else { return Err(Outcome::NeverSent) };
         let address = if protocol == EngineProtocol::Http { Some(e.address) } else { e.mysql };
         let Some(address) = address else { return Err(Outcome::NeverSent) };
-        // A removed engine may have left its address to another, which knows nothing of its queries.
+        // The address of a removed engine may have been reused by another engine, which does not have its queries.
         let reuses_address = |o: &Engine| o.state != EndpointState::Removed && o.address == e.address;
         if e.state == EndpointState::Removed && self.pools.engines.values().any(reuses_address) {
             return Err(Outcome::NeverSent);
@@ -146,12 +148,13 @@
         crate::net::sessions::max_engine_connections(&self.config, self.peer_processes.is_empty())
     }
 
-    /// Another process of this gateway has come: idle connections beyond this one's half are closed.
+    /// Closes idle connections beyond the half of the descriptors that a process with a peer process may use.
     pub(in crate::net) fn share_descriptors(&mut self) {
         while self.pools.open_connections > self.max_engine_connections() && self.close_idle_connection() {}
     }
 
-    /// Closes the longest idle connection of the engine that has most of them; false where none is idle.
+    /// Closes the longest idle connection in the largest pool of idle connections. Returns false if no connection is
+    /// idle.
     fn close_idle_connection(&mut self) -> bool {
         let pools = self.pools.engines.values_mut().flat_map(|e| e.idle.all());
         let fullest = pools.max_by_key(|idle| idle.len()).filter(|idle| !idle.is_empty());
@@ -160,7 +163,7 @@
         true
     }
 
-    /// Puts a connection back to the idle ones of its engine, or closes it where it can't be reused.
+    /// Returns a connection to its engine's pool of idle connections, or closes it if it can't be reused.
     pub(super) fn release(&mut self, slot: usize) {
         let now_us = self.time.now_us;
         let Some(connection) = self.pools.connections.get_mut(slot).and_then(Option::as_mut) else { return };
@@ -187,7 +190,7 @@
         }
     }
 
-    /// Releases a connection that its engine keeps open, closes another.
+    /// Closes a connection if `close` is set, and releases it otherwise.
     pub(super) fn release_or_close(&mut self, slot: usize, close: bool) {
         if close {
             self.pools.close(&self.poll, &mut self.timers, slot);
@@ -196,7 +199,7 @@
         }
     }
 
-    /// A connection to an engine ended; its job decides what follows.
+    /// Closes a connection that has ended, and recovers its job.
     pub(in crate::net) fn connection_ended(&mut self, slot: usize, end: ConnectionEnd) {
         let Some(link) = self.pools.close(&self.poll, &mut self.timers, slot) else { return };
         match link.job {
--- a/gateway/src/net/engines/http_responses.rs
+++ b/gateway/src/net/engines/http_responses.rs
@@ -1,4 +1,4 @@
-//! HTTP responses of engines, and what they mean for the job of their connection.
+//! Handling of HTTP responses of engines, according to the job of the connection.
 
 use workload_manager::{Outcome, Progress};
 use wrenhatch_sessions::memory_budget::MemoryPurpose;
@@ -13,9 +13,9 @@
 impl Server {
     pub(super) fn http_response(&mut self, slot: usize, mut response: Response) {
         let Some(connection) = self.pools.connection(slot) else { return };
-        // The response may be good, but what stands behind it would be taken for the next one.
+        // Input behind a response is unexpected and would be mistaken for the next response.
         response.close |= !connection.conn.input.is_empty();
-        // The call has arrived whole, or the engine does not know the query any more: the attempt has ended.
+        // Both statuses mean that the attempt has ended: the engine has cancelled the query or no longer knows it.
         let cancelled = matches!(response.status, status::NO_CONTENT | status::INTERNAL_SERVER_ERROR);
         match connection.link.job {
             Job::Cancel(id) if cancelled => {
@@ -66,12 +66,13 @@
         }
     }
 
-    /// The attempt goes on: the next call, for a progress report or a page, is written over the same connection.
+    /// Reports progress to the core, and writes the next call of a running attempt over the same connection. The call
+    /// asks for a progress report or for a page of the result.
     fn write_next_call(&mut self, slot: usize, id: AttemptId, response: &Response, mut next_call: Vec<u8>) {
         let now_us = self.time.now_us;
         let Some(connection) = self.pools.connections.get_mut(slot).and_then(Option::as_mut) else { return };
         let link = &mut connection.link;
-        // An engine that has nothing to report takes its time to say so.
+        // An engine without progress to report delays its response by more than the reuse delay.
         let early = now_us < link.call_written_us + REUSE_DELAY_US;
         link.duplicate_response_possible |=
             response.status == status::ACCEPTED && response.progress.is_none() && early;
@@ -98,8 +99,8 @@
     ) {
         let Some(attempt) = self.pools.attempts.get(&id) else { return };
         let Execution::Http { exchange, .. } = &attempt.execution else { return };
-        // The call that starts it was lost with its connection, or its engine has restarted: neither the engine that
-        // says so nor the request is at fault.
+        // An error in response to a repeated call may mean that the call that starts the query was lost, or that the
+        // engine has restarted. Neither is an error of the engine or of the request.
         if was_repeated && outcome == Outcome::Error {
             outcome = Outcome::Cancelled;
         }
--- a/gateway/src/net/engines/list.rs
+++ b/gateway/src/net/engines/list.rs
@@ -1,4 +1,4 @@
-//! The engines as the network knows them: addresses, states, and the ids under which the core knows them.
+//! Applies events of the endpoint list to the table of engines, assigns engine ids, and passes the events to the core.
 
 use std::collections::BTreeSet;
 
@@ -13,7 +13,7 @@
     /// Applies an event of the endpoint list.
     pub(in crate::net) fn apply_list_event(&mut self, event: &EndpointListEvent) {
         self.counters.list_events += 1;
-        // One line for all entries: a list of thousands may be wrong throughout.
+        // One line covers all unreadable entries, as a list may have thousands of them.
         if let Some(first) = event.unreadable.first() {
             tracing::warn!(
                 event = event.index,
@@ -27,7 +27,7 @@
         self.update_engines(&event);
     }
 
-    /// Updates the engines by an event as the registry returns it, and passes it to the core.
+    /// Updates the engines by an event that the registry has returned, and passes the event to the core.
     pub(in crate::net) fn update_engines(&mut self, event: &EndpointListEvent) {
         let mut stale_connections = Vec::new();
         if event.is_full {
@@ -43,10 +43,10 @@
         }
         let mode = if event.is_full { EndpointListMode::Full } else { EndpointListMode::Delta };
         self.inputs.push(Input::EndpointList { mode, entries });
-        self.forget_removed_engines();
+        self.delete_removed_engines();
     }
 
-    /// Removes the engines that a whole list no longer has.
+    /// Marks engines that are missing in a full list as removed.
     fn remove_unlisted(&mut self, endpoints: &[Endpoint], stale_connections: &mut Vec<usize>) {
         let listed: BTreeSet<EngineId> =
             endpoints.iter().filter_map(|endpoint| self.pools.ids.get(&endpoint.name).copied()).collect();
@@ -58,27 +58,27 @@
 
     fn update_engine(&mut self, endpoint: &Endpoint, stale_connections: &mut Vec<usize>) -> EngineId {
         let id = *self.pools.ids.entry(endpoint.name.clone()).or_insert_with(|| {
-            self.pools.ids_given += 1;
-            EngineId(self.pools.ids_given - 1)
+            self.pools.engine_ids_assigned += 1;
+            EngineId(self.pools.engine_ids_assigned - 1)
         });
         let mysql = self.config.mysql.as_ref().and_then(|m| m.engines.get(&endpoint.name).copied());
         let engine = self.pools.engines.entry(id).or_insert_with(|| Engine {
             address: endpoint.address,
             mysql,
             state: endpoint.state,
-            since_ms: endpoint.started_ms,
+            started_ms: endpoint.started_ms,
             idle: IdleConnections::default(),
         });
         let is_removed = endpoint.state == EndpointState::Removed;
-        let has_restarted = endpoint.started_ms != engine.since_ms;
-        // Connections to a process that was removed, moved or restarted are of no use.
+        let has_restarted = endpoint.started_ms != engine.started_ms;
+        // Connections to a process that was removed, moved or restarted can't be reused.
         if is_removed || has_restarted || endpoint.address != engine.address {
             stale_connections.extend(engine.take_all_idle());
         }
         if !is_removed {
             engine.address = endpoint.address;
         }
-        (engine.state, engine.since_ms) = (endpoint.state, endpoint.started_ms);
+        (engine.state, engine.started_ms) = (endpoint.state, endpoint.started_ms);
         tracing::debug!(
             engine = id.0,
             name = endpoint.name,
@@ -90,8 +90,9 @@
         id
     }
 
-    /// Forgets removed engines that nothing refers to any more: new names come for as long as the gateway runs.
-    fn forget_removed_engines(&mut self) {
+    /// Deletes removed engines without connections or attempts. The list keeps adding new names, so that the table
+    /// would grow without bound.
+    fn delete_removed_engines(&mut self) {
         let mut used: BTreeSet<EngineId> =
             self.pools.connections.iter().flatten().map(|connection| connection.link.engine).collect();
         used.extend(self.pools.attempts.values().map(|attempt| attempt.engine));
@@ -101,7 +102,7 @@
     }
 
     fn endpoint_entry(&mut self, engine: EngineId, endpoint: &Endpoint) -> EndpointEntry {
-        // Unix milliseconds to the core's clock, which started at a known Unix time.
+        // Converts Unix time in milliseconds to the core's clock.
         let started_us = i128::from(endpoint.started_ms) * 1000 - self.time.unix_offset_us;
         let zone = SettingsNames::find_or_add(&mut self.names.zones, &endpoint.zone);
         let machine_type = SettingsNames::find_or_add(&mut self.names.machine_types, &endpoint.machine_type);
--- a/gateway/src/net/engines/mysql_events.rs
+++ b/gateway/src/net/engines/mysql_events.rs
@@ -1,4 +1,4 @@
-//! Events of MySQL connections to engines, and what they mean for the job of their connection.
+//! Handling of events of MySQL connections to engines, according to the job of the connection.
 
 use workload_manager::Outcome;
 
@@ -8,7 +8,7 @@
 use crate::mysql_protocol::{ResultSet, SqlError, error_code};
 use crate::net::Server;
 
-/// The engine has all the connections that it takes.
+/// Error codes of an engine that has reached a connection limit.
 const TOO_MANY_CONNECTIONS: [u16; 3] = [
     error_code::ER_CON_COUNT_ERROR,
     error_code::ER_TOO_MANY_USER_CONNECTIONS,
@@ -23,8 +23,8 @@
             (Event::Ready, Job::Idle { .. } | Job::Discarding { .. }) => self.release(slot),
             (Event::Prepared, Job::Attempt(id)) => self.execute_prepared(slot, id),
             (Event::Completed(result), Job::Attempt(id)) => {
-                // An error of the statement itself is a final answer, as rows are: no other engine would answer
-                // otherwise, and none is at fault.
+                // An error of the statement itself is a final answer like rows: another engine would return the same
+                // error, and the engine is not at fault.
                 self.pools.results.insert(id, Payload::MySql(result));
                 self.release(slot);
                 self.end_attempt(id, Outcome::Success, None);
@@ -41,11 +41,11 @@
             }
             (Event::ConnectionRejected(e), Job::Attempt(id)) => {
                 self.pools.close(&self.poll, &mut self.timers, slot);
-                self.end_attempt(id, rejected_connection(&e), None);
+                self.end_attempt(id, connection_rejected_outcome(&e), None);
             }
             (event @ (Event::Completed(_) | Event::Failed(_)), Job::Cancel(id)) => {
                 self.release(slot);
-                if is_killed(&event) {
+                if is_kill_confirmed(&event) {
                     self.end_attempt(id, Outcome::Cancelled, None);
                 }
             }
@@ -59,7 +59,7 @@
         }
     }
 
-    /// The statement of an attempt is prepared at its engine: it is executed, if it still may be.
+    /// Executes the prepared statement of an attempt, unless the attempt may no longer be forwarded.
     fn execute_prepared(&mut self, slot: usize, id: AttemptId) {
         let Some(engine) = self.pools.connection(slot).map(|c| c.link.engine) else { return };
         if !self.may_forward(id, engine) {
@@ -73,9 +73,9 @@
     }
 }
 
-/// Whether a KILL has ended the other connection, or found that it had ended. After any other error, as that this
-/// gateway may not end it, nothing is known of it.
-fn is_killed(event: &Event) -> bool {
+/// Whether the response to a KILL proves that the other connection has ended. After any other error, for example
+/// missing privileges, the state of that connection is unknown.
+fn is_kill_confirmed(event: &Event) -> bool {
     matches!(
         event,
         Event::Completed(ResultSet::Done { .. })
@@ -83,9 +83,9 @@
     )
 }
 
-/// An engine that takes no more connections is full; one that never accepts this gateway can't be reached. Nothing
-/// ran on either.
-fn rejected_connection(e: &SqlError) -> Outcome {
+/// Outcome of an attempt whose connection was rejected by the engine. A connection limit is a rejection that may pass.
+/// Any other error counts as a failure to connect. The statement was not executed in either case.
+fn connection_rejected_outcome(e: &SqlError) -> Outcome {
     tracing::warn!(code = e.code, error = e.message, "connection rejected by an engine");
     if TOO_MANY_CONNECTIONS.contains(&e.code) { Outcome::Rejected } else { Outcome::ConnectFailed }
 }
--- a/gateway/src/net/engines/tests.rs
+++ b/gateway/src/net/engines/tests.rs
@@ -4,7 +4,7 @@
 use crate::json::JsonField;
 
 #[test]
-fn engines_that_have_gone_are_forgotten_and_their_numbers_not_given_out_again() {
+fn removed_engines_are_deleted_and_their_ids_not_reused() {
     let text = include_str!("../../../tests/common/config.json").replace("LIST", "");
     let config = config::read(&JsonField::root(&text.parse().unwrap(), "config")).unwrap();
     let mut server = Server::new(config, crate::net::Signals::catch().unwrap()).unwrap();
--- a/gateway/src/net/event_loop.rs
+++ b/gateway/src/net/event_loop.rs
@@ -1,10 +1,9 @@
-//! The event loop. A turn
+//! The event loop. Each turn:
 //!
-//! 1. waits for events or the next timer, and reads the clock;
-//! 2. takes in what engines, the discovery service, the control plane, operators and peer processes have
-//!    sent, and fires timers;
-//! 3. accepts and reads clients, as far as the read scheduler lets it;
-//! 4. hands all inputs to the core, executes its commands, and writes to all connections that have output.
+//! 1. Wait for events or the next timer, and read the clock.
+//! 2. Read from engines, the discovery service, the control plane, operators and peer processes, and fire timers.
+//! 3. Accept and read clients within the limits of the read scheduler.
+//! 4. Pass all inputs to the core, execute its commands, and flush all connections that have output.
 
 use std::io;
 use std::net::SocketAddr;
@@ -21,14 +20,14 @@
 use crate::counters::Counters;
 use crate::process_replacement::Message;
 
-/// The front ends with clients that wait to be accepted.
+/// Front ends whose listeners have connections to accept.
 #[derive(Clone, Copy, Debug, Default)]
-struct Connecting {
+struct ReadyListeners {
     postgresql: bool,
     mysql: bool,
 }
 
-impl Connecting {
+impl ReadyListeners {
     fn front_ends(self) -> impl Iterator<Item = FrontEnd> {
         let postgresql = self.postgresql.then_some(FrontEnd::PostgreSql);
         let mysql = self.mysql.then_some(FrontEnd::MySql);
@@ -37,25 +36,25 @@
 }
 
 impl Server {
-    /// Serves until SIGTERM has come and the graceful shutdown is over. SIGUSR1 logs the counters, SIGHUP
-    /// reads the configuration's file again for the discovery service and the endpoint list alone.
+    /// Serves until a graceful shutdown, started by SIGTERM, is complete. SIGUSR1 logs the counters. SIGHUP reloads
+    /// the address of the discovery service and the endpoint list from the configuration file.
     ///
     /// # Errors
-    /// The poller fails.
+    /// Waiting for events, or adding the signals to the poller, failed.
     pub fn run(mut self) -> Result<Counters, ServeError> {
         self.signals.register(&self.poll)?;
         let mut ready = Vec::new();
         loop {
             let timeout = self.timeout();
             self.poll.wait(timeout, &mut ready)?;
-            self.time.now_us = self.time.clock.elapsed().as_micros() as u64;
+            self.time.now_us = self.time.started.elapsed().as_micros() as u64;
             self.counters.turns += 1;
-            let mut connecting = Connecting::default();
+            let mut ready_listeners = ReadyListeners::default();
             for (key, interest) in ready.iter().copied() {
-                self.handle_event(key, interest, &mut connecting);
+                self.handle_event(key, interest, &mut ready_listeners);
             }
             self.fire_timers();
-            self.serve_clients(connecting);
+            self.serve_clients(ready_listeners);
             self.turn();
             if self.advance_shutdown() {
                 self.announce_exit_to_peers();
@@ -65,11 +64,11 @@
         }
     }
 
-    fn handle_event(&mut self, key: u64, interest: Interest, connecting: &mut Connecting) {
+    fn handle_event(&mut self, key: u64, interest: Interest, ready_listeners: &mut ReadyListeners) {
         let Some(source) = PollKey::decode(key) else { return };
         match source {
-            PollKey::PostgreSqlListener => connecting.postgresql = true,
-            PollKey::MySqlListener => connecting.mysql = true,
+            PollKey::PostgreSqlListener => ready_listeners.postgresql = true,
+            PollKey::MySqlListener => ready_listeners.mysql = true,
             PollKey::Terminate => {
                 self.signals.drain(source);
                 self.begin_shutdown();
@@ -99,13 +98,13 @@
         }
     }
 
-    /// Accepts and reads clients. Where the table is full, sessions are read first: clients that have left make place,
-    /// and no client is rejected without need.
-    fn serve_clients(&mut self, connecting: Connecting) {
-        if connecting.front_ends().next().is_some() && self.sessions.is_full() {
+    /// Accepts and reads clients. If the session table is full, sessions are read first, so that those of disconnected
+    /// clients are removed before a new client is rejected.
+    fn serve_clients(&mut self, ready_listeners: ReadyListeners) {
+        if ready_listeners.front_ends().next().is_some() && self.sessions.is_full() {
             self.read_sessions();
         }
-        for front_end in connecting.front_ends() {
+        for front_end in ready_listeners.front_ends() {
             self.accept(front_end);
         }
         self.read_sessions();
@@ -121,7 +120,7 @@
         );
     }
 
-    /// Hands all inputs to the core, executes its commands, and settles all connections that something has happened to.
+    /// Passes all inputs to the core, executes its commands, and settles all dirty connections and sessions.
     pub(super) fn turn(&mut self) {
         let mut inputs = std::mem::take(&mut self.inputs);
         let mut commands = Vec::new();
@@ -135,14 +134,14 @@
         while let Some(handle) = self.sessions.dirty.pop() {
             self.settle_session(handle);
         }
-        self.relieve_memory();
+        self.relieve_memory_pressure();
         self.pools.end_turn();
     }
 
-    /// How long to wait for events. It is called at the end of a turn, and reads the clock to tell the read scheduler
-    /// what the turn has cost.
+    /// Time to wait for events; `None` waits without a limit. Called once at the end of a turn, as it also reports the
+    /// turn's duration to the read scheduler.
     fn timeout(&mut self) -> Option<Duration> {
-        let now_us = self.time.clock.elapsed().as_micros() as u64;
+        let now_us = self.time.started.elapsed().as_micros() as u64;
         self.sessions.scheduler.end_turn(now_us.saturating_sub(self.time.now_us));
         let unsettled = !self.sessions.dirty.is_empty() || !self.pools.dirty.is_empty();
         if unsettled || !self.inputs.is_empty() || self.sessions.scheduler.waiting() > 0 {
@@ -152,8 +151,8 @@
         Some(Duration::from_micros(next_us.saturating_sub(now_us)))
     }
 
-    /// Opens a connection. Where the system has no descriptor left for it, whatever the budget says, a client's session
-    /// is evicted: requests that were admitted go before requests that may come.
+    /// Opens a connection. If the system is out of descriptors in spite of the descriptor budget, a client's session is
+    /// evicted: admitted requests have precedence over idle clients.
     pub(super) fn dial(
         &mut self,
         address: SocketAddr,
@@ -173,17 +172,17 @@
             self.timer_lag.record(due_us, self.time.now_us);
             self.sessions.scheduler.charge(Work::Event, 1);
             match timer {
-                NetTimer::EngineConnection(at, serial) => self.connection_timer_fired(at, serial),
+                NetTimer::EngineConnection(slot, serial) => self.connection_timer_fired(slot, serial),
                 NetTimer::CancelTimeout(id) => self.attempt_lost(id),
                 NetTimer::Confirmation(id) => self.request_confirmation(id),
                 NetTimer::Client(handle) => self.client_timer_fired(handle),
-                NetTimer::IdleLimit => self.close_long_idle(),
+                NetTimer::IdleLimit => self.close_idle_sessions(),
                 NetTimer::Watch => self.check_watch(),
                 NetTimer::ControlPlane => self.check_control_plane(),
                 NetTimer::Reload(failures) => self.reload(failures),
                 NetTimer::Listeners => self.listeners.resume(&self.poll),
                 NetTimer::Admin => self.admin_timer_fired(),
-                // It only wakes the loop, which advances the shutdown at the end of each turn.
+                // This timer only wakes the loop, which advances the shutdown at the end of each turn.
                 NetTimer::Shutdown => {}
             }
         }
--- a/gateway/src/net/listeners.rs
+++ b/gateway/src/net/listeners.rs
@@ -1,4 +1,5 @@
-//! Listeners, and what happens when no descriptor is left for a new connection.
+//! The listeners of both front ends: opening, handing over to a successor, accepting connections, and handling
+//! descriptor exhaustion.
 
 use std::fs::File;
 use std::io::{ErrorKind, Write};
@@ -12,17 +13,17 @@
 use super::{NetTimer, ServeError, Server};
 use crate::config::Config;
 
-/// How long no client is accepted once the system has no descriptor left and no session can be evicted.
+/// Pause in accepting clients after the system has run out of descriptors and no session could be evicted.
 const ACCEPT_PAUSE_US: u64 = 50_000;
-/// EMFILE and ENFILE on Linux: the process, or the machine, has no descriptor left.
+/// EMFILE and ENFILE on Linux: the process or the machine has no descriptor left.
 const OUT_OF_DESCRIPTORS: [i32; 2] = [24, 23];
 
-/// The protocol that clients of a listener speak.
+/// A front end: a client protocol with a listener of its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FrontEnd {
-    /// PostgreSQL.
+    /// The PostgreSQL frontend/backend protocol, version 3.
     PostgreSql,
-    /// MySQL.
+    /// The MySQL client/server protocol.
     MySql,
 }
 
@@ -35,37 +36,39 @@
     }
 }
 
-/// The listeners.
+/// The listeners of all front ends.
 pub struct Listeners {
     pg: Option<TcpListener>,
     mysql: Option<TcpListener>,
-    /// A descriptor kept in reserve, so that a client can be accepted and rejected when there is no other.
+    /// A spare descriptor. It is closed when no other descriptor is left, so that a client can be accepted and
+    /// rejected.
     spare: Option<File>,
-    /// No client is accepted for the moment.
+    /// The listeners are not polled.
     paused: bool,
-    /// The successor accepts clients.
+    /// The successor accepts clients from the same queues.
     handed_over: bool,
 }
 
-const ACCEPTS: Interest = Interest { read: true, write: false };
-const NOTHING: Interest = Interest { read: false, write: false };
+const ACCEPT_INTEREST: Interest = Interest { read: true, write: false };
+const NO_INTEREST: Interest = Interest { read: false, write: false };
 
 impl Listeners {
-    /// Listens at the configured addresses, with the listeners inherited from the predecessor where it has these.
+    /// Opens a listener for each configured front end. A listener inherited from the predecessor is used if it has the
+    /// configured address.
     ///
     /// # Errors
-    /// An address can't be listened at, or the poller refuses.
+    /// Opening a listener, or adding it to the poller, failed.
     pub fn open(config: &Config, poll: &Poll, inherited: Vec<TcpListener>) -> Result<Self, ServeError> {
         let backlog = config.clients.backlog;
         let mut inherited = inherited;
-        let mut listen = |address, front: FrontEnd| -> Result<TcpListener, ServeError> {
+        let mut listen = |address, front_end: FrontEnd| -> Result<TcpListener, ServeError> {
             let at = inherited.iter().position(|l| l.local_addr().is_ok_and(|a| a == address));
             let listener = match at {
                 Some(at) => inherited.swap_remove(at),
-                None => listener(address, backlog, config.admin.is_some())
+                None => open_listener(address, backlog, config.admin.is_some())
                     .map_err(|e| ServeError::Listen(address, e))?,
             };
-            poll.add(&listener, front.key(), ACCEPTS, Trigger::Level)?;
+            poll.add(&listener, front_end.key(), ACCEPT_INTEREST, Trigger::Level)?;
             Ok(listener)
         };
         Ok(Self {
@@ -77,19 +80,19 @@
         })
     }
 
-    fn listener(&self, front: FrontEnd) -> Option<&TcpListener> {
-        match front {
+    fn listener(&self, front_end: FrontEnd) -> Option<&TcpListener> {
+        match front_end {
             FrontEnd::PostgreSql => self.pg.as_ref(),
             FrontEnd::MySql => self.mysql.as_ref(),
         }
     }
 
-    /// Where a front end listens.
-    pub fn address(&self, front: FrontEnd) -> Option<String> {
-        Some(self.listener(front)?.local_addr().ok()?.to_string())
+    /// Local address of a front end's listener; `None` if there is none.
+    pub fn address(&self, front_end: FrontEnd) -> Option<String> {
+        Some(self.listener(front_end)?.local_addr().ok()?.to_string())
     }
 
-    /// Closes the listeners.
+    /// Removes all listeners from the poller and closes them.
     pub fn close(&mut self, poll: &Poll) {
         for listener in [self.pg.take(), self.mysql.take()].into_iter().flatten() {
             poll.remove(&listener);
@@ -97,37 +100,38 @@
     }
 
     fn set_interest(&mut self, poll: &Poll, interest: Interest) {
-        self.paused = interest == NOTHING;
-        for front in [FrontEnd::PostgreSql, FrontEnd::MySql] {
-            let changed = self.listener(front).map(|l| poll.change(l, front.key(), interest, Trigger::Level));
+        self.paused = interest == NO_INTEREST;
+        for front_end in [FrontEnd::PostgreSql, FrontEnd::MySql] {
+            let changed =
+                self.listener(front_end).map(|l| poll.change(l, front_end.key(), interest, Trigger::Level));
             if let Some(Err(error)) = changed {
                 tracing::warn!(%error, "changing a listener's interest failed");
             }
         }
     }
 
-    /// All listeners.
+    /// The open listeners, PostgreSQL first.
     pub fn all(&self) -> impl Iterator<Item = &TcpListener> {
         self.pg.iter().chain(&self.mysql)
     }
 
-    /// Where PostgreSQL clients connect.
+    /// Local address of the PostgreSQL listener, while it is open.
     pub fn pg_address(&self) -> Option<SocketAddr> {
         self.pg.as_ref()?.local_addr().ok()
     }
 
-    /// The successor accepts from the same queues: no client is accepted here.
+    /// Stops accepting clients, as the successor accepts from the same queues.
     pub fn hand_over(&mut self, poll: &Poll) {
         self.handed_over = true;
-        self.set_interest(poll, NOTHING);
+        self.set_interest(poll, NO_INTEREST);
     }
 
-    /// Whether the successor accepts from these queues.
+    /// Whether the successor accepts clients from the same queues.
     pub fn is_handed_over(&self) -> bool {
         self.handed_over
     }
 
-    /// The successor has ended.
+    /// Accepts clients again after the successor has ended.
     pub fn take_back(&mut self, poll: &Poll) {
         self.handed_over = false;
         self.resume(poll);
@@ -136,18 +140,20 @@
     /// Accepts clients again after a pause.
     pub fn resume(&mut self, poll: &Poll) {
         if self.paused && !self.handed_over {
-            self.set_interest(poll, ACCEPTS);
+            self.set_interest(poll, ACCEPT_INTEREST);
         }
     }
 
-    /// Accepts one connection with the spare descriptor, writes an error, and closes it. False if that can't be done.
-    fn reject_one(&mut self, front: FrontEnd, error: &[u8]) -> bool {
+    /// Accepts one connection by means of the spare descriptor, writes an error, and closes the connection. Returns
+    /// false if there is no spare descriptor or no connection.
+    fn reject_one(&mut self, front_end: FrontEnd, error: &[u8]) -> bool {
         if self.spare.take().is_none() {
             return false;
         }
-        let rejected = match self.listener(front).map(TcpListener::accept) {
+        let rejected = match self.listener(front_end).map(TcpListener::accept) {
             Some(Ok((mut stream, _))) => {
-                // Its buffer is empty, so this never waits; and a client that is gone needs no error.
+                // The send buffer of a new connection is empty, so that a short write does not block. Errors are
+                // ignored: they mean that the client has disconnected.
                 let _ = stream.set_nonblocking(true);
                 let _ = stream.write(error);
                 let _ = stream.shutdown(Shutdown::Write);
@@ -165,11 +171,11 @@
     e.raw_os_error().is_some_and(|code| OUT_OF_DESCRIPTORS.contains(&code))
 }
 
-/// A listener at an address. Where that is shared, another process may listen at it too.
+/// Opens a listener. With `shared`, other processes may listen at the same address (SO_REUSEPORT).
 ///
 /// # Errors
-/// The system refuses.
-pub fn listener(address: SocketAddr, backlog: u32, shared: bool) -> std::io::Result<TcpListener> {
+/// Creating, binding or listening on the socket failed.
+pub fn open_listener(address: SocketAddr, backlog: u32, shared: bool) -> std::io::Result<TcpListener> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
     socket.set_reuse_address(true)?;
     socket.set_reuse_port(shared)?;
@@ -180,21 +186,21 @@
 }
 
 impl Server {
-    /// Accepts as many connections as the turn can carry; for the rest the poller has another event. False once none
-    /// waits any more.
-    pub(super) fn accept(&mut self, front: FrontEnd) -> bool {
+    /// Accepts connections up to the read scheduler's limit for this turn. The poller reports the remaining ones again.
+    /// Returns false once no connection can be accepted.
+    pub(super) fn accept(&mut self, front_end: FrontEnd) -> bool {
         for _ in 0..self.sessions.scheduler.accepts() {
-            let Some(listener) = self.listeners.listener(front) else { return false };
+            let Some(listener) = self.listeners.listener(front_end) else { return false };
             match listener.accept() {
                 Ok((stream, from)) => {
                     self.sessions.scheduler.charge(Work::Accept, 1);
-                    self.accept_client(stream, from, front);
+                    self.accept_client(stream, from, front_end);
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return false,
-                // The connection was reset before it was accepted; the next one may be there.
+                // The call was interrupted, or the connection was reset before it was accepted.
                 Err(e) if matches!(e.kind(), ErrorKind::Interrupted | ErrorKind::ConnectionAborted) => {}
                 Err(e) if is_out_of_descriptors(&e) => {
-                    if !self.find_descriptor(front) {
+                    if !self.handle_descriptor_exhaustion(front_end) {
                         return false;
                     }
                 }
@@ -207,33 +213,34 @@
         true
     }
 
-    /// The system has no descriptor left, whatever the budget says. An evicted session gives one; else the client is
-    /// rejected over the spare one; else the listeners pause, as the loop would spin.
-    fn find_descriptor(&mut self, front: FrontEnd) -> bool {
+    /// Handles descriptor exhaustion, which may occur within the descriptor budget if the system's limit is lower.
+    /// Evicts a session. If none can be evicted, rejects the client by means of the spare descriptor. If that fails
+    /// too, pauses the listeners, as they would be reported as ready at every wait. Returns false if they are paused.
+    fn handle_descriptor_exhaustion(&mut self, front_end: FrontEnd) -> bool {
         if self.evict_one() {
             return true;
         }
-        if self.listeners.reject_one(front, &super::sessions::too_many_clients(front)) {
+        if self.listeners.reject_one(front_end, &super::sessions::too_many_clients(front_end)) {
             self.counters.turned_away += 1;
             return true;
         }
         tracing::warn!("no descriptor is left; accepting clients is paused");
-        self.listeners.set_interest(&self.poll, NOTHING);
+        self.listeners.set_interest(&self.poll, NO_INTEREST);
         self.timers.arm(self.time.now_us + ACCEPT_PAUSE_US, NetTimer::Listeners);
         false
     }
 }
 
-/// Has the system probe an idle connection, where the operator configures that: its other end may vanish without a
-/// reset.
+/// Enables TCP keepalive with the configured parameters, if there are any. Keepalive detects a peer that vanished
+/// without closing the connection.
 ///
 /// # Errors
-/// The system refuses.
-pub fn keep_alive(stream: &TcpStream, config: &Config) -> std::io::Result<()> {
+/// Setting the socket options failed.
+pub fn set_tcp_keepalive(stream: &TcpStream, config: &Config) -> std::io::Result<()> {
     let Some(k) = &config.clients.keepalive else { return Ok(()) };
-    let probing =
+    let keepalive =
         socket2::TcpKeepalive::new().with_time(k.idle).with_interval(k.interval).with_retries(k.probes);
-    socket2::SockRef::from(stream).set_tcp_keepalive(&probing)
+    socket2::SockRef::from(stream).set_tcp_keepalive(&keepalive)
 }
 
 #[cfg(test)]
--- a/gateway/src/net/live_reconfiguration.rs
+++ b/gateway/src/net/live_reconfiguration.rs
@@ -1,4 +1,5 @@
-//! Applies new settings between two turns of the core, within a turn of the event loop: all of them or none.
+//! Applies new settings to the running gateway, either all of them or none. The change takes effect between two turns
+//! of the core.
 
 use std::collections::BTreeSet;
 
@@ -11,17 +12,16 @@
 };
 
 impl Server {
-    /// Applies the `settings` object of a configuration. Requests in flight keep the classes that they came with, and
-    /// the deadlines that follow from them.
+    /// Applies the `settings` object of a configuration. Requests in flight keep their classes and deadlines.
     ///
     /// # Errors
-    /// Why nothing was changed.
+    /// The settings are invalid or can't be applied to a running gateway. Nothing was changed.
     pub(super) fn reconfigure(&mut self, text: &str) -> Result<(), ReconfigurationError> {
         let new = config::parse_site_settings(text)?;
         let prepared = self.prepare_settings(&new)?;
         let active: Vec<Class> = prepared.change.active_classes().into_iter().cloned().collect();
         self.core.reconfigure(prepared.change.clone())?;
-        // From here on nothing fails.
+        // All steps from here on are infallible, so that no settings are applied in part.
         self.names = prepared.names;
         self.config.settings = prepared.change.settings;
         self.config.engine_idle_timeout_us = new.engine_idle_timeout_us;
--- a/gateway/src/net/mod.rs
+++ b/gateway/src/net/mod.rs
@@ -1,25 +1,26 @@
-//! The network: the event loop, and all sockets and signals of the gateway, and the timers of connections;
-//! those of requests are in [`crate::core`].
+//! The network layer: the event loop, all sockets and signals of the gateway, and the timers of connections. Timers
+//! of requests belong to [`crate::core`].
 //!
-//! [`Server`] owns the state; each concern has its own and a module for it:
-//! - `event_loop`: a turn, from events to output
+//! [`Server`] owns the state. Each concern has a module:
+//! - `event_loop`: one turn of the loop, from events to output
 //! - clients: `listeners`, `clients`, `sessions`, `requests`
 //! - engines: `engines`, `pools`, `watch` (the endpoint list)
 //! - operation: `admin`, `control_plane`, `live_reconfiguration`, `reload`, `process_replacement`, `shutdown`
 //!
-//! The decisions, the core and all protocols are outside and know no I/O; this module carries out what they say.
+//! Scheduling decisions, the core and all protocols are implemented outside this module and perform no I/O. This
+//! module does the I/O for them.
 
-pub mod connection;
 pub mod poll;
-pub mod poll_key;
 
 mod admin;
 mod clients;
+mod connection;
 mod control_plane;
 mod engines;
 mod event_loop;
 mod listeners;
 mod live_reconfiguration;
+mod poll_key;
 mod pools;
 mod process_replacement;
 mod reload;
@@ -53,45 +54,45 @@
 use sessions::Sessions;
 use timer::NetTimer;
 
-/// Descriptors of the control plane: its stream and a report.
+/// One descriptor for the control plane's stream and one for a report.
 const CONTROL_PLANE_DESCRIPTORS: usize = 2;
 
-/// Descriptors that the gateway needs beside those of clients and engines: those of the process, the admin listener
-/// with its connections, and two for the control plane.
+/// Number of descriptors used for anything but clients and engines: [`OWN_DESCRIPTORS`], the admin listener with its
+/// connections, and the control plane.
 fn own_descriptors(config: &Config) -> usize {
     let admin = config.admin.map_or(0, |_| 1 + admin::MAX_ADMIN_CONNECTIONS);
     let control_plane = config.control_plane.as_ref().map_or(0, |_| CONTROL_PLANE_DESCRIPTORS);
     OWN_DESCRIPTORS + admin + control_plane
 }
 
-/// Why the gateway can't serve.
+/// An error that prevents the gateway from serving.
 #[derive(Debug, thiserror::Error)]
 pub enum ServeError {
-    /// The address can't be listened at.
+    /// Binding or listening failed at the address.
     #[error("can't listen on {0}: {1}")]
     Listen(SocketAddr, io::Error),
-    /// The poller or a signal failed.
+    /// A call to the poller, or the set-up of a signal handler, failed.
     #[error("{0}")]
     Io(#[from] io::Error),
-    /// The settings make no sense.
+    /// The workload manager rejected the settings as invalid.
     #[error("settings: {0}")]
     Settings(#[from] SettingsError),
 }
 
-/// The time of a turn.
+/// The gateway's clock, in microseconds since the start of the process.
 struct Time {
-    /// The clock that all times in microseconds are read from; 0 is the start of the process.
-    clock: Instant,
-    /// The time at which the turn began.
+    /// Start of the process: zero of all times in microseconds.
+    started: Instant,
+    /// Start of the current turn. All work of a turn uses this time.
     now_us: u64,
-    /// The time since the Unix epoch at 0 of the clock.
+    /// Unix time of the start of the process.
     unix_offset_us: i128,
 }
 
 impl Time {
     fn start(since_epoch: Duration) -> Self {
         let unix_offset_us = i128::try_from(since_epoch.as_micros()).unwrap_or(0);
-        Self { clock: Instant::now(), now_us: 0, unix_offset_us }
+        Self { started: Instant::now(), now_us: 0, unix_offset_us }
     }
 }
 
@@ -102,7 +103,7 @@
     core: Core,
     counters: Counters,
     metrics: Metrics,
-    /// What the core gets at the end of this turn.
+    /// Inputs that the core receives at the end of this turn.
     inputs: Vec<Input>,
 
     poll: Poll,
@@ -129,11 +130,11 @@
 }
 
 impl Server {
-    /// A gateway that listens, with the state of its predecessor if there is one, and the endpoint list that the
-    /// configuration holds.
+    /// Creates a gateway with open listeners, the endpoint list from the configuration, and the state transferred
+    /// from its predecessor if there is one.
     ///
     /// # Errors
-    /// An address can't be listened at, the system refuses the poller, or the settings make no sense.
+    /// A listener or the poller can't be created, or the settings are invalid.
     pub fn new(mut config: Config, signals: Signals) -> Result<Self, ServeError> {
         let poll = Poll::new()?;
         let mut predecessor = process_replacement::receive_state(&config);
@@ -150,7 +151,7 @@
             server.restore_state(state.messages);
             state.connection
         });
-        // The core has all that is known before the first client is accepted.
+        // The core learns the known engines before the first client is accepted.
         server.turn();
         server.start_peer_processes(predecessor);
         Ok(server)
@@ -197,12 +198,12 @@
         })
     }
 
-    /// Where the admin interface listens.
+    /// Local address of the admin interface, if it is enabled.
     pub fn admin_address(&self) -> Option<SocketAddr> {
         self.admin.address()
     }
 
-    /// Where clients connect: PostgreSQL and MySQL.
+    /// Local addresses of the PostgreSQL and the MySQL listener, in this order.
     pub fn addresses(&self) -> (Option<String>, Option<String>) {
         (self.listeners.address(FrontEnd::PostgreSql), self.listeners.address(FrontEnd::MySql))
     }
--- a/gateway/src/net/poll.rs
+++ b/gateway/src/net/poll.rs
@@ -1,6 +1,6 @@
-//! The poller: which sources are ready to be read or written. The one place with unsafe code.
+//! Readiness polling of sockets and pipes. This is the only module with unsafe code.
 //!
-//! A source is added under a key, and its owner calls [`Poll::remove`] before it closes it.
+//! A source is added under a key. The owner must call [`Poll::remove`] before closing the source.
 
 use std::io;
 use std::num::NonZeroUsize;
@@ -9,32 +9,34 @@
 
 use polling::{AsSource, Event, Events, PollMode, Poller};
 
-/// What a source is waited for.
+/// Kinds of readiness that a source is polled for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Interest {
-    /// Bytes to read, or the other side's end.
+    /// Bytes to read, or end of stream.
     pub read: bool,
-    /// Room to write.
+    /// Space in the send buffer.
     pub write: bool,
 }
 
-/// Events that are taken from the kernel in one call.
+/// Maximum number of events returned by one system call.
 const EVENTS_PER_WAIT: NonZeroUsize = NonZeroUsize::new(1024).expect("1024 is not zero");
-/// Calls in a row while more events are there, so that a turn knows all that is ready before it chooses.
+/// Maximum number of consecutive system calls in one wait while each returns a full batch. The read scheduler chooses
+/// among all ready sources, so that the batches of a turn are collected first.
 const MAX_WAITS: usize = 64;
 
-/// The poller.
+/// A poller with a reusable buffer of events.
 pub struct Poll {
     poller: Poller,
     events: Events,
 }
 
-/// When events are delivered for a source that stays ready.
+/// Trigger mode of a source: how often events are delivered while the source stays ready.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Trigger {
-    /// At every wait.
+    /// An event is delivered at every wait.
     Level,
-    /// Only when something has come since: for sources of which thousands may have to wait for their turn.
+    /// An event is delivered only when the source becomes ready again. Sources that stay ready while queued for
+    /// reading then cost nothing at each wait.
     Edge,
 }
 
@@ -48,10 +50,10 @@
 }
 
 impl Poll {
-    /// A poller without sources.
+    /// Creates a poller without sources.
     ///
     /// # Errors
-    /// The system has no descriptor for it.
+    /// The system call that creates the poller failed.
     pub fn new() -> io::Result<Self> {
         Ok(Self { poller: Poller::new()?, events: Events::with_capacity(EVENTS_PER_WAIT) })
     }
@@ -60,10 +62,10 @@
         Event::new(key as usize, interest.read, interest.write)
     }
 
-    /// Adds a source. Its owner calls [`Poll::remove`] before it closes it.
+    /// Adds a source. The owner must call [`Poll::remove`] before closing the source.
     ///
     /// # Errors
-    /// The system refuses.
+    /// The system call failed.
     pub fn add(
         &self,
         source: &impl AsRawFd,
@@ -71,21 +73,22 @@
         interest: Interest,
         trigger: Trigger,
     ) -> io::Result<()> {
-        // SAFETY: the source must be deleted from the poller before it is dropped. Sources are kept in the
-        // server beside the poller; each is closed in one place, which calls `remove` first, and those that
-        // are left at the end are dropped with the poller itself. A descriptor closed without that would only
-        // leave the kernel's set by itself; listeners alone are duplicated, into the successor of this process,
-        // and are removed before they are closed here.
+        // SAFETY: the source must be deleted from the poller before it is dropped. The server owns the sources and
+        // the poller. Each kind of source is closed in one place, which calls `remove` first, and the remaining
+        // sources are dropped together with the poller. The kernel removes a descriptor that is closed without
+        // `remove`, unless the descriptor was duplicated. Only listeners are duplicated, into the successor process,
+        // and these are removed before they are closed.
         #[allow(unsafe_code)]
         unsafe {
             self.poller.add_with_mode(source.as_raw_fd(), Self::event(key, interest), trigger.mode())
         }
     }
 
-    /// Changes what a source is waited for. Events are delivered again for what is ready already.
+    /// Changes the interest in a source. An event is delivered again if the source is ready already, also with
+    /// [`Trigger::Edge`].
     ///
     /// # Errors
-    /// The system refuses.
+    /// The system call failed.
     pub fn change(
         &self,
         source: impl AsSource,
@@ -96,17 +99,17 @@
         self.poller.modify_with_mode(source, Self::event(key, interest), trigger.mode())
     }
 
-    /// Removes a source.
+    /// Removes a source. Must be called before the source is closed.
     pub fn remove(&self, source: impl AsFd) {
-        // A source that is not there any more needs no removal.
+        // Removal fails only if the source is not registered.
         let _ = self.poller.delete(source);
     }
 
-    /// Waits, at most for the time-out, and fills `ready` with the keys of all sources that are ready, each with
-    /// whether it can be read and written.
+    /// Waits for events, at most for `timeout`, and replaces the contents of `ready` by the keys of all ready sources,
+    /// each with the operations that are ready.
     ///
     /// # Errors
-    /// The system refuses.
+    /// The system call failed.
     pub fn wait(&mut self, timeout: Option<Duration>, ready: &mut Vec<(u64, Interest)>) -> io::Result<()> {
         ready.clear();
         let mut timeout = timeout;
--- a/gateway/src/net/pools.rs
+++ b/gateway/src/net/pools.rs
@@ -1,6 +1,7 @@
-//! The state of the engines' side of the network: engines, connections in slots, attempts in flight.
+//! The tables of engines, of connections to engines, and of attempts in flight.
 //!
-//! A slot is an index into [`Pools::connections`]; the serial tells a connection from later ones in its slot.
+//! A slot is an index into [`Pools::connections`]. The serial number distinguishes a connection from later ones in its
+//! slot.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -9,40 +10,42 @@
 
 use super::NetTimer;
 use super::connection::Connection;
-use super::engines::{Attempt, AttemptId, Engine, Link, Unconfirmed};
+use super::engines::{Attempt, AttemptId, Engine, Link, LostAttempt};
 use super::poll::Poll;
 use super::poll_key::PollKey;
 use crate::front::Payload;
 
-/// A connection to an engine.
+/// A connection to an engine in its slot.
 pub struct EngineConnection {
     pub conn: Connection,
     pub link: Link,
-    /// Tells this connection from others that had its slot.
+    /// Distinguishes this connection from others in the same slot.
     pub serial: u32,
-    /// When something must have happened on it, in microseconds, and the timer for that.
+    /// Deadline of the connection in microseconds, and the timer armed for it.
     pub timer: Option<(u64, TimerId)>,
 }
 
-/// The engines, the connections to them and the attempts over these.
+/// Engines, connections to engines, and attempts.
 #[derive(Default)]
 pub struct Pools {
     pub connections: Vec<Option<EngineConnection>>,
     free_slots: Vec<usize>,
-    /// Slots freed in this turn: events of it that are still to come must not meet another connection.
+    /// Slots freed in this turn. They are not reused before the next turn, so that pending events of this turn can't be
+    /// delivered to another connection.
     freed_this_turn: Vec<usize>,
-    serials: u32,
-    /// Slots of connections that changed in this turn.
+    last_serial: u32,
+    /// Slots of connections that must be flushed at the end of this turn.
     pub dirty: Vec<usize>,
-    /// Number of connections.
     pub open_connections: usize,
     pub engines: BTreeMap<EngineId, Engine>,
+    /// Engine ids by engine name.
     pub ids: HashMap<String, EngineId>,
-    /// Ids given out so far: one is never given out again.
-    pub ids_given: u32,
+    /// Number of engine ids assigned so far. Ids are consecutive and never reused.
+    pub engine_ids_assigned: u32,
     pub attempts: BTreeMap<AttemptId, Attempt>,
-    /// Lost attempts whose end is to be confirmed.
-    pub unconfirmed: BTreeMap<AttemptId, Unconfirmed>,
+    /// Lost attempts whose end is not confirmed yet.
+    pub unconfirmed: BTreeMap<AttemptId, LostAttempt>,
+    /// Results of attempts that ended in this turn.
     pub results: BTreeMap<AttemptId, Payload>,
 }
 
@@ -51,24 +54,24 @@
         self.connections.get_mut(slot).and_then(Option::as_mut)
     }
 
-    /// Finds a slot for a connection, and the key that it will have in the poller.
+    /// Allocates a slot, and returns it with the poller key of the next connection inserted there.
     pub fn allocate_slot(&mut self) -> (usize, u64) {
         let slot = self.free_slots.pop().unwrap_or_else(|| {
             self.connections.push(None);
             self.connections.len() - 1
         });
-        (slot, Self::key(slot, self.serials.wrapping_add(1)))
+        (slot, Self::key(slot, self.last_serial.wrapping_add(1)))
     }
 
-    /// Gives back a slot that was not needed.
+    /// Returns an allocated slot into which no connection was inserted.
     pub fn free_slot(&mut self, slot: usize) {
         self.free_slots.push(slot);
     }
 
     pub fn insert(&mut self, slot: usize, conn: Connection, link: Link) {
-        self.serials = self.serials.wrapping_add(1);
+        self.last_serial = self.last_serial.wrapping_add(1);
         self.open_connections += 1;
-        self.connections[slot] = Some(EngineConnection { conn, link, serial: self.serials, timer: None });
+        self.connections[slot] = Some(EngineConnection { conn, link, serial: self.last_serial, timer: None });
         self.dirty.push(slot);
     }
 
@@ -76,14 +79,14 @@
         PollKey::EngineConnection { slot: slot as u32, serial }.encode()
     }
 
-    /// The slot of the connection that a key of the poller names, if it is still open.
+    /// The slot of the connection with this poller key, if the connection is still open.
     pub fn slot_of(&self, key: u64) -> Option<usize> {
         let slot = key as u32 as usize;
         let serial = self.connections.get(slot)?.as_ref()?.serial;
         (Self::key(slot, serial) == key).then_some(slot)
     }
 
-    /// The one place where a connection to an engine is closed.
+    /// Closes a connection. All connections to engines are closed here.
     pub fn close(&mut self, poll: &Poll, timers: &mut TimerWheel<NetTimer>, slot: usize) -> Option<Link> {
         let connection = self.connections.get_mut(slot)?.take()?;
         if let Some((_, timer)) = connection.timer {
@@ -96,7 +99,7 @@
         Some(connection.link)
     }
 
-    /// The turn is over: slots freed in it may be reused.
+    /// Drops the results of this turn, and makes slots freed in it available.
     pub fn end_turn(&mut self) {
         self.results.clear();
         self.free_slots.append(&mut self.freed_this_turn);
--- a/gateway/src/net/process_replacement/listener_passing.rs
+++ b/gateway/src/net/process_replacement/listener_passing.rs
@@ -1,4 +1,5 @@
-//! The Unix socket at which a process waits for its successor, and listeners passed over it as file descriptors.
+//! The Unix socket at which a process waits for its successor, and passing of listeners over it as file descriptors
+//! (SCM_RIGHTS).
 
 use std::io::{self, IoSlice, IoSliceMut};
 use std::mem::MaybeUninit;
@@ -14,11 +15,11 @@
 
 use crate::config::Config;
 
-/// Listeners that one message carries: one for each front end.
+/// Maximum number of listeners in one message: one for each front end.
 const MAX_LISTENERS: usize = 2;
 
-/// The path of the socket, in the directory for temporary files that the platform gives this gateway alone. None
-/// without an admin interface, as nobody can ask for a replacement then.
+/// The path of the socket, in the directory TMPDIR, which the platform must not share between gateways. Returns `None`
+/// without an admin interface, as a replacement can't be requested then.
 pub(super) fn socket_path(config: &Config) -> Option<PathBuf> {
     config.admin?;
     let directory = std::env::var_os("TMPDIR").filter(|directory| !directory.is_empty())?;
@@ -26,8 +27,8 @@
     Some(PathBuf::from(directory).join(format!("wrenhatch-{name}.sock")))
 }
 
-/// Listens at the path in place of whoever did before: the socket is renamed into place, so that a successor finds one
-/// or the other at any time.
+/// Listens at the path, replacing an existing socket. The new socket is renamed into place, so that a successor can
+/// connect to one of them at any time.
 pub(super) fn listen_at(path: &Path) -> io::Result<UnixListener> {
     let temporary = path.with_extension(format!("{}", std::process::id()));
     let _ = std::fs::remove_file(&temporary);
@@ -37,10 +38,10 @@
     Ok(listener)
 }
 
-/// Sends bytes, with listeners beside the first one; how many bytes were sent.
+/// Sends bytes together with listeners, and returns the number of bytes sent.
 ///
 /// # Errors
-/// Nothing was sent.
+/// Sending failed, or there are too many listeners. Nothing was sent.
 pub(super) fn send_with_listeners<'a>(
     stream: &UnixStream,
     bytes: &[u8],
@@ -56,10 +57,10 @@
     Ok(sent)
 }
 
-/// Reads bytes and the listeners that came with them; how many bytes were read.
+/// Reads bytes and the listeners sent with them, and returns the number of bytes read.
 ///
 /// # Errors
-/// Nothing was read.
+/// Receiving failed. Nothing was read.
 pub(super) fn receive_with_listeners(
     stream: &UnixStream,
     bytes: &mut [u8],
@@ -77,7 +78,7 @@
     Ok(received.bytes)
 }
 
-/// The descriptor as a listener, if it is one.
+/// Converts a received descriptor to a non-blocking listener, if it is a listening socket.
 fn into_listener(descriptor: OwnedFd) -> Option<TcpListener> {
     let socket = socket2::Socket::from(descriptor);
     let listens = socket.is_listener().unwrap_or(false) && socket.set_nonblocking(true).is_ok();
--- a/gateway/src/net/process_replacement/mod.rs
+++ b/gateway/src/net/process_replacement/mod.rs
@@ -1,5 +1,5 @@
-//! Process replacement on sockets: how a process finds its predecessor, gets its listeners and state, and how both go
-//! on as one gateway until the predecessor has ended.
+//! Process replacement: connects a new process to its predecessor, transfers listeners and state, and exchanges
+//! messages while both processes serve as one gateway.
 
 mod listener_passing;
 mod peers;
@@ -17,63 +17,63 @@
 use crate::process_replacement::Message;
 
 impl Server {
-    /// This process serves from here on: the predecessor learns it, and a successor may connect.
+    /// Notifies the predecessor, if there is one, that this process accepts clients, and listens for a successor.
     pub(super) fn start_peer_processes(&mut self, predecessor: Option<PredecessorConnection>) {
         self.peer_processes.socket_path = listener_passing::socket_path(&self.config);
         if let Some(predecessor) = predecessor {
-            self.connect_predecessor(predecessor);
+            self.add_predecessor(predecessor);
         }
         self.peer_processes.listen(&self.poll);
     }
 
-    fn connect_predecessor(&mut self, predecessor: PredecessorConnection) {
+    fn add_predecessor(&mut self, predecessor: PredecessorConnection) {
         let PredecessorConnection { stream, input, features } = predecessor;
-        let at = match self.peer_processes.add(&self.poll, stream, PeerRole::Predecessor, input) {
-            Ok(at) => at,
+        let index = match self.peer_processes.add(&self.poll, stream, PeerRole::Predecessor, input) {
+            Ok(index) => index,
             Err(error) => return tracing::warn!(%error, "connecting to the predecessor failed"),
         };
-        let peer = self.peer_processes.peer_mut(at);
+        let peer = self.peer_processes.peer_mut(index);
         peer.features = features;
         peer.queue(&Message::AcceptingClients { key_leases: features.key_leases });
         if features.key_leases {
-            self.push_peer_event(at, PeerProcessEvent::Succeeded);
+            self.push_peer_event(index, PeerProcessEvent::Succeeded);
         }
-        self.handle_peer_input(at);
+        self.handle_peer_input(index);
     }
 
     pub(super) fn accept_peer_processes(&mut self) {
         self.peer_processes.accept(&self.poll);
     }
 
-    /// The poller has an event for this key.
+    /// Handles a poller event of a peer process.
     pub(super) fn peer_process_ready(&mut self, key: u64) {
-        if let Some(at) = self.peer_processes.position_of_key(key) {
-            self.handle_peer_input(at);
+        if let Some(index) = self.peer_processes.position_of_key(key) {
+            self.handle_peer_input(index);
         }
     }
 
-    fn handle_peer_input(&mut self, at: usize) {
-        let mut is_useful = self.peer_processes.peer_mut(at).read();
+    fn handle_peer_input(&mut self, index: usize) {
+        let mut keep_open = self.peer_processes.peer_mut(index).read();
         loop {
-            match self.peer_processes.peer_mut(at).next_message() {
-                Ok(Some(message)) => is_useful &= self.on_peer_message(at, message),
+            match self.peer_processes.peer_mut(index).next_message() {
+                Ok(Some(message)) => keep_open &= self.on_peer_message(index, message),
                 Ok(None) => break,
                 Err(error) => {
                     tracing::error!(%error, "message of a peer process is invalid");
-                    is_useful = false;
+                    keep_open = false;
                     break;
                 }
             }
         }
-        if !is_useful || self.peer_processes.flush(&self.poll, at).is_err() {
-            self.remove_peer_process(at);
+        if !keep_open || self.peer_processes.flush(&self.poll, index).is_err() {
+            self.remove_peer_process(index);
         }
     }
 
-    /// False if the connection is of no more use.
-    fn on_peer_message(&mut self, at: usize, message: Message) -> bool {
+    /// Handles a message of a peer process. Returns false if the connection must be closed.
+    fn on_peer_message(&mut self, index: usize, message: Message) -> bool {
         use PeerRole::{Predecessor, StartingSuccessor, Successor, Unidentified};
-        let role = self.peer_processes.peer_mut(at).role;
+        let role = self.peer_processes.peer_mut(index).role;
         match (role, message) {
             (Unidentified, Message::Hello { gateway, listen_address }) => {
                 let is_same_address =
@@ -82,11 +82,11 @@
                     tracing::error!(%gateway, %listen_address, "replacement by another gateway rejected");
                     return false;
                 }
-                self.send_state(at)
+                self.send_state(index)
             }
             (StartingSuccessor, Message::AcceptingClients { key_leases }) => {
                 tracing::info!("successor accepts clients");
-                let peer = self.peer_processes.peer_mut(at);
+                let peer = self.peer_processes.peer_mut(index);
                 peer.role = Successor;
                 peer.features.key_leases = key_leases;
                 self.listeners.hand_over(&self.poll);
@@ -106,16 +106,16 @@
             }
             (Predecessor | Successor, Message::ClaimLease(key)) => {
                 tracing::debug!(key = key.0, "peer process claims the lease of a key");
-                self.push_peer_event(at, PeerProcessEvent::ClaimsLease(key));
+                self.push_peer_event(index, PeerProcessEvent::ClaimsLease(key));
                 true
             }
             (Predecessor | Successor, Message::GrantLease(key)) => {
-                self.push_peer_event(at, PeerProcessEvent::GrantsLease(key));
+                self.push_peer_event(index, PeerProcessEvent::GrantsLease(key));
                 true
             }
             (Predecessor | Successor, Message::Exiting { cooldown_ms }) => {
                 let cooldown_until_us = self.time.now_us + cooldown_ms.saturating_mul(1000);
-                self.peer_processes.peer_mut(at).cooldown_until_us = Some(cooldown_until_us);
+                self.peer_processes.peer_mut(index).cooldown_until_us = Some(cooldown_until_us);
                 true
             }
             (role, _) => {
@@ -125,46 +125,47 @@
         }
     }
 
-    fn push_peer_event(&mut self, at: usize, event: PeerProcessEvent) {
-        let peer = self.peer_processes.peer_mut(at).id();
+    fn push_peer_event(&mut self, index: usize, event: PeerProcessEvent) {
+        let peer = self.peer_processes.peer_mut(index).id();
         self.inputs.push(Input::PeerProcess { peer, event });
     }
 
-    /// A CancelRequest names no session of this process; the predecessor, whose clients connect here too, may have it.
+    /// Forwards a CancelRequest for an unknown session to the predecessor. New connections of the predecessor's clients
+    /// arrive at this process.
     pub(super) fn forward_cancel_request(&mut self, session: u32, secret: u32) {
         let forwards_to =
             |peer: &PeerProcess| peer.role == PeerRole::Predecessor && peer.features.cancel_requests;
-        let at = self.peer_processes.iter().position(forwards_to);
-        if let Some(at) = at {
-            self.send_to_peer_at(at, &Message::CancelRequest { session, secret });
+        let index = self.peer_processes.iter().position(forwards_to);
+        if let Some(index) = index {
+            self.send_to_peer_at(index, &Message::CancelRequest { session, secret });
         }
     }
 
     /// Sends a message to a peer process, if it still runs.
     pub(super) fn send_to_peer(&mut self, peer: PeerProcessId, message: &Message) {
-        if let Some(at) = self.peer_processes.position_of(peer) {
-            self.send_to_peer_at(at, message);
+        if let Some(index) = self.peer_processes.position_of(peer) {
+            self.send_to_peer_at(index, message);
         }
     }
 
     /// Sends a message to all peer processes of this gateway.
     pub(super) fn send_to_all_peers(&mut self, message: &Message) {
-        // From the last to the first, as one that is gone is removed.
-        for at in (0..self.peer_processes.len()).rev() {
-            if self.peer_processes.peer_mut(at).role != PeerRole::Unidentified {
-                self.send_to_peer_at(at, message);
+        // Iterates backwards, as sending removes a peer whose connection is broken.
+        for index in (0..self.peer_processes.len()).rev() {
+            if self.peer_processes.peer_mut(index).role != PeerRole::Unidentified {
+                self.send_to_peer_at(index, message);
             }
         }
     }
 
-    fn send_to_peer_at(&mut self, at: usize, message: &Message) {
-        self.peer_processes.peer_mut(at).queue(message);
-        if self.peer_processes.flush(&self.poll, at).is_err() {
-            self.remove_peer_process(at);
+    fn send_to_peer_at(&mut self, index: usize, message: &Message) {
+        self.peer_processes.peer_mut(index).queue(message);
+        if self.peer_processes.flush(&self.poll, index).is_err() {
+            self.remove_peer_process(index);
         }
     }
 
-    /// This process exits: peers that share its keys learn when what it leaves running is over.
+    /// Notifies peers that share key leases of the time by which all attempts left running by this process have ended.
     pub(super) fn announce_exit_to_peers(&mut self) {
         let now_us = self.time.now_us;
         let cooldown_us =
@@ -176,16 +177,16 @@
         }
     }
 
-    fn remove_peer_process(&mut self, at: usize) {
-        let peer = self.peer_processes.remove(&self.poll, at);
+    fn remove_peer_process(&mut self, index: usize) {
+        let peer = self.peer_processes.remove(&self.poll, index);
         if peer.features.key_leases {
-            // One that died without a message may have left attempts that run as long as engines allow.
+            // A process that exited without a message may have left attempts that run as long as engines allow.
             let latest_us = self.core.key_cooldown_end_us(self.time.now_us + MAX_RUN_AFTER_LAST_CALL_US);
             let cooldown_until_us = peer.cooldown_until_us.unwrap_or(latest_us);
             let event = PeerProcessEvent::Ended { cooldown_until_us };
             self.inputs.push(Input::PeerProcess { peer: peer.id(), event });
         }
-        // The successor ended before this process: this one accepts clients again, and waits for the next
+        // If the successor ends before this process, this process accepts clients again and listens for another
         // successor.
         if peer.role == PeerRole::Successor
             && !self.shutdown.has_begun()
--- a/gateway/src/net/process_replacement/peers.rs
+++ b/gateway/src/net/process_replacement/peers.rs
@@ -1,4 +1,4 @@
-//! Connections to the peer processes of this gateway: its predecessor and its successor.
+//! Connections to the peer processes of this gateway: its predecessor and its successors.
 
 use std::io::{self, ErrorKind, Read, Write};
 use std::os::unix::net::{UnixListener, UnixStream};
@@ -10,22 +10,22 @@
 use crate::net::poll_key::PollKey;
 use crate::process_replacement::messages::{self, Message, MessageError, PeerFeatures};
 
-/// Connections at once. One process replaces another, or two do where the platform has started one too many; others
-/// are closed at once.
+/// Maximum number of connections. The platform may start more than one successor. Further connections are closed on
+/// accept.
 const MAX_PEERS: usize = 4;
 
 const READABLE: Interest = Interest { read: true, write: false };
 
-/// What a peer process is to this one.
+/// Role of a peer process in relation to this process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum PeerRole {
-    /// This process replaces it.
+    /// This process replaces the peer.
     Predecessor,
-    /// It has connected and sent no valid hello.
+    /// The peer has connected and has not sent a valid hello message.
     Unidentified,
-    /// It has got the state, and doesn't accept clients yet.
+    /// The peer was sent the state and does not accept clients yet.
     StartingSuccessor,
-    /// It accepts clients.
+    /// The peer accepts clients.
     Successor,
 }
 
@@ -35,7 +35,8 @@
     id: PeerProcessId,
     pub(super) role: PeerRole,
     pub(super) features: PeerFeatures,
-    /// What it has left running is over then, with the key cooldown; known once it has said that it exits.
+    /// Time by which the attempts left running by the peer have ended, including the key cooldown. Set when the peer
+    /// announces its exit.
     pub(super) cooldown_until_us: Option<u64>,
     input: Vec<u8>,
     output: Vec<u8>,
@@ -50,12 +51,13 @@
         &self.stream
     }
 
-    /// The key of its events in the poller.
+    /// The poller key of the connection.
     fn poll_key(&self) -> u64 {
         poll_key(self.id)
     }
 
-    /// Reads once; what is left comes with the next turn. False once the connection is closed or broken.
+    /// Reads one chunk of input. The poller reports remaining input in the next turn. Returns false if the connection
+    /// is closed or broken.
     pub(super) fn read(&mut self) -> bool {
         let mut chunk = [0; 4096];
         match self.stream.read(&mut chunk) {
@@ -68,10 +70,10 @@
         }
     }
 
-    /// The next message that was read.
+    /// Removes the next complete message from the input.
     ///
     /// # Errors
-    /// The input can't be read.
+    /// The input is not a valid message.
     pub(super) fn next_message(&mut self) -> Result<Option<Message>, MessageError> {
         messages::read_next(&mut self.input)
     }
@@ -80,8 +82,8 @@
         message.write(&mut self.output);
     }
 
-    /// What is left of output of which a part was sent.
-    pub(super) fn queue_rest(&mut self, bytes: Vec<u8>) {
+    /// Sets the output to the remainder of bytes that were sent in part.
+    pub(super) fn queue_remaining(&mut self, bytes: Vec<u8>) {
         self.output = bytes;
     }
 
@@ -104,7 +106,7 @@
     PollKey::PeerProcess(id.0).encode()
 }
 
-/// The peer processes, and the socket at which this process waits for a successor.
+/// All peer processes, and the Unix socket at which this process listens for a successor.
 #[derive(Default)]
 pub struct PeerProcesses {
     pub(super) socket_path: Option<PathBuf>,
@@ -114,7 +116,7 @@
 }
 
 impl PeerProcesses {
-    /// Waits for a successor, in place of whoever did before.
+    /// Listens for a successor, replacing the socket of another process at the same path.
     pub(super) fn listen(&mut self, poll: &Poll) {
         let Some(path) = &self.socket_path else { return };
         let failed = |error: io::Error| {
@@ -136,7 +138,7 @@
         }
     }
 
-    /// Accepts all connections that wait.
+    /// Accepts all pending connections.
     pub(super) fn accept(&mut self, poll: &Poll) {
         while let Some(Ok((stream, _))) = self.listener.as_ref().map(UnixListener::accept) {
             if self.peers.len() >= MAX_PEERS {
@@ -148,10 +150,10 @@
         }
     }
 
-    /// Adds a connection, with input that was read from it already; its place among the peers.
+    /// Adds a connection, with input that was already read from it, and returns its index.
     ///
     /// # Errors
-    /// The poller or the socket refuses.
+    /// Setting a socket option or registering the socket failed.
     pub(super) fn add(
         &mut self,
         poll: &Poll,
@@ -175,8 +177,8 @@
         Ok(self.peers.len() - 1)
     }
 
-    pub(super) fn remove(&mut self, poll: &Poll, at: usize) -> PeerProcess {
-        let peer = self.peers.remove(at);
+    pub(super) fn remove(&mut self, poll: &Poll, index: usize) -> PeerProcess {
+        let peer = self.peers.remove(index);
         poll.remove(&peer.stream);
         peer
     }
@@ -189,11 +191,11 @@
         self.peers.iter()
     }
 
-    pub(super) fn peer_mut(&mut self, at: usize) -> &mut PeerProcess {
-        &mut self.peers[at]
+    pub(super) fn peer_mut(&mut self, index: usize) -> &mut PeerProcess {
+        &mut self.peers[index]
     }
 
-    /// The place of the peer with this key in the poller.
+    /// Index of the peer with this poller key.
     pub(super) fn position_of_key(&self, key: u64) -> Option<usize> {
         self.peers.iter().position(|peer| peer.poll_key() == key)
     }
@@ -202,20 +204,20 @@
         self.peers.iter().position(|peer| peer.id == id)
     }
 
-    /// Writes what is queued for a peer, as far as that goes now.
+    /// Writes as much queued output of a peer as the socket accepts.
     ///
     /// # Errors
-    /// The connection is broken.
-    pub(super) fn flush(&mut self, poll: &Poll, at: usize) -> io::Result<()> {
-        self.peers[at].flush(poll)
+    /// Writing failed; the connection is unusable.
+    pub(super) fn flush(&mut self, poll: &Poll, index: usize) -> io::Result<()> {
+        self.peers[index].flush(poll)
     }
 
-    /// Whether no other process of this gateway is known.
+    /// Whether this gateway has no other identified process.
     pub fn is_empty(&self) -> bool {
         self.peers.iter().all(|peer| peer.role == PeerRole::Unidentified)
     }
 
-    /// Whether a successor accepts the clients.
+    /// Whether a successor accepts clients.
     pub(super) fn has_successor(&self) -> bool {
         self.peers.iter().any(|peer| peer.role == PeerRole::Successor)
     }
--- a/gateway/src/net/process_replacement/state_transfer.rs
+++ b/gateway/src/net/process_replacement/state_transfer.rs
@@ -1,4 +1,5 @@
-//! The transfer of state from the predecessor to the successor, while the successor starts.
+//! Transfer of the listeners, the endpoint list and the maintenance states from the predecessor to a starting
+//! successor.
 
 use std::io::{self, Write};
 use std::net::TcpListener;
@@ -12,13 +13,13 @@
 use crate::net::Server;
 use crate::process_replacement::messages::{self, Message, MessageError, PeerFeatures};
 
-/// A predecessor that hasn't sent all of its state by then is not waited for.
+/// Time limit for the transfer. After it, the successor starts without the state.
 const TRANSFER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A longer state is an error, in bytes.
+/// Maximum size of the transferred state.
 const MAX_STATE_BYTES: usize = 16 << 20;
 
-/// Why the state of the predecessor can't be had.
+/// A failure to receive the predecessor's state.
 #[derive(Debug, thiserror::Error)]
 enum TransferError {
     #[error("{0}")]
@@ -33,25 +34,25 @@
     TimedOut,
 }
 
-/// What a predecessor has sent.
+/// The state received from a predecessor.
 pub struct PredecessorState {
     pub listeners: Vec<TcpListener>,
     pub messages: Vec<Message>,
     pub connection: PredecessorConnection,
 }
 
-/// The connection to a predecessor, for as long as both processes run.
+/// The connection to a predecessor after the transfer. It stays open while both processes run.
 pub struct PredecessorConnection {
     pub(super) stream: UnixStream,
-    /// Input that came behind the state.
+    /// Input that followed the state.
     pub(super) input: Vec<u8>,
     pub(super) features: PeerFeatures,
 }
 
-/// Gets the state of the predecessor, if there is one. Blocks for a little more than [`TRANSFER_TIMEOUT`] at most.
+/// Receives the state of the predecessor, if there is one. Blocks for little more than [`TRANSFER_TIMEOUT`] at most.
 pub fn receive_state(config: &Config) -> Option<PredecessorState> {
     let path = socket_path(config)?;
-    // Nobody listens: this process replaces none.
+    // A failure to connect means that there is no predecessor.
     let stream = UnixStream::connect(path).ok()?;
     match request_state(config, stream) {
         Ok(state) => Some(state),
@@ -95,7 +96,8 @@
 }
 
 impl Server {
-    /// Takes in the state of the predecessor. Its endpoint list is newer than the one in the configuration.
+    /// Applies the state of the predecessor. The predecessor's endpoint list is newer than the one in the
+    /// configuration.
     pub(in crate::net) fn restore_state(&mut self, messages: Vec<Message>) {
         let mut entries = Vec::new();
         for message in messages {
@@ -106,7 +108,8 @@
                 Message::Endpoint(endpoint) => entries.push(endpoint),
                 Message::MaintenanceBegan { engine } => {
                     self.registry.remember(&engine);
-                    // It has no entry yet; maintenance applies to the one that is taken in below.
+                    // The registry has no entry of the engine yet. Maintenance applies to the entry that is added
+                    // below.
                     let _ = self.registry.begin_maintenance(&engine);
                 }
                 _ => {}
@@ -123,8 +126,8 @@
         }
     }
 
-    /// Sends the state and the listeners to a successor; false if its connection is of no more use.
-    pub(super) fn send_state(&mut self, at: usize) -> bool {
+    /// Sends the state and the listeners to a successor. Returns false if the connection must be closed.
+    pub(super) fn send_state(&mut self, index: usize) -> bool {
         let mut output = Vec::new();
         for (name, maintenance_end_ms) in self.registry.known_names() {
             Message::KnownEngine { name: name.to_owned(), maintenance_end_ms }.write(&mut output);
@@ -137,11 +140,11 @@
         }
         let features = PeerFeatures { cancel_requests: true, key_leases: true };
         Message::EndOfState(features).write(&mut output);
-        let peer = self.peer_processes.peer_mut(at);
+        let peer = self.peer_processes.peer_mut(index);
         match send_with_listeners(peer.stream(), &output, self.listeners.all()) {
             Ok(sent) => {
                 peer.role = PeerRole::StartingSuccessor;
-                peer.queue_rest(output.split_off(sent));
+                peer.queue_remaining(output.split_off(sent));
                 self.share_descriptors();
                 true
             }
--- a/gateway/src/net/reload.rs
+++ b/gateway/src/net/reload.rs
@@ -1,19 +1,18 @@
-//! SIGHUP: the configuration's file is read again while the gateway serves.
+//! Reload of the configuration file on SIGHUP, while the gateway serves.
 
 use wrenhatch_configuration::Version;
 
 use super::{NetTimer, Server};
 use crate::config;
 
-/// Time between two attempts to read a file that may still be being written.
+/// Delay before a file that could not be read is read again, as it may be incomplete while being written.
 const RETRY_US: u64 = 100_000;
-/// Attempts until the reload is given up.
+/// Number of attempts after which the reload fails.
 const MAX_ATTEMPTS: u32 = 20;
 
 impl Server {
-    /// Reads the file and takes over what may change while the gateway serves: the address of the discovery service,
-    /// and newer events of the endpoint list. A file that can't be read changes nothing; it may be half written and is
-    /// tried again.
+    /// Reads the file and applies the address of the discovery service and newer events of the endpoint list. If the
+    /// file can't be read, nothing is changed and the reload is retried.
     pub(super) fn reload(&mut self, failures: u32) {
         let Some(path) = self.config.path.clone() else { return };
         match config::from_file(&path) {
@@ -21,9 +20,9 @@
                 tracing::info!(discovery = ?new.discovery, "configuration read again");
                 self.counters.reloads += 1;
                 self.warn_of_differences(&new);
-                new.known_list.events.iter().for_each(|event| self.known_list_event(event));
+                new.known_list.events.iter().for_each(|event| self.apply_known_list_event(event));
                 match new.discovery {
-                    Some(to) => self.move_watch(to),
+                    Some(to) => self.change_discovery_address(to),
                     None => {
                         tracing::warn!("the configuration names no discovery service; the old one is kept")
                     }
@@ -39,8 +38,7 @@
         }
     }
 
-    /// Classes, tenants and rules of the file count from the next start. One line says what that would
-    /// change, unless the settings in force came from the control plane.
+    /// Logs a warning if the file's settings differ from those in force, as they only apply from the next start.
     fn warn_of_differences(&self, new: &config::Config) {
         if self.control_plane.as_ref().is_some_and(|c| c.client.in_force() > Version::NONE) {
             // The settings in force came from the control plane and not from the file.
--- a/gateway/src/net/requests/tests.rs
+++ b/gateway/src/net/requests/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_query_id_is_in_use_until_the_last_that_uses_it_has_ended() {
+fn query_id_is_in_use_until_its_last_reference_is_released() {
     let mut requests = Requests::default();
     requests.retain_query_id("00000000000000aB");
     requests.retain_query_id("00000000000000ab");
--- a/gateway/src/net/sessions/figures.rs
+++ b/gateway/src/net/sessions/figures.rs
@@ -1,4 +1,5 @@
-//! The figures of sessions in the counters' log line, by the names that operators know.
+//! The figures of sessions in the log line of the counters. Operators and tools read these names, so that they must not
+//! change.
 
 use std::fmt;
 
--- a/gateway/src/net/sessions/limits.rs
+++ b/gateway/src/net/sessions/limits.rs
@@ -1,4 +1,4 @@
-//! How many descriptors and how much memory sessions may have, and what the read scheduler keeps to.
+//! Limits derived from the configuration: sessions, engine connections, message size, and those of the read scheduler.
 
 use wrenhatch_sessions::read_scheduler::ReadLimits;
 
@@ -6,34 +6,35 @@
 use crate::mysql_protocol::MAX_PACKET_BYTES;
 use crate::net::own_descriptors;
 
-/// The part of the memory for messages being read. Each is held up to three times: read, kept for another attempt,
-/// being written.
+/// Divisor of the memory budget that gives the memory for messages being read. A message may be in memory three times:
+/// in the input buffer, stored for a retry, and in an output buffer.
 const MESSAGE_MEMORY_DIVISOR: usize = 8;
+/// Bounds of the longest accepted message, whatever the memory budget.
 const LONGEST_MESSAGE_BYTES: std::ops::RangeInclusive<usize> = 8 * 1024..=MAX_PACKET_BYTES;
-/// Sessions that are let in beyond the third of the descriptors that clients hold by contract.
+/// Number of sessions accepted in addition to the share of descriptors that clients are guaranteed, which is a third.
 const EXTRA_SESSIONS: usize = 16;
 
-/// Sessions that are held at most. What is left of the descriptors is enough for an attempt of each client, with its
-/// calls beside.
+/// Maximum number of sessions. By default the remaining descriptors suffice for one attempt of each client and the
+/// additional calls of that attempt.
 pub fn max_sessions(config: &Config) -> usize {
     config.clients.max_sessions.unwrap_or(config.max_descriptors / 3 + EXTRA_SESSIONS)
 }
 
-/// Connections that engines may have. Two processes of one gateway share its descriptors: clients are at one or the
-/// other, and of what is left each has half.
+/// Maximum number of connections to engines. Two processes of one gateway share its descriptors. The limit on sessions
+/// applies to both together, as each client is connected to one of them. Of the rest, each process may use half.
 pub fn max_engine_connections(config: &Config, is_alone: bool) -> usize {
     let own = own_descriptors(config);
     let left = config.max_descriptors.saturating_sub(max_sessions(config) + own);
     if is_alone { left } else { left.saturating_sub(own) / 2 }
 }
 
-/// The longest message taken from a client, in bytes.
+/// The longest message accepted from a client, in bytes.
 pub fn longest_message_bytes(config: &Config) -> usize {
     let part = config.memory_bytes / MESSAGE_MEMORY_DIVISOR / max_sessions(config).max(1);
     part.clamp(*LONGEST_MESSAGE_BYTES.start(), *LONGEST_MESSAGE_BYTES.end())
 }
 
-/// The read scheduler's limits. `deadlines` are those of the classes that new requests may have, in seconds.
+/// The limits of the read scheduler. `deadlines` are in seconds, one for each class that new requests may have.
 pub fn read_limits(config: &Config, deadlines: impl Iterator<Item = f64>) -> ReadLimits {
     let max_retry_after_ms = (config.settings.capabilities.max_retry_after * 1e3) as u64;
     let shortest_deadline_seconds = deadlines.fold(f64::INFINITY, f64::min);
--- a/gateway/src/net/sessions/mod.rs
+++ b/gateway/src/net/sessions/mod.rs
@@ -1,7 +1,7 @@
-//! Sessions of clients: the table of them, the scheduler by which they are read, and the memory that they hold.
+//! Client sessions: the session table, the read scheduler, and the memory budget.
 //!
-//! All changes of [`Sessions::table`] that change what is held go through [`Sessions`], so that the memory budget
-//! always agrees with the table.
+//! Every change of [`Sessions::table`] that changes the memory in use must go through a method of [`Sessions`], which
+//! updates the memory budget.
 
 mod figures;
 mod limits;
@@ -28,16 +28,17 @@
 use crate::front::{mysql, pg};
 use state::{ActiveSession, ReservedBytes, SuspendedProtocol, SuspendedSession};
 
-/// As many sessions with incomplete messages as this part of all are a connection surge.
+/// Divisor of the session limit that gives the number of sessions with incomplete messages that counts as a connection
+/// surge.
 const SURGE_DIVISOR: usize = 4;
-/// Fewer are none.
+/// Lower bound of the number of sessions that counts as a connection surge.
 const MIN_SURGE_SESSIONS: usize = 32;
-/// Read from a client ahead of its messages, beyond the longest of them.
+/// Read-ahead of a client connection in addition to the longest message.
 const READ_AHEAD_EXTRA_BYTES: usize = 1024;
-/// A tenant's group has this bit, an address's does not.
+/// Set in the group of a tenant and cleared in the group of an address.
 const TENANT_GROUP_BIT: u32 = 1 << 31;
 
-/// The table of client sessions.
+/// The session table with this module's states of a session.
 pub type ClientTable = SessionTable<SuspendedSession, ActiveSession>;
 
 /// The sessions of all clients.
@@ -45,32 +46,32 @@
     pub table: ClientTable,
     pub scheduler: ReadScheduler,
     pub memory: MemoryBudget,
-    /// Sessions that something has happened to in this turn.
+    /// Sessions to be settled at the end of this turn.
     pub dirty: Vec<Handle>,
-    /// Sessions that are held at most.
+    /// Maximum number of sessions.
     pub max_sessions: usize,
-    /// The longest message taken from a client, in bytes.
+    /// The longest message accepted from a client, in bytes.
     longest_message: usize,
-    /// The next id of a prepared statement, over all sessions.
+    /// The next id of a prepared statement, shared by all sessions.
     statement_ids: Rc<Cell<u32>>,
     random_state: u64,
-    /// Fires when the session that has been idle for longest may have been so for too long.
+    /// Fires when the longest idle session may have reached the idle limit.
     pub idle_timer: Option<TimerId>,
 }
 
-/// The group of an address.
-fn group(address: SocketAddr) -> u32 {
+/// The read scheduler's group for the clients of an address.
+fn address_group(address: SocketAddr) -> u32 {
     let bits = match address.ip() {
         IpAddr::V4(ip) => ip.to_bits(),
-        // The network half names the client; the other half is its own to choose.
+        // The upper half is the network prefix. A client can choose any address within its prefix.
         IpAddr::V6(ip) => (ip.to_bits() >> 64) as u32 ^ (ip.to_bits() >> 96) as u32,
     };
     bits & !TENANT_GROUP_BIT
 }
 
 impl Sessions {
-    /// `salt` is this process's own: another one of the same gateway may have the same seed, and a CancelRequest must
-    /// not name a session of each.
+    /// `salt` must differ between processes. Two processes of a gateway may have the same seed, and a CancelRequest
+    /// must not match a session of each.
     pub fn new(config: &Config, salt: u64) -> Self {
         let deadlines = config.settings.classes.iter().map(|c| c.deadline);
         Self {
@@ -91,61 +92,61 @@
         PollKey::Session(handle).encode()
     }
 
-    /// A random number: a linear congruential sequence over a seed of this start. Whoever has seen several of
-    /// its numbers may work out others.
-    pub fn secret(&mut self) -> u32 {
+    /// The next number of a linear congruential generator that is seeded at the start of the process. The generator is
+    /// not cryptographically secure: later numbers can be computed from earlier ones.
+    pub fn next_random(&mut self) -> u32 {
         self.random_state =
             self.random_state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         (self.random_state >> 32) as u32
     }
 
-    /// A random number from 0 to 1.
-    pub fn chance(&mut self) -> f64 {
-        f64::from(self.secret()) / f64::from(u32::MAX)
+    /// A random number from 0 to 1, both included.
+    pub fn random_float(&mut self) -> f64 {
+        f64::from(self.next_random()) / f64::from(u32::MAX)
     }
 
-    /// An id for a query whose client gave none, as 16 hex digits.
+    /// Generates a query id of 16 hex digits, for a request without an id.
     pub fn new_query_id(&mut self) -> String {
-        let (high, low) = (self.secret(), self.secret());
+        let (high, low) = (self.next_random(), self.next_random());
         format!("{high:08x}{low:08x}")
     }
 
-    /// Whether a new client needs another's place.
+    /// Whether a session must be evicted before a new client gets one.
     pub fn is_full(&self) -> bool {
         self.table.len() >= self.max_sessions
     }
 
-    /// The session to evict so that another may have its place.
+    /// The session that is to be evicted first, if any may be.
     pub fn eviction_candidate(&self, now_us: u64) -> Option<Handle> {
         let surge_size = (self.max_sessions / SURGE_DIVISOR).max(MIN_SURGE_SESSIONS);
         self.table.eviction_candidate(now_us, surge_size)
     }
 
-    /// No more than this is read ahead from a client, in bytes.
+    /// Read-ahead of a client connection in bytes.
     pub fn read_ahead_bytes(&self) -> usize {
         self.longest_message + READ_AHEAD_EXTRA_BYTES
     }
 
-    /// Bytes that a new session takes, without its buffers.
+    /// Size of a new session in bytes, with its slot and without its buffers.
     pub const fn active_session_bytes() -> usize {
         ClientTable::slot_bytes() + ACTIVE_SESSION_BYTES
     }
 
-    /// Adds a session for a connection that was accepted under the table's next handle.
+    /// Adds a session for a connection, which must be registered under the key of the table's next handle.
     pub fn insert(
         &mut self,
         mut connection: Connection,
-        front: FrontEnd,
+        front_end: FrontEnd,
         from: SocketAddr,
         config: &Config,
         now_us: u64,
     ) -> Handle {
-        let (slot, secret) = (self.table.next_handle().index + 1, self.secret());
-        let protocol = match (front, &config.mysql) {
+        let (slot, secret) = (self.table.next_handle().index + 1, self.next_random());
+        let protocol = match (front_end, &config.mysql) {
             (FrontEnd::MySql, Some(m)) => {
                 let mut challenge = [0; 20];
                 for part in challenge.chunks_mut(4) {
-                    part.copy_from_slice(&self.secret().to_le_bytes());
+                    part.copy_from_slice(&self.next_random().to_le_bytes());
                 }
                 let (directory, statement_ids) = (m.directory.clone(), self.statement_ids.clone());
                 let output = &mut connection.output;
@@ -163,11 +164,11 @@
             )),
         };
         self.memory.reserve(MemoryPurpose::Sessions, Self::active_session_bytes());
-        let session = ActiveSession::new(connection, protocol, secret, group(from));
+        let session = ActiveSession::new(connection, protocol, secret, address_group(from));
         self.table.insert(now_us, Box::new(session))
     }
 
-    /// Resumes a session if it is suspended; false if it has ended.
+    /// Resumes a session if it is suspended. Returns false if the session no longer exists.
     pub fn resume(&mut self, handle: Handle, config: &Config, now_us: u64) -> bool {
         let (longest, read_ahead) = (self.longest_message, self.read_ahead_bytes());
         let (memory, statement_ids) = (&mut self.memory, &self.statement_ids);
@@ -190,7 +191,7 @@
         })
     }
 
-    /// Suspends a session if it is idle. What it held beyond its slot and its prepared statements is released.
+    /// Suspends a session if it is idle, and releases its memory except for its slot and its prepared statements.
     pub fn suspend(&mut self, handle: Handle) {
         let mut buffers = 0;
         let is_suspended = self.table.suspend(handle, |session| {
@@ -203,7 +204,7 @@
         }
     }
 
-    /// Reserves what an active session holds now.
+    /// Updates the memory reserved for the buffers and prepared statements of an active session.
     pub fn update_reservation(&mut self, handle: Handle) {
         let Some(session) = self.table.active_mut(handle) else { return };
         let held = ReservedBytes {
@@ -215,7 +216,7 @@
         self.memory.resize(MemoryPurpose::Statements, before.statements, held.statements);
     }
 
-    /// Ends a session, and releases what it held.
+    /// Removes a session and releases its memory reservations.
     pub fn remove(&mut self, handle: Handle) -> Option<RemovedSession<SuspendedSession, ActiveSession>> {
         let removed = self.table.remove(handle)?;
         match &removed {
@@ -232,13 +233,13 @@
         Some(removed)
     }
 
-    /// What a CancelRequest for this session must carry.
+    /// The secret that a CancelRequest for this session must contain.
     pub fn secret_of(&self, handle: Handle) -> Option<u32> {
         let suspended = || self.table.suspended(handle).map(|suspended| suspended.secret);
         self.table.active(handle).map(|session| session.secret).or_else(suspended)
     }
 
-    /// Something has happened to an active session: it is settled at the end of the turn.
+    /// Marks an active session to be settled at the end of the turn.
     pub fn mark_dirty(&mut self, handle: Handle) {
         if let Some(session) = self.table.active_mut(handle) {
             if !std::mem::replace(&mut session.dirty, true) {
@@ -247,8 +248,8 @@
         }
     }
 
-    /// The priority and the group with which a session waits to be read; `None` if it has ended.
-    fn read_class(&self, handle: Handle, now_us: u64) -> Option<(ReadPriority, u32)> {
+    /// The read scheduler's priority and group for a session; `None` if the session no longer exists.
+    fn priority_and_group(&self, handle: Handle, now_us: u64) -> Option<(ReadPriority, u32)> {
         if let Some(session) = self.table.active(handle) {
             let is_open = session.open_request.is_some() || session.connection.phase == Phase::Closing;
             let priority = match session.protocol.is_starting() {
@@ -265,26 +266,26 @@
         Some((priority, suspended.group))
     }
 
-    /// A session can be read: it waits for its turn.
+    /// Queues a session with input for reading.
     pub fn enqueue_read(&mut self, handle: Handle, now_us: u64) {
-        let Some((priority, group)) = self.read_class(handle, now_us) else { return };
+        let Some((priority, group)) = self.priority_and_group(handle, now_us) else { return };
         if self.table.set_queued(handle) {
             self.scheduler.enqueue(handle, priority, group, now_us);
-            // What has come may be a request: the session is not evicted before it is read.
+            // The input may be a request, so that the session must not be evicted before it is read.
             if self.table.activity(handle).is_some_and(|(activity, _)| activity.is_idle()) {
                 self.table.set_activity(handle, Activity::Busy, now_us);
             }
         }
     }
 
-    /// Puts a session into the group of its request's tenant.
+    /// Moves a session to the read scheduler's group of a tenant.
     pub fn set_tenant(&mut self, handle: Handle, tenant: usize) {
         if let Some(session) = self.table.active_mut(handle) {
             session.group = TENANT_GROUP_BIT | tenant as u32;
         }
     }
 
-    /// Whether answers are still being written.
+    /// Whether any session has unsent output.
     pub fn is_writing(&self) -> bool {
         self.table.all_active().any(|session| !session.connection.output.is_empty())
     }
--- a/gateway/src/net/sessions/protocol.rs
+++ b/gateway/src/net/sessions/protocol.rs
@@ -1,4 +1,4 @@
-//! A session's protocol, whichever front end it belongs to: bytes in, commands out, answers as bytes.
+//! A common interface to the client protocols: parses input into commands and encodes answers.
 
 use crate::front::{ClientCommand, DisconnectReason, FinalAnswer, mysql, pg};
 use crate::mysql_protocol::{SqlError, write_packet};
@@ -10,8 +10,8 @@
     MySql(Box<mysql::Session>),
 }
 
-/// Calls a method that the sessions of both protocols have.
-macro_rules! either {
+/// Calls a method that the session types of both protocols have in common.
+macro_rules! delegate {
     ($session:expr, $method:ident $(, $argument:expr)*) => {
         match $session {
             ProtocolSession::Pg(session) => session.$method($($argument),*),
@@ -21,37 +21,37 @@
 }
 
 impl ProtocolSession {
-    /// Takes one message from the input; `None` where it is not complete.
+    /// Removes one message from the input and handles it. Returns `None` if the message is incomplete.
     pub fn read(&mut self, input: &mut Vec<u8>, output: &mut Vec<u8>) -> Option<ClientCommand> {
-        either!(self, read, input, output)
+        delegate!(self, read, input, output)
     }
 
-    /// Whether the start-up is not complete.
+    /// Whether the start-up of the session is incomplete.
     pub fn is_starting(&self) -> bool {
-        either!(self, is_starting)
+        delegate!(self, is_starting)
     }
 
-    /// Whether nothing is under way and the session may be suspended.
+    /// Whether the session has no state of a start-up, statement or request in progress, so that it can be suspended.
     pub fn is_idle(&self) -> bool {
-        either!(self, is_idle)
+        delegate!(self, is_idle)
     }
 
-    /// Ends the session with an error.
+    /// Writes the error that ends the session.
     pub fn disconnect(&mut self, reason: DisconnectReason, output: &mut Vec<u8>) {
-        either!(self, disconnect, reason, output)
+        delegate!(self, disconnect, reason, output)
     }
 
-    /// Answers a request or statement as invalid.
+    /// Writes the error for an invalid request or statement.
     pub fn answer_invalid(&mut self, text: &str, output: &mut Vec<u8>) {
-        either!(self, answer_invalid, text, output)
+        delegate!(self, answer_invalid, text, output)
     }
 
-    /// Answers the open request.
+    /// Writes the final answer to the open request.
     pub fn answer(&mut self, answer: FinalAnswer<'_>, output: &mut Vec<u8>) {
-        either!(self, answer, answer, output)
+        delegate!(self, answer, answer, output)
     }
 
-    /// Bytes that its prepared statements take.
+    /// Size of the session's prepared statements in bytes.
     pub fn statement_bytes(&self) -> usize {
         match self {
             ProtocolSession::Pg(_) => 0,
@@ -60,10 +60,10 @@
     }
 }
 
-/// The error for a client that is closed without a session, as no descriptor is left for one.
-pub fn too_many_clients(front: FrontEnd) -> Vec<u8> {
+/// Encodes the error for a client that is closed without a session because no descriptor is left.
+pub fn too_many_clients(front_end: FrontEnd) -> Vec<u8> {
     let mut output = Vec::new();
-    match front {
+    match front_end {
         FrontEnd::PostgreSql => pg::Session::new(pg::BackendKey::default(), 0)
             .disconnect(DisconnectReason::TooManyConnections, &mut output),
         FrontEnd::MySql => {
