--- a/gateway/src/net/sessions/state.rs
+++ b/gateway/src/net/sessions/state.rs
@@ -1,4 +1,5 @@
-//! The state of one session: active, with its connection and buffers, or suspended, with little more than its socket.
+//! The state of one session. An active session has a connection with buffers. A suspended session has little more than
+//! its socket.
 
 use std::net::TcpStream;
 
@@ -10,38 +11,38 @@
 use crate::front::mysql;
 use crate::net::connection::{Connection, MAX_UNSENT_BYTES, Phase};
 
-/// How long a client may take to complete its start-up, and a message that it began; it gets an error within 3 s.
+/// Time limit for completing a start-up or a message. A client that exceeds it must get an error within 3 s.
 pub const MESSAGE_TIMEOUT_US: u64 = 2_500_000;
-/// How long a client may take to read its last message and to end its side, while what it sends is discarded.
+/// Time limit of a graceful close, in which the client reads the last message and closes its side.
 pub const CLOSE_TIMEOUT_US: u64 = 4_000_000;
 
-/// Bytes that an active session has reserved beside its slot and itself.
+/// Memory that an active session has reserved in addition to its slot and its state, in bytes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ReservedBytes {
     pub buffers: usize,
     pub statements: usize,
 }
 
-/// An active session.
+/// A session with a connection, buffers and protocol state.
 pub struct ActiveSession {
     pub connection: Connection,
     pub protocol: ProtocolSession,
-    /// Authenticates a CancelRequest for this session, beside the number of its slot.
+    /// Number that a CancelRequest must contain together with the session's slot.
     pub secret: u32,
-    /// Its group in the read scheduler: that of its address, or of its tenant once that is known.
+    /// Group in the read scheduler: the client's address, or the tenant once a request has named one.
     pub group: u32,
     pub open_request: Option<RequestId>,
-    /// Since when the client owes the rest of its start-up or of a message, or the end of its side.
+    /// Time at which the wait for the client began: for the rest of a start-up or message, or for the client's close.
     pub awaited_since_us: Option<u64>,
-    /// Its timer, and when that is due.
+    /// Due time of the session's timer, in microseconds, and the timer.
     pub timer: Option<(u64, TimerId)>,
-    /// Since when the message being read has waited to be read.
+    /// Time at which the message being read became ready to be read.
     pub ready_us: u64,
-    /// It is read ahead of its turn, as it might be reached too late.
+    /// The session is read out of order, as it might be reached too late otherwise.
     pub read_ahead: bool,
-    /// Input is left that was not read in its last turn.
+    /// The last read stopped before all available input was read and handled.
     pub has_unread_input: bool,
-    /// It is among those that are settled at the end of this turn.
+    /// The session will be settled at the end of this turn.
     pub dirty: bool,
     pub reserved: ReservedBytes,
 }
@@ -64,18 +65,19 @@
         }
     }
 
-    /// A request of it was admitted: from here on the client's end is seen whatever it sends.
-    pub fn request_opened(&mut self, id: RequestId) {
+    /// Records an admitted request. While it is open, a disconnect of the client is detected behind any amount of
+    /// input.
+    pub fn set_open_request(&mut self, id: RequestId) {
         (self.open_request, self.connection.detects_end) = (Some(id), true);
     }
 
-    /// Its request is over.
-    pub fn request_closed(&mut self) -> Option<RequestId> {
+    /// Removes and returns the open request.
+    pub fn take_open_request(&mut self) -> Option<RequestId> {
         self.connection.detects_end = false;
         self.open_request.take()
     }
 
-    /// What it is doing.
+    /// The activity by which the session table ranks the session for eviction.
     pub fn activity(&self) -> Activity {
         match self.awaited_since_us {
             Some(_) if self.connection.phase == Phase::Closing => Activity::Closing,
@@ -87,20 +89,21 @@
         }
     }
 
-    /// Whether it has to be read again without an event of the poller, as input is left and may be read.
-    pub fn can_go_on(&self) -> bool {
+    /// Whether the session must be queued for reading without an event of the poller, as unread input remains and may
+    /// be read.
+    pub fn should_read_again(&self) -> bool {
         let takes_input = self.open_request.is_some() || self.connection.output.len() <= MAX_UNSENT_BYTES;
         self.has_unread_input && takes_input
     }
 
-    /// When its client must have sent what it owes.
-    pub fn due_us(&self) -> Option<u64> {
+    /// Deadline of the wait for the client, in microseconds.
+    pub fn deadline_us(&self) -> Option<u64> {
         let is_closing = self.connection.phase == Phase::Closing;
         let limit_us = if is_closing { CLOSE_TIMEOUT_US } else { MESSAGE_TIMEOUT_US };
         self.awaited_since_us.map(|since_us| since_us + limit_us)
     }
 
-    /// Whether nothing of it would be lost if it were suspended, as far as it is known without its connection.
+    /// Whether the session can be suspended without losing state. The connection is checked separately.
     fn may_be_suspended(&self) -> bool {
         self.protocol.is_idle()
             && self.open_request.is_none()
@@ -109,7 +112,7 @@
             && !self.has_unread_input
     }
 
-    /// Turns it into a suspended session, or hands it back where it is not idle.
+    /// Converts the session to a suspended one. A session that is not idle is returned unchanged.
     pub fn suspend(mut self: Box<Self>) -> Result<SuspendedSession, Box<Self>> {
         if !self.may_be_suspended() {
             return Err(self);
@@ -130,13 +133,13 @@
     }
 }
 
-/// What is kept of the protocol state of a suspended session.
+/// The protocol state kept while a session is suspended.
 pub enum SuspendedProtocol {
     Pg,
     MySql(mysql::SuspendedSession),
 }
 
-/// A suspended session: an idle one, without buffers, timer or protocol state beyond its prepared statements.
+/// An idle session without buffers or timer. Of its protocol state, only prepared statements are kept.
 pub struct SuspendedSession {
     pub stream: TcpStream,
     pub secret: u32,
@@ -149,7 +152,7 @@
         self.stream
     }
 
-    /// Bytes that its prepared statements take.
+    /// Size of the session's prepared statements in bytes.
     pub fn statement_bytes(&self) -> usize {
         match &self.protocol {
             SuspendedProtocol::Pg => 0,
@@ -158,7 +161,7 @@
     }
 }
 
-/// Bytes of a suspended session in its slot.
+/// Size of a suspended session in bytes. It is stored in its slot of the session table.
 pub const SUSPENDED_SESSION_BYTES: usize = size_of::<SuspendedSession>();
-/// Bytes of an active session, without its buffers.
+/// Size of an active session in bytes, without its buffers.
 pub const ACTIVE_SESSION_BYTES: usize = size_of::<ActiveSession>();
--- a/gateway/src/net/shutdown.rs
+++ b/gateway/src/net/shutdown.rs
@@ -1,13 +1,13 @@
-//! Graceful shutdown: after SIGTERM new work is accepted for a while and then rejected, open requests get their final
-//! answers before SIGKILL may come, and clients' connections are closed so that no request that arrived is lost.
+//! Graceful shutdown: after SIGTERM, new work is accepted for a while and then rejected, open requests are answered
+//! before SIGKILL is due, and client connections are closed without losing a request that has arrived.
 //!
-//! Counted from SIGTERM:
+//! The phases, counted from SIGTERM:
 //!
-//! 1. For [`ACCEPT_US`] all goes on as before, as clients may not know yet.
-//! 2. The listeners are closed; new requests are rejected, and open ones are waited for.
-//! 3. [`ANSWER_MARGIN_US`] before SIGKILL may come, requests that are still open get their final answers.
-//! 4. Once all answers are written, the gateway ends its side of all connections and discards what clients still send,
-//!    for [`LINGER_US`] at most. Then the process may exit.
+//! 1. For [`ACCEPT_US`], clients and requests are accepted as before, as clients may not have been notified yet.
+//! 2. The listeners are closed, new requests are rejected, and open requests are waited for.
+//! 3. [`ANSWER_MARGIN_US`] before SIGKILL is due, requests that are still open get their final answers.
+//! 4. Once all answers are written, the gateway shuts down its side of all client connections and discards further
+//!    input, for [`LINGER_US`] at most. Then the process exits.
 
 use crate::front::DisconnectReason;
 use workload_manager::Settings;
@@ -17,33 +17,33 @@
 use super::{NetTimer, Server};
 use crate::core::Input;
 
-/// How long new work is accepted after SIGTERM.
+/// Time after SIGTERM during which new work is accepted.
 const ACCEPT_US: u64 = 700_000;
 
-/// SIGKILL comes no sooner than the longest deadline of a class after [`ACCEPT_US`]; that deadline counts as
-/// this at most where the process has no peer.
+/// The platform sends SIGKILL no earlier than [`ACCEPT_US`] plus the longest deadline of a class after SIGTERM. This is
+/// the upper bound of that deadline for a process without a peer process.
 const MAX_DEADLINE_ALONE_US: u64 = 3_000_000;
 
-/// The same where another process of the gateway runs beside it.
+/// Upper bound of the same deadline for a process that has a peer process.
 const MAX_DEADLINE_WITH_PEER_US: u64 = 5_000_000;
 
-/// Open requests get their final answers this long before SIGKILL may come: the time to write and read them.
+/// Time reserved before SIGKILL for writing final answers, and for clients to read them.
 const ANSWER_MARGIN_US: u64 = 300_000;
 
-/// How long clients have to end their side of a connection after the gateway has ended its own. A close with input
-/// unread would reset the connection, and an answer on its way would be lost.
+/// Time that clients have to close their side of a connection after the gateway has shut down its side. Closing a
+/// socket with unread input resets the connection, which may discard an answer in transit.
 const LINGER_US: u64 = 250_000;
 
-/// How far the shutdown has come.
+/// Progress of the graceful shutdown.
 pub struct Shutdown {
     began_us: Option<u64>,
-    /// Of all classes that new requests may have.
+    /// Longest deadline among the classes that new requests may have.
     longest_deadline_us: u64,
-    /// From SIGTERM until all open requests must have their final answers.
+    /// Time from SIGTERM by which all open requests get their final answers.
     answer_within_us: u64,
     has_closed_listeners: bool,
     has_answered_all: bool,
-    lingers_since_us: Option<u64>,
+    linger_start_us: Option<u64>,
 }
 
 fn longest_deadline_us(deadlines_seconds: impl Iterator<Item = f64>) -> u64 {
@@ -58,24 +58,24 @@
             answer_within_us: ACCEPT_US,
             has_closed_listeners: false,
             has_answered_all: false,
-            lingers_since_us: None,
+            linger_start_us: None,
         }
     }
 
-    /// Sets the deadlines, in seconds, of the classes that new requests may have. A shutdown that has begun goes on as
-    /// it was planned.
+    /// Sets the deadlines, in seconds, of the classes that new requests may have. The times of a shutdown that has
+    /// begun do not change.
     pub(super) fn set_deadlines(&mut self, deadlines_seconds: impl Iterator<Item = f64>) {
         self.longest_deadline_us = longest_deadline_us(deadlines_seconds);
     }
 
-    /// Whether SIGTERM has come.
+    /// Whether SIGTERM was received.
     pub(super) fn has_begun(&self) -> bool {
         self.began_us.is_some()
     }
 }
 
 impl Server {
-    /// SIGTERM has come. Another one changes nothing.
+    /// Begins the shutdown. Called at every SIGTERM; only the first has an effect.
     pub(super) fn begin_shutdown(&mut self) {
         if self.shutdown.has_begun() {
             return;
@@ -101,7 +101,7 @@
         self.since_sigterm_us().is_some_and(|since_us| since_us >= ACCEPT_US)
     }
 
-    /// Carries the shutdown on as far as it goes in this turn; true once the process may exit.
+    /// Advances the shutdown by as many phases as are due in this turn. Returns true once the process may exit.
     pub(super) fn advance_shutdown(&mut self) -> bool {
         let Some(since_us) = self.since_sigterm_us().filter(|since_us| *since_us >= ACCEPT_US) else {
             return false;
@@ -113,21 +113,22 @@
         if must_answer && !std::mem::replace(&mut self.shutdown.has_answered_all, true) {
             self.inputs.push(Input::ShuttingDown);
         }
-        let owes_answers =
+        let answers_pending =
             !self.requests.open.is_empty() || !self.inputs.is_empty() || self.admin.is_answering();
-        let waits_for_writes =
-            self.sessions.is_writing() && !must_answer && self.shutdown.lingers_since_us.is_none();
-        if owes_answers || waits_for_writes {
+        let writes_pending =
+            self.sessions.is_writing() && !must_answer && self.shutdown.linger_start_us.is_none();
+        if answers_pending || writes_pending {
             return false;
         }
         self.linger()
     }
 
-    /// Ends the gateway's side of all connections, and waits for clients to end theirs; true once that is over.
+    /// Shuts down the gateway's side of all client connections and waits for clients to close theirs. Returns true once
+    /// all are closed or [`LINGER_US`] has passed.
     fn linger(&mut self) -> bool {
         let now_us = self.time.now_us;
-        let Some(since_us) = self.shutdown.lingers_since_us else {
-            self.shutdown.lingers_since_us = Some(now_us);
+        let Some(since_us) = self.shutdown.linger_start_us else {
+            self.shutdown.linger_start_us = Some(now_us);
             self.timers.arm(now_us + LINGER_US, NetTimer::Shutdown);
             self.end_sessions();
             return false;
@@ -135,19 +136,20 @@
         self.sessions.table.is_empty() || now_us >= since_us + LINGER_US
     }
 
-    /// Accepts the connections that wait, before the listeners close: a close would reset them, and with them requests
-    /// that have arrived. A successor that listens at the same queues accepts them itself.
+    /// Accepts all pending connections and closes the listeners. Closing a listener resets the connections in its
+    /// accept queue, whose requests may have arrived. A successor that shares the queues accepts these connections
+    /// itself.
     fn close_listeners(&mut self) {
         if !self.listeners.is_handed_over() {
-            for front in [FrontEnd::PostgreSql, FrontEnd::MySql] {
-                while self.accept(front) {}
+            for front_end in [FrontEnd::PostgreSql, FrontEnd::MySql] {
+                while self.accept(front_end) {}
             }
         }
         self.listeners.close(&self.poll);
     }
 
-    /// Reads once more from every client, whose new requests are rejected, and ends the gateway's side. A client that
-    /// has begun a message or its session gets an error; to an idle one the connection just ends.
+    /// Reads from every client once more, rejecting new requests, and begins a graceful close of all sessions. A client
+    /// with an incomplete message or start-up gets an error. For an idle client the connection is only closed.
     fn end_sessions(&mut self) {
         let sessions: Vec<_> = self.sessions.table.handles().collect();
         for handle in sessions {
--- a/gateway/src/net/signals.rs
+++ b/gateway/src/net/signals.rs
@@ -1,4 +1,4 @@
-//! The signals that the gateway handles: SIGTERM, SIGUSR1 and SIGHUP, each as a pipe that becomes readable.
+//! Handling of SIGTERM, SIGUSR1 and SIGHUP: each signal makes a pipe readable, which the event loop polls.
 
 use std::io::{self, Read};
 use std::os::unix::net::UnixStream;
@@ -6,8 +6,8 @@
 use super::poll::{Interest, Poll, Trigger};
 use super::poll_key::PollKey;
 
-/// The pipes of the signals. Signals are caught before anything else is done: SIGHUP or SIGTERM would else end a process
-/// that is just starting, with clients in the queues of its listeners.
+/// The pipes of the handled signals. They must be created before the listeners: by default SIGHUP and SIGTERM terminate
+/// a starting process, and clients in the accept queues of its listeners would be reset.
 pub struct Signals {
     terminate: UnixStream,
     print_counters: UnixStream,
@@ -15,10 +15,10 @@
 }
 
 impl Signals {
-    /// Catches SIGTERM, SIGUSR1 and SIGHUP from here on.
+    /// Installs handlers for SIGTERM, SIGUSR1 and SIGHUP.
     ///
     /// # Errors
-    /// No descriptor, or the system refuses.
+    /// Creating a pipe or installing a handler failed.
     pub fn catch() -> io::Result<Self> {
         use signal_hook::consts::{SIGHUP, SIGTERM, SIGUSR1};
         Ok(Self {
@@ -39,7 +39,7 @@
         Ok(())
     }
 
-    /// Empties the pipe of a signal that has come, however often.
+    /// Drains the pipe of a signal. Several deliveries of the signal count as one.
     pub(super) fn drain(&self, key: PollKey) {
         let Some(mut pipe) = self.pipe(key) else { return };
         let mut bytes = [0; 64];
--- a/gateway/src/net/timer.rs
+++ b/gateway/src/net/timer.rs
@@ -1,31 +1,32 @@
-//! What the event loop's timers are for.
+//! The timers of the event loop.
 
 use wrenhatch_sessions::session_table::Handle;
 
 use super::engines;
 
-/// A timer of the event loop.
+/// The action that the event loop takes when a timer fires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NetTimer {
-    /// Something must have happened on a connection to an engine: its slot and serial.
+    /// The deadline of an engine connection, given by its slot and serial number: for connecting, for a response, or
+    /// for being idle.
     EngineConnection(usize, u32),
-    /// An engine should have confirmed a cancellation by now.
+    /// The engine has not confirmed the cancellation of an attempt in time.
     CancelTimeout(engines::AttemptId),
-    /// Another call asks the engine of a lost attempt to confirm its end.
+    /// Retry of the call that asks an engine to confirm the end of a lost attempt.
     Confirmation(engines::AttemptId),
-    /// A client may have exceeded its time limit: for its start-up, a message, or a graceful close.
+    /// The deadline of a client: for its start-up, a message, or a graceful close.
     Client(Handle),
-    /// The session that has been idle for longest may have been so for too long.
+    /// The longest idle session may have reached the idle limit.
     IdleLimit,
-    /// The stream of the endpoint list is checked.
+    /// The deadline of the endpoint list's stream: to reconnect, or to close a silent one.
     Watch,
-    /// The control plane's stream is checked, and the report that is due.
+    /// The deadline of the control plane's client: to reconnect, to close a silent stream, or to send a report.
     ControlPlane,
-    /// The configuration's file is read again; how often that has failed.
+    /// Retry of reading the configuration file, with the number of failures so far.
     Reload(u32),
-    /// Descriptors may be there again for new connections.
+    /// End of a pause in accepting clients, made because no descriptor was left.
     Listeners,
-    /// Connections of the admin interface may have been open for too long.
+    /// The oldest connection of the admin interface may have timed out.
     Admin,
     /// The next phase of the graceful shutdown may begin.
     Shutdown,
--- a/gateway/src/net/watch.rs
+++ b/gateway/src/net/watch.rs
@@ -1,5 +1,5 @@
-//! The connection to the discovery service. When it is opened and what its events are is decided by
-//! [`EndpointWatch`]; this module carries it out.
+//! The connection to the discovery service, which streams the endpoint list. The protocol and its timing are
+//! implemented by [`EndpointWatch`]. This module does the I/O.
 
 use std::net::SocketAddr;
 
@@ -11,14 +11,14 @@
 use super::{NetTimer, Server};
 use crate::discovery::{DueActions, EndpointListEvent, EndpointWatch, WatchError};
 
-/// Bytes read ahead from the discovery service.
+/// Read-ahead of the stream from the discovery service.
 const READ_AHEAD_BYTES: usize = 1 << 20;
 
-/// The watch of the endpoint list with its connection.
+/// The watch of the endpoint list and its connection.
 pub struct Watch {
     state: EndpointWatch,
     conn: Option<Connection>,
-    /// Tells the connection from earlier ones, for the poller.
+    /// Distinguishes the connection from earlier ones in poller keys.
     serial: u32,
     /// Fires at the deadline of the state.
     timer: Option<TimerId>,
@@ -35,13 +35,13 @@
 }
 
 impl Server {
-    /// Opens the stream where it is down, closes it where it is silent.
+    /// Performs the actions that are due: closes a silent stream, and connects if the stream is down.
     pub(super) fn check_watch(&mut self) {
         let Some(address) = self.config.discovery else { return };
         let now_us = self.time.now_us;
         let mut events = Vec::new();
         let DueActions { close_silent, connect } =
-            self.watch.state.on_deadline(now_us, || self.sessions.chance(), &mut events);
+            self.watch.state.on_deadline(now_us, || self.sessions.random_float(), &mut events);
         if close_silent {
             tracing::warn!("the discovery service is silent");
             self.close_watch_conn();
@@ -73,8 +73,9 @@
         }
     }
 
-    /// Watches another discovery service from now on, behind the last event: the numbers go on.
-    pub(super) fn move_watch(&mut self, to: SocketAddr) {
+    /// Switches to another address of the discovery service. The stream continues after the last event, as event
+    /// indices are common to both.
+    pub(super) fn change_discovery_address(&mut self, to: SocketAddr) {
         if self.config.discovery.replace(to) == Some(to) {
             return;
         }
@@ -85,8 +86,8 @@
         self.check_watch();
     }
 
-    /// Takes an event that the configuration's file holds, unless it is old.
-    pub(super) fn known_list_event(&mut self, event: &EndpointListEvent) {
+    /// Applies an event from the configuration file, unless it is older than the last event.
+    pub(super) fn apply_known_list_event(&mut self, event: &EndpointListEvent) {
         let mut events = Vec::new();
         self.watch.state.on_known_event(event, &mut events);
         self.apply_list_events(&events);
@@ -133,7 +134,7 @@
         let read = self.watch.state.on_bytes(
             self.time.now_us,
             &mut conn.input,
-            || self.sessions.chance(),
+            || self.sessions.random_float(),
             &mut events,
         );
         if let Err(e) = &read {
@@ -145,7 +146,7 @@
                         "events of the endpoint list are missing: requesting them again"
                     );
                 }
-                // The log line of the event itself names the entry.
+                // The log line of the event itself contains the entry.
                 WatchError::UnreadableEntries(_) => {}
                 WatchError::Stream(error) => {
                     tracing::warn!(%error, "endpoint list stream can't be followed");
@@ -170,10 +171,10 @@
         }
     }
 
-    /// The stream has ended or broken.
+    /// Closes the stream after it has ended or broken.
     fn watch_lost(&mut self) {
         let mut events = Vec::new();
-        self.watch.state.on_connection_lost(self.time.now_us, || self.sessions.chance(), &mut events);
+        self.watch.state.on_connection_lost(self.time.now_us, || self.sessions.random_float(), &mut events);
         self.close_watch_conn();
         self.apply_list_events(&events);
         self.arm_watch_timer();
