--- a/gateway/src/net/engines.rs
+++ b/gateway/src/net/engines.rs
@@ -63,7 +63,7 @@
     address: SocketAddr,
     mysql: Option<SocketAddr>,
     state: EndpointState,
-    /// Unix time of the start of the engine's process.
+    /// Unix time of the start of the engine's process, in milliseconds.
     started_ms: u64,
     idle: IdleConnections,
 }
--- a/gateway/src/net/engines/cancellation.rs
+++ b/gateway/src/net/engines/cancellation.rs
@@ -7,8 +7,8 @@
 use crate::core::Input;
 use crate::net::{NetTimer, Server};
 
-/// Time limit for the confirmation of a cancellation, in microseconds. Longer than the stalls of up to 370 ms of a
-/// running engine. The state of an attempt without a confirmation is unknown.
+/// Time limit for the confirmation of a cancellation, in microseconds. Longer than a stall of a running engine. The state
+/// of an attempt without a confirmation is unknown.
 pub(super) const CANCEL_TIMEOUT_US: u64 = 500_000;
 
 impl Server {
--- a/gateway/src/net/engines/connection_events.rs
+++ b/gateway/src/net/engines/connection_events.rs
@@ -10,8 +10,8 @@
 use crate::net::pools::{EngineConnection, Pools};
 use crate::net::{NetTimer, Server};
 
-/// Time limit for the response to a call of an attempt, in microseconds. Engines respond within 250 ms and may stall
-/// for up to 370 ms. After the limit the call is repeated over another connection, as the query may still be running.
+/// Time limit for the response to a call of an attempt, in microseconds. Longer than a stall of a running engine. After
+/// the limit the call is repeated over another connection, as the query may still be running.
 const RESPONSE_TIMEOUT_US: u64 = 500_000;
 
 /// Time limit for a response that is no longer needed, in microseconds. The connection can be reused once the response
