--- a/tests/recorded_decisions.rs
+++ b/tests/recorded_decisions.rs
@@ -4,22 +4,22 @@
 //! digest, and the digest of each block of events. Where a decision is meant to change,
 //! `WRENHATCH_RECORD=1` records it anew.
 
-#[path = "recorded_decisions/draws.rs"]
-mod draws;
-#[path = "recorded_decisions/journal.rs"]
-mod journal;
-#[path = "recorded_decisions/settings.rs"]
-mod settings;
-#[path = "recorded_decisions/wording.rs"]
-mod wording;
-#[path = "recorded_decisions/world.rs"]
-mod world;
+#[path = "recorded_decisions/action_format.rs"]
+mod action_format;
+#[path = "recorded_decisions/action_log.rs"]
+mod action_log;
+#[path = "recorded_decisions/rng.rs"]
+mod rng;
+#[path = "recorded_decisions/scenario.rs"]
+mod scenario;
+#[path = "recorded_decisions/simulation.rs"]
+mod simulation;
 
 use std::fmt::Write;
 
-use journal::{BLOCK_EVENTS, Journal};
-use settings::Setup;
-use world::World;
+use action_log::{BLOCK_EVENTS, Journal};
+use scenario::Setup;
+use simulation::World;
 
 const STREAMS: usize = 36;
 const EVENTS: usize = 5000;
--- a/tests/recorded_decisions/settings.rs
+++ b/tests/recorded_decisions/scenario.rs
@@ -2,7 +2,7 @@
 
 use workload_manager::*;
 
-use super::draws::Draws;
+use super::rng::Draws;
 
 /// The class that most requests have.
 pub const LOOKUP: usize = 0;
--- a/tests/recorded_decisions/world.rs
+++ b/tests/recorded_decisions/simulation.rs
@@ -5,10 +5,10 @@
 use workload_manager::WorkloadManager;
 use workload_manager::*;
 
-use super::draws::Draws;
-use super::journal::Journal;
-use super::settings::{InForce, LOOKUP, Setup, ZONES, usual_seconds};
-use super::wording::words;
+use super::action_format::words;
+use super::action_log::Journal;
+use super::rng::Draws;
+use super::scenario::{InForce, LOOKUP, Setup, ZONES, usual_seconds};
 
 const SECOND: u64 = 1_000_000;
 /// The clock's first second.
