--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -1,24 +1,25 @@
-//! Admission: the overload bound of interactive work, and memory.
+//! Admission: the overload bound of interactive work, and the memory bound of background work.
 
 mod common;
 
 use common::*;
 use workload_manager::*;
 
-/// In a burst interactive requests would fill every engine.
+/// Without the bound, a burst of interactive requests would overload all engines.
 #[test]
-fn interactive_requests_are_queued_only_in_an_overload_of_their_own() {
+fn interactive_requests_are_queued_only_when_they_overload_the_engines() {
     let mut driver = Driver::new(settings(), vec![engine(1)]);
     driver.serve_interactive(100, 40, 0.2);
-    // One and a half threads a core of eight, for two gateways: engines thrash beyond one or two.
+    // One and a half threads per core on eight cores, shared by two gateways.
     assert_eq!(driver.count_admitted(1, INTERACTIVE), 6);
 }
 
-/// Beyond an engine's memory all that runs there slows down: background work waits for its share.
+/// Work beyond an engine's memory slows down all of its queries, so that background work must stay within the
+/// gateway's share.
 #[test]
 fn background_work_waits_for_its_share_of_memory() {
     let mut s = settings();
-    s.machine_types[0].memory_mb = 8000.0; // 4,000 for each of two gateways, of which seven eighths are used.
+    s.machine_types[0].memory_mb = 8000.0; // Of 4,000 MB per gateway, 3,500 are used.
     let mut driver = Driver::new(s, vec![engine(1)]);
     driver.serve_interactive(100, 40, 0.2);
     let mut admits = |id, need_mb| {
@@ -26,25 +27,25 @@
         forwarded_to(&driver.event(&Event::RequestArrived(request)))
     };
     assert!(admits(1, 2000.0).is_some());
-    assert_eq!(admits(2, 1501.0), None, "3,501 MB are too many");
-    assert!(admits(3, 1500.0).is_some(), "one that fits is not queued behind it");
+    assert_eq!(admits(2, 1501.0), None, "3,501 MB exceed the share");
+    assert!(admits(3, 1500.0).is_some(), "a request that fits was queued behind one that does not");
     assert_eq!(
         forwards(&driver.attempt_ended(1, 0, 1, Outcome::Success, 1.0)),
         vec![(2, 1)],
-        "the share is free again"
+        "the queued request was not forwarded when memory became free"
     );
 
-    // One that is larger than any share goes where no other background work is.
+    // A request larger than the share is forwarded to an engine without other background work.
     driver.attempt_ended(2, 0, 1, Outcome::Success, 1.0);
     let large = Request { estimated_memory_mb: Some(9000.0), ..driver.request(4, BACKGROUND) };
     assert_eq!(forwarded_to(&driver.event(&Event::RequestArrived(large))), None);
     assert_eq!(forwards(&driver.attempt_ended(3, 0, 1, Outcome::Success, 1.0)), vec![(4, 1)]);
 }
 
-/// All shares together leave over a part of what a single gateway leaves over, a quarter: gateways seldom
-/// fill their shares at once.
+/// A single gateway leaves a quarter of the memory unused. Several gateways leave less, because they seldom
+/// use up their shares at once.
 #[test]
-fn shares_of_memory_leave_less_over_with_more_gateways() {
+fn more_gateways_leave_less_memory_unused() {
     let fits = |gateways, need_mb| {
         let mut s = settings();
         (s.gateways, s.machine_types[0].memory_mb) = (gateways, 12_000.0);
@@ -63,16 +64,17 @@
     }
 }
 
-/// In an overload of interactive requests on all engines, warming ones bear a part of what others do.
+/// The overload bound must count warming engines by their warmth only.
 #[test]
-fn warming_engines_count_by_their_warmth_in_an_overload() {
+fn the_overload_bound_counts_warming_engines_by_their_warmth() {
     let (s, mut engines) = many_gateways();
     engines.iter_mut().take(25).for_each(|e| e.started_at = Some(100.0));
-    // One and a half threads a core, of 25 engines and of 25 that bear three tenths, for a hundred gateways.
+    // One and a half threads per core on 25 warm engines and 25 engines at three tenths, shared by a hundred
+    // gateways.
     assert_eq!(Driver::new(s, engines).count_admitted(1, INTERACTIVE), 4);
 }
 
-/// A fleet of 300 gateways over these engines, as one of them sees it.
+/// One of 300 gateways, with this number of engines.
 fn one_of_many_gateways(engines: u32) -> Driver {
     let mut s = settings_with_cancelling();
     (s.gateways, s.on_memory_shortage) = (300, MemoryShortage::Overcommit);
@@ -80,13 +82,13 @@
     Driver::new(s, (1..=engines).map(engine).collect())
 }
 
-/// What gateways need of memory adds up over engines too: with a thread of each engine at most, no share of
-/// one engine ever bound, and after most engines had left, those that stayed ran out of memory.
+/// With many gateways a request exceeds its gateway's share of one engine. Without a bound on the sum over all
+/// engines, the remaining engines would run out of memory after most engines have left.
 #[test]
-fn memory_binds_over_all_engines_together() {
-    for (engines, warming, least, most) in [(80, 0, 2, 4), (80, 60, 1, 1), (800, 0, 18, 40)] {
+fn memory_is_bounded_over_all_engines_together() {
+    for (engines, warming, min, max) in [(80, 0, 2, 4), (80, 60, 1, 1), (800, 0, 18, 40)] {
         let mut driver = one_of_many_gateways(engines);
-        // After a minute at rest the concurrency limit alone would admit far more.
+        // After an idle minute the concurrency limit alone would admit far more.
         driver.now += 60.0;
         let started = Some(driver.now);
         driver.endpoint_list(
@@ -105,7 +107,7 @@
             in_flight += forwards(&driver.control_tick()).len();
         }
         assert!(
-            (least..=most).contains(&in_flight),
+            (min..=max).contains(&in_flight),
             "{engines} engines, {warming} warming: {in_flight} in flight"
         );
     }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Settings and a small driver for scripted tests.
+//! Test settings, and a driver that sends events to one workload manager and returns its actions.
 #![allow(dead_code)]
 
 use workload_manager::*;
@@ -7,9 +7,9 @@
 pub const BACKGROUND: ClassId = ClassId(1);
 pub const LOAD: ClassId = ClassId(2);
 
-pub fn class(aim: f64, threads: u32, deadline: f64) -> Class {
+pub fn class(objective: f64, threads: u32, deadline: f64) -> Class {
     Class {
-        latency_objective: aim,
+        latency_objective: objective,
         objective_stretch: 0.0,
         deadline,
         priority_weight: 1.0,
@@ -25,8 +25,8 @@
     }
 }
 
-/// One gateway of two; interactive requests of one thread, background work of four, loads of two that are
-/// not idempotent, ordered by key.
+/// Settings of one of two gateways. Interactive requests run on one thread and background work on four.
+/// Loads run on two threads, are not idempotent and are ordered by key.
 pub fn settings() -> Settings {
     let load = Class {
         idempotency: Idempotency::NotIdempotent,
@@ -72,8 +72,8 @@
     }
 }
 
-/// The same with loads of one thread, not ordered and idempotent, which measure the concurrency limit to
-/// the thread.
+/// The same settings with idempotent, unordered loads of one thread. The number of loads admitted at once is
+/// the concurrency limit.
 pub fn single_thread_loads() -> Settings {
     let mut s = settings();
     s.classes[2] = Class { is_load: true, ..class(3.0, 1, 30.0) };
@@ -97,7 +97,7 @@
 }
 
 impl Driver {
-    /// A gateway that knows a full list of these engines.
+    /// Creates a gateway and sends it a full endpoint list of these engines.
     pub fn new(settings: Settings, engines: Vec<EndpointEntry>) -> Self {
         let mut driver = Self { gateway: WorkloadManager::new(settings, 7).unwrap(), now: 100.0 };
         driver.endpoint_list(EndpointListMode::Full, engines);
@@ -115,13 +115,13 @@
     }
 
     pub fn request(&self, id: u64, class: ClassId) -> Request {
-        let patience = [4.0, 20.0, 30.0][class.0];
+        let deadline_seconds = [4.0, 20.0, 30.0][class.0];
         Request {
             id: RequestId(id),
             class,
             tenant: None,
             key: None,
-            deadline: self.now + patience,
+            deadline: self.now + deadline_seconds,
             estimated_work: None,
             estimated_memory_mb: None,
             table_group: None,
@@ -155,7 +155,7 @@
         })
     }
 
-    /// A first attempt that served its request, with what came along.
+    /// Reports that a request's first attempt succeeded, with its query cost and load report.
     pub fn first_attempt_served(
         &mut self,
         id: u64,
@@ -181,7 +181,7 @@
         self.event(&Event::Timer(0))
     }
 
-    /// Serves `n` interactive requests, one after the other, with this latency; ids from `from`.
+    /// Serves `n` interactive requests one after the other, each with this latency. Ids start at `from`.
     pub fn serve_interactive(&mut self, from: u64, n: u64, latency: f64) {
         for id in from..from + n {
             let engine = forwarded_to(&self.arrive(id, INTERACTIVE))
@@ -191,32 +191,33 @@
         }
     }
 
-    /// How many requests of this class are forwarded before one is queued; ids from `from`.
+    /// Sends requests of this class until one is queued, and returns the number of those forwarded. Ids start
+    /// at `from`.
     pub fn count_admitted(&mut self, from: u64, class: ClassId) -> u64 {
         (from..).take_while(|id| forwarded_to(&self.arrive(*id, class)).is_some()).count() as u64
     }
 }
 
-/// The engine and time-out of the only attempt that is forwarded.
+/// The engine and timeout of the forwarded attempt. Panics if there are several.
 pub fn forwarded_to(actions: &[Action]) -> Option<(u32, Option<f64>)> {
-    let sends: Vec<_> = forwards(actions);
-    assert!(sends.len() <= 1, "more than one send: {sends:?}");
+    let forwarded: Vec<_> = forwards(actions);
+    assert!(forwarded.len() <= 1, "more than one attempt forwarded: {forwarded:?}");
     let timeout = actions
         .iter()
         .find_map(|a| if let Action::Forward { timeout, .. } = a { Some(*timeout) } else { None });
-    sends.first().map(|s| (s.1, timeout.flatten()))
+    forwarded.first().map(|s| (s.1, timeout.flatten()))
 }
 
-/// Requests sent and where to.
+/// Forwarded requests, each with its engine.
 pub fn forwards(actions: &[Action]) -> Vec<(u64, u32)> {
-    let send = |a: &Action| match a {
+    let forward = |a: &Action| match a {
         Action::Forward { request, engine, .. } => Some((request.0, engine.0)),
         _ => None,
     };
-    actions.iter().filter_map(send).collect()
+    actions.iter().filter_map(forward).collect()
 }
 
-/// Final answers: the request, and whether it was rejected.
+/// Requests with a final answer, each with whether it was rejected.
 pub fn final_answers(actions: &[Action]) -> Vec<(u64, bool)> {
     let answer = |a: &Action| match a {
         Action::Reject { request, .. } => Some((request.0, true)),
@@ -239,7 +240,8 @@
     actions.iter().filter_map(cancel).collect()
 }
 
-/// A hundred gateways: the limit is a part of a thread on each engine, and binds as a sum over all.
+/// Settings of one of a hundred gateways, and fifty engines. The concurrency limit of each engine is below
+/// one thread, so that only the sum over all engines admits a request.
 pub fn many_gateways() -> (Settings, Vec<EndpointEntry>) {
     let mut s = settings();
     s.gateways = 100;
--- a/tests/concurrency_limit.rs
+++ b/tests/concurrency_limit.rs
@@ -1,13 +1,14 @@
-//! Concurrency limit: feedback of interactive latency on background work.
+//! Concurrency limit: feedback from interactive latency to the limit of background work.
 
 mod common;
 
 use common::*;
 use workload_manager::*;
 
-/// Interactive attempts that time out count in the measured latency, so that an overload lowers the limit.
+/// Interactive attempts that time out must count in the measured latency, or an overload would not lower the
+/// limit.
 #[test]
-fn interactive_time_outs_lower_the_limit() {
+fn interactive_timeouts_lower_the_limit() {
     let mut s = settings_with_cancelling();
     s.capabilities.max_attempts = 1;
     s.classes[2] = Class { is_load: true, ..class(3.0, 1, 30.0) };
@@ -20,21 +21,21 @@
     assert_eq!(driver.count_admitted(1, LOAD), 1);
 }
 
-/// The ceiling rises only where it was used: a quiet time teaches nothing.
+/// The ceiling must not rise while it is unused, because idle periods give no evidence about a higher limit.
 #[test]
 fn the_ceiling_rises_only_with_use() {
     let s = single_thread_loads();
     let mut quiet = Driver::new(s.clone(), vec![engine(1)]);
     quiet.serve_interactive(1000, 400, 0.2);
-    assert_eq!(quiet.count_admitted(1, LOAD), 8, "twice the starting value");
+    assert_eq!(quiet.count_admitted(1, LOAD), 8, "the ceiling is twice the initial limit");
     let mut busy = Driver::new(s, vec![engine(1)]);
     busy.serve_interactive(1000, 40, 0.2);
     assert_eq!(busy.count_admitted(1, LOAD), 8);
     busy.serve_interactive(2000, 100, 0.2);
-    assert!(busy.count_admitted(50, LOAD) >= 1, "more than eight are in flight");
+    assert!(busy.count_admitted(50, LOAD) >= 1, "the ceiling of eight did not rise");
 }
 
-/// A stalled attempt does not show how full its engine is: the limit must not fall for it.
+/// The latency of a stalled attempt is no measure of load, so that it must not lower the limit.
 #[test]
 fn stalled_attempts_do_not_lower_the_limit() {
     let admitted = |stalls: bool| {
@@ -59,8 +60,8 @@
     assert!(admitted(true) > admitted(false), "{} {}", admitted(true), admitted(false));
 }
 
-/// Each of many gateways sees few interactive requests on each engine: what it sees on all of them sets the
-/// limit there too.
+/// With many gateways, a gateway has few latency samples per engine. The mean over all engines must stand in
+/// for missing samples.
 #[test]
 fn interactive_latency_of_other_engines_sets_the_limit_of_engines_without_samples() {
     let (s, engines) = many_gateways();
@@ -74,28 +75,24 @@
         let mut sent = 0;
         for id in 1..400 {
             driver.now += 0.1;
-            let mut going = forwards(&driver.control_tick());
-            going.extend(forwards(&driver.arrive(id, BACKGROUND)));
-            while let Some((id, to)) = going.pop() {
+            let mut in_flight = forwards(&driver.control_tick());
+            in_flight.extend(forwards(&driver.arrive(id, BACKGROUND)));
+            while let Some((id, to)) = in_flight.pop() {
                 sent += 1;
-                going.extend(forwards(&driver.attempt_ended(id, 0, to, Outcome::Success, 2.0)));
+                in_flight.extend(forwards(&driver.attempt_ended(id, 0, to, Outcome::Success, 2.0)));
             }
         }
         sent
     };
-    // The limit is two threads a core of fifty engines, then half a thread; each request has four for two
-    // seconds.
+    // Each request runs on four threads for two seconds.
     let (quick, slow) = (sent_behind(0.1), sent_behind(3.9));
-    assert!(
-        quick >= 35 && slow <= 14,
-        "{quick} requests, and {slow}: all engines follow the few preferred ones"
-    );
+    assert!(quick >= 35 && slow <= 14, "{quick} requests at low interactive latency, {slow} at high");
 }
 
-/// In an overload most interactive attempts are cut short by clients with little time left: counted as
-/// latencies of a tenth of a second they hid the overload, and the limit never moved.
+/// In an overload many clients abort their requests early. The short durations of these attempts must not
+/// count as low latencies, or they would hide the overload.
 #[test]
-fn attempts_cut_short_do_not_count_as_fast() {
+fn aborted_attempts_do_not_count_as_fast() {
     let admitted = |cut: f64| {
         let mut driver = Driver::new(settings_with_cancelling(), vec![engine(1)]);
         driver.serve_interactive(1000, 40, 2.0);
@@ -110,7 +107,7 @@
     assert_eq!(admitted(0.05), admitted(2.0));
 }
 
-/// An engine that has answered often enough to be sent any number of attempts.
+/// Serves enough requests for the engine to complete its recovery ramp.
 fn prove_engine(driver: &mut Driver) {
     driver.serve_interactive(9000, 6, 0.99);
 }
@@ -119,12 +116,12 @@
 fn the_limit_starts_at_the_gateways_share_of_the_cores() {
     let mut driver = Driver::new(single_thread_loads(), vec![engine(1)]);
     prove_engine(&mut driver);
-    assert_eq!(driver.count_admitted(1, LOAD), 4, "8 cores for two gateways");
+    assert_eq!(driver.count_admitted(1, LOAD), 4, "half of 8 cores");
 }
 
 #[test]
 fn the_limit_is_rounded_half_up() {
-    for (cores, gateways, room) in [(5.0, 2, 3), (7.0, 3, 2), (1.0, 4, 1)] {
+    for (cores, gateways, expected) in [(5.0, 2, 3), (7.0, 3, 2), (1.0, 4, 1)] {
         let mut s = single_thread_loads();
         (s.machine_types[0].cores, s.machine_types[1].cores, s.gateways) = (cores, cores, gateways);
         s.classes[0].threads = 1;
@@ -132,15 +129,15 @@
         if cores > 1.0 {
             prove_engine(&mut driver);
         }
-        assert_eq!(driver.count_admitted(1, LOAD), room, "{cores} cores, {gateways} gateways");
+        assert_eq!(driver.count_admitted(1, LOAD), expected, "{cores} cores, {gateways} gateways");
     }
 }
 
 #[test]
-fn latency_under_the_objective_raises_the_limit_by_gain_times_error() {
+fn latency_below_the_objective_raises_the_limit_by_gain_times_error() {
     let mut driver = Driver::new(single_thread_loads(), vec![engine(1)]);
-    // Gain P/(R n) = 8/(1 * 3), R being the objective at first; integral 1.5 + (1 - 0.7); limit 8/3 * 1.8 =
-    // 4.8.
+    // Gain P/(R n) = 8/(1 * 3), where R is the objective at first. Integral 1.5 + (1 - 0.7) = 1.8. Limit
+    // 8/3 * 1.8 = 4.8.
     driver.serve_interactive(1000, 20, 0.7);
     assert_eq!(driver.count_admitted(1, LOAD), 5);
 }
@@ -151,12 +148,12 @@
     driver.serve_interactive(1000, 19, 0.7);
     driver.now += 4.9;
     driver.control_tick();
-    assert_eq!(driver.count_admitted(1, LOAD), 4, "not yet over");
+    assert_eq!(driver.count_admitted(1, LOAD), 4, "the interval closed too early");
     let mut driver = Driver::new(single_thread_loads(), vec![engine(1)]);
     driver.serve_interactive(1000, 19, 0.7);
     driver.now += 5.1;
     driver.control_tick();
-    assert_eq!(driver.count_admitted(1, LOAD), 5, "closed by the clock");
+    assert_eq!(driver.count_admitted(1, LOAD), 5, "the interval did not close at its longest duration");
 }
 
 #[test]
@@ -169,35 +166,39 @@
         driver.control_tick();
     }
     let mean = (6.0 * 0.99 + 14.0 * 0.7) / 20.0;
-    let c = (8.0 / 3.0 * (1.5 + 1.0 - mean) + 0.5f64).floor();
-    assert_eq!(driver.count_admitted(1, LOAD), c as u64);
+    let limit = (8.0 / 3.0 * (1.5 + 1.0 - mean) + 0.5f64).floor();
+    assert_eq!(driver.count_admitted(1, LOAD), limit as u64);
 }
 
 #[test]
-fn the_limit_never_falls_under_one_and_recovers_in_one_interval() {
+fn the_limit_never_falls_below_one_and_recovers_in_one_interval() {
     let mut driver = Driver::new(single_thread_loads(), vec![engine(1)]);
-    // Without its lower bound the integral would need many intervals of surplus.
+    // Without a lower bound of the integral, the recovery would take many intervals.
     driver.serve_interactive(1000, 200, 3.0);
     assert_eq!(driver.count_admitted(1, LOAD), 1);
     let mut driver = Driver::new(single_thread_loads(), vec![engine(1)]);
     driver.serve_interactive(1000, 200, 3.0);
     driver.serve_interactive(2000, 20, 0.2);
-    assert!(driver.count_admitted(1, LOAD) >= 3, "an outside slowdown is over: the limit recovers at once");
+    assert!(driver.count_admitted(1, LOAD) >= 3, "the limit did not recover after an external slowdown");
 }
 
 #[test]
-fn a_quiet_time_does_not_wind_the_limit_up() {
+fn idle_periods_do_not_wind_up_the_limit() {
     let mut driver = Driver::new(single_thread_loads(), vec![engine(1)]);
     driver.serve_interactive(1000, 2000, 0.1);
-    // 6 threads a core of 8 for two gateways is the far end.
+    // The upper bound is 6 threads per core, of which this gateway has half.
     assert!(driver.count_admitted(1, LOAD) <= 24);
     let mut driver = Driver::new(single_thread_loads(), vec![engine(1)]);
     driver.serve_interactive(1000, 2000, 0.1);
     driver.serve_interactive(5000, 60, 2.0);
-    assert_eq!(driver.count_admitted(1, LOAD), 1, "three bad intervals are enough after any quiet time");
+    assert_eq!(
+        driver.count_admitted(1, LOAD),
+        1,
+        "the limit did not fall after three intervals above the objective"
+    );
 }
 
-/// A few completions on one engine are noise.
+/// The sample of an interval with few completions is too noisy to be used alone.
 #[test]
 fn few_completions_are_filled_up_with_the_mean_over_all_engines() {
     let admitted = |latency: f64, n: u64| {
@@ -208,15 +209,14 @@
         driver.control_tick();
         driver.count_admitted(1, LOAD)
     };
-    assert!(admitted(2.0, 1) >= 7, "one slow request alone would halve the ceiling of eight");
+    assert!(admitted(2.0, 1) >= 7, "one slow request lowered the limit");
     assert!(admitted(2.0, 19) < admitted(0.5, 19));
 }
 
-/// Interactive requests may be too short to feel background work: where answers bring no load reports, the
-/// utilization known of the engine stands in for the measured latency, and the limit is still low when
-/// there is capacity again.
+/// Short interactive requests may not be slowed down by background work. Without load reports in responses,
+/// the estimated utilization must lower the limit instead.
 #[test]
-fn the_limit_falls_where_the_engine_reports_to_be_full() {
+fn the_limit_falls_when_the_engine_reports_high_utilization() {
     let admitted = |reports: LoadReportSource, busy: f64| {
         let mut s = single_thread_loads();
         s.capabilities.load_reports = reports;
@@ -238,6 +238,6 @@
     assert!((1..=3).contains(&admitted(LoadReportSource::None, 1.5)));
     assert!(
         admitted(LoadReportSource::Responses, 1.5) >= 6,
-        "there the utilization guard acts at once, and the limit follows latency alone"
+        "the utilization guard bounds background work, and the limit depends on latency alone"
     );
 }
--- a/tests/explain.rs
+++ b/tests/explain.rs
@@ -1,5 +1,5 @@
-//! Debug lines of the decisions, which operators and the lab search for: by which rule a request was shed and which
-//! guard kept it from the engines, and when an engine was ejected and had recovered.
+//! Debug log lines that operators and the lab search for: the rule and the guard behind a shed request, and
+//! the ejection and recovery of an engine.
 
 mod common;
 
@@ -12,19 +12,19 @@
 use tracing::{Event as LogEvent, Metadata, Subscriber};
 use workload_manager::*;
 
-/// Keeps each event as one line of `field=value`.
+/// A subscriber that stores each log event as one line of `field=value` pairs.
 #[derive(Clone, Default)]
-struct Lines(Arc<Mutex<Vec<String>>>);
+struct CapturedLog(Arc<Mutex<Vec<String>>>);
 
-struct Line(String);
+struct LogLine(String);
 
-impl Visit for Line {
+impl Visit for LogLine {
     fn record_debug(&mut self, field: &Field, value: &dyn Debug) {
         write!(self.0, " {}={value:?}", field.name()).unwrap();
     }
 }
 
-impl Subscriber for Lines {
+impl Subscriber for CapturedLog {
     fn enabled(&self, _: &Metadata<'_>) -> bool {
         true
     }
@@ -38,7 +38,7 @@
     fn record_follows_from(&self, _: &Id, _: &Id) {}
 
     fn event(&self, event: &LogEvent<'_>) {
-        let mut line = Line(String::new());
+        let mut line = LogLine(String::new());
         event.record(&mut line);
         self.0.lock().unwrap().push(line.0);
     }
@@ -48,21 +48,17 @@
     fn exit(&self, _: &Id) {}
 }
 
-/// The lines with this message that this leaves.
-fn lines_with(message: &str, run: impl FnOnce()) -> Vec<String> {
-    let lines = Lines::default();
+/// Runs the closure and returns the logged lines that contain this message.
+fn logged_lines(message: &str, run: impl FnOnce()) -> Vec<String> {
+    let lines = CapturedLog::default();
     tracing::subscriber::with_default(lines.clone(), run);
     let lines = lines.0.lock().unwrap();
     lines.iter().filter(|line| line.contains(message)).cloned().collect()
 }
 
-/// The lines that these engines leave when a request of this class has waited for a second.
-fn lines_of_a_shed_request(
-    engines: Vec<EndpointEntry>,
-    class: ClassId,
-    prepare: fn(&mut Driver),
-) -> Vec<String> {
-    lines_with("queued request shed", || {
+/// Returns the lines logged when a request of this class is shed after four seconds in the queue.
+fn log_of_shed_request(engines: Vec<EndpointEntry>, class: ClassId, prepare: fn(&mut Driver)) -> Vec<String> {
+    logged_lines("queued request shed", || {
         let mut driver = Driver::new(settings(), engines);
         prepare(&mut driver);
         assert!(forwarded_to(&driver.arrive(1, class)).is_none());
@@ -72,9 +68,9 @@
 }
 
 #[test]
-fn a_shed_request_leaves_a_line_with_the_guard_that_kept_it_from_most_engines() {
+fn a_shed_request_is_logged_with_the_guard_that_closed_most_engines() {
     let draining = |id| EndpointEntry { state: EndpointState::Draining, ..engine(id) };
-    let lines = lines_of_a_shed_request(vec![draining(1), draining(2)], INTERACTIVE, |_| {});
+    let lines = log_of_shed_request(vec![draining(1), draining(2)], INTERACTIVE, |_| {});
     let [line] = lines.as_slice() else { panic!("{lines:?}") };
     for part in [
         " request=1 ",
@@ -86,7 +82,7 @@
         assert!(line.contains(part), "no{part}in{line}");
     }
 
-    let lines = lines_of_a_shed_request(vec![engine(1)], BACKGROUND, |driver| {
+    let lines = log_of_shed_request(vec![engine(1)], BACKGROUND, |driver| {
         assert!(forwarded_to(&driver.arrive(100, BACKGROUND)).is_some());
     });
     let [line] = lines.as_slice() else { panic!("{lines:?}") };
@@ -94,8 +90,8 @@
 }
 
 #[test]
-fn a_request_without_time_for_an_attempt_is_shed_by_that_rule_and_no_guard() {
-    let lines = lines_with("queued request shed", || {
+fn a_request_without_time_for_an_attempt_is_logged_without_a_guard() {
+    let lines = logged_lines("queued request shed", || {
         let mut driver = Driver::new(settings(), vec![engine(1)]);
         let request = Request { deadline: driver.now + 0.01, ..driver.request(1, INTERACTIVE) };
         assert!(forwarded_to(&driver.event(&Event::RequestArrived(request))).is_none());
@@ -106,8 +102,8 @@
 }
 
 #[test]
-fn a_request_with_a_short_deadline_is_shed_by_that_rule_and_its_order_key() {
-    let lines = lines_with("queued request shed", || {
+fn a_request_with_a_short_deadline_is_logged_with_its_order_key_as_reason() {
+    let lines = logged_lines("queued request shed", || {
         let mut driver = Driver::new(settings(), vec![engine(1), engine(2)]);
         for (id, wait) in [(1, 30.0), (2, 14.0), (3, 14.0)] {
             let request =
@@ -124,10 +120,10 @@
 }
 
 #[test]
-fn an_ejection_and_the_end_of_its_recovery_ramp_leave_a_line_each() {
-    let lines = lines_with("message=engine ", || {
+fn ejection_and_recovery_of_an_engine_are_logged() {
+    let lines = logged_lines("message=engine ", || {
         let mut driver = Driver::new(settings(), vec![engine(1)]);
-        // A new engine comes to the end of its ramp without a line.
+        // The end of a new engine's slow start is not logged.
         driver.serve_interactive(0, 20, 0.1);
         assert!(forwarded_to(&driver.arrive(100, INTERACTIVE)).is_some());
         driver.attempt_ended(100, 0, 1, Outcome::ConnectFailed, 0.1);
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Many gateways in front of shared engines, each knowing only its own: drawn settings, outcomes, lost
-//! answers, restarts and stale lists, against a checker that knows nothing of the decisions. Seeds are fixed.
+//! Simulated fleets of many gateways in front of shared engines, with random settings, outcomes, lost
+//! responses, restarts and stale endpoint lists, against an independent checker. Seeds are fixed.
 
 mod common;
 
@@ -10,10 +10,11 @@
 use rand_pcg::Pcg32;
 use workload_manager::*;
 
-/// Steps of the clock, and how long it runs: till the longest deadline of the last request is over.
-const TICK: f64 = 0.1;
-const ASKING: f64 = 12.0;
-const ENDS: f64 = 24.0;
+const TICK_SECONDS: f64 = 0.1;
+/// Time during which requests arrive.
+const ARRIVAL_SECONDS: f64 = 12.0;
+/// Duration of a simulation: the arrivals, and the longest deadline of the last request.
+const RUN_SECONDS: f64 = 24.0;
 
 fn draw(rng: &mut Pcg32, below: u32) -> u32 {
     rng.next_u32() % below
@@ -22,34 +23,41 @@
 struct PendingRequest {
     class: usize,
     deadline: f64,
-    sends: Vec<(u32, f64, Option<Outcome>)>,
+    /// Engine, start time and outcome of each attempt.
+    attempts: Vec<(u32, f64, Option<Outcome>)>,
     answered: bool,
 }
 
 impl PendingRequest {
+    /// Engine and start time of the first attempt that may have run.
     fn may_have_run(&self) -> Option<(u32, f64)> {
         let proves =
             |how: Outcome| matches!(how, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NeverSent);
-        self.sends.iter().find(|(.., how)| !how.is_some_and(proves)).map(|(engine, at, _)| (*engine, *at))
+        self.attempts.iter().find(|(.., how)| !how.is_some_and(proves)).map(|(engine, at, _)| (*engine, *at))
     }
 }
 
-/// One gateway, the endpoint states that it knows, and the requests that it got.
+/// One gateway with its view of the endpoint list, its requests and its attempts in flight.
 struct Instance {
     gateway: WorkloadManager,
     known_states: BTreeMap<u32, EndpointState>,
-    list: Vec<(f64, Vec<EndpointEntry>)>,
+    /// Endpoint list updates, by time of delivery.
+    list_updates: Vec<(f64, Vec<EndpointEntry>)>,
     requests: BTreeMap<u64, PendingRequest>,
     timers: Vec<(f64, u64)>,
-    out: Vec<(f64, u64, u32, u32, Outcome)>,
+    /// End time, request, attempt, engine and outcome.
+    in_flight: Vec<(f64, u64, u32, u32, Outcome)>,
 }
 
 struct Fleet {
     s: Settings,
+    /// Work of a request of each class, in seconds.
     work: Vec<f64>,
     engines: BTreeMap<u32, EndpointEntry>,
     instances: Vec<Instance>,
+    /// Time and work of each attempt sent to a warming engine.
     warming: BTreeMap<u32, Vec<(f64, f64)>>,
+    /// Number of attempts of each class.
     sent: Vec<u64>,
     rng: Pcg32,
 }
@@ -62,7 +70,7 @@
         s.machine_types[0].memory_mb = 32_000.0;
         s.capabilities.cancels_attempts = draw(&mut rng, 2) == 0;
         s.capabilities.progress_period = if draw(&mut rng, 2) == 0 { 1.0 } else { 0.0 };
-        let effects = [
+        let idempotency_kinds = [
             Idempotency::Idempotent,
             Idempotency::NotIdempotent,
             Idempotency::Keyed { scope: IdempotencyScope::All, window: 5.0 },
@@ -71,8 +79,8 @@
         ];
         s.classes = vec![class(0.6, 1, 3.0), class(2.0, 4, 10.0), class(4.0, 2, 12.0), class(2.0, 4, 10.0)];
         for (n, c) in s.classes.iter_mut().enumerate() {
-            c.idempotency = effects[draw(&mut rng, 5) as usize];
-            // One class may go to one zone alone.
+            c.idempotency = idempotency_kinds[draw(&mut rng, 5) as usize];
+            // The last class is restricted to one zone.
             c.allowed_zones = (n == 3).then(|| vec![ZoneId(draw(&mut rng, zones) as usize)]);
         }
         s.classes[2] =
@@ -103,55 +111,61 @@
         let zones = 1 + self.engines.values().map(|e| e.zone.0).max().unwrap_or(0);
         let s = Settings { zone: Some(ZoneId(n as usize % zones)), ..self.s.clone() };
         let gateway = WorkloadManager::new(s, u64::from(self.rng.next_u32())).unwrap();
-        let list = vec![(now, self.engines.values().cloned().collect())];
+        let list_updates = vec![(now, self.engines.values().cloned().collect())];
         Instance {
             gateway,
             known_states: BTreeMap::new(),
-            list,
+            list_updates,
             requests: BTreeMap::new(),
             timers: Vec::new(),
-            out: Vec::new(),
+            in_flight: Vec::new(),
         }
     }
 
-    /// A change of the list, which reaches each gateway by itself, some seconds late.
-    fn change(&mut self, now: f64, entry: &EndpointEntry) {
+    /// Publishes a change of the endpoint list, which reaches each gateway after a random delay of up to 2 s.
+    fn publish(&mut self, now: f64, entry: &EndpointEntry) {
         self.engines.insert(entry.engine.0, entry.clone());
         for instance in &mut self.instances {
-            let late = now + f64::from(draw(&mut self.rng, 20)) * 0.1;
-            let after = instance.list.last().map_or(late, |(at, _)| late.max(*at));
-            instance.list.push((after, vec![entry.clone()]));
+            let delivered_at = now + f64::from(draw(&mut self.rng, 20)) * 0.1;
+            let due = instance.list_updates.last().map_or(delivered_at, |(at, _)| delivered_at.max(*at));
+            instance.list_updates.push((due, vec![entry.clone()]));
         }
     }
 
-    fn tell(&mut self, n: usize, now: f64, event: &Event) {
+    /// Sends an event to a gateway and carries out its actions.
+    fn deliver(&mut self, n: usize, now: f64, event: &Event) {
         let mut actions = Vec::new();
         self.instances[n].gateway.on_event(now, event, &mut actions);
         for action in actions {
-            self.act(n, now, &action);
+            self.carry_out(n, now, &action);
         }
     }
 
-    fn act(&mut self, n: usize, now: f64, action: &Action) {
+    fn carry_out(&mut self, n: usize, now: f64, action: &Action) {
         match action {
             Action::SetTimer { delay, token, .. } => self.instances[n].timers.push((now + delay, *token)),
             Action::Forward { request, engine, .. } => self.send(n, now, request.0, engine.0),
             Action::CancelAttempt { request, attempt } => {
-                // Most cancellations arrive; of some attempts the end was on its way already.
-                let heard = draw(&mut self.rng, 4) > 0;
-                let out = &mut self.instances[n].out;
-                if let Some(o) = out.iter_mut().find(|o| (o.1, o.2) == (request.0, *attempt) && heard) {
+                // A quarter of the cancellations is lost.
+                let delivered = draw(&mut self.rng, 4) > 0;
+                let in_flight = &mut self.instances[n].in_flight;
+                if let Some(o) =
+                    in_flight.iter_mut().find(|o| (o.1, o.2) == (request.0, *attempt) && delivered)
+                {
                     (o.0, o.4) = (o.0.min(now + 0.05), Outcome::Cancelled);
                 }
             }
             Action::Reject { request, .. } => {
                 let pending = &self.instances[n].requests[&request.0];
-                let effect = self.s.classes[pending.class].idempotency;
+                let idempotency = self.s.classes[pending.class].idempotency;
                 let harmless = matches!(
-                    effect,
+                    idempotency,
                     Idempotency::Idempotent | Idempotency::Keyed { scope: IdempotencyScope::All, .. }
                 );
-                assert!(harmless || pending.may_have_run().is_none(), "invited to repeat what may have run");
+                assert!(
+                    harmless || pending.may_have_run().is_none(),
+                    "a request that may have run was rejected"
+                );
                 self.answer(n, now, request.0);
             }
             Action::Fail(request) => self.answer(n, now, request.0),
@@ -161,8 +175,8 @@
 
     fn answer(&mut self, n: usize, now: f64, id: u64) {
         let pending = self.instances[n].requests.get_mut(&id).unwrap();
-        assert!(!pending.answered, "answered twice");
-        assert!(now <= pending.deadline + TICK, "answered too late");
+        assert!(!pending.answered, "two final answers");
+        assert!(now <= pending.deadline + TICK_SECONDS, "answered after the deadline");
         pending.answered = true;
     }
 
@@ -171,39 +185,42 @@
         assert_eq!(
             instance.known_states.get(&engine),
             Some(&EndpointState::Ready),
-            "sent to one that is not ready"
+            "forwarded to an engine that is not ready"
         );
         let entry = self.engines[&engine].clone();
         let pending = instance.requests.get_mut(&id).unwrap();
         let class = &self.s.classes[pending.class];
-        assert!(!pending.answered && pending.sends.iter().all(|(.., how)| how.is_some()), "a second copy");
+        assert!(
+            !pending.answered && pending.attempts.iter().all(|(.., how)| how.is_some()),
+            "forwarded after its answer or beside another attempt"
+        );
         assert!(
             class.allowed_zones.as_ref().is_none_or(|z| z.contains(&entry.zone)),
-            "sent where it may not go"
+            "forwarded to a zone that the class does not allow"
         );
         if let Some((first, at)) = pending.may_have_run() {
             let first = &self.engines[&first];
             match class.idempotency {
                 Idempotency::Idempotent => {}
-                Idempotency::NotIdempotent => panic!("once-only work is sent again"),
-                Idempotency::Keyed { scope: group, window } => {
-                    let same = match group {
+                Idempotency::NotIdempotent => panic!("a request that is not idempotent was retried"),
+                Idempotency::Keyed { scope: key_scope, window } => {
+                    let in_scope = match key_scope {
                         IdempotencyScope::All => true,
                         IdempotencyScope::Zone => first.zone == entry.zone,
                         IdempotencyScope::Cell => first.cell == entry.cell,
                     };
-                    assert!(same && now < at + window, "keyed work is repeated outside its group or window");
+                    assert!(in_scope && now < at + window, "retried outside the idempotency scope or window");
                 }
             }
         }
-        let attempt = pending.sends.len() as u32;
-        pending.sends.push((engine, now, None));
+        let attempt = pending.attempts.len() as u32;
+        pending.attempts.push((engine, now, None));
         self.sent[pending.class] += 1;
         let work = self.work[pending.class];
         if entry.started_at.is_some() {
             self.warming.entry(engine).or_default().push((now, work));
         }
-        // One that has gone, and which this gateway still has in its list, refuses the connection.
+        // A removed engine that the gateway still lists refuses the connection.
         let alive = entry.state != EndpointState::Removed;
         let outcome = match (alive, draw(&mut self.rng, 40)) {
             (false, _) | (_, 0) => Outcome::ConnectFailed,
@@ -213,16 +230,17 @@
             (_, 4) => Outcome::TimedOut,
             _ => Outcome::Success,
         };
-        let takes = work / f64::from(class.threads) * (0.5 + f64::from(draw(&mut self.rng, 100)) / 50.0);
+        let duration = work / f64::from(class.threads) * (0.5 + f64::from(draw(&mut self.rng, 100)) / 50.0);
         let quick = matches!(outcome, Outcome::ConnectFailed | Outcome::Rejected);
-        instance.out.push((now + if quick { 0.001 } else { takes }, id, attempt, engine, outcome));
+        instance.in_flight.push((now + if quick { 0.001 } else { duration }, id, attempt, engine, outcome));
     }
 
-    fn end(&mut self, n: usize, now: f64) {
-        while let Some(i) = self.instances[n].out.iter().position(|o| o.0 <= now) {
-            let (_, id, attempt, engine, outcome) = self.instances[n].out.remove(i);
+    /// Reports the attempts that have ended.
+    fn end_attempts(&mut self, n: usize, now: f64) {
+        while let Some(i) = self.instances[n].in_flight.iter().position(|o| o.0 <= now) {
+            let (_, id, attempt, engine, outcome) = self.instances[n].in_flight.remove(i);
             let pending = self.instances[n].requests.get_mut(&id).unwrap();
-            let send = &mut pending.sends[attempt as usize];
+            let send = &mut pending.attempts[attempt as usize];
             (send.2, pending.answered) = (Some(outcome), pending.answered || outcome == Outcome::Success);
             let event = Event::AttemptEnded {
                 request: RequestId(id),
@@ -235,24 +253,24 @@
                 cost: None,
                 load_report: None,
             };
-            self.tell(n, now, &event);
+            self.deliver(n, now, &event);
         }
     }
 
     fn run(&mut self, rate: f64) {
         let known: BTreeSet<u32> = self.engines.keys().copied().collect();
-        let going: Vec<u32> = known.iter().copied().filter(|id| id % 3 == 0 && known.len() > 3).collect();
+        let replaced: Vec<u32> = known.iter().copied().filter(|id| id % 3 == 0 && known.len() > 3).collect();
         let mut ids = 0;
-        for tick in 0..(ENDS / TICK) as u32 {
-            let now = 1000.0 + f64::from(tick) * TICK;
-            let at = |seconds: f64| tick == (seconds / TICK) as u32;
-            for (n, id) in going.iter().enumerate() {
+        for tick in 0..(RUN_SECONDS / TICK_SECONDS) as u32 {
+            let now = 1000.0 + f64::from(tick) * TICK_SECONDS;
+            let at = |seconds: f64| tick == (seconds / TICK_SECONDS) as u32;
+            for (n, id) in replaced.iter().enumerate() {
                 let old = self.engines[id].clone();
                 if at(4.0) {
-                    self.change(now, &EndpointEntry { state: EndpointState::Draining, ..old.clone() });
+                    self.publish(now, &EndpointEntry { state: EndpointState::Draining, ..old.clone() });
                 }
                 if at(6.0) {
-                    self.change(now, &EndpointEntry { state: EndpointState::Removed, ..old.clone() });
+                    self.publish(now, &EndpointEntry { state: EndpointState::Removed, ..old.clone() });
                     let id = EngineId(10_000 + n as u32);
                     let new = EndpointEntry {
                         engine: id,
@@ -260,28 +278,28 @@
                         state: EndpointState::Ready,
                         ..old
                     };
-                    self.change(now, &new);
+                    self.publish(now, &new);
                 }
             }
             for n in 0..self.instances.len() {
                 if at(5.0) && n % 4 == 0 {
-                    // Killed and restarted: it knows nothing, and its clients send anew.
+                    // The gateway restarts without its state and its requests.
                     self.instances[n] = self.start(n as u32, now);
                 }
-                while self.instances[n].list.first().is_some_and(|(due, _)| *due <= now) {
-                    let (_, entries) = self.instances[n].list.remove(0);
-                    let whole = self.instances[n].known_states.is_empty();
+                while self.instances[n].list_updates.first().is_some_and(|(due, _)| *due <= now) {
+                    let (_, entries) = self.instances[n].list_updates.remove(0);
+                    let first = self.instances[n].known_states.is_empty();
                     self.instances[n].known_states.extend(entries.iter().map(|e| (e.engine.0, e.state)));
-                    let mode = if whole { EndpointListMode::Cached } else { EndpointListMode::Delta };
-                    self.tell(n, now, &Event::EndpointList { mode, entries });
+                    let mode = if first { EndpointListMode::Cached } else { EndpointListMode::Delta };
+                    self.deliver(n, now, &Event::EndpointList { mode, entries });
                 }
-                self.end(n, now);
+                self.end_attempts(n, now);
                 while let Some(i) = self.instances[n].timers.iter().position(|(due, _)| *due <= now) {
                     let (_, token) = self.instances[n].timers.remove(i);
-                    self.tell(n, now, &Event::Timer(token));
+                    self.deliver(n, now, &Event::Timer(token));
                 }
-                let asks = f64::from(draw(&mut self.rng, 1000)) < 1000.0 * rate * TICK;
-                if asks && f64::from(tick) * TICK < ASKING {
+                let arrives = f64::from(draw(&mut self.rng, 1000)) < 1000.0 * rate * TICK_SECONDS;
+                if arrives && f64::from(tick) * TICK_SECONDS < ARRIVAL_SECONDS {
                     ids += 1;
                     let class = [0, 0, 1, 2, 3][draw(&mut self.rng, 5) as usize];
                     let c = &self.s.classes[class];
@@ -296,37 +314,42 @@
                         table_group: None,
                         is_retry: false,
                     };
-                    let pending =
-                        PendingRequest { class, deadline: request.deadline, sends: vec![], answered: false };
+                    let pending = PendingRequest {
+                        class,
+                        deadline: request.deadline,
+                        attempts: vec![],
+                        answered: false,
+                    };
                     self.instances[n].requests.insert(ids, pending);
-                    self.tell(n, now, &Event::RequestArrived(request));
+                    self.deliver(n, now, &Event::RequestArrived(request));
                 }
             }
         }
     }
 
-    /// What all gateways together have sent each warming engine, against what the rules allow.
-    fn check_cold(&self) {
+    /// Checks that all gateways together sent no warming engine more work than the rules allow.
+    fn check_warming_engines(&self) {
         let (r, cores) = (&self.s.rules, self.s.machine_types[0].cores);
         let heaviest = self.work.iter().copied().fold(0.0, f64::max);
-        for (engine, sends) in &self.warming {
+        for (engine, attempts) in &self.warming {
             let started = self.engines[engine].started_at.unwrap();
-            for (from, _) in sends {
+            for (from, _) in attempts {
                 let window = |at: f64| (*from..from + r.collapse_window).contains(&at);
-                let sent: f64 = sends.iter().filter(|(at, _)| window(*at)).map(|(_, work)| work).sum();
+                let sent: f64 = attempts.iter().filter(|(at, _)| window(*at)).map(|(_, work)| work).sum();
                 let warmth = r.slow_start_min_ratio
                     + (1.0 - r.slow_start_min_ratio)
                         * ((from - started) / r.slow_start_duration).clamp(0.0, 1.0);
                 let most = r.collapse_load_ratio * warmth * cores * 0.85 * r.collapse_window;
                 assert!(
                     warmth >= 1.0 || sent <= most + heaviest,
-                    "{sent} s of work of {most} to warming {engine}"
+                    "{sent} s of work to warming engine {engine}, {most} s allowed"
                 );
             }
         }
     }
 
-    fn check_ends(&self) {
+    /// Checks that each request got a final answer, and that each class with an allowed engine was served.
+    fn check_final_answers(&self) {
         for instance in &self.instances {
             assert!(instance.requests.values().all(|a| a.answered), "a request got no final answer");
         }
@@ -339,7 +362,7 @@
             if self.engines.values().any(has) && count(class) > 20 {
                 assert!(
                     self.sent[class] > 0,
-                    "class {class} got {} requests and none was forwarded",
+                    "class {class}: none of {} requests was forwarded",
                     count(class)
                 );
             }
@@ -348,8 +371,8 @@
 }
 
 #[test]
-fn fleets_of_any_size_keep_the_rules_and_starve_no_class() {
-    // Gateways, engines, zones, and requests a second at each gateway.
+fn fleets_of_any_size_satisfy_the_rules_and_starve_no_class() {
+    // Gateways, engines, zones, and requests per second at each gateway.
     let sizes = [
         (1, 1, 1, 4.0),
         (1, 500, 3, 8.0),
@@ -363,17 +386,17 @@
         for seed in 0..if gateways > 20 { 1 } else { 4 } {
             let mut fleet = Fleet::new(gateways, engines, zones, 100 * n as u64 + seed);
             fleet.run(rate);
-            fleet.check_cold();
-            fleet.check_ends();
+            fleet.check_warming_engines();
+            fleet.check_final_answers();
         }
     }
 }
 
-/// Not a check: prints what an event costs while 20 requests are queued, by the number of engines.
+/// Prints percentiles of the time per event by the number of engines.
 /// `cargo test --release --test fleet -- --ignored --nocapture`
 #[test]
-#[ignore = "prints figures of this machine"]
-fn cost_of_an_event_by_engines() {
+#[ignore = "prints measurements"]
+fn event_cost_by_number_of_engines() {
     for engines in [16, 80, 400, 1024] {
         let mut s = settings();
         s.gateways = 300;
@@ -392,12 +415,12 @@
             let class = if id % 10 == 0 { BACKGROUND } else { INTERACTIVE };
             let request = Request { id: RequestId(id), deadline: now + 20.0, ..template.request(0, class) };
             let mut actions = Vec::new();
-            let began = std::time::Instant::now();
+            let started = std::time::Instant::now();
             gateway.on_event(now, &Event::RequestArrived(request), &mut actions);
             if id % 5 == 0 {
                 gateway.on_event(now, &Event::Timer(0), &mut actions);
             }
-            costs.push(began.elapsed().as_nanos() as f64 / 1000.0);
+            costs.push(started.elapsed().as_nanos() as f64 / 1000.0);
             for (id, to) in forwards(&actions).into_iter().filter(|(id, _)| id % 10 != 0) {
                 let (request, engine) = (RequestId(id), EngineId(to));
                 let (outcome, elapsed, settled) = (Outcome::Success, 0.1, true);
@@ -416,7 +439,7 @@
             }
         }
         costs.sort_by(f64::total_cmp);
-        let at = |share: f64| costs[(share * (costs.len() - 1) as f64) as usize];
+        let at = |quantile: f64| costs[(quantile * (costs.len() - 1) as f64) as usize];
         println!("{engines} engines: p50 {:.1} us, p90 {:.1} us, p99 {:.1} us", at(0.5), at(0.9), at(0.99));
     }
 }
--- a/tests/load_estimate.rs
+++ b/tests/load_estimate.rs
@@ -1,18 +1,19 @@
-//! Load estimate: utilization by load reports and, without them, by how long background work takes.
+//! Load estimate: utilization of engines by load reports or, without reports, by the duration of background
+//! work.
 
 mod common;
 
 use common::*;
 use workload_manager::*;
 
-fn answer_with_report(driver: &mut Driver, id: u64, engine: u32, report: LoadReport) -> Vec<Action> {
+fn serve_with_report(driver: &mut Driver, id: u64, engine: u32, report: LoadReport) -> Vec<Action> {
     driver.first_attempt_served(id, engine, 0.2, None, Some(report))
 }
 
-/// Load reports alone show what other gateways send: an engine that reports to be full gets no background
-/// work until the report has aged.
+/// Load reports include the work of other gateways. An engine that reports high utilization must get no
+/// background work until the report expires.
 #[test]
-fn an_engine_that_reports_to_be_full_gets_no_background_work() {
+fn an_engine_that_reports_high_utilization_gets_no_background_work() {
     for (report, queued) in [
         (LoadReport { in_flight: Some(60.0), ..LoadReport::default() }, true),
         (LoadReport { queued: Some(5.0), ..LoadReport::default() }, true),
@@ -31,7 +32,7 @@
     ] {
         let mut driver = Driver::new(settings(), vec![engine(1), engine(2)]);
         let on = forwarded_to(&driver.arrive(1, INTERACTIVE)).unwrap().0;
-        answer_with_report(&mut driver, 1, on, report);
+        serve_with_report(&mut driver, 1, on, report);
         driver.endpoint_list(
             EndpointListMode::Delta,
             vec![EndpointEntry { state: EndpointState::Draining, ..engine(3 - on) }],
@@ -39,15 +40,15 @@
         assert_eq!(forwarded_to(&driver.arrive(2, LOAD)).is_none(), queued, "{report:?}");
         assert!(
             forwarded_to(&driver.arrive(3, INTERACTIVE)).is_some(),
-            "interactive requests pass: {report:?}"
+            "interactive requests are forwarded anyway: {report:?}"
         );
     }
 }
 
-/// A number of queries stands for memory too, where answers say what a query needs and settings what an
-/// engine has.
+/// The reported number of queries implies a memory utilization, if the memory per query and per engine is
+/// known.
 #[test]
-fn queries_that_fill_the_memory_fill_the_engine() {
+fn queries_that_use_all_memory_count_as_full_utilization() {
     for (memory_mb, queued) in [(0.0, false), (10_000.0, true)] {
         let mut s = settings();
         s.machine_types[0].memory_mb = memory_mb;
@@ -68,11 +69,10 @@
     }
 }
 
-/// Without load reports the time for its work that background work takes shows how utilized engines are:
-/// one of many gateways need not stay at its share of the limit while the fleet has capacity, and queues
-/// background work while it has none.
+/// Without load reports the duration of background work shows the utilization: a gateway exceeds its share of
+/// the limit while the fleet has capacity, and queues background work otherwise.
 #[test]
-fn without_reports_slow_background_work_shows_full_engines() {
+fn without_reports_slow_background_work_indicates_full_engines() {
     for (elapsed, freed) in [(0.5, true), (3.0, false)] {
         let mut s = settings();
         (s.gateways, s.capabilities.load_reports) = (100, LoadReportSource::None);
@@ -95,8 +95,8 @@
     }
 }
 
-/// Without load reports background work is never barred for good, however slow the last of it was: nothing
-/// else would show that the overload is over.
+/// Without load reports only background work shows the end of an overload, so that some must always be
+/// forwarded, however slow the last request was.
 #[test]
 fn without_reports_background_work_returns_after_an_overload() {
     let mut s = settings();
@@ -104,41 +104,44 @@
     let mut driver = Driver::new(s, (1..=4).map(engine).collect());
     for id in 0..10 {
         driver.now += 8.0;
-        let on = forwarded_to(&driver.arrive(id, BACKGROUND)).expect("not queued").0;
+        let on =
+            forwarded_to(&driver.arrive(id, BACKGROUND)).expect("background work is forwarded at once").0;
         driver.first_attempt_served(id, on, 8.0, Some(QueryCost { work: 4.0, memory_mb: 0.0 }), None);
     }
 }
 
-/// Where load reports tell nothing, as of engines where no query waits for memory, the time for its work
-/// that background work takes stands in for them: interactive requests go ahead of it and are slow only
-/// when engines have long been overloaded.
+/// Without load reports the duration of background work lowers the limit. Interactive latency alone would
+/// react too late, because engines prefer interactive requests.
 #[test]
-fn slow_background_work_lowers_the_limit_where_shares_are_thin_and_nothing_is_reported() {
+fn slow_background_work_lowers_a_limit_below_one_thread_without_reports() {
     let (s, engines) = many_gateways();
     let sent = |estimate: Option<f64>| {
         let mut driver = Driver::new(s.clone(), engines.clone());
         let mut sent = 0;
         for id in 1..900 {
             driver.now += 0.1;
-            let mut going = forwards(&driver.control_tick());
+            let mut in_flight = forwards(&driver.control_tick());
             driver.serve_interactive(10_000 + id, 1, 0.1);
             let request = Request { estimated_work: estimate, ..driver.request(id, BACKGROUND) };
-            going.extend(forwards(&driver.event(&Event::RequestArrived(request))));
-            while let Some((id, to)) = going.pop() {
+            in_flight.extend(forwards(&driver.event(&Event::RequestArrived(request))));
+            while let Some((id, to)) = in_flight.pop() {
                 sent += u32::from(driver.now > 160.0);
                 let elapsed = if id < 300 { 1.0 } else { 4.0 };
-                going.extend(forwards(&driver.attempt_ended(id, 0, to, Outcome::Success, elapsed)));
+                in_flight.extend(forwards(&driver.attempt_ended(id, 0, to, Outcome::Success, elapsed)));
             }
         }
         sent
     };
-    // By their estimated work they take four times as long as they did; without estimates nothing is known.
+    // With estimated work, requests from id 300 on take four times as long for the same work.
     let (estimated, unknown) = (sent(Some(4.0)), sent(None));
-    assert!(0 < estimated && 2 * estimated < unknown, "{estimated} requests, and {unknown}");
+    assert!(
+        0 < estimated && 2 * estimated < unknown,
+        "{estimated} requests with estimates, {unknown} without"
+    );
 }
 
-/// An outside cause that slows all engines makes background work take longer, as a full engine would. Where
-/// this gateway's own threads show that an engine holds little, the limit stays: engines would idle else.
+/// An external cause may slow down all engines without load. If the gateway's own threads show that an engine
+/// is nearly idle, slow background work must not lower its limit.
 #[test]
 fn slow_engines_with_few_threads_do_not_lower_the_limit() {
     let mut s = single_thread_loads();
@@ -153,5 +156,8 @@
             driver.serve_interactive(10 * round, 10, 0.3);
         }
     }
-    assert!(driver.count_admitted(90_000, LOAD) >= 8, "one thread of eight cores is in flight at a time");
+    assert!(
+        driver.count_admitted(90_000, LOAD) >= 8,
+        "the limit fell although only one thread was in flight at a time"
+    );
 }
--- a/tests/order_by_key.rs
+++ b/tests/order_by_key.rs
@@ -1,5 +1,5 @@
-//! Many requests of one key, and many keys: none is forwarded out of turn, and what waits costs others
-//! little.
+//! Order keys with many requests and many keys: requests of one key run in order, and queued requests do not
+//! delay requests of other keys.
 
 mod common;
 
@@ -9,15 +9,15 @@
 use workload_manager::*;
 
 const MANY: u64 = 10_000;
-/// As many as are tried without optimisation.
-const WAITING: u64 = 1_000;
+/// Fewer than `MANY`, so that the test is fast without optimisation.
+const QUEUED: u64 = 1_000;
 
 fn keyed(driver: &Driver, id: u64, key: u64) -> Event {
     Event::RequestArrived(Request { key: Some(KeyId(key)), ..driver.request(id, LOAD) })
 }
 
-/// A gateway with one request of a key in flight and this many waiting behind it.
-fn waiting(count: u64) -> Driver {
+/// A gateway with one request of a key in flight and this number of requests queued for the same key.
+fn with_queued_requests(count: u64) -> Driver {
     let mut driver = Driver::new(settings(), vec![engine(1), engine(2)]);
     for id in 0..=count {
         let event = keyed(&driver, id, 5);
@@ -27,20 +27,24 @@
 }
 
 #[test]
-fn a_thousand_requests_of_one_key_take_turns_and_let_others_pass() {
-    let mut driver = waiting(WAITING);
-    let event = keyed(&driver, WAITING + 1, 6);
+fn a_thousand_requests_of_one_key_run_in_order_and_do_not_block_other_keys() {
+    let mut driver = with_queued_requests(QUEUED);
+    let event = keyed(&driver, QUEUED + 1, 6);
     let other = forwards(&driver.event(&event));
-    assert_eq!(other.iter().map(|s| s.0).collect::<Vec<_>>(), vec![WAITING + 1], "another key does not wait");
-    // What has waited too long is rejected in one control tick, but for the one that is in flight.
+    assert_eq!(
+        other.iter().map(|s| s.0).collect::<Vec<_>>(),
+        vec![QUEUED + 1],
+        "a request of another key is forwarded at once"
+    );
+    // One control tick rejects all queued requests past their queue time; the one in flight stays.
     driver.now += 5.0;
     let rejected = final_answers(&driver.control_tick());
-    assert_eq!(rejected.len() as u64, WAITING);
+    assert_eq!(rejected.len() as u64, QUEUED);
     assert!(rejected.iter().all(|(_, rejected)| *rejected));
 }
 
-/// A request of a key whose client waits for so many seconds more.
-fn keyed_until(driver: &Driver, id: u64, wait: f64) -> Event {
+/// A request of key 5 whose client waits for another `wait` seconds.
+fn keyed_with_deadline(driver: &Driver, id: u64, wait: f64) -> Event {
     Event::RequestArrived(Request {
         key: Some(KeyId(5)),
         deadline: driver.now + wait,
@@ -49,24 +53,24 @@
 }
 
 #[test]
-fn a_request_with_little_time_left_gives_up_its_place_in_the_order_of_its_key() {
+fn a_request_with_a_short_deadline_is_not_queued_for_its_key() {
     const DEADLINE: f64 = 30.0;
-    let mut driver = waiting(0);
+    let mut driver = with_queued_requests(0);
     for (id, wait) in [(1, DEADLINE), (2, 0.49 * DEADLINE), (3, 0.51 * DEADLINE)] {
-        let event = keyed_until(&driver, id, wait);
+        let event = keyed_with_deadline(&driver, id, wait);
         driver.event(&event);
     }
     driver.now += 0.05;
     assert_eq!(
         final_answers(&driver.control_tick()),
         [(2, true)],
-        "it alone is rejected, and may be retried"
+        "only the request with less than half its deadline left is rejected"
     );
-    // Where its key is free it is sent like any other.
+    // With its key free, the same request is forwarded.
     let mut driver = Driver::new(settings(), vec![engine(1)]);
-    let event = keyed_until(&driver, 1, 0.49 * DEADLINE);
+    let event = keyed_with_deadline(&driver, 1, 0.49 * DEADLINE);
     assert!(forwarded_to(&driver.event(&event)).is_some());
-    // Without a key it is queued, as it keeps no other from a turn.
+    // Without a key the request stays queued, because it blocks no other.
     let mut driver = Driver::new(settings(), Vec::new());
     let request = Request { deadline: driver.now + 0.49 * DEADLINE, ..driver.request(1, LOAD) };
     driver.event(&Event::RequestArrived(request));
@@ -75,11 +79,11 @@
 }
 
 #[test]
-fn ten_thousand_keys_leave_nothing_behind() {
+fn the_state_of_ten_thousand_keys_is_removed() {
     let mut driver = Driver::new(settings(), vec![engine(1), engine(2)]);
     for id in 0..MANY {
         let event = keyed(&driver, id, id);
-        let Some((to, _)) = forwarded_to(&driver.event(&event)) else { panic!("{id} is queued") };
+        let Some((to, _)) = forwarded_to(&driver.event(&event)) else { panic!("request {id} was queued") };
         driver.first_attempt_served(id, to, 0.1, None, None);
     }
     driver.now += 1.0;
@@ -87,20 +91,20 @@
     assert_eq!(driver.gateway.keys_in_use(), 0);
 }
 
-/// Prints what a request of another class costs while so many wait for one key.
+/// Prints the time per event of interactive requests, by the number of requests queued for one key.
 #[test]
-#[ignore = "a measurement"]
-fn cost_of_an_event_by_requests_that_wait_for_a_key() {
+#[ignore = "prints measurements"]
+fn event_cost_by_number_of_requests_queued_for_a_key() {
     const EVENTS: u64 = 200;
     for count in [1, 100, MANY] {
-        let mut driver = waiting(count);
-        let began = Instant::now();
+        let mut driver = with_queued_requests(count);
+        let started = Instant::now();
         for id in 0..EVENTS {
             let (to, _) = forwarded_to(&driver.arrive(1_000_000 + id, INTERACTIVE))
                 .expect("an interactive request is forwarded at once");
             driver.first_attempt_served(1_000_000 + id, to, 0.1, None, None);
         }
-        let each = began.elapsed().as_micros() as f64 / (2 * EVENTS) as f64;
-        println!("{count} waiting: {each:.1} us for an event");
+        let each = started.elapsed().as_micros() as f64 / (2 * EVENTS) as f64;
+        println!("{count} queued: {each:.1} us per event");
     }
 }
--- a/tests/outliers.rs
+++ b/tests/outliers.rs
@@ -1,11 +1,12 @@
-//! Outlier detection and ejection: which engines get nothing for a time, and how they return.
+//! Outlier detection: ejection of faulty engines, and their recovery.
 
 mod common;
 
 use common::*;
 use workload_manager::*;
 
-/// With many gateways an engine may answer this one nothing while one long request of it runs there.
+/// With many gateways an engine may run a single long request of this gateway, and send no response
+/// meanwhile.
 #[test]
 fn an_engine_that_sends_progress_reports_is_not_silent() {
     for (reports_progress, ejected) in [(true, false), (false, true)] {
@@ -27,12 +28,12 @@
         assert_eq!(
             forwarded_to(&driver.arrive(2, INTERACTIVE)).is_none(),
             ejected,
-            "reports progress: {reports_progress}"
+            "with progress reports: {reports_progress}"
         );
     }
 }
 
-/// A silent engine is ejected, and tried again with one attempt.
+/// A silent engine is ejected. After the backoff it gets one attempt at a time.
 #[test]
 fn a_silent_engine_is_ejected_until_one_attempt_succeeds() {
     let mut driver = Driver::new(settings(), vec![engine(1), engine(2)]);
@@ -51,8 +52,8 @@
     driver.control_tick();
     for id in 11..=16 {
         assert_eq!(forwarded_to(&driver.arrive(id, INTERACTIVE)).unwrap().0, 2);
-        // Some stay in flight, so that the silent one has the fewest; not so many that the other is
-        // overloaded.
+        // Attempts left in flight make the silent engine the least loaded one, without an overload of the
+        // other.
         if id < 14 {
             driver.attempt_ended(id, 0, 2, Outcome::Success, 0.2);
         }
@@ -66,12 +67,16 @@
             driver.attempt_ended(id, 0, 2, Outcome::Success, 0.2);
         }
     }
-    assert_eq!(trials.iter().filter(|e| **e == 1).count(), 1, "one trial: {trials:?}");
+    assert_eq!(
+        trials.iter().filter(|e| **e == 1).count(),
+        1,
+        "attempts on the silent engine after its backoff: {trials:?}"
+    );
 }
 
-/// Time-outs behind a load are no fault of an engine that answers others.
+/// Timeouts may be caused by a load that holds the tables. They must not eject an engine that answers others.
 #[test]
-fn time_outs_of_an_answering_engine_do_not_eject_it() {
+fn timeouts_do_not_eject_an_engine_that_answers() {
     let mut driver = Driver::new(settings_with_cancelling(), vec![engine(1)]);
     driver.serve_interactive(100, 40, 0.2);
     for id in 1..=4 {
@@ -84,7 +89,7 @@
     assert!(forwarded_to(&driver.arrive(50, INTERACTIVE)).is_some());
 }
 
-/// A gateway that is back with a cached list sends little to each engine until it has answered.
+/// Engines of a cached endpoint list may be gone, so that each gets few attempts until it has answered.
 #[test]
 fn engines_of_a_cached_list_get_few_attempts_until_they_answer() {
     let mut driver = Driver::new(settings(), vec![]);
@@ -92,9 +97,10 @@
     assert_eq!(driver.count_admitted(1, INTERACTIVE), 4);
 }
 
-/// An engine that rejects at once has the fewest threads in flight and would draw all requests.
+/// An engine that rejects attempts at once has the fewest threads in flight, and would be selected for all
+/// requests.
 #[test]
-fn an_engine_that_rejects_rests_for_a_moment() {
+fn an_engine_that_rejects_is_paused() {
     let mut driver = Driver::new(settings(), vec![engine(1), engine(2)]);
     driver.serve_interactive(100, 40, 0.2);
     let (full, _) = forwarded_to(&driver.arrive(1, INTERACTIVE)).unwrap();
@@ -104,13 +110,17 @@
         assert_eq!(forwarded_to(&driver.arrive(id, INTERACTIVE)).unwrap().0, other);
     }
     driver.now += 0.3;
-    assert_eq!(forwarded_to(&driver.arrive(5, INTERACTIVE)).unwrap().0, full, "no trial: it was not ill");
+    assert_eq!(
+        forwarded_to(&driver.arrive(5, INTERACTIVE)).unwrap().0,
+        full,
+        "a rejection must not start a recovery ramp"
+    );
 }
 
-/// Engines that err quickly look the emptiest, and of many engines each is seen too seldom for a run of
-/// four errors: the second error soon after the first ejects it.
+/// An engine that fails fast has the fewest threads in flight. The second error that other engines disprove
+/// must eject it.
 #[test]
-fn an_engine_that_errs_twice_is_ejected() {
+fn an_engine_is_ejected_after_two_errors() {
     let mut driver = Driver::new(settings(), vec![engine(1), engine(2), engine(3)]);
     let mut failed = 0;
     for id in 0..40 {
@@ -124,49 +134,48 @@
         }
         driver.now += 0.005;
     }
-    assert!(failed <= 2, "{failed} errors in a fifth of a second");
+    assert!(failed <= 2, "{failed} errors from one engine");
 }
 
-/// Errors that a request draws from every engine are its own: engines stay in use, and it is not retried on
-/// and on.
+/// A request that fails on every engine is at fault itself. It is retried once and ejects no engine.
 #[test]
-fn a_request_that_errs_everywhere_ejects_no_engine() {
+fn a_request_that_fails_on_all_engines_ejects_none() {
     let mut driver = Driver::new(settings(), vec![engine(1), engine(2), engine(3)]);
     driver.serve_interactive(100, 40, 0.2);
     for id in 1..=20 {
         let (first, _) = forwarded_to(&driver.arrive(id, INTERACTIVE)).unwrap();
         let again = forwards(&driver.attempt_ended(id, 0, first, Outcome::Error, 0.01));
-        let &[(_, second)] = again.as_slice() else { panic!("it is sent once more: {again:?}") };
-        assert_ne!(first, second, "another engine may do better");
+        let &[(_, second)] = again.as_slice() else { panic!("expected one retry: {again:?}") };
+        assert_ne!(first, second, "retried on the same engine");
         let end = driver.attempt_ended(id, 1, second, Outcome::Error, 0.01);
         assert_eq!(end, vec![Action::Fail(RequestId(id))]);
     }
     let used: Vec<u32> =
         (30..36).map(|id| forwarded_to(&driver.arrive(id, INTERACTIVE)).unwrap().0).collect();
-    assert!((1..=3).all(|e| used.contains(&e)), "all engines are still in use: {used:?}");
+    assert!((1..=3).all(|e| used.contains(&e)), "engines in use: {used:?}");
 }
 
-/// Where another engine serves the request, the error was the engine's.
+/// An error is the engine's fault if another engine serves the request.
 #[test]
-fn an_engine_that_errs_alone_is_ejected() {
+fn an_engine_that_fails_requests_served_elsewhere_is_ejected() {
     let mut driver = Driver::new(settings(), vec![engine(1), engine(2)]);
     driver.serve_interactive(100, 40, 0.2);
-    let mut met = 0;
+    let mut forwarded = 0;
     for id in 1..=12 {
         let (first, _) = forwarded_to(&driver.arrive(id, INTERACTIVE)).unwrap();
         if first == 1 {
-            met += 1;
+            forwarded += 1;
             assert_eq!(forwards(&driver.attempt_ended(id, 0, 1, Outcome::Error, 0.01)), vec![(id, 2)]);
             driver.attempt_ended(id, 1, 2, Outcome::Success, 0.2);
         } else {
             driver.attempt_ended(id, 0, 2, Outcome::Success, 0.2);
         }
     }
-    assert!(met <= 2, "it went on to get {met}");
-    assert!(met >= 1, "it was never tried");
+    assert!(forwarded <= 2, "{forwarded} requests forwarded to a failing engine");
+    assert!(forwarded >= 1, "the failing engine got no request");
 }
 
-/// New engines come all day: removed ones are forgotten once nothing is in flight there.
+/// The state of removed engines must not accumulate. It is dropped when no attempt is in flight there.
 #[test]
 fn removed_engines_are_forgotten() {
     let mut driver = Driver::new(settings(), vec![engine(1)]);
@@ -175,7 +184,7 @@
         let gone = EndpointEntry { state: EndpointState::Removed, ..engine(id - 1) };
         driver.endpoint_list(EndpointListMode::Delta, vec![engine(id), gone]);
     }
-    assert_eq!(driver.gateway.engines_known(), 2, "the newest, and the one with an attempt in flight");
+    assert_eq!(driver.gateway.engines_known(), 2, "the newest engine, and the one with an attempt in flight");
     driver.attempt_ended(1, 0, 1, Outcome::Success, 0.2);
     driver.event(&Event::Timer(0));
     assert_eq!(driver.gateway.engines_known(), 1);
--- a/tests/queue.rs
+++ b/tests/queue.rs
@@ -1,4 +1,4 @@
-//! The queue, and which classes are interactive.
+//! Order of the queue, and the classification of classes as interactive or background work.
 
 mod common;
 
@@ -6,7 +6,7 @@
 use workload_manager::*;
 
 #[test]
-fn queued_work_leaves_in_order_of_arrival_to_the_engine_with_most_capacity() {
+fn queued_requests_are_forwarded_in_order_of_arrival_to_the_engine_with_most_capacity() {
     let mut driver = Driver::new(settings(), vec![engine(1)]);
     driver.arrive(1, BACKGROUND);
     for id in 2..5 {
@@ -18,11 +18,11 @@
 }
 
 #[test]
-fn a_request_that_finds_no_engine_blocks_no_other_class() {
+fn a_request_without_an_allowed_engine_does_not_block_other_classes() {
     let mut s = settings();
     s.classes[1].allowed_machine_types = Some(vec![MachineTypeId(1)]);
     let mut driver = Driver::new(s, vec![engine(1)]);
-    assert!(forwards(&driver.arrive(1, BACKGROUND)).is_empty(), "no engine of its kind");
+    assert!(forwards(&driver.arrive(1, BACKGROUND)).is_empty(), "no engine of the allowed machine type");
     assert_eq!(forwards(&driver.arrive(2, LOAD)), vec![(2, 1)]);
 }
 
@@ -38,6 +38,6 @@
     assert!(forwarded_to(&driver.arrive(1, ClassId(0))).is_some());
     assert!(
         forwarded_to(&driver.arrive(2, ClassId(0))).is_none(),
-        "background work, under the concurrency limit"
+        "a class that is not interactive is subject to the concurrency limit"
     );
 }
--- a/tests/reconfigure.rs
+++ b/tests/reconfigure.rs
@@ -1,21 +1,21 @@
-//! Live reconfiguration: what was learned stays, requests keep the rules of the class that they came
-//! with, and what changes nothing changes no decision.
+//! Live reconfiguration: learned state is kept, requests keep the class with which they arrived, and equal
+//! settings change no decision.
 
 mod common;
 
 use common::*;
 use workload_manager::*;
 
-const KEPT: ClassOrigin = ClassOrigin::Unchanged;
+const UNCHANGED: ClassOrigin = ClassOrigin::Unchanged;
 
 fn change(settings: Settings, origins: &[ClassOrigin]) -> SettingsChange {
     SettingsChange { settings, origins: origins.to_vec() }
 }
 
-/// Settings with another class at the end, and the class of this id no longer active.
+/// Retires a class and appends a modified copy of it.
 fn with_changed(of: ClassId, to: impl Fn(&mut Class)) -> SettingsChange {
     let mut s = settings();
-    let mut origins = vec![KEPT; s.classes.len()];
+    let mut origins = vec![UNCHANGED; s.classes.len()];
     let mut class = s.classes[of.0].clone();
     to(&mut class);
     s.classes.push(class);
@@ -24,15 +24,16 @@
     change(s, &origins)
 }
 
-/// Requests of all classes on three engines, some of them slow or lost, with control ticks between.
-fn play(reconfigures: bool) -> Vec<String> {
+/// Runs requests of all classes on three engines, some of them slow or lost. Returns the actions of each
+/// step.
+fn run(reconfigures: bool) -> Vec<String> {
     let mut driver = Driver::new(settings(), vec![engine(1), engine(2), engine(3)]);
     let mut log = Vec::new();
     let mut in_flight = Vec::new();
     for n in 0..600_u64 {
         driver.now += 0.013;
         if reconfigures && n % 7 == 0 {
-            let origins = vec![KEPT; settings().classes.len()];
+            let origins = vec![UNCHANGED; settings().classes.len()];
             driver.gateway.reconfigure(change(settings(), &origins)).unwrap();
         }
         let class = [INTERACTIVE, BACKGROUND, LOAD][(n % 3) as usize];
@@ -56,15 +57,15 @@
 }
 
 #[test]
-fn settings_that_are_the_same_change_no_decision() {
-    let (with, without) = (play(true), play(false));
+fn equal_settings_change_no_decision() {
+    let (with, without) = (run(true), run(false));
     let first = with.iter().zip(&without).position(|(a, b)| a != b);
-    assert_eq!(first, None, "the first step that differs");
+    assert_eq!(first, None, "first step with different actions");
 }
 
 #[test]
 fn a_request_in_flight_keeps_its_idempotency() {
-    for (old, again) in [(Idempotency::Idempotent, true), (Idempotency::NotIdempotent, false)] {
+    for (old, retried) in [(Idempotency::Idempotent, true), (Idempotency::NotIdempotent, false)] {
         let new =
             if old == Idempotency::Idempotent { Idempotency::NotIdempotent } else { Idempotency::Idempotent };
         let mut s = settings();
@@ -75,12 +76,12 @@
         changed.settings.classes[BACKGROUND.0].idempotency = old;
         driver.gateway.reconfigure(changed).unwrap();
         let actions = driver.attempt_ended(1, 0, first, Outcome::ConnectionLost, 0.1);
-        assert_eq!(!forwards(&actions).is_empty(), again, "{old:?}");
+        assert_eq!(!forwards(&actions).is_empty(), retried, "{old:?}");
     }
 }
 
 #[test]
-fn requests_queued_in_order_keep_it_when_their_class_is_ordered_no_longer() {
+fn queued_requests_keep_their_order_when_their_class_is_no_longer_ordered() {
     let mut s = settings();
     s.classes[LOAD.0].ordered_by_key = true;
     let mut driver = Driver::new(s, vec![engine(1), engine(2)]);
@@ -95,10 +96,13 @@
     changed.settings.classes[LOAD.0].ordered_by_key = true;
     driver.gateway.reconfigure(changed).unwrap();
     driver.now += 0.05;
-    assert!(forwards(&driver.control_tick()).is_empty(), "the second waits for the first");
+    assert!(
+        forwards(&driver.control_tick()).is_empty(),
+        "the second request of the key was forwarded beside the first"
+    );
     let new = ClassId(settings().classes.len());
     let third = Event::RequestArrived(Request { class: new, ..driver.request(3, LOAD) });
-    assert!(!forwards(&driver.event(&third)).is_empty(), "a new one takes no turn");
+    assert!(!forwards(&driver.event(&third)).is_empty(), "a request of the new class was queued for the key");
     assert!(!forwards(&driver.attempt_ended(1, 0, engine, Outcome::Success, 0.1)).is_empty());
 }
 
@@ -107,15 +111,15 @@
     let mut driver = Driver::new(settings(), vec![engine(1)]);
     let (on, _) = forwarded_to(&driver.arrive(1, BACKGROUND)).unwrap();
     let before = driver.gateway.engines_known();
-    // Without the class that was the lightest, others are interactive.
+    // With the lightest class retired, other classes become interactive.
     let mut s = settings();
     s.classes[BACKGROUND.0].threads = settings().classes[INTERACTIVE.0].threads;
-    let mut origins = vec![KEPT; s.classes.len()];
+    let mut origins = vec![UNCHANGED; s.classes.len()];
     origins[INTERACTIVE.0] = ClassOrigin::Retired;
     driver.gateway.reconfigure(change(settings(), &origins)).unwrap();
     assert_eq!(driver.gateway.engines_known(), before);
     driver.attempt_ended(1, 0, on, Outcome::Success, 0.1);
-    // A removed engine is forgotten only once no thread is counted there.
+    // The state of a removed engine is dropped only when no thread is counted there.
     driver.endpoint_list(
         EndpointListMode::Delta,
         vec![EndpointEntry { state: EndpointState::Removed, ..engine(1) }],
@@ -124,9 +128,9 @@
 }
 
 #[test]
-fn a_change_that_does_not_fit_is_rejected_and_changes_nothing() {
+fn an_invalid_change_is_rejected_without_effect() {
     let mut driver = Driver::new(settings(), vec![engine(1)]);
-    let all = vec![KEPT; settings().classes.len()];
+    let all = vec![UNCHANGED; settings().classes.len()];
     let mut bad = settings();
     bad.classes[0].deadline = -1.0;
     let mut fewer = settings();
@@ -148,8 +152,8 @@
 
 #[test]
 fn a_class_derived_from_another_starts_with_its_profile() {
-    // Requests of a class that was seen to take long are shed earlier than those of one that is new.
-    let learned = |origin: ClassOrigin| {
+    // Requests of a class with a high latency are shed earlier than requests of a new class.
+    let steps_until_shed = |origin: ClassOrigin| {
         let mut driver = Driver::new(settings(), vec![engine(1), engine(2)]);
         for id in 1..=60 {
             let actions = driver.arrive(id, INTERACTIVE);
@@ -172,29 +176,30 @@
         }
         steps
     };
-    let (follows, new) = (learned(ClassOrigin::DerivedFrom(INTERACTIVE)), learned(ClassOrigin::New));
-    assert!(follows < new, "{follows} {new}");
+    let (derived, new) =
+        (steps_until_shed(ClassOrigin::DerivedFrom(INTERACTIVE)), steps_until_shed(ClassOrigin::New));
+    assert!(derived < new, "shed after {derived} steps if derived, after {new} if new");
 }
 
-/// Sends `n` requests of a class; returns how many are forwarded at once.
-fn sent_at_once(driver: &mut Driver, first: u64, n: u64, class: ClassId) -> usize {
+/// Sends `n` requests of a class. Returns the number of those forwarded at once.
+fn count_forwarded(driver: &mut Driver, first: u64, n: u64, class: ClassId) -> usize {
     (first..first + n).map(|id| forwards(&driver.arrive(id, class)).len()).sum()
 }
 
 #[test]
-fn threads_counted_as_background_work_are_taken_off_as_such() {
+fn threads_counted_as_background_work_are_released_as_background_work() {
     let mut driver = Driver::new(single_thread_loads(), vec![engine(1)]);
     let (on, _) = forwarded_to(&driver.arrive(1, BACKGROUND)).unwrap();
-    // Without the first class the second is the interactive one.
-    let origins = [ClassOrigin::Retired, KEPT, KEPT];
+    // With the first class retired, the second one is interactive.
+    let origins = [ClassOrigin::Retired, UNCHANGED, UNCHANGED];
     driver.gateway.reconfigure(change(single_thread_loads(), &origins)).unwrap();
     driver.now += 0.1;
     driver.attempt_ended(1, 0, on, Outcome::Success, 0.1);
-    // What the token bucket was owed is earned by then.
+    // The token bucket has no debt any more.
     driver.now += 5.0;
     driver.control_tick();
-    // The limit at its start: two gateways, eight cores.
-    assert_eq!(sent_at_once(&mut driver, 10, 30, LOAD), 4);
+    // The initial limit: half of eight cores.
+    assert_eq!(count_forwarded(&mut driver, 10, 30, LOAD), 4);
 }
 
 #[test]
@@ -202,36 +207,35 @@
     let sent = |origins: &[ClassOrigin]| {
         let mut driver = Driver::new(settings(), vec![engine(1)]);
         driver.gateway.reconfigure(change(settings(), origins)).unwrap();
-        sent_at_once(&mut driver, 1, 30, BACKGROUND)
+        count_forwarded(&mut driver, 1, 30, BACKGROUND)
     };
-    // What waits as background work while there are lighter classes is forwarded at once where it is the
-    // lightest.
-    assert!(sent(&[ClassOrigin::Retired, KEPT, KEPT]) > sent(&[KEPT; 3]));
+    // The class is background work next to a lighter class, and interactive as the lightest one.
+    assert!(sent(&[ClassOrigin::Retired, UNCHANGED, UNCHANGED]) > sent(&[UNCHANGED; 3]));
 }
 
 #[test]
-fn a_larger_share_of_engines_is_used_at_once() {
+fn a_larger_share_of_the_engines_is_used_at_once() {
     let sent = |more: bool| {
         let mut driver = Driver::new(Settings { gateways: 8, ..single_thread_loads() }, vec![engine(1)]);
         if more {
             driver
                 .gateway
-                .reconfigure(change(Settings { gateways: 1, ..single_thread_loads() }, &[KEPT; 3]))
+                .reconfigure(change(Settings { gateways: 1, ..single_thread_loads() }, &[UNCHANGED; 3]))
                 .unwrap();
         }
-        sent_at_once(&mut driver, 1, 30, LOAD)
+        count_forwarded(&mut driver, 1, 30, LOAD)
     };
     assert!(sent(true) > sent(false));
 }
 
 #[test]
-fn the_memory_of_engines_is_that_of_the_new_settings() {
+fn the_memory_of_engines_follows_the_new_settings() {
     let sent = |memory_mb: f64| {
         let mut s = single_thread_loads();
         s.machine_types[0].memory_mb = 100_000.0;
         let mut driver = Driver::new(s.clone(), vec![engine(1)]);
         s.machine_types[0].memory_mb = memory_mb;
-        driver.gateway.reconfigure(change(s, &[KEPT; 3])).unwrap();
+        driver.gateway.reconfigure(change(s, &[UNCHANGED; 3])).unwrap();
         let needs = |id| {
             let request = Request { estimated_memory_mb: Some(600.0), ..driver.request(id, LOAD) };
             Event::RequestArrived(request)
--- a/tests/recorded_decisions.rs
+++ b/tests/recorded_decisions.rs
@@ -1,8 +1,8 @@
-//! Every decision of a gateway over drawn streams of events, against recorded ones.
+//! Golden test: all actions of a workload manager over random event streams, against recorded digests.
 //!
-//! `recorded_decisions/expected.txt` has a line for each stream: its number, seed, events, actions and
-//! digest, and the digest of each block of events. Where a decision is meant to change,
-//! `WRENHATCH_RECORD=1` records it anew.
+//! Each line of `recorded_decisions/expected.txt` has a stream's number, seed, number of events, number of
+//! actions and digest, and the digest of each block of events. After an intended change of decisions,
+//! `WRENHATCH_RECORD=1` rewrites the file.
 
 #[path = "recorded_decisions/action_format.rs"]
 mod action_format;
@@ -17,9 +17,9 @@
 
 use std::fmt::Write;
 
-use action_log::{BLOCK_EVENTS, Journal};
-use scenario::Setup;
-use simulation::World;
+use action_log::{ActionLog, BLOCK_EVENTS};
+use scenario::Scenario;
+use simulation::Simulation;
 
 const STREAMS: usize = 36;
 const EVENTS: usize = 5000;
@@ -31,29 +31,29 @@
     FIRST_SEED + stream as u64
 }
 
-fn play(stream: usize) -> Journal {
-    World::new(Setup::of(stream), seed(stream)).play(EVENTS, stream)
+fn run_stream(stream: usize) -> ActionLog {
+    Simulation::new(Scenario::of(stream), seed(stream)).run(EVENTS, stream)
 }
 
-/// The line of a stream in the file.
-fn line(stream: usize, journal: &Journal) -> String {
+/// The line of this stream in the format of `expected.txt`.
+fn line(stream: usize, log: &ActionLog) -> String {
     let mut line = format!(
         "{stream} seed={} events={} actions={} digest={:016x} blocks",
         seed(stream),
-        journal.events,
-        journal.actions,
-        journal.digest()
+        log.events,
+        log.actions,
+        log.digest()
     );
-    for digest in journal.block_digests() {
+    for digest in log.block_digests() {
         // Writing to a string never fails.
         let _ = write!(line, " {digest:016x}");
     }
     line
 }
 
-/// What is to be read where a stream went another way.
-fn difference(stream: usize, journal: &Journal, expected: &str) -> String {
-    let found = line(stream, journal);
+/// Message for a stream whose actions differ: both digests, and the log of the first block that differs.
+fn difference(stream: usize, log: &ActionLog, expected: &str) -> String {
+    let found = line(stream, log);
     let blocks = |line: &str| -> Vec<String> {
         let (_, digests) = line.split_once(" blocks").unwrap_or_default();
         digests.split_whitespace().map(str::to_owned).collect()
@@ -63,29 +63,25 @@
     let head = |line: &str| line.split(" blocks").next().unwrap_or_default().to_owned();
     format!(
         "stream {stream} ({}):\nexpected {}\nfound    {}\nthe first block that differs begins at event {}:\n{}",
-        Setup::of(stream).describe(),
+        Scenario::of(stream).describe(),
         head(expected),
         head(&found),
         same * BLOCK_EVENTS,
-        journal.block_text(same)
+        log.block_text(same)
     )
 }
 
 #[test]
-fn decisions_are_the_recorded_ones() {
-    let journals: Vec<Journal> = (0..STREAMS).map(play).collect();
+fn decisions_match_the_recorded_digests() {
+    let logs: Vec<ActionLog> = (0..STREAMS).map(run_stream).collect();
     if std::env::var_os("WRENHATCH_RECORD").is_some() {
-        let lines: Vec<String> = journals.iter().enumerate().map(|(n, journal)| line(n, journal)).collect();
-        std::fs::write(EXPECTED_PATH, lines.join("\n") + "\n").expect("the file can be written");
-        panic!("recorded {STREAMS} streams anew; run again without WRENHATCH_RECORD");
+        let lines: Vec<String> = logs.iter().enumerate().map(|(n, log)| line(n, log)).collect();
+        std::fs::write(EXPECTED_PATH, lines.join("\n") + "\n").expect("expected.txt is writable");
+        panic!("recorded {STREAMS} streams; run the test again without WRENHATCH_RECORD");
     }
     let expected: Vec<&str> = EXPECTED.lines().collect();
-    assert_eq!(expected.len(), STREAMS, "a line for each stream");
-    for (stream, journal) in journals.iter().enumerate() {
-        assert!(
-            line(stream, journal) == expected[stream],
-            "{}",
-            difference(stream, journal, expected[stream])
-        );
+    assert_eq!(expected.len(), STREAMS, "expected.txt has one line per stream");
+    for (stream, log) in logs.iter().enumerate() {
+        assert!(line(stream, log) == expected[stream], "{}", difference(stream, log, expected[stream]));
     }
 }
--- a/tests/recorded_decisions/action_format.rs
+++ b/tests/recorded_decisions/action_format.rs
@@ -1,24 +1,24 @@
-//! What a gateway asks for, in short fixed words: they stay when types and fields get other names.
+//! Text format of actions for the recorded digests, independent of the names of types and fields.
 
 use workload_manager::*;
 
-/// One action. Numbers with a fraction are told by their bits.
-pub fn words(action: &Action) -> String {
+/// Formats one action. Floating-point numbers are written as their bits in hexadecimal.
+pub fn format_action(action: &Action) -> String {
     match action {
         Action::SetAttemptTerms { request, memory_mb, priority } => {
             format!("terms {} {} {priority}", request.0, bits(*memory_mb))
         }
         Action::Forward { request, engine, timeout } => {
-            format!("send {} {} {}", request.0, engine.0, bits_if_any(*timeout))
+            format!("send {} {} {}", request.0, engine.0, optional_bits(*timeout))
         }
         Action::CancelAttempt { request, attempt } => format!("cancel {} {attempt}", request.0),
         Action::Reject { request, retry_after } => {
-            format!("refuse {} {}", request.0, bits_if_any(*retry_after))
+            format!("refuse {} {}", request.0, optional_bits(*retry_after))
         }
         Action::Fail(request) => format!("fail {}", request.0),
-        Action::SetTimer { delay, token, request: of } => {
-            let of = of.map_or("-".to_owned(), |request| request.0.to_string());
-            format!("timer {} {token} {of}", bits(*delay))
+        Action::SetTimer { delay, token, request: id } => {
+            let id = id.map_or("-".to_owned(), |request| request.0.to_string());
+            format!("timer {} {token} {id}", bits(*delay))
         }
         Action::CheckHealth(engine) => format!("probe {}", engine.0),
         Action::WatchEndpointList => "subscribe".to_owned(),
@@ -29,6 +29,6 @@
     format!("{:016x}", value.to_bits())
 }
 
-fn bits_if_any(value: Option<f64>) -> String {
+fn optional_bits(value: Option<f64>) -> String {
     value.map_or("-".to_owned(), bits)
 }
--- a/tests/recorded_decisions/action_log.rs
+++ b/tests/recorded_decisions/action_log.rs
@@ -1,35 +1,35 @@
-//! What a gateway asked for in the course of a stream, in blocks, and their digests.
+//! Log of a workload manager's actions over an event stream, in blocks of events with a digest each.
 
-/// Events of a block.
+/// Number of events in a block.
 pub const BLOCK_EVENTS: usize = 100;
 
-/// 64-bit FNV-1a of lines, each with its end.
+/// 64-bit FNV-1a hash of the lines, each followed by a newline.
 fn digest<'a>(lines: impl Iterator<Item = &'a String>) -> u64 {
     let bytes = lines.flat_map(|line| line.bytes().chain([b'\n']));
     bytes.fold(0xcbf2_9ce4_8422_2325, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3))
 }
 
-/// The lines of a stream.
+/// The logged lines of one event stream.
 #[derive(Default)]
-pub struct Journal {
+pub struct ActionLog {
     pub events: usize,
     pub actions: usize,
     blocks: Vec<Vec<String>>,
 }
 
-impl Journal {
-    /// Whether the event that comes now is the first of a block.
-    pub fn at_checkpoint(&self) -> bool {
+impl ActionLog {
+    /// Whether the next event is the first of a block.
+    pub fn at_block_start(&self) -> bool {
         self.events % BLOCK_EVENTS == 0
     }
 
-    /// Begins a block with the figures of a checkpoint.
-    pub fn checkpoint(&mut self, figures: String) {
-        self.blocks.push(vec![figures]);
+    /// Starts a block with this line.
+    pub fn start_block(&mut self, first_line: String) {
+        self.blocks.push(vec![first_line]);
     }
 
-    /// What an event led to.
-    pub fn event(&mut self, actions: Vec<String>) {
+    /// Records the actions that followed the next event.
+    pub fn record(&mut self, actions: Vec<String>) {
         let number = self.events;
         self.events += 1;
         self.actions += actions.len();
--- a/tests/recorded_decisions/rng.rs
+++ b/tests/recorded_decisions/rng.rs
@@ -1,34 +1,36 @@
-//! Numbers drawn from a seed.
+//! A seeded random number generator for the simulation.
 
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 
-/// A source of drawn numbers.
-pub struct Draws(Pcg32);
+/// A generator that yields the same values for the same seed on every platform.
+pub struct Rng(Pcg32);
 
-impl Draws {
+impl Rng {
     pub fn new(seed: u64) -> Self {
         Self(Pcg32::seed_from_u64(seed))
     }
 
+    /// An integer from 0 to `bound - 1`.
     pub fn below(&mut self, bound: u32) -> u32 {
         self.0.next_u32() % bound
     }
 
-    pub fn percent(&mut self, chance: u32) -> bool {
-        self.below(100) < chance
+    /// True with a probability of `percent` / 100.
+    pub fn chance(&mut self, percent: u32) -> bool {
+        self.below(100) < percent
     }
 
-    /// From 0 to 1.
-    pub fn share(&mut self) -> f64 {
+    /// A multiple of 1e-6 from 0 to less than 1.
+    pub fn unit_interval(&mut self) -> f64 {
         f64::from(self.below(1_000_000)) / 1e6
     }
 
     pub fn between(&mut self, low: f64, high: f64) -> f64 {
-        low + (high - low) * self.share()
+        low + (high - low) * self.unit_interval()
     }
 
-    pub fn pick<T: Clone>(&mut self, of: &[T]) -> T {
-        of[self.below(of.len() as u32) as usize].clone()
+    pub fn pick<T: Clone>(&mut self, choices: &[T]) -> T {
+        choices[self.below(choices.len() as u32) as usize].clone()
     }
 }
--- a/tests/recorded_decisions/scenario.rs
+++ b/tests/recorded_decisions/scenario.rs
@@ -1,53 +1,54 @@
-//! The settings of each stream, and the changes of them in mid-stream.
+//! The settings of each event stream, and the settings changes during it.
 
 use workload_manager::*;
 
-use super::rng::Draws;
+use super::rng::Rng;
 
-/// The class that most requests have.
-pub const LOOKUP: usize = 0;
+/// The most frequent class of the requests.
+pub const FREQUENT_CLASS: usize = 0;
 pub const ZONES: usize = 3;
 
-/// What a stream is played with. Streams step through the choices at different paces, so that they mix.
-pub struct Setup {
+/// Settings and number of engines of an event stream. Each setting cycles through its values with a period of
+/// its own, so that the streams cover many combinations.
+pub struct Scenario {
     pub settings: Settings,
-    pub engines: u32,
-    /// Answers bring no report, whatever the settings say.
-    pub mute: bool,
+    pub engine_count: u32,
+    /// Responses carry no load report, whatever the settings say.
+    pub omits_reports: bool,
 }
 
-impl Setup {
+impl Scenario {
     pub fn of(stream: usize) -> Self {
         let settings = Settings {
             gateways: [1, 3, 100, 300][(stream / 3) % 4],
             zone: [None, Some(ZoneId(1))][(stream / 2) % 2],
             classes: classes(stream),
-            machine_types: kinds(stream),
+            machine_types: machine_types(stream),
             tenants: vec![Tenant { quota_per_second: 0.0 }, Tenant { quota_per_second: 2.0 }],
             over_quota_weight_ratio: 0.5,
             rules: rules(stream),
-            capabilities: allowed(stream),
+            capabilities: capabilities(stream),
             on_memory_shortage: [MemoryShortage::Queue, MemoryShortage::Spill, MemoryShortage::Overcommit]
                 [(stream + stream / 3) % 3],
             clock_resolution: if stream % 5 == 3 { 0.25 } else { 0.005 },
         };
-        let engines = [5, 12, 40, 24][(stream / 3) % 4];
-        Self { settings, engines, mute: stream / 12 == 2 }
+        let engine_count = [5, 12, 40, 24][(stream / 3) % 4];
+        Self { settings, engine_count, omits_reports: stream / 12 == 2 }
     }
 
-    /// The settings in a few words, for who reads a failure.
+    /// Summary of the settings for the message of a failed comparison.
     pub fn describe(&self) -> String {
         let (s, a) = (&self.settings, &self.settings.capabilities);
         format!(
-            "{} gateways, {} engines, reports {} (mute: {}), cancel {}, ask {}, attempts {}, notes {}, budget {}",
+            "{} gateways, {} engines, reports {} (omitted: {}), cancels {}, polls {}, attempts {}, period {}, budget {}",
             s.gateways,
-            self.engines,
+            self.engine_count,
             match a.load_reports {
                 LoadReportSource::None => "none",
-                LoadReportSource::Responses => "in answers",
-                LoadReportSource::HealthChecks => "from probes",
+                LoadReportSource::Responses => "in responses",
+                LoadReportSource::HealthChecks => "from health checks",
             },
-            self.mute,
+            self.omits_reports,
             a.cancels_attempts,
             a.polls_endpoint_list,
             a.max_attempts,
@@ -71,7 +72,7 @@
     }
 }
 
-fn allowed(stream: usize) -> Capabilities {
+fn capabilities(stream: usize) -> Capabilities {
     let reports =
         [LoadReportSource::None, LoadReportSource::Responses, LoadReportSource::HealthChecks][stream % 3];
     Capabilities {
@@ -88,15 +89,15 @@
     }
 }
 
-fn kinds(stream: usize) -> Vec<MachineType> {
+fn machine_types(stream: usize) -> Vec<MachineType> {
     let memory_mb = [0.0, 16_000.0, 4_000.0][(stream / 2) % 3];
     let cores = if has_small_machines(stream) { 2.0 } else { 8.0 };
     vec![MachineType { cores, memory_mb }, MachineType { cores: 16.0, memory_mb: 2.0 * memory_mb }]
 }
 
-fn class(aim: f64, threads: u32, deadline: f64, effect: Idempotency) -> Class {
+fn class(objective: f64, threads: u32, deadline: f64, effect: Idempotency) -> Class {
     Class {
-        latency_objective: aim,
+        latency_objective: objective,
         objective_stretch: 0.0,
         deadline,
         priority_weight: 1.0,
@@ -112,21 +113,21 @@
     }
 }
 
-/// Whether some machines are so small that no class is light on them.
+/// Whether one machine type has too few cores for any class to be interactive there.
 fn has_small_machines(stream: usize) -> bool {
     stream % 12 == 4
 }
 
 fn classes(stream: usize) -> Vec<Class> {
-    let least = if has_small_machines(stream) { 2 } else { 1 };
-    let keyed = |group, window| Idempotency::Keyed {
-        scope: group,
+    let min_threads = if has_small_machines(stream) { 2 } else { 1 };
+    let keyed = |key_scope, window| Idempotency::Keyed {
+        scope: key_scope,
         window: if stream % 2 == 0 { window } else { 0.2 * window },
     };
     let zone = vec![ZoneId(stream % ZONES)];
     vec![
-        Class { waits_for_loads: stream % 2 == 0, ..class(1.0, least, 4.0, Idempotency::Idempotent) },
-        class(1.8, least, 6.0, keyed(IdempotencyScope::All, 3.0)),
+        Class { waits_for_loads: stream % 2 == 0, ..class(1.0, min_threads, 4.0, Idempotency::Idempotent) },
+        class(1.8, min_threads, 6.0, keyed(IdempotencyScope::All, 3.0)),
         Class {
             objective_stretch: 1.0,
             waits_for_loads: true,
@@ -147,44 +148,46 @@
     ]
 }
 
-/// Seconds that an attempt of a class of these settings takes on an idle engine, in the mean.
-pub fn usual_seconds(class: &Class) -> f64 {
+/// Typical duration of an attempt of this class on an idle engine, in seconds.
+pub fn typical_seconds(class: &Class) -> f64 {
     0.15 * class.latency_objective * f64::from(class.threads.min(4)).sqrt()
 }
 
-/// The settings in force and what has become of their classes.
-pub struct InForce {
+/// The settings in force, and which of their classes are retired.
+pub struct ActiveSettings {
     pub settings: Settings,
     retired: Vec<bool>,
 }
 
-impl InForce {
+impl ActiveSettings {
     pub fn new(settings: Settings) -> Self {
         let retired = vec![false; settings.classes.len()];
         Self { settings, retired }
     }
 
-    /// Classes that new requests may have.
+    /// Classes that are not retired.
     pub fn classes(&self) -> Vec<usize> {
         (0..self.retired.len()).filter(|class| !self.retired[*class]).collect()
     }
 
-    /// The next change. Every fifth is none that a gateway may accept.
-    pub fn change(&self, number: usize, draws: &mut Draws) -> SettingsChange {
+    /// Draws the next settings change. Every fifth is invalid: it has fewer classes than before.
+    pub fn draw_change(&self, number: usize, rng: &mut Rng) -> SettingsChange {
         let mut settings = self.settings.clone();
         let kept = |retired: &bool| if *retired { ClassOrigin::Retired } else { ClassOrigin::Unchanged };
         let mut origins: Vec<ClassOrigin> = self.retired.iter().map(kept).collect();
-        let class = 1 + draws.below(settings.classes.len() as u32 - 1) as usize;
+        let class = 1 + rng.below(settings.classes.len() as u32 - 1) as usize;
         match number % 5 {
             0 => {
-                settings.gateways += 1 + draws.below(20);
+                settings.gateways += 1 + rng.below(20);
                 settings.machine_types[0].cores += 4.0;
                 settings.machine_types[1].memory_mb *= 0.5;
                 settings.capabilities.max_attempts = 2;
             }
             1 => {
-                let aim = draws.between(0.5, 4.0);
-                settings.classes.push(Class { latency_objective: aim, ..settings.classes[class].clone() });
+                let objective = rng.between(0.5, 4.0);
+                settings
+                    .classes
+                    .push(Class { latency_objective: objective, ..settings.classes[class].clone() });
                 origins.push(ClassOrigin::New);
             }
             2 => {
@@ -211,7 +214,7 @@
         SettingsChange { settings, origins }
     }
 
-    pub fn accepted(&mut self, change: SettingsChange) {
+    pub fn apply(&mut self, change: SettingsChange) {
         self.retired = change.origins.iter().map(|origin| *origin == ClassOrigin::Retired).collect();
         self.settings = change.settings;
     }
--- a/tests/recorded_decisions/simulation.rs
+++ b/tests/recorded_decisions/simulation.rs
@@ -1,103 +1,105 @@
-//! A small world of engines and clients that answers what one gateway asks for. All of it is drawn from the seed.
+//! Simulation of the engines and clients of one gateway. All random values come from the seed.
 
 use std::collections::BTreeMap;
 
 use workload_manager::WorkloadManager;
 use workload_manager::*;
 
-use super::action_format::words;
-use super::action_log::Journal;
-use super::rng::Draws;
-use super::scenario::{InForce, LOOKUP, Setup, ZONES, usual_seconds};
+use super::action_format::format_action;
+use super::action_log::ActionLog;
+use super::rng::Rng;
+use super::scenario::{ActiveSettings, FREQUENT_CLASS, Scenario, ZONES, typical_seconds};
 
-const SECOND: u64 = 1_000_000;
-/// The clock's first second.
-const EPOCH: f64 = 1000.0;
-/// Changes of the settings in a stream.
+const MICROS_PER_SECOND: u64 = 1_000_000;
+/// The clock at the start of a stream, in seconds.
+const START: f64 = 1000.0;
+/// Number of settings changes in a stream.
 const CHANGES: usize = 4;
 
-/// What comes at a time.
-enum Due {
+/// A scheduled event of the simulation.
+enum SimEvent {
     Arrival,
-    End(u64, u32),
-    Note(u64, u32),
-    Stream(u64, u32),
+    AttemptEnd(u64, u32),
+    Progress(u64, u32),
+    StreamStart(u64, u32),
     Timer(u64),
-    Probe,
-    Probed(u32),
+    HealthCheckRound,
+    HealthCheckEnd(u32),
     Abort(u64),
-    Confirm(u64),
-    Subscribed,
-    News,
-    Weather,
+    ConfirmEnd(u64),
+    ListPolled,
+    ListChange,
+    ConditionChange,
 }
 
-/// How an engine fares.
+/// Health of an engine, which determines the outcomes of its attempts.
 #[derive(Clone, Copy, PartialEq)]
-enum Mood {
-    Well,
+enum Condition {
+    Healthy,
     Slow,
-    Erring,
-    Full,
-    Away,
+    Failing,
+    Overloaded,
+    Unreachable,
     Hanging,
-    Breaking,
+    Disconnecting,
 }
 
-struct Machine {
+struct SimEngine {
     entry: EndpointEntry,
-    mood: Mood,
+    condition: Condition,
 }
 
-struct Asked {
+struct SimRequest {
     class: usize,
     key: Option<u64>,
-    group: Option<u64>,
+    table_group: Option<u64>,
     deadline_us: u64,
     attempts: u32,
-    over: bool,
+    settled: bool,
 }
 
-struct Attempt {
+struct SimAttempt {
     engine: u32,
-    sent_us: u64,
-    due_us: u64,
+    sent_at_us: u64,
+    ends_at_us: u64,
     outcome: Outcome,
-    /// Of the notes of an attempt some get lost, and some tell only that it goes on.
-    notes: Notes,
+    progress_reports: ProgressReports,
 }
 
+/// Progress reports that the gateway receives of an attempt.
 #[derive(Clone, Copy, PartialEq)]
-enum Notes {
-    Full,
-    Bare,
+enum ProgressReports {
+    Detailed,
+    RunningOnly,
     Lost,
 }
 
-pub struct World {
+pub struct Simulation {
     gateway: WorkloadManager,
-    in_force: InForce,
-    draws: Draws,
+    active: ActiveSettings,
+    rng: Rng,
     now_us: u64,
-    agenda: BTreeMap<(u64, u64), Due>,
-    scheduled: u64,
-    machines: BTreeMap<u32, Machine>,
-    stale: Vec<EndpointEntry>,
-    requests: BTreeMap<u64, Asked>,
-    out: BTreeMap<(u64, u32), Attempt>,
-    /// How busy clients are, and how full others keep the engines.
-    rush: f64,
-    fullness: f64,
-    /// Answers bring no report, though the settings say so.
-    mute: bool,
-    journal: Journal,
+    /// By due time in microseconds and sequence number.
+    event_queue: BTreeMap<(u64, u64), SimEvent>,
+    sequence: u64,
+    engines: BTreeMap<u32, SimEngine>,
+    cached_list: Vec<EndpointEntry>,
+    requests: BTreeMap<u64, SimRequest>,
+    in_flight: BTreeMap<(u64, u32), SimAttempt>,
+    /// Factor of the request rate.
+    demand: f64,
+    /// Load of the engines by other gateways; 1 is full load.
+    other_load: f64,
+    /// Responses carry no load report, whatever the settings say.
+    omits_reports: bool,
+    log: ActionLog,
 }
 
-impl World {
-    pub fn new(setup: Setup, seed: u64) -> Self {
-        let mut draws = Draws::new(seed);
-        let machine = |id: u32| {
-            let (started, mood) = ((id % 5 == 4).then_some(EPOCH - 1.0), Mood::Well);
+impl Simulation {
+    pub fn new(scenario: Scenario, seed: u64) -> Self {
+        let mut rng = Rng::new(seed);
+        let new_engine = |id: u32| {
+            let (started, condition) = ((id % 5 == 4).then_some(START - 1.0), Condition::Healthy);
             let entry = EndpointEntry {
                 engine: EngineId(id),
                 zone: ZoneId(id as usize % ZONES),
@@ -106,284 +108,305 @@
                 state: EndpointState::Ready,
                 started_at: started,
             };
-            (id, Machine { entry, mood })
+            (id, SimEngine { entry, condition })
         };
-        let machines: BTreeMap<u32, Machine> = (0..setup.engines).map(machine).collect();
-        let gateway_seed = u64::from(draws.below(u32::MAX));
-        let mut world = Self {
-            gateway: WorkloadManager::new(setup.settings.clone(), gateway_seed)
-                .expect("settings that can be acted on"),
-            in_force: InForce::new(setup.settings),
-            draws,
+        let engines: BTreeMap<u32, SimEngine> = (0..scenario.engine_count).map(new_engine).collect();
+        let gateway_seed = u64::from(rng.below(u32::MAX));
+        let mut simulation = Self {
+            gateway: WorkloadManager::new(scenario.settings.clone(), gateway_seed)
+                .expect("the scenario's settings are valid"),
+            active: ActiveSettings::new(scenario.settings),
+            rng,
             now_us: 0,
-            agenda: BTreeMap::new(),
-            scheduled: 0,
-            stale: machines.values().map(|m| m.entry.clone()).collect(),
-            machines,
+            event_queue: BTreeMap::new(),
+            sequence: 0,
+            cached_list: engines.values().map(|e| e.entry.clone()).collect(),
+            engines,
             requests: BTreeMap::new(),
-            out: BTreeMap::new(),
-            rush: 0.5,
-            fullness: 0.3,
-            mute: setup.mute,
-            journal: Journal::default(),
+            in_flight: BTreeMap::new(),
+            demand: 0.5,
+            other_load: 0.3,
+            omits_reports: scenario.omits_reports,
+            log: ActionLog::default(),
         };
-        for (due, seconds) in [(Due::Arrival, 0.01), (Due::Probe, 0.1), (Due::News, 3.0), (Due::Weather, 2.0)]
-        {
-            world.plan(seconds, due);
+        for (event, seconds) in [
+            (SimEvent::Arrival, 0.01),
+            (SimEvent::HealthCheckRound, 0.1),
+            (SimEvent::ListChange, 3.0),
+            (SimEvent::ConditionChange, 2.0),
+        ] {
+            simulation.schedule(seconds, event);
         }
-        world
+        simulation
     }
 
-    /// Plays so many events.
-    pub fn play(mut self, events: usize, stream: usize) -> Journal {
-        if !self.in_force.settings.capabilities.polls_endpoint_list {
+    /// Runs the simulation until the gateway has received this number of events.
+    pub fn run(mut self, events: usize, stream: usize) -> ActionLog {
+        if !self.active.settings.capabilities.polls_endpoint_list {
             let mode = if stream % 2 == 0 { EndpointListMode::Full } else { EndpointListMode::Cached };
-            self.tell_list(mode, self.stale.clone());
+            self.send_list(mode, self.cached_list.clone());
         }
         let mut changes = 0;
-        while self.journal.events < events {
-            if self.journal.events > (changes + 1) * events / (CHANGES + 1) {
+        while self.log.events < events {
+            if self.log.events > (changes + 1) * events / (CHANGES + 1) {
                 self.reconfigure(stream + changes);
                 changes += 1;
             }
-            let Some(((at, _), due)) = self.agenda.pop_first() else { break };
+            let Some(((at, _), event)) = self.event_queue.pop_first() else { break };
             self.now_us = at;
-            self.happen(due);
+            self.handle(event);
         }
-        self.journal
+        self.log
     }
 
     fn now(&self) -> f64 {
-        EPOCH + self.now_us as f64 / SECOND as f64
+        START + self.now_us as f64 / MICROS_PER_SECOND as f64
     }
 
-    fn plan(&mut self, seconds: f64, due: Due) {
-        let at = self.now_us + (seconds * SECOND as f64).ceil() as u64;
-        self.scheduled += 1;
-        self.agenda.insert((at, self.scheduled), due);
+    fn schedule(&mut self, seconds: f64, event: SimEvent) {
+        let at = self.now_us + (seconds * MICROS_PER_SECOND as f64).ceil() as u64;
+        self.sequence += 1;
+        self.event_queue.insert((at, self.sequence), event);
     }
 
-    fn plan_end(&mut self, which: (u64, u32), seconds: f64) {
-        let at = self.now_us + (seconds * SECOND as f64) as u64;
-        if let Some(attempt) = self.out.get_mut(&which) {
-            attempt.due_us = at;
+    fn schedule_end(&mut self, attempt_id: (u64, u32), seconds: f64) {
+        let at = self.now_us + (seconds * MICROS_PER_SECOND as f64) as u64;
+        if let Some(attempt) = self.in_flight.get_mut(&attempt_id) {
+            attempt.ends_at_us = at;
         }
-        self.scheduled += 1;
-        self.agenda.insert((at, self.scheduled), Due::End(which.0, which.1));
+        self.sequence += 1;
+        self.event_queue.insert((at, self.sequence), SimEvent::AttemptEnd(attempt_id.0, attempt_id.1));
     }
 
-    fn checkpoint(&mut self) {
-        if self.journal.at_checkpoint() {
+    /// Before the first event of a block, starts the block with the gateway's figures.
+    fn start_block_if_due(&mut self) {
+        if self.log.at_block_start() {
             let g = &self.gateway;
             let figures = [g.engines_avoided(self.now()), g.engines_known(), g.keys_in_use()];
-            self.journal.checkpoint(format!("figures {} {} {}", figures[0], figures[1], figures[2]));
+            self.log.start_block(format!("figures {} {} {}", figures[0], figures[1], figures[2]));
         }
     }
 
-    fn tell(&mut self, event: &Event) {
-        self.checkpoint();
+    /// Sends an event to the gateway and carries out its actions.
+    fn deliver(&mut self, event: &Event) {
+        self.start_block_if_due();
         let mut actions = Vec::new();
         self.gateway.on_event(self.now(), event, &mut actions);
-        self.journal.event(actions.iter().map(words).collect());
+        self.log.record(actions.iter().map(format_action).collect());
         for action in &actions {
-            self.act(action);
+            self.carry_out(action);
         }
     }
 
     fn reconfigure(&mut self, number: usize) {
-        self.checkpoint();
-        let change = self.in_force.change(number, &mut self.draws);
+        self.start_block_if_due();
+        let change = self.active.draw_change(number, &mut self.rng);
         let accepted = self.gateway.reconfigure(change.clone()).is_ok();
         if accepted {
-            self.in_force.accepted(change);
+            self.active.apply(change);
         }
-        self.journal.event(vec![format!("change {accepted}")]);
+        self.log.record(vec![format!("change {accepted}")]);
     }
 
-    fn act(&mut self, action: &Action) {
+    fn carry_out(&mut self, action: &Action) {
         match action {
-            Action::Forward { request, engine, .. } => self.start(request.0, engine.0),
+            Action::Forward { request, engine, .. } => self.start_attempt(request.0, engine.0),
             Action::CancelAttempt { request, attempt } => self.cancel((request.0, *attempt)),
             Action::Reject { request, .. } | Action::Fail(request) => {
-                self.requests.get_mut(&request.0).expect("asked").over = true;
+                self.requests.get_mut(&request.0).expect("the request has arrived").settled = true;
             }
-            Action::SetTimer { delay, token, .. } => self.plan(*delay, Due::Timer(*token)),
-            Action::CheckHealth(engine) => self.plan(0.02, Due::Probed(engine.0)),
-            Action::WatchEndpointList => self.plan(0.05, Due::Subscribed),
+            Action::SetTimer { delay, token, .. } => self.schedule(*delay, SimEvent::Timer(*token)),
+            Action::CheckHealth(engine) => self.schedule(0.02, SimEvent::HealthCheckEnd(engine.0)),
+            Action::WatchEndpointList => self.schedule(0.05, SimEvent::ListPolled),
             Action::SetAttemptTerms { .. } => {}
         }
     }
 
-    fn start(&mut self, id: u64, engine: u32) {
-        let request = self.requests.get_mut(&id).expect("asked");
+    fn start_attempt(&mut self, id: u64, engine: u32) {
+        let request = self.requests.get_mut(&id).expect("the request has arrived");
         let number = request.attempts;
         request.attempts += 1;
-        let (outcome, seconds) = self.fate(id, engine);
-        let notes = self.draws.pick(&[Notes::Full, Notes::Full, Notes::Full, Notes::Bare, Notes::Lost]);
-        let attempt = Attempt { engine, sent_us: self.now_us, due_us: 0, outcome, notes };
-        self.out.insert((id, number), attempt);
-        self.plan_end((id, number), seconds);
-        let period = self.in_force.settings.capabilities.progress_period;
+        let (outcome, seconds) = self.draw_outcome(id, engine);
+        let progress_reports = self.rng.pick(&[
+            ProgressReports::Detailed,
+            ProgressReports::Detailed,
+            ProgressReports::Detailed,
+            ProgressReports::RunningOnly,
+            ProgressReports::Lost,
+        ]);
+        let attempt =
+            SimAttempt { engine, sent_at_us: self.now_us, ends_at_us: 0, outcome, progress_reports };
+        self.in_flight.insert((id, number), attempt);
+        self.schedule_end((id, number), seconds);
+        let period = self.active.settings.capabilities.progress_period;
         if period > 0.0 {
-            self.plan(period, Due::Note(id, number));
+            self.schedule(period, SimEvent::Progress(id, number));
         }
-        if self.in_force.settings.classes[self.requests[&id].class].is_streaming {
-            self.plan(0.5 * seconds, Due::Stream(id, number));
+        if self.active.settings.classes[self.requests[&id].class].is_streaming {
+            self.schedule(0.5 * seconds, SimEvent::StreamStart(id, number));
         }
     }
 
-    /// How an attempt that starts now will end, and after how long.
-    fn fate(&mut self, id: u64, engine: u32) -> (Outcome, f64) {
+    /// Draws the outcome of an attempt that starts now, and its duration in seconds.
+    fn draw_outcome(&mut self, id: u64, engine: u32) -> (Outcome, f64) {
         let request = &self.requests[&id];
-        let class = &self.in_force.settings.classes[request.class];
-        let machine = &self.machines[&engine];
-        let beside = self.out.values().filter(|a| a.engine == engine).count() as f64;
-        let loads = self.held_by_load(request.group, engine);
-        let left = request.deadline_us.saturating_sub(self.now_us) as f64 / SECOND as f64;
-        let mood = if machine.entry.state == EndpointState::Removed { Mood::Away } else { machine.mood };
-        let crowd = 1.0 + 0.1 * beside + if self.fullness > 1.0 { self.fullness } else { 0.0 };
-        let wait = if loads && class.waits_for_loads { 2.0 } else { 0.0 };
-        let usual = usual_seconds(class);
-        let slow = if mood == Mood::Slow { 5.0 } else { 1.0 };
-        let takes = wait + usual * crowd * slow * self.draws.between(0.4, 1.8);
-        let (fortune, hit) = (self.draws.below(120), self.draws.percent(60));
-        match (mood, fortune) {
-            (Mood::Away, _) | (_, 0) => (Outcome::ConnectFailed, 0.001),
-            (Mood::Full, _) if hit => (Outcome::Rejected, 0.002),
-            (Mood::Erring, fortune) if fortune > 4 => (Outcome::Error, 0.1 * takes),
-            (Mood::Breaking, _) if hit => (Outcome::ConnectionLost, 0.2 * takes),
-            (Mood::Hanging, _) => (Outcome::TimedOut, left + 0.3),
+        let class = &self.active.settings.classes[request.class];
+        let target = &self.engines[&engine];
+        let concurrent = self.in_flight.values().filter(|a| a.engine == engine).count() as f64;
+        let tables_held = self.load_holds_tables(request.table_group, engine);
+        let remaining = request.deadline_us.saturating_sub(self.now_us) as f64 / MICROS_PER_SECOND as f64;
+        let condition = if target.entry.state == EndpointState::Removed {
+            Condition::Unreachable
+        } else {
+            target.condition
+        };
+        let slowdown = 1.0 + 0.1 * concurrent + if self.other_load > 1.0 { self.other_load } else { 0.0 };
+        let wait = if tables_held && class.waits_for_loads { 2.0 } else { 0.0 };
+        let typical = typical_seconds(class);
+        let slow_factor = if condition == Condition::Slow { 5.0 } else { 1.0 };
+        let duration = wait + typical * slowdown * slow_factor * self.rng.between(0.4, 1.8);
+        let (draw, affected) = (self.rng.below(120), self.rng.chance(60));
+        match (condition, draw) {
+            (Condition::Unreachable, _) | (_, 0) => (Outcome::ConnectFailed, 0.001),
+            (Condition::Overloaded, _) if affected => (Outcome::Rejected, 0.002),
+            (Condition::Failing, draw) if draw > 4 => (Outcome::Error, 0.1 * duration),
+            (Condition::Disconnecting, _) if affected => (Outcome::ConnectionLost, 0.2 * duration),
+            (Condition::Hanging, _) => (Outcome::TimedOut, remaining + 0.3),
             (_, 1) => (Outcome::Rejected, 0.002),
-            (_, 2 | 3) => (Outcome::Error, 0.5 * takes),
-            (_, 4) => (Outcome::ConnectionLost, 0.5 * takes),
-            (_, 5) => (Outcome::TimedOut, 2.0 * takes),
+            (_, 2 | 3) => (Outcome::Error, 0.5 * duration),
+            (_, 4) => (Outcome::ConnectionLost, 0.5 * duration),
+            (_, 5) => (Outcome::TimedOut, 2.0 * duration),
             (_, 6) => (Outcome::NeverSent, 0.0),
-            (_, 7) => (Outcome::Cancelled, 0.3 * takes),
-            // Some stand still for long.
-            (_, 8) => (Outcome::Success, 20.0 * takes),
-            _ if takes > left + 1.0 => (Outcome::TimedOut, left + 0.05),
-            _ => (Outcome::Success, takes),
+            (_, 7) => (Outcome::Cancelled, 0.3 * duration),
+            // The attempt stalls.
+            (_, 8) => (Outcome::Success, 20.0 * duration),
+            _ if duration > remaining + 1.0 => (Outcome::TimedOut, remaining + 0.05),
+            _ => (Outcome::Success, duration),
         }
     }
 
-    fn held_by_load(&self, group: Option<u64>, engine: u32) -> bool {
-        let loads = |id: &u64| {
+    /// Whether a load on this engine holds the table group.
+    fn load_holds_tables(&self, table_group: Option<u64>, engine: u32) -> bool {
+        let holds_group = |id: &u64| {
             let request = &self.requests[id];
-            request.group == group && self.in_force.settings.classes[request.class].is_load
+            request.table_group == table_group && self.active.settings.classes[request.class].is_load
         };
-        group.is_some() && self.out.iter().any(|((id, _), a)| a.engine == engine && loads(id))
+        table_group.is_some()
+            && self.in_flight.iter().any(|((id, _), a)| a.engine == engine && holds_group(id))
     }
 
-    /// Most cancels arrive in time.
-    fn cancel(&mut self, which: (u64, u32)) {
-        if self.out.contains_key(&which) && self.draws.percent(75) {
-            let attempt = self.out.get_mut(&which).expect("out");
-            if attempt.due_us > self.now_us + SECOND / 50 {
+    /// Cancels an attempt, unless the cancellation is lost or arrives too late.
+    fn cancel(&mut self, attempt_id: (u64, u32)) {
+        if self.in_flight.contains_key(&attempt_id) && self.rng.chance(75) {
+            let attempt = self.in_flight.get_mut(&attempt_id).expect("the attempt is in flight");
+            if attempt.ends_at_us > self.now_us + MICROS_PER_SECOND / 50 {
                 attempt.outcome = Outcome::Cancelled;
-                self.plan_end(which, 0.02);
+                self.schedule_end(attempt_id, 0.02);
             }
         }
     }
 
-    fn happen(&mut self, due: Due) {
-        match due {
-            Due::Arrival => self.arrive(),
-            Due::End(id, number) => self.end((id, number)),
-            Due::Note(id, number) => self.note((id, number)),
-            Due::Stream(id, number) if self.out.contains_key(&(id, number)) => {
-                self.tell(&Event::StreamStarted { request: RequestId(id), attempt: number });
+    fn handle(&mut self, event: SimEvent) {
+        match event {
+            SimEvent::Arrival => self.arrive(),
+            SimEvent::AttemptEnd(id, number) => self.end_attempt((id, number)),
+            SimEvent::Progress(id, number) => self.report_progress((id, number)),
+            SimEvent::StreamStart(id, number) if self.in_flight.contains_key(&(id, number)) => {
+                self.deliver(&Event::StreamStarted { request: RequestId(id), attempt: number });
             }
-            Due::Stream(..) => {}
-            Due::Timer(token) => self.tell(&Event::Timer(token)),
-            Due::Probe => self.probe(),
-            Due::Probed(engine) => self.probed(engine),
-            Due::Abort(id) => {
+            SimEvent::StreamStart(..) => {}
+            SimEvent::Timer(token) => self.deliver(&Event::Timer(token)),
+            SimEvent::HealthCheckRound => self.start_health_check(),
+            SimEvent::HealthCheckEnd(engine) => self.end_health_check(engine),
+            SimEvent::Abort(id) => {
                 if let Some(request) = self.requests.get_mut(&id) {
-                    request.over = true;
+                    request.settled = true;
                 }
-                self.tell(&Event::RequestAborted(RequestId(id)));
+                self.deliver(&Event::RequestAborted(RequestId(id)));
             }
-            Due::Confirm(key) => {
-                let may_run_for = self.draws.pick(&[0.0, 0.0, 0.7]);
-                self.tell(&Event::AttemptEndConfirmed { key: KeyId(key), may_still_run_for: may_run_for });
+            SimEvent::ConfirmEnd(key) => {
+                let may_run_for = self.rng.pick(&[0.0, 0.0, 0.7]);
+                self.deliver(&Event::AttemptEndConfirmed { key: KeyId(key), may_still_run_for: may_run_for });
             }
-            Due::Subscribed => {
-                let mode = self.draws.pick(&[
+            SimEvent::ListPolled => {
+                let mode = self.rng.pick(&[
                     EndpointListMode::Failed,
                     EndpointListMode::Full,
                     EndpointListMode::Full,
                 ]);
-                self.tell_whole_list(mode);
+                self.send_whole_list(mode);
             }
-            Due::News => self.news(),
-            Due::Weather => self.change_weather(),
+            SimEvent::ListChange => self.change_list(),
+            SimEvent::ConditionChange => self.change_conditions(),
         }
     }
 
     fn arrive(&mut self) {
         let id = self.requests.len() as u64 + 1;
-        let classes = self.in_force.classes();
-        let class = if self.draws.percent(45) { LOOKUP } else { self.draws.pick(&classes) };
-        let c = self.in_force.settings.classes[class].clone();
-        let key = c.ordered_by_key.then(|| u64::from(self.draws.below(5)));
-        let group = self.draws.percent(40).then(|| u64::from(self.draws.below(3)));
-        let patience = c.deadline * self.draws.between(0.15, 1.1);
-        let mean_work = usual_seconds(&c) * f64::from(c.threads);
-        let size = self.draws.pick(&[0.3, 0.8, 0.8, 1.0, 1.0, 1.5, 1.5, 6.0, 100.0]);
-        let estimate = self.draws.percent(70).then_some(size * mean_work);
-        let need_mb = self.draws.percent(60).then(|| 100.0 * f64::from(1 + self.draws.below(30)));
-        let deadline_us = self.now_us + (patience * SECOND as f64) as u64;
-        self.requests.insert(id, Asked { class, key, group, deadline_us, attempts: 0, over: false });
-        if self.draws.percent(4) {
-            let after = self.draws.between(0.01, patience);
-            // Some quit that nobody knows of.
-            let who = if self.draws.percent(20) { id + 1_000_000 } else { id };
-            self.plan(after, Due::Abort(who));
+        let classes = self.active.classes();
+        let class = if self.rng.chance(45) { FREQUENT_CLASS } else { self.rng.pick(&classes) };
+        let c = self.active.settings.classes[class].clone();
+        let key = c.ordered_by_key.then(|| u64::from(self.rng.below(5)));
+        let table_group = self.rng.chance(40).then(|| u64::from(self.rng.below(3)));
+        let client_timeout = c.deadline * self.rng.between(0.15, 1.1);
+        let mean_work = typical_seconds(&c) * f64::from(c.threads);
+        let size = self.rng.pick(&[0.3, 0.8, 0.8, 1.0, 1.0, 1.5, 1.5, 6.0, 100.0]);
+        let estimate = self.rng.chance(70).then_some(size * mean_work);
+        let need_mb = self.rng.chance(60).then(|| 100.0 * f64::from(1 + self.rng.below(30)));
+        let deadline_us = self.now_us + (client_timeout * MICROS_PER_SECOND as f64) as u64;
+        self.requests
+            .insert(id, SimRequest { class, key, table_group, deadline_us, attempts: 0, settled: false });
+        if self.rng.chance(4) {
+            let after = self.rng.between(0.01, client_timeout);
+            // Some aborts name a request that has not arrived.
+            let aborted = if self.rng.chance(20) { id + 1_000_000 } else { id };
+            self.schedule(after, SimEvent::Abort(aborted));
         }
         let request = Request {
             id: RequestId(id),
             class: ClassId(class),
-            tenant: self.draws.percent(50).then(|| TenantId(self.draws.below(2) as usize)),
+            tenant: self.rng.chance(50).then(|| TenantId(self.rng.below(2) as usize)),
             key: key.map(KeyId),
-            deadline: self.now() + patience,
+            deadline: self.now() + client_timeout,
             estimated_work: estimate,
             estimated_memory_mb: need_mb,
-            table_group: group.map(TableGroupId),
-            is_retry: self.draws.percent(5),
+            table_group: table_group.map(TableGroupId),
+            is_retry: self.rng.chance(5),
         };
-        let gap = self.draws.between(0.1, 1.9) / self.rate();
-        self.plan(gap, Due::Arrival);
-        self.tell(&Event::RequestArrived(request));
+        let gap = self.rng.between(0.1, 1.9) / self.rate();
+        self.schedule(gap, SimEvent::Arrival);
+        self.deliver(&Event::RequestArrived(request));
     }
 
-    /// Requests a second: by the gateway's part of the engines, and some more where that is little.
+    /// Requests per second: proportional to the gateway's share of the engines, within bounds.
     fn rate(&self) -> f64 {
-        let part = 12.0 * self.machines.len() as f64 / f64::from(self.in_force.settings.gateways);
-        self.rush * part.clamp(6.0, 60.0)
+        let base = 12.0 * self.engines.len() as f64 / f64::from(self.active.settings.gateways);
+        self.demand * base.clamp(6.0, 60.0)
     }
 
-    fn end(&mut self, which: (u64, u32)) {
-        if self.out.get(&which).is_none_or(|attempt| attempt.due_us != self.now_us) {
+    fn end_attempt(&mut self, attempt_id: (u64, u32)) {
+        if self.in_flight.get(&attempt_id).is_none_or(|attempt| attempt.ends_at_us != self.now_us) {
             return;
         }
-        let attempt = self.out.remove(&which).expect("out");
+        let attempt = self.in_flight.remove(&attempt_id).expect("the attempt is in flight");
         let outcome = attempt.outcome;
-        let class = self.in_force.settings.classes[self.requests[&which.0].class].clone();
-        let finished = outcome == Outcome::Success || (outcome == Outcome::Error && self.draws.percent(10));
-        let request = self.requests.get_mut(&which.0).expect("asked");
-        request.over |= finished;
-        let (settled, key) = (request.over, request.key);
-        let elapsed = (self.now_us - attempt.sent_us) as f64 / SECOND as f64;
-        let cost = (outcome == Outcome::Success && self.draws.percent(50)).then(|| QueryCost {
+        let class = self.active.settings.classes[self.requests[&attempt_id.0].class].clone();
+        let finished = outcome == Outcome::Success || (outcome == Outcome::Error && self.rng.chance(10));
+        let request = self.requests.get_mut(&attempt_id.0).expect("the request has arrived");
+        request.settled |= finished;
+        let (settled, key) = (request.settled, request.key);
+        let elapsed = (self.now_us - attempt.sent_at_us) as f64 / MICROS_PER_SECOND as f64;
+        let cost = (outcome == Outcome::Success && self.rng.chance(50)).then(|| QueryCost {
             work: elapsed * f64::from(class.threads) * 0.8,
-            memory_mb: self.draws.between(50.0, 2500.0),
+            memory_mb: self.rng.between(50.0, 2500.0),
         });
-        let answers = self.in_force.settings.capabilities.load_reports == LoadReportSource::Responses;
-        let report = (answers && !self.mute && self.draws.percent(80)).then(|| self.report());
-        let may_run_for = self.may_run_for(outcome, key);
-        self.tell(&Event::AttemptEnded {
-            request: RequestId(which.0),
-            attempt: which.1,
+        let in_responses = self.active.settings.capabilities.load_reports == LoadReportSource::Responses;
+        let report =
+            (in_responses && !self.omits_reports && self.rng.chance(80)).then(|| self.draw_load_report());
+        let may_run_for = self.draw_may_run_for(outcome, key);
+        self.deliver(&Event::AttemptEnded {
+            request: RequestId(attempt_id.0),
+            attempt: attempt_id.1,
             engine: EngineId(attempt.engine),
             outcome,
             elapsed,
@@ -394,67 +417,73 @@
         });
     }
 
-    fn may_run_for(&mut self, outcome: Outcome, key: Option<u64>) -> f64 {
+    /// Draws the time in seconds for which a lost attempt may still run; infinite until it is confirmed.
+    fn draw_may_run_for(&mut self, outcome: Outcome, key: Option<u64>) -> f64 {
         let Some(key) = key.filter(|_| outcome.may_still_run()) else { return 0.0 };
-        let span = self.draws.pick(&[0.0, 0.6, f64::INFINITY]);
+        let span = self.rng.pick(&[0.0, 0.6, f64::INFINITY]);
         if span.is_infinite() {
-            let after = self.draws.between(0.2, 4.0);
-            self.plan(after, Due::Confirm(key));
+            let after = self.rng.between(0.2, 4.0);
+            self.schedule(after, SimEvent::ConfirmEnd(key));
         }
         span
     }
 
-    fn report(&mut self) -> LoadReport {
-        let level = self.fullness * self.draws.between(0.7, 1.3);
+    fn draw_load_report(&mut self) -> LoadReport {
+        let level = self.other_load * self.rng.between(0.7, 1.3);
         let queries = (16.0 * level).floor();
-        let mut figure = |value: f64| match self.draws.below(20) {
+        let mut reported = |value: f64| match self.rng.below(20) {
             0..6 => None,
             6 => Some(f64::NAN),
             7 => Some(-value),
             _ => Some(value),
         };
         LoadReport {
-            in_flight: figure(queries),
-            queued: figure((queries - 14.0).max(0.0)),
-            core_utilization: figure(level.min(1.0)),
-            memory_utilization: figure(0.8 * level),
-            disk_utilization: figure(0.1),
+            in_flight: reported(queries),
+            queued: reported((queries - 14.0).max(0.0)),
+            core_utilization: reported(level.min(1.0)),
+            memory_utilization: reported(0.8 * level),
+            disk_utilization: reported(0.1),
         }
     }
 
-    fn note(&mut self, which: (u64, u32)) {
-        let Some(attempt) = self.out.get(&which) else { return };
-        let (notes, age) = (attempt.notes, self.now_us - attempt.sent_us);
-        let share = age as f64 / (attempt.due_us - attempt.sent_us).max(1) as f64;
-        let after = self.in_force.settings.capabilities.progress_period * self.draws.between(0.9, 1.1);
-        self.plan(after, Due::Note(which.0, which.1));
-        if notes == Notes::Lost {
+    fn report_progress(&mut self, attempt_id: (u64, u32)) {
+        let Some(attempt) = self.in_flight.get(&attempt_id) else { return };
+        let (reports, age) = (attempt.progress_reports, self.now_us - attempt.sent_at_us);
+        let fraction = age as f64 / (attempt.ends_at_us - attempt.sent_at_us).max(1) as f64;
+        let after = self.active.settings.capabilities.progress_period * self.rng.between(0.9, 1.1);
+        self.schedule(after, SimEvent::Progress(attempt_id.0, attempt_id.1));
+        if reports == ProgressReports::Lost {
             return;
         }
-        let note = match self.draws.below(10) {
-            _ if notes == Notes::Bare => Progress::Running,
+        let status = match self.rng.below(10) {
+            _ if reports == ProgressReports::RunningOnly => Progress::Running,
             0 => Progress::Running,
             1 => Progress::Spilling(200.0),
             2 => Progress::WaitingForMemory,
             3 => Progress::WaitingForLoad,
-            _ => Progress::Fraction(share * self.draws.between(0.3, 1.0)),
+            _ => Progress::Fraction(fraction * self.rng.between(0.3, 1.0)),
         };
-        self.tell(&Event::AttemptProgress { request: RequestId(which.0), attempt: which.1, progress: note });
+        self.deliver(&Event::AttemptProgress {
+            request: RequestId(attempt_id.0),
+            attempt: attempt_id.1,
+            progress: status,
+        });
     }
 
-    fn probe(&mut self) {
-        self.plan(0.4, Due::Probe);
-        if self.in_force.settings.capabilities.load_reports == LoadReportSource::HealthChecks {
-            let engine = self.draws.below(self.machines.len() as u32);
-            self.plan(0.01, Due::Probed(engine));
+    fn start_health_check(&mut self) {
+        self.schedule(0.4, SimEvent::HealthCheckRound);
+        if self.active.settings.capabilities.load_reports == LoadReportSource::HealthChecks {
+            let engine = self.rng.below(self.engines.len() as u32);
+            self.schedule(0.01, SimEvent::HealthCheckEnd(engine));
         }
     }
 
-    fn probed(&mut self, engine: u32) {
-        let away = self.machines.get(&engine).is_none_or(|machine| machine.mood == Mood::Away);
-        let outcome = if away { Outcome::ConnectFailed } else { Outcome::Success };
-        let report = (!away).then(|| self.report());
-        self.tell(&Event::HealthChecked {
+    fn end_health_check(&mut self, engine: u32) {
+        let unreachable =
+            self.engines.get(&engine).is_none_or(|engine| engine.condition == Condition::Unreachable);
+        let outcome = if unreachable { Outcome::ConnectFailed } else { Outcome::Success };
+        let report = (!unreachable).then(|| self.draw_load_report());
+        self.deliver(&Event::HealthChecked {
             engine: EngineId(engine),
             outcome,
             elapsed: 0.01,
@@ -462,56 +491,56 @@
         });
     }
 
-    fn tell_list(&mut self, mode: EndpointListMode, entries: Vec<EndpointEntry>) {
-        self.tell(&Event::EndpointList { mode, entries });
+    fn send_list(&mut self, mode: EndpointListMode, entries: Vec<EndpointEntry>) {
+        self.deliver(&Event::EndpointList { mode, entries });
     }
 
-    fn tell_whole_list(&mut self, mode: EndpointListMode) {
-        let present = |m: &&Machine| m.entry.state != EndpointState::Removed;
+    fn send_whole_list(&mut self, mode: EndpointListMode) {
+        let present = |e: &&SimEngine| e.entry.state != EndpointState::Removed;
         let entries = match mode {
             EndpointListMode::Failed => Vec::new(),
-            EndpointListMode::Cached => self.stale.clone(),
-            _ => self.machines.values().filter(present).map(|m| m.entry.clone()).collect(),
+            EndpointListMode::Cached => self.cached_list.clone(),
+            _ => self.engines.values().filter(present).map(|e| e.entry.clone()).collect(),
         };
-        self.tell_list(mode, entries);
+        self.send_list(mode, entries);
     }
 
-    /// The list changes, or is told again.
-    fn news(&mut self) {
-        let after = self.draws.between(0.3, 3.0);
-        self.plan(after, Due::News);
-        match self.draws.below(12) {
-            0 => self.tell_whole_list(EndpointListMode::Full),
-            1 => self.tell_whole_list(EndpointListMode::Cached),
-            2 => self.tell_whole_list(EndpointListMode::Failed),
-            3 => self.stale = self.machines.values().map(|m| m.entry.clone()).collect(),
-            4 => self.add_machine(),
-            _ => self.change_machines(),
+    /// Changes the endpoint list or sends it again.
+    fn change_list(&mut self) {
+        let after = self.rng.between(0.3, 3.0);
+        self.schedule(after, SimEvent::ListChange);
+        match self.rng.below(12) {
+            0 => self.send_whole_list(EndpointListMode::Full),
+            1 => self.send_whole_list(EndpointListMode::Cached),
+            2 => self.send_whole_list(EndpointListMode::Failed),
+            3 => self.cached_list = self.engines.values().map(|e| e.entry.clone()).collect(),
+            4 => self.add_engine(),
+            _ => self.change_engines(),
         }
     }
 
-    fn add_machine(&mut self) {
-        let id = self.machines.len() as u32;
-        let model = self.draws.below(id);
+    fn add_engine(&mut self) {
+        let id = self.engines.len() as u32;
+        let template = self.rng.below(id);
         let started = Some(self.now());
-        // Some are of a kind that the settings do not describe.
-        let kind = MachineTypeId(self.draws.below(3) as usize);
+        // The settings describe two machine types; the third is unknown.
+        let kind = MachineTypeId(self.rng.below(3) as usize);
         let state = EndpointState::Ready;
-        let old = self.machines[&model].entry.clone();
+        let old = self.engines[&template].entry.clone();
         let entry =
             EndpointEntry { engine: EngineId(id), machine_type: kind, started_at: started, state, ..old };
-        self.machines.insert(id, Machine { entry: entry.clone(), mood: Mood::Well });
-        self.tell_list(EndpointListMode::Delta, vec![entry]);
+        self.engines.insert(id, SimEngine { entry: entry.clone(), condition: Condition::Healthy });
+        self.send_list(EndpointListMode::Delta, vec![entry]);
     }
 
-    fn change_machines(&mut self) {
+    fn change_engines(&mut self) {
         let mut entries = Vec::new();
-        for _ in 0..=self.machines.len() / 8 {
-            let id = self.draws.below(self.machines.len() as u32);
+        for _ in 0..=self.engines.len() / 8 {
+            let id = self.rng.below(self.engines.len() as u32);
             let now = self.now();
-            let next = self.draws.below(8);
-            let machine = self.machines.get_mut(&id).expect("there");
-            let entry = &mut machine.entry;
+            let next = self.rng.below(8);
+            let engine = self.engines.get_mut(&id).expect("the engine exists");
+            let entry = &mut engine.entry;
             entry.state = match next {
                 0 | 1 => EndpointState::Draining,
                 2 => EndpointState::Removed,
@@ -520,19 +549,26 @@
             entry.started_at = if next == 3 { Some(now) } else { entry.started_at };
             entries.push(entry.clone());
         }
-        self.tell_list(EndpointListMode::Delta, entries);
+        self.send_list(EndpointListMode::Delta, entries);
     }
 
-    /// How engines and clients fare changes from time to time.
-    fn change_weather(&mut self) {
-        let after = self.draws.between(1.0, 6.0);
-        self.plan(after, Due::Weather);
-        self.rush = self.draws.pick(&[0.05, 0.4, 0.7, 1.0, 2.5]);
-        self.fullness = self.draws.pick(&[0.1, 0.4, 0.7, 1.0, 1.6]);
-        let moods = [Mood::Slow, Mood::Erring, Mood::Full, Mood::Away, Mood::Hanging, Mood::Breaking];
-        for machine in self.machines.values_mut() {
-            let ill = self.draws.percent(15);
-            machine.mood = if ill { self.draws.pick(&moods) } else { Mood::Well };
+    /// Draws the demand, the load by other gateways and the condition of each engine.
+    fn change_conditions(&mut self) {
+        let after = self.rng.between(1.0, 6.0);
+        self.schedule(after, SimEvent::ConditionChange);
+        self.demand = self.rng.pick(&[0.05, 0.4, 0.7, 1.0, 2.5]);
+        self.other_load = self.rng.pick(&[0.1, 0.4, 0.7, 1.0, 1.6]);
+        let faults = [
+            Condition::Slow,
+            Condition::Failing,
+            Condition::Overloaded,
+            Condition::Unreachable,
+            Condition::Hanging,
+            Condition::Disconnecting,
+        ];
+        for engine in self.engines.values_mut() {
+            let faulty = self.rng.chance(15);
+            engine.condition = if faulty { self.rng.pick(&faults) } else { Condition::Healthy };
         }
     }
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,11 +1,11 @@
-//! The rules that bind every answer and attempt, one by one.
+//! Rules for every attempt and final answer, each with a test of its own.
 
 mod common;
 
 use common::*;
 use workload_manager::*;
 
-/// Equal waits would bring all clients back in step.
+/// With equal Retry-After values all clients would retry at the same time.
 #[test]
 fn retry_after_is_spread() {
     let mut driver = Driver::new(settings(), vec![]);
@@ -22,7 +22,7 @@
     );
 }
 
-/// A discovery service that rejects calls must not be asked again at once.
+/// A failed poll must not be repeated at once, or it would add load to the discovery service.
 #[test]
 fn a_failed_poll_of_the_endpoint_list_is_repeated_later() {
     let mut s = settings();
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn impossible_settings_are_a_typed_error() {
+fn invalid_settings_are_a_typed_error() {
     let none = Settings { classes: vec![], ..settings() };
     assert_eq!(WorkloadManager::new(none, 1).err(), Some(SettingsError::NoClasses));
     assert_eq!(
@@ -49,9 +49,9 @@
     assert_eq!(error.to_string(), "deadline of class 1 is -1, which is negative or not a number");
 }
 
-fn keyed(group: IdempotencyScope) -> Settings {
+fn keyed(key_scope: IdempotencyScope) -> Settings {
     let mut s = settings();
-    s.classes[1].idempotency = Idempotency::Keyed { scope: group, window: 5.0 };
+    s.classes[1].idempotency = Idempotency::Keyed { scope: key_scope, window: 5.0 };
     s
 }
 
@@ -65,11 +65,11 @@
         Action::SetTimer { delay, token, .. } if *token != 0 => Some((*delay, *token)),
         _ => None,
     });
-    let (delay, token) = timer.expect("its deadline has a timer at once");
+    let (delay, token) = timer.expect("the arrival sets a timer for the deadline");
     assert!(delay <= 0.5);
     driver.now += delay;
     assert_eq!(final_answers(&driver.event(&Event::Timer(token))), vec![(1, true)]);
-    assert!(final_answers(&driver.event(&Event::Timer(token))).is_empty(), "once only");
+    assert!(final_answers(&driver.event(&Event::Timer(token))).is_empty(), "two final answers");
 }
 
 #[test]
@@ -102,33 +102,37 @@
 
 #[test]
 fn keyed_requests_stay_in_their_scope_and_window() {
-    let there = EndpointEntry { zone: ZoneId(1), ..engine(2) };
-    for group in [IdempotencyScope::All, IdempotencyScope::Zone] {
-        let mut driver = Driver::new(keyed(group), vec![engine(1), there.clone()]);
+    let other_zone = EndpointEntry { zone: ZoneId(1), ..engine(2) };
+    for key_scope in [IdempotencyScope::All, IdempotencyScope::Zone] {
+        let mut driver = Driver::new(keyed(key_scope), vec![engine(1), other_zone.clone()]);
         let (first, _) = forwarded_to(&driver.arrive(1, BACKGROUND)).unwrap();
-        // The engine it ran on drains, so that only the other zone is left.
-        let gone = EndpointEntry {
+        // The engine of the first attempt drains, which leaves only the engine in the other zone.
+        let draining = EndpointEntry {
             state: EndpointState::Draining,
-            ..if first == 1 { engine(1) } else { there.clone() }
+            ..if first == 1 { engine(1) } else { other_zone.clone() }
         };
-        driver.endpoint_list(EndpointListMode::Delta, vec![gone]);
+        driver.endpoint_list(EndpointListMode::Delta, vec![draining]);
         let actions = driver.attempt_ended(1, 0, first, Outcome::ConnectionLost, 0.1);
-        assert_eq!(forwards(&actions).len(), usize::from(group == IdempotencyScope::All), "{group:?}");
+        assert_eq!(
+            forwards(&actions).len(),
+            usize::from(key_scope == IdempotencyScope::All),
+            "{key_scope:?}"
+        );
     }
     let mut driver = Driver::new(keyed(IdempotencyScope::All), vec![engine(1)]);
     driver.arrive(1, BACKGROUND);
     driver.now += 5.0;
     let actions = driver.attempt_ended(1, 0, 1, Outcome::ConnectionLost, 5.0);
-    assert!(forwards(&actions).is_empty(), "the window has passed");
+    assert!(forwards(&actions).is_empty(), "retried after the idempotency window");
     assert_eq!(
         final_answers(&actions),
         vec![(1, true)],
-        "all engines drop repeats: a retry by the client is safe"
+        "all engines deduplicate by the key, so that a retry by the client is safe"
     );
 }
 
 #[test]
-fn nothing_new_goes_to_a_draining_or_removed_engine() {
+fn no_attempt_goes_to_a_draining_or_removed_engine() {
     for state in [EndpointState::Draining, EndpointState::Removed] {
         let mut driver = Driver::new(settings(), vec![engine(1)]);
         driver.endpoint_list(EndpointListMode::Delta, vec![EndpointEntry { state, ..engine(1) }]);
@@ -139,7 +143,7 @@
     assert_eq!(
         forwards(&driver.arrive(1, INTERACTIVE)),
         vec![(1, 2)],
-        "absent from a full list: it was removed"
+        "an engine absent from a full list counts as removed"
     );
 }
 
@@ -150,8 +154,8 @@
     let mut driver = Driver::new(s, vec![]);
     let warming = EndpointEntry { started_at: Some(driver.now), ..engine(1) };
     driver.endpoint_list(EndpointListMode::Delta, vec![warming]);
-    // In its first two seconds it can do 0.3 of 8 cores; twice that for 2 s makes it collapse: 9.6 s of work.
-    // Each is served at once, so that nothing but the budget stops the next.
+    // The engine starts with 0.3 of 8 cores and collapses under twice that for 2 s, which is 9.6 s of work.
+    // Each request is served at once, so that only the budget limits their number.
     let mut sent = 0;
     for id in 1..100 {
         if forwarded_to(&driver.arrive(id, INTERACTIVE)).is_some() {
@@ -159,17 +163,17 @@
             driver.attempt_ended(id, 0, 1, Outcome::Success, 0.01);
         }
     }
-    assert!((1..=9).contains(&sent), "{sent} requests of a second each");
+    assert!((1..=9).contains(&sent), "{sent} requests of one second each");
     driver.now += 11.0;
     driver.control_tick();
     for id in 100..150 {
-        assert!(forwarded_to(&driver.arrive(id, INTERACTIVE)).is_some(), "warm");
+        assert!(forwarded_to(&driver.arrive(id, INTERACTIVE)).is_some(), "the engine is warm");
         driver.attempt_ended(id, 0, 1, Outcome::Success, 0.01);
     }
 }
 
 #[test]
-fn requests_of_one_key_run_in_turn_with_a_cooldown_after_a_time_out() {
+fn requests_of_one_key_run_in_order_with_a_cooldown_after_a_timeout() {
     let mut driver = Driver::new(settings(), vec![engine(1), engine(2)]);
     let mut sent = Vec::new();
     for id in 1..=3 {
@@ -177,7 +181,7 @@
         request.key = Some(KeyId(5));
         sent.extend(forwards(&driver.event(&Event::RequestArrived(request))));
     }
-    assert_eq!(sent.len(), 1, "one at a time");
+    assert_eq!(sent.len(), 1, "requests of one key in flight at once");
     let first = sent[0].1;
     let next = forwards(&driver.attempt_ended(1, 0, first, Outcome::Success, 0.5));
     assert_eq!(next.iter().map(|s| s.0).collect::<Vec<_>>(), vec![2]);
@@ -186,13 +190,13 @@
         vec![(2, false)]
     );
     driver.now += 0.29;
-    assert!(forwards(&driver.control_tick()).is_empty(), "the key cools down");
+    assert!(forwards(&driver.control_tick()).is_empty(), "forwarded during the cooldown of the key");
     driver.now += 0.02;
     assert_eq!(forwards(&driver.control_tick()).len(), 1);
 }
 
 #[test]
-fn a_key_cools_down_until_a_lost_attempt_is_surely_over() {
+fn the_cooldown_of_a_key_starts_when_a_lost_attempt_can_no_longer_run() {
     let mut driver = Driver::new(settings(), vec![engine(1), engine(2)]);
     let mut sent = Vec::new();
     for id in 1..=2 {
@@ -215,14 +219,14 @@
     driver.now += 0.69;
     assert!(
         forwards(&driver.control_tick()).is_empty(),
-        "its engine may still run it, and then the key cools down"
+        "forwarded while the lost attempt may run, or during the cooldown"
     );
     driver.now += 0.02;
     assert_eq!(forwards(&driver.control_tick()).iter().map(|s| s.0).collect::<Vec<_>>(), vec![2]);
 }
 
 #[test]
-fn a_key_is_not_free_while_an_attempt_of_a_settled_request_is_in_flight() {
+fn a_key_stays_taken_while_an_attempt_of_a_settled_request_is_in_flight() {
     let mut driver = Driver::new(settings(), vec![engine(1), engine(2)]);
     for id in 1..=2 {
         let mut request = driver.request(id, LOAD);
@@ -233,13 +237,13 @@
 }
 
 #[test]
-fn bound_classes_go_only_where_they_may() {
+fn a_class_runs_only_in_its_allowed_zones() {
     let mut s = settings();
     s.classes[0].allowed_zones = Some(vec![ZoneId(3)]);
     let mut driver = Driver::new(s, vec![engine(1)]);
     assert!(forwards(&driver.arrive(1, INTERACTIVE)).is_empty());
-    let there = EndpointEntry { zone: ZoneId(3), ..engine(2) };
-    assert_eq!(forwards(&driver.endpoint_list(EndpointListMode::Delta, vec![there])), vec![(1, 2)]);
+    let other_zone = EndpointEntry { zone: ZoneId(3), ..engine(2) };
+    assert_eq!(forwards(&driver.endpoint_list(EndpointListMode::Delta, vec![other_zone])), vec![(1, 2)]);
 }
 
 #[test]
@@ -247,12 +251,12 @@
     let mut s = settings();
     s.rules.retry_budget = Some(RetryBudget { min_retries: 1.0, retry_ratio: 0.0, window: 10.0 });
     let mut driver = Driver::new(s, (1..=8).map(engine).collect());
-    let mut further = 0;
+    let mut retries = 0;
     for id in 1..=3 {
         let (on, _) = forwarded_to(&driver.arrive(id, INTERACTIVE)).unwrap();
-        further += forwards(&driver.attempt_ended(id, 0, on, Outcome::ConnectionLost, 0.1)).len();
+        retries += forwards(&driver.attempt_ended(id, 0, on, Outcome::ConnectionLost, 0.1)).len();
     }
-    assert_eq!(further, 1);
+    assert_eq!(retries, 1);
 }
 
 #[test]
@@ -263,5 +267,5 @@
         let on = forwards(&actions)[0].1;
         actions = driver.attempt_ended(1, attempt, on, Outcome::ConnectFailed, 0.0);
     }
-    assert_eq!(final_answers(&actions), vec![(1, true)], "given up at once after the fourth");
+    assert_eq!(final_answers(&actions), vec![(1, true)], "rejected after the fourth attempt");
 }
--- a/tests/selection.rs
+++ b/tests/selection.rs
@@ -5,9 +5,9 @@
 use common::*;
 use workload_manager::*;
 
-/// Engines get slower before they crash: one whose attempts take long against the usual is selected last.
+/// Engines get slower before they crash. An engine with a high relative latency is selected last.
 #[test]
-fn a_slow_engine_is_selected_last_and_tried_again_later() {
+fn a_slow_engine_is_selected_last_and_retried_later() {
     let mut driver = Driver::new(settings(), vec![engine(1), engine(2), engine(3)]);
     driver.serve_interactive(100, 60, 0.2);
     for id in 200..290 {
@@ -16,7 +16,7 @@
         driver.now += 0.05;
         driver.control_tick();
     }
-    let to_slow = |driver: &mut Driver, from: u64| {
+    let count_to_slow = |driver: &mut Driver, from: u64| {
         (from..from + 20)
             .filter(|id| {
                 let to = forwarded_to(&driver.arrive(*id, INTERACTIVE)).unwrap().0;
@@ -25,59 +25,63 @@
             })
             .count()
     };
-    assert_eq!(to_slow(&mut driver, 300), 0);
+    assert_eq!(count_to_slow(&mut driver, 300), 0);
     driver.now += 30.0;
     driver.control_tick();
-    assert!(to_slow(&mut driver, 400) > 0, "no engine is avoided for good");
+    assert!(count_to_slow(&mut driver, 400) > 0, "the slow engine was not selected again");
 }
 
-/// Each of a hundred gateways sees an engine too seldom to learn of it: it prefers a few by its own seed,
-/// and uses others where these are gone.
+/// Each of a hundred gateways prefers a few engines, chosen by its seed, or its samples of each engine would
+/// be too rare. It uses other engines after the preferred ones are removed.
 #[test]
 fn each_of_many_gateways_prefers_a_few_engines_of_its_own() {
     let mut s = settings();
     s.gateways = 100;
-    let few = |seed: u64| {
+    let active_subset = |seed: u64| {
         let mut driver = Driver::new(s.clone(), (1..=30).map(engine).collect());
         driver.gateway = workload_manager::WorkloadManager::new(s.clone(), seed).unwrap();
         driver.endpoint_list(EndpointListMode::Full, (1..=30).map(engine).collect());
-        let mut met = std::collections::BTreeSet::new();
+        let mut used = std::collections::BTreeSet::new();
         for id in 0..60 {
             driver.now += 0.5;
             driver.control_tick();
             let to = forwarded_to(&driver.arrive(id, INTERACTIVE)).unwrap().0;
             driver.attempt_ended(id, 0, to, Outcome::Success, 0.2);
             if id > 15 {
-                met.insert(to);
+                used.insert(to);
             }
         }
         driver.endpoint_list(
             EndpointListMode::Delta,
-            met.iter().map(|e| EndpointEntry { state: EndpointState::Removed, ..engine(*e) }).collect(),
+            used.iter().map(|e| EndpointEntry { state: EndpointState::Removed, ..engine(*e) }).collect(),
         );
-        assert!(forwarded_to(&driver.arrive(99, INTERACTIVE)).is_some(), "it goes further");
-        met
+        assert!(
+            forwarded_to(&driver.arrive(99, INTERACTIVE)).is_some(),
+            "not forwarded to an engine outside the active subset"
+        );
+        used
     };
-    let (a, b) = (few(1), few(2));
+    let (a, b) = (active_subset(1), active_subset(2));
     assert!(a.len() <= 8 && b.len() <= 8, "{a:?} {b:?}");
     assert_ne!(a, b);
 }
 
-/// Reads keep away from the engine where a load of this gateway holds their tables.
+/// A read must not go to an engine where a load of this gateway holds its tables, because it would wait
+/// there.
 #[test]
-fn reads_avoid_an_engine_where_an_own_load_holds_their_tables() {
+fn reads_avoid_an_engine_where_a_load_of_the_gateway_holds_their_tables() {
     let mut driver = Driver::new(settings(), vec![engine(1), engine(2)]);
     let mut load = driver.request(1, LOAD);
     load.table_group = Some(TableGroupId(9));
-    let (locked_at, _) = forwarded_to(&driver.event(&Event::RequestArrived(load))).unwrap();
+    let (loading_engine, _) = forwarded_to(&driver.event(&Event::RequestArrived(load))).unwrap();
     for id in 2..=4 {
         let mut read = driver.request(id, INTERACTIVE);
         read.table_group = Some(TableGroupId(9));
-        assert_ne!(forwarded_to(&driver.event(&Event::RequestArrived(read))).unwrap().0, locked_at);
+        assert_ne!(forwarded_to(&driver.event(&Event::RequestArrived(read))).unwrap().0, loading_engine);
     }
 }
 
-/// What is in flight shows a slow engine before it ends: no attempt there has ended yet.
+/// The age of attempts in flight reveals a slow engine before any attempt there has ended.
 #[test]
 fn an_engine_whose_attempts_do_not_end_is_selected_last() {
     let mut driver = Driver::new(settings(), (1..=12).map(engine).collect());
@@ -89,14 +93,14 @@
     }
     driver.now += 0.1;
     driver.control_tick();
-    // None of these ends: by the fewest threads alone one of them would go there.
+    // None of these attempts ends. By the number of threads alone, one of them would go to the slow engine.
     for id in 2..=24 {
         assert_ne!(forwarded_to(&driver.arrive(id, INTERACTIVE)).unwrap().0, on);
     }
 }
 
-/// Where a part of all attempts stalls, an engine is selected last, not ejected: the others may be too few.
-/// In time it is tried again.
+/// An engine where attempts stall is selected last instead of ejected, because the other engines may not have
+/// enough capacity. It is selected again later.
 #[test]
 fn an_engine_where_attempts_stall_is_selected_last() {
     for class in [INTERACTIVE, BACKGROUND] {
@@ -109,18 +113,18 @@
                 driver.attempt_ended(id, 0, 2, Outcome::Success, 0.2);
                 continue;
             }
-            // Its neighbour is answered, it is not.
-            let next = engine(2);
+            // Another attempt on the same engine succeeds while this one stalls.
+            let other = engine(2);
             driver.endpoint_list(
                 EndpointListMode::Delta,
-                vec![EndpointEntry { state: EndpointState::Draining, ..next.clone() }],
+                vec![EndpointEntry { state: EndpointState::Draining, ..other.clone() }],
             );
             driver.now += 0.01;
             forwarded_to(&driver.arrive(100 + id, INTERACTIVE)).unwrap();
             driver.attempt_ended(100 + id, 0, 1, Outcome::Success, 0.2);
             driver.now += 1.0;
             driver.control_tick();
-            driver.endpoint_list(EndpointListMode::Delta, vec![next]);
+            driver.endpoint_list(EndpointListMode::Delta, vec![other]);
             driver.attempt_ended(id, 0, 1, Outcome::Cancelled, 1.0);
             driver.event(&Event::RequestAborted(RequestId(id)));
             break;
@@ -130,19 +134,19 @@
             to[on as usize - 1] += 1;
             driver.attempt_ended(id, 0, on, Outcome::Success, 0.2);
         }
-        assert_eq!(to, [0, 20], "the other one has room");
+        assert_eq!(to, [0, 20], "the engine where an attempt stalled was selected");
         driver.now += 60.0;
-        let back = (300..340).any(|id| {
+        let selected_again = (300..340).any(|id| {
             let on = forwarded_to(&driver.arrive(id, class)).unwrap().0;
             driver.attempt_ended(id, 0, on, Outcome::Success, 0.2);
             on == 1
         });
-        assert!(back, "it is tried again");
+        assert!(selected_again, "the engine was not selected again");
     }
 }
 
 #[test]
-fn interactive_requests_go_to_the_engine_with_the_fewest_own_threads_a_core() {
+fn interactive_requests_go_to_the_engine_with_the_fewest_threads_per_core() {
     let mut s = settings();
     s.machine_types[1].cores = 16.0;
     let big = EndpointEntry { machine_type: MachineTypeId(1), ..engine(2) };
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -1,22 +1,22 @@
-//! Slow start: many gateways, each knowing only its own share, in front of one warming engine.
+//! Slow start: many independent gateways in front of one warming engine.
 
 mod common;
 
 use common::*;
 use workload_manager::*;
 
-/// What many gateways send a warming engine together, each knowing only its own share, which is less than
-/// one request: neither more than it bears nor nothing.
+/// Each gateway's share of a warming engine is less than one request. Together they must neither overload the
+/// engine nor avoid it.
 #[test]
 fn many_gateways_together_neither_overload_a_warming_engine_nor_avoid_it() {
-    // As many as the settings say, half and twice as many: they come and go.
+    // Half, all and twice the number of gateways in the settings.
     for gateways in [60, 120, 240] {
-        together(gateways);
+        check_gateways_together(gateways);
     }
 }
 
-fn together(gateways: u64) {
-    let span = 2.0;
+fn check_gateways_together(gateways: u64) {
+    let window = 2.0;
     let mut s = settings();
     s.gateways = 120;
     let template = Driver::new(s.clone(), vec![]);
@@ -40,7 +40,7 @@
             }
             gateway.on_event(now, &Event::Timer(0), &mut actions);
             for (id, _) in forwards(&actions) {
-                // Half their aims, as the module takes it until it has seen more.
+                // Half the objective on each thread: the assumed work of a class without samples.
                 work.push((now, if id % 2 == 0 { 0.5 } else { 8.0 }));
                 gateway.on_event(now, &Event::RequestAborted(RequestId(id)), &mut Vec::new());
             }
@@ -48,24 +48,31 @@
     }
     for start in 0..40 {
         let from = 100.0 + f64::from(start) * 0.1;
-        let sent: f64 = work.iter().filter(|(at, _)| (from..from + span).contains(at)).map(|(_, w)| w).sum();
+        let sent: f64 =
+            work.iter().filter(|(at, _)| (from..from + window).contains(at)).map(|(_, w)| w).sum();
         let warmth = 0.3 + 0.7 * (from - 100.0) / 10.0;
-        // With twice the gateways chance may add one request of eight seconds.
+        // Twice the gateways may exceed the bound by one request of eight seconds.
         let slack = if gateways > 120 { 8.0 } else { 0.0 };
-        assert!(sent <= 2.0 * warmth * 8.0 * span + slack, "{gateways}: {sent} s of work from {from}");
+        assert!(
+            sent <= 2.0 * warmth * 8.0 * window + slack,
+            "{gateways} gateways: {sent} s of work in the window from {from}"
+        );
     }
-    assert!(work.iter().filter(|(at, _)| *at < 102.0).count() > 0, "{gateways}: it is not shunned");
+    assert!(
+        work.iter().filter(|(at, _)| *at < 102.0).count() > 0,
+        "{gateways} gateways: the warming engine got no request"
+    );
 }
 
-/// Where each gateway prefers few of many engines, the budget of those that prefer the warming one must
-/// make up for the others, or it idles until it is warm.
+/// Each gateway prefers few of many engines. If the gateways without preference for a warming engine kept
+/// their part of its budget, the engine would idle until it is warm.
 #[test]
 fn gateways_that_prefer_a_warming_engine_use_the_budget_of_those_that_do_not() {
-    let (span, gateways) = (2.0, 120);
+    let (window, gateways) = (2.0, 120);
     let mut s = settings();
     s.gateways = gateways;
     let template = Driver::new(s.clone(), vec![]);
-    let mut sent_cold = Vec::new();
+    let mut sent_to_warming = Vec::new();
     for seed in 0..u64::from(gateways) {
         let mut gateway = workload_manager::WorkloadManager::new(s.clone(), seed).unwrap();
         let warm: Vec<_> = (1..=40).map(engine).collect();
@@ -90,7 +97,7 @@
             let request = Request { id, deadline: now + 4.0, ..template.request(0, INTERACTIVE) };
             gateway.on_event(now, &Event::RequestArrived(request), &mut actions);
             for (id, to) in forwards(&actions) {
-                sent_cold.extend((to == 99).then_some(now));
+                sent_to_warming.extend((to == 99).then_some(now));
                 let ended = Event::AttemptEnded {
                     request: RequestId(id),
                     attempt: 0,
@@ -106,15 +113,16 @@
             }
         }
     }
-    // Dashboards have half of three tenths of what the rule lets through; those that work with it most of
-    // that.
+    // Interactive requests get half of three tenths of the budget, and the gateways that prefer the engine
+    // use most of that.
     let warmth = |from: f64| 0.3 + 0.7 * (from - 108.0) / 10.0;
-    let whole = |from: f64| 2.0 * warmth(from) * 8.0 * 0.85 * span;
+    let budget = |from: f64| 2.0 * warmth(from) * 8.0 * 0.85 * window;
     let share = |from: f64| {
-        let sent = sent_cold.iter().filter(|at| (from..from + span).contains(*at)).count() as f64 * 0.2;
-        sent / whole(from)
+        let sent =
+            sent_to_warming.iter().filter(|at| (from..from + window).contains(*at)).count() as f64 * 0.2;
+        sent / budget(from)
     };
     let shares = [110.0, 112.0, 114.0].map(share);
-    assert!(shares.iter().all(|share| *share < 0.3), "{shares:?} of what it bears");
-    assert!(shares.iter().sum::<f64>() / 3.0 > 0.05, "{shares:?} of what it bears");
+    assert!(shares.iter().all(|share| *share < 0.3), "shares of the budget: {shares:?}");
+    assert!(shares.iter().sum::<f64>() / 3.0 > 0.05, "shares of the budget: {shares:?}");
 }
--- a/tests/supervision.rs
+++ b/tests/supervision.rs
@@ -1,13 +1,14 @@
-//! Supervision of attempts in flight: which are cancelled and retried, and which are left alone.
+//! Supervision of attempts in flight: which of them are cancelled and retried.
 
 mod common;
 
 use common::*;
 use workload_manager::*;
 
-/// An attempt that will take many times the usual latency is cancelled once, and its request retried.
+/// An attempt whose progress predicts many times the usual latency is cancelled and retried, but only once
+/// per request.
 #[test]
-fn a_slow_attempt_is_cancelled_once() {
+fn a_slow_request_is_cancelled_only_once() {
     let mut driver = Driver::new(settings_with_cancelling(), vec![engine(1), engine(2)]);
     driver.arrive(1, BACKGROUND);
     driver.now += 1.0;
@@ -25,10 +26,14 @@
     };
     assert_eq!(forwards(&again).len(), 1);
     driver.now += 1.0;
-    assert!(cancelled_requests(&driver.event(&slow(1))).is_empty(), "slow again: it is truly heavy");
+    assert!(
+        cancelled_requests(&driver.event(&slow(1))).is_empty(),
+        "a second slow attempt of the request was cancelled"
+    );
 }
 
-/// One that waited for a load is judged like any other: at another engine it need not wait.
+/// Waiting for a load does not exempt a slow attempt from being cancelled, because another engine may be free
+/// of the load.
 #[test]
 fn an_attempt_that_waits_for_a_load_is_cancelled_like_any_other() {
     let mut driver = Driver::new(settings_with_cancelling(), vec![engine(1)]);
@@ -39,42 +44,42 @@
         progress: Progress::WaitingForLoad,
     });
     driver.now += 3.0;
-    let note =
+    let report =
         Event::AttemptProgress { request: RequestId(1), attempt: 0, progress: Progress::Fraction(0.01) };
-    assert_eq!(cancelled_requests(&driver.event(&note)), vec![1]);
+    assert_eq!(cancelled_requests(&driver.event(&report)), vec![1]);
 }
 
-/// Where cancelling frees nothing, a second attempt would only add to an overload; elsewhere progress says
-/// more than age.
+/// Attempts run until the client's deadline. Without cancellation a second attempt would only add load, and
+/// with it supervision goes by progress.
 #[test]
-fn attempts_have_no_time_out() {
+fn attempts_have_no_timeout() {
     for s in [settings(), settings_with_cancelling()] {
         let mut driver = Driver::new(s, vec![engine(1)]);
         assert_eq!(forwarded_to(&driver.arrive(1, INTERACTIVE)).unwrap().1, None);
     }
 }
 
-/// In an overload every attempt is slow: cancelling them all only loses work.
+/// In an overload all attempts are slow, and cancelling them would only waste work.
 #[test]
-fn progress_is_judged_against_the_latency_of_the_moment() {
+fn progress_is_compared_with_current_latency() {
     for (latency, cancelled) in [(0.2, 1), (2.0, 0)] {
         let mut driver = Driver::new(settings_with_cancelling(), vec![engine(1)]);
         driver.serve_interactive(100, 40, 0.2);
         driver.serve_interactive(200, 40, latency);
         driver.arrive(1, BACKGROUND);
         driver.now += 1.0;
-        let note =
+        let report =
             Event::AttemptProgress { request: RequestId(1), attempt: 0, progress: Progress::Fraction(0.1) };
         assert_eq!(
-            cancelled_requests(&driver.event(&note)).len(),
+            cancelled_requests(&driver.event(&report)).len(),
             cancelled,
             "interactive latency {latency} s"
         );
     }
 }
 
-/// Answers are lost while the engine works and reports progress of others: an attempt without any report is
-/// over.
+/// A response may be lost while its engine still works. An attempt without progress reports must be cancelled
+/// and retried.
 #[test]
 fn an_attempt_without_progress_reports_is_retried() {
     let mut driver = Driver::new(settings_with_cancelling(), vec![engine(1), engine(2)]);
@@ -87,7 +92,10 @@
         progress: Progress::Fraction(0.5),
     });
     driver.now += 0.7;
-    assert!(cancelled_requests(&driver.control_tick()).is_empty(), "the last report is not long ago");
+    assert!(
+        cancelled_requests(&driver.control_tick()).is_empty(),
+        "cancelled although the last report is recent"
+    );
     driver.now += 0.1;
     assert_eq!(cancelled_requests(&driver.control_tick()), vec![1]);
     assert_eq!(forwards(&driver.attempt_ended(1, 0, on, Outcome::Cancelled, 1.3)).len(), 1);
@@ -96,19 +104,22 @@
     let mut driver = Driver::new(s, vec![engine(1)]);
     driver.arrive(1, INTERACTIVE);
     driver.now += 3.0;
-    assert!(cancelled_requests(&driver.control_tick()).is_empty(), "where nothing may be cancelled");
+    assert!(
+        cancelled_requests(&driver.control_tick()).is_empty(),
+        "cancelled without the capability to cancel"
+    );
 }
 
-/// What no client waits for is cancelled, where engines heed that.
+/// An attempt whose client has disconnected is cancelled, if the deployment permits it.
 #[test]
-fn the_attempt_of_a_client_that_has_gone_is_cancelled() {
+fn an_attempt_is_cancelled_when_its_client_disconnects() {
     let mut driver = Driver::new(settings_with_cancelling(), vec![engine(1)]);
     driver.arrive(1, BACKGROUND);
     assert_eq!(cancelled_requests(&driver.event(&Event::RequestAborted(RequestId(1)))), vec![1]);
 }
 
-/// An interactive attempt that stalls where others run well is cancelled once and retried; its engine may
-/// go on serving.
+/// An interactive attempt that stalls while others succeed on its engine is cancelled and retried. The engine
+/// stays in use.
 #[test]
 fn a_stalled_interactive_attempt_is_retried() {
     let mut driver = Driver::new(settings_with_cancelling(), vec![engine(1)]);
@@ -119,16 +130,19 @@
     driver.now += 0.2;
     driver.attempt_ended(2, 0, 1, Outcome::Success, 0.2);
     let cancel = Action::CancelAttempt { request: RequestId(1), attempt: 0 };
-    assert!(!driver.event(&Event::Timer(0)).contains(&cancel), "it may still be well");
+    assert!(!driver.event(&Event::Timer(0)).contains(&cancel), "cancelled before it counts as stalled");
     driver.now += 0.8;
-    assert!(driver.event(&Event::Timer(0)).contains(&cancel), "seven times what others take");
+    assert!(
+        driver.event(&Event::Timer(0)).contains(&cancel),
+        "not cancelled after seven times the usual latency"
+    );
     assert_eq!(forwards(&driver.attempt_ended(1, 0, 1, Outcome::Cancelled, 1.5)), vec![(1, 1)]);
 }
 
-/// That an attempt still runs shows that its engine answers, but no progress: it counts as a progress
-/// report for a while only.
+/// A report that an attempt still runs shows no progress. It may postpone the cancellation, but not prevent
+/// it.
 #[test]
-fn a_report_without_progress_counts_for_a_while() {
+fn reports_without_progress_postpone_the_cancellation() {
     let mut driver = Driver::new(settings_with_cancelling(), vec![engine(1)]);
     driver.serve_interactive(100, 40, 0.2);
     forwarded_to(&driver.arrive(1, BACKGROUND)).unwrap();
@@ -146,13 +160,13 @@
         }
         periods += 1;
     }
-    assert!((9..20).contains(&periods), "longer than without reports, and not for good: {periods}");
+    assert!((9..20).contains(&periods), "cancelled after {periods} reports without progress");
 }
 
-/// However many stalled before, the next one is noticed as soon: their latencies do not raise what the next
-/// should take.
+/// Latencies of stalled attempts must not raise the expected latency, or later stalled attempts would be
+/// detected too late.
 #[test]
-fn stalled_attempts_do_not_hide_the_next() {
+fn stalled_attempts_do_not_delay_the_detection_of_the_next() {
     for class in [INTERACTIVE, BACKGROUND] {
         let mut s = settings_with_cancelling();
         s.capabilities.progress_period = 0.0;
@@ -169,81 +183,85 @@
             driver.now += 0.6;
             assert!(
                 cancelled_requests(&driver.control_tick()).is_empty(),
-                "{id}: three times what others take"
+                "request {id}: cancelled after three times the usual latency"
             );
             driver.now += 0.3;
-            assert_eq!(cancelled_requests(&driver.control_tick()), vec![id], "four and a half times");
+            assert_eq!(
+                cancelled_requests(&driver.control_tick()),
+                vec![id],
+                "after four and a half times the usual latency"
+            );
             let again = driver.attempt_ended(id, 0, 1, Outcome::Cancelled, 0.9);
             driver.attempt_ended(id, 1, forwarded_to(&again).unwrap().0, Outcome::Success, 0.2);
         }
     }
 }
 
-/// Clients may claim any amount of work. Twenty requests later that must neither cancel what runs well, nor
-/// queue others for as long as they ask.
+/// A client may state any amount of estimated work. That must neither cause healthy attempts of others to be
+/// cancelled, nor lengthen the time that others are queued.
 #[test]
-fn an_estimate_of_endless_work_changes_little_for_others() {
+fn an_excessive_work_estimate_does_not_affect_other_requests() {
     let mut s = settings_with_cancelling();
     s.capabilities.progress_period = 0.0;
     s.classes.iter_mut().for_each(|c| c.objective_stretch = 2.0);
     let mut driver = Driver::new(s, vec![engine(1)]);
-    let ask = |driver: &mut Driver, id, class, work| {
+    let send = |driver: &mut Driver, id, class, work| {
         let request = Request { estimated_work: Some(work), ..driver.request(id, class) };
         driver.event(&Event::RequestArrived(request))
     };
     for id in 1000..1100 {
-        ask(&mut driver, id, INTERACTIVE, 0.1);
+        send(&mut driver, id, INTERACTIVE, 0.1);
         driver.attempt_ended(id, 0, 1, Outcome::Success, 0.2);
     }
-    ask(&mut driver, 2000, INTERACTIVE, 1e6);
+    send(&mut driver, 2000, INTERACTIVE, 1e6);
     driver.attempt_ended(2000, 0, 1, Outcome::Error, 0.0);
     driver.event(&Event::RequestAborted(RequestId(2000)));
     for id in 3000..3020 {
-        ask(&mut driver, id, INTERACTIVE, 0.1);
+        send(&mut driver, id, INTERACTIVE, 0.1);
         driver.attempt_ended(id, 0, 1, Outcome::Success, 0.2);
     }
-    // One that takes three times the usual may still be well.
-    ask(&mut driver, 1, INTERACTIVE, 0.1);
+    // Three times the usual latency is no reason to cancel.
+    send(&mut driver, 1, INTERACTIVE, 0.1);
     driver.now += 0.01;
-    ask(&mut driver, 2, INTERACTIVE, 0.1);
+    send(&mut driver, 2, INTERACTIVE, 0.1);
     driver.attempt_ended(2, 0, 1, Outcome::Success, 0.2);
     driver.now += 0.5;
     assert!(
         cancelled_requests(&driver.control_tick()).is_empty(),
-        "measured against half of what it should take"
+        "cancelled after three times the usual latency"
     );
     driver.attempt_ended(1, 0, 1, Outcome::Success, 0.6);
 
-    // Nor is one that finds no engine queued for longer than its objective allows.
+    // A request without an engine is queued no longer than its objective allows.
     driver.endpoint_list(
         EndpointListMode::Delta,
         vec![EndpointEntry { state: EndpointState::Draining, ..engine(1) }],
     );
-    ask(&mut driver, 3, INTERACTIVE, 0.1);
+    send(&mut driver, 3, INTERACTIVE, 0.1);
     driver.now += 1.0;
     assert_eq!(final_answers(&driver.control_tick()), vec![(3, true)]);
 }
 
-/// A client with hardly any time left gets no attempt that can only be waste, and its answer at once; one
-/// with half of its class's deadline always gets one, or nothing would show that the overload is over.
+/// A request with too little time for an attempt is rejected at once. A request with half of its class's
+/// deadline left is always forwarded, or nothing would show the end of an overload.
 #[test]
-fn nothing_is_forwarded_that_has_no_time_left() {
+fn a_request_without_time_for_an_attempt_is_not_forwarded() {
     let mut driver = Driver::new(settings_with_cancelling(), vec![engine(1), engine(2)]);
     for id in (1000..1080).step_by(2) {
         forwarded_to(&driver.arrive(id, INTERACTIVE)).unwrap();
         driver.attempt_ended(id, 0, 1, Outcome::Success, 0.4);
     }
-    let left = |driver: &Driver, id, left| Request {
-        deadline: driver.now + left,
+    let due_in = |driver: &Driver, id, seconds| Request {
+        deadline: driver.now + seconds,
         ..driver.request(id, INTERACTIVE)
     };
-    let late = left(&driver, 1, 0.2);
+    let late = due_in(&driver, 1, 0.2);
     assert!(forwards(&driver.event(&Event::RequestArrived(late))).is_empty());
-    assert_eq!(final_answers(&driver.control_tick()).len(), 1, "answered at once");
+    assert_eq!(final_answers(&driver.control_tick()).len(), 1, "the request was not rejected at once");
     for id in (2000..2400).step_by(2) {
         forwarded_to(&driver.arrive(id, INTERACTIVE)).unwrap();
         driver.attempt_ended(id, 0, 1, Outcome::Success, 9.0);
     }
-    let half = left(&driver, 2, 2.1);
+    let half = due_in(&driver, 2, 2.1);
     assert!(forwarded_to(&driver.event(&Event::RequestArrived(half))).is_some());
 }
--- a/tests/token_bucket.rs
+++ b/tests/token_bucket.rs
@@ -1,18 +1,18 @@
-//! Token bucket: background work as a sum over engines and a mean over time.
+//! Token bucket: bound of background work, as the sum over all engines and the mean over time.
 
 mod common;
 
 use common::*;
 use workload_manager::*;
 
-/// Charged for its class's usual latency only, a request that ran on in an overload let the next one start
-/// beside it, at each of hundreds of gateways.
+/// If a request were charged for its class's usual latency only, each of hundreds of gateways would send the
+/// next one to an overloaded engine while the first still runs.
 #[test]
-fn background_work_that_runs_on_is_charged_while_it_runs() {
+fn background_work_is_charged_while_it_runs() {
     let (s, engines) = many_gateways();
     let mut driver = Driver::new(s, engines);
     let mut in_flight = 0;
-    let mut most = 0;
+    let mut peak_in_flight = 0;
     for tick in 0..800u64 {
         driver.now += 0.05;
         let mut actions = driver.control_tick();
@@ -20,45 +20,48 @@
             actions.extend(driver.arrive(tick, BACKGROUND));
         }
         in_flight += forwards(&actions).len();
-        most = most.max(in_flight);
+        peak_in_flight = peak_in_flight.max(in_flight);
     }
-    // Four threads are earned each second, saved for two: a request of four threads, and now and then
-    // another.
-    assert!(most <= 3, "{most} requests of four threads run beside one another");
+    // The bucket refills four thread-seconds per second and holds two seconds' worth.
+    assert!(peak_in_flight <= 3, "{peak_in_flight} requests of four threads in flight at once");
 }
 
-/// Seconds in which a usual request of four threads and two seconds is earned, at limits of two in all.
-const REQUEST_EARNED_SECONDS: f64 = 4.1;
+/// Time in which the bucket refills the cost of a request of four threads and two seconds, at a total limit
+/// of two threads.
+const REQUEST_REFILL_SECONDS: f64 = 4.1;
 
 #[test]
-fn a_request_wider_than_the_limit_goes_where_no_background_work_is() {
+fn a_request_with_more_threads_than_the_limit_goes_to_an_engine_without_background_work() {
     let mut s = settings();
     s.gateways = 8;
     let mut driver = Driver::new(s, vec![engine(1), engine(2)]);
     assert!(forwarded_to(&driver.arrive(1, BACKGROUND)).is_some());
-    assert!(forwarded_to(&driver.arrive(2, BACKGROUND)).is_none(), "the limit binds as a mean over time");
+    assert!(
+        forwarded_to(&driver.arrive(2, BACKGROUND)).is_none(),
+        "the bucket is empty after the first request"
+    );
     driver.event(&Event::RequestAborted(RequestId(2)));
-    driver.now += REQUEST_EARNED_SECONDS;
+    driver.now += REQUEST_REFILL_SECONDS;
     assert!(forwarded_to(&driver.arrive(3, BACKGROUND)).is_some());
-    driver.now += REQUEST_EARNED_SECONDS;
-    assert!(forwarded_to(&driver.arrive(4, BACKGROUND)).is_none(), "both engines hold one");
+    driver.now += REQUEST_REFILL_SECONDS;
+    assert!(forwarded_to(&driver.arrive(4, BACKGROUND)).is_none(), "each engine runs a background request");
     assert!(
         forwarded_to(&driver.arrive(5, INTERACTIVE)).is_some(),
-        "interactive requests are never queued for the limit"
+        "the limit does not apply to interactive requests"
     );
 }
 
-/// With a hundred gateways the limit is far under a thread: a request is admitted now and then, on any
-/// engine, and what this gateway has in flight is the limit in the mean.
+/// With a hundred gateways the limit is far below one thread. The mean number of threads in flight must still
+/// equal the limit.
 #[test]
-fn a_limit_under_a_thread_is_met_as_a_mean_over_time() {
+fn a_limit_below_one_thread_holds_as_a_mean_over_time() {
     let mut s = settings();
     s.gateways = 100;
     let engines: Vec<_> = (1..=25).map(engine).collect();
     let mut driver = Driver::new(s, engines);
     let mut sent = 0;
     for id in 0..400 {
-        // Each request takes the two seconds that are expected; the limits are two threads in all.
+        // Each request takes its expected two seconds. The limits of all engines sum up to two threads.
         driver.now += 0.25;
         let mut in_flight = forwards(&driver.control_tick());
         in_flight.extend(forwards(&driver.arrive(id, BACKGROUND)));
@@ -70,9 +73,9 @@
     assert!((20..=30).contains(&sent), "{sent} requests of 8 thread-seconds in 100 s at limits of two");
 }
 
-/// One heavy request is charged for all that it took, but bars its gateway for seconds only.
+/// A heavy request is charged in full, but its debt delays further background work by a few seconds at most.
 #[test]
-fn a_heavy_request_bars_the_gateway_for_seconds_only() {
+fn a_heavy_request_delays_further_requests_for_seconds_only() {
     let mut s = settings();
     s.gateways = 100;
     s.classes[1].deadline = 200.0;
@@ -84,12 +87,13 @@
     assert!(forwarded_to(&driver.arrive(2, BACKGROUND)).is_some());
 }
 
-/// What is short is not spent on one large request while many of the usual size wait; at rest, it leaves.
+/// While the bucket is in debt, requests of the usual size go before a large one. The large one is forwarded
+/// once no other request is queued.
 #[test]
-fn the_largest_request_waits_while_the_bucket_owes() {
+fn the_largest_request_waits_while_the_bucket_is_in_debt() {
     let mut s = settings();
     s.gateways = 100;
-    // The bucket earns two thread-seconds a second; it takes two seconds to save up for the large one.
+    // The bucket refills two thread-seconds per second; the large request needs two seconds of refill.
     s.classes[1].latency_objective = 16.0;
     let mut driver = Driver::new(s, (1..=25).map(engine).collect());
     let sized =
@@ -100,7 +104,7 @@
         driver.attempt_ended(id, 0, on, Outcome::Success, 0.5);
     }
     let mut in_flight = Vec::new();
-    let mut play = |driver: &mut Driver, id: Option<u64>| {
+    let mut step = |driver: &mut Driver, id: Option<u64>| {
         driver.now += 0.1;
         for (id, on, _) in
             in_flight.extract_if(.., |(_, _, sent)| driver.now - *sent > 0.5).collect::<Vec<_>>()
@@ -119,7 +123,7 @@
         in_flight.extend(sent.iter().map(|(id, on)| (*id, *on, driver.now)));
         sent.into_iter().map(|(id, _)| id).collect::<Vec<_>>()
     };
-    let order: Vec<u64> = (1..70).flat_map(|n| play(&mut driver, Some(n).filter(|n| *n < 8))).collect();
-    // The others in order of arrival; nothing else asks then, and what the large one needs is saved up.
+    let order: Vec<u64> = (1..70).flat_map(|n| step(&mut driver, Some(n).filter(|n| *n < 8))).collect();
+    // The other requests in order of arrival, then the large one.
     assert_eq!(order, [1, 2, 4, 5, 6, 7, 3]);
 }
