--- a/tests/property.rs
+++ b/tests/property.rs
@@ -41,7 +41,8 @@
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         3 => (1u16..800).prop_map(Step::Wait),
-        6 => (0usize..4, 0u8..3, 20u16..6000).prop_map(|(class, key, timeout_ms)| Step::Arrive { class, key, timeout_ms }),
+        6 => (0usize..4, 0u8..3, 20u16..6000)
+            .prop_map(|(class, key, timeout_ms)| Step::Arrive { class, key, timeout_ms }),
         5 => (any::<u8>(), 0u8..8).prop_map(|(index, ending)| Step::End { index, ending }),
         1 => (0u8..4, 0u8..5, 0u8..3, any::<bool>())
             .prop_map(|(mode, engine, state, restarted)| Step::List { mode, engine, state, restarted }),
