--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -82,8 +82,8 @@
     Driver::new(s, (1..=engines).map(engine).collect())
 }
 
-/// With many gateways a request exceeds its gateway's share of one engine. Without a bound on the sum over all
-/// engines, the remaining engines would run out of memory after most engines have left.
+/// With many gateways a request exceeds its gateway's share of one engine. Without a bound on the sum over
+/// all engines, the remaining engines would run out of memory after most engines have left.
 #[test]
 fn memory_is_bounded_over_all_engines_together() {
     for (engines, warming, min, max) in [(80, 0, 2, 4), (80, 60, 1, 1), (800, 0, 18, 40)] {
