--- a/tests/concurrency_limit.rs
+++ b/tests/concurrency_limit.rs
@@ -52,8 +52,8 @@
             if stalls {
                 assert!(!cancelled_requests(&driver.control_tick()).is_empty());
             }
-            let again = driver.attempt_ended(id, 0, 1, Outcome::Cancelled, 4.2);
-            driver.attempt_ended(id, 1, forwarded_to(&again).unwrap().0, Outcome::Success, 0.2);
+            let retry = driver.attempt_ended(id, 0, 1, Outcome::Cancelled, 4.2);
+            driver.attempt_ended(id, 1, forwarded_to(&retry).unwrap().0, Outcome::Success, 0.2);
         }
         driver.count_admitted(200, LOAD)
     };
@@ -65,7 +65,7 @@
 #[test]
 fn interactive_latency_of_other_engines_sets_the_limit_of_engines_without_samples() {
     let (s, engines) = many_gateways();
-    let sent_behind = |latency: f64| {
+    let count_sent = |latency: f64| {
         let mut driver = Driver::new(s.clone(), engines.clone());
         for n in 0..60 {
             driver.now += 1.0;
@@ -85,8 +85,11 @@
         sent
     };
     // Each request runs on four threads for two seconds.
-    let (quick, slow) = (sent_behind(0.1), sent_behind(3.9));
-    assert!(quick >= 35 && slow <= 14, "{quick} requests at low interactive latency, {slow} at high");
+    let (at_low_latency, at_high_latency) = (count_sent(0.1), count_sent(3.9));
+    assert!(
+        at_low_latency >= 35 && at_high_latency <= 14,
+        "{at_low_latency} requests at low interactive latency, {at_high_latency} at high"
+    );
 }
 
 /// In an overload many clients abort their requests early. The short durations of these attempts must not
--- a/tests/load_estimate.rs
+++ b/tests/load_estimate.rs
@@ -73,7 +73,7 @@
 /// the limit while the fleet has capacity, and queues background work otherwise.
 #[test]
 fn without_reports_slow_background_work_indicates_full_engines() {
-    for (elapsed, freed) in [(0.5, true), (3.0, false)] {
+    for (elapsed, exceeds_share) in [(0.5, true), (3.0, false)] {
         let mut s = settings();
         (s.gateways, s.capabilities.load_reports) = (100, LoadReportSource::None);
         let mut driver = Driver::new(s, (1..=4).map(engine).collect());
@@ -91,7 +91,7 @@
                 );
             }
         }
-        assert_eq!(sent > 10, freed, "{sent} of 20");
+        assert_eq!(sent > 10, exceeds_share, "{sent} of 20");
     }
 }
 
@@ -133,10 +133,10 @@
         sent
     };
     // With estimated work, requests from id 300 on take four times as long for the same work.
-    let (estimated, unknown) = (sent(Some(4.0)), sent(None));
+    let (with_estimates, without_estimates) = (sent(Some(4.0)), sent(None));
     assert!(
-        0 < estimated && 2 * estimated < unknown,
-        "{estimated} requests with estimates, {unknown} without"
+        0 < with_estimates && 2 * with_estimates < without_estimates,
+        "{with_estimates} requests with estimates, {without_estimates} without"
     );
 }
 
--- a/tests/outliers.rs
+++ b/tests/outliers.rs
@@ -59,18 +59,18 @@
         }
     }
     driver.now += 1.1;
-    let mut trials = Vec::new();
+    let mut selected = Vec::new();
     for id in 21..=26 {
         let (on, _) = forwarded_to(&driver.arrive(id, INTERACTIVE)).unwrap();
-        trials.push(on);
+        selected.push(on);
         if on == 2 {
             driver.attempt_ended(id, 0, 2, Outcome::Success, 0.2);
         }
     }
     assert_eq!(
-        trials.iter().filter(|e| **e == 1).count(),
+        selected.iter().filter(|e| **e == 1).count(),
         1,
-        "attempts on the silent engine after its backoff: {trials:?}"
+        "attempts on the silent engine after its backoff: {selected:?}"
     );
 }
 
@@ -103,16 +103,16 @@
 fn an_engine_that_rejects_is_paused() {
     let mut driver = Driver::new(settings(), vec![engine(1), engine(2)]);
     driver.serve_interactive(100, 40, 0.2);
-    let (full, _) = forwarded_to(&driver.arrive(1, INTERACTIVE)).unwrap();
-    let other = 3 - full;
-    assert_eq!(forwards(&driver.attempt_ended(1, 0, full, Outcome::Rejected, 0.0)), vec![(1, other)]);
+    let (rejecting, _) = forwarded_to(&driver.arrive(1, INTERACTIVE)).unwrap();
+    let other = 3 - rejecting;
+    assert_eq!(forwards(&driver.attempt_ended(1, 0, rejecting, Outcome::Rejected, 0.0)), vec![(1, other)]);
     for id in 2..=4 {
         assert_eq!(forwarded_to(&driver.arrive(id, INTERACTIVE)).unwrap().0, other);
     }
     driver.now += 0.3;
     assert_eq!(
         forwarded_to(&driver.arrive(5, INTERACTIVE)).unwrap().0,
-        full,
+        rejecting,
         "a rejection must not start a recovery ramp"
     );
 }
@@ -127,8 +127,8 @@
         let on = forwarded_to(&driver.arrive(id, INTERACTIVE)).unwrap().0;
         let outcome = if on == 1 { Outcome::Error } else { Outcome::Success };
         failed += u32::from(on == 1);
-        let again = driver.attempt_ended(id, 0, on, outcome, 0.5);
-        if let Some((on, _)) = forwarded_to(&again) {
+        let retry = driver.attempt_ended(id, 0, on, outcome, 0.5);
+        if let Some((on, _)) = forwarded_to(&retry) {
             failed += u32::from(on == 1);
             driver.attempt_ended(id, 1, on, if on == 1 { Outcome::Error } else { Outcome::Success }, 0.5);
         }
@@ -144,8 +144,8 @@
     driver.serve_interactive(100, 40, 0.2);
     for id in 1..=20 {
         let (first, _) = forwarded_to(&driver.arrive(id, INTERACTIVE)).unwrap();
-        let again = forwards(&driver.attempt_ended(id, 0, first, Outcome::Error, 0.01));
-        let &[(_, second)] = again.as_slice() else { panic!("expected one retry: {again:?}") };
+        let retry = forwards(&driver.attempt_ended(id, 0, first, Outcome::Error, 0.01));
+        let &[(_, second)] = retry.as_slice() else { panic!("expected one retry: {retry:?}") };
         assert_ne!(first, second, "retried on the same engine");
         let end = driver.attempt_ended(id, 1, second, Outcome::Error, 0.01);
         assert_eq!(end, vec![Action::Fail(RequestId(id))]);
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -85,7 +85,7 @@
 
 #[test]
 fn requests_that_are_not_idempotent_are_retried_only_when_proved_not_to_have_run() {
-    for (outcome, again) in [
+    for (outcome, retried) in [
         (Outcome::ConnectFailed, true),
         (Outcome::Rejected, true),
         (Outcome::ConnectionLost, false),
@@ -95,8 +95,8 @@
         let (first, timeout) = forwarded_to(&driver.arrive(1, LOAD)).unwrap();
         assert_eq!(timeout, None);
         let actions = driver.attempt_ended(1, 0, first, outcome, 0.1);
-        assert_eq!(!forwards(&actions).is_empty(), again, "{outcome:?}");
-        assert_eq!(final_answers(&actions), if again { vec![] } else { vec![(1, false)] }, "{outcome:?}");
+        assert_eq!(!forwards(&actions).is_empty(), retried, "{outcome:?}");
+        assert_eq!(final_answers(&actions), if retried { vec![] } else { vec![(1, false)] }, "{outcome:?}");
     }
 }
 
--- a/tests/supervision.rs
+++ b/tests/supervision.rs
@@ -18,13 +18,13 @@
         progress: Progress::Fraction(0.07),
     };
     assert_eq!(cancelled_requests(&driver.event(&slow(0))), vec![1]);
-    let again = driver.attempt_ended(1, 0, 1, Outcome::Cancelled, 1.0);
-    let again = if forwards(&again).is_empty() {
+    let retry = driver.attempt_ended(1, 0, 1, Outcome::Cancelled, 1.0);
+    let retry = if forwards(&retry).is_empty() {
         driver.attempt_ended(1, 0, 2, Outcome::Cancelled, 1.0)
     } else {
-        again
+        retry
     };
-    assert_eq!(forwards(&again).len(), 1);
+    assert_eq!(forwards(&retry).len(), 1);
     driver.now += 1.0;
     assert!(
         cancelled_requests(&driver.event(&slow(1))).is_empty(),
@@ -191,8 +191,8 @@
                 vec![id],
                 "after four and a half times the usual latency"
             );
-            let again = driver.attempt_ended(id, 0, 1, Outcome::Cancelled, 0.9);
-            driver.attempt_ended(id, 1, forwarded_to(&again).unwrap().0, Outcome::Success, 0.2);
+            let retry = driver.attempt_ended(id, 0, 1, Outcome::Cancelled, 0.9);
+            driver.attempt_ended(id, 1, forwarded_to(&retry).unwrap().0, Outcome::Success, 0.2);
         }
     }
 }
