--- a/src/action.rs
+++ b/src/action.rs
@@ -1,56 +1,57 @@
-//! What the workload manager wants done. A gateway carries actions out in order.
+//! Output of the workload manager: the actions that a gateway carries out, in the order in which they are
+//! returned.
 
 use crate::{EngineId, RequestId};
 
-/// One action.
+/// An instruction to the gateway.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Sets the terms of the request's next attempts.
+    /// Sets the memory grant and priority of the request's next attempts.
     SetAttemptTerms {
-        /// Which request.
+        /// Request whose next attempts have these terms.
         request: RequestId,
-        /// Memory to grant, in MB; 0 leaves it to the engine.
+        /// Memory to grant, in MB. With 0 the engine decides.
         memory_mb: f64,
         /// From 0, the lowest, to 3.
         priority: u8,
     },
     /// Sends the request's next attempt to an engine. Attempts are numbered from 0.
     Forward {
-        /// Which request.
+        /// Request to send.
         request: RequestId,
-        /// Where to.
+        /// Engine that receives the attempt.
         engine: EngineId,
-        /// The attempt's time-out in seconds; `None`: until the client's deadline.
+        /// Time-out of the attempt, in seconds. With `None` the attempt may run until the client's deadline.
         timeout: Option<f64>,
     },
-    /// Cancels an attempt. Its end is reported by [`Event::AttemptEnded`](crate::Event::AttemptEnded) like
-    /// any other.
+    /// Cancels an attempt. Its end is reported by [`Event::AttemptEnded`](crate::Event::AttemptEnded), as for
+    /// any other attempt.
     CancelAttempt {
-        /// Its request.
+        /// Request of the attempt.
         request: RequestId,
-        /// Its number.
+        /// Number of the attempt, from 0.
         attempt: u32,
     },
-    /// Final answer: rejected; a retry by the client is safe.
+    /// Final answer: the request is rejected, and the client may safely retry it.
     Reject {
-        /// Which request.
+        /// Request to answer.
         request: RequestId,
-        /// Seconds that the client should wait before a retry; `None`: no advice.
+        /// Seconds that the client should wait before a retry. `None`: the answer has no Retry-After.
         retry_after: Option<f64>,
     },
-    /// Final answer: failed; nothing is promised about the effect.
+    /// Final answer: the request failed, and may or may not have taken effect.
     Fail(RequestId),
-    /// Asks for [`Event::Timer`](crate::Event::Timer).
+    /// Requests an [`Event::Timer`](crate::Event::Timer) after a delay.
     SetTimer {
         /// Seconds from now.
         delay: f64,
-        /// Comes back with the event.
+        /// Value that the timer event returns.
         token: u64,
-        /// The request that it is for; it is not needed any more once that has its final answer.
+        /// Request that the timer belongs to. The timer may be dropped once the request has its final answer.
         request: Option<RequestId>,
     },
-    /// Asks for a health check; [`Event::HealthChecked`](crate::Event::HealthChecked) has the result.
+    /// Sends a health check. [`Event::HealthChecked`](crate::Event::HealthChecked) reports the result.
     CheckHealth(EngineId),
-    /// Asks for watch events of the endpoint list from here on.
+    /// Subscribes to watch events of the endpoint list.
     WatchEndpointList,
 }
--- a/src/endpoint.rs
+++ b/src/endpoint.rs
@@ -1,45 +1,45 @@
-//! The endpoint list: which engines there are and in which state.
+//! The endpoint list: the engines of a deployment and the state of each.
 
 use crate::{EngineId, MachineTypeId, ZoneId};
 
-/// Whether an engine may be sent new work.
+/// Whether an engine accepts new work.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EndpointState {
-    /// It may.
+    /// The engine accepts new work.
     Ready,
-    /// It finishes what it has and must get nothing new.
+    /// The engine finishes its attempts in flight and must get no new ones.
     Draining,
-    /// It is no longer in the list.
+    /// The engine is not in the list.
     #[default]
     Removed,
 }
 
-/// One engine as the endpoint list has it.
+/// An engine's entry in the endpoint list.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct EndpointEntry {
-    /// Which engine.
+    /// Engine that the entry describes.
     pub engine: EngineId,
-    /// Its zone.
+    /// Zone in which the engine runs.
     pub zone: ZoneId,
-    /// Its machine type.
+    /// Type of the machine that the engine runs on.
     pub machine_type: MachineTypeId,
-    /// Its cell.
+    /// Number of the cell that the engine belongs to.
     pub cell: u64,
-    /// Its state.
+    /// Whether the engine accepts new work.
     pub state: EndpointState,
-    /// When it last started, in seconds of the events' clock, if that is not long ago.
+    /// Time of the engine's last start, in seconds of the events' clock. `None`: long ago.
     pub started_at: Option<f64>,
 }
 
-/// How a watch event of the endpoint list is to be read.
+/// How a watch event changes the known endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointListMode {
-    /// Entries that have changed; all others stay.
+    /// The entries that have changed. All others stay.
     Delta,
-    /// The whole list: engines that are absent have been removed.
+    /// The whole list. Engines that are absent have been removed.
     Full,
-    /// The whole list as it was last seen, perhaps stale.
+    /// The whole list as last received, possibly stale.
     Cached,
-    /// The list could not be had; the known one stays.
+    /// The list could not be read. The known list stays.
     Failed,
 }
--- a/src/event.rs
+++ b/src/event.rs
@@ -1,51 +1,51 @@
-//! What happens to a gateway: the input of the workload manager.
+//! Input of the workload manager: the events that a gateway reports.
 //!
-//! Times and durations are seconds. The clock may start anywhere and only moves forward.
+//! Times and durations are in seconds. The clock is monotonic and may start at any value.
 
 use crate::{ClassId, EndpointEntry, EndpointListMode, EngineId, KeyId, RequestId, TableGroupId, TenantId};
 
-/// A new request of a client.
+/// A client's request as it arrives.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Request {
-    /// Its id.
+    /// Id that later events and actions refer to.
     pub id: RequestId,
-    /// Its class.
+    /// Class that sets the request's objective, deadline and rules.
     pub class: ClassId,
-    /// Its tenant, if any.
+    /// Tenant that sent the request, if the deployment has tenants.
     pub tenant: Option<TenantId>,
-    /// Its order key, if its class is ordered by key.
+    /// Order key, if the class is ordered by key.
     pub key: Option<KeyId>,
-    /// When the client stops waiting, in seconds of the events' clock.
+    /// Time at which the client stops waiting, in seconds of the events' clock.
     pub deadline: f64,
-    /// Estimated work of all its threads, in seconds.
+    /// Estimated work, summed over all threads, in seconds.
     pub estimated_work: Option<f64>,
     /// Estimated memory in MB.
     pub estimated_memory_mb: Option<f64>,
-    /// The tables that it reads or loads.
+    /// Tables that the request reads or loads.
     pub table_group: Option<TableGroupId>,
-    /// Whether the client repeats an earlier request.
+    /// Whether the client sends the request as a retry of an earlier one.
     pub is_retry: bool,
 }
 
 /// How an attempt or a health check ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It was served.
+    /// The engine served the request or health check.
     Success,
-    /// The engine answered with an error; it may have run.
+    /// The engine answered with an error. The attempt may have run.
     Error,
-    /// The engine rejected it; it did not run.
+    /// The engine rejected the attempt, which did not run.
     Rejected,
-    /// No answer came in time; it may have run or still run.
+    /// No answer arrived in time. The attempt may have run, or may still run.
     TimedOut,
-    /// No connection could be opened; it never ran.
+    /// No connection could be opened. The attempt never ran.
     ConnectFailed,
-    /// The connection was lost; it may have run or still run. Reported by the simulator's adapter only; the
-    /// gateway reports `TimedOut` for an attempt whose connection was lost for good.
+    /// The connection was lost. The attempt may have run, or may still run. Only the simulator's adapter
+    /// reports this outcome. The gateway reports `TimedOut` once an attempt's connection is lost for good.
     ConnectionLost,
-    /// It was cancelled; it may have run or still run.
+    /// The attempt was cancelled. It may have run, or may still run.
     Cancelled,
-    /// It was never sent.
+    /// The attempt was never sent.
     NeverSent,
 }
 
@@ -55,121 +55,121 @@
         matches!(self, Self::TimedOut | Self::ConnectionLost | Self::Cancelled)
     }
 
-    /// Whether the attempt did not succeed and yet may have run: another one may be a second execution.
+    /// Whether the attempt failed but may have run, so that a retry could execute the request twice.
     pub fn effect_is_unknown(self) -> bool {
         self == Self::Error || self.may_still_run()
     }
 }
 
-/// An engine's load report; what it does not state is `None`.
+/// An engine's load report. Figures that the report lacks are `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Queries that the engine runs.
+    /// Number of queries that the engine runs.
     pub in_flight: Option<f64>,
-    /// Queries that wait for memory.
+    /// Number of queries that wait for memory.
     pub queued: Option<f64>,
-    /// Ratio of its cores in use.
+    /// Ratio of the engine's cores in use.
     pub core_utilization: Option<f64>,
-    /// Ratio of its memory granted.
+    /// Ratio of the engine's memory granted to queries.
     pub memory_utilization: Option<f64>,
-    /// Ratio of its disks busy. No decision uses it.
+    /// Ratio of the engine's disks that are busy. No decision uses it.
     pub disk_utilization: Option<f64>,
 }
 
-/// What a query has needed.
+/// Resources that a query used.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QueryCost {
-    /// Work of all its threads, in seconds.
+    /// Work, summed over all threads, in seconds.
     pub work: f64,
-    /// Memory in MB.
+    /// Memory that the query used, in MB.
     pub memory_mb: f64,
 }
 
 /// A progress report of an attempt in flight.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Progress {
-    /// It still runs; no more is known.
+    /// The attempt still runs. The report has no further information.
     Running,
-    /// The ratio that is done, roughly.
+    /// Approximate ratio of the work that is done, from 0 to 1.
     Fraction(f64),
-    /// It spills to disk; memory that it lacks, in MB.
+    /// The query spills to disk. The value is the memory that it lacks, in MB.
     Spilling(f64),
-    /// It waits for memory.
+    /// The query waits for memory.
     WaitingForMemory,
-    /// It waits for a load that holds its tables.
+    /// The query waits for a load that holds its tables.
     WaitingForLoad,
 }
 
-/// One event.
+/// An event at a gateway.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// A watch event of the endpoint list.
     EndpointList {
-        /// How to read it.
+        /// How the entries change the known list.
         mode: EndpointListMode,
-        /// Its entries.
+        /// Entries of the list, or of its changes.
         entries: Vec<EndpointEntry>,
     },
     /// A request has arrived.
     RequestArrived(Request),
     /// An attempt has ended.
     AttemptEnded {
-        /// Its request.
+        /// Request of the attempt.
         request: RequestId,
-        /// Its number, from 0.
+        /// Number of the attempt, from 0.
         attempt: u32,
-        /// Where it ran.
+        /// Engine that the attempt was sent to.
         engine: EngineId,
-        /// How it ended.
+        /// How the attempt ended.
         outcome: Outcome,
-        /// Seconds since it was sent.
+        /// Seconds since the attempt was sent.
         elapsed: f64,
-        /// Whether the request has its final answer, by this outcome or before it.
+        /// Whether the request has its final answer, from this attempt or earlier.
         request_settled: bool,
-        /// Seconds for which it may still run at an engine that can't be asked; 0 where its end is known,
-        /// infinite until [`Event::AttemptEndConfirmed`] says more.
+        /// Seconds for which the attempt may still run, if the engine can't report its state. 0 if its end
+        /// is known. Infinite until [`Event::AttemptEndConfirmed`] reports a bound.
         may_still_run_for: f64,
-        /// What it has needed, where the engine says so.
+        /// Resources that the query used, if the engine reports them.
         cost: Option<QueryCost>,
-        /// The engine's load report, if one came with the answer.
+        /// Load report that arrived with the answer, if any.
         load_report: Option<LoadReport>,
     },
-    /// How long an attempt may still run whose end was not known.
+    /// A bound on the remaining run time of an attempt whose end was not known.
     AttemptEndConfirmed {
-        /// Its order key.
+        /// Order key of the attempt's request.
         key: KeyId,
-        /// Seconds for which it may still run; 0 where it is over.
+        /// Seconds for which the attempt may still run. 0 if it has ended.
         may_still_run_for: f64,
     },
-    /// The answer has started to stream: the attempt can't be retried any more.
+    /// The answer has started to stream, so the attempt can't be retried any more.
     StreamStarted {
-        /// Its request.
+        /// Request of the attempt.
         request: RequestId,
-        /// Its number, from 0.
+        /// Number of the attempt, from 0.
         attempt: u32,
     },
     /// A progress report of an attempt in flight.
     AttemptProgress {
-        /// Its request.
+        /// Request of the attempt.
         request: RequestId,
-        /// Its number, from 0.
+        /// Number of the attempt, from 0.
         attempt: u32,
-        /// What it says.
+        /// State that the engine reports.
         progress: Progress,
     },
-    /// The client has gone; the request needs no answer.
+    /// The client has disconnected, so the request needs no answer.
     RequestAborted(RequestId),
     /// The result of a health check.
     HealthChecked {
-        /// Which engine.
+        /// Engine that was checked.
         engine: EngineId,
-        /// How it ended.
+        /// How the health check ended.
         outcome: Outcome,
-        /// Seconds since it was sent.
+        /// Seconds since the health check was sent.
         elapsed: f64,
-        /// The engine's load report, if one came along.
+        /// Load report that arrived with the result, if any.
         load_report: Option<LoadReport>,
     },
-    /// A timer that was set by [`Action::SetTimer`](crate::Action::SetTimer) is due; its token.
+    /// A timer set by [`Action::SetTimer`](crate::Action::SetTimer) has expired. The value is its token.
     Timer(u64),
 }
--- a/src/id.rs
+++ b/src/id.rs
@@ -1,11 +1,11 @@
-//! Identifiers. The workload manager hands them back unchanged and reads no meaning into them, but for
-//! indices into the settings.
+//! Identifiers. The workload manager returns them unchanged. Except for indices into the settings, their
+//! values have no meaning to it.
 
-/// A request's id, never used twice.
+/// Unique id of a request. An id is never reused.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RequestId(pub u64);
 
-/// An engine's id: the same after its process restarts.
+/// Id of an engine. It stays the same when the engine's process restarts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct EngineId(pub u32);
 
@@ -13,12 +13,12 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ClassId(pub usize);
 
-/// Index into [`Settings::machine_types`](crate::Settings::machine_types); an index past its end is a
+/// Index into [`Settings::machine_types`](crate::Settings::machine_types). An index past the end stands for a
 /// machine type that the settings do not describe.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct MachineTypeId(pub usize);
 
-/// A zone.
+/// Number of a zone. The settings have no list of zones.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ZoneId(pub usize);
 
@@ -26,10 +26,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TenantId(pub usize);
 
-/// The order key of a request whose class is ordered by key.
+/// Order key of a request. Requests of a class ordered by key run one at a time for each key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct KeyId(pub u64);
 
-/// The group of tables that a request reads or loads.
+/// Group of tables that a request reads or loads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TableGroupId(pub u64);
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,239 +1,240 @@
-//! Settings of a workload manager, and the change to other settings.
+//! Settings of a workload manager, their validation, and the change to new settings at run time.
 //!
-//! Times and durations are seconds. [`Settings::check`] says whether a workload manager could act on them.
+//! Times and durations are in seconds. [`Settings::check`] validates the settings.
 
 use crate::{ClassId, MachineTypeId, ZoneId};
 
-/// Which engines drop the repeats of a request with an idempotency key.
+/// Set of engines that deduplicate requests by idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IdempotencyScope {
-    /// Every engine.
+    /// All engines of the deployment.
     All,
-    /// The engines of one zone.
+    /// The engines of the zone of the first attempt that may have run.
     Zone,
-    /// The engines of one cell.
+    /// The engines of the cell of the first attempt that may have run.
     Cell,
 }
 
-/// What repeating a request would do.
+/// Effect of executing a request more than once.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Idempotency {
-    /// It may run any number of times.
+    /// The request may run any number of times.
     Idempotent,
-    /// Engines drop repeats by an idempotency key.
+    /// Engines deduplicate the request by an idempotency key.
     Keyed {
-        /// Which engines remember the key.
+        /// Engines that share the key.
         scope: IdempotencyScope,
-        /// For how many seconds from the first attempt that may have run.
+        /// Seconds for which the key is kept, from the first attempt that may have run.
         window: f64,
     },
-    /// It must never run twice.
+    /// The request must never run twice.
     NotIdempotent,
 }
 
 impl Idempotency {
-    /// Whether a retry by a client is safe, wherever it goes: no attempt may have run, or repeats do
-    /// no harm anywhere. A rejection promises that.
+    /// Whether the client may safely retry the request at any engine: either no attempt may have run, or all
+    /// engines tolerate a second execution. Only such a request may be rejected.
     pub fn client_may_retry(self, may_have_run: bool) -> bool {
         !may_have_run || matches!(self, Self::Idempotent | Self::Keyed { scope: IdempotencyScope::All, .. })
     }
 }
 
-/// A class of requests.
+/// A class of requests with a common objective and common rules.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// Seconds within which an answer earns the full priority weight.
+    /// Target latency in seconds. An answer within this time earns the full priority weight.
     pub latency_objective: f64,
-    /// The objective is longer by this times the request's work over its threads.
+    /// The objective is extended by this factor times the request's work per thread.
     pub objective_stretch: f64,
     /// Seconds after which the client stops waiting.
     pub deadline: f64,
-    /// What a request is worth.
-    /// Checked, and compared between versions of the class; no decision uses it.
+    /// Value of a request answered within its objective.
+    /// Validated, and compared between versions of the class. No decision uses it.
     pub priority_weight: f64,
     /// Ratio of the weight that an answer past the objective still earns.
-    /// Checked, and compared between versions of the class; no decision uses it.
+    /// Validated, and compared between versions of the class. No decision uses it.
     pub late_weight_ratio: f64,
-    /// What repeating it would do.
+    /// Whether, and at which engines, a request may run more than once.
     pub idempotency: Idempotency,
-    /// Whether requests of one key run one at a time, in order.
+    /// Whether requests of the same key run one at a time, in order of arrival.
     pub ordered_by_key: bool,
-    /// The only machine types it may run on, if bound.
+    /// Machine types that requests may run on. `None`: all.
     pub allowed_machine_types: Option<Vec<MachineTypeId>>,
-    /// The only zones it may run in, if bound.
+    /// Zones that requests may run in. `None`: all.
     pub allowed_zones: Option<Vec<ZoneId>>,
-    /// Threads that a request runs on.
+    /// Number of threads that a request runs on.
     pub threads: u32,
-    /// Whether it is a load: it holds its table group at its engine while it runs.
+    /// Whether requests are loads. A load locks its table group at its engine while it runs.
     pub is_load: bool,
-    /// Whether it waits while a load holds its table group.
+    /// Whether requests wait while a load holds their table group.
     pub waits_for_loads: bool,
-    /// Whether answers are streams.
-    /// Compared between versions of the class; no decision uses it.
+    /// Whether answers are streamed.
+    /// Compared between versions of the class. No decision uses it.
     pub is_streaming: bool,
 }
 
-/// A machine type.
+/// Capacity of a type of machine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MachineType {
-    /// Cores.
+    /// Number of cores.
     pub cores: f64,
-    /// Memory in MB; 0 if not known.
+    /// Memory in MB. 0 if not known.
     pub memory_mb: f64,
 }
 
-/// A tenant.
+/// Limits of a tenant.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Requests a second that it may send, over all gateways; 0 if not stated.
-    /// Checked; no decision uses it.
+    /// Requests per second that the tenant may send, over all gateways. 0: no quota is given.
+    /// Validated. No decision uses it.
     pub quota_per_second: f64,
 }
 
-/// What engines do when a query finds too little memory.
+/// Behavior of engines when a query needs more memory than is free.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MemoryShortage {
-    /// The query waits.
+    /// The query waits until enough memory is free.
     Queue,
-    /// It gets what is left and spills.
+    /// The query gets the free memory and spills to disk.
     Spill,
-    /// It starts, and all queries slow down.
+    /// The query starts, and all queries slow down.
     Overcommit,
 }
 
-/// The budget of retries by gateways.
+/// Limit on the retries that a gateway sends.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudget {
-    /// Retries that are allowed however few requests arrive.
+    /// Number of retries that are always allowed in a window.
     pub min_retries: f64,
-    /// Retries that are allowed for each request that arrived.
+    /// Further retries allowed for each request that arrived in the window.
     pub retry_ratio: f64,
-    /// Seconds over which both are counted.
+    /// Length of the sliding window in seconds.
     pub window: f64,
 }
 
-/// Figures of the rules of a deployment.
+/// Limits and durations that apply to a whole deployment.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Rules {
-    /// Seconds past the client's deadline in which a final answer still counts.
-    /// Checked; no decision uses it.
+    /// Seconds past the client's deadline in which a final answer is still valid.
+    /// Validated. No decision uses it.
     pub answer_grace: f64,
     /// Seconds after which nothing may be sent to a draining engine any more.
-    /// Checked; no decision uses it.
+    /// Validated. No decision uses it.
     pub drain_grace: f64,
-    /// Ratio of its capacity with which an engine starts at least.
+    /// Lowest ratio of its full capacity that an engine has at its start.
     pub slow_start_min_ratio: f64,
-    /// Seconds after which it has all of its capacity at the latest.
+    /// Seconds after its start at which an engine has its full capacity, at the latest.
     pub slow_start_duration: f64,
-    /// Load in times its capacity under which a warming engine collapses,
+    /// Load, as a multiple of its current capacity, at which an engine in slow start collapses.
     pub collapse_load_ratio: f64,
-    /// if it lasts for so many seconds.
+    /// Seconds for which that load must last to make the engine collapse.
     pub collapse_window: f64,
-    /// Seconds that a key cools down after an attempt that may still run.
+    /// Seconds for which an order key is held back after an attempt that may still run.
     pub key_cooldown: f64,
-    /// The budget of retries, if there is one.
+    /// Limit on retries. `None`: unlimited.
     pub retry_budget: Option<RetryBudget>,
 }
 
-/// Where engines' load reports come from.
+/// Messages that carry engines' load reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadReportSource {
-    /// There are none.
+    /// Engines send no load reports.
     None,
-    /// Answers and health checks bring them.
+    /// Load reports arrive with answers and health checks.
     Responses,
-    /// Health checks alone bring them. The workload manager asks for none: its own attempts say enough.
+    /// Load reports arrive with health checks only. The workload manager requests no health checks, and
+    /// estimates load from its own attempts.
     HealthChecks,
 }
 
-/// What a deployment permits and supports.
+/// Optional features that a deployment permits and supports.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Capabilities {
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     pub cancels_attempts: bool,
-    /// Health checks may be sent.
+    /// Whether health checks may be sent.
     /// No decision uses it.
     pub health_checks: bool,
-    /// Where load reports come from.
+    /// Messages that carry load reports, if any.
     pub load_reports: LoadReportSource,
     /// Whether the endpoint list has to be polled.
     pub polls_endpoint_list: bool,
-    /// Clients heed a Retry-After.
+    /// Whether clients respect a Retry-After.
     pub retry_after: bool,
-    /// The longest Retry-After that clients obey, in seconds.
+    /// The longest Retry-After that clients respect, in seconds.
     pub max_retry_after: f64,
-    /// Attempts that a request may have; 0: no limit.
+    /// Maximum number of attempts for a request. 0: no limit.
     pub max_attempts: u32,
-    /// Engines heed memory grants.
+    /// Whether engines respect memory grants.
     /// No decision uses it.
     pub memory_grants: bool,
-    /// Engines heed priorities.
+    /// Whether engines respect priorities.
     pub priorities: bool,
-    /// Seconds between progress reports; 0: none come.
+    /// Seconds between progress reports. 0: engines send none.
     pub progress_period: f64,
 }
 
-/// All that a workload manager knows at its start.
+/// Configuration of a workload manager.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// How many gateways share the engines.
+    /// Number of gateways that share the engines.
     pub gateways: u32,
-    /// The zone of this one.
+    /// Zone of this gateway, if known.
     pub zone: Option<ZoneId>,
-    /// Classes of requests.
+    /// Classes of requests, indexed by [`ClassId`].
     pub classes: Vec<Class>,
-    /// Machine types.
+    /// Machine types, indexed by [`MachineTypeId`].
     pub machine_types: Vec<MachineType>,
-    /// Tenants, if any.
+    /// Tenants, indexed by [`TenantId`](crate::TenantId). Empty if the deployment has none.
     pub tenants: Vec<Tenant>,
-    /// Ratio of its priority weight that a request beyond its tenant's quota has.
-    /// Checked; no decision uses it.
+    /// Ratio of the priority weight that applies to a request beyond its tenant's quota.
+    /// Validated. No decision uses it.
     pub over_quota_weight_ratio: f64,
-    /// Figures of the rules.
+    /// Limits and durations of the deployment.
     pub rules: Rules,
-    /// What is permitted and supported.
+    /// Optional features that the deployment permits and supports.
     pub capabilities: Capabilities,
-    /// What engines do when a query finds too little memory.
+    /// Behavior of engines when a query needs more memory than is free.
     pub on_memory_shortage: MemoryShortage,
-    /// The smallest difference between the times of two events, in seconds.
+    /// Resolution of the clock: the smallest difference between the times of two events, in seconds.
     pub clock_resolution: f64,
 }
 
-/// Why settings were not accepted.
+/// Reason for rejecting settings.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum SettingsError {
-    /// There is no class.
+    /// The list of classes is empty.
     #[error("settings name no class of request")]
     NoClasses,
-    /// There is no gateway.
+    /// The number of gateways is 0.
     #[error("settings say there are no gateways")]
     NoGateways,
-    /// A class has no origin, or one that names a class that there was not.
+    /// A class has no origin, or its origin refers to a class that the earlier settings did not have.
     #[error("the origins do not fit the classes")]
     InvalidOrigins,
-    /// A figure is negative or not a number.
+    /// A value is negative, infinite or not a number.
     #[error("{what} is {value}, which is negative or not a number")]
     InvalidValue {
-        /// Which figure.
+        /// Name of the setting, as in the operator documentation.
         what: String,
-        /// Its value.
+        /// The rejected value.
         value: f64,
     },
 }
 
 impl Settings {
-    /// A machine of this type. One that is not described has the cores of the first type, one at least, and
-    /// memory that is not known.
+    /// Capacity of a machine type. A type that the settings do not describe has the cores of the first type,
+    /// and unknown memory. Every type has at least one core.
     pub fn machine_type(&self, id: MachineTypeId) -> MachineType {
         let described = self.machine_types.get(id.0);
         let cores = described.or_else(|| self.machine_types.first()).map_or(1.0, |k| k.cores).max(1.0);
         MachineType { cores, memory_mb: described.map_or(0.0, |k| k.memory_mb) }
     }
 
-    /// Checks that the settings make sense.
+    /// Validates the settings.
     ///
     /// # Errors
-    /// The first thing found that no workload manager could act on.
+    /// The first problem found.
     pub fn check(&self) -> Result<(), SettingsError> {
         if self.classes.is_empty() {
             return Err(SettingsError::NoClasses);
@@ -241,17 +242,17 @@
         if self.gateways == 0 {
             return Err(SettingsError::NoGateways);
         }
-        let figures = self.rule_figures().chain(self.class_figures()).chain(self.resource_figures());
-        match figures.into_iter().find(|(_, value)| !(value.is_finite() && *value >= 0.0)) {
+        let values = self.rule_values().chain(self.class_values()).chain(self.resource_values());
+        match values.into_iter().find(|(_, value)| !(value.is_finite() && *value >= 0.0)) {
             Some((what, value)) => Err(SettingsError::InvalidValue { what, value }),
             None => Ok(()),
         }
     }
 
-    /// Names in errors are those of the operators' pages.
-    fn rule_figures(&self) -> impl Iterator<Item = (String, f64)> {
+    /// Values of the rules and capabilities, with the names that the operator documentation uses.
+    fn rule_values(&self) -> impl Iterator<Item = (String, f64)> {
         let (rules, capabilities) = (&self.rules, &self.capabilities);
-        let figures = [
+        let values = [
             ("answer slack", rules.answer_grace),
             ("drain grace", rules.drain_grace),
             ("cold share", rules.slow_start_min_ratio),
@@ -271,27 +272,27 @@
                 ("budget look-back", budget.window),
             ]
         });
-        figures.into_iter().chain(budget).map(|(what, value)| (what.to_owned(), value))
+        values.into_iter().chain(budget).map(|(what, value)| (what.to_owned(), value))
     }
 
-    fn class_figures(&self) -> impl Iterator<Item = (String, f64)> {
+    fn class_values(&self) -> impl Iterator<Item = (String, f64)> {
         self.classes.iter().enumerate().flat_map(|(i, class)| {
             let window = match class.idempotency {
                 Idempotency::Keyed { window, .. } => Some((format!("window of class {i}"), window)),
                 Idempotency::Idempotent | Idempotency::NotIdempotent => None,
             };
-            let figures = [
+            let values = [
                 (format!("aim of class {i}"), class.latency_objective),
                 (format!("aim stretch of class {i}"), class.objective_stretch),
                 (format!("deadline of class {i}"), class.deadline),
                 (format!("worth of class {i}"), class.priority_weight),
                 (format!("late value of class {i}"), class.late_weight_ratio),
             ];
-            figures.into_iter().chain(window)
+            values.into_iter().chain(window)
         })
     }
 
-    fn resource_figures(&self) -> impl Iterator<Item = (String, f64)> {
+    fn resource_values(&self) -> impl Iterator<Item = (String, f64)> {
         let machine_types = self.machine_types.iter().enumerate().flat_map(|(i, machine_type)| {
             [
                 (format!("cores of kind {i}"), machine_type.cores),
@@ -304,21 +305,21 @@
     }
 }
 
-/// Where a class of other settings comes from, for a [`SettingsChange`].
+/// Relation of a class of the new settings to a class of the old ones, in a [`SettingsChange`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClassOrigin {
-    /// It is the one that had this id, unchanged.
+    /// The class with the same id, unchanged.
     Unchanged,
-    /// It follows the class that had this other id, with changes; what was learned of that one is its start.
+    /// A changed version of the class with the given id. It starts with that class's statistics.
     DerivedFrom(ClassId),
-    /// Nothing is known of it.
+    /// A class without predecessor. It starts without statistics.
     New,
-    /// No new request has it any more; requests that came with it keep it.
+    /// A class that new requests do not use any more. Requests that arrived with it keep it.
     Retired,
 }
 
 impl ClassOrigin {
-    /// The id of the class of the old settings of which something was learned, for the class of this id.
+    /// Class of the old settings whose statistics the class with the given id takes over, if any.
     pub fn learned_from(self, class: ClassId) -> Option<ClassId> {
         match self {
             ClassOrigin::Unchanged | ClassOrigin::Retired => Some(class),
@@ -328,26 +329,27 @@
     }
 }
 
-/// A change to other settings. Ids of classes stay what they were; there may be more of them, never fewer.
+/// A change to new settings. Classes keep their ids. New ones may be added, but none is removed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SettingsChange {
-    /// The other settings.
+    /// Settings that replace the current ones.
     pub settings: Settings,
-    /// For each class of the settings, where it comes from.
+    /// For each class of the new settings, its relation to the old ones.
     pub origins: Vec<ClassOrigin>,
 }
 
 impl SettingsChange {
-    /// The classes that new requests may have.
+    /// Classes that new requests may use.
     pub fn active_classes(&self) -> Vec<&Class> {
         let classes = self.settings.classes.iter().zip(&self.origins);
         classes.filter(|(_, origin)| **origin != ClassOrigin::Retired).map(|(class, _)| class).collect()
     }
 
-    /// Checks the settings, and that each class comes from one of `known` earlier classes or is new.
+    /// Validates the settings, and that each class is new or originates from one of the `known` earlier
+    /// classes.
     ///
     /// # Errors
-    /// The first thing found that no workload manager could act on.
+    /// The first problem found.
     pub fn check(&self, known: usize) -> Result<(), SettingsError> {
         let learned = |(at, origin): (usize, &ClassOrigin)| origin.learned_from(ClassId(at));
         let all_known = self.origins.iter().enumerate().filter_map(learned).all(|from| from.0 < known);
