--- a/src/decisions/active_subset.rs
+++ b/src/decisions/active_subset.rs
@@ -1,6 +1,7 @@
-//! Active subset: the engines that this gateway prefers. Of many engines it sees each too seldom to learn
-//! of it; so it prefers the first in a random order of its own, as many as it has requests for. The others
-//! take what finds no capacity.
+//! Active subset: the engines that this gateway prefers. With many engines, a gateway sends too few requests
+//! to each of them for useful statistics. It therefore prefers the first engines in a random order of its
+//! own, in proportion to its rate of requests. The other engines get requests that find no capacity in the
+//! subset.
 
 use crate::ZoneId;
 
@@ -8,13 +9,13 @@
 use super::engine::Engine;
 use super::relative_latency::SLOW_RATIO;
 
-/// The size of the subset is the number of requests that arrive in this time, but some at least.
+/// The size of the subset is the number of requests that arrive in this time, with a lower bound.
 const ARRIVALS_WINDOW_SECONDS: f64 = 2.0;
 const MIN_ENGINES: f64 = 4.0;
-/// Time after the start in which the rate of requests is not known, and all engines are active.
+/// Time after the start in which the rate of requests is unknown and all engines are active.
 const RATE_UNKNOWN_SECONDS: f64 = 5.0;
 
-/// Engines of the own zone, or of the others: those that may be sent to, and those in the active subset.
+/// Numbers of engines: those that are available, and those in the active subset.
 #[derive(Clone, Copy, Default)]
 struct Counts {
     available: f64,
@@ -29,21 +30,21 @@
 }
 
 impl CountsByZone {
-    /// The counts that an engine belongs to.
+    /// Counts of the zone that an engine belongs to.
     fn of(&mut self, engine: &Engine, own_zone: Option<ZoneId>) -> &mut Counts {
         if own_zone == Some(engine.entry.zone) { &mut self.own } else { &mut self.others }
     }
 }
 
 impl WorkloadManager {
-    /// Picks the subset anew, and from its size this gateway's share of slow-start budgets.
+    /// Recomputes the subset, and from its size this gateway's share of slow-start budgets.
     pub(super) fn update_active_subset(&mut self, now: f64) {
         let last_rank = self.last_active_rank(now);
         let mean_relative_latency = self.fleet.mean_relative_latency;
         let own_zone = self.settings.zone;
         let mut counts = CountsByZone::default();
         for engine in self.engines.values_mut() {
-            engine.active = engine.rank <= last_rank && is_fit(engine, mean_relative_latency, now);
+            engine.active = engine.rank <= last_rank && is_eligible(engine, mean_relative_latency, now);
             let zone = counts.of(engine, own_zone);
             zone.available += f64::from(u8::from(engine.is_available(now)));
             zone.active += f64::from(u8::from(engine.active));
@@ -55,26 +56,26 @@
         }
     }
 
-    /// The highest rank of an engine in the subset, or the highest of all if there are too few engines. The
-    /// engine at place `size`, counted from 0, is the last of the subset: it has one engine more than `size`.
+    /// Highest rank of an engine in the subset, or the highest possible rank if there are too few engines.
+    /// The engine at index `size` is the last of the subset, which thus has `size + 1` engines.
     fn last_active_rank(&self, now: f64) -> u32 {
         let age = now - self.ticks.started_at.unwrap_or(now);
         let rate = if age < RATE_UNKNOWN_SECONDS { f64::INFINITY } else { self.arrivals as f64 / age };
         let size = (rate * ARRIVALS_WINDOW_SECONDS).max(MIN_ENGINES) as usize;
-        let fit = |engine: &&Engine| is_fit(engine, self.fleet.mean_relative_latency, now);
-        let mut ranks: Vec<u32> = self.engines.values().filter(fit).map(|engine| engine.rank).collect();
+        let eligible = |engine: &&Engine| is_eligible(engine, self.fleet.mean_relative_latency, now);
+        let mut ranks: Vec<u32> = self.engines.values().filter(eligible).map(|engine| engine.rank).collect();
         ranks.sort_unstable();
         ranks.get(size).copied().unwrap_or(u32::MAX)
     }
 
-    /// A rank for a new engine. Engines of the own zone come earlier.
+    /// Draws a rank for a new engine. Engines of this gateway's zone get lower ranks.
     pub(super) fn draw_rank(&mut self, zone: ZoneId) -> u32 {
         let draw = self.next_draw();
         if self.settings.zone == Some(zone) { draw / 2 } else { draw }
     }
 }
 
-/// Whether an engine may be sent to and is not slow.
-fn is_fit(engine: &Engine, mean_relative_latency: f64, now: f64) -> bool {
+/// Whether an engine is available and not slow.
+fn is_eligible(engine: &Engine, mean_relative_latency: f64, now: f64) -> bool {
     engine.is_available(now) && engine.relative_latency.ratio(now) < SLOW_RATIO * mean_relative_latency
 }
--- a/src/decisions/admission.rs
+++ b/src/decisions/admission.rs
@@ -1,7 +1,7 @@
-//! Admission: the guards that an engine has to pass before a request may be sent to it.
+//! Admission: the guards that decide whether a request may be sent to an engine.
 //!
-//! [`EngineGuard::ALL`] is the one list of them, in the order in which they are asked. The release of queued
-//! requests and the log line on a shed request both go by it. Guards have no side effects.
+//! [`EngineGuard::ALL`] lists them in the order of evaluation. The release of queued requests and the log of
+//! shed requests both use this list. Guards have no side effects.
 
 use crate::{Class, ClassId, EndpointEntry, EndpointState, EngineId};
 
@@ -11,45 +11,46 @@
 use super::load_estimate::MAX_BACKGROUND_UTILIZATION_RATIO;
 use super::request_path::PendingRequest;
 
-/// Interactive threads a core, all gateways together, at which an overload holds back interactive work too:
-/// beyond one or two threads a core engines do less work in all.
+/// Interactive threads per core, summed over all gateways, from which on interactive work is held back too.
+/// With more than one or two threads per core, the total throughput of an engine falls.
 pub(super) const OVERLOAD_THREADS_PER_CORE: f64 = 1.5;
-/// Part of that bound while reports say that engines are full.
+/// Factor on that bound while the mean utilization shows that engines are full.
 const FULL_ENGINES_OVERLOAD_RATIO: f64 = 0.5;
-/// Part of the engines' memory that the attempts of a single gateway may need.
+/// Ratio of an engine's memory that the attempts of a single gateway may need.
 const MEMORY_RATIO: f64 = 0.75;
 
-/// What admission goes by, of one request.
+/// Properties of a request that admission depends on.
 #[derive(Clone, Copy)]
 pub(super) struct Needs {
     pub(super) class: ClassId,
-    /// Whether the token bucket admits it.
+    /// Whether the token bucket admits the request.
     pub(super) has_tokens: bool,
-    /// Its estimated memory.
+    /// Estimated memory. 0 if there is no estimate.
     pub(super) memory_mb: f64,
 }
 
-/// A condition that an engine must meet before a request is sent to it.
+/// Condition that must hold for an engine before a request is sent to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum EngineGuard {
-    /// The endpoint list has the engine as ready.
+    /// The engine is listed as ready.
     State,
-    /// The class may run on its machine type and in its zone.
+    /// The class may run on the engine's machine type and in its zone.
     Placement,
-    /// The engine is not ejected, and has fewer attempts in flight than its recovery ramp allows.
+    /// The engine is not backed off, and has fewer attempts in flight than its recovery ramp allows.
     Health,
-    /// Its slow-start budget has capacity left.
+    /// The engine's slow-start budget has capacity left.
     SlowStart,
-    /// Its threads are within the concurrency limit, or for interactive work under the bound of an overload.
+    /// The engine's threads are within the concurrency limit, or for interactive work below the overload
+    /// bound.
     ConcurrencyLimit,
-    /// For background work: load reports do not say that it is full.
+    /// For background work: the engine is not full according to load reports.
     Utilization,
-    /// For background work: its memory is within this gateway's share of the engine.
+    /// For background work: the needed memory is within this gateway's share of the engine.
     Memory,
 }
 
 impl EngineGuard {
-    /// All guards, in order.
+    /// All guards, in the order of evaluation.
     pub(super) const ALL: [Self; 7] = [
         Self::State,
         Self::Placement,
@@ -60,7 +61,7 @@
         Self::Memory,
     ];
 
-    /// The name in log lines.
+    /// Name in the log.
     pub(super) fn name(self) -> &'static str {
         match self {
             Self::State => "state",
@@ -73,14 +74,14 @@
         }
     }
 
-    /// Whether its answer is the same for all requests of a class that the token bucket treats alike.
-    fn is_alike_in_class(self) -> bool {
+    /// Whether the result is the same for all requests of a class with the same answer of the token bucket.
+    fn depends_on_class_only(self) -> bool {
         self != Self::Memory
     }
 }
 
 impl WorkloadManager {
-    /// What admission has to know of a request.
+    /// The properties of a request that admission depends on.
     pub(super) fn needs(&self, pending: &PendingRequest) -> Needs {
         let class = pending.request.class;
         let usual =
@@ -93,7 +94,7 @@
     }
 }
 
-/// Admission of requests with the same needs, at one moment.
+/// Evaluates the guards for requests with the same needs, at one point in time.
 pub(super) struct Admission<'a> {
     manager: &'a WorkloadManager,
     class: &'a Class,
@@ -109,16 +110,16 @@
         Self { manager, class, profile, needs, now }
     }
 
-    /// The first guard that keeps the request from an engine; none if the engine takes it.
+    /// First guard that rejects the request at an engine. `None` if the engine admits it.
     pub(super) fn first_closed_guard(&self, engine: &Engine) -> Option<EngineGuard> {
         EngineGuard::ALL.into_iter().find(|guard| !self.passes(*guard, engine))
     }
 
-    /// The engines of the active subset, or the others, that take requests of this class but for their
-    /// memory.
+    /// Engines of the active subset, or else the other engines, at which all guards except memory admit the
+    /// request.
     pub(super) fn admitting_engines(&self, active: bool) -> Vec<EngineId> {
         let passes_all = |engine: &Engine| {
-            let mut guards = EngineGuard::ALL.into_iter().filter(|guard| guard.is_alike_in_class());
+            let mut guards = EngineGuard::ALL.into_iter().filter(|guard| guard.depends_on_class_only());
             guards.all(|guard| self.passes(guard, engine))
         };
         let admitting =
@@ -126,7 +127,7 @@
         admitting.map(|(id, _)| *id).collect()
     }
 
-    /// Whether the request passes a guard of an engine.
+    /// Whether a guard admits the request at an engine.
     pub(super) fn passes(&self, guard: EngineGuard, engine: &Engine) -> bool {
         let (manager, interactive) = (self.manager, self.profile.interactive);
         match guard {
@@ -138,7 +139,7 @@
             }
             EngineGuard::ConcurrencyLimit if interactive => manager.is_not_overloaded(engine),
             EngineGuard::ConcurrencyLimit => self.is_within_limit(engine),
-            // Time for work tells no utilization here: a bound by background work itself would never lift.
+            // An estimate from the time for work is not used here. Only new background work could lower it.
             EngineGuard::Utilization => {
                 interactive
                     || !manager.load.has_reports
@@ -148,18 +149,19 @@
         }
     }
 
-    /// Background threads stay within the concurrency limit. A request beyond the limit still goes where this
-    /// gateway has no background work, if the token bucket admits it.
+    /// Whether background threads stay within the concurrency limit. A request beyond the limit is also
+    /// admitted at an engine without background work of this gateway, if the token bucket admits it.
     fn is_within_limit(&self, engine: &Engine) -> bool {
-        let warmth = engine.warmth_ratio(self.now, &self.manager.settings.rules);
-        let limit = (engine.limit.threads + 0.5).floor().max(1.0) * warmth;
+        let warm_up = engine.warm_up_ratio(self.now, &self.manager.settings.rules);
+        let limit = (engine.limit.threads + 0.5).floor().max(1.0) * warm_up;
         engine.background_threads + f64::from(self.class.threads) <= limit
             || (engine.background_threads == 0.0 && self.needs.has_tokens)
     }
 }
 
 impl WorkloadManager {
-    /// Interactive threads, at the engine and over all engines, are under this gateway's share of the bound.
+    /// Whether the interactive threads at the engine, and over all engines, are below this gateway's share of
+    /// the overload bound.
     fn is_not_overloaded(&self, engine: &Engine) -> bool {
         let full = self.load.mean_utilization.is_some_and(|mean| mean > MAX_BACKGROUND_UTILIZATION_RATIO);
         let per_core = if full {
@@ -172,9 +174,10 @@
             && self.fleet.interactive_threads() < bound(self.fleet.cores)
     }
 
-    /// The memory that this gateway's attempts at the engine need stays within its share. A request too
-    /// large for one share goes where it is alone, while it fits into all shares together or nothing is in
-    /// flight. Gateways seldom fill their shares at once: more of them leave less over.
+    /// Whether the memory of this gateway's attempts at the engine stays within its share. A request larger
+    /// than the share is admitted at an engine without background work of this gateway, if it fits into the
+    /// shares of all engines or no background work is in flight. The more gateways there are, the less of the
+    /// memory is kept free, because they rarely fill their shares at the same time.
     fn has_memory(&self, engine: &Engine, memory_mb: f64) -> bool {
         let gateways = f64::from(self.settings.gateways);
         let share_mb = (1.0 - (1.0 - MEMORY_RATIO) / gateways) * engine.memory_mb / gateways;
--- a/src/decisions/class_profile.rs
+++ b/src/decisions/class_profile.rs
@@ -1,44 +1,44 @@
-//! What was learned of a class of requests: its usual work, latency and memory.
+//! Statistics of a class of requests: mean work, latency and memory.
 
 use crate::{Class, LoadReportSource, QueryCost, Settings};
 
-use super::smoothing::{NEWEST_SAMPLE_RATIO, blend};
+use super::smoothing::{SAMPLE_WEIGHT, blend};
 
-/// Mean latency that is assumed before any is measured, in times the class's objective.
+/// Initial mean latency, as a ratio of the class's objective.
 const INITIAL_LATENCY_RATIO: f64 = 0.5;
-/// Times the mean that an estimate of work, or a time for work, counts as at most: clients may claim
-/// anything.
+/// Upper bound of a sample of estimated work or of time for work, as a multiple of the mean. Clients may send
+/// arbitrary estimates.
 const MAX_SAMPLE_RATIO: f64 = 30.0;
-/// How much the lowest time for work may rise with each sample.
+/// Largest factor by which the lowest time for work rises with each sample.
 const LOWEST_RISE_RATIO: f64 = 1.001;
-/// The least mean work that a size is taken against.
+/// Smallest divisor for relative sizes, against division by zero.
 const MIN_MEAN_WORK_SECONDS: f64 = 1e-6;
 
-/// Thread-seconds that attempts take for a second of their estimated work.
+/// Time for work: thread-seconds that attempts take per second of their estimated work.
 #[derive(Clone, Copy)]
 pub(super) struct TimeForWork {
-    /// Running mean; 0 before the first sample.
+    /// Moving average. 0 before the first sample.
     pub(super) mean_ratio: f64,
-    /// The lowest that the mean was.
+    /// Lowest value of the moving average, which rises slowly.
     pub(super) lowest_ratio: f64,
 }
 
-/// Running means of one class.
+/// Moving averages of one class.
 #[derive(Clone)]
 pub(super) struct ClassProfile {
-    /// Whether it is interactive; else its requests are background work.
+    /// Whether the class is interactive. Requests of all other classes are background work.
     pub(super) interactive: bool,
-    /// Memory that its requests need.
+    /// Memory that a request needs.
     pub(super) memory_mb: f64,
-    /// Work of all threads of a request; at first what its objective allows.
+    /// Work of a request, summed over its threads. Initially the work that fits into the objective.
     work_seconds: f64,
-    /// Latency of its attempts.
+    /// Latency of an attempt.
     pub(super) latency_seconds: f64,
     time_for_work: TimeForWork,
 }
 
 impl ClassProfile {
-    /// A class of which nothing is known.
+    /// Creates the profile of a class without statistics.
     pub(super) fn new(class: &Class, settings: &Settings) -> Self {
         let no_reports = settings.capabilities.load_reports == LoadReportSource::None;
         Self {
@@ -53,51 +53,52 @@
         }
     }
 
-    /// Mean work of all threads of a request, in seconds.
+    /// Mean work of a request, summed over its threads.
     pub(super) fn work_seconds(&self) -> f64 {
         self.work_seconds
     }
 
-    /// The work that a warming engine is charged for. Estimates may be wrong: the time taken bounds it.
+    /// Work charged to an engine in slow start. The measured thread-seconds bound it, because estimates may
+    /// be wrong.
     pub(super) fn slow_start_work_seconds(&self, class: &Class) -> f64 {
         self.work_seconds.min(self.latency_seconds * f64::from(class.threads))
     }
 
-    /// Counts the estimate of a new request, in seconds of work; returns its size in times the mean.
+    /// Records the work estimate of a new request, in seconds. Returns its relative size: the ratio of its
+    /// work to the mean.
     pub(super) fn record_estimate(&mut self, estimated_work: Option<f64>) -> f64 {
         let mean = &mut self.work_seconds;
         let work = estimated_work.map_or(*mean, |work| work.min(MAX_SAMPLE_RATIO * *mean));
         let relative_size = work / mean.max(MIN_MEAN_WORK_SECONDS);
-        blend(mean, work, NEWEST_SAMPLE_RATIO);
+        blend(mean, work, SAMPLE_WEIGHT);
         relative_size
     }
 
-    /// Counts an attempt that succeeded.
+    /// Records the latency and cost of a successful attempt.
     pub(super) fn record_success(&mut self, elapsed_seconds: f64, cost: Option<QueryCost>) {
-        blend(&mut self.latency_seconds, elapsed_seconds, NEWEST_SAMPLE_RATIO);
+        blend(&mut self.latency_seconds, elapsed_seconds, SAMPLE_WEIGHT);
         if let Some(cost) = cost {
-            let weight = if self.memory_mb > 0.0 { NEWEST_SAMPLE_RATIO } else { 1.0 };
+            let weight = if self.memory_mb > 0.0 { SAMPLE_WEIGHT } else { 1.0 };
             blend(&mut self.memory_mb, cost.memory_mb, weight);
-            blend(&mut self.work_seconds, cost.work, NEWEST_SAMPLE_RATIO);
+            blend(&mut self.work_seconds, cost.work, SAMPLE_WEIGHT);
         }
     }
 
-    /// Counts the thread-seconds that an attempt takes for a second of its work; returns how many times the
-    /// lowest mean the mean is now.
+    /// Records the thread-seconds that an attempt took per second of its estimated work.
     pub(super) fn record_time_for_work(&mut self, ratio: f64) {
         let TimeForWork { mean_ratio, lowest_ratio } = &mut self.time_for_work;
-        let weight = if *mean_ratio > 0.0 { NEWEST_SAMPLE_RATIO } else { 1.0 };
+        let weight = if *mean_ratio > 0.0 { SAMPLE_WEIGHT } else { 1.0 };
         let sample = ratio.min(MAX_SAMPLE_RATIO * mean_ratio.max(1.0));
         blend(mean_ratio, sample, weight);
         *lowest_ratio = mean_ratio.min(*lowest_ratio * LOWEST_RISE_RATIO);
     }
 
-    /// Mean time for work, and the lowest that it was.
+    /// Mean and lowest time for work.
     pub(super) fn time_for_work(&self) -> TimeForWork {
         self.time_for_work
     }
 
-    /// The lowest mean time for work, in thread-seconds for a second of estimated work.
+    /// Lowest mean time for work, in thread-seconds per second of estimated work.
     pub(super) fn lowest_time_for_work(&self) -> f64 {
         self.time_for_work.lowest_ratio
     }
--- a/src/decisions/classification.rs
+++ b/src/decisions/classification.rs
@@ -1,15 +1,16 @@
-//! Which classes are interactive. All others are background work.
+//! Classification of requests: classes are either interactive or background work.
 
 use crate::{Class, SettingsChange};
 
-/// Interactive classes have an objective of at most this times the shortest among the lightest classes.
+/// Longest objective of an interactive class, as a multiple of the shortest objective of the lightest
+/// classes.
 const OBJECTIVE_RATIO: f64 = 2.0;
-/// A machine counts as having this many cores at least.
+/// Lower bound of the cores of the smallest machine.
 const MIN_CORES: f64 = 2.0;
 
-/// For each class of the settings whether it is interactive, by settings alone: of the active classes that
-/// are no loads, those with the fewest threads whose objective is near the shortest. A class that fills the
-/// smallest machine alone is never interactive.
+/// For each class of the settings, whether it is interactive. Interactive classes are those of the fewest
+/// threads, among the active classes other than loads, whose objective is near the shortest one. A class
+/// whose request can occupy the smallest machine alone is never interactive.
 pub(super) fn interactive_classes(change: &SettingsChange) -> Vec<bool> {
     let (settings, active) = (&change.settings, change.active_classes());
     let smallest_cores = settings.machine_types.iter().map(|kind| kind.cores).fold(f64::INFINITY, f64::min);
--- a/src/decisions/control_tick.rs
+++ b/src/decisions/control_tick.rs
@@ -1,6 +1,7 @@
-//! Control tick: the periodic check of what no event announces.
+//! Control tick: the periodic work that no event triggers.
 //!
-//! Ticks keep to a grid from the first event on, and rest while no request is queued or in flight.
+//! Ticks are aligned to multiples of the interval from the first event on. There are none while no request is
+//! queued or in flight.
 
 use crate::Action;
 
@@ -8,13 +9,13 @@
 
 /// Time between two control ticks.
 const CONTROL_TICK_SECONDS: f64 = 0.05;
-/// Part of a tick by which a timer may fire early and still count as on time.
+/// Ratio of a tick by which a timer may fire early and still count as on time.
 const EARLY_TICK_RATIO: f64 = 1e-3;
 
-/// When control ticks are due.
+/// Schedule of the control ticks.
 #[derive(Default)]
 pub(super) struct Ticks {
-    /// Time of the first event.
+    /// Time of the first event, in seconds.
     pub(super) started_at: Option<f64>,
     /// Whether a timer for the next tick is set.
     scheduled: bool,
@@ -25,15 +26,15 @@
     pub(super) fn on_control_tick(&mut self, now: f64, actions: &mut Vec<Action>) {
         self.ticks.scheduled = false;
         self.close_control_intervals(now);
-        self.latency.update_lightest();
+        self.latency.update_baseline();
         self.record_queries_in_flight();
         self.update_fleet(now);
         self.supervise_attempts(now, actions);
-        self.key_queues.forget_idle(now);
+        self.key_queues.remove_idle(now);
         self.shed_overdue(now, actions);
     }
 
-    /// Sets the timer of the next tick, where one is needed and none is set.
+    /// Sets the timer of the next tick, if a tick is needed and no timer is set.
     pub(super) fn schedule_control_tick(&mut self, now: f64, actions: &mut Vec<Action>) {
         let idle = self.requests.is_empty() && self.attempts.is_empty();
         if self.ticks.scheduled || idle {
@@ -46,7 +47,7 @@
         actions.push(Action::SetTimer { delay: next - now, token: CONTROL_TICK_TOKEN, request: None });
     }
 
-    /// Takes the mean threads and memory of the queries in flight into the load estimate.
+    /// Passes the mean threads and memory of the queries in flight to the load estimate.
     fn record_queries_in_flight(&mut self) {
         if self.attempts.is_empty() {
             return;
--- a/src/decisions/endpoint_list.rs
+++ b/src/decisions/endpoint_list.rs
@@ -1,5 +1,5 @@
-//! Changes of the endpoint list: which engines there are, and what is known of one that is new or has
-//! restarted.
+//! Updates of the endpoint list: adds, changes and removes engines, and sets the initial state of engines
+//! that are new or have restarted.
 
 use crate::{Action, EndpointEntry, EndpointListMode, EndpointState, MachineType};
 
@@ -9,14 +9,13 @@
 use super::relative_latency::RelativeLatency;
 use super::{POLL_LIST_TOKEN, WorkloadManager, unit_interval};
 
-/// Time after which a failed poll of the list is repeated: a discovery service that rejects calls has too
-/// many.
+/// Delay before a failed poll of the list is retried. The discovery service may be overloaded.
 const POLL_AGAIN_SECONDS: f64 = 1.0;
-/// Least factor on the backoffs of an engine; the greatest is one more.
+/// Lower bound of the random factor on an engine's backoffs. The upper bound is greater by 1.
 const MIN_BACKOFF_RATIO: f64 = 0.5;
 
 impl WorkloadManager {
-    /// Takes a watch event of the endpoint list.
+    /// Handles a watch event of the endpoint list.
     pub(super) fn on_endpoint_list(
         &mut self,
         now: f64,
@@ -43,15 +42,15 @@
         self.update_fleet(now);
     }
 
-    /// Adds an engine that is new or has restarted. Attempts in flight to its earlier incarnation still
-    /// count.
+    /// Adds an engine that is new or has restarted. Attempts in flight to its earlier incarnation stay in its
+    /// sums.
     fn add_engine(&mut self, now: f64, entry: &EndpointEntry) {
         let MachineType { cores, memory_mb } = self.settings.machine_type(entry.machine_type);
         let backoff_ratio = MIN_BACKOFF_RATIO + unit_interval(self.next_draw());
         let mut engine = Engine {
             entry: entry.clone(),
             limit: ConcurrencyLimit::new(now, cores, &self.controller_terms()),
-            health: EngineHealth::unproven(now, backoff_ratio),
+            health: EngineHealth::new(now, backoff_ratio),
             memory_mb,
             relative_latency: RelativeLatency::new(now),
             rank: self.draw_rank(entry.zone),
@@ -62,7 +61,7 @@
             engine.background_threads = earlier.background_threads;
             engine.needed_memory_mb = earlier.needed_memory_mb;
             engine.rank = earlier.rank;
-            engine.health.follow(&earlier.health);
+            engine.health.start_epoch_after(&earlier.health);
         }
         self.engines.insert(entry.engine, engine);
     }
--- a/src/decisions/engine.rs
+++ b/src/decisions/engine.rs
@@ -1,4 +1,4 @@
-//! What one gateway knows of one engine.
+//! State that the gateway keeps for each engine.
 
 use crate::{EndpointEntry, EndpointState};
 
@@ -10,31 +10,31 @@
 use super::smoothing::TimedValue;
 use super::supervision::StalledRatio;
 
-/// An engine of the endpoint list, or one that has left it with attempts in flight.
+/// An engine of the endpoint list, or one that was removed from it with attempts in flight.
 #[derive(Default)]
 pub(super) struct Engine {
     pub(super) entry: EndpointEntry,
     pub(super) limit: ConcurrencyLimit,
     pub(super) health: EngineHealth,
-    /// Threads of this gateway's attempts in flight: all, and those of background work.
+    /// Threads of this gateway's attempts in flight: the total, and the part of background work.
     pub(super) threads: f64,
     pub(super) background_threads: f64,
-    /// Its own memory, and what this gateway's attempts need of it by their estimates.
+    /// Memory of the engine, and the estimated memory of this gateway's attempts in flight.
     pub(super) memory_mb: f64,
     pub(super) needed_memory_mb: f64,
-    /// The last estimate of its utilization.
+    /// Last estimate of the engine's utilization.
     pub(super) utilization: Option<TimedValue>,
     pub(super) relative_latency: RelativeLatency,
     pub(super) stalled: StalledRatio,
-    /// Place in this gateway's own random order of engines.
+    /// Position in this gateway's random order of engines.
     pub(super) rank: u32,
-    /// Whether it is in the active subset.
+    /// Whether the engine is in the active subset.
     pub(super) active: bool,
     pub(super) slow_start: SlowStartBudget,
 }
 
 impl Engine {
-    /// Cores of the engine.
+    /// Number of the engine's cores.
     pub(super) fn cores(&self) -> f64 {
         self.limit.cores
     }
@@ -44,12 +44,12 @@
         self.threads - self.background_threads
     }
 
-    /// Whether it may be sent anything: the list has it as ready, and its health admits an attempt.
+    /// Whether the engine may get attempts: it is listed as ready, and its health admits another attempt.
     pub(super) fn is_available(&self, now: f64) -> bool {
         self.entry.state == EndpointState::Ready && self.health.admits(now)
     }
 
-    /// Counts an attempt that is sent.
+    /// Adds an attempt that is sent to the sums.
     pub(super) fn add_attempt(&mut self, threads: u32, needed_memory_mb: f64, profile: &ClassProfile) {
         let threads = f64::from(threads);
         self.needed_memory_mb += needed_memory_mb;
@@ -62,7 +62,7 @@
         self.health.attempt_started();
     }
 
-    /// Takes out an attempt that has ended. It is background work if it was that when it was sent.
+    /// Removes an attempt that has ended from the sums. `interactive` is the value at the time of sending.
     pub(super) fn remove_attempt(&mut self, threads: f64, needed_memory_mb: f64, interactive: bool) {
         self.threads -= threads;
         self.needed_memory_mb -= needed_memory_mb;
--- a/src/decisions/explain.rs
+++ b/src/decisions/explain.rs
@@ -1,4 +1,5 @@
-//! Why a queued request is shed, for the log at debug. Nothing here decides anything.
+//! Debug log of shed requests: the rule, the guards that kept the request from engines, and the inputs of the
+//! guards. The log has no effect on decisions.
 
 use std::fmt;
 
@@ -10,8 +11,8 @@
 use super::request_path::PendingRequest;
 use super::shedding::SheddingRule;
 
-/// Logs by which rule a request is shed now, and what kept it from all engines; costs nothing where debug
-/// lines are not wanted.
+/// Logs the rule by which a request is shed, and the guards that kept it from engines. Does no work unless
+/// the debug level is enabled.
 pub(super) fn log_shed_request(manager: &WorkloadManager, id: RequestId, rule: SheddingRule, now: f64) {
     if !tracing::enabled!(tracing::Level::DEBUG) {
         return;
@@ -22,16 +23,16 @@
     tracing::debug!(request = id.0, class, %rule, %why, "queued request shed");
 }
 
-/// Engines by the first guard that keeps the request from them.
+/// Numbers of engines by the first guard that rejects the request.
 #[derive(Default)]
 struct EngineCounts {
-    /// For each guard, in order, the engines that it is the first to close.
+    /// For each guard, in order, the number of engines where it is the first to reject the request.
     closed: [u32; EngineGuard::ALL.len()],
-    /// Engines that would take the request.
+    /// Number of engines that would admit the request.
     open: u32,
 }
 
-/// How many engines each guard kept the request from, and the figures that guards go by.
+/// Writes the number of engines at which each guard rejects the request, and the inputs of the guards.
 struct Explanation<'a> {
     manager: &'a WorkloadManager,
     pending: &'a PendingRequest,
@@ -52,13 +53,13 @@
         counts
     }
 
-    /// What keeps the request where no guard of an engine does.
+    /// Name of the reason why a request stays queued although an engine admits it.
     fn no_guard(&self) -> &'static str {
-        let has_turn = self.manager.key_queues.has_turn(&self.pending.request, self.now);
-        if has_turn { "no_guard" } else { "order_key" }
+        let may_start = self.manager.key_queues.may_start(&self.pending.request, self.now);
+        if may_start { "no_guard" } else { "order_key" }
     }
 
-    fn write_figures(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+    fn write_values(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let (manager, pending) = (self.manager, self.pending);
         let queued_seconds = self.now - pending.arrived_at;
         write!(f, " queued_seconds={queued_seconds:.2} relative_size={:.2}", pending.relative_size)?;
@@ -81,17 +82,17 @@
 }
 
 impl fmt::Display for Explanation<'_> {
-    /// The guard that closes most engines; if an engine is open, `order_key` where the request's key has no
-    /// turn, else `no_guard`. Then all figures.
+    /// Begins with the guard that rejects the request at most engines. If an engine admits the request, the
+    /// text begins with `order_key` if the order of its key holds the request back, else with `no_guard`.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let EngineCounts { closed, open } = self.count_engines();
-        let most = (0..closed.len()).max_by_key(|at| (closed[*at], closed.len() - at));
+        let largest = (0..closed.len()).max_by_key(|at| (closed[*at], closed.len() - at));
         let first =
-            if open > 0 { self.no_guard() } else { most.map_or("none", |at| EngineGuard::ALL[at].name()) };
+            if open > 0 { self.no_guard() } else { largest.map_or("none", |at| EngineGuard::ALL[at].name()) };
         write!(f, "{first} open={open}")?;
         for (guard, engines) in EngineGuard::ALL.iter().zip(closed).filter(|(_, engines)| *engines > 0) {
             write!(f, " {}={engines}", guard.name())?;
         }
-        self.write_figures(f)
+        self.write_values(f)
     }
 }
--- a/src/decisions/fleet.rs
+++ b/src/decisions/fleet.rs
@@ -1,4 +1,4 @@
-//! Sums over all engines: what they have for this gateway, and what it uses.
+//! Sums over all engines: the capacity available to this gateway, and its use.
 
 use crate::EndpointState;
 
@@ -6,24 +6,24 @@
 use super::engine::Engine;
 use super::slow_start::usable_memory_ratio;
 
-/// Sums over engines. Capacity counts engines that may be sent to, each by its warmth.
+/// Sums over engines. Capacity covers available engines, each scaled by its slow-start ratio.
 #[derive(Default)]
 pub(super) struct Fleet {
-    /// Cores of the engines.
+    /// Number of cores of the engines, not divided by gateways.
     pub(super) cores: f64,
-    /// This gateway's share of their memory.
+    /// This gateway's share of the engines' memory.
     pub(super) memory_mb: f64,
-    /// Threads of this gateway's attempts in flight: all, and those of background work.
+    /// Threads of this gateway's attempts in flight: the total, and the part of background work.
     pub(super) threads: f64,
     pub(super) background_threads: f64,
-    /// Memory that its attempts in flight need by their estimates.
+    /// Estimated memory of this gateway's attempts in flight.
     pub(super) needed_memory_mb: f64,
-    /// Mean relative latency of the engines.
+    /// Mean relative latency of the engines. 1 if there are none.
     pub(super) mean_relative_latency: f64,
 }
 
 impl Fleet {
-    /// Nothing is known of any engine.
+    /// Sums without any engine.
     pub(super) fn new() -> Self {
         Self { mean_relative_latency: 1.0, ..Self::default() }
     }
@@ -33,7 +33,7 @@
         self.threads - self.background_threads
     }
 
-    /// Counts an attempt that is sent.
+    /// Adds an attempt that is sent to the sums.
     pub(super) fn add_attempt(&mut self, threads: u32, needed_memory_mb: f64, interactive: bool) {
         let threads = f64::from(threads);
         self.needed_memory_mb += needed_memory_mb;
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Takes out an attempt that has ended. It is background work if it was that when it was sent.
+    /// Removes an attempt that has ended from the sums. `interactive` is the value at the time of sending.
     pub(super) fn remove_attempt(&mut self, threads: f64, needed_memory_mb: f64, interactive: bool) {
         self.needed_memory_mb -= needed_memory_mb;
         self.threads -= threads;
@@ -54,8 +54,8 @@
 }
 
 impl WorkloadManager {
-    /// Brings sums and the active subset up to date, and forgets engines that have left with no attempt in
-    /// flight. Called at each change of the endpoint list and once a control tick.
+    /// Updates the sums and the active subset, and drops removed engines without attempts in flight. Called
+    /// at each change of the endpoint list and once per control tick.
     pub(super) fn update_fleet(&mut self, now: f64) {
         self.engines.retain(|_, engine| engine.entry.state != EndpointState::Removed || engine.threads > 0.0);
         let latencies: f64 = self.engines.values().map(|engine| engine.relative_latency.ratio(now)).sum();
@@ -69,21 +69,21 @@
         let rules = &self.settings.rules;
         let gateways = f64::from(self.settings.gateways);
         let mean_relative_latency = self.fleet.mean_relative_latency;
-        // A slow engine counts for as much less of its limit.
+        // The limit of a slow engine is divided by its slowness.
         let limit = |engine: &Engine| {
             let slowness = (engine.relative_latency.ratio(now) / mean_relative_latency).max(1.0);
-            engine.limit.threads * engine.warmth_ratio(now, rules) / slowness
+            engine.limit.threads * engine.warm_up_ratio(now, rules) / slowness
         };
-        let cores = |engine: &Engine| engine.cores() * engine.warmth_ratio(now, rules);
+        let cores = |engine: &Engine| engine.cores() * engine.warm_up_ratio(now, rules);
         let memory = |engine: &Engine| {
-            engine.memory_mb * usable_memory_ratio(engine.warmth_ratio(now, rules), rules) / gateways
+            engine.memory_mb * usable_memory_ratio(engine.warm_up_ratio(now, rules), rules) / gateways
         };
         self.tokens.rate_threads = self.sum_available(now, limit);
         self.fleet.cores = self.sum_available(now, cores);
         self.fleet.memory_mb = self.sum_available(now, memory);
     }
 
-    fn sum_available(&self, now: f64, figure: impl Fn(&Engine) -> f64) -> f64 {
-        self.engines.values().filter(|engine| engine.is_available(now)).map(figure).sum()
+    fn sum_available(&self, now: f64, value: impl Fn(&Engine) -> f64) -> f64 {
+        self.engines.values().filter(|engine| engine.is_available(now)).map(value).sum()
     }
 }
--- a/src/decisions/mod.rs
+++ b/src/decisions/mod.rs
@@ -1,33 +1,32 @@
-//! The decisions of one gateway: what is admitted, which engine gets it, when it is retried and when it is
-//! rejected.
+//! The decisions of one gateway: admission of requests, selection of engines, retries and load shedding.
 //!
-//! [`WorkloadManager`] takes events and returns actions; it knows no I/O and no clock. The same settings,
-//! seed and events give the same actions. The ordinary way of a request is in `request_path`; each rule on
-//! that way has a module:
+//! [`WorkloadManager`] takes events and returns actions. It does no I/O and reads no clock: the same
+//! settings, seed and events give the same actions. `request_path` follows a request from its arrival to its
+//! final answer. The other modules implement one rule each:
 //!
-//! | question | module |
+//! | subject | module |
 //! | --- | --- |
-//! | Which classes are interactive? | `classification` |
-//! | What is usual for a class? | `class_profile` |
-//! | How much background work may an engine have? | `concurrency_limit`, by `interactive_latency` |
-//! | And all engines together, over time? | `token_bucket` |
-//! | How utilized is an engine? | `load_estimate` |
-//! | How slow is it? | `relative_latency` |
-//! | Is it at fault? | `outlier` |
-//! | Is it warming up? | `slow_start` |
-//! | Which engines are preferred? | `active_subset` |
-//! | Which requests leave the queue first? | `request_path`, `release` |
-//! | May a request go to an engine? | `admission` |
-//! | Which of those engines gets it? | `selection` |
-//! | Whose turn is it among requests of a key? | `order_by_key` |
-//! | Does an attempt lack progress reports, or is it stalled? | `supervision` |
-//! | What does an attempt's end tell? | `outcome` |
-//! | May another attempt follow? | `retry` |
-//! | When is a request given up, and with which answer? | `shedding` |
-//! | What happens without an event? | `control_tick` |
+//! | Interactive classes and background work | `classification` |
+//! | Mean work, latency and memory of a class | `class_profile` |
+//! | Limit on background work at an engine | `concurrency_limit`, by `interactive_latency` |
+//! | Limit on background work at all engines, over time | `token_bucket` |
+//! | Utilization of an engine | `load_estimate` |
+//! | Relative slowness of an engine | `relative_latency` |
+//! | Faults and ejection of an engine | `outlier` |
+//! | Capacity of an engine after its start | `slow_start` |
+//! | Preferred engines | `active_subset` |
+//! | Order in which requests leave the queue | `request_path`, `release` |
+//! | Engines that a request may be sent to | `admission` |
+//! | Choice among these engines | `selection` |
+//! | Order of requests with the same key | `order_by_key` |
+//! | Attempts that stall or lack progress reports | `supervision` |
+//! | Statistics taken from the end of an attempt | `outcome` |
+//! | Retries and their budget | `retry` |
+//! | Requests that are given up, and their answers | `shedding` |
+//! | Periodic work | `control_tick` |
 //!
-//! Times and durations are seconds as `f64`. What departs from the thesis on which the concurrency limit
-//! rests is listed in `docs/design.md`.
+//! Times and durations are in seconds as `f64`. `docs/design.md` lists the differences from the thesis that
+//! the concurrency limit is based on.
 
 mod active_subset;
 mod admission;
@@ -80,31 +79,31 @@
 use supervision::{Attempt, AttemptId};
 use token_bucket::TokenBucket;
 
-/// Tokens of timers. All others are deadlines of requests; see [`deadline_token`].
+/// Reserved timer tokens. All others stand for deadlines of requests, see [`deadline_token`].
 const CONTROL_TICK_TOKEN: u64 = 0;
 const POLL_LIST_TOKEN: u64 = u64::MAX;
 
-/// The token of the timer at a request's deadline.
+/// Token of the timer at a request's deadline.
 fn deadline_token(request: RequestId) -> u64 {
     request.0 + 1
 }
 
-/// The request whose deadline a timer's token stands for.
+/// Request whose deadline a timer's token stands for. Inverse of [`deadline_token`].
 fn request_of_token(token: u64) -> RequestId {
     RequestId(token - 1)
 }
 
-/// A random draw as a number from 0 to 1.
+/// Maps a random draw to the range from 0 to 1.
 fn unit_interval(draw: u32) -> f64 {
     f64::from(draw) / f64::from(u32::MAX)
 }
 
-/// The decisions of one gateway. Feed it events with [`WorkloadManager::on_event`] and carry out its
+/// The decisions of one gateway. Pass each event to [`WorkloadManager::on_event`] and carry out the returned
 /// actions in order.
 pub struct WorkloadManager {
     settings: Settings,
     rng: Pcg32,
-    /// One for each class of the settings.
+    /// Statistics of the classes, in the order of the settings.
     profiles: Vec<ClassProfile>,
     latency: InteractiveLatency,
     load: LoadEstimate,
@@ -115,17 +114,17 @@
     requests: BTreeMap<RequestId, PendingRequest>,
     attempts: BTreeMap<AttemptId, Attempt>,
     queue: Queue,
-    /// Requests that have arrived.
+    /// Number of requests that have arrived.
     arrivals: u64,
     key_queues: KeyQueues,
     retry_history: RetryHistory,
 }
 
 impl WorkloadManager {
-    /// A gateway that has just started and knows nothing but its settings.
+    /// Creates the workload manager of a gateway that has just started.
     ///
     /// # Errors
-    /// Settings that no gateway could act on.
+    /// The settings are invalid, see [`Settings::check`].
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         let origins = vec![ClassOrigin::New; settings.classes.len()];
         let mut manager = Self {
@@ -150,14 +149,14 @@
         Ok(manager)
     }
 
-    /// Takes over other settings between two events. What was learned stays, as do the classes of requests.
+    /// Applies new settings between two events. Statistics are kept, and so are the classes of requests.
     ///
     /// # Errors
-    /// Settings that no gateway could act on: the old ones stay.
+    /// The new settings are invalid, see [`SettingsChange::check`]. The old ones stay in force.
     pub fn reconfigure(&mut self, change: SettingsChange) -> Result<(), SettingsError> {
         change.check(self.profiles.len())?;
         let old_terms = self.controller_terms();
-        self.profiles = self.profiles_after(&change);
+        self.profiles = self.profiles_for(&change);
         self.settings = change.settings;
         let classes = self.settings.classes.iter().zip(&self.profiles);
         let interactive = classes.filter(|(_, profile)| profile.interactive);
@@ -173,7 +172,7 @@
         Ok(())
     }
 
-    /// Takes one event at the time `now`, in seconds; what is to be done about it is added to `actions`.
+    /// Handles an event at the time `now`, in seconds, and appends the resulting actions to `actions`.
     pub fn on_event(&mut self, now: f64, event: &Event, actions: &mut Vec<Action>) {
         self.start_at_first_event(now, actions);
         self.tokens.refill(now, self.load.mean_utilization);
@@ -187,7 +186,7 @@
             Event::EndpointList { mode, entries } => self.on_endpoint_list(now, *mode, entries, actions),
             Event::RequestArrived(request) => self.on_request_arrived(now, request, actions),
             Event::AttemptEnded { .. } => {
-                if let Some(end) = AttemptEnd::of(event) {
+                if let Some(end) = AttemptEnd::from_event(event) {
                     self.on_attempt_ended(now, &end, actions);
                 }
             }
@@ -202,7 +201,7 @@
             Event::HealthChecked { engine, load_report, .. } => {
                 self.on_load_report(now, *engine, load_report.as_ref());
             }
-            Event::RequestAborted(id) => self.forget_request(*id, actions),
+            Event::RequestAborted(id) => self.remove_request(*id, actions),
             Event::Timer(CONTROL_TICK_TOKEN) => self.on_control_tick(now, actions),
             Event::Timer(POLL_LIST_TOKEN) => actions.push(Action::WatchEndpointList),
             Event::Timer(token) => self.give_up(request_of_token(*token), false, actions),
@@ -210,7 +209,7 @@
         }
     }
 
-    /// At the first event the endpoint list is asked for, where it has to be.
+    /// Records the time of the first event, and polls the endpoint list if the deployment requires that.
     fn start_at_first_event(&mut self, now: f64, actions: &mut Vec<Action>) {
         if self.ticks.started_at.is_none() {
             self.ticks.started_at = Some(now);
@@ -220,9 +219,9 @@
         }
     }
 
-    /// The profiles of the classes of other settings: what was learned of a class goes to the one that
-    /// follows it.
-    fn profiles_after(&self, change: &SettingsChange) -> Vec<ClassProfile> {
+    /// Profiles for the classes of new settings. A class takes over the statistics of the class that it
+    /// originates from.
+    fn profiles_for(&self, change: &SettingsChange) -> Vec<ClassProfile> {
         let interactive = interactive_classes(change);
         let classes = change.settings.classes.iter().zip(&change.origins).zip(interactive);
         let profile = |(at, ((class, origin), interactive)): (usize, ((&Class, &ClassOrigin), bool))| {
@@ -242,18 +241,18 @@
         self.rng.next_u32()
     }
 
-    /// How many engines are remembered.
+    /// Number of engines in the list, or removed from it with attempts in flight.
     pub fn engines_known(&self) -> usize {
         self.engines.len()
     }
 
-    /// Keys with a request queued or in flight, or cooling down as of the last control tick.
+    /// Number of order keys with a request queued or in flight, or in cooldown as of the last control tick.
     pub fn keys_in_use(&self) -> usize {
         self.key_queues.len()
     }
 
-    /// How many engines of the list get nothing new at the time `now`, in seconds: they drain, are ejected,
-    /// or rest as they are full.
+    /// Number of listed engines that get no new attempts at the time `now`, in seconds, because they are
+    /// draining, ejected, or backed off after a rejection.
     pub fn engines_avoided(&self, now: f64) -> usize {
         let is_avoided = |engine: &&Engine| match engine.entry.state {
             EndpointState::Ready => engine.health.is_paused(now),
--- a/src/decisions/order_by_key.rs
+++ b/src/decisions/order_by_key.rs
@@ -1,18 +1,18 @@
-//! Order by key: requests of one key run one at a time, in order of arrival.
+//! Order by key: requests with the same order key run one at a time, in order of arrival.
 //!
-//! After an attempt that may still run the key cools down before its next request.
+//! After an attempt that may still run, a cooldown delays the key's next request.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::{KeyId, Request, RequestId};
 
-/// Holds back a key until a time in seconds, but for the request whose attempt may still run.
+/// Holds back the requests of a key until a time in seconds, except the request whose attempt may still run.
 struct Cooldown {
     until: f64,
     caused_by: RequestId,
 }
 
-/// The requests of one key.
+/// Requests of one key, in order of arrival.
 #[derive(Default)]
 struct KeyQueue {
     order: VecDeque<RequestId>,
@@ -21,22 +21,22 @@
 }
 
 impl KeyQueue {
-    fn cools_down(&self, now: f64) -> bool {
+    fn is_cooling_down(&self, now: f64) -> bool {
         self.cooldown.as_ref().is_some_and(|cooldown| now < cooldown.until)
     }
 
-    fn cools_down_for(&self, request: RequestId, now: f64) -> bool {
+    fn is_cooling_down_for(&self, request: RequestId, now: f64) -> bool {
         let holds_back = |cooldown: &Cooldown| cooldown.caused_by != request && now < cooldown.until;
         self.cooldown.as_ref().is_some_and(holds_back)
     }
 }
 
-/// The queues of all keys in use.
+/// Queues of all keys in use.
 #[derive(Default)]
 pub(super) struct KeyQueues(BTreeMap<KeyId, KeyQueue>);
 
 impl KeyQueues {
-    /// Keys with a request queued or in flight, or cooling down as of the last control tick.
+    /// Number of keys with a request queued or in flight, or in cooldown as of the last control tick.
     pub(super) fn len(&self) -> usize {
         self.0.len()
     }
@@ -48,22 +48,22 @@
         }
     }
 
-    /// Takes out a request that is over.
+    /// Removes a request that has ended.
     pub(super) fn remove(&mut self, request: &Request) {
-        if let Some(queue) = self.of(request) {
+        if let Some(queue) = self.queue_of(request) {
             queue.order.retain(|id| *id != request.id);
         }
     }
 
     pub(super) fn attempt_started(&mut self, request: &Request) {
-        if let Some(queue) = self.of(request) {
+        if let Some(queue) = self.queue_of(request) {
             queue.attempts_in_flight += 1;
         }
     }
 
-    /// Counts an attempt that has ended; the key cools down until the given time, if there is one.
+    /// Records the end of an attempt, and starts a cooldown of its key until the given time, if there is one.
     pub(super) fn attempt_ended(&mut self, request: &Request, cooldown_until: Option<f64>) {
-        if let Some(queue) = self.of(request) {
+        if let Some(queue) = self.queue_of(request) {
             queue.attempts_in_flight -= 1;
             if let Some(until) = cooldown_until {
                 queue.cooldown = Some(Cooldown { until, caused_by: request.id });
@@ -71,31 +71,32 @@
         }
     }
 
-    /// Moves the end of a key's cooldown, now that the end of the attempt behind it is known.
+    /// Sets the end of a key's cooldown once the end of the attempt that caused it is known.
     pub(super) fn set_cooldown_end(&mut self, key: KeyId, until: f64) {
         if let Some(cooldown) = self.0.get_mut(&key).and_then(|queue| queue.cooldown.as_mut()) {
             cooldown.until = until;
         }
     }
 
-    /// Whether a request is first of its key, and no attempt of the key is in flight or may still run.
-    pub(super) fn has_turn(&self, request: &Request, now: f64) -> bool {
+    /// Whether a request may be sent: it is the first of its key, no attempt of the key is in flight, and no
+    /// cooldown holds it back. A request without key may always be sent.
+    pub(super) fn may_start(&self, request: &Request, now: f64) -> bool {
         let queue = request.key.and_then(|key| self.0.get(&key));
         queue.is_none_or(|queue| {
             queue.order.front() == Some(&request.id)
                 && queue.attempts_in_flight == 0
-                && !queue.cools_down_for(request.id, now)
+                && !queue.is_cooling_down_for(request.id, now)
         })
     }
 
-    /// Forgets keys that hold back no request.
-    pub(super) fn forget_idle(&mut self, now: f64) {
+    /// Removes keys without queued requests, attempts in flight and cooldown.
+    pub(super) fn remove_idle(&mut self, now: f64) {
         self.0.retain(|_, queue| {
-            !queue.order.is_empty() || queue.attempts_in_flight > 0 || queue.cools_down(now)
+            !queue.order.is_empty() || queue.attempts_in_flight > 0 || queue.is_cooling_down(now)
         });
     }
 
-    fn of(&mut self, request: &Request) -> Option<&mut KeyQueue> {
+    fn queue_of(&mut self, request: &Request) -> Option<&mut KeyQueue> {
         request.key.and_then(|key| self.0.get_mut(&key))
     }
 }
--- a/src/decisions/outcome.rs
+++ b/src/decisions/outcome.rs
@@ -1,4 +1,5 @@
-//! What the end of an attempt tells: of its engine, of its class, and of the latency that the limits go by.
+//! Updates at the end of an attempt: statistics of its engine and class, and the latency that controls the
+//! limits.
 
 use crate::{EngineId, Event, LoadReport, Outcome, QueryCost};
 
@@ -9,7 +10,7 @@
 use super::outlier::log_health_change;
 use super::supervision::{Attempt, AttemptId};
 
-/// How an attempt ended, as [`Event::AttemptEnded`] has it.
+/// The fields of [`Event::AttemptEnded`].
 pub(super) struct AttemptEnd {
     pub(super) id: AttemptId,
     pub(super) engine: EngineId,
@@ -22,8 +23,8 @@
 }
 
 impl AttemptEnd {
-    /// The end of an attempt; none if the event is another one.
-    pub(super) fn of(event: &Event) -> Option<Self> {
+    /// Reads the fields of the event. `None` for all other events.
+    pub(super) fn from_event(event: &Event) -> Option<Self> {
         let &Event::AttemptEnded {
             request,
             attempt: number,
@@ -52,10 +53,10 @@
 }
 
 impl WorkloadManager {
-    /// Takes the attempt out of all sums and learns from its outcome.
+    /// Removes the attempt from all sums and records its outcome.
     pub(super) fn record_outcome(&mut self, now: f64, attempt: &Attempt, end: &AttemptEnd) {
         self.record_time_for_work(now, attempt, end);
-        // The terms are those of before the attempt's latency is counted.
+        // The terms are read before the attempt's latency is recorded.
         let terms = self.controller_terms();
         self.remove_from_sums(attempt, end);
         self.record_latency_and_cost(now, attempt, end);
@@ -75,8 +76,8 @@
         }
     }
 
-    /// Takes the attempt out of its engine's sums and the fleet's, and charges the token bucket for the time
-    /// that it was not charged for before.
+    /// Removes the attempt from the sums of its engine and of the fleet, and settles its charge to the token
+    /// bucket by the time taken.
     fn remove_from_sums(&mut self, attempt: &Attempt, end: &AttemptEnd) {
         let threads = self.threads_of(attempt);
         let Some(engine) = self.engines.get_mut(&attempt.engine) else { return };
@@ -105,16 +106,16 @@
         let change = engine.health.attempt_ended(now, attempt.health_epoch, end.outcome);
         log_health_change(attempt.engine, change);
         if end.outcome == Outcome::Rejected {
-            engine.record_rejecting(now);
+            engine.record_full(now);
         }
     }
 
-    /// Threads that the attempt runs on.
+    /// Number of threads that the attempt runs on.
     fn threads_of(&self, attempt: &Attempt) -> f64 {
         f64::from(self.settings.classes[attempt.request.class.0].threads)
     }
 
-    /// Closes the control intervals that are over.
+    /// Closes the control intervals that have ended.
     pub(super) fn close_control_intervals(&mut self, now: f64) {
         let terms = self.controller_terms();
         for engine in self.engines.values_mut() {
@@ -124,8 +125,9 @@
     }
 }
 
-/// Counts the attempt's latency. One that was given up counts as one that took so long: else only the lucky
-/// are seen. One that stalled does not show how full its engine is.
+/// Records the attempt's latency. An attempt that timed out or was cancelled is recorded with its elapsed
+/// time, because successes alone would bias the mean. A stalled attempt is not recorded, because its latency
+/// does not depend on the load.
 fn record_latency(
     now: f64,
     engine: &mut Engine,
@@ -144,8 +146,8 @@
     }
     engine.relative_latency.record(now, end.elapsed_seconds, profile.latency_seconds, cut_short);
     if attempt.interactive {
-        let least = if cut_short { interactive_latency.mean_seconds } else { 0.0 };
-        let latency = end.elapsed_seconds.max(least);
+        let min_latency = if cut_short { interactive_latency.mean_seconds } else { 0.0 };
+        let latency = end.elapsed_seconds.max(min_latency);
         engine.limit.record_completion(latency);
         interactive_latency.record(now, latency);
     }
--- a/src/decisions/outlier.rs
+++ b/src/decisions/outlier.rs
@@ -1,9 +1,9 @@
-//! Outlier detection and ejection: engines that err or are silent get nothing for a backoff time.
+//! Outlier detection and ejection: engines that fail or do not respond get no attempts for a backoff time.
 //!
-//! Faults add up by their weights; at one in all the engine is ejected. After the backoff it recovers over
-//! a ramp: one attempt in flight, then twice as many after each success. An engine that is merely slow is
-//! not ejected; see `relative_latency`. An engine that rejects attempts is full, not at fault: it rests for
-//! a moment without a ramp.
+//! An engine is ejected when the weighted sum of its faults reaches 1. After the backoff, a recovery ramp
+//! limits it to one attempt in flight, and doubles the limit with each success. A slow engine is not ejected,
+//! see `relative_latency`. An engine that rejects attempts is full rather than faulty: it gets a short
+//! backoff without a ramp.
 
 use crate::{EngineId, Outcome};
 
@@ -12,36 +12,36 @@
 /// First and longest backoff of an ejection.
 const MIN_EJECTION_SECONDS: f64 = 1.0;
 const MAX_EJECTION_SECONDS: f64 = 8.0;
-/// First and longest rest of an engine that rejected an attempt.
-const MIN_REJECTION_REST_SECONDS: f64 = 0.25;
-const MAX_REJECTION_REST_SECONDS: f64 = 8.0;
-/// Each backoff, rest and step of the recovery ramp is so many times the one before.
+/// First and longest backoff after a rejected attempt.
+const MIN_REJECTION_BACKOFF_SECONDS: f64 = 0.25;
+const MAX_REJECTION_BACKOFF_SECONDS: f64 = 8.0;
+/// Growth of each backoff, and of the recovery ramp, from one step to the next.
 const BACKOFF_FACTOR: f64 = 2.0;
 const RAMP_FACTOR: u32 = 2;
-/// What a success leaves of the rest that the next rejection starts from.
-const SUCCESS_REST_RATIO: f64 = 0.5;
+/// Factor applied by a success to the backoff that the next rejection starts from.
+const SUCCESS_BACKOFF_RATIO: f64 = 0.5;
 /// Attempts in flight at which the recovery ramp ends.
 const RECOVERED_ATTEMPTS: u32 = 16;
-/// Attempts in flight to an engine that has not answered yet: the endpoint list may be stale.
-const UNPROVEN_ATTEMPTS: u32 = RECOVERED_ATTEMPTS / 4;
+/// Limit on attempts in flight to an engine that has not answered yet. The endpoint list may be stale.
+const INITIAL_ATTEMPTS: u32 = RECOVERED_ATTEMPTS / 4;
 /// Factor applied to the fault sum by a success.
 const SUCCESS_FAULTS_RATIO: f64 = 0.5;
 
-/// Weighted sum of faults, without unit, at which an engine is ejected; and the weight of each kind of fault.
+/// Weighted sum of faults, without unit, at which an engine is ejected. The constants below weigh each fault.
 const EJECTION_FAULTS: f64 = 1.0;
 pub(super) const SILENCE_FAULTS: f64 = 1.0;
 const CONNECT_FAILED_FAULTS: f64 = 1.0;
 const CONNECTION_LOST_FAULTS: f64 = 0.5;
-/// An error says little until another engine has served the same request.
+/// The request may be the cause of an error, until another engine has served it.
 const ERROR_FAULTS: f64 = 0.03;
 pub(super) const CONFIRMED_ERROR_FAULTS: f64 = 0.5;
 
-/// A change of an engine's health, for the log at debug.
+/// A change of an engine's health, for the debug log.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum HealthChange {
-    /// It gets nothing for so many seconds; a new epoch has begun.
+    /// The engine gets no attempts for the given time, and a new epoch begins.
     Ejected { ejection_seconds: f64, epoch: u32 },
-    /// It has come to the end of the recovery ramp after an ejection.
+    /// The engine has completed the recovery ramp after an ejection.
     Recovered { epoch: u32 },
 }
 
@@ -62,44 +62,43 @@
 pub(super) struct EngineHealth {
     /// Weighted sum of faults.
     faults: f64,
-    /// End of the backoff of an ejection, or of the rest after a rejected attempt.
+    /// End of the backoff after an ejection or a rejected attempt.
     paused_until: f64,
-    rejection_rest_seconds: f64,
+    rejection_backoff_seconds: f64,
     ejection_seconds: f64,
-    /// Most attempts in flight on the recovery ramp; none when well.
+    /// Limit on attempts in flight during the recovery ramp. `None` outside of it.
     ramp_attempts: Option<u32>,
-    /// Counts ejections and restarts. Attempts of an earlier epoch say nothing about the recovery.
+    /// Number of ejections and restarts. Attempts of an earlier epoch do not count for the recovery.
     epoch: u32,
     attempts_of_epoch: u32,
-    /// When the engine last answered or sent progress.
-    pub(super) last_heard_at: f64,
-    /// Factor on backoffs, this gateway's own, so that gateways do not probe in step.
+    /// Time of the engine's last successful answer or progress report.
+    pub(super) last_seen_at: f64,
+    /// Factor on backoffs, drawn by each gateway, so that gateways do not probe the engine at the same time.
     backoff_ratio: f64,
 }
 
 impl EngineHealth {
-    /// An engine that has not answered yet.
-    pub(super) fn unproven(now: f64, backoff_ratio: f64) -> Self {
-        Self { ramp_attempts: Some(UNPROVEN_ATTEMPTS), last_heard_at: now, backoff_ratio, ..Self::default() }
+    /// Health of an engine that has not answered yet.
+    pub(super) fn new(now: f64, backoff_ratio: f64) -> Self {
+        Self { ramp_attempts: Some(INITIAL_ATTEMPTS), last_seen_at: now, backoff_ratio, ..Self::default() }
     }
 
-    /// The epoch that attempts sent now belong to.
+    /// Epoch of attempts that are sent now.
     pub(super) fn epoch(&self) -> u32 {
         self.epoch
     }
 
-    /// Starts a new epoch after that of the engine's earlier incarnation.
-    pub(super) fn follow(&mut self, earlier: &Self) {
+    /// Starts a new epoch after the last one of the engine's earlier incarnation.
+    pub(super) fn start_epoch_after(&mut self, earlier: &Self) {
         self.epoch = earlier.epoch + 1;
     }
 
     /// Whether another attempt may be sent.
     pub(super) fn admits(&self, now: f64) -> bool {
-        !self.is_paused(now) && self.ramp_attempts.is_none_or(|most| self.attempts_of_epoch < most)
+        !self.is_paused(now) && self.ramp_attempts.is_none_or(|limit| self.attempts_of_epoch < limit)
     }
 
-    /// Whether the engine gets nothing new: the backoff of an ejection is running, or the rest after it
-    /// rejected an attempt.
+    /// Whether a backoff is running, after an ejection or a rejected attempt.
     pub(super) fn is_paused(&self, now: f64) -> bool {
         now < self.paused_until
     }
@@ -108,8 +107,7 @@
         self.attempts_of_epoch += 1;
     }
 
-    /// Takes an ended attempt out of its epoch's count, and records what its outcome says of the engine's
-    /// health.
+    /// Removes an ended attempt from the count of its epoch, and updates the engine's health by its outcome.
     pub(super) fn attempt_ended(&mut self, now: f64, epoch: u32, outcome: Outcome) -> Option<HealthChange> {
         let of_this_epoch = epoch == self.epoch;
         self.attempts_of_epoch -= u32::from(of_this_epoch);
@@ -122,12 +120,12 @@
                 self.record_rejection(now);
                 None
             }
-            // A load may have been in the way; an engine that hangs shows as silence.
+            // A load may have delayed the attempt. Supervision detects an engine that hangs.
             Outcome::TimedOut | Outcome::Cancelled | Outcome::NeverSent => None,
         }
     }
 
-    /// Adds a fault; ejects the engine if that makes one in all.
+    /// Adds a fault, and ejects the engine if the sum reaches the threshold.
     pub(super) fn record_fault(&mut self, now: f64, faults: f64) -> Option<HealthChange> {
         self.faults += faults;
         if self.faults < EJECTION_FAULTS || self.is_paused(now) {
@@ -145,39 +143,40 @@
     }
 
     fn record_success(&mut self, now: f64, of_this_epoch: bool) -> Option<HealthChange> {
-        self.last_heard_at = now;
+        self.last_seen_at = now;
         self.faults *= SUCCESS_FAULTS_RATIO;
-        self.rejection_rest_seconds *= SUCCESS_REST_RATIO;
-        let most = self.ramp_attempts.filter(|_| of_this_epoch)?;
-        self.ramp_attempts = (RAMP_FACTOR * most <= RECOVERED_ATTEMPTS).then_some(RAMP_FACTOR * most);
+        self.rejection_backoff_seconds *= SUCCESS_BACKOFF_RATIO;
+        let limit = self.ramp_attempts.filter(|_| of_this_epoch)?;
+        self.ramp_attempts = (RAMP_FACTOR * limit <= RECOVERED_ATTEMPTS).then_some(RAMP_FACTOR * limit);
         if self.ramp_attempts.is_some() {
             return None;
         }
-        // An engine that has not answered before comes to the end of its ramp without an ejection.
+        // A new engine completes its first ramp without having been ejected.
         let was_ejected = self.ejection_seconds > 0.0;
         self.ejection_seconds = 0.0;
         was_ejected.then_some(HealthChange::Recovered { epoch: self.epoch })
     }
 
-    /// An engine that rejects at once has the fewest attempts in flight and would draw all the more.
+    /// Starts a backoff. Without it, an engine that rejects at once would have the fewest attempts in flight,
+    /// and selection would prefer it.
     fn record_rejection(&mut self, now: f64) {
-        self.rejection_rest_seconds = (BACKOFF_FACTOR * self.rejection_rest_seconds)
-            .clamp(MIN_REJECTION_REST_SECONDS, MAX_REJECTION_REST_SECONDS);
-        let rested_at = now + self.rejection_rest_seconds * self.backoff_ratio;
-        self.paused_until = self.paused_until.max(rested_at);
+        self.rejection_backoff_seconds = (BACKOFF_FACTOR * self.rejection_backoff_seconds)
+            .clamp(MIN_REJECTION_BACKOFF_SECONDS, MAX_REJECTION_BACKOFF_SECONDS);
+        let backoff_end = now + self.rejection_backoff_seconds * self.backoff_ratio;
+        self.paused_until = self.paused_until.max(backoff_end);
     }
 }
 
 impl PendingRequest {
-    /// The engine that answered this request with an error before, if that is another one than has answered
-    /// now.
+    /// Records this engine if the outcome is an error. Returns another engine that answered this request with
+    /// an error earlier, if any.
     ///
-    /// An error is the engine's fault where another engine serves the request, and the request's own where
-    /// a second engine errs too.
-    pub(super) fn erred_elsewhere(&mut self, engine: EngineId, outcome: Outcome) -> Option<EngineId> {
+    /// The error is attributed to that engine if this one serves the request, and to the request if this one
+    /// also answers with an error.
+    pub(super) fn error_elsewhere(&mut self, engine: EngineId, outcome: Outcome) -> Option<EngineId> {
         let earlier = match outcome {
-            Outcome::Error => self.erred_at.replace(engine),
-            Outcome::Success => self.erred_at,
+            Outcome::Error => self.error_from.replace(engine),
+            Outcome::Success => self.error_from,
             _ => None,
         };
         earlier.filter(|earlier| *earlier != engine)
--- a/src/decisions/release.rs
+++ b/src/decisions/release.rs
@@ -1,65 +1,65 @@
-//! What one round of releasing queued requests knows, so that engines are not searched for each request anew.
+//! Cache for one pass over the queue, so that requests with the same needs share the search for engines.
 
 use crate::EngineId;
 
 use super::admission::Needs;
 
-/// Requests that admission treats alike but for their memory: those of one class that the token bucket
-/// admits, or not.
+/// Requests that differ only in their memory for admission: those of one class that the token bucket admits,
+/// or those that it does not admit.
 #[derive(Clone, Default)]
-struct Kind {
-    /// Engines that admit them, of the active subset and of the others; none where not searched for yet.
+struct Group {
+    /// Engines that admit the requests, of the active subset and of the others. `None` before the search.
     active: Option<Vec<EngineId>>,
     others: Option<Vec<EngineId>>,
-    /// The least memory for which no engine was found.
+    /// Smallest memory for which no engine was found.
     blocked_mb: f64,
 }
 
-/// One round over the queue.
+/// One pass over the queue.
 pub(super) struct Release {
-    kinds: Vec<Kind>,
+    groups: Vec<Group>,
 }
 
 impl Release {
     pub(super) fn new(classes: usize) -> Self {
-        Self { kinds: vec![Kind { blocked_mb: f64::INFINITY, ..Kind::default() }; 2 * classes] }
+        Self { groups: vec![Group { blocked_mb: f64::INFINITY, ..Group::default() }; 2 * classes] }
     }
 
-    fn kind(&mut self, needs: &Needs) -> &mut Kind {
-        &mut self.kinds[kind_index(needs)]
+    fn group(&mut self, needs: &Needs) -> &mut Group {
+        &mut self.groups[group_index(needs)]
     }
 
-    /// Whether one that needs no more has found no engine.
+    /// Whether no engine was found for a request of the same group with at most this memory.
     pub(super) fn is_blocked(&self, needs: &Needs) -> bool {
-        needs.memory_mb >= self.kinds[kind_index(needs)].blocked_mb
+        needs.memory_mb >= self.groups[group_index(needs)].blocked_mb
     }
 
-    /// Notes for which memory no engine was found.
+    /// Records that no engine was found for this memory.
     pub(super) fn block(&mut self, needs: &Needs, memory_mb: f64) {
-        let kind = self.kind(needs);
-        kind.blocked_mb = kind.blocked_mb.min(memory_mb);
+        let group = self.group(needs);
+        group.blocked_mb = group.blocked_mb.min(memory_mb);
     }
 
-    /// The engines that admit such a request but for its memory, searched for once between two sends.
+    /// Engines that admit the request regardless of its memory. They are searched for once between two sends.
     pub(super) fn admitting(
         &mut self,
         needs: &Needs,
         active: bool,
         search: impl FnOnce() -> Vec<EngineId>,
     ) -> &[EngineId] {
-        let kind = self.kind(needs);
-        let known = if active { &mut kind.active } else { &mut kind.others };
+        let group = self.group(needs);
+        let known = if active { &mut group.active } else { &mut group.others };
         known.get_or_insert_with(search)
     }
 
-    /// After a send other engines may admit.
-    pub(super) fn forget_admitting(&mut self) {
-        for kind in &mut self.kinds {
-            (kind.active, kind.others) = (None, None);
+    /// Discards the found engines, because a send changes the set of admitting engines.
+    pub(super) fn clear_admitting(&mut self) {
+        for group in &mut self.groups {
+            (group.active, group.others) = (None, None);
         }
     }
 }
 
-fn kind_index(needs: &Needs) -> usize {
+fn group_index(needs: &Needs) -> usize {
     2 * needs.class.0 + usize::from(needs.has_tokens)
 }
--- a/src/decisions/request_path.rs
+++ b/src/decisions/request_path.rs
@@ -1,6 +1,5 @@
-//! The way of a request through the decisions, from top to bottom: it arrives and is queued; it is
-//! released, which asks for admission and selects an engine; it is forwarded; its attempt ends; it is
-//! answered or queued again.
+//! The life cycle of a request, in the order of the functions below: arrival and queueing, release by
+//! admission and endpoint selection, forwarding, the end of an attempt, and the answer or a retry.
 
 use std::collections::BTreeMap;
 
@@ -13,14 +12,14 @@
 use super::release::Release;
 use super::supervision::{Attempt, AttemptId};
 
-/// Priorities of attempts, from 0 to 3.
+/// Priorities of attempts, on a scale from 0 to 3.
 const INTERACTIVE_PRIORITY: u8 = 3;
 const BACKGROUND_PRIORITY: u8 = 1;
 
-/// Requests that wait for an engine, by their place in order of arrival.
+/// Requests that wait for an engine, by their position in order of arrival.
 pub(super) type Queue = BTreeMap<u64, RequestId>;
 
-/// An attempt that may have run.
+/// An earlier attempt that may have run.
 #[derive(Clone, Copy)]
 pub(super) struct EarlierAttempt {
     pub(super) engine: EngineId,
@@ -31,22 +30,22 @@
 pub(super) struct PendingRequest {
     pub(super) request: Request,
     pub(super) arrived_at: f64,
-    /// Its key in the queue: its number in order of arrival.
-    pub(super) queue_place: u64,
-    /// Its estimated work, in times its class's mean.
+    /// Key of the request in the queue: its position in order of arrival.
+    pub(super) queue_index: u64,
+    /// Ratio of the estimated work to the mean of the class.
     pub(super) relative_size: f64,
-    /// Attempts sent so far.
+    /// Number of attempts sent so far.
     pub(super) attempts: u32,
-    /// Whether an attempt was cancelled for being slow.
+    /// Whether an attempt was cancelled because it was slow.
     pub(super) cancelled_as_slow: bool,
-    /// The engine that last answered it with an error.
-    pub(super) erred_at: Option<EngineId>,
-    /// The first attempt that may have run.
+    /// Engine that last answered the request with an error.
+    pub(super) error_from: Option<EngineId>,
+    /// First attempt that may have run.
     pub(super) may_have_run: Option<EarlierAttempt>,
 }
 
 impl PendingRequest {
-    /// Its estimated memory; 0 if there is no estimate.
+    /// Estimated memory. 0 if there is no estimate.
     pub(super) fn needed_memory_mb(&self) -> f64 {
         self.request.estimated_memory_mb.unwrap_or(0.0)
     }
@@ -58,47 +57,47 @@
         self.arrivals += 1;
         self.retry_history.record_request(now);
         self.key_queues.enqueue(request);
-        // Its end is planned at once, whatever becomes of attempts, the endpoint list and other timers.
+        // The deadline timer does not depend on attempts, the endpoint list or other timers.
         let delay = (request.deadline - self.settings.clock_resolution - now).max(0.0);
         let token = super::deadline_token(request.id);
         actions.push(Action::SetTimer { delay, token, request: Some(request.id) });
         let pending = PendingRequest {
             request: request.clone(),
             arrived_at: now,
-            queue_place: self.arrivals,
+            queue_index: self.arrivals,
             relative_size: self.profiles[request.class.0].record_estimate(request.estimated_work),
             attempts: 0,
             cancelled_as_slow: false,
-            erred_at: None,
+            error_from: None,
             may_have_run: None,
         };
-        self.queue.insert(pending.queue_place, request.id);
+        self.queue.insert(pending.queue_index, request.id);
         self.requests.insert(request.id, pending);
     }
 
-    /// Forwards what may leave the queue, oldest first. A request that finds no engine holds up only those
-    /// of its class that need as much memory.
+    /// Forwards all requests that may leave the queue, oldest first. A request without an admitting engine
+    /// blocks only requests of its class that need at least as much memory.
     pub(super) fn release_queued(&mut self, now: f64, actions: &mut Vec<Action>) {
         let mut release = Release::new(self.profiles.len());
-        let has_turn = |id: &RequestId| self.key_queues.has_turn(&self.requests[id].request, now);
-        let queued: Vec<RequestId> = self.queue.values().copied().filter(has_turn).collect();
+        let may_start = |id: &RequestId| self.key_queues.may_start(&self.requests[id].request, now);
+        let queued: Vec<RequestId> = self.queue.values().copied().filter(may_start).collect();
         for id in queued {
             let pending = &self.requests[&id];
             let needs = self.needs(pending);
-            // An earlier request of its key may have left in this very round.
-            if release.is_blocked(&needs) || !self.key_queues.has_turn(&pending.request, now) {
+            // An earlier request of the same key may have been forwarded in this round.
+            if release.is_blocked(&needs) || !self.key_queues.may_start(&pending.request, now) {
                 continue;
             }
             if let Some(engine) = self.admit(&mut release, id, &needs, now) {
                 self.forward(now, id, engine, actions);
-                release.forget_admitting();
+                release.clear_admitting();
             }
         }
     }
 
-    /// The engine that a request may go to now: of the active subset, else of the others.
+    /// Selects an engine for a request: one of the active subset, or else one of the others.
     fn admit(&mut self, release: &mut Release, id: RequestId, needs: &Needs, now: f64) -> Option<EngineId> {
-        let (mut selected, mut least_blocked_mb) = (None, 0.0_f64);
+        let (mut selected, mut min_blocked_mb) = (None, 0.0_f64);
         for active in [true, false] {
             let search = || Admission::new(self, *needs, now).admitting_engines(active);
             let admitting = release.admitting(needs, active, search);
@@ -108,18 +107,18 @@
             candidates.retain(|engine| admission.passes(EngineGuard::Memory, &self.engines[engine]));
             if any_admits {
                 let blocked_mb = if candidates.is_empty() { needs.memory_mb } else { f64::INFINITY };
-                least_blocked_mb = least_blocked_mb.max(blocked_mb);
+                min_blocked_mb = min_blocked_mb.max(blocked_mb);
             }
             selected = self.select_engine(id, &candidates, now);
             if selected.is_some() {
                 break;
             }
         }
-        release.block(needs, least_blocked_mb);
+        release.block(needs, min_blocked_mb);
         selected
     }
 
-    /// Sends the next attempt of a request to an engine. The one place from which attempts are sent.
+    /// Sends the next attempt of a request to an engine. All attempts are sent from here.
     fn forward(&mut self, now: f64, id: RequestId, engine_id: EngineId, actions: &mut Vec<Action>) {
         let (Some(pending), Some(engine)) = (self.requests.get_mut(&id), self.engines.get_mut(&engine_id))
         else {
@@ -127,9 +126,9 @@
         };
         let class = &self.settings.classes[pending.request.class.0];
         let profile = &self.profiles[pending.request.class.0];
-        let warmth = engine.warmth_ratio(now, &self.settings.rules);
-        let attempt = Attempt::new(now, pending, engine_id, engine.health.epoch(), profile, warmth);
-        self.queue.remove(&pending.queue_place);
+        let warm_up = engine.warm_up_ratio(now, &self.settings.rules);
+        let attempt = Attempt::new(now, pending, engine_id, engine.health.epoch(), profile, warm_up);
+        self.queue.remove(&pending.queue_index);
         if pending.attempts > 0 {
             self.retry_history.record_retry(now);
         }
@@ -150,10 +149,10 @@
         }
         self.attempts.insert(AttemptId { request: id, number }, attempt);
         actions.push(Action::Forward { request: id, engine: engine_id, timeout: None });
-        self.retry_history.forget_old(now, self.settings.rules.retry_budget.as_ref());
+        self.retry_history.remove_expired(now, self.settings.rules.retry_budget.as_ref());
     }
 
-    /// Takes the end of an attempt: its request is settled, fails, is queued for a retry, or is given up.
+    /// Handles the end of an attempt: its request is settled, fails, is queued for a retry, or is given up.
     pub(super) fn on_attempt_ended(&mut self, now: f64, end: &AttemptEnd, actions: &mut Vec<Action>) {
         self.on_load_report(now, end.engine, end.load_report.as_ref());
         let Some(attempt) = self.attempts.remove(&end.id) else { return };
@@ -162,22 +161,22 @@
         let cooldown_until = self.cooldown_end(now, end.may_still_run_for_seconds);
         self.key_queues.attempt_ended(&attempt.request, may_still_run.then_some(cooldown_until));
         self.record_outcome(now, &attempt, end);
-        let erred_elsewhere =
-            self.requests.get_mut(&id).and_then(|pending| pending.erred_elsewhere(end.engine, end.outcome));
-        if erred_elsewhere.is_some() && end.outcome == Outcome::Error && !end.request_settled {
+        let error_elsewhere =
+            self.requests.get_mut(&id).and_then(|pending| pending.error_elsewhere(end.engine, end.outcome));
+        if error_elsewhere.is_some() && end.outcome == Outcome::Error && !end.request_settled {
             actions.push(Action::Fail(id));
-            return self.forget_request(id, actions);
+            return self.remove_request(id, actions);
         }
-        if let Some((at, engine)) = erred_elsewhere.and_then(|at| Some((at, self.engines.get_mut(&at)?))) {
+        if let Some((at, engine)) = error_elsewhere.and_then(|at| Some((at, self.engines.get_mut(&at)?))) {
             log_health_change(at, engine.health.record_fault(now, CONFIRMED_ERROR_FAULTS));
         }
         if end.request_settled {
-            return self.forget_request(id, actions);
+            return self.remove_request(id, actions);
         }
         self.queue_again(now, &attempt, end.outcome, actions);
     }
 
-    /// Queues a request in its old place for a retry, or gives it up where none may follow.
+    /// Queues a request for a retry at its old position, or gives it up if no retry is possible.
     fn queue_again(&mut self, now: f64, attempt: &Attempt, outcome: Outcome, actions: &mut Vec<Action>) {
         let id = attempt.request.id;
         let Some(pending) = self.requests.get_mut(&id) else { return };
@@ -185,27 +184,27 @@
             let this = EarlierAttempt { engine: attempt.engine, sent_at: attempt.sent_at };
             pending.may_have_run.get_or_insert(this);
         }
-        self.queue.insert(pending.queue_place, id);
-        if !self.another_attempt_may_follow(&self.requests[&id], now) {
+        self.queue.insert(pending.queue_index, id);
+        if !self.allows_another_attempt(&self.requests[&id], now) {
             self.give_up(id, false, actions);
         }
     }
 
-    /// Until when a key cools down behind an attempt that may still run for so many seconds.
+    /// End of a key's cooldown after an attempt that may still run for the given time.
     pub(super) fn cooldown_end(&self, now: f64, may_still_run_for_seconds: f64) -> f64 {
         now + may_still_run_for_seconds + self.settings.rules.key_cooldown
     }
 
-    /// Ends a request that is answered or needs no answer. Attempts still in flight are cancelled where
-    /// that is permitted; they stay counted until their own end.
-    pub(super) fn forget_request(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+    /// Removes a request that is answered or needs no answer. Attempts in flight are cancelled if that is
+    /// permitted, and stay in the sums until they end.
+    pub(super) fn remove_request(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         if self.settings.capabilities.cancels_attempts {
             let all = AttemptId { request: id, number: 0 }..=AttemptId { request: id, number: u32::MAX };
             let cancel = |id: &AttemptId| Action::CancelAttempt { request: id.request, attempt: id.number };
             actions.extend(self.attempts.range(all).map(|(id, _)| cancel(id)));
         }
         if let Some(pending) = self.requests.remove(&id) {
-            self.queue.remove(&pending.queue_place);
+            self.queue.remove(&pending.queue_index);
             self.key_queues.remove(&pending.request);
         }
     }
--- a/src/decisions/retry.rs
+++ b/src/decisions/retry.rs
@@ -1,4 +1,4 @@
-//! Retries: whether another attempt of a request may follow, where, and within which budget.
+//! Retries: whether another attempt of a request is allowed, at which engines, and the retry budget.
 
 use std::collections::VecDeque;
 
@@ -7,10 +7,10 @@
 use super::WorkloadManager;
 use super::request_path::PendingRequest;
 
-/// Windows of the retry budget for which requests and retries are remembered.
-const REMEMBERED_WINDOWS: f64 = 2.0;
+/// Number of retry budget windows for which requests and retries are kept.
+const KEPT_WINDOWS: f64 = 2.0;
 
-/// When requests arrived and retries were sent, for the retry budget. Times are seconds, oldest first.
+/// Times at which requests arrived and retries were sent, for the retry budget, in seconds, oldest first.
 #[derive(Default)]
 pub(super) struct RetryHistory {
     requests: VecDeque<f64>,
@@ -26,7 +26,7 @@
         self.retries.push_back(now);
     }
 
-    /// Whether the budget allows a retry now. A retry at the very edge of the window still counts.
+    /// Whether the budget allows a retry now. A retry at the edge of the window still counts.
     fn allows_retry(&self, now: f64, budget: &RetryBudget, clock_resolution: f64) -> bool {
         let since = |times: &VecDeque<f64>, from: f64| times.iter().filter(|at| **at > from).count() as f64;
         let window_start = now - budget.window;
@@ -34,9 +34,9 @@
             <= budget.min_retries + budget.retry_ratio * since(&self.requests, window_start)
     }
 
-    /// Forgets what no budget counts any more.
-    pub(super) fn forget_old(&mut self, now: f64, budget: Option<&RetryBudget>) {
-        let kept_from = now - REMEMBERED_WINDOWS * budget.map_or(0.0, |budget| budget.window);
+    /// Removes entries that are too old for the budget.
+    pub(super) fn remove_expired(&mut self, now: f64, budget: Option<&RetryBudget>) {
+        let kept_from = now - KEPT_WINDOWS * budget.map_or(0.0, |budget| budget.window);
         for times in [&mut self.requests, &mut self.retries] {
             times.drain(..times.partition_point(|at| *at < kept_from));
         }
@@ -44,9 +44,10 @@
 }
 
 impl WorkloadManager {
-    /// Whether another attempt of the request may follow, by number, effect, earlier attempts and time left.
-    pub(super) fn another_attempt_may_follow(&self, pending: &PendingRequest, now: f64) -> bool {
-        let most = self.settings.capabilities.max_attempts;
+    /// Whether another attempt of the request is allowed by the number and effects of earlier attempts and by
+    /// the remaining time.
+    pub(super) fn allows_another_attempt(&self, pending: &PendingRequest, now: f64) -> bool {
+        let max_attempts = self.settings.capabilities.max_attempts;
         let idempotency = self.settings.classes[pending.request.class.0].idempotency;
         let repeatable = match (idempotency, pending.may_have_run) {
             (_, None) | (Idempotency::Idempotent, _) => true,
@@ -55,23 +56,22 @@
                 now < first.sent_at + window - self.settings.clock_resolution
             }
         };
-        let in_time = now + self.least_latency_seconds(pending) <= pending.request.deadline;
-        repeatable && in_time && (most == 0 || pending.attempts < most)
+        let in_time = now + self.min_latency_seconds(pending) <= pending.request.deadline;
+        repeatable && in_time && (max_attempts == 0 || pending.attempts < max_attempts)
     }
 
-    /// Whether the next attempt may go to this engine, by the rules that bind every attempt: the engine's
-    /// state, the effect of a repeat, and number and budget of attempts.
-    pub(super) fn attempt_may_go_to(&self, pending: &PendingRequest, engine: EngineId, now: f64) -> bool {
+    /// Whether the next attempt may go to this engine, by the rules for all attempts: the engine's state, the
+    /// request's idempotency, the limit on attempts and the retry budget.
+    pub(super) fn allows_attempt_at(&self, pending: &PendingRequest, engine: EngineId, now: f64) -> bool {
         let entry = &self.engines[&engine].entry;
         entry.state == EndpointState::Ready
-            && self.another_attempt_may_follow(pending, now)
-            && self.drops_repeats(pending, entry)
+            && self.allows_another_attempt(pending, now)
+            && self.engine_deduplicates(pending, entry)
             && (pending.attempts == 0 || self.retry_budget_allows(now))
     }
 
-    /// Whether the engine would drop a repeat of an attempt that may have run, where the class relies on
-    /// that.
-    fn drops_repeats(&self, pending: &PendingRequest, entry: &EndpointEntry) -> bool {
+    /// Whether the engine deduplicates a retry of an attempt that may have run, if the class relies on that.
+    fn engine_deduplicates(&self, pending: &PendingRequest, entry: &EndpointEntry) -> bool {
         let Some(first) = pending.may_have_run else { return true };
         let first = self.engines.get(&first.engine).map(|engine| &engine.entry);
         match self.settings.classes[pending.request.class.0].idempotency {
--- a/src/decisions/selection.rs
+++ b/src/decisions/selection.rs
@@ -1,4 +1,4 @@
-//! Endpoint selection: which of the engines that admit a request gets it.
+//! Endpoint selection: the choice among the engines that admit a request.
 
 use crate::{EngineId, Request, RequestId};
 
@@ -6,31 +6,32 @@
 use super::supervision::Attempt;
 use super::{WorkloadManager, unit_interval};
 
-/// Upper end of the random part of the choice: gateways with the same load reports choose differently.
+/// Upper bound of the random term, which makes gateways with the same load reports choose differently.
 const MAX_RANDOM_RATIO: f64 = 0.3;
-/// By how much utilization an engine of another zone has to be better.
+/// Cost of an engine in another zone, in units of utilization.
 const OTHER_ZONE_RATIO: f64 = 0.2;
-/// Threads a core that an engine counts as fuller by if all its attempts stall, and the ratio of stalled
-/// attempts that counts as none. Such an engine gets what finds no capacity elsewhere: without it engines
-/// would be too few.
+/// Cost of an engine whose attempts all stall, in threads per core, and the ratio of stalled attempts that
+/// costs nothing. Such an engine is used only if no other has capacity. Excluding it would leave too little
+/// capacity.
 const STALLED_THREADS_PER_CORE: f64 = 4.0;
 const IGNORED_STALLED_RATIO: f64 = 0.03;
 
-/// How little an engine is wanted; the least is chosen. Fields are compared in order.
+/// Cost of selecting an engine. The engine with the lowest cost is selected. Fields are compared in order.
 #[derive(Clone, Copy, PartialEq, PartialOrd)]
-struct Reluctance {
-    /// A load of this gateway holds the tables there, or the engine has answered the request with an error.
+struct SelectionCost {
+    /// A load of this gateway holds the tables at the engine, or the engine last answered the request with an
+    /// error.
     to_avoid: bool,
-    /// Interactive work: this gateway's threads a core. Background work: its threads beyond the concurrency
-    /// limit.
+    /// For interactive work this gateway's threads per core, and for background work its background threads
+    /// beyond the concurrency limit. A term for stalled attempts is added.
     own_threads: f64,
-    /// Utilization, relative latency, zone and chance, as a sum of ratios.
+    /// Sum of utilization, relative latency, zone cost and random term.
     tie_break: f64,
 }
 
 impl WorkloadManager {
-    /// Picks one of these engines for a request; none if no attempt may go to any. Draws once for each
-    /// engine.
+    /// Selects one of the candidates for a request. `None` if no attempt may go to any of them. Takes one
+    /// random draw per candidate.
     pub(super) fn select_engine(
         &mut self,
         id: RequestId,
@@ -39,27 +40,27 @@
     ) -> Option<EngineId> {
         let interactive = self.profiles[self.requests[&id].request.class.0].interactive;
         let engines_with_own_load = self.engines_with_own_load(&self.requests[&id].request);
-        let mut best: Option<(Reluctance, EngineId)> = None;
+        let mut best: Option<(SelectionCost, EngineId)> = None;
         for candidate in candidates {
             let random = MAX_RANDOM_RATIO * unit_interval(self.next_draw());
             let pending = &self.requests[&id];
-            if !self.attempt_may_go_to(pending, *candidate, now) {
+            if !self.allows_attempt_at(pending, *candidate, now) {
                 continue;
             }
             let engine = &self.engines[candidate];
-            let reluctance = Reluctance {
-                to_avoid: engines_with_own_load.contains(candidate) || pending.erred_at == Some(*candidate),
+            let cost = SelectionCost {
+                to_avoid: engines_with_own_load.contains(candidate) || pending.error_from == Some(*candidate),
                 own_threads: own_threads(engine, interactive, now),
                 tie_break: self.tie_break(engine, now) + random,
             };
-            if best.is_none_or(|(least, _)| reluctance < least) {
-                best = Some((reluctance, *candidate));
+            if best.is_none_or(|(lowest, _)| cost < lowest) {
+                best = Some((cost, *candidate));
             }
         }
         best.map(|(_, engine)| engine)
     }
 
-    /// Engines where a load of this gateway holds the tables of a request that would wait for it.
+    /// Engines at which a load of this gateway holds the tables of the request, so that it would wait there.
     fn engines_with_own_load(&self, request: &Request) -> Vec<EngineId> {
         let class = &self.settings.classes[request.class.0];
         if request.table_group.is_none() || !(class.waits_for_loads || class.is_load) {
@@ -73,13 +74,13 @@
     }
 
     fn tie_break(&self, engine: &Engine, now: f64) -> f64 {
-        let elsewhere = self.settings.zone.is_some_and(|zone| zone != engine.entry.zone);
+        let is_remote = self.settings.zone.is_some_and(|zone| zone != engine.entry.zone);
         let relative_latency = engine.relative_latency.ratio(now) / self.fleet.mean_relative_latency;
-        self.load.utilization(engine, now) + relative_latency + if elsewhere { OTHER_ZONE_RATIO } else { 0.0 }
+        self.load.utilization(engine, now) + relative_latency + if is_remote { OTHER_ZONE_RATIO } else { 0.0 }
     }
 }
 
-/// What the engine has of this gateway's threads, and counts for attempts that stall there.
+/// Value of [`SelectionCost::own_threads`] for an engine.
 fn own_threads(engine: &Engine, interactive: bool, now: f64) -> f64 {
     let stalled_ratio = (engine.stalled.ratio(now) - IGNORED_STALLED_RATIO).max(0.0);
     let stalled_per_core = STALLED_THREADS_PER_CORE * stalled_ratio;
--- a/src/decisions/shedding.rs
+++ b/src/decisions/shedding.rs
@@ -1,5 +1,5 @@
-//! Load shedding: which queued requests are given up, how a request that was not served is answered, and the
-//! Retry-After that goes with a rejection.
+//! Load shedding: the rules by which queued requests are given up, the final answer to a request that was not
+//! served, and the Retry-After of a rejection.
 
 use crate::{Action, ClassId, RequestId};
 
@@ -7,32 +7,32 @@
 use super::request_path::PendingRequest;
 use super::{WorkloadManager, unit_interval};
 
-/// Part of what the objective leaves beside the usual latency for which a request may be queued.
+/// Longest time in the queue, as a ratio of the difference between the objective and the mean latency.
 const INTERACTIVE_QUEUE_TIME_RATIO: f64 = 0.25;
 const BACKGROUND_QUEUE_TIME_RATIO: f64 = 0.5;
-/// Part of the objective that counts as left at least.
+/// Lower bound of that difference, as a ratio of the objective.
 const MIN_LEFT_OBJECTIVE_RATIO: f64 = 0.3;
-/// Part of its class's deadline that is always enough time for an attempt.
+/// Upper bound of the expected latency of an attempt, as a ratio of the class's deadline.
 const SUFFICIENT_DEADLINE_RATIO: f64 = 0.5;
-/// A request with an order key that arrives with less than this part of its class's deadline left is short of
-/// time.
+/// Time left at arrival under which a request with an order key is shed if it has to wait, as a ratio of the
+/// class's deadline.
 const SHORT_DEADLINE_RATIO: f64 = 0.5;
-/// Retry-After lies between this part of the longest wait that clients obey, and all of it.
+/// Lower bound of Retry-After, as a ratio of the longest one that clients respect.
 const MIN_RETRY_AFTER_RATIO: f64 = 0.5;
 
-/// Why a queued request is shed.
+/// Rule by which a queued request is shed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum SheddingRule {
-    /// It was queued for too long to be answered within its objective.
+    /// The request has been queued for too long to be answered within its objective.
     QueueTime,
-    /// It has an order key, and arrived with little time left.
+    /// The request has an order key, and arrived with little time left.
     ShortDeadline,
-    /// No attempt may follow: by the time left, the attempts that it has had, or the effect of a repeat.
+    /// No further attempt is allowed by the time left, the number of attempts, or the request's idempotency.
     NoAttemptPossible,
 }
 
 impl SheddingRule {
-    /// The name in log lines.
+    /// Name in the log.
     pub(super) fn name(self) -> &'static str {
         match self {
             Self::QueueTime => "queue_time",
@@ -47,7 +47,8 @@
     pub(super) fn shed_overdue(&mut self, now: f64, actions: &mut Vec<Action>) {
         let overdue = |id: &RequestId| Some((*id, self.shedding_rule(&self.requests[id], now)?));
         let overdue: Vec<(RequestId, SheddingRule)> = self.queue.values().filter_map(overdue).collect();
-        // All lines come first: a request that leaves the queue gives its key's turn to the next.
+        // All requests are logged before any is removed, because a removal lets the next request of its key
+        // start.
         for (id, rule) in &overdue {
             log_shed_request(self, *id, *rule, now);
         }
@@ -56,24 +57,24 @@
         }
     }
 
-    /// The first rule by which a queued request is shed; none if it stays queued.
+    /// First rule by which a queued request is shed. `None` if it stays queued.
     fn shedding_rule(&self, pending: &PendingRequest, now: f64) -> Option<SheddingRule> {
         if now - pending.arrived_at > self.max_queue_seconds(pending.request.class) {
             Some(SheddingRule::QueueTime)
         } else if self.is_short_of_time(pending) {
             Some(SheddingRule::ShortDeadline)
-        } else if !self.another_attempt_may_follow(pending, now) {
+        } else if !self.allows_another_attempt(pending, now) {
             Some(SheddingRule::NoAttemptPossible)
         } else {
             None
         }
     }
 
-    /// The final answer to a request that was not served: rejected where a retry by the client is safe,
-    /// else failed. With `retry_after` a rejection says how long to wait, where clients heed that.
+    /// Sends the final answer to a request that was not served: a rejection if the client may safely retry,
+    /// or else a failure. With `retry_after` set, a rejection has a Retry-After if clients respect it.
     pub(super) fn give_up(&mut self, id: RequestId, retry_after: bool, actions: &mut Vec<Action>) {
         let Some(pending) = self.requests.get(&id) else { return };
-        let may_have_run = !self.queue.contains_key(&pending.queue_place) || pending.may_have_run.is_some();
+        let may_have_run = !self.queue.contains_key(&pending.queue_index) || pending.may_have_run.is_some();
         let idempotency = self.settings.classes[pending.request.class.0].idempotency;
         if idempotency.client_may_retry(may_have_run) {
             let seconds = self.draw_retry_after_seconds();
@@ -82,16 +83,16 @@
         } else {
             actions.push(Action::Fail(id));
         }
-        self.forget_request(id, actions);
+        self.remove_request(id, actions);
     }
 
-    /// Spread at random, so that clients do not return in step.
+    /// Draws a random Retry-After, so that rejected clients do not all retry at the same time.
     fn draw_retry_after_seconds(&mut self) -> f64 {
         let spread = (1.0 - MIN_RETRY_AFTER_RATIO) * unit_interval(self.next_draw());
         (MIN_RETRY_AFTER_RATIO + spread) * self.settings.capabilities.max_retry_after
     }
 
-    /// How long a request of this class may be queued and still be answered within its objective.
+    /// Longest time in seconds for which a request of this class may be queued.
     pub(super) fn max_queue_seconds(&self, class: ClassId) -> f64 {
         let (class, profile) = (&self.settings.classes[class.0], &self.profiles[class.0]);
         let objective = class.latency_objective
@@ -101,17 +102,17 @@
         part * (objective - profile.latency_seconds).max(MIN_LEFT_OBJECTIVE_RATIO * class.latency_objective)
     }
 
-    /// What an attempt of this request takes at least, by what those of its class take now. Bounded: what
-    /// is never sent would never show that it can be served again.
-    pub(super) fn least_latency_seconds(&self, pending: &PendingRequest) -> f64 {
+    /// Lower estimate of the latency of an attempt of this request, at the current slowdown. The estimate is
+    /// bounded, because a class whose requests are never sent would get no new samples.
+    pub(super) fn min_latency_seconds(&self, pending: &PendingRequest) -> f64 {
         let class = pending.request.class.0;
         let slowed = self.latency.slowdown_ratio() * self.profiles[class].latency_seconds;
         (slowed * pending.relative_size.min(1.0))
             .min(SUFFICIENT_DEADLINE_RATIO * self.settings.classes[class].deadline)
     }
 
-    /// Whether a request with an order key arrived with little time left: it is sent at once, or leaves its
-    /// place in the order of its key to others.
+    /// Whether a request with an order key arrived with little time left. Unless it is sent at once, it is
+    /// shed to make way for later requests of its key.
     fn is_short_of_time(&self, pending: &PendingRequest) -> bool {
         let deadline = self.settings.classes[pending.request.class.0].deadline;
         pending.request.key.is_some()
--- a/src/decisions/slow_start.rs
+++ b/src/decisions/slow_start.rs
@@ -1,5 +1,5 @@
-//! Slow start: an engine that has started lately bears a part of its capacity, and gets a part of the work
-//! that would make it collapse.
+//! Slow start: limits the work sent to an engine that has started recently. Its capacity rises from a minimum
+//! ratio, and too much load makes it collapse.
 
 use std::collections::VecDeque;
 
@@ -12,42 +12,42 @@
 use super::engine::Engine;
 use super::unit_interval;
 
-/// Part of the work that the rules allow a warming engine that all gateways together use.
+/// Ratio of the collapse load that all gateways together send to an engine in slow start.
 const USED_BUDGET_RATIO: f64 = 0.3;
-/// Interactive and background work have half of it each.
-const LANE_RATIO: f64 = 0.5;
-/// Part of an engine's cores that is counted on for work.
+/// Ratio of the budget for interactive work, and also for background work.
+const WORK_TYPE_RATIO: f64 = 0.5;
+/// Ratio of an engine's cores that is available for work.
 const USABLE_CORES_RATIO: f64 = 0.85;
-/// Part of the budget for the gateways that have the engine in their active subset; the others have the rest.
+/// Ratio of the budget for gateways that have the engine in their active subset. The others share the rest.
 const ACTIVE_GATEWAYS_RATIO: f64 = 0.75;
-/// Gateways for each time that a gateway's share may exceed an even one.
+/// Number of gateways for which the upper bound of a share, in even shares, rises by 1.
 const GATEWAYS_PER_EXTRA_SHARE: f64 = 8.0;
-/// The shortest collapse window and warm-up, against division by zero.
+/// Lower bounds of the collapse window and the slow-start duration, against division by zero.
 const MIN_WINDOW_SECONDS: f64 = 1e-3;
-const MIN_WARM_UP_SECONDS: f64 = 1e-9;
+const MIN_DURATION_SECONDS: f64 = 1e-9;
 
-/// Work sent to a warming engine.
+/// Work sent to an engine in slow start.
 struct SentWork {
     at: f64,
     work_seconds: f64,
     interactive: bool,
 }
 
-/// What this gateway sent an engine since it started, and how much it may.
+/// Work that this gateway has sent to an engine since the engine's start, and its share of the budget.
 #[derive(Default)]
 pub(super) struct SlowStartBudget {
-    /// Times an even share of the budget that this gateway may use.
+    /// This gateway's share of the budget, as a multiple of an even share.
     share_ratio: f64,
     sent: VecDeque<SentWork>,
 }
 
 impl SlowStartBudget {
-    /// Sets this gateway's share. Of the engines of a zone that may be sent to, `active_ratio` are in its
-    /// active subset; as many of the gateways will have this engine in theirs.
+    /// Sets this gateway's share. `active_ratio` is the ratio of the zone's available engines that are in the
+    /// active subset of this gateway, and estimates the ratio of gateways that have this engine in theirs.
     pub(super) fn set_share(&mut self, active: bool, active_ratio: f64, gateways: u32) {
-        let most = 1.0 + f64::from(gateways) / GATEWAYS_PER_EXTRA_SHARE;
+        let max_share = 1.0 + f64::from(gateways) / GATEWAYS_PER_EXTRA_SHARE;
         let share = |gateways_ratio: f64, budget_ratio: f64| {
-            if gateways_ratio < 1.0 { (budget_ratio / gateways_ratio).min(most) } else { 1.0 }
+            if gateways_ratio < 1.0 { (budget_ratio / gateways_ratio).min(max_share) } else { 1.0 }
         };
         self.share_ratio = if active {
             share(active_ratio, ACTIVE_GATEWAYS_RATIO)
@@ -56,30 +56,30 @@
         };
     }
 
-    /// Work of one lane in the collapse window that ends now.
+    /// Work of one type, interactive or background, that was sent in the collapse window up to now.
     fn spent_seconds(&self, now: f64, window_seconds: f64, interactive: bool) -> f64 {
         let counts = |sent: &&SentWork| sent.at > now - window_seconds && sent.interactive == interactive;
         self.sent.iter().filter(counts).map(|sent| sent.work_seconds).sum()
     }
 }
 
-/// Part of a warming engine's memory that background work may need: as far as its budget for work goes.
-pub(super) fn usable_memory_ratio(warmth_ratio: f64, rules: &Rules) -> f64 {
-    let budget_ratio = (LANE_RATIO * USED_BUDGET_RATIO * rules.collapse_load_ratio).min(1.0);
-    if warmth_ratio < 1.0 { budget_ratio * warmth_ratio } else { 1.0 }
+/// Ratio of an engine's memory that background work may use. In slow start it follows the work budget.
+pub(super) fn usable_memory_ratio(warm_up_ratio: f64, rules: &Rules) -> f64 {
+    let budget_ratio = (WORK_TYPE_RATIO * USED_BUDGET_RATIO * rules.collapse_load_ratio).min(1.0);
+    if warm_up_ratio < 1.0 { budget_ratio * warm_up_ratio } else { 1.0 }
 }
 
 impl Engine {
-    /// Part of its capacity that is counted on: rises evenly from its start to 1.
-    pub(super) fn warmth_ratio(&self, now: f64, rules: &Rules) -> f64 {
+    /// Ratio of the engine's full capacity that is available now. It rises linearly from the minimum to 1.
+    pub(super) fn warm_up_ratio(&self, now: f64, rules: &Rules) -> f64 {
         let Some(started_at) = self.entry.started_at else { return 1.0 };
-        let warmed =
-            ((now - started_at) / rules.slow_start_duration.max(MIN_WARM_UP_SECONDS)).clamp(0.0, 1.0);
-        rules.slow_start_min_ratio + (1.0 - rules.slow_start_min_ratio) * warmed
+        let elapsed_ratio =
+            ((now - started_at) / rules.slow_start_duration.max(MIN_DURATION_SECONDS)).clamp(0.0, 1.0);
+        rules.slow_start_min_ratio + (1.0 - rules.slow_start_min_ratio) * elapsed_ratio
     }
 
-    /// Whether the engine's slow-start budget allows a request of this class, were all gateways to
-    /// send alike.
+    /// Whether the engine's slow-start budget allows a request of this class, assuming that all gateways send
+    /// the same load.
     pub(super) fn slow_start_admits(
         &self,
         now: f64,
@@ -88,14 +88,14 @@
         settings: &Settings,
     ) -> bool {
         let rules = &settings.rules;
-        let warmth = self.warmth_ratio(now, rules);
-        if warmth >= 1.0 {
+        let warm_up = self.warm_up_ratio(now, rules);
+        if warm_up >= 1.0 {
             return true;
         }
         let window_seconds = rules.collapse_window.max(MIN_WINDOW_SECONDS);
         let spent = self.slow_start.spent_seconds(now, window_seconds, profile.interactive);
-        let capacity = warmth * self.cores() * USABLE_CORES_RATIO * window_seconds;
-        let budget = LANE_RATIO
+        let capacity = warm_up * self.cores() * USABLE_CORES_RATIO * window_seconds;
+        let budget = WORK_TYPE_RATIO
             * USED_BUDGET_RATIO
             * rules.collapse_load_ratio
             * capacity
@@ -105,8 +105,8 @@
         spent + work <= budget + work * self.rounding_ratio(now, window_seconds)
     }
 
-    /// By how much of a request this gateway rounds its budget up, drawn anew for each window: of gateways
-    /// whose share is a part of one request some send one and others none.
+    /// Random fraction of a request by which this gateway's budget is exceeded, drawn for each window. Of the
+    /// gateways whose share is less than a request, some send one request and others none.
     fn rounding_ratio(&self, now: f64, window_seconds: f64) -> f64 {
         let age = now - self.entry.started_at.unwrap_or(now);
         let window = (age.max(0.0) / window_seconds + unit_interval(self.rank)) as u64;
@@ -114,7 +114,7 @@
         unit_interval(draw)
     }
 
-    /// Counts a request that is sent while the engine warms up.
+    /// Records the work of a request that is sent during slow start.
     pub(super) fn record_slow_start_work(
         &mut self,
         now: f64,
--- a/src/decisions/token_bucket.rs
+++ b/src/decisions/token_bucket.rs
@@ -1,61 +1,62 @@
-//! Token bucket of background work: bounds it as a sum over engines and a mean over time.
+//! Token bucket of background work: bounds its mean over time, summed over all engines.
 //!
-//! Where this gateway's share of an engine is under a thread, one thread on each engine would exceed every
-//! limit. So thread-seconds are earned at the sum of all concurrency limits, and each attempt is charged
-//! what it takes. The balance is kept as a debt, which is negative while something is saved up.
+//! If this gateway's share of an engine is less than a thread, one thread on each engine would exceed the
+//! sum of the concurrency limits. The bucket is refilled with thread-seconds at the rate of that sum, and
+//! each attempt is charged the thread-seconds that it takes. The balance is stored as a debt, which is
+//! negative while the bucket holds tokens.
 
-/// Seconds of the sum of limits that may be saved up, and that a charge may leave owed.
-const MAX_SAVED_SECONDS: f64 = 2.0;
-/// Part of what can be saved up that a small or large request may need at most.
-const MAX_NEEDED_SAVINGS_RATIO: f64 = 0.9;
-/// Times its cost beyond the usual that must be saved up for a large request.
-const LARGE_REQUEST_SAVINGS_RATIO: f64 = 2.0;
-/// Mean utilization under which nothing is owed: idle engines need no bound over time.
+/// Capacity of the bucket, and bound of the debt after a charge, in seconds of refill.
+const CAPACITY_SECONDS: f64 = 2.0;
+/// Largest ratio of the bucket's capacity that may be required for a request to start.
+const MAX_REQUIRED_RATIO: f64 = 0.9;
+/// Tokens required for a large request, as a multiple of its cost beyond the usual one.
+const LARGE_REQUEST_RATIO: f64 = 2.0;
+/// Mean utilization below which any debt is cancelled. Idle engines need no bound over time.
 const IDLE_UTILIZATION_RATIO: f64 = 0.5;
 
-/// The bucket. All amounts are thread-seconds.
+/// Token bucket with thread-seconds as tokens.
 #[derive(Default)]
 pub(super) struct TokenBucket {
-    /// What is earned a second: the sum of the concurrency limits, in threads.
+    /// Refill per second: the sum of the concurrency limits, in threads.
     pub(super) rate_threads: f64,
-    /// What background work has had beyond that.
+    /// Thread-seconds charged beyond the refill. Negative while the bucket holds tokens.
     pub(super) debt_thread_seconds: f64,
     refilled_at: f64,
 }
 
 impl TokenBucket {
-    /// Earns what is due since the last call.
+    /// Refills the bucket for the time since the last call.
     pub(super) fn refill(&mut self, now: f64, mean_utilization: Option<f64>) {
-        let earned = (now - self.refilled_at) * self.rate_threads;
+        let refill = (now - self.refilled_at) * self.rate_threads;
         self.debt_thread_seconds =
-            (self.debt_thread_seconds - earned).max(-MAX_SAVED_SECONDS * self.rate_threads);
+            (self.debt_thread_seconds - refill).max(-CAPACITY_SECONDS * self.rate_threads);
         if mean_utilization.is_some_and(|utilization| utilization < IDLE_UTILIZATION_RATIO) {
             self.debt_thread_seconds = self.debt_thread_seconds.min(0.0);
         }
         self.refilled_at = now;
     }
 
-    /// Charges an attempt at its start for what it is expected to take.
+    /// Charges the expected thread-seconds of an attempt at its start.
     pub(super) fn charge_expected(&mut self, thread_seconds: f64) {
         self.debt_thread_seconds += thread_seconds;
     }
 
-    /// Charges or returns what an attempt took beyond what was expected. Bounded: one heavy request, a lost
-    /// answer or a hanging engine must not stop this gateway's background work for long.
+    /// Charges the thread-seconds that an attempt took beyond the expected ones, or refunds the difference if
+    /// negative. The debt is bounded, so that one heavy request, lost answer or hanging engine does not stop
+    /// this gateway's background work for long.
     pub(super) fn charge_excess(&mut self, thread_seconds: f64) {
-        let most = (MAX_SAVED_SECONDS * self.rate_threads).max(self.debt_thread_seconds);
-        self.debt_thread_seconds = (self.debt_thread_seconds + thread_seconds).min(most);
+        let max_debt = (CAPACITY_SECONDS * self.rate_threads).max(self.debt_thread_seconds);
+        self.debt_thread_seconds = (self.debt_thread_seconds + thread_seconds).min(max_debt);
     }
 
-    /// Whether a request beyond the concurrency limit may start on an engine without other background work:
-    /// one of the usual size while nothing is owed, a larger one out of what is saved up, a smaller one also
-    /// while a little is owed. What is short goes to many small requests first.
+    /// Whether a request beyond the concurrency limit may start on an engine without other background work.
+    /// A request of mean size may start without debt. A larger one needs tokens in the bucket, and a smaller
+    /// one may start with some debt, so that small requests get scarce capacity first.
     ///
-    /// `usual_thread_seconds` is the cost of a usual request of its class, `relative_size` its own size
-    /// against that.
+    /// `usual_thread_seconds` is the cost of a request of mean size, and `relative_size` the request's size
+    /// relative to the mean.
     pub(super) fn admits(&self, usual_thread_seconds: f64, relative_size: f64) -> bool {
-        let allowed = LARGE_REQUEST_SAVINGS_RATIO * usual_thread_seconds * (1.0 - relative_size);
-        self.debt_thread_seconds
-            <= allowed.max(-MAX_NEEDED_SAVINGS_RATIO * MAX_SAVED_SECONDS * self.rate_threads)
+        let allowed = LARGE_REQUEST_RATIO * usual_thread_seconds * (1.0 - relative_size);
+        self.debt_thread_seconds <= allowed.max(-MAX_REQUIRED_RATIO * CAPACITY_SECONDS * self.rate_threads)
     }
 }
