--- a/adapter/src/host.rs
+++ b/adapter/src/host.rs
@@ -1,4 +1,4 @@
-//! Many instances on one wire: finds the instance of each event, translates the event and collects the actions.
+//! Host of many instances on one connection: passes each event to its instance and collects the actions.
 
 use std::collections::HashMap;
 
@@ -9,7 +9,7 @@
 use crate::translate;
 use crate::wire::{self, Batch, Element, Reply, Step};
 
-/// All instances of this process, and the endpoint lists that events refer to by slot.
+/// All instances by name, and the endpoint lists that events refer to by slot.
 #[derive(Default)]
 pub struct Host {
     instances: HashMap<String, Instance>,
@@ -17,10 +17,10 @@
 }
 
 impl Host {
-    /// Takes one line, returns the reply.
+    /// Handles one line of input and returns the reply.
     ///
     /// # Errors
-    /// The line is not of the wire, or names what has not been introduced.
+    /// The line is not a valid batch, or refers to an unknown instance, class or slot.
     pub fn on_line(&mut self, line: &str) -> Result<Reply, HostError> {
         let batch: Batch = serde_json::from_str(line)?;
         let mut reply = Reply::default();
@@ -75,7 +75,7 @@
                 let event = instance.health_checked(&check);
                 instance.on_event(now, &event, steps);
             }
-            // Messages of other instances are not used; only the recipient is checked.
+            // Messages from other instances have no effect. Only the recipient is checked.
             wire::Event::Memo { who } => drop(self.instance(index, &who)?),
         }
         Ok(())
--- a/adapter/src/instance.rs
+++ b/adapter/src/instance.rs
@@ -1,4 +1,4 @@
-//! One workload manager of the simulator, with the names of what it knows by number.
+//! An instance: a workload manager for one gateway of the simulator, with tables that map names to ids.
 
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
@@ -12,8 +12,8 @@
 use crate::translate::{self, LoadReportFields, SettingsNames};
 use crate::wire::{self, Element, Step};
 
-/// A workload manager and its names. Instances share nothing: each numbers names on its own, in the order in which
-/// it met them.
+/// A workload manager and its name tables. Instances share no state: each assigns ids to names in the order
+/// in which it receives them.
 pub struct Instance {
     name: String,
     manager: WorkloadManager,
@@ -24,10 +24,10 @@
 }
 
 impl Instance {
-    /// An instance that has just started; `seed` is that of its random numbers.
+    /// Creates an instance whose random numbers are seeded with `seed`.
     ///
     /// # Errors
-    /// Settings that no instance can act on.
+    /// The settings are invalid.
     pub fn new(name: String, env: &wire::Env, seed: u64) -> Result<Self, SettingsError> {
         let (settings, names) = translate::settings(env);
         Ok(Self {
@@ -40,7 +40,8 @@
         })
     }
 
-    /// Hands an event to the workload manager; its actions, or `bail-out` after a panic, go to `steps`.
+    /// Passes an event to the workload manager and appends its actions, or `bail-out` after a panic, to
+    /// `steps`.
     pub fn on_event(&mut self, now: f64, event: &Event, steps: &mut Vec<Step>) {
         let mut actions = Vec::new();
         if catch_unwind(AssertUnwindSafe(|| self.manager.on_event(now, event, &mut actions))).is_err() {
@@ -51,15 +52,15 @@
         steps.extend(actions.into_iter().map(|action| self.step(action)));
     }
 
-    /// The number of an engine.
+    /// Id of an engine. A new name gets the next id.
     pub fn engine(&mut self, name: &str) -> EngineId {
         EngineId(u32::try_from(self.engines.number(name)).unwrap_or(u32::MAX))
     }
 
-    /// An entry of the endpoint list.
+    /// Translates an entry of the endpoint list.
     ///
     /// # Errors
-    /// Its state means nothing.
+    /// The wire protocol does not define the state.
     pub fn endpoint(&mut self, element: &Element, event: usize) -> Result<EndpointEntry, HostError> {
         Ok(EndpointEntry {
             engine: self.engine(&element.engine),
@@ -71,12 +72,12 @@
         })
     }
 
-    /// A request.
+    /// Translates a request.
     ///
     /// # Errors
-    /// Its class is not in the settings.
+    /// The class is not in the settings.
     pub fn request(&mut self, item: wire::WorkItem, event: usize) -> Result<Request, HostError> {
-        let Some(class) = self.names.classes.known(&item.band) else {
+        let Some(class) = self.names.classes.get(&item.band) else {
             return Err(HostError::UnknownClass { event, class: item.band });
         };
         let tenant = item.party.as_ref().and_then(|party| party.as_str());
@@ -93,7 +94,7 @@
         })
     }
 
-    /// The end of an attempt.
+    /// Translates the end of an attempt.
     pub fn attempt_ended(&mut self, end: &wire::ReportBack) -> Event {
         Event::AttemptEnded {
             request: RequestId(end.job),
@@ -108,7 +109,7 @@
         }
     }
 
-    /// The result of a health check.
+    /// Translates the result of a health check.
     pub fn health_checked(&mut self, check: &wire::CheckResult) -> Event {
         Event::HealthChecked {
             engine: self.engine(&check.engine),
--- a/adapter/src/main.rs
+++ b/adapter/src/main.rs
@@ -1,8 +1,8 @@
-//! Runs workload managers for the simulator: reads batches of events from standard input, one JSON value a line,
-//! and writes one reply with the actions for each to standard output.
+//! Runs workload managers for the simulator: reads batches of events from standard input, one JSON value per
+//! line, and writes a reply with the resulting actions to standard output for each.
 //!
-//! All decisions are those of `workload_manager`; this program only translates. The wire's themed names end in
-//! [`wire`] and [`translate`].
+//! The crate `workload_manager` makes all decisions. This program translates between its types and the wire
+//! protocol, whose types are in [`wire`].
 
 mod error;
 mod host;
@@ -17,7 +17,7 @@
 use error::AdapterError;
 
 fn main() -> ExitCode {
-    // A panic in the decisions is reported on the wire; the default report would only repeat it.
+    // A panic of a workload manager is reported on the wire. Standard error gets a short message only.
     std::panic::set_hook(Box::new(|info| eprintln!("simulator-adapter: {info}")));
     match run(io::stdin().lock(), BufWriter::new(io::stdout().lock())) {
         Ok(()) => ExitCode::SUCCESS,
--- a/adapter/src/names.rs
+++ b/adapter/src/names.rs
@@ -1,8 +1,8 @@
-//! Numbers for names, in the order in which the names were first seen.
+//! Tables that assign numbers to names, in the order in which the names are first used.
 
 use std::collections::HashMap;
 
-/// A two-way table of names and their numbers; numbers start at 0 and have no gaps.
+/// A two-way table of names and their numbers. Numbers start at 0 and have no gaps.
 #[derive(Default)]
 pub struct NameTable {
     numbers: HashMap<String, usize>,
@@ -10,7 +10,7 @@
 }
 
 impl NameTable {
-    /// A table with these names, numbered in their order.
+    /// Creates a table with the given names, numbered in order.
     pub fn from_names<'a>(names: impl IntoIterator<Item = &'a str>) -> Self {
         let mut table = Self::default();
         for name in names {
@@ -19,7 +19,7 @@
         table
     }
 
-    /// The number of a name; a name that is new gets the next one.
+    /// Number of a name. A new name gets the next number.
     pub fn number(&mut self, name: &str) -> usize {
         if let Some(number) = self.numbers.get(name) {
             return *number;
@@ -30,12 +30,12 @@
         number
     }
 
-    /// The number of a name that is in the table.
-    pub fn known(&self, name: &str) -> Option<usize> {
+    /// Number of a name, if the table has it.
+    pub fn get(&self, name: &str) -> Option<usize> {
         self.numbers.get(name).copied()
     }
 
-    /// The name with this number, which the table has given out.
+    /// Name with the given number, which the table must have assigned.
     pub fn name(&self, number: usize) -> &str {
         &self.names[number]
     }
--- a/adapter/src/translate.rs
+++ b/adapter/src/translate.rs
@@ -1,4 +1,4 @@
-//! From the wire's types to those of `workload_manager`, for all that needs no names of engines.
+//! Translation of the wire's types to those of `workload_manager`, except where ids of engines are needed.
 
 use std::collections::BTreeMap;
 
@@ -12,23 +12,20 @@
 use crate::names::NameTable;
 use crate::wire;
 
-/// `used_up` on the wire is milliseconds of work times this, plus memory in steps of [`MEMORY_STEP_MB`].
+/// Factor of the work in `used_up`, which is milliseconds of work times this, plus memory in units of
+/// [`MEMORY_STEP_MB`].
 const WORK_FACTOR: u64 = 4096;
 const MEMORY_STEP_MB: f64 = 4.0;
 
-/// Names that the settings give numbers to.
+/// Numbers of the names in the settings.
 pub struct SettingsNames {
-    /// Classes of requests.
     pub classes: NameTable,
-    /// Machine types.
     pub machine_types: NameTable,
-    /// Zones.
     pub zones: NameTable,
-    /// Tenants.
     pub tenants: NameTable,
 }
 
-/// The settings of an instance, with the names of what they number.
+/// Translates the settings of an instance, and numbers the names in them.
 pub fn settings(env: &wire::Env) -> (Settings, SettingsNames) {
     let mut names = SettingsNames {
         classes: NameTable::from_names(env.classes.iter().map(|class| class.name.as_str())),
@@ -36,7 +33,8 @@
         zones: NameTable::from_names(env.zones.iter().map(String::as_str)),
         tenants: NameTable::from_names(env.projects.iter().map(|project| project.name.as_str())),
     };
-    // Classes may name machine types and zones that the lists lack: they are numbered behind them, in this order.
+    // Classes may refer to machine types and zones that are not listed. Those get the numbers after the
+    // listed ones, in this order.
     let classes =
         env.classes.iter().enumerate().map(|(index, c)| class(c, index, &env.domain, &mut names)).collect();
     let settings = Settings {
@@ -144,10 +142,10 @@
     }
 }
 
-/// How a list of endpoints is to be read.
+/// Translates the mode of a watch event of the endpoint list.
 ///
 /// # Errors
-/// The number means nothing.
+/// The wire protocol does not define the mode.
 pub fn list_mode(mode: u32, event: usize) -> Result<EndpointListMode, HostError> {
     match mode {
         0 => Ok(EndpointListMode::Delta),
@@ -158,10 +156,10 @@
     }
 }
 
-/// The state of an endpoint.
+/// Translates the state of an endpoint.
 ///
 /// # Errors
-/// The number means nothing.
+/// The wire protocol does not define the state.
 pub fn endpoint_state(state: u32, event: usize) -> Result<EndpointState, HostError> {
     match state {
         0 => Ok(EndpointState::Removed),
@@ -171,21 +169,21 @@
     }
 }
 
-/// A progress report of an attempt.
+/// Translates a progress report of an attempt.
 ///
 /// # Errors
-/// The number of its kind means nothing.
+/// The wire protocol does not define the kind of report.
 pub fn progress(update: &wire::UpdateOf, event: usize) -> Result<Progress, HostError> {
     match (update.what, update.amount) {
-        (1, share) => Ok(Progress::Fraction(share)),
+        (1, fraction) => Ok(Progress::Fraction(fraction)),
         (2, mb) => Ok(Progress::Spilling(mb)),
         (3, cause) if cause >= 2.0 => Ok(Progress::WaitingForLoad),
         (3, _) => Ok(Progress::WaitingForMemory),
-        (value, _) => Err(HostError::UnknownNumber { event, what: "kind of news", value }),
+        (value, _) => Err(HostError::UnknownNumber { event, what: "kind of progress report", value }),
     }
 }
 
-/// How an attempt or a health check ended.
+/// Translates the outcome of an attempt or a health check.
 pub fn outcome(how: wire::How) -> Outcome {
     match how {
         wire::How::Success => Outcome::Success,
@@ -199,7 +197,7 @@
     }
 }
 
-/// What a query cost, if the engine says.
+/// Decodes the cost of a query. `None` if the engine did not report it.
 pub fn query_cost(used_up: u64) -> Option<QueryCost> {
     (used_up > 0).then(|| QueryCost {
         work: (used_up / WORK_FACTOR) as f64 / 1000.0,
@@ -207,19 +205,19 @@
     })
 }
 
-/// Reads load reports, whose fields `x0` and `x1` mean what the settings say.
+/// Reads load reports. The settings describe the meaning of their fields `x0` and `x1`.
 pub struct LoadReportFields {
     x0: String,
     x1: String,
 }
 
 impl LoadReportFields {
-    /// The fields as the settings describe them.
+    /// Takes the descriptions of the fields from the settings.
     pub fn new(domain: &wire::Domain) -> Self {
         Self { x0: domain.report_x0.clone(), x1: domain.report_x1.clone() }
     }
 
-    /// A load report, if there is one.
+    /// Translates a load report, if there is one.
     pub fn read(&self, values: Option<&BTreeMap<String, f64>>) -> Option<LoadReport> {
         let values = values?;
         Some(LoadReport {
--- a/adapter/src/wire.rs
+++ b/adapter/src/wire.rs
@@ -1,5 +1,5 @@
-//! The types of the wire: one JSON value a line, a batch of events in, a list of actions out.
-//! Unknown keys are skipped; the defaults of absent ones stand here, beside each field.
+//! Types of the wire protocol. Each line is a JSON value: a batch of events as input, or a list of actions as
+//! output. Unknown keys are ignored, and absent ones have the defaults given here.
 
 use std::collections::BTreeMap;
 
@@ -40,7 +40,7 @@
 #[derive(Debug, Deserialize)]
 pub struct RosterChange {
     pub who: String,
-    /// 0 delta, 1 full, 2 cached, 3 failed.
+    /// 0: delta, 1: full, 2: cached, 3: failed.
     pub mode: u32,
     #[serde(default)]
     pub slot: u32,
@@ -56,9 +56,9 @@
     pub generation_hw: String,
     #[serde(default)]
     pub group: u64,
-    /// 1 ready, 2 draining, 0 gone.
+    /// 0: removed, 1: ready, 2: draining.
     pub state: u32,
-    /// Absent or 0: a long time back.
+    /// Time of the engine's last start. 0 if it was long ago.
     #[serde(default)]
     pub since_s: f64,
 }
@@ -69,7 +69,7 @@
     pub who: String,
     pub job: u64,
     pub band: String,
-    /// A name, or 0 at sites without tenants.
+    /// Name of the tenant, or 0 in deployments without tenants.
     #[serde(default)]
     pub party: Option<serde_json::Value>,
     #[serde(default)]
@@ -99,7 +99,7 @@
     pub job: u64,
     #[serde(default)]
     pub attempt: u32,
-    /// 1 progress, 2 it spills, 3 it waits.
+    /// 1: progress, 2: the query spills to disk, 3: the query waits.
     pub what: u32,
     #[serde(default)]
     pub amount: f64,
@@ -118,7 +118,7 @@
     pub rtt_s: f64,
     #[serde(default)]
     pub settled: bool,
-    /// 4096 x milliseconds of work + steps of 4 MB; 0: not known.
+    /// 4096 times milliseconds of work, plus memory in units of 4 MB. 0 if not known.
     #[serde(default)]
     pub used_up: u64,
     #[serde(default)]
@@ -150,17 +150,17 @@
     Void,
 }
 
-/// The settings of one gateway.
+/// Settings of one gateway.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Env {
     #[serde(default)]
     pub allowed: Allowed,
-    /// Absent: one.
+    /// Number of gateways that share the engines. Default: 1.
     #[serde(default = "one")]
     pub balancers: u32,
     pub classes: Vec<Class>,
-    /// Absent: `push`.
+    /// `ask` if the endpoint list has to be polled. By default the simulator pushes it.
     #[serde(default)]
     pub discovery: String,
     #[serde(default)]
@@ -169,7 +169,7 @@
     pub kinds: Vec<String>,
     #[serde(default)]
     pub locality: String,
-    /// Absent: all worth is equal.
+    /// Default: 1, so that requests beyond a quota keep their full weight.
     #[serde(default = "full")]
     pub over_share_worth: f64,
     #[serde(default)]
@@ -192,15 +192,15 @@
     1.0
 }
 
-/// Absent: reports as they come.
+/// By default, load reports arrive with answers and health checks.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 pub struct ReportSettings {
-    /// `answers`, `probe` or `none`.
+    /// `answers`, `probe` or `none`: the messages that carry load reports.
     pub how: String,
 }
 
-/// Absent: not permitted, no limit.
+/// By default, nothing is permitted and attempts are not limited.
 #[derive(Debug, Default, Deserialize)]
 #[serde(rename_all = "kebab-case", default)]
 pub struct Allowed {
@@ -219,10 +219,10 @@
     #[serde(default)]
     pub aim_stretch: f64,
     pub deadline_s: f64,
-    /// Absent: `side_effect`, the one that promises least.
+    /// Default: `side_effect`, under which no request runs twice.
     #[serde(default)]
     pub repeat: Repeat,
-    /// Absent: `cell`, the narrowest.
+    /// Default: `cell`, the smallest scope.
     #[serde(default)]
     pub group: Group,
     #[serde(default)]
@@ -235,7 +235,7 @@
     pub confined_to: Option<Vec<String>>,
     #[serde(default)]
     pub late_value: f64,
-    /// Absent: 1.
+    /// Default: 1.
     #[serde(default = "full")]
     pub worth: f64,
     #[serde(default)]
@@ -260,7 +260,8 @@
     Cell,
 }
 
-/// Absent: one thread a query, no loads, one core a machine, nothing heeded, queries wait.
+/// By default, a query has one thread and a machine has one core, there are no loads, engines ignore memory
+/// grants and priorities, and queries wait when memory is short.
 #[derive(Debug, Default, Deserialize)]
 #[serde(rename_all = "kebab-case", default)]
 pub struct Domain {
@@ -294,7 +295,8 @@
     pub quota_per_s: f64,
 }
 
-/// Absent: no pause, no budget, engines that start warm, no grace.
+/// By default, keys have no cooldown, retries are not limited, engines start with full capacity, and grace
+/// periods are 0.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "kebab-case", default)]
 pub struct Rules {
--- a/adapter/tests/wire.rs
+++ b/adapter/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Transcripts of the wire, played to the built adapter.
+//! Runs the built adapter on batches of events and checks its replies.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -13,7 +13,7 @@
         .spawn()
         .unwrap();
     let mut input = child.stdin.take().unwrap();
-    // The adapter may leave before it has read all.
+    // The adapter may exit before it has read all input.
     let _ = input.write_all((lines.join("\n") + "\n").as_bytes());
     drop(input);
     child.wait_with_output().unwrap()
@@ -26,7 +26,7 @@
     let text = String::from_utf8(output.stdout).unwrap();
     let steps = |l: &str| serde_json::from_str::<Value>(l).unwrap()["steps"].as_array().unwrap().clone();
     let replies: Vec<_> = text.lines().map(steps).collect();
-    assert_eq!(replies.len(), lines.len(), "one reply a batch");
+    assert_eq!(replies.len(), lines.len(), "one reply per batch");
     replies
 }
 
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_request_is_routed_and_its_key_waits_for_the_outcome() {
+fn a_request_waits_for_the_outcome_of_an_earlier_one_with_the_same_key() {
     let mut second = item("r/0", 2, "load");
     second["work-item"]["relation"] = json!("t");
     let mut first = item("r/0", 1, "load");
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn slots_are_reused_in_event_order() {
+fn a_reused_slot_refers_to_its_latest_list() {
     let all = replies(&[batch(
         10.0,
         vec![
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn a_stopped_instance_forgets_and_may_start_again_in_the_same_batch() {
+fn an_instance_stopped_and_started_in_the_same_batch_has_no_requests() {
     let all = replies(&[
         batch(10.0, vec![hello("r/0"), roster(0, &[]), change("r/0", 2, 0), item("r/0", 1, "look")]),
         batch(
@@ -131,11 +131,11 @@
             ],
         ),
     ]);
-    assert!(routes(&all[1]).is_empty(), "what it held is gone");
+    assert!(routes(&all[1]).is_empty(), "requests of the stopped instance are discarded");
 }
 
 #[test]
-fn events_for_what_has_ended_are_ignored() {
+fn events_for_requests_that_have_ended_are_ignored() {
     let all = replies(&[
         batch(
             10.0,
@@ -159,8 +159,8 @@
 }
 
 #[test]
-fn instances_share_nothing() {
-    let lone = |who: &str| {
+fn instances_are_independent() {
+    let alone = |who: &str| {
         let all = replies(&[batch(
             10.0,
             vec![hello(who), roster(0, &[("a:1", 1), ("b:1", 1)]), change(who, 2, 0), item(who, 1, "look")],
@@ -179,33 +179,33 @@
             item("r/1", 1, "look"),
         ],
     )]);
-    assert_eq!(routes(&both[0]), [lone("r/0"), lone("r/1")].concat());
+    assert_eq!(routes(&both[0]), [alone("r/0"), alone("r/1")].concat());
 }
 
 #[test]
-fn input_that_is_not_of_the_wire_ends_with_one_error_line() {
+fn invalid_input_ends_the_adapter_with_one_error_line() {
     let start = batch(10.0, vec![hello("r/0")]).to_string();
-    let no_class =
+    let no_classes =
         batch(10.0, vec![json!({"hello": {"who": "r/0", "salt": 1, "env": {"classes": []}}})]).to_string();
-    for (line, says) in [
+    for (line, expected) in [
         ("{".to_owned(), "not a batch of the wire"),
         (r#"{"now-s":1,"in":[{"surprise":{}}]}"#.to_owned(), "unknown variant `surprise`"),
         (batch(11.0, vec![item("r/9", 1, "look")]).to_string(), "no gateway r/9 has been started"),
         (batch(11.0, vec![item("r/0", 1, "odd")]).to_string(), "unknown class odd"),
         (batch(11.0, vec![change("r/0", 2, 5)]).to_string(), "unknown roster slot 5"),
-        (no_class, "settings name no class"),
+        (no_classes, "settings name no class"),
     ] {
         let output = play(&[start.clone(), line]);
-        let told = String::from_utf8(output.stderr).unwrap();
+        let stderr = String::from_utf8(output.stderr).unwrap();
         assert!(!output.status.success());
-        assert_eq!(told.lines().count(), 1, "{told}");
-        assert!(told.contains("line 2: ") && told.contains(says), "{told}");
-        assert_eq!(String::from_utf8(output.stdout).unwrap().lines().count(), 1, "nothing after the fault");
+        assert_eq!(stderr.lines().count(), 1, "{stderr}");
+        assert!(stderr.contains("line 2: ") && stderr.contains(expected), "{stderr}");
+        assert_eq!(String::from_utf8(output.stdout).unwrap().lines().count(), 1, "no further replies");
     }
 }
 
 #[test]
-fn where_health_checks_alone_bring_reports_none_is_asked_for_and_a_result_is_accepted() {
+fn load_reports_of_health_checks_are_accepted_but_no_check_is_requested() {
     let mut start = hello("r/0");
     start["hello"]["env"]["report"] = json!({"how": "probe", "names": ["inflight"]});
     start["hello"]["env"]["allowed"]["probing"] = json!(true);
@@ -219,6 +219,6 @@
         ),
     ]);
     assert!(!all.iter().flatten().any(|step| step.get("touch").is_some()), "{all:?}");
-    assert_eq!(routes(&all[1]), vec![("r/0".to_owned(), 1, "a:1".to_owned())], "it waits for no probe");
+    assert_eq!(routes(&all[1]), vec![("r/0".to_owned(), 1, "a:1".to_owned())], "no health check is awaited");
     assert!(routes(&all[2]).is_empty());
 }
