--- a/gateway/src/core/mod.rs
+++ b/gateway/src/core/mod.rs
@@ -108,7 +108,7 @@
     /// Engines of the endpoint list that get nothing new: they are draining, ejected, or rest after a
     /// rejected attempt.
     pub fn engines_avoided(&self, now_us: u64) -> usize {
-        self.workload_manager.engines_avoided(seconds(now_us))
+        self.workload_manager.engines_excluded(seconds(now_us))
     }
 
     /// When the next turn is due if no input comes before, in microseconds.
--- a/src/decisions/mod.rs
+++ b/src/decisions/mod.rs
@@ -225,8 +225,8 @@
         let interactive = interactive_classes(change);
         let classes = change.settings.classes.iter().zip(&change.origins).zip(interactive);
         let profile = |(at, ((class, origin), interactive)): (usize, ((&Class, &ClassOrigin), bool))| {
-            let learned = origin.learned_from(ClassId(at)).map(|from| self.profiles[from.0].clone());
-            let mut profile = learned.unwrap_or_else(|| ClassProfile::new(class, &change.settings));
+            let earlier = origin.previous_class(ClassId(at)).map(|from| self.profiles[from.0].clone());
+            let mut profile = earlier.unwrap_or_else(|| ClassProfile::new(class, &change.settings));
             profile.interactive = interactive;
             profile
         };
@@ -253,7 +253,7 @@
 
     /// Number of listed engines that get no new attempts at the time `now`, in seconds, because they are
     /// draining, ejected, or backed off after a rejection.
-    pub fn engines_avoided(&self, now: f64) -> usize {
+    pub fn engines_excluded(&self, now: f64) -> usize {
         let is_avoided = |engine: &&Engine| match engine.entry.state {
             EndpointState::Ready => engine.health.is_paused(now),
             EndpointState::Draining => true,
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -320,7 +320,7 @@
 
 impl ClassOrigin {
     /// Class of the old settings whose statistics the class with the given id takes over, if any.
-    pub fn learned_from(self, class: ClassId) -> Option<ClassId> {
+    pub fn previous_class(self, class: ClassId) -> Option<ClassId> {
         match self {
             ClassOrigin::Unchanged | ClassOrigin::Retired => Some(class),
             ClassOrigin::DerivedFrom(from) => Some(from),
@@ -351,8 +351,8 @@
     /// # Errors
     /// The first problem found.
     pub fn check(&self, known: usize) -> Result<(), SettingsError> {
-        let learned = |(at, origin): (usize, &ClassOrigin)| origin.learned_from(ClassId(at));
-        let all_known = self.origins.iter().enumerate().filter_map(learned).all(|from| from.0 < known);
+        let previous = |(at, origin): (usize, &ClassOrigin)| origin.previous_class(ClassId(at));
+        let all_known = self.origins.iter().enumerate().filter_map(previous).all(|from| from.0 < known);
         if self.origins.len() != self.settings.classes.len() || self.origins.len() < known || !all_known {
             return Err(SettingsError::InvalidOrigins);
         }
--- a/tests/recorded_decisions/world.rs
+++ b/tests/recorded_decisions/world.rs
@@ -175,7 +175,7 @@
     fn checkpoint(&mut self) {
         if self.journal.at_checkpoint() {
             let g = &self.gateway;
-            let figures = [g.engines_avoided(self.now()), g.engines_known(), g.keys_in_use()];
+            let figures = [g.engines_excluded(self.now()), g.engines_known(), g.keys_in_use()];
             self.journal.checkpoint(format!("figures {} {} {}", figures[0], figures[1], figures[2]));
         }
     }
