--- a/adapter/src/wire.rs
+++ b/adapter/src/wire.rs
@@ -1,5 +1,8 @@
 //! Types of the wire protocol. Each line is a JSON value: a batch of events as input, or a list of actions as
 //! output. Unknown keys are ignored, and absent ones have the defaults given here.
+//!
+//! In all types `who` is the name of the instance, `job` the id of the request, and `attempt` the number of
+//! the attempt.
 
 use std::collections::BTreeMap;
 
@@ -23,17 +26,29 @@
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Event {
+    /// Starts an instance. `salt` is the seed of its random numbers, and `env` has its settings.
     Hello { who: String, salt: u64, env: Box<Env> },
+    /// Ends an instance.
     Stop { who: String },
+    /// Stores an endpoint list in a slot, for later events of the type `roster-change`.
     Roster { slot: u32, elements: Vec<Element> },
+    /// Watch event of the endpoint list.
     RosterChange(RosterChange),
+    /// Arrival of a request.
     WorkItem(WorkItem),
+    /// Start of the answer's stream.
     Established(AttemptRef),
+    /// Progress report of an attempt.
     UpdateOf(UpdateOf),
+    /// End of an attempt.
     ReportBack(ReportBack),
+    /// Disconnection of a request's client.
     Aborted { who: String, job: u64 },
+    /// Expiry of a timer. `nonce` is its token.
     Bell { who: String, nonce: u64 },
+    /// Result of a health check.
     CheckResult(CheckResult),
+    /// Message from another instance.
     Memo { who: String },
 }
 
@@ -50,10 +65,13 @@
 #[serde(rename_all = "kebab-case")]
 pub struct Element {
     pub engine: String,
+    /// Name of the zone.
     #[serde(default)]
     pub failure_domain: String,
+    /// Name of the machine type.
     #[serde(default)]
     pub generation_hw: String,
+    /// Number of the cell.
     #[serde(default)]
     pub group: u64,
     /// 0: removed, 1: ready, 2: draining.
@@ -68,17 +86,23 @@
 pub struct WorkItem {
     pub who: String,
     pub job: u64,
+    /// Name of the request's class.
     pub band: String,
     /// Name of the tenant, or 0 in deployments without tenants.
     #[serde(default)]
     pub party: Option<serde_json::Value>,
+    /// Order key.
     #[serde(default)]
     pub relation: Option<String>,
+    /// Time at which the client stops waiting.
     pub valid_until_s: f64,
+    /// Estimated work, summed over all threads.
     #[serde(default)]
     pub estimate_s: Option<f64>,
+    /// Estimated memory. 0 if there is no estimate.
     #[serde(default)]
     pub need_mb: Option<f64>,
+    /// Number of the table group.
     #[serde(default)]
     pub tables: Option<f64>,
     #[serde(default)]
@@ -101,6 +125,8 @@
     pub attempt: u32,
     /// 1: progress, 2: the query spills to disk, 3: the query waits.
     pub what: u32,
+    /// Ratio of the work that is done, missing memory in MB, or cause of the wait (below 2: memory, else a
+    /// load).
     #[serde(default)]
     pub amount: f64,
 }
@@ -150,7 +176,7 @@
     Void,
 }
 
-/// Settings of one gateway.
+/// Settings of one gateway. `translate` maps them to those of the workload manager.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Env {
@@ -332,6 +358,7 @@
 #[derive(Debug, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Step {
+    /// Sends the next attempt of a request to an engine.
     Route {
         who: String,
         job: u64,
@@ -339,43 +366,30 @@
         #[serde(rename = "max-wait-s", skip_serializing_if = "Option::is_none")]
         max_wait_s: Option<f64>,
     },
-    StopAttempt {
-        who: String,
-        job: u64,
-        attempt: u32,
-    },
+    /// Cancels an attempt.
+    StopAttempt { who: String, job: u64, attempt: u32 },
+    /// Rejects a request. `wait-s` is the Retry-After.
     OverloadReply {
         who: String,
         job: u64,
         #[serde(rename = "wait-s", skip_serializing_if = "Option::is_none")]
         wait_s: Option<f64>,
     },
-    RespondError {
-        who: String,
-        job: u64,
-    },
+    /// Answers a request with an error.
+    RespondError { who: String, job: u64 },
+    /// Sets a timer. `nonce` is its token.
     Remind {
         who: String,
         #[serde(rename = "delay-s")]
         delay_s: f64,
         nonce: u64,
     },
-    Touch {
-        who: String,
-        engine: String,
-    },
-    Observe {
-        who: String,
-        active: bool,
-    },
-    Allot {
-        who: String,
-        job: u64,
-        memory: f64,
-        priority: u8,
-    },
-    BailOut {
-        who: String,
-        text: String,
-    },
+    /// Sends a health check.
+    Touch { who: String, engine: String },
+    /// Subscribes to the endpoint list.
+    Observe { who: String, active: bool },
+    /// Sets memory grant and priority of a request's next attempts.
+    Allot { who: String, job: u64, memory: f64, priority: u8 },
+    /// Reports a panic of the instance.
+    BailOut { who: String, text: String },
 }
