--- a/src/decisions/admission.rs
+++ b/src/decisions/admission.rs
@@ -84,11 +84,11 @@
     /// The properties of a request that admission depends on.
     pub(super) fn needs(&self, pending: &PendingRequest) -> Needs {
         let class = pending.request.class;
-        let usual =
+        let mean_thread_seconds =
             f64::from(self.settings.classes[class.0].threads) * self.profiles[class.0].latency_seconds;
         Needs {
             class,
-            has_tokens: self.tokens.admits(usual, pending.relative_size),
+            has_tokens: self.tokens.admits(mean_thread_seconds, pending.relative_size),
             memory_mb: pending.needed_memory_mb(),
         }
     }
--- a/src/decisions/relative_latency.rs
+++ b/src/decisions/relative_latency.rs
@@ -16,7 +16,7 @@
 /// Time constant of the decay.
 const DECAY_SECONDS: f64 = 8.0;
 /// Lower bound of the mean latency that samples are divided by.
-const MIN_USUAL_SECONDS: f64 = 1e-6;
+const MIN_MEAN_SECONDS: f64 = 1e-6;
 
 /// Moving average for one engine.
 #[derive(Clone, Copy, Default)]
@@ -35,17 +35,17 @@
 
     /// Records the latency of an attempt that has ended. An attempt that timed out or was cancelled would
     /// have taken longer than its elapsed time, so its sample is at least 1.
-    pub(super) fn record(&mut self, now: f64, elapsed_seconds: f64, usual_seconds: f64, cut_short: bool) {
+    pub(super) fn record(&mut self, now: f64, elapsed_seconds: f64, mean_seconds: f64, cut_short: bool) {
         let min = if cut_short { 1.0 } else { 0.0 };
-        let sample = (elapsed_seconds / usual_seconds.max(MIN_USUAL_SECONDS)).clamp(min, MAX_SAMPLE_RATIO);
+        let sample = (elapsed_seconds / mean_seconds.max(MIN_MEAN_SECONDS)).clamp(min, MAX_SAMPLE_RATIO);
         let mut ratio = self.ratio(now);
         blend(&mut ratio, sample, SAMPLE_WEIGHT);
         self.0 = TimedValue { value: ratio, at: now };
     }
 
     /// Whether an attempt in flight has taken long enough to show that its engine is slow.
-    pub(super) fn is_overdue(elapsed_seconds: f64, usual_seconds: f64) -> bool {
-        elapsed_seconds > MAX_SAMPLE_RATIO * usual_seconds
+    pub(super) fn is_overdue(elapsed_seconds: f64, mean_seconds: f64) -> bool {
+        elapsed_seconds > MAX_SAMPLE_RATIO * mean_seconds
     }
 
     /// Raises the value for an overdue interactive attempt.
--- a/src/decisions/supervision.rs
+++ b/src/decisions/supervision.rs
@@ -79,7 +79,7 @@
         profile: &ClassProfile,
         warm_up_ratio: f64,
     ) -> Self {
-        let usual = profile.latency_seconds;
+        let mean_latency = profile.latency_seconds;
         Self {
             request: pending.request.clone(),
             interactive: profile.interactive,
@@ -89,8 +89,8 @@
             progressed_at: now,
             stalled: false,
             health_epoch,
-            expected_seconds: usual * pending.relative_size.max(MIN_EXPECTED_RATIO) / warm_up_ratio,
-            charged_seconds: usual * pending.relative_size,
+            expected_seconds: mean_latency * pending.relative_size.max(MIN_EXPECTED_RATIO) / warm_up_ratio,
+            charged_seconds: mean_latency * pending.relative_size,
         }
     }
 
@@ -164,10 +164,10 @@
 /// Age at which an attempt of this class shows that its engine is silent, if the engine answers no other.
 fn silent_after_seconds(class: &Class, profile: &ClassProfile, latency: &InteractiveLatency) -> f64 {
     let by_objective = SILENT_AFTER_OBJECTIVES * class.latency_objective;
-    let usual =
+    let silent_after =
         if profile.interactive { SILENT_AFTER_LATENCIES * profile.latency_seconds } else { by_objective };
     let min = MIN_SILENT_OBJECTIVE_RATIO * latency.objective_seconds;
-    usual.clamp(min, by_objective.max(min))
+    silent_after.clamp(min, by_objective.max(min))
 }
 
 /// Whether attempts of this class may be cancelled.
@@ -195,9 +195,9 @@
             attempt.charge_excess(now, f64::from(class.threads), &mut self.tokens);
             let Some(engine) = self.engines.get_mut(&attempt.engine) else { continue };
             let pending = cancellable(&mut self.requests, id.request, class, capabilities);
-            let may_be_slow = pending.as_ref().is_some_and(|pending| !pending.cancelled_as_slow);
+            let cancel_slow = pending.as_ref().is_some_and(|pending| !pending.cancelled_as_slow);
             let lacks_reports = attempt.lacks_progress_reports(now, capabilities.progress_period);
-            let stalled = may_be_slow && attempt.is_stalled(now, engine);
+            let stalled = cancel_slow && attempt.is_stalled(now, engine);
             if (lacks_reports || stalled) && !attempt.stalled {
                 attempt.stalled = true;
                 engine.stalled.record(now, true);
@@ -206,7 +206,7 @@
                 pending.cancelled_as_slow |= stalled;
                 actions.push(Action::CancelAttempt { request: id.request, attempt: id.number });
             }
-            attempt.record_slow_or_silent_engine(now, engine, class, profile, &self.latency, may_be_slow);
+            attempt.record_slow_or_silent_engine(now, engine, class, profile, &self.latency, cancel_slow);
         }
     }
 
@@ -254,11 +254,11 @@
         }
         let remaining = age_seconds * (1.0 - done_ratio) / done_ratio.max(MIN_PROGRESS_RATIO);
         // The bound rises in an overload, when all attempts are slow and cancelled work is lost.
-        let usual = self.latency.slowdown_ratio() * self.profiles[class].latency_seconds;
+        let expected_latency = self.latency.slowdown_ratio() * self.profiles[class].latency_seconds;
         let too_late = now + remaining > pending.request.deadline + age_seconds;
         if pending.cancelled_as_slow && too_late {
             self.give_up(id.request, false, actions);
-        } else if !pending.cancelled_as_slow && remaining > MAX_REMAINING_LATENCIES * usual {
+        } else if !pending.cancelled_as_slow && remaining > MAX_REMAINING_LATENCIES * expected_latency {
             pending.cancelled_as_slow = true;
             actions.push(Action::CancelAttempt { request: id.request, attempt: id.number });
         }
--- a/src/decisions/token_bucket.rs
+++ b/src/decisions/token_bucket.rs
@@ -9,7 +9,7 @@
 const CAPACITY_SECONDS: f64 = 2.0;
 /// Largest ratio of the bucket's capacity that may be required for a request to start.
 const MAX_REQUIRED_RATIO: f64 = 0.9;
-/// Tokens required for a large request, as a multiple of its cost beyond the usual one.
+/// Tokens required for a large request, as a multiple of its cost beyond the mean.
 const LARGE_REQUEST_RATIO: f64 = 2.0;
 /// Mean utilization below which any debt is cancelled. Idle engines need no bound over time.
 const IDLE_UTILIZATION_RATIO: f64 = 0.5;
@@ -53,10 +53,10 @@
     /// A request of mean size may start without debt. A larger one needs tokens in the bucket, and a smaller
     /// one may start with some debt, so that small requests get scarce capacity first.
     ///
-    /// `usual_thread_seconds` is the cost of a request of mean size, and `relative_size` the request's size
+    /// `mean_thread_seconds` is the cost of a request of mean size, and `relative_size` the request's size
     /// relative to the mean.
-    pub(super) fn admits(&self, usual_thread_seconds: f64, relative_size: f64) -> bool {
-        let allowed = LARGE_REQUEST_RATIO * usual_thread_seconds * (1.0 - relative_size);
+    pub(super) fn admits(&self, mean_thread_seconds: f64, relative_size: f64) -> bool {
+        let allowed = LARGE_REQUEST_RATIO * mean_thread_seconds * (1.0 - relative_size);
         self.debt_thread_seconds <= allowed.max(-MAX_REQUIRED_RATIO * CAPACITY_SECONDS * self.rate_threads)
     }
 }
