--- a/adapter/src/wire.rs
+++ b/adapter/src/wire.rs
@@ -1,5 +1,8 @@
-//! The types of the wire: one JSON value a line, a batch of events in, a list of actions out.
-//! Unknown keys are skipped; the defaults of absent ones stand here, beside each field.
+//! Types of the wire protocol. Each line is a JSON value: a batch of events as input, or a list of actions as
+//! output. Unknown keys are ignored, and absent ones have the defaults given here.
+//!
+//! In all types `who` is the name of the instance, `job` the id of the request, and `attempt` the number of
+//! the attempt.
 
 use std::collections::BTreeMap;
 
@@ -23,24 +26,36 @@
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Event {
+    /// Starts an instance. `salt` is the seed of its random numbers, and `env` has its settings.
     Hello { who: String, salt: u64, env: Box<Env> },
+    /// Ends an instance.
     Stop { who: String },
+    /// Stores an endpoint list in a slot, for later events of the type `roster-change`.
     Roster { slot: u32, elements: Vec<Element> },
+    /// Watch event of the endpoint list.
     RosterChange(RosterChange),
+    /// Arrival of a request.
     WorkItem(WorkItem),
+    /// Start of the answer's stream.
     Established(AttemptRef),
+    /// Progress report of an attempt.
     UpdateOf(UpdateOf),
+    /// End of an attempt.
     ReportBack(ReportBack),
+    /// Disconnection of a request's client.
     Aborted { who: String, job: u64 },
+    /// Expiry of a timer. `nonce` is its token.
     Bell { who: String, nonce: u64 },
+    /// Result of a health check.
     CheckResult(CheckResult),
+    /// Message from another instance.
     Memo { who: String },
 }
 
 #[derive(Debug, Deserialize)]
 pub struct RosterChange {
     pub who: String,
-    /// 0 delta, 1 full, 2 cached, 3 failed.
+    /// 0: delta, 1: full, 2: cached, 3: failed.
     pub mode: u32,
     #[serde(default)]
     pub slot: u32,
@@ -50,15 +65,18 @@
 #[serde(rename_all = "kebab-case")]
 pub struct Element {
     pub engine: String,
+    /// Name of the zone.
     #[serde(default)]
     pub failure_domain: String,
+    /// Name of the machine type.
     #[serde(default)]
     pub generation_hw: String,
+    /// Number of the cell.
     #[serde(default)]
     pub group: u64,
-    /// 1 ready, 2 draining, 0 gone.
+    /// 0: removed, 1: ready, 2: draining.
     pub state: u32,
-    /// Absent or 0: a long time back.
+    /// Time of the engine's last start. 0 if it was long ago.
     #[serde(default)]
     pub since_s: f64,
 }
@@ -68,17 +86,23 @@
 pub struct WorkItem {
     pub who: String,
     pub job: u64,
+    /// Name of the request's class.
     pub band: String,
-    /// A name, or 0 at sites without tenants.
+    /// Name of the tenant, or 0 in deployments without tenants.
     #[serde(default)]
     pub party: Option<serde_json::Value>,
+    /// Order key.
     #[serde(default)]
     pub relation: Option<String>,
+    /// Time at which the client stops waiting.
     pub valid_until_s: f64,
+    /// Estimated work, summed over all threads.
     #[serde(default)]
     pub estimate_s: Option<f64>,
+    /// Estimated memory. 0 if there is no estimate.
     #[serde(default)]
     pub need_mb: Option<f64>,
+    /// Number of the table group.
     #[serde(default)]
     pub tables: Option<f64>,
     #[serde(default)]
@@ -99,8 +123,10 @@
     pub job: u64,
     #[serde(default)]
     pub attempt: u32,
-    /// 1 progress, 2 it spills, 3 it waits.
+    /// 1: progress, 2: the query spills to disk, 3: the query waits.
     pub what: u32,
+    /// Ratio of the work that is done, missing memory in MB, or cause of the wait (below 2: memory, else a
+    /// load).
     #[serde(default)]
     pub amount: f64,
 }
@@ -118,7 +144,7 @@
     pub rtt_s: f64,
     #[serde(default)]
     pub settled: bool,
-    /// 4096 x milliseconds of work + steps of 4 MB; 0: not known.
+    /// 4096 times milliseconds of work, plus memory in units of 4 MB. 0 if not known.
     #[serde(default)]
     pub used_up: u64,
     #[serde(default)]
@@ -150,17 +176,17 @@
     Void,
 }
 
-/// The settings of one gateway.
+/// Settings of one gateway. `translate` maps them to those of the workload manager.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Env {
     #[serde(default)]
     pub allowed: Allowed,
-    /// Absent: one.
+    /// Number of gateways that share the engines. Default: 1.
     #[serde(default = "one")]
     pub balancers: u32,
     pub classes: Vec<Class>,
-    /// Absent: `push`.
+    /// `ask` if the endpoint list has to be polled. By default the simulator pushes it.
     #[serde(default)]
     pub discovery: String,
     #[serde(default)]
@@ -169,7 +195,7 @@
     pub kinds: Vec<String>,
     #[serde(default)]
     pub locality: String,
-    /// Absent: all worth is equal.
+    /// Default: 1, so that requests beyond a quota keep their full weight.
     #[serde(default = "full")]
     pub over_share_worth: f64,
     #[serde(default)]
@@ -192,15 +218,15 @@
     1.0
 }
 
-/// Absent: reports as they come.
+/// By default, load reports arrive with answers and health checks.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 pub struct ReportSettings {
-    /// `answers`, `probe` or `none`.
+    /// `answers`, `probe` or `none`: the messages that carry load reports.
     pub how: String,
 }
 
-/// Absent: not permitted, no limit.
+/// By default, nothing is permitted and attempts are not limited.
 #[derive(Debug, Default, Deserialize)]
 #[serde(rename_all = "kebab-case", default)]
 pub struct Allowed {
@@ -219,10 +245,10 @@
     #[serde(default)]
     pub aim_stretch: f64,
     pub deadline_s: f64,
-    /// Absent: `side_effect`, the one that promises least.
+    /// Default: `side_effect`, under which no request runs twice.
     #[serde(default)]
     pub repeat: Repeat,
-    /// Absent: `cell`, the narrowest.
+    /// Default: `cell`, the smallest scope.
     #[serde(default)]
     pub group: Group,
     #[serde(default)]
@@ -235,7 +261,7 @@
     pub confined_to: Option<Vec<String>>,
     #[serde(default)]
     pub late_value: f64,
-    /// Absent: 1.
+    /// Default: 1.
     #[serde(default = "full")]
     pub worth: f64,
     #[serde(default)]
@@ -260,7 +286,8 @@
     Cell,
 }
 
-/// Absent: one thread a query, no loads, one core a machine, nothing heeded, queries wait.
+/// By default, a query has one thread and a machine has one core, there are no loads, engines ignore memory
+/// grants and priorities, and queries wait when memory is short.
 #[derive(Debug, Default, Deserialize)]
 #[serde(rename_all = "kebab-case", default)]
 pub struct Domain {
@@ -294,7 +321,8 @@
     pub quota_per_s: f64,
 }
 
-/// Absent: no pause, no budget, engines that start warm, no grace.
+/// By default, keys have no cooldown, retries are not limited, engines start with full capacity, and grace
+/// periods are 0.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "kebab-case", default)]
 pub struct Rules {
@@ -330,6 +358,7 @@
 #[derive(Debug, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Step {
+    /// Sends the next attempt of a request to an engine.
     Route {
         who: String,
         job: u64,
@@ -337,43 +366,30 @@
         #[serde(rename = "max-wait-s", skip_serializing_if = "Option::is_none")]
         max_wait_s: Option<f64>,
     },
-    StopAttempt {
-        who: String,
-        job: u64,
-        attempt: u32,
-    },
+    /// Cancels an attempt.
+    StopAttempt { who: String, job: u64, attempt: u32 },
+    /// Rejects a request. `wait-s` is the Retry-After.
     OverloadReply {
         who: String,
         job: u64,
         #[serde(rename = "wait-s", skip_serializing_if = "Option::is_none")]
         wait_s: Option<f64>,
     },
-    RespondError {
-        who: String,
-        job: u64,
-    },
+    /// Answers a request with an error.
+    RespondError { who: String, job: u64 },
+    /// Sets a timer. `nonce` is its token.
     Remind {
         who: String,
         #[serde(rename = "delay-s")]
         delay_s: f64,
         nonce: u64,
     },
-    Touch {
-        who: String,
-        engine: String,
-    },
-    Observe {
-        who: String,
-        active: bool,
-    },
-    Allot {
-        who: String,
-        job: u64,
-        memory: f64,
-        priority: u8,
-    },
-    BailOut {
-        who: String,
-        text: String,
-    },
+    /// Sends a health check.
+    Touch { who: String, engine: String },
+    /// Subscribes to the endpoint list.
+    Observe { who: String, active: bool },
+    /// Sets memory grant and priority of a request's next attempts.
+    Allot { who: String, job: u64, memory: f64, priority: u8 },
+    /// Reports a panic of the instance.
+    BailOut { who: String, text: String },
 }
--- a/tests/recorded_decisions/simulation.rs
+++ b/tests/recorded_decisions/simulation.rs
@@ -182,7 +182,7 @@
     fn start_block_if_due(&mut self) {
         if self.log.at_block_start() {
             let g = &self.gateway;
-            let figures = [g.engines_avoided(self.now()), g.engines_known(), g.keys_in_use()];
+            let figures = [g.engines_excluded(self.now()), g.engines_known(), g.keys_in_use()];
             self.log.start_block(format!("figures {} {} {}", figures[0], figures[1], figures[2]));
         }
     }
