--- a/gateway/src/core/attempts.rs
+++ b/gateway/src/core/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: started, cancelled, ended, lost, and ended without confirmation.
+//! The life cycle of attempts: start, cancellation, end, loss, and confirmation of the end of a lost attempt.
 
 use std::collections::BTreeMap;
 
@@ -11,12 +11,12 @@
 use super::timers::Timer;
 use super::{Command, Core};
 
-/// An attempt's id.
+/// Identifies an attempt within one gateway process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AttemptId {
-    /// Its request.
+    /// Request that the attempt executes.
     pub request: RequestId,
-    /// Its number among the attempts of its request, from 0.
+    /// Number among the attempts of the request, from 0.
     pub number: u32,
 }
 
@@ -44,40 +44,39 @@
         self.0.values()
     }
 
-    /// The attempts of a request.
-    fn of(&self, request: RequestId) -> impl Iterator<Item = (AttemptId, &InFlightAttempt)> {
+    /// Attempts of one request.
+    fn of_request(&self, request: RequestId) -> impl Iterator<Item = (AttemptId, &InFlightAttempt)> {
         let attempt = |number| AttemptId { request, number };
         self.0.range(attempt(0)..=attempt(u32::MAX)).map(|(id, attempt)| (*id, attempt))
     }
 
     /// Whether a request has an attempt in flight.
     pub(super) fn has_any_of(&self, request: RequestId) -> bool {
-        self.of(request).next().is_some()
+        self.of_request(request).next().is_some()
     }
 }
 
-/// Until when an engine may still run an attempt that has ended for the gateway.
+/// Bound on the time for which an engine may still run an attempt that the gateway regards as ended.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum MayRunUntil {
-    /// Until this time, in microseconds.
+    /// The attempt has ended by this time, in microseconds.
     Time(u64),
-    /// Without bound, until its end is confirmed.
+    /// No bound is known until the end of the attempt is confirmed.
     Unconfirmed,
 }
 
-/// How an attempt has ended.
+/// The end of an attempt.
 struct AttemptEnd {
     outcome: Outcome,
-    /// The request is finished.
+    /// The request has its final answer, or needs none.
     request_settled: bool,
     may_run_until: MayRunUntil,
     load_report: Option<LoadReport>,
 }
 
 impl Core {
-    /// Starts the next attempt of a request. One that would break a rule, whatever the workload manager asks for, is
-    /// never sent: beside another attempt in flight, to an engine that is not ready, past the limit of attempts, or
-    /// past the deadline.
+    /// Starts the next attempt of a request. The attempt ends with [`Outcome::NeverSent`] if the request has another
+    /// attempt in flight, the engine is not ready, or the limit of attempts or the deadline has been reached.
     pub(super) fn start_attempt(
         &mut self,
         now_us: u64,
@@ -116,7 +115,7 @@
         commands.push(Command::StartAttempt { attempt: id, engine, terms, limits });
     }
 
-    /// Sets the terms of a request's attempts; one in flight gets the new priority.
+    /// Sets the terms of the attempts of a request. An attempt in flight gets the new priority.
     pub(super) fn set_attempt_terms(
         &mut self,
         request: RequestId,
@@ -128,12 +127,12 @@
         let has_changed = open.terms.priority != priority;
         open.terms = terms;
         if has_changed {
-            let attempts = self.in_flight.of(request).filter(|(_, attempt)| !attempt.is_cancelled);
+            let attempts = self.in_flight.of_request(request).filter(|(_, attempt)| !attempt.is_cancelled);
             commands.extend(attempts.map(|(attempt, _)| Command::SetPriority { attempt, priority }));
         }
     }
 
-    /// Cancels an attempt, once; its end is still awaited.
+    /// Cancels an attempt unless it is cancelled already. The attempt stays in flight until its end is reported.
     pub(super) fn cancel_attempt(&mut self, id: AttemptId, commands: &mut Vec<Command>) {
         if let Some(attempt) = self.in_flight.0.get_mut(&id).filter(|attempt| !attempt.is_cancelled) {
             attempt.is_cancelled = true;
@@ -157,7 +156,7 @@
                 self.close_request(now_us, id.request);
                 commands.push(Command::Serve(id));
             } else if outcome.effect_is_unknown() {
-                open.may_have_run(attempt.started_us);
+                open.record_possible_run(attempt.started_us);
             }
         }
         let may_run_until = MayRunUntil::Time(now_us);
@@ -165,8 +164,8 @@
         self.report_attempt_end(now_us, id, attempt, end);
     }
 
-    /// The engine of an attempt is silent and may still run it. A retry would be a second attempt beside it, so the
-    /// request gets its final answer; where a retry is safe its client may send it again.
+    /// Ends an attempt whose engine has stopped responding and may still run it. A retry could run at the same time, so
+    /// the request gets its final answer.
     pub(super) fn on_attempt_lost(
         &mut self,
         now_us: u64,
@@ -176,7 +175,7 @@
     ) {
         let Some(attempt) = self.remove_in_flight(id) else { return };
         if let Some(open) = self.open_requests.get_mut(&id.request) {
-            open.may_have_run(attempt.started_us);
+            open.record_possible_run(attempt.started_us);
         }
         let retry_after = self.rules.retry_after_seconds();
         self.answer_unserved(now_us, id.request, Unserved::RejectIfRetryIsSafe { retry_after }, commands);
@@ -189,7 +188,7 @@
         self.report_attempt_end(now_us, id, attempt, end);
     }
 
-    /// An attempt without a known end runs no longer than `runs_until_us`: its key cools down from then on.
+    /// Records that an unconfirmed attempt ends by `runs_until_us`, which starts the cooldown of its key.
     pub(super) fn on_attempt_end_confirmed(&mut self, now_us: u64, id: AttemptId, runs_until_us: u64) {
         let Some(key) = self.unconfirmed_attempts.remove(&id) else { return };
         let cooldown_until_us = self.rules.key_cooldown_end_us(runs_until_us);
@@ -206,7 +205,7 @@
         Some(attempt)
     }
 
-    /// Reports the end of an attempt to the lease of its key and to the workload manager.
+    /// Releases the lease of the attempt's key and reports the end of the attempt to the workload manager.
     fn report_attempt_end(&mut self, now_us: u64, id: AttemptId, attempt: InFlightAttempt, end: AttemptEnd) {
         let may_still_run_for = match (end.may_run_until, attempt.key) {
             (MayRunUntil::Time(until_us), key) => {
--- a/gateway/src/core/command.rs
+++ b/gateway/src/core/command.rs
@@ -1,75 +1,75 @@
-//! What the core wants done outside: its commands.
+//! Commands of the core to front ends, engine connections and peer processes.
 
 use workload_manager::{EngineId, KeyId, RequestId};
 
 use super::{AttemptId, PeerProcessId};
 
-/// What an engine is asked to grant an attempt.
+/// Memory and priority that an engine is requested to grant an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AttemptTerms {
-    /// Memory to grant, in MB; 0: the engine's choice.
+    /// Memory in MB. 0: the engine chooses.
     pub memory_mb: f64,
     /// From 0 to 3.
     pub priority: u8,
 }
 
-/// Limits of an attempt, enforced by whoever carries it out.
+/// Time limits of an attempt. The engine connections enforce them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptLimits {
-    /// The engine may drop the attempt then, in microseconds.
+    /// Time after which the engine may drop the attempt, in microseconds.
     pub until_us: u64,
-    /// Its first byte must leave before this, however long its connection takes to open, in microseconds.
+    /// Time before which the first byte of the attempt must be sent, in microseconds. Time to open a connection counts.
     pub begin_by_us: u64,
     /// The request has an order key: the next request of the key waits for the attempt's end.
     pub in_order: bool,
 }
 
-/// What front ends, engine connections and peer processes are to do.
+/// A command of the core.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
     /// Start an attempt.
     StartAttempt {
-        /// Which attempt.
+        /// Not in flight before.
         attempt: AttemptId,
-        /// Where.
+        /// A ready engine of the endpoint list.
         engine: EngineId,
-        /// What the engine is asked to grant.
+        /// Sent to the engine with the request.
         terms: AttemptTerms,
-        /// The limits of the attempt.
+        /// Enforced by the engine connections.
         limits: AttemptLimits,
     },
     /// Change the priority of an attempt in flight.
     SetPriority {
-        /// Which attempt.
+        /// In flight and not cancelled.
         attempt: AttemptId,
         /// From 0 to 3.
         priority: u8,
     },
-    /// Cancel an attempt; its end is still awaited.
+    /// Cancel an attempt. An [`Input`](super::Input) still reports the end of the attempt.
     CancelAttempt(AttemptId),
     /// Final answer: the result of this attempt.
     Serve(AttemptId),
-    /// Final answer: rejected; a retry by the client is safe.
+    /// Final answer: rejected. A retry by the client is safe.
     Reject {
-        /// Which request.
+        /// Open until this command.
         request: RequestId,
-        /// How long the client should wait before a retry, in milliseconds.
+        /// Delay before a retry by the client, in milliseconds.
         retry_after_ms: Option<u64>,
     },
-    /// Final answer: failed; nothing is promised about the effect.
+    /// Final answer: failed. The request may or may not have taken effect.
     Fail(RequestId),
-    /// Claim the lease of a key from the peer process that holds it, or knows the way to its holder.
+    /// Claim the lease of a key from a peer process.
     ClaimLease {
-        /// Which key.
+        /// Order key of at least one waiting request.
         key: KeyId,
-        /// Whom to ask.
+        /// Peer that holds the lease, or is nearer to the holder.
         holder: PeerProcessId,
     },
     /// Grant the lease of a key to a peer process.
     GrantLease {
-        /// Which key.
+        /// Order key that no request of this process uses.
         key: KeyId,
-        /// The peer that holds it from here on.
+        /// New holder of the lease.
         to: PeerProcessId,
     },
 }
--- a/gateway/src/core/input.rs
+++ b/gateway/src/core/input.rs
@@ -1,4 +1,4 @@
-//! What happens outside of the core: its inputs.
+//! Inputs of the core: events of front ends, engine connections, discovery and peer processes.
 
 use workload_manager::{
     ClassId, EndpointEntry, EndpointListMode, KeyId, LoadReport, Outcome, Progress, RequestId, TableGroupId,
@@ -7,91 +7,91 @@
 
 use super::{AttemptId, PeerProcessId};
 
-/// A request as a front end hands it over.
+/// A request that a front end passes to the core.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NewRequest {
-    /// Its class.
+    /// Determines deadline, idempotency, priority and allowed engines.
     pub class: ClassId,
-    /// Its tenant.
+    /// Tenant whose quota the request counts against. `None`: the request counts against no quota.
     pub tenant: Option<TenantId>,
-    /// When the client stops waiting, in microseconds of the core's clock.
+    /// Time at which the client stops waiting, in microseconds of the core's clock.
     pub deadline_us: u64,
-    /// Estimated work, in seconds on one core.
+    /// Estimated work, in seconds on one processor core.
     pub estimated_work: Option<f64>,
     /// Estimated memory, in MB.
     pub estimated_memory_mb: Option<f64>,
-    /// The group of tables that it reads or loads.
+    /// Group of tables that the request reads or loads.
     pub table_group: Option<TableGroupId>,
-    /// Its order key; ignored in a class that is not ordered by key.
+    /// Order key. Ignored in a class that is not ordered by key.
     pub key: Option<KeyId>,
-    /// Its client repeats an earlier request.
+    /// The client has sent the request before.
     pub is_retry: bool,
 }
 
-/// An event outside of the core. All times are microseconds of the core's clock.
+/// An input of the core. All times are microseconds of the core's clock.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
     /// A change of the endpoint list.
     EndpointList {
-        /// How the entries are to be read.
+        /// Whether the entries replace the list or update parts of it.
         mode: EndpointListMode,
-        /// The entries; their start times are in seconds of the core's clock.
+        /// Changed or listed engines. Start times are in seconds of the core's clock.
         entries: Vec<EndpointEntry>,
     },
     /// A request has arrived.
     RequestArrived {
-        /// Its id, never used before.
+        /// Never used for an earlier request.
         id: RequestId,
-        /// The request.
+        /// Class, deadline and estimates from the fields of the client's request.
         request: NewRequest,
     },
     /// An attempt has ended.
     AttemptEnded {
-        /// Which attempt.
+        /// Ignored unless the attempt is in flight.
         attempt: AttemptId,
-        /// How it ended.
+        /// Decides whether the request is served, and whether another attempt may follow.
         outcome: Outcome,
-        /// The load report that came with its end.
+        /// Load report from the engine's response.
         load_report: Option<LoadReport>,
     },
-    /// Nothing will be heard of an attempt any more.
+    /// No response to an attempt will arrive any more.
     AttemptLost {
-        /// Which attempt.
+        /// Ignored unless the attempt is in flight.
         attempt: AttemptId,
-        /// Its engine may run it until then.
+        /// Time until which the engine may run the attempt.
         runs_until_us: u64,
     },
-    /// Nothing was heard of the end of an attempt with an order key, and its engine may run it without bound until
+    /// No end of an attempt with an order key was reported. The engine may run the attempt for an unknown time until
     /// [`Input::AttemptEndConfirmed`] follows.
     AttemptUnconfirmed(AttemptId),
-    /// It is known how long an unconfirmed attempt may run.
+    /// The end of an unconfirmed attempt is known.
     AttemptEndConfirmed {
-        /// Which attempt.
+        /// Ignored unless the attempt is unconfirmed.
         attempt: AttemptId,
-        /// Its engine may run it until then.
+        /// Time until which the engine may run the attempt.
         runs_until_us: u64,
     },
-    /// Progress of an attempt in flight.
+    /// An engine has reported progress of an attempt.
     AttemptProgress {
-        /// Which attempt.
+        /// Ignored unless the attempt is in flight.
         attempt: AttemptId,
-        /// Its progress.
+        /// Progress reported by the engine.
         progress: Progress,
     },
-    /// The client has left; no answer is owed.
+    /// The client has left. Its request gets no answer.
     ClientLeft(RequestId),
-    /// The gateway ends: every open request gets its final answer now.
+    /// The gateway shuts down. Every open request gets its final answer.
     ShuttingDown,
-    /// Something happened to a peer process of this gateway.
+    /// An event of a peer process of this gateway.
     PeerProcess {
-        /// Which peer process.
+        /// Number of the connection to the peer.
         peer: PeerProcessId,
-        /// What happened.
+        /// Message of the peer, or the end of its connection.
         event: PeerProcessEvent,
     },
 }
 
-/// What happens to a peer process while one process of a gateway replaces another.
+/// An event of a peer process during the replacement of one gateway process by another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PeerProcessEvent {
     /// This process replaces the peer, which holds the leases of all keys.
@@ -100,9 +100,9 @@
     ClaimsLease(KeyId),
     /// The peer grants the lease of a key to this process.
     GrantsLease(KeyId),
-    /// The peer has ended.
+    /// The peer has exited.
     Ended {
-        /// What it may have left running at engines is over by then, with the key cooldown, in microseconds.
+        /// Time by which all attempts of the peer have ended and their key cooldowns are over, in microseconds.
         cooldown_until_us: u64,
     },
 }
--- a/gateway/src/core/key_leases.rs
+++ b/gateway/src/core/key_leases.rs
@@ -1,52 +1,53 @@
 //! Leases of order keys: which process of a gateway may run requests of a key.
 //!
-//! While one process of a gateway replaces another, both get requests of the same keys, and the order of a
-//! key holds across both. So each key has a lease that one process holds at a time. This is K. Raymond's
-//! algorithm ("A tree-based algorithm for distributed mutual exclusion", 1989), once for each key: the
-//! processes form a tree, here with the oldest one at its root; a process knows only which of its peers is
-//! nearer to the holder (`holder`), whether it has claimed the lease there (`has_claimed`, the paper's
-//! *asked*), and whom it will serve in turn (`request_queue`). The paper's messages *request* and *privilege*
-//! are a claim and a grant here.
+//! While one process of a gateway replaces another, both receive requests of the same keys, and requests of a key stay
+//! in order across both processes. Each key has a lease that one process holds at a time. The lease follows K.
+//! Raymond's algorithm ("A tree-based algorithm for distributed mutual exclusion", 1989), once for each key. The
+//! processes form a tree with the oldest process at its root. For each key, a process stores the peer that is nearer to
+//! the holder (`holder`), whether it has claimed the lease from that peer (`has_claimed`, the paper's *asked*), and the
+//! waiting claims (`request_queue`). The paper's messages *request* and *privilege* are called claim and grant here.
 //!
-//! Two things differ from the paper. Several requests of the holding process may use a lease at once, as the workload
-//! manager orders them; `in_use` counts them. And a lease that nobody uses goes back to the root, so that the table
-//! has only keys in use: a key that is not in the table is held by the predecessor, or here if there is none.
+//! There are two differences from the paper:
+//! - Several requests of the holder may use a lease at once, because the workload manager orders them. `in_use` counts
+//!   them.
+//! - An unused lease returns to the root, so that the table contains only keys in use. The lease of a key that is not
+//!   in the table is held by the predecessor, or by this process if there is no predecessor.
 //!
-//! This module does no I/O and reads no clock; times are whole microseconds of the core's clock. Calls add what has
-//! to be done to a list of [`LeaseEffect`]s, in order.
+//! This module does no I/O and reads no clock. Times are whole microseconds of the core's clock. Methods append the
+//! resulting [`LeaseEffect`]s to a list, in the order in which they have to be carried out.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use workload_manager::{KeyId, RequestId};
 
-/// A peer process, by the number of the connection to it.
+/// Number of the connection to a peer process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PeerProcessId(pub u32);
 
-/// What follows from a call.
+/// An effect that the caller carries out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseEffect {
     /// Claim the lease of a key from a peer.
     Claim {
-        /// Which key.
+        /// Order key with a waiting claim.
         key: KeyId,
-        /// The peer on whose side of the tree the lease is.
+        /// Peer that holds the lease, or is nearer to the holder.
         holder: PeerProcessId,
     },
     /// Grant the lease of a key to a peer.
     Grant {
-        /// Which key.
+        /// Order key that this process does not use.
         key: KeyId,
-        /// The peer.
+        /// New holder of the lease.
         to: PeerProcessId,
     },
-    /// This request may run.
+    /// Pass this request to the workload manager.
     Admit(RequestId),
-    /// Call [`KeyLeases::on_cooldown_end`] at this time.
+    /// Call [`KeyLeases::on_cooldown_end`] for a key at a given time.
     WakeAt {
-        /// For which key.
+        /// Order key with a cooldown.
         key: KeyId,
-        /// When, in microseconds.
+        /// Time in microseconds.
         at_us: u64,
     },
 }
@@ -60,23 +61,23 @@
     Peer(PeerProcessId),
 }
 
-/// The lease of one key, as this process sees it.
+/// State of one key's lease in this process.
 #[derive(Debug)]
 struct KeyLease {
-    /// The peer on whose side of the tree the lease is; none if this process holds it.
+    /// Peer that holds the lease, or is nearer to the holder. `None` if this process holds the lease.
     holder: Option<PeerProcessId>,
-    /// The lease has been claimed from that peer.
+    /// The lease has been claimed from `holder`.
     has_claimed: bool,
-    /// Admitted requests that are open, and attempts that have not ended.
+    /// Number of open admitted requests and of attempts that have not ended.
     in_use: u32,
-    /// An own attempt that may still run keeps the lease here until then. Own requests need not wait for it, as the
-    /// workload manager knows of this cooldown.
+    /// End of the cooldown after attempts of this process. The lease is not granted to a peer before. Requests of this
+    /// process need not wait, because the workload manager tracks this cooldown itself.
     cooldown_until_us: u64,
-    /// The same for what a peer may have left running when it ended; own requests wait for this too.
+    /// End of the cooldown after attempts of a peer that has exited. Requests of this process wait for it too.
     inherited_cooldown_until_us: u64,
-    /// The last [`LeaseEffect::WakeAt`].
+    /// Time of the last [`LeaseEffect::WakeAt`].
     wake_at_us: u64,
-    /// First come, first served.
+    /// Waiting claims, in order of arrival.
     request_queue: VecDeque<Claimant>,
 }
 
@@ -84,20 +85,20 @@
 #[derive(Debug, Default)]
 pub struct KeyLeases {
     leases: BTreeMap<KeyId, KeyLease>,
-    /// The process that this one replaces, until it ends: it holds all leases that are not in the table.
+    /// Process that this one replaces, until it exits. It holds all leases that are not in the table.
     predecessor: Option<PeerProcessId>,
-    /// What a predecessor that has ended may have left running is over then, whatever its key.
+    /// End of the cooldown of all keys after attempts of a predecessor that has exited.
     inherited_cooldown_until_us: u64,
 }
 
 impl KeyLeases {
-    /// This process replaces another one, which holds all leases.
+    /// Sets the process that this one replaces and that holds all leases.
     pub fn set_predecessor(&mut self, predecessor: PeerProcessId) {
         self.predecessor = Some(predecessor);
     }
 
-    /// A peer has ended. Its leases fall to this process; what it may have left running, with the key cooldown, is
-    /// over at `cooldown_until_us`.
+    /// Moves the leases of a peer that has exited to this process. `cooldown_until_us` is the time by which all
+    /// attempts of the peer have ended and their key cooldowns are over.
     pub fn on_peer_ended(
         &mut self,
         now_us: u64,
@@ -114,20 +115,21 @@
             let Some(lease) = self.leases.get_mut(&key) else { continue };
             lease.request_queue.retain(|claimant| *claimant != Claimant::Peer(peer));
             if lease.holder == Some(peer) {
-                lease.take();
+                lease.acquire();
                 lease.inherited_cooldown_until_us = lease.inherited_cooldown_until_us.max(cooldown_until_us);
             }
             self.serve_queue(now_us, key, effects);
         }
     }
 
-    /// A request of this process needs the lease of its key. It may run once it is admitted, which may be at once.
+    /// Claims the lease of a key for a request of this process. [`LeaseEffect::Admit`] follows once the request may
+    /// run, which may be in the same call.
     pub fn claim(&mut self, now_us: u64, key: KeyId, request: RequestId, effects: &mut Vec<LeaseEffect>) {
         self.lease(key).request_queue.push_back(Claimant::Request(request));
         self.serve_queue(now_us, key, effects);
     }
 
-    /// A request that was not admitted has ended.
+    /// Removes the claim of a request that was not admitted.
     pub fn cancel_claim(
         &mut self,
         now_us: u64,
@@ -141,13 +143,13 @@
         self.serve_queue(now_us, key, effects);
     }
 
-    /// An attempt of an admitted request has started.
+    /// Records the start of an attempt of an admitted request.
     pub fn on_attempt_started(&mut self, key: KeyId) {
         self.lease(key).in_use += 1;
     }
 
-    /// An admitted request, or an attempt of one, has ended; the lease stays here until `cooldown_until_us`, as the
-    /// attempt may still run; 0: it does not.
+    /// Records the end of an admitted request or of one of its attempts. The lease is not granted to a peer before
+    /// `cooldown_until_us`. 0: no cooldown.
     pub fn release(
         &mut self,
         now_us: u64,
@@ -161,7 +163,7 @@
         self.serve_queue(now_us, key, effects);
     }
 
-    /// A peer claims a lease. A peer that holds it, or has claimed it already, is not queued again.
+    /// Queues a peer's claim of a lease, unless the peer holds the lease or has claimed it already.
     pub fn on_peer_claim(
         &mut self,
         now_us: u64,
@@ -177,7 +179,7 @@
         self.serve_queue(now_us, key, effects);
     }
 
-    /// A peer grants a lease to this process.
+    /// Takes the lease that a peer grants to this process.
     pub fn on_peer_grant(
         &mut self,
         now_us: u64,
@@ -187,17 +189,17 @@
     ) {
         let lease = self.lease(key);
         if lease.holder == Some(peer) {
-            lease.take();
+            lease.acquire();
         }
         self.serve_queue(now_us, key, effects);
     }
 
-    /// The time of a [`LeaseEffect::WakeAt`] has come.
+    /// Serves the waiting claims of a key at the time of its [`LeaseEffect::WakeAt`].
     pub fn on_cooldown_end(&mut self, now_us: u64, key: KeyId, effects: &mut Vec<LeaseEffect>) {
         self.serve_queue(now_us, key, effects);
     }
 
-    /// When the last cooldown of any key ends, in microseconds.
+    /// End of the last cooldown of all keys, in microseconds.
     pub fn last_cooldown_end_us(&self) -> u64 {
         let ends = self.leases.values().map(KeyLease::last_cooldown_end_us);
         ends.fold(self.inherited_cooldown_until_us, u64::max)
@@ -216,8 +218,8 @@
         })
     }
 
-    /// Serves the queue of a key as far as that goes now (the paper's *assign privilege* and *make request*). A key
-    /// that nobody uses or waits for is removed from the table.
+    /// Serves waiting claims of a key until one has to wait (the paper's *assign privilege* and *make request*). A key
+    /// without users and claims is removed from the table.
     fn serve_queue(&mut self, now_us: u64, key: KeyId, effects: &mut Vec<LeaseEffect>) {
         let Some(lease) = self.leases.get_mut(&key) else { return };
         while let Some(first) = lease.request_queue.front().copied() {
@@ -242,8 +244,8 @@
 }
 
 impl KeyLease {
-    /// This process holds the lease from here on.
-    fn take(&mut self) {
+    /// Makes this process the holder.
+    fn acquire(&mut self) {
         (self.holder, self.has_claimed) = (None, false);
     }
 
@@ -251,7 +253,7 @@
         self.cooldown_until_us.max(self.inherited_cooldown_until_us)
     }
 
-    /// Serves the first entry of the queue; false if it has to wait.
+    /// Serves the first entry of the queue. Returns false if it has to wait.
     fn serve(&mut self, now_us: u64, first: Claimant, key: KeyId, effects: &mut Vec<LeaseEffect>) -> bool {
         if let Some(holder) = self.holder {
             if !std::mem::replace(&mut self.has_claimed, true) {
@@ -278,7 +280,7 @@
         true
     }
 
-    /// Whether this time is still to come; if so, a wake-up is set for it once.
+    /// Whether `until_us` is in the future. If so, requests a wake-up at that time, unless it has been requested.
     fn must_wait(&mut self, now_us: u64, until_us: u64, key: KeyId, effects: &mut Vec<LeaseEffect>) -> bool {
         let must_wait = now_us < until_us;
         if must_wait && self.wake_at_us != until_us {
--- a/gateway/src/core/key_leases/tests.rs
+++ b/gateway/src/core/key_leases/tests.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn without_peers_every_request_is_admitted_at_once_and_an_unused_key_is_forgotten() {
+fn without_peers_every_request_is_admitted_at_once_and_an_unused_key_is_removed() {
     let mut leases = KeyLeases::default();
     for id in 1..=2 {
         let admitted = effects(|e| leases.claim(0, KEY, RequestId(id), e));
@@ -61,7 +61,7 @@
     assert_eq!(
         effects(|e| leases.claim(0, KEY, RequestId(1), e)),
         [LeaseEffect::Claim { key: KEY, holder: PREDECESSOR }],
-        "claimed once"
+        "the first claim is sent"
     );
     assert_eq!(effects(|e| leases.claim(0, KEY, RequestId(2), e)), []);
     let admitted = effects(|e| leases.on_peer_grant(1, KEY, PREDECESSOR, e));
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn requests_wait_only_for_what_an_ended_predecessor_left_running() {
+fn requests_wait_for_the_cooldown_of_an_exited_predecessor() {
     let mut leases = KeyLeases::default();
     leases.set_predecessor(PREDECESSOR);
     effects(|e| leases.claim(0, KEY, RequestId(1), e));
@@ -102,25 +102,25 @@
     assert!(leases.is_empty());
 }
 
-/// A message on its way between two processes.
+/// A message in transit between two processes.
 #[derive(Clone, Copy)]
 enum Message {
     Claim(KeyId),
     Grant(KeyId),
 }
 
-/// Processes, each the predecessor of the next, with the messages between them and a plain model of each key.
+/// A chain of processes, each the predecessor of the next, with the messages in transit and a model of each key.
 struct ProcessChain {
     now_us: u64,
     processes: Vec<KeyLeases>,
-    /// From one process to another, in order.
+    /// Messages in order, by sender and receiver.
     messages: BTreeMap<(usize, usize), VecDeque<Message>>,
     wake_ups: BTreeSet<(u64, usize, KeyId)>,
-    /// Admitted requests: where, of which key.
+    /// Admitted requests, with process and key.
     running: BTreeMap<RequestId, (usize, KeyId)>,
     admitted: Vec<RequestId>,
     waiting: BTreeMap<RequestId, (usize, KeyId)>,
-    /// When the cooldown of a key ends, and the process whose attempt it was, which needs not wait for it.
+    /// End of each key's cooldown, and the process that caused it. This process need not wait for the cooldown.
     cooldowns: BTreeMap<KeyId, (u64, usize)>,
 }
 
@@ -158,16 +158,16 @@
     }
 
     fn admit(&mut self, at: usize, id: RequestId) {
-        let (waits_at, key) = self.waiting.remove(&id).expect("admitted once, while it waits");
+        let (waits_at, key) = self.waiting.remove(&id).expect("an admitted request is not waiting");
         assert_eq!(waits_at, at);
         assert!(
             self.running.values().all(|(other, k)| *k != key || *other == at),
             "another process runs requests of this key"
         );
-        let rest = self.cooldowns.get(&key);
+        let cooldown = self.cooldowns.get(&key);
         assert!(
-            rest.is_none_or(|(until_us, by)| *by == at || self.now_us >= *until_us),
-            "the key cools down"
+            cooldown.is_none_or(|(until_us, by)| *by == at || self.now_us >= *until_us),
+            "a request is admitted during the key cooldown"
         );
         self.running.insert(id, (at, key));
         self.admitted.push(id);
@@ -180,9 +180,9 @@
         self.carry_out(at, effects);
     }
 
-    fn finish(&mut self, id: RequestId, cools_down: bool) {
-        let (at, key) = self.running.remove(&id).expect("it runs");
-        let until_us = if cools_down { self.now_us + COOLDOWN_US } else { 0 };
+    fn finish(&mut self, id: RequestId, has_cooldown: bool) {
+        let (at, key) = self.running.remove(&id).expect("the request is not running");
+        let until_us = if has_cooldown { self.now_us + COOLDOWN_US } else { 0 };
         let known = self.cooldowns.get(&key).map_or(0, |(until_us, _)| *until_us);
         if until_us > known {
             self.cooldowns.insert(key, (until_us, at));
@@ -192,8 +192,8 @@
         self.carry_out(at, effects);
     }
 
-    fn withdraw(&mut self, id: RequestId) {
-        let (at, key) = self.waiting.remove(&id).expect("it waits");
+    fn cancel(&mut self, id: RequestId) {
+        let (at, key) = self.waiting.remove(&id).expect("the request is not waiting");
         let now_us = self.now_us;
         let effects = effects(|e| self.processes[at].cancel_claim(now_us, key, id, e));
         self.carry_out(at, effects);
@@ -210,7 +210,7 @@
         self.carry_out(link.1, effects);
     }
 
-    fn pass(&mut self, span_us: u64) {
+    fn advance(&mut self, span_us: u64) {
         let end_us = self.now_us + span_us;
         while let Some((when_us, at, key)) =
             self.wake_ups.first().copied().filter(|(when, ..)| *when <= end_us)
@@ -225,31 +225,32 @@
     }
 
     /// Delivers all messages and finishes all requests.
-    fn settle(&mut self) {
+    fn drain(&mut self) {
         for _ in 0..10_000 {
             let messages: Vec<_> = self.messages.keys().copied().collect();
             messages.into_iter().for_each(|link| self.deliver(link));
             if let Some(id) = self.running.keys().next().copied() {
                 self.finish(id, false);
             }
-            self.pass(COOLDOWN_US);
-            let silent = self.messages.values().all(VecDeque::is_empty);
-            if silent && self.running.is_empty() && self.waiting.is_empty() && self.wake_ups.is_empty() {
+            self.advance(COOLDOWN_US);
+            let is_delivered = self.messages.values().all(VecDeque::is_empty);
+            if is_delivered && self.running.is_empty() && self.waiting.is_empty() && self.wake_ups.is_empty()
+            {
                 return;
             }
         }
-        panic!("{} requests are never admitted", self.waiting.len());
+        panic!("{} requests were not admitted", self.waiting.len());
     }
 }
 
-/// Whatever the order of messages: one process at a time runs requests of a key, cooldowns hold across processes, every
-/// request is admitted at last, and no lease is left in a table.
+/// Guards against two processes that run requests of one key, violated cooldowns, requests that are never admitted, and
+/// leases that stay in a table, for random orders of messages.
 #[test]
 fn random_steps_never_let_two_processes_run_one_key() {
     for seed in 0..300 {
         let mut random = Gen::from_size_and_seed(100, seed);
         let mut chain = ProcessChain::new(3);
-        let mut asked: Vec<Vec<RequestId>> = vec![Vec::new(); 3];
+        let mut requested: Vec<Vec<RequestId>> = vec![Vec::new(); 3];
         let mut next = 0;
         for _ in 0..200 {
             let (what, which) = (u8::arbitrary(&mut random) % 10, usize::arbitrary(&mut random));
@@ -257,7 +258,7 @@
             match what {
                 0..=2 => {
                     next += 1;
-                    asked[which % 3].push(RequestId(next));
+                    requested[which % 3].push(RequestId(next));
                     chain.request(which % 3, KeyId((which / 3 % 2) as u64), RequestId(next));
                 }
                 3..=4 => {
@@ -267,8 +268,8 @@
                 }
                 5 => {
                     if let Some(id) = nth(chain.waiting.keys().copied().collect()) {
-                        chain.withdraw(id);
-                        asked.iter_mut().for_each(|ids| ids.retain(|other| *other != id));
+                        chain.cancel(id);
+                        requested.iter_mut().for_each(|ids| ids.retain(|other| *other != id));
                     }
                 }
                 6..=8 => {
@@ -277,17 +278,17 @@
                         chain.deliver(messages[which % messages.len()]);
                     }
                 }
-                _ => chain.pass((which % 200_000) as u64),
+                _ => chain.advance((which % 200_000) as u64),
             }
         }
-        chain.settle();
-        assert!(chain.processes.iter().all(KeyLeases::is_empty), "seed {seed}: a lease is left");
-        assert_eq!(chain.admitted.len(), asked.iter().map(Vec::len).sum::<usize>(), "seed {seed}");
+        chain.drain();
+        assert!(chain.processes.iter().all(KeyLeases::is_empty), "seed {seed}: a lease stays in a table");
+        assert_eq!(chain.admitted.len(), requested.iter().map(Vec::len).sum::<usize>(), "seed {seed}");
     }
 }
 
 #[test]
-fn a_predecessor_that_ends_at_any_step_leaves_no_request_waiting() {
+fn no_request_waits_forever_after_its_predecessor_exits() {
     for seed in 0..100 {
         let mut random = Gen::from_size_and_seed(100, seed);
         let mut chain = ProcessChain::new(2);
@@ -298,7 +299,7 @@
                 chain.deliver((at, 1 - at));
             }
         }
-        // It ends with all its requests; messages that it has sent still arrive.
+        // The predecessor exits, which ends its requests. Messages that it has sent still arrive.
         chain.waiting.retain(|_, (at, _)| *at == 1);
         chain.running.retain(|_, (at, _)| *at == 1);
         while chain.messages.get(&(0, 1)).is_some_and(|link| !link.is_empty()) {
@@ -310,12 +311,12 @@
         chain.cooldowns.insert(KEY, (cooldown_until_us, 0));
         let effects =
             effects(|e| chain.processes[1].on_peer_ended(now_us, PeerProcessId(0), cooldown_until_us, e));
-        // What runs here already was admitted under the lease.
+        // Running requests of this process were admitted under the lease, before the predecessor exited.
         if !chain.running.is_empty() {
             chain.cooldowns.clear();
         }
         chain.carry_out(1, effects);
-        chain.settle();
+        chain.drain();
         assert!(chain.processes[1].is_empty(), "seed {seed}");
     }
 }
--- a/gateway/src/core/mod.rs
+++ b/gateway/src/core/mod.rs
@@ -1,11 +1,11 @@
 //! The core of a gateway: open requests, attempts in flight, deadlines, and the one final answer of each request.
 //!
-//! It stands between the front ends and engine connections, which do I/O, and the [`WorkloadManager`], which decides.
-//! A caller collects [`Input`]s, hands them to [`Core::turn`] with the time, and carries out the [`Command`]s that
-//! come back; where nothing happens, it calls again at [`Core::next_timer_us`]. The core does no I/O, knows no
-//! protocol and reads no clock: times are whole microseconds of the caller's clock.
+//! The core connects the front ends and engine connections, which do I/O, with the [`WorkloadManager`], which makes
+//! the decisions. The event loop collects [`Input`]s, passes them to [`Core::turn`] with the current time, and executes
+//! the returned [`Command`]s. Without input, it calls [`Core::turn`] again at [`Core::next_timer_us`]. The core does no
+//! I/O, implements no protocol and reads no clock: times are whole microseconds of the caller's clock.
 //!
-//! Invariants, whatever the workload manager asks for:
+//! Invariants, whatever actions the workload manager returns:
 //!
 //! - A request gets one final answer, before its client's deadline, and none once its client has left (`requests`).
 //! - A request never has two attempts in flight, and a lost attempt is never followed by another (`attempts`).
@@ -49,20 +49,20 @@
     endpoint_states: BTreeMap<EngineId, EndpointState>,
     open_requests: BTreeMap<RequestId, OpenRequest>,
     in_flight: InFlightAttempts,
-    /// Attempts that have ended for the gateway, and that engines may run without bound; with their keys.
+    /// Order keys of attempts that the gateway has given up and that an engine may still run for an unknown time.
     unconfirmed_attempts: BTreeMap<AttemptId, KeyId>,
     leases: KeyLeases,
-    /// Not carried out yet.
+    /// Lease effects that have not been carried out yet.
     lease_effects: Vec<LeaseEffect>,
     timers: Timers,
-    /// Not handed to the workload manager yet.
+    /// Events that have not been passed to the workload manager yet.
     events: VecDeque<Event>,
-    /// Empty between calls; kept for its memory.
+    /// Buffer for the actions of one event. Empty between calls; kept to reuse its allocation.
     actions: Vec<Action>,
 }
 
 impl Core {
-    /// A core with a workload manager that has just started.
+    /// Creates a core with a new workload manager. `seed` initializes the workload manager's random numbers.
     ///
     /// # Errors
     /// The settings are contradictory or out of range.
@@ -82,11 +82,11 @@
         })
     }
 
-    /// Takes over changed settings between two calls of [`Core::turn`]. Open requests and attempts in flight keep the
-    /// class that they came with, and keys their leases; settings that belong to no class hold for all from here on.
+    /// Applies changed settings. Open requests and attempts in flight keep their class, and order keys keep their
+    /// leases. Settings that belong to no class apply to all requests immediately.
     ///
     /// # Errors
-    /// The settings are contradictory or out of range; the old ones stay.
+    /// The settings are contradictory or out of range. The previous settings stay in force.
     pub fn reconfigure(&mut self, change: SettingsChange) -> Result<(), SettingsError> {
         let rules = RequestRules::new(&change.settings);
         self.workload_manager.reconfigure(change)?;
@@ -100,35 +100,35 @@
         open.chain(self.in_flight.iter().map(|attempt| attempt.class)).collect()
     }
 
-    /// Requests that are owed an answer.
+    /// Number of requests without a final answer.
     pub fn open_requests(&self) -> usize {
         self.open_requests.len()
     }
 
-    /// Engines of the endpoint list that get nothing new: they are draining, ejected, or rest after a
+    /// Number of engines of the endpoint list that receive no new attempts: draining, ejected, or backing off after a
     /// rejected attempt.
     pub fn engines_avoided(&self, now_us: u64) -> usize {
         self.workload_manager.engines_avoided(seconds(now_us))
     }
 
-    /// When the next turn is due if no input comes before, in microseconds.
+    /// Time of the next call of [`Core::turn`] without input, in microseconds. `None`: no timer is armed.
     pub fn next_timer_us(&self) -> Option<u64> {
         self.timers.next_us()
     }
 
-    /// How late the core's timers have fired.
+    /// Delays with which the core's timers have fired.
     pub fn timer_lag(&self) -> &TimerLag {
         self.timers.lag()
     }
 
-    /// Armed timers: one for each open request, one for each attempt with a timeout, those of key cooldowns,
-    /// and the workload manager's.
+    /// Number of armed timers: one for each open request, one for each attempt with a timeout, and the timers of key
+    /// cooldowns and of the workload manager.
     pub fn timers(&self) -> usize {
         self.timers.len()
     }
 
-    /// One turn: handles all inputs in order, then the timers that are due. What the workload manager decides on each
-    /// of them is carried out before the next one.
+    /// Handles all inputs in order, then the timers that are due. The workload manager's actions for one input or timer
+    /// are carried out before the next one is handled.
     pub fn turn(&mut self, now_us: u64, inputs: &mut Vec<Input>, commands: &mut Vec<Command>) {
         for input in inputs.drain(..) {
             self.on_input(now_us, input, commands);
@@ -174,12 +174,12 @@
             states.clear();
         }
         states.extend(entries.iter().map(|entry| (entry.engine, entry.state)));
-        // Nothing is sent to an unknown engine, as to a removed one.
+        // No attempt is sent to an unknown engine, so removed engines need no entry.
         states.retain(|_, state| *state != EndpointState::Removed);
         self.events.push_back(Event::EndpointList { mode, entries });
     }
 
-    /// Hands pending events to the workload manager and carries out its actions, until no event is left.
+    /// Passes pending events to the workload manager and carries out its actions until no event is left.
     fn run_workload_manager(&mut self, now_us: u64, commands: &mut Vec<Command>) {
         while let Some(event) = self.events.pop_front() {
             let mut actions = std::mem::take(&mut self.actions);
@@ -215,7 +215,8 @@
             Action::SetTimer { delay, token, request } => {
                 self.arm_for_workload_manager(now_us + micros(delay), token, request);
             }
-            // The endpoint list is pushed and health checks are not permitted, so neither is ever asked for.
+            // The discovery service pushes the endpoint list and the settings disable health checks, so the workload
+            // manager returns neither action.
             Action::CheckHealth(_) | Action::WatchEndpointList => {}
         }
     }
--- a/gateway/src/core/order_keys.rs
+++ b/gateway/src/core/order_keys.rs
@@ -1,4 +1,5 @@
-//! Order keys: the core carries out what [`super::key_leases`] decides, and tells it of peer processes and cooldowns.
+//! Connects the core with the leases of order keys: passes events of peer processes to [`super::key_leases`] and
+//! carries out its effects.
 
 use workload_manager::Event;
 
@@ -7,17 +8,17 @@
 use super::{Command, Core, PeerProcessEvent, PeerProcessId};
 
 impl Core {
-    /// Until when peer processes must leave all keys alone that this process has used, should it end now, in
-    /// microseconds. Engines drop attempts whose gateway has ended after `abandoned_us`.
+    /// Time until which no peer process may use the keys that this process has used, if this process exits at `now_us`,
+    /// in microseconds. `abandoned_us` is the time after which engines drop the attempts of an exited gateway.
     pub fn cooldown_after_exit_us(&self, now_us: u64, abandoned_us: u64) -> u64 {
-        let may_leave_attempts = !self.unconfirmed_attempts.is_empty()
+        let has_keyed_attempts = !self.unconfirmed_attempts.is_empty()
             || self.in_flight.iter().any(|attempt| attempt.key.is_some());
-        let left_until_us =
-            if may_leave_attempts { self.key_cooldown_end_us(now_us + abandoned_us) } else { now_us };
-        left_until_us.max(self.leases.last_cooldown_end_us())
+        let attempts_cooldown_end_us =
+            if has_keyed_attempts { self.key_cooldown_end_us(now_us + abandoned_us) } else { now_us };
+        attempts_cooldown_end_us.max(self.leases.last_cooldown_end_us())
     }
 
-    /// When the cooldown of a key ends after an attempt that may run until `runs_until_us`, in microseconds.
+    /// End of a key's cooldown after an attempt that an engine may run until `runs_until_us`, in microseconds.
     pub fn key_cooldown_end_us(&self, runs_until_us: u64) -> u64 {
         self.rules.key_cooldown_end_us(runs_until_us)
     }
--- a/gateway/src/core/requests.rs
+++ b/gateway/src/core/requests.rs
@@ -8,37 +8,37 @@
 use super::timers::Timer;
 use super::{Command, Core, NewRequest};
 
-/// A request that is owed an answer.
+/// A request without a final answer.
 #[derive(Debug)]
 pub(super) struct OpenRequest {
     pub(super) class: ClassId,
-    /// Its key, if its class is ordered by key.
+    /// Order key. `None` in a class that is not ordered by key.
     pub(super) key: Option<KeyId>,
-    /// The request, as long as another process holds the lease of its key; the workload manager doesn't know it yet.
+    /// The request while it waits for the lease of its key. The workload manager receives it with the lease.
     pub(super) awaiting_lease: Option<Request>,
-    /// When it must have its answer.
+    /// Time by which the core gives the final answer.
     pub(super) answer_by_us: u64,
-    /// The timer of its deadline, and those that the workload manager has set for it.
+    /// Timer of the deadline, and timers that the workload manager has set for this request.
     pub(super) timers: Vec<TimerId>,
-    /// The number of the next attempt.
+    /// Number of the next attempt.
     pub(super) next_attempt: u32,
-    /// When the first attempt was started that may have run.
+    /// Start time of the first attempt that may have run.
     pub(super) may_have_run_since_us: Option<u64>,
-    /// For attempts that start from here on.
+    /// Terms of attempts that start later.
     pub(super) terms: AttemptTerms,
 }
 
 impl OpenRequest {
-    /// An attempt that was started then may have run.
-    pub(super) fn may_have_run(&mut self, started_us: u64) {
+    /// Records that an attempt started at `started_us` may have run.
+    pub(super) fn record_possible_run(&mut self, started_us: u64) {
         self.may_have_run_since_us.get_or_insert(started_us);
     }
 }
 
-/// The kinds of final answer to a request that is not served.
+/// Final answer to a request that is not served.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Unserved {
-    /// Rejected, where a retry by the client is safe; failed elsewhere.
+    /// Rejected if a retry by the client is safe, otherwise failed.
     RejectIfRetryIsSafe {
         /// Retry-After, in seconds.
         retry_after: Option<f64>,
@@ -49,7 +49,7 @@
 impl Core {
     pub(super) fn on_request_arrived(&mut self, now_us: u64, id: RequestId, new: NewRequest) {
         let answer_by_us = self.rules.answer_by_us(new.deadline_us);
-        // Guards against a request without an answer, should the workload manager miss its deadline.
+        // Ensures an answer even if the workload manager misses the deadline.
         let deadline = self.timers.arm(answer_by_us, Timer::RequestDeadline(id));
         let key = self.rules.order_key(new.class, new.key);
         let request = Request {
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Every open request gets its final answer.
+    /// Gives every open request its final answer.
     pub(super) fn on_shutting_down(&mut self, now_us: u64, commands: &mut Vec<Command>) {
         let open: Vec<RequestId> = self.open_requests.keys().copied().collect();
         let retry_after = self.rules.retry_after_seconds();
@@ -103,7 +103,7 @@
         let Some(open) = self.open_requests.get(&id) else { return };
         debug_assert!(now_us >= open.answer_by_us);
         let answer = if open.awaiting_lease.is_some() {
-            // The workload manager never knew it, so no attempt was started.
+            // The workload manager has not received the request, so no attempt was started.
             Unserved::RejectIfRetryIsSafe { retry_after: self.rules.retry_after_seconds() }
         } else {
             Unserved::Fail
@@ -112,7 +112,7 @@
         self.answer_unserved(now_us, id, answer, commands);
     }
 
-    /// A request is no longer owed an answer: its timers and its use of the key's lease end.
+    /// Removes an open request, cancels its timers and releases the lease of its key.
     pub(super) fn close_request(&mut self, now_us: u64, id: RequestId) -> Option<OpenRequest> {
         let open = self.open_requests.remove(&id)?;
         match open.key {
@@ -128,8 +128,8 @@
         Some(open)
     }
 
-    /// The one place where a request ends unserved. It is rejected only where a retry by the client is safe: no
-    /// attempt may have run or be running, or repeats do no harm.
+    /// Gives the final answer to a request that is not served. The request is rejected only if a retry by the client is
+    /// safe: no attempt may have run or be running, or the class is idempotent.
     pub(super) fn answer_unserved(
         &mut self,
         now_us: u64,
--- a/gateway/src/core/rules.rs
+++ b/gateway/src/core/rules.rs
@@ -1,28 +1,28 @@
-//! The rules of retry safety that the core enforces whatever the workload manager asks for, and the limits that it
-//! takes from the settings for them.
+//! Rules of retry safety that the core enforces for every action of the workload manager, with their limits from the
+//! settings.
 
 use workload_manager::{ClassId, Idempotency, KeyId, Settings};
 
 use super::time::micros;
 
-/// The core answers at the latest this long before the client's deadline: the time that the answer needs to the
-/// client, and that the request needed from it, which the gateway's clock has not seen.
+/// Time between the core's answer and the client's deadline, at least. It covers the transmission of the request, which
+/// happened before the gateway measured its arrival, and of the answer.
 pub(super) const CLIENT_DEADLINE_MARGIN_US: u64 = 25_000;
 
-/// Retry-After of requests that the core itself ends: shutdown, lease not granted in time, silent engine.
+/// Retry-After of requests that the core rejects: shutdown, lease not granted in time, unresponsive engine.
 const CORE_RETRY_AFTER_SECONDS: f64 = 0.05;
 
-/// Limits that the core enforces itself.
+/// Limits that the core enforces.
 pub(super) struct RequestRules {
-    /// By class.
+    /// Indexed by class.
     idempotency: Vec<Idempotency>,
-    /// By class.
+    /// Indexed by class.
     ordered_by_key: Vec<bool>,
     key_cooldown_us: u64,
     /// 0: no limit.
     max_attempts: u32,
     clock_resolution_us: u64,
-    /// Retry-After of requests that end for no reason of the workload manager's; none where clients know none.
+    /// Retry-After of requests that the core rejects. `None` if the settings disable Retry-After.
     retry_after_seconds: Option<f64>,
 }
 
@@ -40,34 +40,34 @@
         }
     }
 
-    /// Retry-After in seconds, for a request that the core ends by itself.
+    /// Retry-After of a request that the core rejects, in seconds.
     pub(super) fn retry_after_seconds(&self) -> Option<f64> {
         self.retry_after_seconds
     }
 
-    /// By when the core answers a client that waits until `client_deadline_us`.
+    /// Time by which the core answers a client that waits until `client_deadline_us`.
     pub(super) fn answer_by_us(&self, client_deadline_us: u64) -> u64 {
         client_deadline_us.saturating_sub(CLIENT_DEADLINE_MARGIN_US)
     }
 
-    /// The key that orders a request of this class.
+    /// Order key of a request of this class. `None` if the class is not ordered by key.
     pub(super) fn order_key(&self, class: ClassId, key: Option<KeyId>) -> Option<KeyId> {
         key.filter(|_| self.ordered_by_key[class.0])
     }
 
-    /// Whether a request has had all the attempts that it may have.
+    /// Whether a request with this number of attempts may have no further one.
     pub(super) fn attempts_exhausted(&self, attempts: u32) -> bool {
         self.max_attempts > 0 && attempts >= self.max_attempts
     }
 
-    /// Whether a client may retry a request of this class. A rejection promises that; a failure promises nothing.
+    /// Whether a retry by the client is safe for a request of this class.
     pub(super) fn client_may_retry(&self, class: ClassId, may_have_run: bool) -> bool {
         self.idempotency[class.0].client_may_retry(may_have_run)
     }
 
-    /// Until when a further attempt of a request may start whose first attempt that may have run was started at
-    /// `may_have_run_since_us`. Engines drop repeats with the same idempotency key only within its window, and their
-    /// clocks may be off by the clock resolution.
+    /// Time until which another attempt of a request may start. `may_have_run_since_us` is the start time of the first
+    /// attempt that may have run. Engines detect repeats of an idempotency key only within the window of the class, and
+    /// their clocks may differ by the clock resolution.
     pub(super) fn retry_window_end_us(&self, class: ClassId, may_have_run_since_us: Option<u64>) -> u64 {
         match (self.idempotency[class.0], may_have_run_since_us) {
             (Idempotency::Keyed { window, .. }, Some(since_us)) => {
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Until when a key must not be used elsewhere after an attempt that its engine may run until `runs_until_us`.
+    /// Time until which no other process may use a key after an attempt that an engine may run until `runs_until_us`.
     pub(super) fn key_cooldown_end_us(&self, runs_until_us: u64) -> u64 {
         runs_until_us + self.key_cooldown_us
     }
--- a/gateway/src/core/tests.rs
+++ b/gateway/src/core/tests.rs
@@ -33,13 +33,13 @@
     config::read(&JsonField::root(&json, "config")).unwrap().settings
 }
 
-/// With a class of loads that is ordered by key.
+/// Settings whose class of loads is ordered by key.
 fn ordered_settings() -> Settings {
     let text = CONFIG.replace("\"name\":\"load\",", "\"name\":\"load\",\"keep-order\":true,");
     settings(&text.replace("\"warm-up-s\"", "\"order-pause-s\":0.3,\"warm-up-s\""))
 }
 
-/// A core with two ready engines, on the clock's first second.
+/// A core with two ready engines. The clock starts at one second.
 struct Fixture {
     core: Core,
     now_us: u64,
@@ -50,7 +50,7 @@
         Self::with(settings(CONFIG))
     }
 
-    /// One whose class of loads is ordered by key.
+    /// A fixture whose class of loads is ordered by key.
     fn ordered() -> Self {
         Self::with(ordered_settings())
     }
@@ -96,7 +96,7 @@
         self.turn(vec![Input::RequestArrived { id: RequestId(id), request }])
     }
 
-    /// Lets time pass, timer by timer.
+    /// Advances the clock and fires each timer at its time.
     fn advance(&mut self, span_us: u64) -> Vec<Command> {
         let end = self.now_us + span_us;
         let mut commands = Vec::new();
@@ -116,9 +116,9 @@
     })
 }
 
-/// The attempt that was started, which has to be the first of its request.
+/// Returns the started attempt and asserts that it is the first of its request.
 fn first_attempt(commands: &[Command]) -> AttemptId {
-    let (attempt, _) = started(commands).expect("an attempt is started");
+    let (attempt, _) = started(commands).expect("no attempt was started");
     assert_eq!(attempt.number, 0);
     attempt
 }
@@ -137,7 +137,7 @@
     let attempt = first_attempt(&fixture.request(1, LOOKUP, 3 * SECOND));
     let end = ended(attempt, Outcome::Success);
     assert_eq!(fixture.turn(vec![end.clone()]), [Command::Serve(attempt)]);
-    assert_eq!(fixture.turn(vec![end]), [], "a second end changes nothing");
+    assert_eq!(fixture.turn(vec![end]), [], "a duplicate end is ignored");
     assert_eq!(fixture.advance(10 * SECOND).iter().find_map(answered), None);
     assert_eq!(fixture.core.open_requests(), 0);
 }
@@ -148,13 +148,13 @@
     let attempt = first_attempt(&fixture.request(1, LOAD, 2 * SECOND));
     assert_eq!(fixture.advance(2 * SECOND - CLIENT_DEADLINE_MARGIN_US - 10_000), []);
     let commands = fixture.advance(CLIENT_DEADLINE_MARGIN_US / 2 + 10_000);
-    // It may be running, so a retry is not known to be safe.
+    // The attempt may be running, so a retry by the client is not known to be safe.
     assert_eq!(commands, [Command::Fail(attempt.request), Command::CancelAttempt(attempt)]);
 }
 
 #[test]
 fn a_request_that_is_not_idempotent_is_retried_only_if_it_never_ran() {
-    for (outcome, again) in [
+    for (outcome, is_retried) in [
         (Outcome::ConnectFailed, true),
         (Outcome::Rejected, true),
         (Outcome::NeverSent, true),
@@ -166,7 +166,7 @@
         let mut fixture = Fixture::new();
         let attempt = first_attempt(&fixture.request(1, LOAD, 20 * SECOND));
         let commands = fixture.turn(vec![ended(attempt, outcome)]);
-        if again {
+        if is_retried {
             assert!(commands.iter().all(|c| *c != Command::Fail(attempt.request)), "{outcome:?}");
             assert!(
                 started(&commands).or_else(|| started(&fixture.advance(SECOND))).is_some(),
@@ -178,7 +178,7 @@
     }
 }
 
-/// Guards against a second execution: a retry while a silent engine still runs the first attempt.
+/// Guards against a retry while an unresponsive engine still runs the first attempt.
 #[test]
 fn a_lost_attempt_is_never_followed_by_another() {
     for (class, answer) in [
@@ -191,7 +191,7 @@
             fixture.turn(vec![Input::AttemptLost { attempt, runs_until_us: fixture.now_us }]),
             [answer]
         );
-        assert_eq!(fixture.advance(30 * SECOND), [], "nothing follows");
+        assert_eq!(fixture.advance(30 * SECOND), [], "no command follows the answer");
     }
 }
 
@@ -203,7 +203,7 @@
     assert_eq!(started(&fixture.request_with_key(2, LOAD, 20 * SECOND, key)), None, "the key is in use");
     assert!(
         started(&fixture.request_with_key(3, LOAD, 20 * SECOND, Some(KeyId(6)))).is_some(),
-        "another key is free"
+        "a request of another key is started"
     );
     assert!(
         started(&fixture.request(4, LOAD, 20 * SECOND)).is_some(),
@@ -220,7 +220,7 @@
 }
 
 #[test]
-fn the_next_request_of_a_key_waits_until_a_lost_attempt_is_over() {
+fn the_next_request_of_a_key_waits_for_the_end_and_cooldown_of_a_lost_attempt() {
     let mut fixture = Fixture::ordered();
     let key = Some(KeyId(5));
     let first = first_attempt(&fixture.request_with_key(1, LOAD, 20 * SECOND, key));
@@ -233,7 +233,7 @@
     assert_eq!(
         started(&fixture.advance(2 * SECOND + 290_000)),
         None,
-        "it may run, and then the key cools down"
+        "the attempt may run, and the key cooldown follows"
     );
     assert_eq!(started(&fixture.advance(100_000)).map(|s| s.0.request), Some(RequestId(2)));
 }
@@ -247,21 +247,21 @@
     assert_eq!(
         fixture.turn(vec![Input::AttemptUnconfirmed(first)]),
         [Command::Fail(first.request)],
-        "its client is answered at once"
+        "the client is answered immediately"
     );
     assert!(
         fixture.core.cooldown_after_exit_us(fixture.now_us, SECOND) > fixture.now_us,
         "a successor must wait as well"
     );
-    assert_eq!(started(&fixture.advance(3 * SECOND)), None, "nothing bounds how long it runs");
+    assert_eq!(started(&fixture.advance(3 * SECOND)), None, "the attempt may run for an unknown time");
     let runs_until_us = fixture.now_us + 200_000;
     fixture.turn(vec![Input::AttemptEndConfirmed { attempt: first, runs_until_us }]);
-    assert_eq!(started(&fixture.advance(490_000)), None, "it may run, and then the key cools down");
+    assert_eq!(started(&fixture.advance(490_000)), None, "the attempt may run, and the key cooldown follows");
     assert_eq!(started(&fixture.advance(100_000)).map(|s| s.0.request), Some(RequestId(2)));
     assert_eq!(
         fixture.turn(vec![Input::AttemptEndConfirmed { attempt: first, runs_until_us: 0 }]),
         [],
-        "a second confirmation changes nothing"
+        "a duplicate confirmation is ignored"
     );
 }
 
@@ -288,8 +288,8 @@
 }
 
 quickcheck! {
-    /// Whatever happens to attempts and engines: one final answer each, in time; one attempt in flight at a time;
-    /// no retry of a load that may have run; rejected only where a retry is safe.
+    /// Random events of attempts, engines and clients. Each request has at most one attempt in flight and gets one
+    /// final answer in time. A load that may have run is neither retried nor rejected.
     fn every_request_gets_one_answer_in_time(steps: Vec<(u8, u8, u16)>) -> bool {
         let mut fixture = Fixture::new();
         let mut deadlines = BTreeMap::new();
@@ -366,21 +366,20 @@
                 }
             }
         }
-        // The last step let all deadlines pass. Within a long step the clock shows only its end, so the
-        // time of an answer is checked by the turn after it: none may be open.
+        // All deadlines have passed after the last step, so no request may be open.
         fixture.core.open_requests() == 0 && deadlines.keys().all(|id| answers.contains_key(id) != left.contains(id)
             || left.contains(id))
     }
 }
 
-/// At shutdown no request waits for an engine any more; only one that may have run fails.
+/// Guards against requests that stay open at shutdown. A request fails only if it may have run.
 #[test]
 fn open_requests_get_their_final_answers_at_shutdown() {
     let mut fixture = Fixture::new();
     let lookup = first_attempt(&fixture.request(1, LOOKUP, 3 * SECOND));
     let load = first_attempt(&fixture.request(2, LOAD, 20 * SECOND));
     fixture.update_endpoints(&[entry(0, EndpointState::Draining), entry(1, EndpointState::Draining)]);
-    assert_eq!(started(&fixture.request(3, LOAD, 20 * SECOND)), None, "it is queued");
+    assert_eq!(started(&fixture.request(3, LOAD, 20 * SECOND)), None, "the request is queued");
     let commands = fixture.turn(vec![Input::ShuttingDown]);
     let answers: Vec<_> = commands.iter().filter(|c| answered(c).is_some()).collect();
     assert_eq!(answers.len(), 3, "{commands:?}");
@@ -396,7 +395,7 @@
     assert_eq!(fixture.core.open_requests(), 0);
 }
 
-/// The end of an attempt with that of the client, or with the deadline: one answer, and no attempt after it.
+/// Guards against a second answer when an attempt ends in the same turn as its client leaves or its deadline passes.
 #[test]
 fn ends_in_the_same_turn_give_one_answer() {
     for outcome in [Outcome::Success, Outcome::ConnectionLost, Outcome::Rejected] {
@@ -412,10 +411,10 @@
             let served = outcome == Outcome::Success && !left_first;
             let answers = commands.iter().filter(|c| answered(c).is_some()).count();
             assert_eq!(answers, usize::from(served), "{outcome:?}, {left_first}");
-            // An attempt that was started before the client's end is cancelled in the same turn.
-            let again = started(&commands);
+            // An attempt that was started before the client left is cancelled in the same turn.
+            let retry = started(&commands);
             assert!(
-                again.is_none_or(|(attempt, _)| commands.contains(&Command::CancelAttempt(attempt))),
+                retry.is_none_or(|(attempt, _)| commands.contains(&Command::CancelAttempt(attempt))),
                 "{commands:?}"
             );
         }
@@ -433,13 +432,13 @@
     }
 }
 
-/// Guards against an idle gateway that wakes: once all is answered, no timer is armed.
+/// Guards against timers that wake an idle gateway.
 #[test]
 fn an_idle_core_arms_no_timer() {
     let mut fixture = Fixture::new();
     assert_eq!(fixture.core.next_timer_us(), None, "engines alone need no control tick");
     let attempt = first_attempt(&fixture.request(1, LOOKUP, 3 * SECOND));
-    assert!(fixture.core.timers() >= 2, "its deadline, and the control tick");
+    assert!(fixture.core.timers() >= 2, "the deadline of the request, and the control tick");
     fixture.turn(vec![ended(attempt, Outcome::Success)]);
     fixture.advance(100_000);
     assert_eq!((fixture.core.timers(), fixture.core.next_timer_us()), (0, None));
@@ -450,7 +449,7 @@
     );
 }
 
-/// The settings of [`Fixture::ordered`] with the class of loads retired, and a changed one derived from it.
+/// The settings of [`Fixture::ordered`] with the class of loads retired and a changed class derived from it.
 fn with_changed_loads(to: impl Fn(&mut Class)) -> SettingsChange {
     let mut settings = ordered_settings();
     let mut origins = vec![ClassOrigin::Unchanged; settings.classes.len()];
@@ -472,7 +471,7 @@
     fixture.core.reconfigure(with_changed_loads(|class| class.ordered_by_key = false)).unwrap();
     assert_eq!(started(&fixture.advance(SECOND)), None, "the second waits for the first");
     let third = fixture.request_with_key(3, CHANGED_LOAD, 20 * SECOND, Some(KeyId(9)));
-    assert_eq!(started(&third).unwrap().0.request, RequestId(3), "a new one is not ordered");
+    assert_eq!(started(&third).unwrap().0.request, RequestId(3), "a new request is not ordered");
     let commands = fixture.turn(vec![ended(first, Outcome::Success)]);
     assert_eq!(started(&commands).unwrap().0.request, RequestId(2));
 }
@@ -486,10 +485,10 @@
         .reconfigure(with_changed_loads(|class| class.idempotency = Idempotency::Idempotent))
         .unwrap();
     let commands = fixture.turn(vec![ended(attempt, Outcome::ConnectionLost)]);
-    assert_eq!(commands, [Command::Fail(attempt.request)], "no retry, and no promise that one is safe");
+    assert_eq!(commands, [Command::Fail(attempt.request)], "no retry, and no rejection");
     let attempt = first_attempt(&fixture.request(2, CHANGED_LOAD, 20 * SECOND));
     let commands = fixture.turn(vec![ended(attempt, Outcome::ConnectionLost)]);
-    assert!(started(&commands).is_some(), "a new one is retried");
+    assert!(started(&commands).is_some(), "a new request is retried");
 }
 
 #[test]
@@ -507,7 +506,7 @@
     assert_eq!(
         commands,
         [Command::Reject { request: attempt.request, retry_after_ms: None }],
-        "one attempt, and no Retry-After"
+        "only one attempt, and no Retry-After"
     );
 }
 
@@ -518,7 +517,7 @@
     let attempt = first_attempt(&fixture.request(1, LOAD, 20 * SECOND));
     fixture.turn(vec![Input::ClientLeft(attempt.request)]);
     assert_eq!(fixture.core.open_requests(), 0);
-    assert!(fixture.core.classes_in_use().contains(&LOAD), "its attempt is still in flight");
+    assert!(fixture.core.classes_in_use().contains(&LOAD), "the attempt is still in flight");
     fixture.turn(vec![ended(attempt, Outcome::Cancelled)]);
     assert!(fixture.core.classes_in_use().is_empty());
 }
--- a/gateway/src/core/timers.rs
+++ b/gateway/src/core/timers.rs
@@ -1,4 +1,4 @@
-//! Timers of the core.
+//! Timers of the core: deadlines of requests, timeouts of attempts, key cooldowns and timers of the workload manager.
 
 use workload_manager::{Event, KeyId, RequestId};
 use wrenhatch_sessions::timer_wheel::{TimerId, TimerWheel};
@@ -6,20 +6,20 @@
 use super::{AttemptId, Command, Core};
 use crate::timer_lag::TimerLag;
 
-/// What a timer is for.
+/// The purpose of a timer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Timer {
-    /// Set by the workload manager, with its token.
+    /// Fires an [`Event::Timer`] with this token.
     WorkloadManager(u64),
-    /// The attempt has timed out.
+    /// Cancels the attempt.
     AttemptTimeout(AttemptId),
-    /// The request must have its final answer.
+    /// Gives the request its final answer.
     RequestDeadline(RequestId),
-    /// The cooldown of a key may be over.
+    /// Serves the waiting claims of a key if its cooldown is over.
     KeyCooldown(KeyId),
 }
 
-/// The timers that are armed, and how late they have fired.
+/// Armed timers, and the delays with which timers have fired.
 #[derive(Default)]
 pub(super) struct Timers {
     wheel: TimerWheel<Timer>,
@@ -35,7 +35,7 @@
         self.wheel.cancel(timer);
     }
 
-    /// The next timer that is due.
+    /// Removes and returns the earliest timer that is due.
     pub(super) fn pop(&mut self, now_us: u64) -> Option<Timer> {
         let (due_us, timer) = self.wheel.pop(now_us)?;
         self.lag.record(due_us, now_us);
@@ -66,7 +66,7 @@
         self.carry_out_lease_effects(commands);
     }
 
-    /// Arms a timer for the workload manager. One for a request goes with the request.
+    /// Arms a timer for the workload manager. A timer for a request is cancelled when the request ends.
     pub(super) fn arm_for_workload_manager(&mut self, at_us: u64, token: u64, request: Option<RequestId>) {
         let timer = self.timers.arm(at_us, Timer::WorkloadManager(token));
         match request.map(|id| self.open_requests.get_mut(&id)) {
