--- a/gateway/src/admission.rs
+++ b/gateway/src/admission.rs
@@ -1,14 +1,14 @@
-//! Admission of client requests: whether a request that a front end has read is handed to the workload manager.
+//! Admission of client requests: decides whether a request that a front end has read is passed to the workload manager.
 //!
 //! A request passes two steps, in this order:
 //!
-//! 1. [`validate`]: what the request names has to be known, and its id has to be free. A violation is the client's
-//!    mistake; it is answered with the text of the [`InvalidRequest`].
-//! 2. [`admit`]: the gateway has to be able to serve the request. All [`RejectionReason`]s are checked, in the order of
-//!    [`RejectionReason::ALL`]; those that apply are the [`Rejection`]. Nothing was sent to an engine, so that a retry
+//! 1. [`validate`] checks that the settings have the request's class and tenant and that its id is not in use. A
+//!    violation is an error of the client, who receives the text of the [`InvalidRequest`].
+//! 2. [`admit`] checks that the gateway can serve the request. All [`RejectionReason`]s are checked, in the order of
+//!    [`RejectionReason::ALL`]. The [`Rejection`] contains those that apply. Nothing was sent to an engine, so a retry
 //!    is safe.
 //!
-//! There is no I/O and no state here: the event loop gathers the [`AdmissionInput`] and carries out the verdict.
+//! This module does no I/O and has no state: the event loop collects the [`AdmissionInput`] and carries out the result.
 
 use workload_manager::{ClassId, TenantId};
 use wrenhatch_sessions::memory_budget::InsufficientMemory;
@@ -17,7 +17,7 @@
 use crate::config::SettingsNames;
 use crate::front::fields::RequestFields;
 
-/// Why a request or a statement to be prepared is invalid; the text goes to the client.
+/// Error in a request or in a statement to be prepared. The client receives the text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidRequest {
     /// The settings have no class of this name.
@@ -26,34 +26,35 @@
     /// The settings have no tenant of this name.
     #[error("unknown tenant")]
     UnknownTenant,
-    /// Engines know a query by its id alone: a call for one of two with the same id would reach the other.
+    /// Another request with the same id is open. Engines identify a query by its id alone, so calls for the two could
+    /// not be told apart.
     #[error("the id is that of a request that is open")]
     DuplicateId,
 }
 
-/// What a request's fields name, as the settings number it.
+/// Class and tenant of a request, by their numbers in the settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Subject {
-    /// Its class.
+    /// From the field `class`, which every request has.
     pub class: ClassId,
-    /// Its tenant, where the fields name one.
+    /// `None` if the fields have no tenant.
     pub tenant: Option<TenantId>,
 }
 
-/// Looks up what the fields name.
+/// Looks up the class and the tenant of the fields in the settings.
 ///
 /// # Errors
-/// A class, or else a tenant, that the settings don't have.
+/// The settings don't have the class or the tenant. An unknown class is reported first.
 pub fn subject(names: &SettingsNames, fields: &RequestFields) -> Result<Subject, InvalidRequest> {
     let class = names.class(&fields.class).ok_or(InvalidRequest::UnknownClass)?;
     let tenant = |name: &String| names.tenant(name).ok_or(InvalidRequest::UnknownTenant);
     Ok(Subject { class, tenant: fields.tenant.as_ref().map(tenant).transpose()? })
 }
 
-/// Checks the fields of a new request. `id_in_use` says that a request or an attempt with its id is under way.
+/// Checks the fields of a new request. `id_in_use`: a request or an attempt with the same id has not ended.
 ///
 /// # Errors
-/// An id in use, or else names that the settings don't have.
+/// The id is in use, or the settings don't have the class or the tenant. An id in use is reported first.
 pub fn validate(
     names: &SettingsNames,
     fields: &RequestFields,
@@ -62,31 +63,31 @@
     if id_in_use { Err(InvalidRequest::DuplicateId) } else { subject(names, fields) }
 }
 
-/// How long a client waits for the answer, in microseconds: as long as its request says, and never longer than the
-/// deadline of its class, in seconds, as the timers of a request are kept for as long.
+/// Time for which a client waits for the answer, in microseconds. The deadline of the class bounds the requested time,
+/// because the gateway keeps the timers of a request until its deadline.
 pub fn wait_us(requested_ms: Option<u64>, class_deadline_seconds: f64) -> u64 {
     let class_us = (class_deadline_seconds * 1e6) as u64;
     requested_ms.map_or(class_us, |ms| ms.saturating_mul(1000)).min(class_us)
 }
 
-/// What admission of a valid request depends on.
+/// Values that decide the admission of a valid request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AdmissionInput {
-    /// The time, in microseconds of the gateway's clock.
+    /// Current time, in microseconds of the gateway's clock.
     pub now_us: u64,
-    /// Since when the request was there to be read: its client has waited since then.
+    /// Time at which the request became readable, in microseconds. The client has waited since then.
     pub ready_us: u64,
-    /// How long its client waits, as [`wait_us`] has it.
+    /// Time for which the client waits, in microseconds, from [`wait_us`].
     pub wait_us: u64,
-    /// Work that will be done before the request, in microseconds; 0 unless it was read ahead of its turn.
+    /// Duration of the work queued before the request, in microseconds. 0 unless the request was read out of order.
     pub work_ahead_us: u64,
-    /// This process takes no new requests, as it ends.
+    /// This process shuts down and accepts no new requests.
     pub shutting_down: bool,
-    /// Requests that are open.
+    /// Number of open requests.
     pub open_requests: usize,
-    /// Requests that may be open.
+    /// Maximum number of open requests, from the settings.
     pub max_open_requests: usize,
-    /// Whether the memory budget has the bytes of the request.
+    /// Result of checking the memory budget for the bytes of the request.
     pub memory: Result<(), InsufficientMemory>,
 }
 
@@ -96,16 +97,16 @@
     }
 }
 
-/// Why a valid request is rejected.
+/// Reason for rejecting a valid request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectionReason {
-    /// The process ends; another one takes the request.
+    /// The process shuts down. Another process accepts the request when the client retries.
     ShuttingDown,
-    /// As many requests are open as the configuration allows.
+    /// The number of open requests has reached the limit of the settings.
     TooManyOpenRequests,
-    /// Memory is short.
+    /// The memory budget is exhausted.
     MemoryShort,
-    /// The request would be reached after its client has stopped waiting.
+    /// The client would stop waiting before the request is processed.
     TooLate,
 }
 
@@ -129,13 +130,13 @@
         }
     }
 
-    /// Whether the client is sent a Retry-After: the time at which the work that waits here will be done. That says
-    /// nothing of a process that ends or of requests that stay open.
+    /// Whether the answer has a Retry-After. Its value is the expected end of the queued work, which is no estimate for
+    /// a process that shuts down or for requests that stay open.
     pub fn sends_retry_after(self) -> bool {
         matches!(self, RejectionReason::MemoryShort | RejectionReason::TooLate)
     }
 
-    /// The counter of its rejections; each is counted as refused beside it.
+    /// Counter of rejections for this reason. Each rejection is also counted as refused.
     pub fn counter(self) -> Option<RejectionCounter> {
         match self {
             RejectionReason::ShuttingDown | RejectionReason::TooManyOpenRequests => None,
@@ -145,7 +146,7 @@
     }
 }
 
-/// Counters of rejections, named as [`crate::counters::Counters`] has them.
+/// Counters of rejections, with the names of the fields of [`crate::counters::Counters`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectionCounter {
     /// `no_memory`
@@ -154,40 +155,40 @@
     TooLate,
 }
 
-/// The reasons for which a request is rejected; at least one.
+/// Reasons for which a request is rejected. There is at least one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rejection {
     reasons: [Option<RejectionReason>; RejectionReason::ALL.len()],
 }
 
 impl Rejection {
-    /// The reasons, in the order of [`RejectionReason::ALL`].
+    /// Reasons that apply, in the order of [`RejectionReason::ALL`].
     pub fn reasons(&self) -> impl Iterator<Item = RejectionReason> {
         self.reasons.into_iter().flatten()
     }
 
-    /// The counters, each of which counts the request once.
+    /// Counters to be incremented by one.
     pub fn counters(&self) -> impl Iterator<Item = RejectionCounter> {
         self.reasons().filter_map(RejectionReason::counter)
     }
 
-    /// Whether the client is sent a Retry-After: one reason that sends it is enough.
+    /// Whether the answer has a Retry-After. One reason that sends it is enough.
     pub fn sends_retry_after(&self) -> bool {
         self.reasons().any(RejectionReason::sends_retry_after)
     }
 }
 
-/// The terms on which a request is admitted.
+/// An admitted request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Admitted {
-    /// When its client stops waiting, in microseconds of the gateway's clock.
+    /// Time at which the client stops waiting, in microseconds of the gateway's clock.
     pub deadline_us: u64,
 }
 
-/// Admits a valid request, or rejects it.
+/// Admits or rejects a valid request.
 ///
 /// # Errors
-/// All reasons to reject it.
+/// At least one [`RejectionReason`] applies.
 pub fn admit(input: &AdmissionInput) -> Result<Admitted, Rejection> {
     let reasons = RejectionReason::ALL.map(|reason| reason.applies(input).then_some(reason));
     if reasons.iter().all(Option::is_none) {
--- a/gateway/src/discovery/endpoint.rs
+++ b/gateway/src/discovery/endpoint.rs
@@ -1,4 +1,4 @@
-//! Endpoints, events of the endpoint list, and how both are read from JSON.
+//! Endpoints and events of the endpoint list, and their JSON representation.
 
 use std::net::SocketAddr;
 
@@ -7,52 +7,52 @@
 
 use crate::json::{self, JsonError, JsonField};
 
-/// One engine as the endpoint list has it.
+/// An entry of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint {
-    /// Its name, which identifies the engine.
+    /// Identifies the engine.
     pub name: String,
-    /// Where it listens.
+    /// Address of the engine's HTTP interface.
     pub address: SocketAddr,
-    /// Its zone; may be empty.
+    /// Name of the zone. May be empty.
     pub zone: String,
-    /// The name of its machine type; may be empty.
+    /// Name of the machine type. May be empty.
     pub machine_type: String,
-    /// Its cell.
+    /// Number of the cell within which engines share idempotency keys.
     pub cell: u64,
-    /// Its state.
+    /// Only a ready engine receives new attempts.
     pub state: EndpointState,
-    /// Start of its process in Unix milliseconds; 0: long ago.
+    /// Start of the engine's process, in Unix milliseconds. 0: the start is unknown, and the engine counts as warm.
     pub started_ms: u64,
 }
 
-/// One event of the endpoint list.
+/// An event of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointListEvent {
-    /// Its number.
+    /// Number of the event. Numbers increase by one.
     pub index: u64,
-    /// Whether it holds the whole list; otherwise it holds what has changed.
+    /// Whether the entries are the whole list. Otherwise they are the changes since the previous event.
     pub is_full: bool,
-    /// Its entries.
+    /// Entries in the order of the event.
     pub entries: Vec<Endpoint>,
-    /// Entries that can't be read; the others count all the same.
+    /// Entries that can't be read. They don't prevent the other entries from being applied.
     pub unreadable: Vec<UnreadableEntry>,
 }
 
 /// An entry of an event that can't be read.
 #[derive(Clone, Debug, PartialEq)]
 pub struct UnreadableEntry {
-    /// The engine's name, if that can be read.
+    /// Name of the engine. `None` if the name can't be read either.
     pub name: Option<String>,
-    /// The error, with the place in the event.
+    /// Error text with the path of the value in the event.
     pub error: String,
 }
 
-/// Reads an event, `{"index":N,"endpoints":{"snapshot":..,"endpoints":[..]}}`. Entries that can't be read are set
-/// aside.
+/// Reads an event, `{"index":N,"endpoints":{"snapshot":..,"endpoints":[..]}}`. Entries that can't be read are collected
+/// in [`EndpointListEvent::unreadable`].
 ///
 /// # Errors
-/// Its number, whether it is the whole list, or the array of entries can't be read.
+/// `index`, `snapshot` or the array of entries can't be read.
 pub fn read_event(event: &JsonField<'_>) -> Result<EndpointListEvent, JsonError> {
     let body = event.get("endpoints");
     let (mut entries, mut unreadable) = (Vec::new(), Vec::new());
@@ -67,22 +67,22 @@
     Ok(EndpointListEvent { index, is_full, entries, unreadable })
 }
 
-/// Reads an event from its text.
+/// Parses the JSON text of an event.
 ///
 /// # Errors
-/// The text is not JSON, or not an event; see [`read_event`].
+/// The text is not JSON, or not an event: see [`read_event`].
 pub fn parse_event(text: &str) -> Result<EndpointListEvent, JsonError> {
     read_event(&JsonField::root(&json::parse(text, "event")?, "event"))
 }
 
-/// The states as JSON names them.
+/// Names of the states in JSON.
 const STATES: [(EndpointState, &str); 3] = [
     (EndpointState::Ready, "Ready"),
     (EndpointState::Draining, "Terminating"),
     (EndpointState::Removed, "Gone"),
 ];
 
-/// An entry of the list as [`read_endpoint`] reads it.
+/// Converts an entry of the list into the JSON that [`read_endpoint`] reads.
 pub fn endpoint_to_json(endpoint: &Endpoint) -> JsonValue {
     let string = |text: &str| JsonValue::String(text.to_owned());
     // Exact up to 2^53.
@@ -103,7 +103,7 @@
 /// Reads an entry of the list.
 ///
 /// # Errors
-/// What is missing or can't be read.
+/// A value is missing or can't be read.
 pub fn read_endpoint(entry: &JsonField<'_>) -> Result<Endpoint, JsonError> {
     let status = entry.get("status");
     let name = status.string()?;
--- a/gateway/src/discovery/endpoint/tests.rs
+++ b/gateway/src/discovery/endpoint/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn an_event_is_read_without_its_unreadable_entries() {
+fn unreadable_entries_are_separated_from_readable_ones() {
     let entry = |n: usize| {
         let status = if n % 1000 == 7 { "Sick" } else { "Ready" };
         format!("{{\"name\":\"e{n}\",\"address\":\"127.0.0.1:9\",\"status\":\"{status}\"}}")
@@ -16,5 +16,5 @@
     assert_eq!(names, [Some("e7"), Some("e1007"), Some("e2007"), None]);
     let error = "event.endpoints.endpoints[1007].status: Ready, Terminating or Gone expected";
     assert_eq!(read.unreadable[1].error, error);
-    assert!(event("7").is_err(), "nothing of it can be read");
+    assert!(event("7").is_err(), "the entries are not an array");
 }
--- a/gateway/src/discovery/engine_registry.rs
+++ b/gateway/src/discovery/engine_registry.rs
@@ -1,7 +1,7 @@
-//! The engines by name: which are in the endpoint list, which ever were, and which are in maintenance.
+//! Registry of engines by name: listed engines, names of formerly listed engines, and engines in maintenance.
 //!
-//! Events of the list go through [`EngineRegistry::apply`] and come out as the rest of the gateway has to see them: an
-//! engine in maintenance is draining, whatever the list says.
+//! [`EngineRegistry::apply`] applies an event of the list and returns the event that the rest of the gateway uses, in
+//! which an engine in maintenance is draining.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -9,31 +9,31 @@
 
 use super::endpoint::{Endpoint, EndpointListEvent};
 
-/// Names that are always remembered after their engines were removed.
+/// Number of names that are stored regardless of the memory limit.
 const MIN_KNOWN_NAMES: usize = 4096;
-/// Bytes of the gateway's memory for each name that is remembered beyond [`MIN_KNOWN_NAMES`].
+/// Bytes of the gateway's memory limit required for each name beyond [`MIN_KNOWN_NAMES`].
 const MEMORY_BYTES_PER_NAME: usize = 8192;
 
-/// No engine of this name was ever in the list.
+/// The registry has no engine of this name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("no engine of this name was ever listed")]
 pub struct UnknownEngine;
 
-/// The engines by name.
+/// Listed engines, known names, and engines in maintenance.
 #[derive(Debug)]
 pub struct EngineRegistry {
     endpoints: BTreeMap<String, Endpoint>,
     known_names: BTreeSet<String>,
-    /// The same names, those known for longest first.
+    /// The elements of `known_names`, oldest first.
     names_by_age: VecDeque<String>,
     max_names: usize,
     in_maintenance: BTreeSet<String>,
-    /// When maintenance of an engine ended, in Unix milliseconds: it counts as started then.
+    /// End of each engine's last maintenance, in Unix milliseconds. The engine counts as started at that time.
     maintenance_end_ms: BTreeMap<String, u64>,
 }
 
 impl EngineRegistry {
-    /// An empty registry of a gateway that may use so many bytes of memory.
+    /// Creates an empty registry. `memory_bytes` is the gateway's memory limit, which bounds the number of known names.
     pub fn new(memory_bytes: usize) -> Self {
         Self {
             endpoints: BTreeMap::new(),
@@ -45,10 +45,10 @@
         }
     }
 
-    /// Applies an event of the list and returns it as it counts: an engine in maintenance is draining, and one whose
-    /// maintenance has ended started then at the earliest.
+    /// Applies an event of the list and returns the effective event. There, an engine in maintenance is draining, and
+    /// the start of an engine after maintenance is not before the end of its maintenance.
     ///
-    /// An engine whose entry can't be read stays as it was listed, but drains: nothing says that it may be used.
+    /// An engine whose entry can't be read keeps its previous entry but is draining, because its state is unknown.
     pub fn apply(&mut self, event: &EndpointListEvent) -> EndpointListEvent {
         let unreadable = event.unreadable.iter().filter_map(|u| self.endpoints.get(u.name.as_ref()?));
         let mut entries: Vec<Endpoint> =
@@ -56,7 +56,7 @@
         if event.is_full {
             self.endpoints.clear();
         }
-        // Where an event has two entries of one name, the one that can be read counts.
+        // If an event has a readable and an unreadable entry of one name, the readable one is applied last.
         entries.extend_from_slice(&event.entries);
         for endpoint in &entries {
             self.remember(&endpoint.name);
@@ -80,8 +80,8 @@
         Endpoint { state, started_ms, ..endpoint.clone() }
     }
 
-    /// Remembers a name. The oldest are forgotten, so that new names all day take no memory for good; names of listed
-    /// engines and of those in maintenance are kept.
+    /// Adds a known name. The oldest names are evicted beyond the limit, except names of listed engines and of engines
+    /// in maintenance.
     pub fn remember(&mut self, name: &str) {
         if !self.known_names.insert(name.to_owned()) {
             return;
@@ -98,8 +98,8 @@
         }
     }
 
-    /// Remembers a name that another process of this gateway knows, and when maintenance of its engine ended, in Unix
-    /// milliseconds; 0: never.
+    /// Adds a known name from another process of this gateway. `maintenance_end_ms` is the end of the engine's last
+    /// maintenance in Unix milliseconds, or 0 without one.
     pub fn restore(&mut self, name: &str, maintenance_end_ms: u64) {
         self.remember(name);
         if maintenance_end_ms > 0 {
@@ -107,10 +107,11 @@
         }
     }
 
-    /// Begins maintenance of an engine. The event, if any, says what has changed.
+    /// Begins maintenance of an engine. Returns the event to be applied if the engine is listed and was not in
+    /// maintenance.
     ///
     /// # Errors
-    /// It was never listed.
+    /// The name is unknown.
     pub fn begin_maintenance(&mut self, name: &str) -> Result<Option<EndpointListEvent>, UnknownEngine> {
         if !self.known_names.contains(name) {
             return Err(UnknownEngine);
@@ -118,11 +119,11 @@
         Ok(self.in_maintenance.insert(name.to_owned()).then(|| self.changed(name)).flatten())
     }
 
-    /// Ends maintenance of an engine, which counts as started at this Unix millisecond. The event, if any, says what has
-    /// changed.
+    /// Ends maintenance of an engine. The engine counts as started at `now_ms`, in Unix milliseconds. Returns the event
+    /// to be applied if the engine is listed and was in maintenance.
     ///
     /// # Errors
-    /// It was never listed.
+    /// The name is unknown.
     pub fn end_maintenance(
         &mut self,
         name: &str,
@@ -143,22 +144,22 @@
         Some(EndpointListEvent { index: 0, is_full: false, entries, unreadable: Vec::new() })
     }
 
-    /// The number of engines in the list.
+    /// Number of engines in the list.
     pub fn endpoint_count(&self) -> usize {
         self.endpoints.len()
     }
 
-    /// The engines in the list, as the list has them.
+    /// Engines in the list. Their states ignore maintenance.
     pub fn endpoints(&self) -> impl Iterator<Item = &Endpoint> {
         self.endpoints.values()
     }
 
-    /// The engines in maintenance.
+    /// Names of the engines in maintenance.
     pub fn in_maintenance(&self) -> impl Iterator<Item = &str> {
         self.in_maintenance.iter().map(String::as_str)
     }
 
-    /// All names that are remembered, each with the end of its engine's maintenance in Unix milliseconds, or 0.
+    /// All known names, each with the end of the engine's last maintenance in Unix milliseconds, or 0 without one.
     pub fn known_names(&self) -> impl Iterator<Item = (&str, u64)> {
         self.known_names.iter().map(|n| (n.as_str(), self.maintenance_end_ms.get(n).copied().unwrap_or(0)))
     }
--- a/gateway/src/discovery/mod.rs
+++ b/gateway/src/discovery/mod.rs
@@ -1,9 +1,9 @@
-//! Discovery: the endpoint list, which says which engines there are, where they listen and in which state they are.
+//! Discovery: the endpoint list, which contains the engines with their addresses and states.
 //!
-//! The discovery service sends the list as numbered events over server-sent events. [`EndpointStream`] turns bytes
-//! into events, [`EndpointWatch`] decides when to connect and which events count, [`SilenceDetector`] says when a stream
-//! counts as dead, and [`EngineRegistry`] holds the list by name and applies maintenance. Nothing here does I/O; `net`
-//! carries it out.
+//! The discovery service sends the list as numbered events over server-sent events. [`EndpointStream`] parses bytes
+//! into events, [`EndpointWatch`] decides when to connect and which events are applied, [`SilenceDetector`] detects
+//! dead streams, and [`EngineRegistry`] stores the list by name and applies maintenance. This module does no I/O: `net`
+//! holds the connections.
 
 mod endpoint;
 mod engine_registry;
--- a/gateway/src/discovery/stream.rs
+++ b/gateway/src/discovery/stream.rs
@@ -1,4 +1,4 @@
-//! The stream of endpoint list events from the discovery service, without its socket.
+//! Parser of the stream of endpoint list events from the discovery service. The caller owns the socket.
 
 use std::io::Write;
 
@@ -6,14 +6,15 @@
 use crate::event_stream::EventStream;
 use crate::json::JsonError;
 
-/// Bytes of an endpoint in an event, at most; parsed, it takes several times as much.
+/// Maximum JSON size of an endpoint in an event.
 const MAX_ENDPOINT_BYTES: usize = 512;
-/// Endpoints in one event that are always accepted.
+/// Number of endpoints in one event that are accepted regardless of the memory limit.
 const MIN_ENDPOINTS: usize = 1024;
-/// The text of an event may take the gateway's memory divided by this.
+/// An event may have at most the gateway's memory limit divided by this number, because its parsed form takes several
+/// times the size of its text.
 const MEMORY_DIVISOR: usize = 16;
 
-/// Writes the request that opens the stream behind event `last_index`.
+/// Writes the request for the stream of events after event `last_index`.
 pub fn write_stream_request(last_index: u64, out: &mut Vec<u8>) {
     // Writing to a vector never fails.
     let _ = write!(
@@ -22,35 +23,35 @@
     );
 }
 
-/// Why a stream can't be followed further.
+/// Error after which a stream can't be read any further.
 #[derive(Debug, thiserror::Error)]
 pub enum EndpointStreamError {
-    /// The answer is no event stream, or one of its events is too long.
-    #[error("the coordinator's answer is no stream")]
+    /// The response is not an event stream, or an event is too long.
+    #[error("the response of the discovery service is not an event stream, or an event is too long")]
     NotAStream,
-    /// An event, given by its number, can't be read.
+    /// The event with this number can't be read.
     #[error("event {0} can't be read: {1}")]
     UnreadableEvent(u64, JsonError),
 }
 
-/// Reads one stream of endpoint list events.
+/// Reader of one stream of endpoint list events.
 pub struct EndpointStream(EventStream);
 
 impl EndpointStream {
-    /// A stream of a gateway that may use so many bytes of memory.
+    /// Creates a reader. `memory_bytes` is the gateway's memory limit, which bounds the size of an event.
     pub fn new(memory_bytes: usize) -> Self {
         Self(EventStream::new((memory_bytes / MEMORY_DIVISOR).max(MIN_ENDPOINTS * MAX_ENDPOINT_BYTES)))
     }
 
-    /// Whole lines read so far; the head counts as one. Bytes that never end a line are no sign of life.
+    /// Number of whole lines read so far. The response head counts as one.
     pub fn lines(&self) -> u64 {
         self.0.lines()
     }
 
-    /// Takes bytes from `input` and appends the complete events to `events`, also those before an error.
+    /// Consumes bytes of `input` and appends the complete events to `events`, including those before an error.
     ///
     /// # Errors
-    /// The stream can't be followed further.
+    /// The stream can't be read any further.
     pub fn read(
         &mut self,
         input: &mut Vec<u8>,
--- a/gateway/src/discovery/stream/tests.rs
+++ b/gateway/src/discovery/stream/tests.rs
@@ -4,18 +4,18 @@
 const EVENT: &str = "{\"index\":4,\"endpoints\":{\"index\":7,\"snapshot\":false,\"endpoints\":[{\"name\":\"a\",\
     \"address\":\"127.0.0.1:80\",\"zone\":\"z\",\"type\":\"k\",\"group\":2,\"status\":\"Terminating\",\"since_ms\":0}]}}";
 
-fn read_in_pieces(text: &str, size: usize) -> Vec<EndpointListEvent> {
+fn read_in_chunks(text: &str, size: usize) -> Vec<EndpointListEvent> {
     let mut stream = EndpointStream::new(0);
     let (mut input, mut events) = (Vec::new(), Vec::new());
-    for piece in text.as_bytes().chunks(size) {
-        input.extend(piece);
+    for chunk in text.as_bytes().chunks(size) {
+        input.extend(chunk);
         stream.read(&mut input, &mut events).unwrap();
     }
     events
 }
 
 #[test]
-fn events_are_read_from_pieces_of_any_size() {
+fn events_are_read_from_chunks_of_any_size() {
     let block = format!(": hello\n\nid: 41\ndata: {EVENT}\n\n");
     let plain = format!("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n{block}");
     let (a, b) = block.split_at(30);
@@ -26,8 +26,8 @@
     );
     for text in [plain, chunked] {
         for size in 1..40 {
-            let events = read_in_pieces(&text, size);
-            assert_eq!(events.len(), 1, "pieces of {size}");
+            let events = read_in_chunks(&text, size);
+            assert_eq!(events.len(), 1, "chunks of {size}");
             assert_eq!((events[0].index, events[0].is_full), (41, false));
             assert_eq!(events[0].entries[0].state, EndpointState::Draining);
         }
@@ -64,13 +64,13 @@
             .read(&mut input, &mut events)
             .map(|()| events.iter().map(|e| e.entries.len()).sum())
     };
-    assert_eq!(read(1024, 0).ok(), Some(1024), "however little memory there is");
+    assert_eq!(read(1024, 0).ok(), Some(1024), "accepted regardless of the memory limit");
     assert_eq!(read(8192, 64 << 20).ok(), Some(8192));
     assert!(matches!(read(8192, 1 << 20), Err(EndpointStreamError::NotAStream)));
 }
 
 #[test]
-fn only_whole_lines_count() {
+fn partial_lines_are_not_counted() {
     let mut stream = EndpointStream::new(0);
     let mut read = |text: &str| {
         stream.read(&mut text.as_bytes().to_vec(), &mut Vec::new()).unwrap();
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn another_response_is_an_error() {
+fn a_response_with_another_status_is_an_error() {
     let mut input = b"HTTP/1.1 404 no\r\n\r\n".to_vec();
     assert!(matches!(
         EndpointStream::new(0).read(&mut input, &mut Vec::new()),
