--- a/gateway/src/discovery/watch.rs
+++ b/gateway/src/discovery/watch.rs
@@ -1,64 +1,64 @@
-//! The watch of the endpoint list as a state machine without I/O: when to connect, when a stream counts as dead, which
-//! events are missing, and in which order events are applied.
+//! State machine of the watch of the endpoint list, without I/O: decides when to connect, detects dead streams and
+//! missing events, and returns events in order.
 //!
-//! The owner holds the connection and does what the methods ask for:
-//! - At [`EndpointWatch::deadline_us`] it calls [`EndpointWatch::on_deadline`], and opens or closes a connection as that
-//!   says. For a connection that it opens it calls [`EndpointWatch::on_connecting`] and sends
+//! The owner holds the connection and calls the methods:
+//! - At [`EndpointWatch::deadline_us`] it calls [`EndpointWatch::on_deadline`] and opens or closes the connection as
+//!   the result requires. For a new connection it calls [`EndpointWatch::on_connecting`] and sends the bytes of
 //!   [`EndpointWatch::write_request`].
-//! - It passes on what happens to the connection: [`EndpointWatch::on_connected`], [`EndpointWatch::on_bytes`],
+//! - It reports events of the connection with [`EndpointWatch::on_connected`], [`EndpointWatch::on_bytes`] and
 //!   [`EndpointWatch::on_connection_lost`].
 //!
-//! Methods append the events that are to be applied now, in order, to the `events` that they are given. Random numbers
-//! come from `chance`, from 0 to 1.
+//! Methods append the list events to be applied, in order, to their argument `events`. Their argument `random` returns
+//! a random number from 0 to 1.
 //!
-//! Invariant: an event is applied at most once (twice if entries of it can't be read), in the order of the
-//! numbers, and `last_index` is the number of the last event that was taken; a stream is always requested
-//! behind it.
+//! Invariant: events are applied in the order of their numbers, each at most once, or twice if entries of it can't be
+//! read. `last_index` is the number of the last accepted event, and a stream is always requested from the event after
+//! it.
 
 use super::endpoint::EndpointListEvent;
 use super::silence::SilenceDetector;
 use super::stream::{EndpointStream, EndpointStreamError, write_stream_request};
 
-/// Mean time between two attempts to open the stream, in microseconds; each is drawn up to a quarter shorter or longer,
-/// as all gateways lose their streams in the same moment.
+/// Mean time between two attempts to open the stream, in microseconds. Each time is a random number up to a quarter
+/// shorter or longer, because all gateways lose their streams at the same time.
 const RETRY_US: u64 = 200_000;
-/// The shortest time between two attempts, in parts of the mean.
+/// Minimum time between two attempts, as a ratio of the mean.
 const MIN_JITTER_RATIO: f64 = 0.75;
-/// From the shortest time to the longest, in parts of the mean.
+/// Difference between maximum and minimum time, as a ratio of the mean.
 const JITTER_RANGE_RATIO: f64 = 0.5;
-/// A connection that is not up within this is given up: one that was begun during a network partition may come up long
-/// after that has healed.
+/// Timeout of opening a connection. A connection attempt that began during a network partition may succeed only long
+/// after the partition has ended.
 const CONNECT_TIMEOUT_US: u64 = 1_000_000;
-/// A lost stream is opened again within this, each gateway at a moment of its own. Engines may begin to drain
-/// meanwhile, so it is short.
+/// Maximum random delay before a lost stream is reopened. The delay is short because engines may begin to drain
+/// meanwhile.
 const MAX_RECONNECT_JITTER_US: u64 = 100_000;
-/// Events held back while missing ones before them are requested.
-const MAX_EVENTS_AHEAD: usize = 1024;
+/// Maximum number of events that are buffered while missing events before them are requested.
+const MAX_BUFFERED_EVENTS: usize = 1024;
 
-/// What the owner has to do when a deadline has passed.
+/// Actions of the owner at a deadline.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DueActions {
-    /// Close the connection: it did not come up, or the stream was silent for too long.
+    /// Close the connection: it was not established in time, or the stream was silent for too long.
     pub close_silent: bool,
-    /// Open a connection.
+    /// Open a connection, after closing the previous one.
     pub connect: bool,
 }
 
-/// Why a stream was given up. The owner has to close the connection.
+/// Error after which the owner has to close the stream.
 #[derive(Debug, thiserror::Error)]
 pub enum WatchError {
-    /// Events are missing between the last one and this one. They are requested once.
-    #[error("events of the list are missing: {index} came behind {last_index}")]
+    /// Events between the last event and this one are missing. They are requested once.
+    #[error("events of the endpoint list are missing: event {index} follows event {last_index}")]
     MissingEvents {
-        /// The event that came.
+        /// Number of the received event.
         index: u64,
-        /// The last one before.
+        /// Number of the last event before.
         last_index: u64,
     },
-    /// An event has entries that can't be read. It is requested once more.
+    /// The event with this number has entries that can't be read. It is requested once more.
     #[error("event {0} has entries that can't be read")]
     UnreadableEntries(u64),
-    /// The stream can't be followed, or an event can't be read at all.
+    /// The stream can't be read any further, or an event can't be read at all.
     #[error(transparent)]
     Stream(#[from] EndpointStreamError),
 }
@@ -68,53 +68,53 @@
     stream: EndpointStream,
 }
 
-/// The watch of the endpoint list.
+/// The gateway's client of the discovery service.
 pub struct EndpointWatch {
     last_index: u64,
     memory_bytes: usize,
     connection: Option<Connection>,
     silence: SilenceDetector,
     connect_started_us: u64,
-    /// When the stream may be opened again.
+    /// Time from which the stream may be opened again.
     retry_at_us: u64,
-    /// The event that could not be read when it came last, as a whole or in part.
+    /// Number of the last event that could not be read, in whole or in part.
     unreadable_index: u64,
-    /// The event before which others were missing when it came last: they are requested once.
+    /// Number of the last event before which events were missing. The missing events have been requested.
     gap_index: u64,
-    /// Events since the missing ones were requested, up to that event. Applied one by one, an outdated state of an
-    /// engine would count for a moment though a newer one is known.
-    events_ahead: Vec<EndpointListEvent>,
+    /// Events received after the request for missing events, up to `gap_index`. They are applied together, so that an
+    /// outdated state of an engine does not take effect although a newer one is known.
+    buffered_events: Vec<EndpointListEvent>,
 }
 
 impl EndpointWatch {
-    /// A watch behind event `last_index`, of a gateway that may use so many bytes of memory. `chance`, from 0 to 1,
-    /// should differ between gateways.
-    pub fn new(last_index: u64, memory_bytes: usize, chance: f64) -> Self {
+    /// Creates a watch that starts after event `last_index`. `memory_bytes` is the gateway's memory limit, which bounds
+    /// the size of an event. `random`, from 0 to 1, should differ between gateways.
+    pub fn new(last_index: u64, memory_bytes: usize, random: f64) -> Self {
         Self {
             last_index,
             memory_bytes,
             connection: None,
-            silence: SilenceDetector::new(chance),
+            silence: SilenceDetector::new(random),
             connect_started_us: 0,
             retry_at_us: 0,
             unreadable_index: 0,
             gap_index: 0,
-            events_ahead: Vec::new(),
+            buffered_events: Vec::new(),
         }
     }
 
-    /// The number of the last event that was taken.
+    /// Number of the last accepted event.
     pub fn last_index(&self) -> u64 {
         self.last_index
     }
 
-    /// Whether the connection is up.
+    /// Whether the connection is established.
     pub fn is_up(&self) -> bool {
         self.connection.as_ref().is_some_and(|connection| connection.is_up)
     }
 
-    /// When [`EndpointWatch::on_deadline`] is due: the connection must be up, something must have been read, or the
-    /// stream may be opened again.
+    /// Time of the next call of [`EndpointWatch::on_deadline`], in microseconds: the connection times out, the stream
+    /// counts as dead, or the stream may be opened again.
     pub fn deadline_us(&self) -> u64 {
         match &self.connection {
             Some(connection) if !connection.is_up => self.connect_started_us + CONNECT_TIMEOUT_US,
@@ -123,12 +123,12 @@
         }
     }
 
-    /// Gives up a stream that is silent and says whether to open one. A discovery service that ends its streams at once
-    /// is not called again without a pause.
+    /// Closes a silent stream, and decides whether to open one. Two attempts to open a stream have a minimum interval,
+    /// in case the discovery service ends its streams immediately.
     pub fn on_deadline(
         &mut self,
         now_us: u64,
-        chance: impl FnOnce() -> f64,
+        random: impl FnOnce() -> f64,
         events: &mut Vec<EndpointListEvent>,
     ) -> DueActions {
         let mut due = DueActions::default();
@@ -140,31 +140,31 @@
                 self.silence.on_silence();
             }
             self.close(events);
-            // Gateways notice the silence at different times, so there is no need for a pause.
+            // Gateways detect the silence at different times, so no further delay is necessary.
             self.retry_at_us = now_us;
             due.close_silent = true;
         }
         if now_us >= self.retry_at_us {
-            let pause_us = RETRY_US as f64 * (MIN_JITTER_RATIO + JITTER_RANGE_RATIO * chance());
-            self.retry_at_us = now_us + pause_us as u64;
+            let delay_us = RETRY_US as f64 * (MIN_JITTER_RATIO + JITTER_RANGE_RATIO * random());
+            self.retry_at_us = now_us + delay_us as u64;
             due.connect = true;
         }
         due
     }
 
-    /// A connection is being opened.
+    /// Records that the owner is opening a connection.
     pub fn on_connecting(&mut self, now_us: u64) {
         self.connection = Some(Connection { is_up: false, stream: EndpointStream::new(self.memory_bytes) });
         self.silence.on_open(now_us);
         self.connect_started_us = now_us;
     }
 
-    /// Writes the request for the events behind the last one.
+    /// Writes the request for the events after the last accepted one.
     pub fn write_request(&self, out: &mut Vec<u8>) {
         write_stream_request(self.last_index, out);
     }
 
-    /// The connection has come up.
+    /// Records that the connection is established.
     pub fn on_connected(&mut self, now_us: u64) {
         if let Some(connection) = &mut self.connection {
             connection.is_up = true;
@@ -172,15 +172,15 @@
         }
     }
 
-    /// Takes bytes from `input`.
+    /// Consumes received bytes of `input`.
     ///
     /// # Errors
-    /// The stream is given up and opened again later.
+    /// The owner has to close the stream, which is opened again later.
     pub fn on_bytes(
         &mut self,
         now_us: u64,
         input: &mut Vec<u8>,
-        chance: impl FnOnce() -> f64,
+        random: impl FnOnce() -> f64,
         events: &mut Vec<EndpointListEvent>,
     ) -> Result<(), WatchError> {
         let result = self.read(now_us, input, events);
@@ -188,47 +188,47 @@
             Ok(()) => {}
             Err(WatchError::MissingEvents { .. }) => {
                 self.close(events);
-                // Drains may be among the missing events, and their time runs.
+                // The missing events may contain drains, which are urgent.
                 self.retry_at_us = now_us;
             }
             Err(WatchError::UnreadableEntries(_) | WatchError::Stream(_)) => {
-                self.on_connection_lost(now_us, chance, events);
+                self.on_connection_lost(now_us, random, events);
             }
         }
         result
     }
 
-    /// The connection has ended or broken.
+    /// Records that the connection was closed by the peer or has failed.
     pub fn on_connection_lost(
         &mut self,
         now_us: u64,
-        chance: impl FnOnce() -> f64,
+        random: impl FnOnce() -> f64,
         events: &mut Vec<EndpointListEvent>,
     ) {
         self.close(events);
-        let jitter_us = (MAX_RECONNECT_JITTER_US as f64 * chance()) as u64;
+        let jitter_us = (MAX_RECONNECT_JITTER_US as f64 * random()) as u64;
         self.retry_at_us = self.retry_at_us.max(now_us + jitter_us);
     }
 
-    /// Closes the stream, to open another one at once: the discovery service has moved.
+    /// Closes the stream and opens another one without delay, because the address of the discovery service has changed.
     pub fn reconnect(&mut self, events: &mut Vec<EndpointListEvent>) {
         self.close(events);
         self.retry_at_us = 0;
     }
 
-    /// Takes an event from another source than the stream, unless it is old.
+    /// Accepts an event from the configuration, unless a newer one has been accepted.
     pub fn on_known_event(&mut self, event: &EndpointListEvent, events: &mut Vec<EndpointListEvent>) {
         if event.index > self.last_index {
-            events.append(&mut self.events_ahead);
+            events.append(&mut self.buffered_events);
             self.last_index = event.index;
             events.push(event.clone());
         }
     }
 
-    /// Forgets the stream. Events held back for missing ones before them are applied: those don't come.
+    /// Discards the stream. Buffered events are applied, because this stream sends no missing events any more.
     fn close(&mut self, events: &mut Vec<EndpointListEvent>) {
         self.connection = None;
-        events.append(&mut self.events_ahead);
+        events.append(&mut self.buffered_events);
     }
 
     fn read(
@@ -244,11 +244,11 @@
             self.silence.on_lines(now_us, read.is_empty() && lines_before > 0);
         }
         for event in read {
-            self.take(event, events)?;
+            self.accept(event, events)?;
         }
         if let Err(EndpointStreamError::UnreadableEvent(index, _)) = &result {
-            // The event may be damaged on its way and is requested once more. If it still can't be read, it is
-            // skipped, or no later event would ever be taken.
+            // The event may have been corrupted in transit and is requested once more. If it still can't be read, it is
+            // skipped, so that later events can be accepted.
             if self.unreadable_index == *index {
                 self.last_index = self.last_index.max(*index);
             }
@@ -257,18 +257,18 @@
         Ok(result?)
     }
 
-    fn take(
+    fn accept(
         &mut self,
         event: EndpointListEvent,
         events: &mut Vec<EndpointListEvent>,
     ) -> Result<(), WatchError> {
         let (index, last_index) = (event.index, self.last_index);
         if index <= last_index {
-            // Events may come again when a stream is opened anew.
+            // A new stream may repeat events.
             return Ok(());
         }
         if !event.unreadable.is_empty() && self.unreadable_index != index {
-            // The readable entries count while the event is requested once more.
+            // The readable entries apply while the event is requested once more.
             self.unreadable_index = index;
             events.push(event);
             return Err(WatchError::UnreadableEntries(index));
@@ -278,9 +278,9 @@
             return Err(WatchError::MissingEvents { index, last_index });
         }
         self.last_index = index;
-        self.events_ahead.push(event);
-        if index >= self.gap_index || self.events_ahead.len() >= MAX_EVENTS_AHEAD {
-            events.append(&mut self.events_ahead);
+        self.buffered_events.push(event);
+        if index >= self.gap_index || self.buffered_events.len() >= MAX_BUFFERED_EVENTS {
+            events.append(&mut self.buffered_events);
         }
         Ok(())
     }
