--- a/gateway/src/config/config_file.rs
+++ b/gateway/src/config/config_file.rs
@@ -1,4 +1,4 @@
-//! `config.json`, which the platform gives the gateway. Its `settings` object is read in `site`.
+//! Reader of `config.json`, which the platform provides. The module `site` reads its `settings` object.
 
 use tinyjson::JsonValue;
 
@@ -14,19 +14,19 @@
     Ok(json::parse(&text, path)?)
 }
 
-/// Reads a configuration from its file.
+/// Reads a configuration from a file.
 ///
 /// # Errors
-/// The file can't be read, or something in it is missing or makes no sense.
+/// The file can't be read, or a value in it is missing or invalid.
 pub fn from_file(path: &str) -> Result<Config, ConfigError> {
     let json = parse_file(path)?;
     Ok(Config { path: Some(path.to_owned()), ..read(&JsonField::root(&json, "config"))? })
 }
 
-/// Reads a configuration from its document.
+/// Reads a configuration from a JSON document.
 ///
 /// # Errors
-/// Something in it is missing or makes no sense.
+/// A value is missing or invalid.
 pub fn read(config: &JsonField<'_>) -> Result<Config, ConfigError> {
     let site = read_site_settings(&config.get("settings"))?;
     let seed = config.get("seed").string()?;
@@ -52,15 +52,15 @@
     })
 }
 
-/// The endpoint list up to the first event that can't be read; the discovery service is asked for the rest. A gateway
-/// that did not start because of it would serve no client.
+/// Reads the endpoint list up to the first event that can't be read. This is not an error, because a gateway that does
+/// not start would serve no client.
 fn read_known_list(known: &JsonField<'_>) -> Result<KnownList, ConfigError> {
     let mut events: Vec<EndpointListEvent> = Vec::new();
     for event in known.get("updates").elements()? {
         match read_event(&event) {
             Ok(event) => events.push(event),
             Err(error) => {
-                // The discovery service is asked for the events behind it.
+                // The discovery service is requested to send the remaining events.
                 tracing::warn!(%error, "event of the known endpoint list can't be read");
                 return Ok(KnownList { last_index: events.last().map_or(0, |event| event.index), events });
             }
--- a/gateway/src/config/config_file/tests.rs
+++ b/gateway/src/config/config_file/tests.rs
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn settings_are_read_into_those_of_the_workload_manager() {
+fn settings_are_converted_for_the_workload_manager() {
     let c = try_read(|t| t).unwrap();
     assert_eq!(c.names.classes, ["lookup", "report", "load"]);
     assert_eq!(c.settings.classes[2].idempotency, Idempotency::NotIdempotent);
@@ -58,12 +58,12 @@
     assert_eq!(
         (list.last_index, list.events.len()),
         (1, 1),
-        "the rest is requested from the discovery service"
+        "later events are requested from the discovery service"
     );
 }
 
 #[test]
-fn errors_name_the_place_and_the_expected_value() {
+fn errors_name_the_path_and_the_expected_value() {
     let error = |from: &str, to: &str| {
         assert!(include_str!("../../../tests/common/config.json").contains(from));
         try_read(|t| t.replace(from, to)).unwrap_err().to_string()
--- a/gateway/src/config/descriptors.rs
+++ b/gateway/src/config/descriptors.rs
@@ -1,6 +1,7 @@
-//! Descriptors that are taken before any client's.
+//! Numbers of file descriptors that are reserved and not available to client sessions.
 
-/// Descriptors beside connections: listeners, poller, signals, standard streams, one being accepted, the spare.
+/// Descriptors other than established connections: listeners, poller, signals, standard streams, the connection being
+/// accepted, and a spare one.
 pub const OWN_DESCRIPTORS: usize = 32;
-/// Connections to engines without which there is no service.
+/// Descriptors reserved for connections to engines.
 pub(super) const MIN_ENGINE_CONNECTIONS: usize = 8;
--- a/gateway/src/config/environment.rs
+++ b/gateway/src/config/environment.rs
@@ -1,4 +1,5 @@
-//! The environment: `LB_CONFIG` names the configuration's file, `LB_NAME`, `LB_LISTEN` and `LB_OPS` override it.
+//! Configuration from the environment: `LB_CONFIG` is the path of `config.json`. `LB_NAME`, `LB_LISTEN` and `LB_OPS`
+//! override its values.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -10,10 +11,10 @@
 use super::{Config, ConfigError, operator_file};
 use crate::json::{JsonError, JsonField};
 
-/// Reads the configuration that the environment names, and the operator's file if one is given.
+/// Reads the configuration from the file in `LB_CONFIG`, applies the other variables, and then the operator's file.
 ///
 /// # Errors
-/// A file can't be read, or a value in a file or a variable is missing or makes no sense.
+/// A file can't be read, or a value in a file or a variable is missing or invalid.
 pub fn from_environment(operator_file: Option<&str>) -> Result<Config, ConfigError> {
     let path = std::env::var("LB_CONFIG").map_err(|_| ConfigError::Unset("LB_CONFIG"))?;
     let json = parse_file(&path)?;
@@ -40,11 +41,11 @@
     value.parse().map_err(|_| ConfigError::Variable { variable, expected: "an address with a port" })
 }
 
-/// The `settings` object of a configuration as the document that versions of the settings are applied to.
+/// Converts the `settings` object of a configuration into the document to which versions of the settings are applied.
 fn settings_document(config: &JsonValue) -> Result<Document, JsonError> {
-    let wrong = || JsonError::Value { path: "config.settings".to_owned(), expected: "an object" };
+    let error = || JsonError::Value { path: "config.settings".to_owned(), expected: "an object" };
     let root = config.get::<HashMap<String, JsonValue>>();
-    let settings = root.and_then(|root| root.get("settings")).ok_or_else(wrong)?;
-    let text = settings.stringify().map_err(|_| wrong())?;
-    text.parse().map_err(|_| wrong())
+    let settings = root.and_then(|root| root.get("settings")).ok_or_else(error)?;
+    let text = settings.stringify().map_err(|_| error())?;
+    text.parse().map_err(|_| error())
 }
--- a/gateway/src/config/error.rs
+++ b/gateway/src/config/error.rs
@@ -1,50 +1,50 @@
-//! Why the configuration can't be used.
+//! Errors of reading the configuration.
 
 use workload_manager::SettingsError;
 
 use super::toml_file::TomlError;
 use crate::json::JsonError;
 
-/// Why the gateway can't start with its configuration, or can't take over new settings.
+/// Error for which the gateway does not start, or does not apply new settings.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// An environment variable is not set.
+    /// A required environment variable is not set.
     #[error("{0} is not set")]
     Unset(&'static str),
     /// A file can't be read.
     #[error("{path}: {source}")]
     File {
-        /// The file.
+        /// Path as in `LB_CONFIG`.
         path: String,
-        /// Why.
+        /// Error of the operating system.
         source: std::io::Error,
     },
     /// A document is not JSON, or a value in it is missing or of another type.
     #[error(transparent)]
     Json(#[from] JsonError),
-    /// An environment variable has an unusable value.
+    /// An environment variable has an invalid value.
     #[error("{variable}: {expected} expected")]
     Variable {
-        /// The variable.
+        /// Name of the variable.
         variable: &'static str,
-        /// What was expected.
+        /// Description of a valid value.
         expected: &'static str,
     },
     /// The settings contradict each other or are out of range.
     #[error("settings: {0}")]
     Settings(#[from] SettingsError),
-    /// The operator's file can't be used.
+    /// The operator's file can't be read or is invalid.
     #[error(transparent)]
     OperatorFile(#[from] OperatorFileError),
 }
 
-/// Why an operator's file can't be used.
+/// Error of reading the operator's file.
 #[derive(Debug, thiserror::Error)]
 pub enum OperatorFileError {
-    /// It can't be read.
+    /// The file at this path can't be read.
     #[error("{0}: {1}")]
     File(String, std::io::Error),
-    /// Its content is wrong.
+    /// The content is invalid.
     #[error(transparent)]
     Toml(#[from] TomlError),
 }
--- a/gateway/src/config/mod.rs
+++ b/gateway/src/config/mod.rs
@@ -1,10 +1,13 @@
-//! Typed configuration. Read at the start; `config.json` is read again on SIGHUP, and its settings may be replaced by
-//! the control plane.
+//! Typed configuration, read at startup. `config.json` is read again on SIGHUP, and the control plane may replace its
+//! settings.
 //!
-//! Three sources: the environment ([`from_environment`]), the `config.json` that `LB_CONFIG` names ([`read`],
-//! [`from_file`]; its `settings` object is read in `site`), and the operator's TOML file (`operator_file`), which sets
-//! what the platform does not give. The types stand here, apart from the formats. The `settings` object may change
-//! while the gateway runs: [`parse_site_settings`].
+//! There are three sources:
+//! - the environment ([`from_environment`]),
+//! - the `config.json` that `LB_CONFIG` names ([`read`], [`from_file`]). Its `settings` object is read in `site` and
+//!   may change while the gateway runs ([`parse_site_settings`]).
+//! - the operator's TOML file (`operator_file`), for values that the platform does not provide.
+//!
+//! This file defines the types. The submodules read the formats.
 
 mod config_file;
 mod descriptors;
@@ -35,70 +38,70 @@
 pub use site::{SiteSettings, parse_site_settings};
 pub use toml_file::{TomlError, TomlFile};
 
-/// Everything that the gateway is given at its start.
+/// Configuration of a gateway from all sources.
 #[derive(Debug)]
 pub struct Config {
-    /// The file that it was read from, to be read again on SIGHUP.
+    /// Path of `config.json`, which is read again on SIGHUP. `None` if the configuration is not from a file.
     pub path: Option<String>,
-    /// The gateway's name.
+    /// Identifies the gateway in a process replacement and to the control plane.
     pub name: String,
-    /// Where PostgreSQL clients connect.
+    /// Listen address for PostgreSQL clients.
     pub listen: SocketAddr,
-    /// Where the admin interface listens, if there is one.
+    /// Listen address of the admin interface. `None`: no admin interface.
     pub admin: Option<SocketAddr>,
-    /// Seed for random numbers.
+    /// Seed of the random number generators.
     pub seed: u64,
-    /// Descriptors that the gateway may hold.
+    /// Maximum number of open file descriptors.
     pub max_descriptors: usize,
-    /// Memory that the gateway may use, in bytes.
+    /// Memory limit of the gateway, in bytes.
     pub memory_bytes: usize,
-    /// The discovery service, if there is one.
+    /// Address of the discovery service. `None`: the endpoint list does not change.
     pub discovery: Option<SocketAddr>,
-    /// The endpoint list as known at the start.
+    /// Endpoint list at the start, before the discovery service sends any event.
     pub known_list: KnownList,
     /// Settings of the workload manager.
     pub settings: Settings,
-    /// Names in the settings.
+    /// Names for the numbers that `settings` uses.
     pub names: SettingsNames,
     /// Idle time after which an engine closes a connection, in microseconds.
     pub engine_idle_timeout_us: u64,
-    /// Time within which a connection to an engine must come up, in microseconds.
+    /// Timeout of opening a connection to an engine, in microseconds.
     pub connect_timeout_us: u64,
-    /// Open requests permitted.
+    /// Maximum number of open requests.
     pub max_open_requests: usize,
-    /// Limits and options of clients' connections.
+    /// Limits and options of client connections.
     pub clients: ClientSettings,
-    /// The MySQL front end, where an operator wants it.
+    /// `None`: the MySQL front end is disabled.
     pub mysql: Option<MysqlSettings>,
-    /// The control plane, where an operator wants live reconfiguration.
+    /// `None`: live reconfiguration by the control plane is disabled.
     pub control_plane: Option<ControlPlaneSettings>,
 }
 
-/// The endpoint list as known at the start.
+/// Endpoint list at the start, from `config.json`.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct KnownList {
-    /// The number of the last event; the discovery service is asked for what is behind it.
+    /// Number of the last event. The discovery service is requested to send the events after it.
     pub last_index: u64,
-    /// The events so far, in order.
+    /// Events of the list, in order.
     pub events: Vec<EndpointListEvent>,
 }
 
-/// Limits and options of clients' connections.
+/// Limits and options of client connections.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClientSettings {
-    /// Sessions that are held at most; without it, what the descriptors allow.
+    /// Maximum number of sessions. `None`: only the descriptors limit the number.
     pub max_sessions: Option<usize>,
-    /// Idle sessions are closed after this, in microseconds.
+    /// Idle time after which a session is closed, in microseconds. `None`: no limit.
     pub idle_limit_us: Option<u64>,
-    /// Connections that the kernel queues until they are accepted.
+    /// Length of the kernel's queue of connections that have not been accepted.
     pub backlog: u32,
-    /// TCP keepalive, where it is on.
+    /// `None`: TCP keepalive is disabled.
     pub keepalive: Option<TcpKeepalive>,
-    /// Time that reading sessions may take in one turn of the event loop, in microseconds.
+    /// Time limit for reading sessions in one turn of the event loop, in microseconds.
     pub turn_us: u64,
-    /// Messages of one session in one turn.
+    /// Maximum number of messages that one session processes in one turn.
     pub messages_per_turn: usize,
-    /// Bytes read from one session in one turn.
+    /// Maximum number of bytes read from one session in one turn.
     pub bytes_per_turn: usize,
 }
 
@@ -117,35 +120,35 @@
     }
 }
 
-/// TCP keepalive.
+/// TCP keepalive of client connections.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TcpKeepalive {
-    /// Silence before the first probe.
+    /// Idle time before the first probe.
     pub idle: Duration,
     /// Time between two probes.
     pub interval: Duration,
-    /// Probes without an answer after which the connection is dead.
+    /// Number of unanswered probes after which the connection is closed.
     pub probes: u32,
 }
 
-/// The MySQL front end, as an operator sets it up.
+/// The MySQL front end, from the operator's file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MysqlSettings {
-    /// Where its clients connect.
+    /// Listen address for MySQL clients.
     pub listen: SocketAddr,
-    /// Its users.
+    /// Users that may log in.
     pub directory: Rc<Directory>,
-    /// Where engines speak MySQL, by engine name.
+    /// MySQL addresses of engines, by engine name.
     pub engines: BTreeMap<String, SocketAddr>,
-    /// The gateway's login at engines.
+    /// Credentials of the gateway at the engines.
     pub login: Login,
 }
 
 /// The control plane, which publishes versions of the settings.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ControlPlaneSettings {
-    /// The control plane servers.
+    /// Addresses of the control plane servers. There is at least one, and no duplicate.
     pub servers: Vec<SocketAddr>,
-    /// The settings of the start, before any version.
+    /// The `settings` object at the start, before any version is applied.
     pub document: Document,
 }
--- a/gateway/src/config/names.rs
+++ b/gateway/src/config/names.rs
@@ -1,40 +1,41 @@
-//! The names of what the settings list. The workload manager knows these by number.
+//! Names of classes, machine types, zones and tenants in the settings. The workload manager identifies them by number.
 
 use std::collections::BTreeSet;
 
 use workload_manager::{ClassId, TenantId};
 
-/// Names in the settings, each list in the order of the numbers that the workload manager uses.
+/// Names in the settings. A name's position in its list is the number that the workload manager uses.
 #[derive(Clone, Debug, Default)]
 pub struct SettingsNames {
-    /// Classes.
+    /// Indexed by [`ClassId`].
     pub classes: Vec<String>,
-    /// Machine types.
+    /// Indexed by machine type, from the settings and then from the endpoint list.
     pub machine_types: Vec<String>,
-    /// Zones.
+    /// Indexed by zone, from the settings and then from the endpoint list.
     pub zones: Vec<String>,
-    /// Tenants.
+    /// Indexed by [`TenantId`].
     pub tenants: Vec<String>,
-    /// What the fields x0 and x1 of a load report stand for.
+    /// Names of the quantities in the fields x0 and x1 of a load report.
     pub load_report_extras: [String; 2],
-    /// Numbers of classes that no new request gets, since other settings were taken over.
+    /// Numbers of classes that are not in the current settings. New requests don't get them.
     pub retired_classes: BTreeSet<usize>,
-    /// Numbers of tenants that no new request gets, since other settings were taken over.
+    /// Numbers of tenants that are not in the current settings. New requests don't get them.
     pub retired_tenants: BTreeSet<usize>,
 }
 
 impl SettingsNames {
-    /// The class that new requests get by this name.
+    /// Number of a class for new requests. `None` if the current settings have no class of this name.
     pub fn class(&self, name: &str) -> Option<ClassId> {
         find(&self.classes, &self.retired_classes, name).map(ClassId)
     }
 
-    /// The tenant that new requests get by this name.
+    /// Number of a tenant for new requests. `None` if the current settings have no tenant of this name.
     pub fn tenant(&self, name: &str) -> Option<TenantId> {
         find(&self.tenants, &self.retired_tenants, name).map(TenantId)
     }
 
-    /// The number of a name in a list; an unknown name is added, as machine types and zones of endpoints may be.
+    /// Number of a name in a list. An unknown name is added, because endpoints may have machine types and zones that
+    /// are not in the settings.
     pub fn find_or_add(names: &mut Vec<String>, name: &str) -> usize {
         names.iter().position(|n| n == name).unwrap_or_else(|| {
             names.push(name.to_owned());
--- a/gateway/src/config/operator_file.rs
+++ b/gateway/src/config/operator_file.rs
@@ -1,5 +1,5 @@
-//! The operator's TOML file: settings that the platform does not give, checked before anything starts. A key that is
-//! absent has its default; an unknown key or a value that makes no sense is an error with file, line and key.
+//! The operator's TOML file: settings that the platform does not provide. An absent key has its default value. An
+//! unknown key or an invalid value is an error with file, line and key.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -19,7 +19,7 @@
 use crate::engine::mysql::Login;
 use crate::tenants::{Account, Directory};
 
-// The names of the tables stand in error messages (`expected struct MySqlTable`).
+// Error messages contain the names of these types (`expected struct MySqlTable`).
 
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
@@ -105,44 +105,44 @@
     machines: Spanned<Vec<SocketAddr>>,
 }
 
-fn within<'de, D: Deserializer<'de>>(deserializer: D, range: RangeInclusive<u64>) -> Result<u64, D::Error> {
+fn in_range<'de, D: Deserializer<'de>>(deserializer: D, range: RangeInclusive<u64>) -> Result<u64, D::Error> {
     let n = i64::deserialize(deserializer)?;
-    let wrong = || D::Error::custom(format!("{n} is not within {} and {}", range.start(), range.end()));
-    u64::try_from(n).ok().filter(|n| range.contains(n)).ok_or_else(wrong)
+    let error = || D::Error::custom(format!("{n} is not within {} and {}", range.start(), range.end()));
+    u64::try_from(n).ok().filter(|n| range.contains(n)).ok_or_else(error)
 }
 
 fn idle_limit<'de, D: Deserializer<'de>>(d: D) -> Result<Option<u64>, D::Error> {
-    within(d, 1..=31_536_000).map(Some)
+    in_range(d, 1..=31_536_000).map(Some)
 }
 
 fn backlog<'de, D: Deserializer<'de>>(d: D) -> Result<u64, D::Error> {
-    within(d, 1..=65_535)
+    in_range(d, 1..=65_535)
 }
 
 fn turn<'de, D: Deserializer<'de>>(d: D) -> Result<u64, D::Error> {
-    within(d, 1..=100)
+    in_range(d, 1..=100)
 }
 
 fn messages<'de, D: Deserializer<'de>>(d: D) -> Result<u64, D::Error> {
-    within(d, 1..=10_000)
+    in_range(d, 1..=10_000)
 }
 
 fn bytes<'de, D: Deserializer<'de>>(d: D) -> Result<u64, D::Error> {
-    within(d, 1_024..=16 << 20)
+    in_range(d, 1_024..=16 << 20)
 }
 
 fn probe_time<'de, D: Deserializer<'de>>(d: D) -> Result<u64, D::Error> {
-    within(d, 1..=32_767)
+    in_range(d, 1..=32_767)
 }
 
 fn probes<'de, D: Deserializer<'de>>(d: D) -> Result<u64, D::Error> {
-    within(d, 1..=127)
+    in_range(d, 1..=127)
 }
 
-/// Reads the file and puts its settings into the configuration.
+/// Reads the file and applies its settings to the configuration.
 ///
 /// # Errors
-/// The file can't be read, or its content is wrong.
+/// The file can't be read, or its content is invalid.
 pub(super) fn apply(path: &str, config: &mut Config) -> Result<(), OperatorFileError> {
     let text = std::fs::read_to_string(path).map_err(|e| OperatorFileError::File(path.to_owned(), e))?;
     Ok(apply_text(&TomlFile { path, text: &text }, config)?)
@@ -190,7 +190,7 @@
     })
 }
 
-/// Control plane servers that may be named.
+/// Maximum number of control plane servers.
 const MAX_CONTROL_PLANE_SERVERS: usize = 64;
 
 fn control_plane_settings(
--- a/gateway/src/config/operator_file/tests.rs
+++ b/gateway/src/config/operator_file/tests.rs
@@ -14,7 +14,7 @@
     let mut config = config();
     apply_text(&TomlFile { path: "f", text: EXAMPLE }, &mut config).unwrap();
     assert_eq!((config.clients, config.mysql, config.control_plane), (ClientSettings::default(), None, None));
-    // What is off by default stands there as a comment: uncommented it must parse, and no key may be missing.
+    // Settings that are disabled by default are comments. Uncommented, they must parse and contain every key.
     let uncommented: String = EXAMPLE
         .lines()
         .map(|l| match l.strip_prefix("# ") {
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn its_settings_are_put_into_the_configuration() {
+fn settings_are_applied_to_the_configuration() {
     let mut config = config();
     let text = "[clients]\nmost_sessions = 100\nidle_limit_s = 60\n\
         keepalive = { idle_s = 30, interval_s = 5, probes = 3 }\n\
--- a/gateway/src/config/site.rs
+++ b/gateway/src/config/site.rs
@@ -1,5 +1,5 @@
-//! The `settings` object of a configuration: what the platform says of the deployment, and what may change while the
-//! gateway runs. The themed keys of the platform are mapped here to the terms of the code.
+//! Reader of the `settings` object of a configuration, which describes the deployment and may change while the gateway
+//! runs. This module maps the keys of the platform to the terms of the code.
 
 use workload_manager::{
     Capabilities, Class, Idempotency, IdempotencyScope, LoadReportSource, MachineType, MachineTypeId,
@@ -14,20 +14,20 @@
 pub struct SiteSettings {
     /// Settings of the workload manager.
     pub settings: Settings,
-    /// Names in the settings.
+    /// Names for the numbers that `settings` uses.
     pub names: SettingsNames,
     /// Idle time after which an engine closes a connection, in microseconds.
     pub engine_idle_timeout_us: u64,
-    /// Time within which a connection to an engine must come up, in microseconds.
+    /// Timeout of opening a connection to an engine, in microseconds.
     pub connect_timeout_us: u64,
-    /// Open requests permitted.
+    /// Maximum number of open requests.
     pub max_open_requests: usize,
 }
 
 /// Reads the settings of a configuration.
 ///
 /// # Errors
-/// Something in them is missing or makes no sense.
+/// A value is missing or invalid.
 pub(super) fn read_site_settings(site: &JsonField<'_>) -> Result<SiteSettings, ConfigError> {
     let (settings, names) = read_settings(site)?;
     settings.check()?;
@@ -41,10 +41,10 @@
     })
 }
 
-/// Reads the settings of a configuration from their text.
+/// Parses the JSON text of the settings of a configuration.
 ///
 /// # Errors
-/// The text is not JSON, or something in it is missing or makes no sense.
+/// The text is not JSON, or a value is missing or invalid.
 pub fn parse_site_settings(text: &str) -> Result<SiteSettings, ConfigError> {
     read_site_settings(&JsonField::root(&json::parse(text, "settings")?, "settings"))
 }
@@ -62,7 +62,7 @@
         names.tenants.push(tenant.get("name").string()?);
         tenants.push(Tenant { quota_per_second: tenant.get("quota-per-s").number_or(0.0)? });
     }
-    // Classes may name further machine types.
+    // Reading the classes may have added machine types.
     let machine_types = read_machine_types(&domain, names.machine_types.len())?;
     let zone = site.get("locality").string_or_empty()?;
     let settings = Settings {
@@ -80,7 +80,7 @@
     Ok((settings, names))
 }
 
-/// The names that are listed apart from what they name.
+/// Reads the names of machine types, zones and load report fields, which are lists of their own in the settings.
 fn read_names(site: &JsonField<'_>) -> Result<SettingsNames, JsonError> {
     let domain = site.get("domain");
     Ok(SettingsNames {
@@ -125,7 +125,7 @@
     })
 }
 
-/// Without `look-back-s` retries have no budget.
+/// Reads the retry budget. Without the key `look-back-s`, retries have no budget.
 fn read_retry_budget(rules: &JsonField<'_>) -> Result<Option<RetryBudget>, JsonError> {
     let window = rules.get("look-back-s");
     if !window.is_present() {
@@ -173,7 +173,7 @@
     })
 }
 
-/// Reads a class. Some of its values stand in arrays of the domain, at the class's number.
+/// Reads a class. Some of its values are in arrays of `domain`, which are indexed by class number.
 fn read_class(
     class: &JsonField<'_>,
     number: usize,
--- a/gateway/src/config/toml_file.rs
+++ b/gateway/src/config/toml_file.rs
@@ -1,4 +1,4 @@
-//! TOML files written by hand: every error names file, line and key.
+//! Reader of hand-written TOML files. Every error has file, line and key.
 
 use serde::de::DeserializeOwned;
 
@@ -6,22 +6,22 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{path}:{line}: {key}{message}")]
 pub struct TomlError {
-    /// The file.
+    /// Path of the file as given by the caller.
     pub path: String,
-    /// The line, from 1.
+    /// Line number, from 1.
     pub line: usize,
-    /// The key followed by a colon and a space; empty where the line has no key.
+    /// Key followed by a colon and a space. Empty if the line has no key.
     pub key: String,
-    /// What is wrong.
+    /// Description of the error.
     pub message: String,
 }
 
 /// The text of a TOML file.
 #[derive(Clone, Copy, Debug)]
 pub struct TomlFile<'a> {
-    /// The file's name for errors.
+    /// Path of the file, for errors.
     pub path: &'a str,
-    /// Its text.
+    /// Whole content of the file.
     pub text: &'a str,
 }
 
@@ -37,7 +37,7 @@
         })
     }
 
-    /// The error that something is wrong at this byte of the text.
+    /// Creates an error for the line that contains the byte at `offset`.
     pub fn error_at(&self, offset: usize, message: String) -> TomlError {
         let before = self.text.get(..offset).unwrap_or(self.text);
         let line = before.matches('\n').count();
--- a/gateway/src/discovery/endpoint.rs
+++ b/gateway/src/discovery/endpoint.rs
@@ -22,7 +22,7 @@
     pub cell: u64,
     /// Only a ready engine receives new attempts.
     pub state: EndpointState,
-    /// Start of the engine's process, in Unix milliseconds. 0: the start is unknown, and the engine counts as warm.
+    /// Start of the engine's process, in Unix milliseconds. 0: the engine started long ago.
     pub started_ms: u64,
 }
 
