--- a/gateway/src/config/mod.rs
+++ b/gateway/src/config/mod.rs
@@ -55,7 +55,7 @@
     pub max_descriptors: usize,
     /// Memory limit of the gateway, in bytes.
     pub memory_bytes: usize,
-    /// Address of the discovery service. `None`: the endpoint list does not change.
+    /// Address of the discovery service. `None`: the endpoint list changes only with the configuration file.
     pub discovery: Option<SocketAddr>,
     /// Endpoint list at the start, before the discovery service sends any event.
     pub known_list: KnownList,
--- a/gateway/src/control_plane/client.rs
+++ b/gateway/src/control_plane/client.rs
@@ -1,10 +1,10 @@
-//! When the gateway connects to which control plane server, and what it reports there.
+//! State machine of the connections to control plane servers: streams of versions, and reports.
 //!
-//! The owner holds two connections, one for the stream and one for a report, and tells the client what happens to them.
-//! At [`ControlPlaneClient::deadline_us`] it asks what is due: [`ControlPlaneClient::is_stream_lost`],
+//! The owner holds two connections, one for the stream and one for a report, and reports their events to the client. At
+//! [`ControlPlaneClient::deadline_us`] it checks [`ControlPlaneClient::is_stream_lost`],
 //! [`ControlPlaneClient::should_connect`] and [`ControlPlaneClient::is_report_due`].
 //!
-//! Invariant: at most one report is pending. A newer one replaces it, as only the newest state counts.
+//! Invariant: at most one report is pending. A newer report replaces it, because servers need only the latest state.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -15,30 +15,30 @@
 use crate::config::ControlPlaneSettings;
 use crate::event_stream::{EventStream, EventStreamError};
 
-/// A connection that is not up within this is given up, and another server is tried.
+/// Timeout of opening a connection. The next attempt uses another server.
 const CONNECT_TIMEOUT_US: u64 = 1_000_000;
-/// Time between two checks whether an open stream has fallen silent.
+/// Interval of the checks whether an open stream is silent.
 const SILENCE_CHECK_INTERVAL_US: u64 = 1_000_000;
-/// Bytes of an event: a message, and the fields around it.
+/// Maximum size of an event: a message and the surrounding fields.
 const MAX_EVENT_BYTES: usize = MAX_MESSAGE_BYTES + 64 * 1024;
-/// A report without a response within this is sent again.
+/// Timeout of the response to a report, after which the report is retried.
 const REPORT_TIMEOUT_US: u64 = 2_000_000;
-/// Upper bound of the wait before a report is sent again for the first time.
+/// Upper bound of the random delay before the first retry of a report.
 const REPORT_BACKOFF_INITIAL_US: u64 = 250_000;
-/// Upper bound of any wait before a report is sent again.
+/// Upper bound of the random delay before any retry of a report.
 const REPORT_BACKOFF_MAX_US: u64 = 8_000_000;
 
-/// What follows from a message of the stream.
+/// Result of a message of the stream.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MessageOutcome {
-    /// A version that is newer than any announced before.
+    /// Version in the message if it is newer than all versions announced before.
     pub announced: Option<Version>,
-    /// What the owner has to do. After [`SubscriberAction::Apply`] it calls [`ControlPlaneClient::on_applied`] or
-    /// [`ControlPlaneClient::on_refused`]; for [`SubscriberAction::Refused`] a report is due already.
+    /// Action for the owner. After [`SubscriberAction::Apply`], the owner calls [`ControlPlaneClient::on_applied`] or
+    /// [`ControlPlaneClient::on_refused`]. For [`SubscriberAction::Refused`], a report is already due.
     pub action: SubscriberAction,
 }
 
-/// The stream while its connection is open or being opened.
+/// A stream whose connection is established or being opened.
 struct Stream {
     is_up: bool,
     opened_us: u64,
@@ -48,18 +48,18 @@
 /// A report that no server has accepted yet.
 struct PendingReport {
     report: Report,
-    /// When the response must have come, or the report is sent again.
+    /// Time of the next attempt to send the report, in microseconds.
     due_us: u64,
     failures: u32,
 }
 
-/// The latest refused version, for operators.
+/// The latest refused version, for the admin interface.
 struct RefusedVersion {
     version: Version,
     reason: String,
 }
 
-/// The gateway's client of the control plane.
+/// Client of the control plane servers.
 pub struct ControlPlaneClient {
     servers: Vec<SocketAddr>,
     gateway: GatewayId,
@@ -70,7 +70,7 @@
 }
 
 impl ControlPlaneClient {
-    /// A client without connections. The seed should differ between gateways.
+    /// Creates a client without connections. `seed` should differ between gateways.
     pub fn new(settings: ControlPlaneSettings, gateway_name: &str, seed: u64) -> Self {
         Self {
             gateway: GatewayId(gateway_name.to_owned()),
@@ -82,17 +82,17 @@
         }
     }
 
-    /// The version in force; 0 where the settings are those of the configuration's file.
+    /// Version in force. 0 if the settings are from the configuration file.
     pub fn in_force(&self) -> Version {
         self.subscriber.in_force()
     }
 
-    /// The server to connect to.
+    /// Address of the server for the next connection.
     pub fn server(&self) -> SocketAddr {
         self.servers[self.subscriber.server()]
     }
 
-    /// When to check what is due.
+    /// Time of the next check of the stream and the report, in microseconds.
     pub fn deadline_us(&self, now_us: u64) -> u64 {
         let next_check_us = now_us + SILENCE_CHECK_INTERVAL_US;
         let stream_us = match &self.stream {
@@ -103,18 +103,18 @@
         self.report.as_ref().map_or(stream_us, |report| stream_us.min(report.due_us))
     }
 
-    /// Whether the stream has to be closed: its connection did not come up, or it is silent.
+    /// Whether the stream has to be closed: its connection was not established in time, or it is silent.
     pub fn is_stream_lost(&self, now_us: u64) -> bool {
         let is_late = |stream: &Stream| !stream.is_up && now_us >= stream.opened_us + CONNECT_TIMEOUT_US;
         self.stream.as_ref().is_some_and(is_late) || self.subscriber.is_silent(now_us)
     }
 
-    /// Whether a stream has to be opened.
+    /// Whether to open a connection for a stream.
     pub fn should_connect(&self, now_us: u64) -> bool {
         self.stream.is_none() && self.subscriber.next_attempt_us().is_some_and(|at_us| now_us >= at_us)
     }
 
-    /// A connection for the stream is being opened. Writes the request for it.
+    /// Records that the owner is opening a connection for the stream, and writes the request to send on it.
     pub fn on_connecting(&mut self, now_us: u64, out: &mut Vec<u8>) {
         write_stream_request(&self.gateway, self.subscriber.position(), out);
         let events = EventStream::new(MAX_EVENT_BYTES);
@@ -122,23 +122,24 @@
         self.subscriber.on_connected(now_us);
     }
 
-    /// The stream's connection has come up.
+    /// Records that the connection of the stream is established.
     pub fn on_connected(&mut self) {
         if let Some(stream) = &mut self.stream {
             stream.is_up = true;
         }
     }
 
-    /// The stream was closed, or its connection could not be opened: it is the next server's turn, after a backoff.
+    /// Records that the stream was closed or that its connection failed. The next attempt uses the next server, after a
+    /// backoff.
     pub fn on_disconnected(&mut self, now_us: u64) {
         self.stream = None;
         self.subscriber.on_disconnected(now_us);
     }
 
-    /// Takes bytes of the stream from `input`; [`ControlPlaneClient::next_message`] returns what follows from them.
+    /// Consumes bytes of the stream from `input`. [`ControlPlaneClient::next_message`] returns the messages in them.
     ///
     /// # Errors
-    /// The stream can't be followed further.
+    /// The stream can't be read any further.
     pub fn on_bytes(&mut self, now_us: u64, input: &mut Vec<u8>) -> Result<(), EventStreamError> {
         let Some(Stream { events, .. }) = &mut self.stream else { return Ok(()) };
         let lines_before = events.lines();
@@ -149,7 +150,7 @@
         read
     }
 
-    /// Takes the next message of the stream, if it is complete.
+    /// Handles the next complete message of the stream. `None`: no message is complete.
     pub fn next_message(&mut self, now_us: u64) -> Option<MessageOutcome> {
         let event = self.stream.as_mut()?.events.next_event()?;
         let newest_before = self.subscriber.newest_seen();
@@ -162,49 +163,49 @@
         Some(MessageOutcome { announced: (newest > newest_before).then_some(newest), action })
     }
 
-    /// A version is in force. Its report is due.
+    /// Records that a version is in force. A report is due.
     pub fn on_applied(&mut self, version: Version) {
         let report = self.subscriber.on_applied(version);
         self.refused = None;
         self.set_report(report);
     }
 
-    /// A version could not be applied. Its report is due.
+    /// Records that a version could not be applied. A report is due.
     pub fn on_refused(&mut self, version: Version, error: &impl fmt::Display) {
         let report = self.subscriber.on_refused(version, error);
         self.refused = Some(RefusedVersion { version, reason: error.to_string() });
         self.set_report(report);
     }
 
-    /// Whether the report has to be sent, for the first time or again.
+    /// Whether to send the pending report, for the first time or again.
     pub fn is_report_due(&self, now_us: u64) -> bool {
         self.report.as_ref().is_some_and(|report| now_us >= report.due_us)
     }
 
-    /// A connection for the report is being opened. Writes the request for it.
+    /// Records that the owner is opening a connection for the report, and writes the request to send on it.
     pub fn on_report_connecting(&mut self, now_us: u64, out: &mut Vec<u8>) {
         let Some(pending) = &mut self.report else { return };
         write_report_request(&self.gateway, &pending.report, out);
         pending.due_us = now_us + REPORT_TIMEOUT_US;
     }
 
-    /// The report has failed or had no response. It is sent again after a wait that `random` draws, to the server whose
-    /// turn it is then.
+    /// Records that the report failed or had no response. It is sent again after a delay that is derived from `random`,
+    /// to the server that [`ControlPlaneClient::server`] returns at that time.
     pub fn on_report_failed(&mut self, now_us: u64, random: u32) {
         let Some(pending) = &mut self.report else { return };
-        let max_wait_us = REPORT_BACKOFF_INITIAL_US
+        let max_delay_us = REPORT_BACKOFF_INITIAL_US
             .saturating_mul(1 << pending.failures.min(16))
             .min(REPORT_BACKOFF_MAX_US);
         pending.failures += 1;
-        pending.due_us = now_us + u64::from(random) % max_wait_us + 1;
+        pending.due_us = now_us + u64::from(random) % max_delay_us + 1;
     }
 
-    /// A server has accepted the report.
+    /// Records that a server has accepted the report.
     pub fn on_report_accepted(&mut self) {
         self.report = None;
     }
 
-    /// Forgets connections and report: the gateway shuts down, and its successor connects.
+    /// Discards the stream and the report at shutdown. The successor process opens its own connections.
     pub fn shut_down(&mut self) {
         self.stream = None;
         self.report = None;
@@ -215,7 +216,7 @@
     }
 }
 
-/// The lines of the admin interface.
+/// Lines for the admin interface.
 impl fmt::Display for ControlPlaneClient {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(f, "configuration.in_force={}", self.subscriber.in_force())?;
--- a/gateway/src/control_plane/client/tests.rs
+++ b/gateway/src/control_plane/client/tests.rs
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_connection_that_does_not_come_up_is_given_up_and_the_next_server_tried() {
+fn a_connection_attempt_times_out_and_the_next_one_uses_another_server() {
     let mut client = client();
     let server = client.server();
     client.on_connecting(5, &mut Vec::new());
@@ -57,7 +57,7 @@
     client.on_connecting(retry_us, &mut Vec::new());
     client.on_connected();
     assert_eq!(client.deadline_us(retry_us), retry_us + SILENCE_CHECK_INTERVAL_US);
-    assert!(!client.is_stream_lost(retry_us + CONNECT_TIMEOUT_US), "it is up");
+    assert!(!client.is_stream_lost(retry_us + CONNECT_TIMEOUT_US), "the connection is established");
 }
 
 #[test]
@@ -88,24 +88,27 @@
     client.on_report_accepted();
     let again = receive(&mut client, &snapshot(3)).unwrap().action;
     assert_eq!(again, SubscriberAction::Refused { version: Version(3), reason: "bad\nvalue".to_owned() });
-    assert!(report(&mut client, 0).contains("\"state\":\"refused\""), "reported once more");
+    assert!(report(&mut client, 0).contains("\"state\":\"refused\""), "reported again");
     receive(&mut client, &snapshot(4)).unwrap();
     client.on_applied(Version(4));
-    assert!(report(&mut client, 0).contains("\"state\":\"applied\""), "in place of the refused one");
+    assert!(
+        report(&mut client, 0).contains("\"state\":\"applied\""),
+        "replaces the report of the refused version"
+    );
     assert_eq!(client.to_string(), "configuration.in_force=4\nconfiguration.newest_seen=4\n");
 }
 
 #[test]
-fn a_report_is_sent_again_after_a_timeout_or_a_growing_wait() {
+fn a_report_is_retried_after_a_timeout_or_an_exponential_delay() {
     let mut client = connected();
     receive(&mut client, &snapshot(3)).unwrap();
     client.on_applied(Version(3));
     report(&mut client, 0);
     assert!(client.is_report_due(REPORT_TIMEOUT_US) && !client.is_report_due(REPORT_TIMEOUT_US - 1));
     for failures in 0..20 {
-        let max_wait_us = (REPORT_BACKOFF_INITIAL_US << failures).min(REPORT_BACKOFF_MAX_US);
-        client.on_report_failed(0, max_wait_us as u32 - 1);
-        assert!(client.is_report_due(max_wait_us) && !client.is_report_due(max_wait_us - 1));
+        let max_delay_us = (REPORT_BACKOFF_INITIAL_US << failures).min(REPORT_BACKOFF_MAX_US);
+        client.on_report_failed(0, max_delay_us as u32 - 1);
+        assert!(client.is_report_due(max_delay_us) && !client.is_report_due(max_delay_us - 1));
     }
     client.shut_down();
     assert!(!client.is_report_due(u64::MAX));
--- a/gateway/src/control_plane/mod.rs
+++ b/gateway/src/control_plane/mod.rs
@@ -1,8 +1,8 @@
-//! The gateway's side of the control plane, without I/O: a stream of versions of the settings from one of the control
-//! plane servers, and a report for each version that was applied or refused.
+//! Client of the control plane, without I/O: receives versions of the settings from one of the control plane servers
+//! and reports each version as applied or refused.
 //!
-//! [`ControlPlaneClient`] decides when to connect and what to send; `net` carries it out. Which version is applied next
-//! and from which server is decided by the subscriber of the crate `wrenhatch-configuration`.
+//! [`ControlPlaneClient`] decides when to connect and what to send. `net` holds the connections. The subscriber of the
+//! crate `wrenhatch-configuration` selects the server and the next version.
 
 mod client;
 mod requests;
--- a/gateway/src/control_plane/requests.rs
+++ b/gateway/src/control_plane/requests.rs
@@ -1,21 +1,21 @@
-//! HTTP requests to a control plane server: the stream of versions, and reports on them.
+//! HTTP requests to a control plane server: the stream of versions, and reports.
 
 use std::io::Write;
 
 use wrenhatch_configuration::{GatewayId, Position, Report};
 
-/// The head of the response to a report may have up to so many bytes.
+/// Maximum size of the response head to a report.
 pub const MAX_REPORT_RESPONSE_BYTES: usize = 16 * 1024;
 const MAX_HEADERS: usize = 32;
-/// The status that accepts a report.
+/// Status of the response that accepts a report.
 const NO_CONTENT: u16 = 204;
 
-/// The gateway's name without characters that a header can't hold, such as line ends.
+/// Name of the gateway without characters that are invalid in a header, such as line ends.
 fn header_value(gateway: &GatewayId) -> String {
     gateway.0.chars().filter(char::is_ascii_graphic).collect()
 }
 
-/// Writes the request that opens the stream behind the version in force.
+/// Writes the request for the stream of versions after the version in force.
 pub fn write_stream_request(gateway: &GatewayId, position: Position, out: &mut Vec<u8>) {
     // Writing to a vector never fails.
     let _ = write!(
@@ -28,7 +28,7 @@
     );
 }
 
-/// Writes the request that reports what became of a version.
+/// Writes the request that reports a version as applied or refused.
 pub fn write_report_request(gateway: &GatewayId, report: &Report, out: &mut Vec<u8>) {
     let body = report.encode(gateway);
     // Writing to a vector never fails.
@@ -40,18 +40,18 @@
     );
 }
 
-/// What the response to a report says so far.
+/// Result of parsing the response to a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportResponse {
-    /// Its head is not complete.
+    /// More bytes are necessary, as the response head is not complete.
     Incomplete,
-    /// The report was accepted.
+    /// The server has accepted the report.
     Accepted,
-    /// The report was not accepted, or this is no response.
+    /// The server has not accepted the report, or the response is not HTTP.
     Failed,
 }
 
-/// Reads the response to a report from the bytes received so far.
+/// Parses the response to a report from the bytes received so far.
 pub fn read_report_response(received: &[u8]) -> ReportResponse {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Response::new(&mut headers);
--- a/gateway/src/counters.rs
+++ b/gateway/src/counters.rs
@@ -1,4 +1,5 @@
-//! Counters of connections, requests, attempts and turns of the event loop. Their names are printed as they are here.
+//! Counters of connections, requests, attempts and turns of the event loop. They are printed with the names of the
+//! fields.
 
 use std::fmt;
 
@@ -6,7 +7,7 @@
 
 macro_rules! counters {
     ($($(#[$doc:meta])* $name:ident),* $(,)?) => {
-        /// Counts since the start.
+        /// Counters since the start of the process.
         #[derive(Clone, Debug, Default, PartialEq, Eq)]
         pub struct Counters {
             $($(#[$doc])* pub $name: u64,)*
@@ -26,21 +27,21 @@
     turns,
     /// Client connections accepted.
     clients,
-    /// Client connections rejected, as there were no descriptors or no memory for more.
+    /// Client connections rejected for lack of descriptors or memory.
     turned_away,
     /// Idle client connections closed to make room for others.
     evicted,
-    /// Client connections closed as the start of a session or a message was not complete in time.
+    /// Client connections closed because the start of a session or a message was not complete in time.
     timed_out,
-    /// Client connections closed for being idle for longer than the configuration allows.
+    /// Client connections closed because they exceeded the idle limit of the configuration.
     idle_closed,
-    /// Client connections closed, or requests and statements rejected, as memory was short.
+    /// Client connections closed, or requests and statements rejected, because the memory budget was exhausted.
     no_memory,
-    /// Requests rejected with Retry-After, as they would not have been read in time.
+    /// Requests rejected with Retry-After because they would not have been processed before their deadlines.
     too_late,
-    /// Requests handed to the core.
+    /// Requests passed to the core.
     taken,
-    /// Requests rejected before the core as invalid: fields, size.
+    /// Requests rejected before the core because of invalid fields or their size.
     invalid,
     /// Final answers: served.
     served,
@@ -54,7 +55,7 @@
     sent,
     /// Attempts cancelled.
     stopped,
-    /// Calls to engines repeated, as their responses were invalid or did not come.
+    /// Calls to engines repeated because their responses were invalid or missing.
     asked_again,
     /// Connections opened to engines.
     engine_connects,
@@ -66,15 +67,15 @@
     ended_failure,
     /// Attempts for which no connection could be opened.
     ended_unreachable,
-    /// Attempts whose connection broke.
+    /// Attempts whose connection failed.
     ended_broken,
     /// Attempts that ended after they were cancelled.
     ended_withdrawn,
-    /// Attempts whose end is not known.
+    /// Attempts whose end was not reported.
     ended_timed_out,
     /// Attempts that were never sent.
     ended_void,
-    /// Events of the discovery service.
+    /// Events received from the discovery service.
     list_events,
     /// Streams opened to the discovery service.
     list_connects,
@@ -83,7 +84,7 @@
 }
 
 impl Counters {
-    /// The counter of rejections for a reason.
+    /// Counter to be incremented for a rejection.
     pub fn rejected_for(&mut self, counter: RejectionCounter) -> &mut u64 {
         match counter {
             RejectionCounter::NoMemory => &mut self.no_memory,
@@ -91,7 +92,7 @@
         }
     }
 
-    /// Counts the end of an attempt.
+    /// Increments the counter of an attempt's outcome.
     pub fn ended(&mut self, outcome: workload_manager::Outcome) {
         use workload_manager::Outcome as O;
         *match outcome {
--- a/gateway/src/event_stream.rs
+++ b/gateway/src/event_stream.rs
@@ -1,32 +1,33 @@
-//! Server-sent events over HTTP/1.1, read from bytes without a socket. Discovery and the control plane both send them.
+//! Parser of server-sent events over HTTP/1.1, as sent by the discovery service and the control plane. The caller owns
+//! the socket.
 
-/// The response is no event stream that can be followed: no HTTP, a status other than 200, or an event that is too long.
+/// The response is not HTTP, has a status other than 200, or contains an event that is too long.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("no stream of events")]
+#[error("the response is not an event stream, or an event is too long")]
 pub struct EventStreamError;
 
-/// One server-sent event.
+/// A server-sent event.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServerSentEvent {
-    /// Its id; 0 where it has none.
+    /// Number from the field `id`. 0 without a numeric id.
     pub id: u64,
-    /// Its data; several lines are joined by line feeds.
+    /// Values of the fields `data`, joined by line feeds.
     pub data: String,
 }
 
-/// Reads one event stream.
+/// Reader of one event stream.
 pub struct EventStream {
     max_event_bytes: usize,
     is_head_read: bool,
     is_chunked: bool,
-    /// Bytes of the current chunk that have not been read.
+    /// Number of bytes of the current chunk that have not been read.
     chunk_bytes_left: usize,
     body: Vec<u8>,
     lines: u64,
 }
 
 impl EventStream {
-    /// A stream whose events may have up to `max_event_bytes` bytes.
+    /// Creates a reader that accepts events of up to `max_event_bytes` bytes.
     pub fn new(max_event_bytes: usize) -> Self {
         Self {
             max_event_bytes,
@@ -38,15 +39,15 @@
         }
     }
 
-    /// Whole lines read so far; the head counts as one. Bytes that never end a line are no sign of life.
+    /// Number of whole lines read so far. The response head counts as one.
     pub fn lines(&self) -> u64 {
         self.lines
     }
 
-    /// Takes bytes from `input`.
+    /// Consumes bytes of `input`.
     ///
     /// # Errors
-    /// The stream can't be followed; bytes that come later can't be understood.
+    /// The stream can't be read any further.
     pub fn read(&mut self, input: &mut Vec<u8>) -> Result<(), EventStreamError> {
         if !self.is_head_read && !self.read_head(input)? {
             return Ok(());
@@ -64,7 +65,7 @@
         Ok(())
     }
 
-    /// The next complete event. Comments are skipped.
+    /// Removes and returns the next complete event. Comments are skipped.
     pub fn next_event(&mut self) -> Option<ServerSentEvent> {
         while let Some((end, width)) = blank_line(&self.body) {
             let block: Vec<u8> = self.body.drain(..end + width).take(end).collect();
@@ -102,7 +103,7 @@
             if self.chunk_bytes_left > 0 || input.is_empty() {
                 return Ok(());
             }
-            // The line end behind a chunk is read together with the next chunk's size.
+            // The line end after a chunk is read together with the size of the next chunk.
             let skip = if input.starts_with(b"\r\n") { 2 } else { 0 };
             match httparse::parse_chunk_size(&input[skip..]).map_err(|_| EventStreamError)? {
                 httparse::Status::Complete((start, length)) => {
@@ -120,7 +121,7 @@
     [find(b"\n\n"), find(b"\r\n\r\n")].into_iter().flatten().min()
 }
 
-/// Parses the lines between two blank lines; without data, as of comments, there is no event.
+/// Parses the lines between two blank lines. Lines without the field `data`, such as comments, are no event.
 fn parse_block(block: &[u8]) -> Option<ServerSentEvent> {
     let text = String::from_utf8_lossy(block);
     let (mut id, mut data) = (0, String::new());
--- a/gateway/src/event_stream/tests.rs
+++ b/gateway/src/event_stream/tests.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn other_responses_and_endless_events_are_errors() {
+fn other_responses_and_oversized_events_are_errors() {
     for answer in ["HTTP/1.1 503 Later\r\n\r\n", "\u{16}\u{3}\u{1}\r\n\r\n"] {
         assert_eq!(EventStream::new(100).read(&mut answer.as_bytes().to_vec()), Err(EventStreamError));
     }
--- a/gateway/src/json.rs
+++ b/gateway/src/json.rs
@@ -1,35 +1,34 @@
-//! Reading of JSON documents by path, so that every error says where the value stands.
+//! Typed access to JSON documents. Every error contains the path of the value in the document.
 //!
-//! [`JsonField`] is a place in a document: it may hold no value, and the read functions say what is wrong at that place.
-//! A `null` counts as absent.
+//! [`JsonField`] is a path in a document, with or without a value. A `null` counts as absent.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
 use tinyjson::JsonValue;
 
-/// Why a JSON document can't be read.
+/// Error of reading a JSON document.
 #[derive(Debug, thiserror::Error)]
 pub enum JsonError {
-    /// A text is not JSON.
+    /// The text is not JSON.
     #[error("{path} is not JSON: {source}")]
     Syntax {
-        /// The document.
+        /// Name of the document.
         path: String,
-        /// What the parser says.
+        /// Position and cause of the syntax error.
         source: tinyjson::JsonParseError,
     },
-    /// A value is missing or of another type than expected.
+    /// A value is missing or has the wrong type.
     #[error("{path}: {expected} expected")]
     Value {
-        /// Where it stands in the document.
+        /// Path of the value, which starts with the name of the document.
         path: String,
-        /// What was expected there.
+        /// Description of a valid value.
         expected: &'static str,
     },
 }
 
-/// Parses a document; `path` names it in errors.
+/// Parses a document. `path` is the name of the document in errors.
 ///
 /// # Errors
 /// The text is not JSON.
@@ -37,7 +36,7 @@
     text.parse().map_err(|source| JsonError::Syntax { path: path.to_owned(), source })
 }
 
-/// A place in a JSON document: its path, and its value if there is one.
+/// A path in a JSON document, with the value at this path if the document has one.
 #[derive(Clone)]
 pub struct JsonField<'a> {
     value: Option<&'a JsonValue>,
@@ -45,19 +44,19 @@
 }
 
 impl<'a> JsonField<'a> {
-    /// The root of a document; `path` names the document in errors.
+    /// Returns the root of a document. `path` is the name of the document in errors.
     pub fn root(value: &'a JsonValue, path: &str) -> Self {
         Self { value: Some(value), path: path.to_owned() }
     }
 
-    /// A member of an object; without a value where it is absent.
+    /// Returns a member of an object. The field has no value if the member is absent.
     pub fn get(&self, key: &str) -> JsonField<'a> {
         let object = self.value.and_then(|v| v.get::<HashMap<String, JsonValue>>());
         let value = object.and_then(|o| o.get(key)).filter(|v| !matches!(v, JsonValue::Null));
         JsonField { value, path: format!("{}.{key}", self.path) }
     }
 
-    /// The error that something else was expected here.
+    /// Creates an error for this path.
     pub fn expected(&self, expected: &'static str) -> JsonError {
         JsonError::Value { path: self.path.clone(), expected }
     }
@@ -67,42 +66,42 @@
         self.value.is_some()
     }
 
-    /// A number, or the default where it is absent.
+    /// Reads a number, or the default if the value is absent.
     ///
     /// # Errors
-    /// The value is no number.
+    /// The value is not a number.
     pub fn number_or(&self, default: f64) -> Result<f64, JsonError> {
         if self.is_present() { self.number() } else { Ok(default) }
     }
 
-    /// A number.
+    /// Reads a number.
     ///
     /// # Errors
-    /// The value is absent or no number.
+    /// The value is absent or not a number.
     pub fn number(&self) -> Result<f64, JsonError> {
         self.value.and_then(|v| v.get::<f64>()).copied().ok_or_else(|| self.expected("a number"))
     }
 
-    /// A string.
+    /// Reads a string.
     ///
     /// # Errors
-    /// The value is absent or no string.
+    /// The value is absent or not a string.
     pub fn string(&self) -> Result<String, JsonError> {
         self.value.and_then(|v| v.get::<String>()).cloned().ok_or_else(|| self.expected("a text"))
     }
 
-    /// A string, empty where it is absent.
+    /// Reads a string, which is empty if the value is absent.
     ///
     /// # Errors
-    /// The value is no string.
+    /// The value is not a string.
     pub fn string_or_empty(&self) -> Result<String, JsonError> {
         if self.is_present() { self.string() } else { Ok(String::new()) }
     }
 
-    /// A flag, false where it is absent.
+    /// Reads a boolean, which is false if the value is absent.
     ///
     /// # Errors
-    /// The value is no boolean.
+    /// The value is not a boolean.
     pub fn flag(&self) -> Result<bool, JsonError> {
         match self.value {
             None => Ok(false),
@@ -110,10 +109,10 @@
         }
     }
 
-    /// The elements of an array; none where it is absent.
+    /// Returns the elements of an array, or no elements if the value is absent.
     ///
     /// # Errors
-    /// The value is no array.
+    /// The value is not an array.
     pub fn elements(&self) -> Result<Vec<JsonField<'a>>, JsonError> {
         let Some(value) = self.value else { return Ok(Vec::new()) };
         let array = value.get::<Vec<JsonValue>>().ok_or_else(|| self.expected("an array"))?;
@@ -121,26 +120,26 @@
         Ok(array.iter().enumerate().map(field).collect())
     }
 
-    /// The elements of an array of strings; none where it is absent.
+    /// Reads the elements of an array of strings, or no elements if the value is absent.
     ///
     /// # Errors
-    /// The value is no array, or an element no string.
+    /// The value is not an array, or an element is not a string.
     pub fn strings(&self) -> Result<Vec<String>, JsonError> {
         self.elements()?.iter().map(JsonField::string).collect()
     }
 
-    /// A socket address.
+    /// Reads a socket address.
     ///
     /// # Errors
-    /// The value is absent or no IP address with a port.
+    /// The value is absent or not an IP address with a port.
     pub fn socket_address(&self) -> Result<SocketAddr, JsonError> {
         self.string()?.parse().map_err(|_| self.expected("an address with a port"))
     }
 
-    /// A socket address, if there is a value.
+    /// Reads a socket address, or `None` if the value is absent.
     ///
     /// # Errors
-    /// The value is no IP address with a port.
+    /// The value is not an IP address with a port.
     pub fn optional_socket_address(&self) -> Result<Option<SocketAddr>, JsonError> {
         if self.is_present() { self.socket_address().map(Some) } else { Ok(None) }
     }
--- a/gateway/src/lib.rs
+++ b/gateway/src/lib.rs
@@ -1,5 +1,5 @@
-//! The gateway as a library: configuration, core, codecs and the loop, so that tools of the workspace drive the
-//! same code as the program.
+//! The gateway as a library: configuration, core, codecs and event loop. The program and the tools of the workspace use
+//! the same code.
 
 pub mod admin;
 pub mod admission;
--- a/gateway/src/live_reconfiguration/checks.rs
+++ b/gateway/src/live_reconfiguration/checks.rs
@@ -1,11 +1,11 @@
-//! What has to hold before new settings can replace those in force.
+//! Preconditions for replacing the settings in force with new settings.
 
 use std::collections::BTreeSet;
 
 use super::{NamedSettings, SettingsRefused};
 use crate::config::SettingsNames;
 
-/// Checks everything that does not depend on slots.
+/// Checks all preconditions that do not depend on slots.
 pub(super) fn check<'a>(
     current: NamedSettings<'_>,
     new: NamedSettings<'_>,
@@ -44,7 +44,8 @@
     }
 }
 
-/// The gateway's own zone and the form of load reports are used where a change would go unnoticed.
+/// Refuses changes of the gateway's own zone and of load reports, because parts of the running gateway would not apply
+/// them.
 fn check_unchangeable(current: NamedSettings<'_>, new: NamedSettings<'_>) -> Result<(), SettingsRefused> {
     let own_zone = |of: NamedSettings<'_>| {
         of.settings.zone.map(|zone| of.names.zones[zone.0].clone()).unwrap_or_default()
--- a/gateway/src/live_reconfiguration/error.rs
+++ b/gateway/src/live_reconfiguration/error.rs
@@ -1,17 +1,17 @@
-//! Why new settings are not applied. In every case the settings in force stay as they are.
+//! Errors of applying new settings. After each of them, the settings in force stay unchanged.
 
 use workload_manager::SettingsError;
 
 use super::slots::MAX_NAMES;
 use crate::config::ConfigError;
 
-/// Why new settings are not applied.
+/// Error for which new settings are not applied.
 #[derive(Debug, thiserror::Error)]
 pub enum ReconfigurationError {
-    /// They can't be read, or make no sense.
+    /// The new settings can't be read or are invalid.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// They can't replace the settings in force without a restart.
+    /// The new settings can't replace those in force without a restart.
     #[error(transparent)]
     Refused(#[from] SettingsRefused),
     /// The workload manager can't apply them.
@@ -19,38 +19,38 @@
     WorkloadManager(#[from] SettingsError),
 }
 
-/// Why settings can't replace those in force without a restart.
+/// Reason for which settings can't replace those in force without a restart. The text is reported to the control plane.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum SettingsRefused {
-    /// A name comes twice in a list.
+    /// A list has a duplicate name.
     #[error("{list} names {name} twice")]
     DuplicateName {
-        /// The key of the list.
+        /// Key of the list in the settings.
         list: &'static str,
-        /// The name.
+        /// Name that occurs twice.
         name: String,
     },
-    /// The gateway's own zone is another one.
+    /// The gateway's own zone has changed.
     #[error("the gateway's own zone (locality) can't change in service: {old} is in force, {new} was sent")]
     ZoneChanged {
-        /// The zone in force; empty where there is none.
+        /// Zone in force. Empty if the settings in force have no zone.
         old: String,
-        /// The new one.
+        /// Zone in the new settings. Empty if they have no zone.
         new: String,
     },
-    /// Load reports come in another way.
+    /// The source of load reports, or the meaning of their fields, has changed.
     #[error("how engines report their load (report.how, report-x0, report-x1) can't change in service")]
     LoadReportsChanged,
-    /// The tenant of a user of the MySQL front end is missing.
+    /// The new settings don't have the tenant of a user of the MySQL front end.
     #[error("no project is called {0}, which is that of a user of the MySQL front")]
     TenantInUse(String),
-    /// A list has had too many names since the start.
+    /// The number of names that a list has had since the start exceeds the limit.
     #[error("{list} have had more than {MAX_NAMES} names since the start")]
     TooManyNames {
-        /// The key of the list.
+        /// Key of the list in the settings.
         list: &'static str,
     },
-    /// No request of a class could be served.
+    /// The deadline or the parallelism of a class is 0, so that no request could be served.
     #[error("class {0}: its deadline and its parallelism must be more than 0")]
     UnusableClass(String),
     /// The settings contradict each other or are out of range.
--- a/gateway/src/live_reconfiguration/mod.rs
+++ b/gateway/src/live_reconfiguration/mod.rs
@@ -1,9 +1,9 @@
-//! Live reconfiguration: new settings while the gateway serves, without I/O.
+//! Live reconfiguration: prepares new settings to replace those in force while the gateway runs, without I/O.
 //!
-//! [`prepare`] takes the settings in force and new ones, both with their names, and gives the new ones the numbers
-//! under which the gateway and the workload manager know classes, machine types, zones and tenants, so that what is in
-//! flight keeps the numbers that it has. Either all of the new settings are applied or none: a [`SettingsRefused`]
-//! leaves those in force as they are. The rules for numbers stand in `slots`.
+//! [`prepare`] takes the settings in force and new settings, both with their names. It converts the numbers of classes,
+//! machine types, zones and tenants in the new settings, so that requests and attempts in flight keep their numbers.
+//! Settings are applied as a whole or not at all: after a [`SettingsRefused`], the settings in force stay unchanged.
+//! The module `slots` assigns the numbers.
 
 mod checks;
 mod error;
@@ -18,31 +18,31 @@
 pub use error::{ReconfigurationError, SettingsRefused};
 use slots::ClassSlots;
 
-/// Settings with the names that their numbers stand for.
+/// Settings with the names of their classes, machine types, zones and tenants.
 #[derive(Clone, Copy, Debug)]
 pub struct NamedSettings<'a> {
-    /// Names by number.
+    /// Names for the numbers that `settings` uses.
     pub names: &'a SettingsNames,
-    /// The settings.
+    /// Settings of the workload manager.
     pub settings: &'a Settings,
 }
 
 /// New settings, ready to be applied.
 #[derive(Clone, Debug)]
 pub struct PreparedSettings {
-    /// Names by number.
+    /// Names for the numbers that `change` uses.
     pub names: SettingsNames,
-    /// The settings by these numbers, for the workload manager.
+    /// Settings for the workload manager, with the origin of each class.
     pub change: SettingsChange,
 }
 
-/// Gives what `new` names the numbers that it has while the gateway serves.
+/// Converts the numbers in `new` to those of the running gateway.
 ///
-/// `classes_in_use` has the classes of open requests and of attempts in flight; `tenants_in_use` the tenants that must
-/// stay.
+/// `classes_in_use` contains the classes of open requests and of attempts in flight. `tenants_in_use` contains the
+/// tenants of users of the MySQL front end, which the new settings must contain.
 ///
 /// # Errors
-/// Why the settings in force have to stay.
+/// The new settings can't replace those in force without a restart, or are invalid.
 pub fn prepare<'a>(
     current: NamedSettings<'_>,
     new: NamedSettings<'_>,
--- a/gateway/src/live_reconfiguration/slots.rs
+++ b/gateway/src/live_reconfiguration/slots.rs
@@ -1,11 +1,11 @@
-//! Numbers of classes, tenants, machine types and zones while settings change.
+//! Assigns numbers to classes, tenants, machine types and zones when settings change.
 //!
-//! A class's number is its slot. A class that stays as it was keeps its slot; one that changes gets another, and the old
-//! slot is retired: no new request gets it. A retired slot is used again once no request and no attempt has its number,
-//! so that years of changes take no more slots than are in use at once.
+//! The number of a class is its slot. An unchanged class keeps its slot. A changed class gets another slot, and its old
+//! slot is retired: no new request gets it. A retired slot is reused once no request and no attempt has its number, so
+//! that the number of slots stays bounded.
 //!
-//! A tenant keeps its number by name. Machine types and zones keep theirs for good, as engines of the endpoint list
-//! refer to them.
+//! A tenant keeps its number while the settings have its name. Machine types and zones keep their numbers until the
+//! process exits, because engines of the endpoint list refer to them.
 
 use std::collections::BTreeSet;
 
@@ -14,10 +14,10 @@
 use super::{NamedSettings, SettingsRefused};
 use crate::config::SettingsNames;
 
-/// Names of machine types, and of zones, that are remembered.
+/// Maximum number of names of machine types, and of zones, since the start.
 pub(super) const MAX_NAMES: usize = 1024;
 
-/// Adds machine types and zones that have no number yet.
+/// Adds the names of new machine types and zones, which assigns numbers to them.
 pub(super) fn add_machine_types_and_zones(
     names: &mut SettingsNames,
     new: &SettingsNames,
@@ -36,8 +36,8 @@
     Ok(())
 }
 
-/// A class of the new settings with the numbers that its machine types and zones have in `names`. Names that are not
-/// there yet are added.
+/// Converts the numbers of machine types and zones in a class of the new settings to those in `names`. Missing names
+/// are added.
 pub(super) fn translate_ids(class: &Class, new: &SettingsNames, names: &mut SettingsNames) -> Class {
     let machine_type = |id: &MachineTypeId| {
         MachineTypeId(SettingsNames::find_or_add(&mut names.machine_types, &new.machine_types[id.0]))
@@ -49,8 +49,9 @@
     Class { allowed_machine_types, allowed_zones, ..class.clone() }
 }
 
-/// All machine types by number. One that the new settings no longer describe stays as it was, as engines of it may
-/// serve; one that was never described is like a machine of an unknown type.
+/// Returns all machine types, indexed by number. A machine type that the new settings no longer describe is unchanged,
+/// because engines of this type may still serve. A machine type without any description has the values of an unknown
+/// type.
 pub(super) fn machine_types(
     names: &SettingsNames,
     current: &Settings,
@@ -67,7 +68,7 @@
     described.into_iter().take(count).map(|known| known.unwrap_or_else(|| unknown.clone())).collect()
 }
 
-/// Tenants by number: one that stays keeps its number, a new one gets a number that is free.
+/// Assigns numbers to tenants. An existing tenant keeps its number. A new tenant gets a free number.
 pub(super) fn assign_tenants(
     names: &mut SettingsNames,
     current: &Settings,
@@ -93,22 +94,22 @@
     tenants
 }
 
-/// The slots of classes while they are assigned.
+/// Assignment of classes to slots.
 pub(super) struct ClassSlots {
-    /// Names by slot.
+    /// Names, indexed by slot.
     pub(super) names: Vec<String>,
-    /// Classes by slot.
+    /// Classes, indexed by slot.
     pub(super) classes: Vec<Class>,
-    /// Where the class of a slot comes from.
+    /// Origin of each class, indexed by slot.
     pub(super) origins: Vec<ClassOrigin>,
     /// Slots without a class of the new settings.
     pub(super) retired: BTreeSet<usize>,
-    /// Slots that no request, no attempt and no class of the new settings has.
+    /// Slots without a request, an attempt or a class of the new settings.
     free: BTreeSet<usize>,
 }
 
 impl ClassSlots {
-    /// The slots of the settings in force, none of them assigned.
+    /// Creates the slots of the settings in force. No class of the new settings is assigned.
     pub(super) fn new(current: NamedSettings<'_>, in_use: &BTreeSet<ClassId>) -> Self {
         let slots = current.settings.classes.len();
         Self {
@@ -120,7 +121,7 @@
         }
     }
 
-    /// Gives each class a slot; those left over are retired.
+    /// Assigns a slot to each class of the new settings. The other slots are retired.
     pub(super) fn assign(mut self, names: &[String], classes: Vec<Class>) -> Self {
         let old_slot = |name: &String| {
             let in_force = |slot: &usize| !self.retired.contains(slot) && self.names[*slot] == *name;
@@ -147,7 +148,7 @@
         self
     }
 
-    /// Puts a class into the lowest free slot, or into a new one.
+    /// Puts a class into the lowest free slot, or into a new slot if no slot is free.
     fn place(&mut self, name: &str, class: Class, origin: ClassOrigin) -> usize {
         match self.free.pop_first() {
             Some(slot) => {
--- a/gateway/src/live_reconfiguration/tests.rs
+++ b/gateway/src/live_reconfiguration/tests.rs
@@ -1,4 +1,4 @@
-//! Numbers of classes, machine types, zones and tenants through changes, compared with the names.
+//! Tests of the numbers that classes, machine types, zones and tenants get when settings change.
 
 use workload_manager::*;
 
@@ -26,7 +26,7 @@
     parse_site_settings(text).unwrap()
 }
 
-/// Settings in force, and the classes of requests in flight.
+/// Settings in force, with the classes of requests in flight.
 struct InForce {
     names: SettingsNames,
     settings: Settings,
@@ -46,7 +46,7 @@
         prepare(current, new, &self.in_use, std::iter::empty())
     }
 
-    /// Applies settings and returns the origins of the classes.
+    /// Applies settings and returns the origins of the classes, by slot.
     fn apply(&mut self, text: &str) -> Vec<ClassOrigin> {
         let prepared = self.prepare(text).unwrap();
         (self.names, self.settings) = (prepared.names, prepared.change.settings);
@@ -69,15 +69,18 @@
 #[test]
 fn classes_are_identified_by_name_and_not_by_position() {
     let mut in_force = InForce::new();
-    let moved = BASE.replace(LOOKUP, "").replace("\"parallelism\":[1,4,2]", "\"parallelism\":[4,2]");
-    let moved = moved.replace(
+    let reordered = BASE.replace(LOOKUP, "").replace("\"parallelism\":[1,4,2]", "\"parallelism\":[4,2]");
+    let reordered = reordered.replace(
         "\"keep-order\":true}]",
         "\"keep-order\":true},\n{\"aim-s\":1,\"deadline-s\":1,\"name\":\"new\"}]",
     );
-    assert_eq!(in_force.apply(&moved), [ClassOrigin::New, ClassOrigin::Unchanged, ClassOrigin::Unchanged]);
+    assert_eq!(
+        in_force.apply(&reordered),
+        [ClassOrigin::New, ClassOrigin::Unchanged, ClassOrigin::Unchanged]
+    );
     let class = |name: &str| in_force.names.class(name);
     assert_eq!((class("lookup"), class("report"), class("load")), (None, Some(ClassId(1)), Some(ClassId(2))));
-    assert_eq!(class("new"), Some(ClassId(0)), "nothing was under way in the slot of lookup");
+    assert_eq!(class("new"), Some(ClassId(0)), "no request was in flight in the slot of lookup");
 }
 
 #[test]
@@ -88,24 +91,24 @@
     let kept = ClassOrigin::Unchanged;
     assert_eq!(origins, [ClassOrigin::Retired, kept, kept, ClassOrigin::DerivedFrom(ClassId(0))]);
     assert_eq!(in_force.names.class("lookup"), Some(ClassId(3)));
-    assert_eq!(in_force.settings.classes[0].deadline, 3.0, "the rule that it was admitted with");
+    assert_eq!(in_force.settings.classes[0].deadline, 3.0, "the deadline at admission");
     assert_eq!(in_force.settings.classes[3].deadline, 5.0);
-    assert_eq!(in_force.names.classes[0], "lookup", "engines and metrics still know it by its name");
-    // Even the old settings again don't bring a retired class back while its slot is in use.
+    assert_eq!(in_force.names.classes[0], "lookup", "engines and metrics still use the name");
+    // A retired class stays retired while its slot is in use, even if the old settings are applied again.
     let origins = in_force.apply(BASE);
     assert_eq!(origins[0], ClassOrigin::Retired);
     assert_eq!(origins[3], ClassOrigin::DerivedFrom(ClassId(3)));
     in_force.in_use.clear();
     let origins = in_force.apply(&deadline(7));
-    assert_eq!(origins[0], ClassOrigin::DerivedFrom(ClassId(3)), "the slot is used again");
+    assert_eq!(origins[0], ClassOrigin::DerivedFrom(ClassId(3)), "the slot is reused");
     assert_eq!(origins[3], ClassOrigin::Retired);
 }
 
 #[test]
-fn many_changes_take_no_more_slots_than_are_in_use() {
+fn the_number_of_slots_is_bounded_after_many_changes() {
     let mut in_force = InForce::new();
     for n in 0..3_100 {
-        // What came before the change is under way until the next one.
+        // Requests that arrived before a change are in flight until the next change.
         in_force.in_use = in_force.names.class("lookup").into_iter().collect();
         in_force.apply(&deadline(n % 50 + 1));
         assert_eq!(
@@ -137,7 +140,7 @@
 #[test]
 fn machine_types_and_zones_keep_their_numbers() {
     let mut in_force = InForce::new();
-    // The list names a kind that the settings don't.
+    // The endpoint list has a machine type that is not in the settings.
     assert_eq!(SettingsNames::find_or_add(&mut in_force.names.machine_types, "of-the-list"), 1);
     let text = BASE.replace("\"kinds\":[\"k\"]", "\"kinds\":[\"big\",\"k\"]");
     let text = text.replace(
@@ -145,18 +148,22 @@
         "\"kind-cores\":[64,8],\"memory-by-kind-mb\":[9.0,7.0]",
     );
     let origins = in_force.apply(&text);
-    assert_eq!(origins, [ClassOrigin::Unchanged; 3], "a class bound to a kind is the same class");
+    assert_eq!(origins, [ClassOrigin::Unchanged; 3], "a class restricted to a machine type is unchanged");
     assert_eq!(in_force.names.machine_types, ["k", "of-the-list", "big"]);
-    let kind = |at: usize| {
+    let machine_type = |at: usize| {
         (in_force.settings.machine_types[at].cores, in_force.settings.machine_types[at].memory_mb)
     };
-    assert_eq!((kind(0), kind(2)), ((8.0, 7.0), (64.0, 9.0)));
-    assert_eq!(kind(1).1, 0.0, "nothing is known of its memory");
+    assert_eq!((machine_type(0), machine_type(2)), ((8.0, 7.0), (64.0, 9.0)));
+    assert_eq!(machine_type(1).1, 0.0, "its memory is unknown");
     in_force.apply(BASE);
-    let kind = |at: usize| {
+    let machine_type = |at: usize| {
         (in_force.settings.machine_types[at].cores, in_force.settings.machine_types[at].memory_mb)
     };
-    assert_eq!((kind(0), kind(2)), ((16.0, 32768.0), (64.0, 9.0)), "engines of it may serve on");
+    assert_eq!(
+        (machine_type(0), machine_type(2)),
+        ((16.0, 32768.0), (64.0, 9.0)),
+        "engines of the removed type may still serve"
+    );
 }
 
 #[test]
@@ -170,13 +177,13 @@
     refused(&BASE.replace("\"how\":\"answers\"", "\"how\":\"none\""), "report.how");
     refused(&BASE.replace("\"report\",\"repeat\"", "\"lookup\",\"repeat\""), "classes names lookup twice");
     refused(&BASE.replace("\"deadline-s\":3.0", "\"deadline-s\":0"), "class lookup");
-    let fresh = site(BASE);
+    let unchanged = site(BASE);
     let current = NamedSettings { names: &in_force.names, settings: &in_force.settings };
-    let new = NamedSettings { names: &fresh.names, settings: &fresh.settings };
+    let new = NamedSettings { names: &unchanged.names, settings: &unchanged.settings };
     let missing = prepare(current, new, &BTreeSet::new(), ["gone"].into_iter()).unwrap_err();
     assert_eq!(missing, SettingsRefused::TenantInUse("gone".to_owned()));
     in_force.names.zones.extend((0..MAX_NAMES).map(|n| n.to_string()));
     let text = BASE.replace("\"zones\":[\"z\"]", "\"zones\":[\"z\",\"new\"]");
     assert_eq!(in_force.prepare(&text).unwrap_err(), SettingsRefused::TooManyNames { list: "zones" });
-    assert!(in_force.prepare(BASE).is_ok(), "what brings no name is taken all the same");
+    assert!(in_force.prepare(BASE).is_ok(), "settings without new names are accepted");
 }
--- a/gateway/src/main.rs
+++ b/gateway/src/main.rs
@@ -9,28 +9,28 @@
 const HELP: &str = "\
 wrenhatch, a gateway in front of query engines
 
-    wrenhatch serve      serve as LB_CONFIG, LB_LISTEN and LB_NAME say; SIGTERM ends it, SIGHUP reads
-                         LB_CONFIG again, SIGUSR1 prints counters
-    wrenhatch check      read the configuration, say what is in it, and end
+    wrenhatch serve      serve clients with the configuration from LB_CONFIG, LB_LISTEN and LB_NAME; SIGTERM
+                         shuts down, SIGHUP reads LB_CONFIG again, SIGUSR1 prints counters
+    wrenhatch check      read the configuration, print a summary, and exit
     wrenhatch version    print the version
-    wrenhatch help       print this
+    wrenhatch help       print this help
 
-    --config FILE        with serve or check: the operator's file in TOML, as deploy/wrenhatch.example.toml;
-                         limits for clients' connections; the MySQL front and control machines, which are off
-                         without it
+    --config FILE        with serve or check: the operator's file in TOML, as deploy/wrenhatch.example.toml:
+                         limits of client connections, the MySQL front end and the control plane servers,
+                         which are disabled without it
     --log LEVEL          error, warn, info (the default), debug or trace
 ";
 
-/// Why the program ends with a failure.
+/// Error with which the program exits.
 #[derive(Debug, thiserror::Error)]
 enum CommandError {
     #[error("{0}")]
     Arguments(#[from] lexopt::Error),
-    #[error("--log: an unknown level")]
+    #[error("--log: unknown level")]
     UnknownLogLevel,
     #[error("unknown command {0}; see wrenhatch help")]
     UnknownCommand(String),
-    #[error("a command is missing; see wrenhatch help")]
+    #[error("missing command; see wrenhatch help")]
     MissingCommand,
     #[error("signals: {0}")]
     Signals(std::io::Error),
@@ -40,7 +40,7 @@
     Serve(#[from] ServeError),
 }
 
-/// What the command line says.
+/// Parsed arguments of the program.
 struct CommandLine {
     command: Option<String>,
     operator_file: Option<String>,
@@ -68,7 +68,7 @@
     let operator_file = operator_file.as_deref();
     match command.as_deref() {
         Some("serve") => {
-            // Before anything that takes time: a signal that is not caught yet would end the process.
+            // Signal handlers are installed first, because a signal before that would end the process.
             let signals = net::Signals::catch().map_err(CommandError::Signals)?;
             serve(config::from_environment(operator_file)?, signals)?;
         }
@@ -102,7 +102,7 @@
 
 fn print_configuration(config: &Config) {
     println!(
-        "{} on {}: {} classes, {} tenants, {} events of the list known, {} descriptors, {} sessions at most",
+        "{} on {}: {} classes, {} tenants, {} known events of the endpoint list, {} descriptors, up to {} sessions",
         config.name,
         config.listen,
         config.names.classes.len(),
@@ -115,7 +115,7 @@
         println!("MySQL on {}: {} engines", mysql.listen, mysql.engines.len());
     }
     if let Some(control_plane) = &config.control_plane {
-        println!("settings in service from {} control machines", control_plane.servers.len());
+        println!("live reconfiguration from {} control plane servers", control_plane.servers.len());
     }
 }
 
--- a/gateway/src/process_replacement/messages.rs
+++ b/gateway/src/process_replacement/messages.rs
@@ -1,10 +1,11 @@
-//! The messages between the processes of a replacement: one JSON object a line.
+//! Messages between the processes of a replacement, encoded as one JSON object per line.
 //!
-//! The successor sends [`Message::Hello`]. The predecessor answers with any number of [`Message::KnownEngine`],
-//! [`Message::Endpoint`] and [`Message::MaintenanceBegan`], and ends its state with [`Message::EndOfState`]. The
-//! successor says [`Message::AcceptingClients`] once it serves. From then on either side may send any of the others.
-//! Programs of two releases talk to each other, so members may be added, but none may change; a reader ignores members
-//! that it doesn't know and takes absent flags as false.
+//! The successor sends [`Message::Hello`]. The predecessor responds with any number of [`Message::KnownEngine`],
+//! [`Message::Endpoint`] and [`Message::MaintenanceBegan`], and then [`Message::EndOfState`]. The successor sends
+//! [`Message::AcceptingClients`] once it accepts clients. After that, either side may send any of the other messages.
+//!
+//! The two processes may be of different releases, so members may be added but not changed. A reader ignores unknown
+//! members and treats absent flags as false.
 
 use std::net::SocketAddr;
 
@@ -14,13 +15,13 @@
 use crate::discovery::{Endpoint, endpoint_to_json, read_endpoint};
 use crate::json::{JsonError, JsonField};
 
-/// The version of the protocol. No other one is understood.
+/// Protocol version of this release. Other versions are rejected.
 pub const PROTOCOL_VERSION: u32 = 1;
 
-/// An unfinished line longer than this is an error, in bytes.
+/// Maximum length of a line, in bytes. A longer incomplete line is an error.
 const MAX_LINE_BYTES: usize = 8192;
 
-/// The members of messages; the first of each message says which message it is.
+/// Member names of messages. The first member of each message identifies the message.
 mod member {
     pub const HELLO: &str = "hello";
     pub const LISTEN: &str = "listen";
@@ -41,58 +42,58 @@
     pub const EXITING: &str = "settled";
 }
 
-/// What a process understands beyond maintenance calls. Earlier releases understand neither.
+/// Optional messages that a process supports. Earlier releases support neither.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PeerFeatures {
-    /// [`Message::CancelRequest`].
+    /// Support of [`Message::CancelRequest`].
     pub cancel_requests: bool,
-    /// [`Message::ClaimLease`], [`Message::GrantLease`] and [`Message::Exiting`].
+    /// Support of [`Message::ClaimLease`], [`Message::GrantLease`] and [`Message::Exiting`].
     pub key_leases: bool,
 }
 
 /// A message between the processes of a replacement. Times are Unix milliseconds, exact up to 2^53.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Message {
-    /// The sender wants to replace the receiver.
+    /// The sender requests to replace the receiver.
     Hello {
-        /// The gateway's name.
+        /// Name of the gateway, which must be that of the receiver.
         gateway: String,
-        /// Where its PostgreSQL clients connect.
+        /// Listen address for PostgreSQL clients.
         listen_address: SocketAddr,
     },
-    /// The endpoint list has had an engine of this name.
+    /// The endpoint list contains or has contained an engine of this name.
     KnownEngine {
-        /// Its name.
+        /// As in the endpoint list.
         name: String,
-        /// When its last maintenance ended; 0: it had none.
+        /// End of the engine's last maintenance. 0: the engine had no maintenance.
         maintenance_end_ms: u64,
     },
     /// An entry of the endpoint list.
     Endpoint(Endpoint),
     /// An engine is in maintenance.
     MaintenanceBegan {
-        /// Its name.
+        /// Name as in the endpoint list.
         engine: String,
     },
     /// An engine is no longer in maintenance.
     MaintenanceEnded {
-        /// Its name.
+        /// Name as in the endpoint list.
         engine: String,
-        /// Since when.
+        /// Time of the end. The engine counts as started at that time.
         end_ms: u64,
     },
-    /// The predecessor has sent all of its state.
+    /// The predecessor has sent its whole state.
     EndOfState(PeerFeatures),
-    /// The successor got a CancelRequest for a session that it doesn't have; the predecessor may have it.
+    /// The successor has received a CancelRequest for an unknown session, which may be a session of the predecessor.
     CancelRequest {
-        /// The session's number.
+        /// Process id in the CancelRequest.
         session: u32,
-        /// The session's secret.
+        /// Secret key in the CancelRequest.
         secret: u32,
     },
     /// The successor accepts clients.
     AcceptingClients {
-        /// It claims the leases of keys before it runs their requests.
+        /// The successor claims the lease of a key before it runs requests of the key.
         key_leases: bool,
     },
     /// The sender claims the lease of a key.
@@ -101,21 +102,21 @@
     GrantLease(KeyId),
     /// The sender exits.
     Exiting {
-        /// What it leaves running at engines is over after this time, with the key cooldown, in milliseconds.
+        /// Time after which all attempts of the sender have ended and their key cooldowns are over, in milliseconds.
         cooldown_ms: u64,
     },
 }
 
-/// Why input can't be read.
+/// Error of reading messages.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 pub enum MessageError {
-    /// A line is too long.
+    /// A line exceeds the maximum length.
     #[error("a line is longer than {MAX_LINE_BYTES} bytes")]
     LineTooLong,
-    /// A line is not a message: it is no JSON object, or a member is missing or of another type.
+    /// A line is not a JSON object, or a member is missing or of the wrong type.
     #[error("a line is not a message of a process replacement")]
     Malformed,
-    /// The sender speaks another version of the protocol.
+    /// The sender uses another protocol version.
     #[error("protocol version {0} is not {PROTOCOL_VERSION}")]
     UnsupportedVersion(u32),
 }
@@ -127,7 +128,7 @@
 }
 
 impl Message {
-    /// Appends the message's line.
+    /// Appends the encoded message, including the line feed.
     pub fn write(&self, output: &mut Vec<u8>) {
         let object = self.members().into_iter().map(|(name, value)| (name.to_owned(), value)).collect();
         if let Ok(line) = JsonValue::Object(object).stringify() {
@@ -224,7 +225,7 @@
     }
 }
 
-/// A key as 16 hexadecimal digits, as a JSON number would not hold it.
+/// Encodes a key as 16 hexadecimal digits, because a JSON number has only 53 bits of precision.
 fn key_to_text(key: KeyId) -> String {
     format!("{:016x}", key.0)
 }
@@ -233,10 +234,10 @@
     u64::from_str_radix(digits, 16).map(KeyId).map_err(|_| MessageError::Malformed)
 }
 
-/// Takes the next complete message from the input; `None` while there is none.
+/// Removes the next complete message from `input`. `None`: no message is complete.
 ///
 /// # Errors
-/// The input can't be read; nothing behind the error can be read either.
+/// A line is not a message. The input after it can't be read either.
 pub fn read_next(input: &mut Vec<u8>) -> Result<Option<Message>, MessageError> {
     let Some(end) = input.iter().position(|byte| *byte == b'\n') else {
         return if input.len() > MAX_LINE_BYTES { Err(MessageError::LineTooLong) } else { Ok(None) };
--- a/gateway/src/process_replacement/messages/tests.rs
+++ b/gateway/src/process_replacement/messages/tests.rs
@@ -37,7 +37,7 @@
         while let Some(message) = read_next(&mut input).unwrap() {
             got.push(message);
         }
-        assert_eq!(got, messages()[..got.len()], "the first of the messages, in order");
+        assert_eq!(got, messages()[..got.len()], "the first messages, in order");
         input.extend(&bytes[cut..]);
         while let Some(message) = read_next(&mut input).unwrap() {
             got.push(message);
@@ -52,7 +52,7 @@
     let other_version = "{\"hello\":\"n0\",\"listen\":\"127.0.0.1:1\",\"form\":0}\n";
     assert_eq!(read(other_version), Err(MessageError::UnsupportedVersion(0)));
     let without_features = Message::EndOfState(PeerFeatures { cancel_requests: false, key_leases: false });
-    assert_eq!(read("{\"end\":true}\n"), Ok(Some(without_features)), "as earlier releases write it");
+    assert_eq!(read("{\"end\":true}\n"), Ok(Some(without_features)), "from earlier releases");
     assert_eq!(read("{\"taking\":true}\n"), Ok(Some(Message::AcceptingClients { key_leases: false })));
     assert_eq!(read("{\"claim\":\"no key\"}\n"), Err(MessageError::Malformed));
     for malformed in
@@ -64,7 +64,7 @@
 }
 
 quickcheck::quickcheck! {
-    fn noise_is_never_a_message(noise: Vec<u8>) -> bool {
-        !matches!(read_next(&mut noise.clone()), Ok(Some(_)))
+    fn random_bytes_are_never_a_message(bytes: Vec<u8>) -> bool {
+        !matches!(read_next(&mut bytes.clone()), Ok(Some(_)))
     }
 }
--- a/gateway/src/process_replacement/mod.rs
+++ b/gateway/src/process_replacement/mod.rs
@@ -1,11 +1,11 @@
-//! Process replacement: a new process of a gateway takes the place of the running one, without a lost request.
+//! Process replacement: a new process of a gateway replaces the running process without losing requests.
 //!
-//! The successor connects to a Unix socket of its predecessor and says hello. The predecessor answers with its state
-//! (endpoint list, engines in maintenance) and its listeners. Once the successor serves, it accepts all new clients;
-//! the predecessor finishes what it has and ends. Until then both exchange maintenance calls, CancelRequests and leases
-//! of order keys.
+//! The successor connects to a Unix socket of its predecessor and sends [`Message::Hello`]. The predecessor responds
+//! with its state (endpoint list, engines in maintenance) and its listeners. The successor then accepts all new
+//! clients, and the predecessor finishes its open requests and exits. Until its exit, both processes exchange
+//! maintenance calls, CancelRequests and leases of order keys.
 //!
-//! This module holds the messages and does no I/O; [`crate::net`] carries them.
+//! This module defines the messages and does no I/O. [`crate::net`] sends and receives them.
 
 pub mod messages;
 
--- a/gateway/src/tenants.rs
+++ b/gateway/src/tenants.rs
@@ -1,31 +1,31 @@
-//! Users of the MySQL front end and their tenants. The look-up stands apart from protocols and decisions, so that a
-//! directory service can take its place.
+//! Users of the MySQL front end and their tenants. The look-up is independent of protocols and decisions, so that a
+//! directory service can replace it.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// A user's account.
+/// Account of a user.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Account {
-    /// The name of its tenant, as in the settings.
+    /// Name of the tenant in the settings.
     pub tenant: Rc<str>,
-    /// Its password; may be empty.
+    /// Password in clear text. May be empty.
     pub password: String,
 }
 
-/// Users and their tenants.
+/// Accounts by user name.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Directory {
     accounts: BTreeMap<String, Account>,
 }
 
 impl Directory {
-    /// A directory of these users and accounts.
+    /// Creates a directory from pairs of user name and account.
     pub fn new(accounts: impl IntoIterator<Item = (String, Account)>) -> Self {
         Self { accounts: accounts.into_iter().collect() }
     }
 
-    /// The tenants of all users.
+    /// Tenant names of all users, with duplicates.
     pub fn tenants(&self) -> impl Iterator<Item = &str> {
         self.accounts.values().map(|account| &*account.tenant)
     }
--- a/gateway/src/timer_lag.rs
+++ b/gateway/src/timer_lag.rs
@@ -1,15 +1,16 @@
-//! Timer lag: how late timers fire. It is the first figure to look at when a gateway seems slow.
+//! Timer lag: the delay between the time at which a timer is due and the time at which it fires. A high lag shows that
+//! the event loop is overloaded.
 
 use std::fmt;
 
 use hdrhistogram::Histogram;
 
-/// A longer lag is recorded as this.
+/// Upper bound of the recorded lag.
 const MAX_LAG_US: u64 = 60_000_000;
 
 const SIGNIFICANT_DIGITS: u8 = 2;
 
-/// The lag of all timers that have fired since the start.
+/// Histogram of the lag of all timers that have fired since the start.
 #[derive(Clone, Debug)]
 pub struct TimerLag {
     histogram: Option<Histogram<u32>>,
@@ -22,14 +23,14 @@
 }
 
 impl TimerLag {
-    /// Records a timer that was due at `due_us` and fires now.
+    /// Records a timer that was due at `due_us` and fires at `now_us`.
     pub fn record(&mut self, due_us: u64, now_us: u64) {
         if let Some(histogram) = &mut self.histogram {
             histogram.saturating_record(now_us.saturating_sub(due_us));
         }
     }
 
-    /// The timers of both.
+    /// Returns the combined lag of the timers of both histograms.
     pub fn merged(&self, other: &Self) -> Self {
         let mut both = self.clone();
         if let (Some(a), Some(b)) = (&mut both.histogram, &other.histogram) {
