--- a/gateway/src/admission.rs
+++ b/gateway/src/admission.rs
@@ -34,7 +34,7 @@
 
 /// Class and tenant of a request, by their numbers in the settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Subject {
+pub struct ResolvedNames {
     /// From the field `class`, which every request has.
     pub class: ClassId,
     /// `None` if the fields have no tenant.
@@ -45,10 +45,10 @@
 ///
 /// # Errors
 /// The settings don't have the class or the tenant. An unknown class is reported first.
-pub fn subject(names: &SettingsNames, fields: &RequestFields) -> Result<Subject, InvalidRequest> {
+pub fn resolve_names(names: &SettingsNames, fields: &RequestFields) -> Result<ResolvedNames, InvalidRequest> {
     let class = names.class(&fields.class).ok_or(InvalidRequest::UnknownClass)?;
     let tenant = |name: &String| names.tenant(name).ok_or(InvalidRequest::UnknownTenant);
-    Ok(Subject { class, tenant: fields.tenant.as_ref().map(tenant).transpose()? })
+    Ok(ResolvedNames { class, tenant: fields.tenant.as_ref().map(tenant).transpose()? })
 }
 
 /// Checks the fields of a new request. `id_in_use`: a request or an attempt with the same id has not ended.
@@ -59,8 +59,8 @@
     names: &SettingsNames,
     fields: &RequestFields,
     id_in_use: bool,
-) -> Result<Subject, InvalidRequest> {
-    if id_in_use { Err(InvalidRequest::DuplicateId) } else { subject(names, fields) }
+) -> Result<ResolvedNames, InvalidRequest> {
+    if id_in_use { Err(InvalidRequest::DuplicateId) } else { resolve_names(names, fields) }
 }
 
 /// Time for which a client waits for the answer, in microseconds. The deadline of the class bounds the requested time,
--- a/gateway/src/admission/tests.rs
+++ b/gateway/src/admission/tests.rs
@@ -36,10 +36,10 @@
 
 #[test]
 fn class_and_tenant_are_looked_up_by_name() {
-    let with_tenant = subject(&names(), &fields("report", Some("north")));
-    assert_eq!(with_tenant, Ok(Subject { class: ClassId(1), tenant: Some(TenantId(0)) }));
-    let without_tenant = subject(&names(), &fields("lookup", None));
-    assert_eq!(without_tenant, Ok(Subject { class: ClassId(0), tenant: None }));
+    let with_tenant = resolve_names(&names(), &fields("report", Some("north")));
+    assert_eq!(with_tenant, Ok(ResolvedNames { class: ClassId(1), tenant: Some(TenantId(0)) }));
+    let without_tenant = resolve_names(&names(), &fields("lookup", None));
+    assert_eq!(without_tenant, Ok(ResolvedNames { class: ClassId(0), tenant: None }));
 }
 
 #[test]
--- a/gateway/src/net/clients/read.rs
+++ b/gateway/src/net/clients/read.rs
@@ -138,7 +138,7 @@
 
     /// Answers whether a statement is prepared: the settings must know what its fields name, and there must be memory.
     fn prepare_statement(&mut self, handle: Handle, fields: &RequestFields) {
-        let invalid = admission::subject(&self.names, fields).err();
+        let invalid = admission::resolve_names(&self.names, fields).err();
         let Some(session) = self.sessions.table.active_mut(handle) else { return };
         let ProtocolSession::MySql(mysql) = &mut session.protocol else { return };
         let output = &mut session.connection.output;
--- a/gateway/src/net/clients/requests.rs
+++ b/gateway/src/net/clients/requests.rs
@@ -6,7 +6,7 @@
 use wrenhatch_sessions::session_table::{Activity, Handle};
 
 use crate::admin::metrics::RequestEnd;
-use crate::admission::{self, AdmissionInput, Admitted, Rejection, Subject};
+use crate::admission::{self, AdmissionInput, Admitted, Rejection, ResolvedNames};
 use crate::core::{Command, Input, NewRequest};
 use crate::front::fields::{self, RequestFields};
 use crate::front::table_group;
@@ -22,7 +22,7 @@
         let id_in_use = fields.id.as_ref().is_some_and(|id| self.requests.is_query_id_in_use(id));
         let query_id = fields.id.take().unwrap_or_else(|| self.sessions.new_query_id());
         let Some(session) = self.sessions.table.active_mut(handle) else { return };
-        let Subject { class, tenant } = match admission::validate(&self.names, &fields, id_in_use) {
+        let ResolvedNames { class, tenant } = match admission::validate(&self.names, &fields, id_in_use) {
             Ok(subject) => subject,
             Err(invalid) => {
                 self.counters.invalid += 1;
