--- a/gateway/src/core/input.rs
+++ b/gateway/src/core/input.rs
@@ -95,13 +95,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PeerProcessEvent {
     /// This process replaces the peer, which holds the leases of all keys.
-    Succeeded,
+    BecamePredecessor,
     /// The peer claims the lease of a key.
     ClaimsLease(KeyId),
     /// The peer grants the lease of a key to this process.
     GrantsLease(KeyId),
     /// The peer has exited.
-    Ended {
+    Exited {
         /// Time by which all attempts of the peer have ended and their key cooldowns are over, in microseconds.
         cooldown_until_us: u64,
     },
--- a/gateway/src/core/order_keys.rs
+++ b/gateway/src/core/order_keys.rs
@@ -26,10 +26,10 @@
     pub(super) fn on_peer_event(&mut self, now_us: u64, peer: PeerProcessId, event: PeerProcessEvent) {
         let effects = &mut self.lease_effects;
         match event {
-            PeerProcessEvent::Succeeded => self.leases.set_predecessor(peer),
+            PeerProcessEvent::BecamePredecessor => self.leases.set_predecessor(peer),
             PeerProcessEvent::ClaimsLease(key) => self.leases.on_peer_claim(now_us, key, peer, effects),
             PeerProcessEvent::GrantsLease(key) => self.leases.on_peer_grant(now_us, key, peer, effects),
-            PeerProcessEvent::Ended { cooldown_until_us } => {
+            PeerProcessEvent::Exited { cooldown_until_us } => {
                 self.leases.on_peer_ended(now_us, peer, cooldown_until_us, effects);
             }
         }
--- a/gateway/src/net/process_replacement/mod.rs
+++ b/gateway/src/net/process_replacement/mod.rs
@@ -36,7 +36,7 @@
         peer.features = features;
         peer.queue(&Message::AcceptingClients { key_leases: features.key_leases });
         if features.key_leases {
-            self.push_peer_event(at, PeerProcessEvent::Succeeded);
+            self.push_peer_event(at, PeerProcessEvent::BecamePredecessor);
         }
         self.handle_peer_input(at);
     }
@@ -182,7 +182,7 @@
             // One that died without a message may have left attempts that run as long as engines allow.
             let latest_us = self.core.key_cooldown_end_us(self.time.now_us + MAX_RUN_AFTER_LAST_CALL_US);
             let cooldown_until_us = peer.cooldown_until_us.unwrap_or(latest_us);
-            let event = PeerProcessEvent::Ended { cooldown_until_us };
+            let event = PeerProcessEvent::Exited { cooldown_until_us };
             self.inputs.push(Input::PeerProcess { peer: peer.id(), event });
         }
         // The successor ended before this process: this one accepts clients again, and waits for the next
