--- a/gateway/src/discovery/watch.rs
+++ b/gateway/src/discovery/watch.rs
@@ -39,7 +39,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DueActions {
     /// Close the connection: it was not established in time, or the stream was silent for too long.
-    pub close_silent: bool,
+    pub close: bool,
     /// Open a connection, after closing the previous one.
     pub connect: bool,
 }
@@ -142,7 +142,7 @@
             self.close(events);
             // Gateways detect the silence at different times, so no further delay is necessary.
             self.retry_at_us = now_us;
-            due.close_silent = true;
+            due.close = true;
         }
         if now_us >= self.retry_at_us {
             let delay_us = RETRY_US as f64 * (MIN_JITTER_RATIO + JITTER_RANGE_RATIO * random());
--- a/gateway/src/discovery/watch/tests.rs
+++ b/gateway/src/discovery/watch/tests.rs
@@ -17,7 +17,7 @@
 fn open_watch() -> EndpointWatch {
     let mut watch = EndpointWatch::new(10, 0, 0.0);
     let due = watch.on_deadline(0, || 0.5, &mut Vec::new());
-    assert_eq!(due, DueActions { close_silent: false, connect: true });
+    assert_eq!(due, DueActions { close: false, connect: true });
     reopen(&mut watch, 0);
     watch
 }
@@ -47,7 +47,7 @@
     assert_eq!((watch.is_up(), watch.deadline_us()), (false, 150_000 + CONNECT_TIMEOUT_US));
     assert_eq!(watch.on_deadline(1_149_999, || 0.0, &mut Vec::new()), none);
     let due = watch.on_deadline(1_150_000, || 0.0, &mut Vec::new());
-    assert_eq!(due, DueActions { close_silent: true, connect: true }, "without a delay");
+    assert_eq!(due, DueActions { close: true, connect: true }, "without a delay");
 }
 
 #[test]
@@ -56,7 +56,7 @@
     let silent_us = watch.deadline_us();
     assert!((2 * SECOND_US..=3 * SECOND_US).contains(&silent_us));
     let due = watch.on_deadline(silent_us, || 0.5, &mut Vec::new());
-    assert_eq!(due, DueActions { close_silent: true, connect: true });
+    assert_eq!(due, DueActions { close: true, connect: true });
     reopen(&mut watch, silent_us);
     let lost_us = silent_us + SECOND_US;
     watch.on_connection_lost(lost_us, || 0.5, &mut Vec::new());
--- a/gateway/src/net/watch.rs
+++ b/gateway/src/net/watch.rs
@@ -40,9 +40,9 @@
         let Some(address) = self.config.discovery else { return };
         let now_us = self.time.now_us;
         let mut events = Vec::new();
-        let DueActions { close_silent, connect } =
+        let DueActions { close, connect } =
             self.watch.state.on_deadline(now_us, || self.sessions.chance(), &mut events);
-        if close_silent {
+        if close {
             tracing::warn!("the discovery service is silent");
             self.close_watch_conn();
         }
--- a/lab/src/hollow/model/watch.rs
+++ b/lab/src/hollow/model/watch.rs
@@ -55,7 +55,7 @@
     pub fn check(&mut self, now_us: u64, requests: &mut Vec<WatchRequest>) -> Vec<EndpointListEvent> {
         let mut events = Vec::new();
         let due = self.state.on_deadline(now_us, || chance(&mut self.random), &mut events);
-        if due.close_silent {
+        if due.close {
             self.close(requests);
         }
         if due.connect {
