--- a/gateway/src/counters.rs
+++ b/gateway/src/counters.rs
@@ -85,7 +85,7 @@
 
 impl Counters {
     /// Counter to be incremented for a rejection.
-    pub fn rejected_for(&mut self, counter: RejectionCounter) -> &mut u64 {
+    pub fn rejection_counter(&mut self, counter: RejectionCounter) -> &mut u64 {
         match counter {
             RejectionCounter::NoMemory => &mut self.no_memory,
             RejectionCounter::TooLate => &mut self.too_late,
@@ -93,7 +93,7 @@
     }
 
     /// Increments the counter of an attempt's outcome.
-    pub fn ended(&mut self, outcome: workload_manager::Outcome) {
+    pub fn count_attempt_end(&mut self, outcome: workload_manager::Outcome) {
         use workload_manager::Outcome as O;
         *match outcome {
             O::Success => &mut self.ended_success,
--- a/gateway/src/net/clients/requests.rs
+++ b/gateway/src/net/clients/requests.rs
@@ -56,7 +56,7 @@
         self.counters.refused += 1;
         self.metrics.ended(request.class, RequestEnd::Rejected);
         for counter in rejection.counters() {
-            *self.counters.rejected_for(counter) += 1;
+            *self.counters.rejection_counter(counter) += 1;
         }
         let retry_after = self.config.settings.capabilities.retry_after && rejection.sends_retry_after();
         let retry_after_ms = retry_after.then(|| self.sessions.scheduler.retry_after_ms(self.time.now_us));
--- a/gateway/src/net/engines/attempts.rs
+++ b/gateway/src/net/engines/attempts.rs
@@ -77,7 +77,7 @@
     }
 
     fn attempt_not_sent(&mut self, id: AttemptId, outcome: Outcome) {
-        self.counters.ended(outcome);
+        self.counters.count_attempt_end(outcome);
         self.inputs.push(Input::AttemptEnded { attempt: id, outcome, load_report: None });
     }
 
@@ -109,7 +109,7 @@
             ?outcome,
             "attempt ended"
         );
-        self.counters.ended(outcome);
+        self.counters.count_attempt_end(outcome);
         self.inputs.push(Input::AttemptEnded { attempt: id, outcome, load_report });
     }
 
--- a/gateway/src/net/engines/cancellation.rs
+++ b/gateway/src/net/engines/cancellation.rs
@@ -81,7 +81,7 @@
         let now_us = self.time.now_us;
         let engine = attempt.engine.0;
         tracing::debug!(query_id = attempt.query_id, attempt = id.number, engine, now_us, "attempt lost");
-        self.counters.ended(Outcome::TimedOut);
+        self.counters.count_attempt_end(Outcome::TimedOut);
         let may_run_until_us = attempt.may_run_until_us(now_us);
         match attempt.execution {
             Execution::Http { .. } if attempt.in_order => {
--- a/gateway/tests/recorded_messages.rs
+++ b/gateway/tests/recorded_messages.rs
@@ -303,7 +303,7 @@
         Outcome::NeverSent,
     ];
     for (place, outcome) in outcomes.into_iter().enumerate() {
-        (0..=place).for_each(|_| counters.ended(outcome));
+        (0..=place).for_each(|_| counters.count_attempt_end(outcome));
     }
     assert_eq!(format!("{counters}\n"), COUNTERS);
 }
