--- a/gateway/src/core/attempts.rs
+++ b/gateway/src/core/attempts.rs
@@ -90,7 +90,8 @@
         let Some(open) = self.open_requests.get_mut(&request) else { return };
         let id = AttemptId { request, number: open.next_attempt };
         open.next_attempt += 1;
-        let until_us = timeout.map_or(open.answer_by_us, |span| open.answer_by_us.min(now_us + micros(span)));
+        let deadline_us =
+            timeout.map_or(open.answer_by_us, |span| open.answer_by_us.min(now_us + micros(span)));
         let (class, key, terms) = (open.class, open.key, open.terms);
         let attempt =
             InFlightAttempt { class, engine, key, started_us: now_us, is_cancelled: false, timeout: None };
@@ -100,18 +101,18 @@
             self.leases.on_attempt_started(key);
         }
         let exhausted = self.rules.attempts_exhausted(id.number);
-        if has_attempt_in_flight || !is_ready || exhausted || until_us <= now_us {
+        if has_attempt_in_flight || !is_ready || exhausted || deadline_us <= now_us {
             self.on_attempt_ended(now_us, id, Outcome::NeverSent, None, commands);
             return;
         }
         if timeout.is_some() {
-            let timer = self.timers.arm(until_us, Timer::AttemptTimeout(id));
+            let timer = self.timers.arm(deadline_us, Timer::AttemptTimeout(id));
             if let Some(attempt) = self.in_flight.0.get_mut(&id) {
                 attempt.timeout = Some(timer);
             }
         }
-        let begin_by_us = until_us.min(self.rules.retry_window_end_us(class, may_have_run_since_us));
-        let limits = AttemptLimits { until_us, begin_by_us, in_order: key.is_some() };
+        let send_deadline_us = deadline_us.min(self.rules.retry_window_end_us(class, may_have_run_since_us));
+        let limits = AttemptLimits { deadline_us, send_deadline_us, has_order_key: key.is_some() };
         commands.push(Command::StartAttempt { attempt: id, engine, terms, limits });
     }
 
--- a/gateway/src/core/command.rs
+++ b/gateway/src/core/command.rs
@@ -17,11 +17,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptLimits {
     /// Time after which the engine may drop the attempt, in microseconds.
-    pub until_us: u64,
+    pub deadline_us: u64,
     /// Time before which the first byte of the attempt must be sent, in microseconds. Time to open a connection counts.
-    pub begin_by_us: u64,
+    pub send_deadline_us: u64,
     /// The request has an order key: the next request of the key waits for the attempt's end.
-    pub in_order: bool,
+    pub has_order_key: bool,
 }
 
 /// A command of the core.
--- a/gateway/src/net/engines.rs
+++ b/gateway/src/net/engines.rs
@@ -180,11 +180,11 @@
     execution: Execution,
     query_id: String,
     /// Its first byte must be written before this.
-    begin_by_us: u64,
+    send_deadline_us: u64,
     /// It is not waited for beyond this, and its engine was notified of it.
-    until_us: u64,
+    deadline_us: u64,
     /// Others of its order key wait for its end.
-    in_order: bool,
+    has_order_key: bool,
     /// Its MySQL connection's id at the engine, noted when it is cancelled: by the time the engine is notified, that
     /// connection's slot may be another's.
     mysql_connection_id: u32,
@@ -206,7 +206,7 @@
     fn may_run_until_us(&self, now_us: u64) -> u64 {
         match self.execution {
             Execution::Http { .. } => now_us.max(self.last_call_us + http::MAX_RUN_AFTER_LAST_CALL_US),
-            Execution::MySql { .. } => now_us.max(self.until_us),
+            Execution::MySql { .. } => now_us.max(self.deadline_us),
         }
     }
 
--- a/gateway/src/net/engines/attempts.rs
+++ b/gateway/src/net/engines/attempts.rs
@@ -37,11 +37,11 @@
         terms: AttemptTerms,
         limits: AttemptLimits,
     ) {
-        let AttemptLimits { until_us, begin_by_us, in_order } = limits;
+        let AttemptLimits { deadline_us, send_deadline_us, has_order_key } = limits;
         let Some(request) = self.requests.open.get(&id.request) else {
             return self.attempt_not_sent(id, Outcome::NeverSent);
         };
-        let max_ms = (until_us.saturating_sub(self.time.now_us) / 1000).max(1);
+        let max_ms = (deadline_us.saturating_sub(self.time.now_us) / 1000).max(1);
         let class = self.names.classes[request.class.0].as_str();
         let (execution, protocol) = match &request.run {
             ExecutionMode::Simple => (http_execution(request, class, max_ms, terms), EngineProtocol::Http),
@@ -58,9 +58,9 @@
                     slot,
                     execution,
                     query_id,
-                    begin_by_us,
-                    until_us,
-                    in_order,
+                    send_deadline_us,
+                    deadline_us,
+                    has_order_key,
                     mysql_connection_id: 0,
                     cancelling: false,
                     reserved_bytes: 0,
--- a/gateway/src/net/engines/calls.rs
+++ b/gateway/src/net/engines/calls.rs
@@ -11,7 +11,7 @@
     /// was established the engine may have begun to drain, the client may have left, or the time may be over.
     pub(super) fn may_forward(&self, id: AttemptId, engine: EngineId) -> bool {
         let ready = self.pools.engines.get(&engine).is_some_and(|e| e.state == EndpointState::Ready);
-        let in_time = self.pools.attempts.get(&id).is_some_and(|a| self.time.now_us < a.begin_by_us);
+        let in_time = self.pools.attempts.get(&id).is_some_and(|a| self.time.now_us < a.send_deadline_us);
         ready && in_time && self.requests.open.contains_key(&id.request)
     }
 
--- a/gateway/src/net/engines/cancellation.rs
+++ b/gateway/src/net/engines/cancellation.rs
@@ -84,7 +84,7 @@
         self.counters.count_attempt_end(Outcome::TimedOut);
         let may_run_until_us = attempt.may_run_until_us(now_us);
         match attempt.execution {
-            Execution::Http { .. } if attempt.in_order => {
+            Execution::Http { .. } if attempt.has_order_key => {
                 let unconfirmed = Unconfirmed::new(attempt.engine, attempt.query_id, may_run_until_us);
                 self.begin_confirmation(id, unconfirmed);
             }
