--- a/gateway/src/admission.rs
+++ b/gateway/src/admission.rs
@@ -35,7 +35,7 @@
 /// Class and tenant of a request, by their numbers in the settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResolvedNames {
-    /// From the field `class`, which every request has.
+    /// Class for new requests of this name.
     pub class: ClassId,
     /// `None` if the fields have no tenant.
     pub tenant: Option<TenantId>,
--- a/gateway/src/config/error.rs
+++ b/gateway/src/config/error.rs
@@ -14,7 +14,7 @@
     /// A file can't be read.
     #[error("{path}: {source}")]
     File {
-        /// Path as in `LB_CONFIG`.
+        /// Path of the file.
         path: String,
         /// Error of the operating system.
         source: std::io::Error,
--- a/gateway/src/core/mod.rs
+++ b/gateway/src/core/mod.rs
@@ -215,8 +215,7 @@
             Action::SetTimer { delay, token, request } => {
                 self.arm_for_workload_manager(now_us + micros(delay), token, request);
             }
-            // The discovery service pushes the endpoint list and the settings disable health checks, so the workload
-            // manager returns neither action.
+            // The discovery service pushes the endpoint list, and the gateway sends no health checks.
             Action::CheckHealth(_) | Action::WatchEndpointList => {}
         }
     }
--- a/gateway/src/core/requests.rs
+++ b/gateway/src/core/requests.rs
@@ -129,7 +129,7 @@
     }
 
     /// Gives the final answer to a request that is not served. The request is rejected only if a retry by the client is
-    /// safe: no attempt may have run or be running, or the class is idempotent.
+    /// safe: no attempt may have run or be running, or a second execution does no harm.
     pub(super) fn answer_unserved(
         &mut self,
         now_us: u64,
--- a/gateway/src/core/rules.rs
+++ b/gateway/src/core/rules.rs
@@ -5,8 +5,8 @@
 
 use super::time::micros;
 
-/// Time between the core's answer and the client's deadline, at least. It covers the transmission of the request, which
-/// happened before the gateway measured its arrival, and of the answer.
+/// Minimum time between the core's answer and the client's deadline. The time covers the transmission of the request,
+/// which ends before the gateway measures its arrival, and the transmission of the answer.
 pub(super) const CLIENT_DEADLINE_MARGIN_US: u64 = 25_000;
 
 /// Retry-After of requests that the core rejects: shutdown, lease not granted in time, unresponsive engine.
--- a/gateway/src/discovery/watch.rs
+++ b/gateway/src/discovery/watch.rs
@@ -11,9 +11,9 @@
 //! Methods append the list events to be applied, in order, to their argument `events`. Their argument `random` returns
 //! a random number from 0 to 1.
 //!
-//! Invariant: events are applied in the order of their numbers, each at most once, or twice if entries of it can't be
-//! read. `last_index` is the number of the last accepted event, and a stream is always requested from the event after
-//! it.
+//! Invariant: events are applied in the order of their numbers. An event is applied at most once, or twice if it has
+//! entries that can't be read. `last_index` is the number of the last accepted event, and each stream is requested from
+//! the following event.
 
 use super::endpoint::EndpointListEvent;
 use super::silence::SilenceDetector;
