--- a/gateway/src/core/key_leases/tests.rs
+++ b/gateway/src/core/key_leases/tests.rs
@@ -253,17 +253,17 @@
         let mut requested: Vec<Vec<RequestId>> = vec![Vec::new(); 3];
         let mut next = 0;
         for _ in 0..200 {
-            let (what, which) = (u8::arbitrary(&mut random) % 10, usize::arbitrary(&mut random));
-            let nth = |ids: Vec<RequestId>| (!ids.is_empty()).then(|| ids[which % ids.len()]);
-            match what {
+            let (action, choice) = (u8::arbitrary(&mut random) % 10, usize::arbitrary(&mut random));
+            let nth = |ids: Vec<RequestId>| (!ids.is_empty()).then(|| ids[choice % ids.len()]);
+            match action {
                 0..=2 => {
                     next += 1;
-                    requested[which % 3].push(RequestId(next));
-                    chain.request(which % 3, KeyId((which / 3 % 2) as u64), RequestId(next));
+                    requested[choice % 3].push(RequestId(next));
+                    chain.request(choice % 3, KeyId((choice / 3 % 2) as u64), RequestId(next));
                 }
                 3..=4 => {
                     if let Some(id) = nth(chain.running.keys().copied().collect()) {
-                        chain.finish(id, what == 4);
+                        chain.finish(id, action == 4);
                     }
                 }
                 5 => {
@@ -275,10 +275,10 @@
                 6..=8 => {
                     let messages: Vec<_> = chain.messages.keys().copied().collect();
                     if !messages.is_empty() {
-                        chain.deliver(messages[which % messages.len()]);
+                        chain.deliver(messages[choice % messages.len()]);
                     }
                 }
-                _ => chain.advance((which % 200_000) as u64),
+                _ => chain.advance((choice % 200_000) as u64),
             }
         }
         chain.drain();
--- a/gateway/src/core/order_keys.rs
+++ b/gateway/src/core/order_keys.rs
@@ -9,12 +9,12 @@
 
 impl Core {
     /// Time until which no peer process may use the keys that this process has used, if this process exits at `now_us`,
-    /// in microseconds. `abandoned_us` is the time after which engines drop the attempts of an exited gateway.
-    pub fn cooldown_after_exit_us(&self, now_us: u64, abandoned_us: u64) -> u64 {
+    /// in microseconds. `abandon_timeout_us` is the time after which engines drop the attempts of an exited gateway.
+    pub fn cooldown_after_exit_us(&self, now_us: u64, abandon_timeout_us: u64) -> u64 {
         let has_keyed_attempts = !self.unconfirmed_attempts.is_empty()
             || self.in_flight.iter().any(|attempt| attempt.key.is_some());
         let attempts_cooldown_end_us =
-            if has_keyed_attempts { self.key_cooldown_end_us(now_us + abandoned_us) } else { now_us };
+            if has_keyed_attempts { self.key_cooldown_end_us(now_us + abandon_timeout_us) } else { now_us };
         attempts_cooldown_end_us.max(self.leases.last_cooldown_end_us())
     }
 
--- a/gateway/src/core/tests.rs
+++ b/gateway/src/core/tests.rs
@@ -298,18 +298,18 @@
         let mut answers: BTreeMap<RequestId, u64> = BTreeMap::new();
         let (mut left, mut lost) = (Vec::new(), Vec::new());
         let mut next = 1;
-        for (what, which, span) in steps.into_iter().chain([(9, 0, 0)]) {
-            let pick = in_flight.iter().nth(usize::from(which) % in_flight.len().max(1)).map(|(_, attempt)| *attempt);
-            let commands = match what % 10 {
+        for (action, choice, span) in steps.into_iter().chain([(9, 0, 0)]) {
+            let pick = in_flight.iter().nth(usize::from(choice) % in_flight.len().max(1)).map(|(_, attempt)| *attempt);
+            let commands = match action % 10 {
                 0..=2 => {
-                    let class = if which % 2 == 0 { LOOKUP } else { LOAD };
+                    let class = if choice % 2 == 0 { LOOKUP } else { LOAD };
                     let wait = 100_000 + u64::from(span) * 20;
                     deadlines.insert(RequestId(next), (class, fixture.now_us + wait));
                     next += 1;
                     fixture.request(next - 1, class, wait)
                 }
                 3..=5 => match pick {
-                    Some(attempt) if which % 8 == 7 => {
+                    Some(attempt) if choice % 8 == 7 => {
                         in_flight.remove(&attempt.request);
                         may_have_run.push(attempt.request);
                         lost.push(attempt.request);
@@ -328,7 +328,7 @@
                     None => Vec::new(),
                 },
                 6 => {
-                    let state = [EndpointState::Ready, EndpointState::Draining, EndpointState::Removed][usize::from(which) % 3];
+                    let state = [EndpointState::Ready, EndpointState::Draining, EndpointState::Removed][usize::from(choice) % 3];
                     fixture.update_endpoints(&[entry(u32::from(span) % 2, state)]);
                     Vec::new()
                 }
