--- a/gateway/src/counters.rs
+++ b/gateway/src/counters.rs
@@ -1,5 +1,5 @@
-//! Counters of connections, requests, attempts and turns of the event loop. They are printed with the names of the
-//! fields.
+//! Counters of connections, requests, attempts and turns of the event loop. Each counter is printed with the name of
+//! its field.
 
 use std::fmt;
 
--- a/gateway/src/discovery/engine_registry.rs
+++ b/gateway/src/discovery/engine_registry.rs
@@ -45,8 +45,8 @@
         }
     }
 
-    /// Applies an event of the list and returns the effective event. There, an engine in maintenance is draining, and
-    /// the start of an engine after maintenance is not before the end of its maintenance.
+    /// Applies an event of the list and returns the effective event. In the effective event, an engine in maintenance
+    /// is draining, and an engine after maintenance has started at the end of its maintenance or later.
     ///
     /// An engine whose entry can't be read keeps its previous entry but is draining, because its state is unknown.
     pub fn apply(&mut self, event: &EndpointListEvent) -> EndpointListEvent {
--- a/gateway/src/discovery/silence.rs
+++ b/gateway/src/discovery/silence.rs
@@ -5,7 +5,7 @@
 
 /// Comment period that the protocol specifies.
 const DEFAULT_PERIOD_US: f64 = 1e6;
-/// Periods without a line after which a stream is dead, at least.
+/// Minimum number of periods without a line after which a stream is dead.
 const MIN_MISSED_PERIODS: f64 = 2.5;
 /// Maximum random addition to [`MIN_MISSED_PERIODS`].
 const MISSED_PERIODS_JITTER: f64 = 0.5;
--- a/gateway/src/live_reconfiguration/error.rs
+++ b/gateway/src/live_reconfiguration/error.rs
@@ -50,7 +50,7 @@
         /// Key of the list in the settings.
         list: &'static str,
     },
-    /// The deadline or the parallelism of a class is 0, so that no request could be served.
+    /// The deadline or the parallelism of a class is not positive, so that no request could be served.
     #[error("class {0}: its deadline and its parallelism must be more than 0")]
     UnusableClass(String),
     /// The settings contradict each other or are out of range.
--- a/gateway/src/process_replacement/messages.rs
+++ b/gateway/src/process_replacement/messages.rs
@@ -21,7 +21,7 @@
 /// Maximum length of a line, in bytes. A longer incomplete line is an error.
 const MAX_LINE_BYTES: usize = 8192;
 
-/// Member names of messages. The first member of each message identifies the message.
+/// Member names of messages. The member that is written first in `Message::members` identifies the message.
 mod member {
     pub const HELLO: &str = "hello";
     pub const LISTEN: &str = "listen";
@@ -102,7 +102,8 @@
     GrantLease(KeyId),
     /// The sender exits.
     Exiting {
-        /// Time after which all attempts of the sender have ended and their key cooldowns are over, in milliseconds.
+        /// Duration after which all attempts of the sender have ended and their key cooldowns are over, in
+        /// milliseconds.
         cooldown_ms: u64,
     },
 }
