--- a/gateway/src/net/process_replacement/mod.rs
+++ b/gateway/src/net/process_replacement/mod.rs
@@ -36,7 +36,7 @@
         peer.features = features;
         peer.queue(&Message::AcceptingClients { key_leases: features.key_leases });
         if features.key_leases {
-            self.push_peer_event(index, PeerProcessEvent::Succeeded);
+            self.push_peer_event(index, PeerProcessEvent::BecamePredecessor);
         }
         self.handle_peer_input(index);
     }
@@ -183,7 +183,7 @@
             // A process that exited without a message may have left attempts that run as long as engines allow.
             let latest_us = self.core.key_cooldown_end_us(self.time.now_us + MAX_RUN_AFTER_LAST_CALL_US);
             let cooldown_until_us = peer.cooldown_until_us.unwrap_or(latest_us);
-            let event = PeerProcessEvent::Ended { cooldown_until_us };
+            let event = PeerProcessEvent::Exited { cooldown_until_us };
             self.inputs.push(Input::PeerProcess { peer: peer.id(), event });
         }
         // If the successor ends before this process, this process accepts clients again and listens for another
