--- a/gateway/src/front/fields.rs
+++ b/gateway/src/front/fields.rs
@@ -1,32 +1,33 @@
-//! The fields of a request: their names on the wire, as a comment before the statement and MySQL query attributes have
-//! them, are mapped here to what they mean.
+//! Parses the fields of a request, such as its class and deadline, from the comment before the statement and from MySQL
+//! query attributes.
 
 use workload_manager::KeyId;
 
-/// Names of the fields on the wire. MySQL engines get the first three and the idempotency key as query attributes.
+/// Names of the fields on the wire. MySQL engines receive `ID`, `CLASS`, `WAIT_MS` and `IDEMPOTENCY_KEY` as query
+/// attributes.
 pub mod field_name {
-    /// The client's id of the request.
+    /// 16 hexadecimal digits, chosen by the client.
     pub const ID: &str = "i";
-    /// Class.
+    /// Name of a class in the settings.
     pub const CLASS: &str = "c";
-    /// Milliseconds that the client waits.
+    /// Time for which the client waits, in milliseconds.
     pub const WAIT_MS: &str = "d";
-    /// Tenant.
+    /// Name of a tenant in the settings.
     pub const TENANT: &str = "t";
-    /// Estimated work, in milliseconds on one core.
+    /// Estimated CPU time, in milliseconds on one core.
     pub const ESTIMATE_MS: &str = "h";
     /// Estimated memory, in MB.
     pub const MEMORY_MB: &str = "mem";
-    /// Idempotency key.
+    /// 1 to 128 visible ASCII characters, by which engines recognise a repeated request.
     pub const IDEMPOTENCY_KEY: &str = "k";
-    /// Order key.
+    /// 1 to 128 visible ASCII characters. Requests with the same key run one at a time.
     pub const ORDER_KEY: &str = "o";
-    /// Mark of a client's retry.
+    /// `1` if the client retries an earlier request.
     pub const RETRY: &str = "r";
 }
 
-/// Fields that belong to one execution of a prepared statement, and not to the statement.
-const PER_EXECUTION: [&str; 5] = [
+/// Fields that belong to a single execution of a prepared statement rather than to the statement.
+const PER_EXECUTION_FIELDS: [&str; 5] = [
     field_name::ID,
     field_name::WAIT_MS,
     field_name::IDEMPOTENCY_KEY,
@@ -34,76 +35,76 @@
     field_name::RETRY,
 ];
 
-/// The fields of a request.
+/// The fields of a request. Optional fields are `None` where the client left them out.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RequestFields {
-    /// Class name.
+    /// Name of a class in the settings.
     pub class: String,
-    /// The client's id.
+    /// 16 hexadecimal digits, chosen by the client.
     pub id: Option<String>,
-    /// Milliseconds that the client waits.
+    /// Time for which the client waits, from 1 ms to a day.
     pub wait_ms: Option<u64>,
-    /// Tenant name.
+    /// Name of a tenant in the settings.
     pub tenant: Option<String>,
-    /// Estimated work, in milliseconds on one core.
+    /// Estimated CPU time, in milliseconds on one core.
     pub estimate_ms: Option<f64>,
     /// Estimated memory, in MB.
     pub memory_mb: Option<f64>,
-    /// The client's idempotency key, by which engines know a repeat of the same work.
+    /// Key by which engines recognise a repeated request.
     pub idempotency_key: Option<String>,
-    /// The order key: requests of one key run one at a time, in order.
+    /// Requests with the same key run one at a time, in order.
     pub order_key: Option<String>,
-    /// The client repeats an earlier request.
+    /// The client retries an earlier request.
     pub is_retry: bool,
 }
 
-/// Why fields can't be used.
+/// Error in the fields of a request. Its text is sent to the client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum FieldError {
-    /// The statement has no comment before it.
+    /// No comment precedes the statement.
     #[error("no comment with the fields stands before the statement")]
     NoComment,
-    /// A part of the comment is not `name=value`, or a name stands twice.
+    /// A part of the comment is not `name=value`, or a name is repeated.
     #[error("the comment is not a list of name=value, each name once")]
     Malformed,
-    /// The class is missing.
+    /// `c` is missing.
     #[error("the class (c) is missing")]
     NoClass,
-    /// The id is not 16 hex digits.
+    /// `i` is not 16 hexadecimal digits.
     #[error("the id (i) must be 16 hex digits")]
     BadId,
-    /// The wait is not a positive number of milliseconds, or longer than a day.
+    /// `d` is not a positive number of milliseconds, or is longer than a day.
     #[error("the wait (d) must be a positive whole number of milliseconds, a day at most")]
     BadWait,
-    /// An estimate is not a number, or out of range.
+    /// `h` or `mem` is not a number, or is out of range.
     #[error("an estimate (h, mem) must be a number, 0 or more, and no more than any engine has")]
     BadEstimate,
-    /// An idempotency key that no header can carry.
+    /// `k` is empty, too long, or contains characters other than visible ASCII.
     #[error("the token (k) must be 1 to 128 printable characters without blanks")]
     BadIdempotencyKey,
-    /// An order key that can't be one.
+    /// `o` is empty, too long, or contains characters other than visible ASCII.
     #[error("the order key (o) must be 1 to 128 printable characters without blanks")]
     BadOrderKey,
-    /// A retry mark of another value.
+    /// `r` has a value other than 1.
     #[error("the mark of a retry (r) must be 1, or be left out")]
     BadRetry,
-    /// No statement follows.
+    /// The text ends after the comment.
     #[error("no statement follows the comment")]
     NoStatement,
 }
 
-/// No client waits for longer than a day, in milliseconds.
+/// One day.
 const MAX_WAIT_MS: f64 = 86_400_000.0;
-/// Milliseconds on one core, or MB: more than a machine does in a month, or has.
+/// Upper bound of an estimate, in milliseconds on one core or in MB.
 const MAX_ESTIMATE: f64 = 1e9;
-/// Length of an idempotency key or an order key.
+/// Maximum length of an idempotency key or an order key.
 const MAX_KEY_BYTES: usize = 128;
 const ID_DIGITS: usize = 16;
 
-/// Splits a text into its fields and the statement behind them.
+/// Splits a query text into the fields in its leading comment and the statement after the comment.
 ///
 /// # Errors
-/// The text has no comment with fields, one of them can't be used, or no statement follows.
+/// The text has no leading comment, a field is invalid, or no statement follows.
 pub fn split(text: &[u8]) -> Result<(RequestFields, &[u8]), FieldError> {
     let text = text.trim_ascii_start();
     let rest = text.strip_prefix(b"/*").ok_or(FieldError::NoComment)?;
@@ -131,7 +132,7 @@
         if fields.class.is_empty() { Err(FieldError::NoClass) } else { Ok(fields) }
     }
 
-    /// Sets a field by its name on the wire. Unknown names are ignored, as later versions may have them.
+    /// Sets a field by its name on the wire. Unknown names are ignored for forward compatibility.
     fn set(&mut self, name: &str, value: &str) -> Result<(), FieldError> {
         match name {
             field_name::CLASS => self.class = value.to_owned(),
@@ -140,7 +141,7 @@
             field_name::TENANT => self.tenant = Some(value.to_owned()),
             field_name::ESTIMATE_MS => self.estimate_ms = Some(parse_estimate(value)?),
             field_name::MEMORY_MB => self.memory_mb = Some(parse_estimate(value)?),
-            // It goes into a header as it is, so nothing may end that.
+            // The key is sent as an HTTP field value, so it must contain no CR or LF.
             field_name::IDEMPOTENCY_KEY => {
                 self.idempotency_key = Some(parse_key(value).ok_or(FieldError::BadIdempotencyKey)?);
             }
@@ -153,19 +154,19 @@
         Ok(())
     }
 
-    /// Sets a field of one execution by its name on the wire. Fields of the statement can't be changed, and are
-    /// ignored.
+    /// Sets a per-execution field by its name on the wire. Other names are ignored, as an execution can't override the
+    /// fields of its statement.
     ///
     /// # Errors
-    /// The value can't be used.
+    /// The value is invalid.
     pub fn set_per_execution(&mut self, name: &[u8], value: &str) -> Result<(), FieldError> {
-        match PER_EXECUTION.iter().find(|field| field.as_bytes() == name) {
+        match PER_EXECUTION_FIELDS.iter().find(|field| field.as_bytes() == name) {
             Some(field) => self.set(field, value),
             None => Ok(()),
         }
     }
 
-    /// Removes the fields of one execution.
+    /// Resets all per-execution fields.
     pub fn clear_per_execution(&mut self) {
         (self.id, self.wait_ms, self.idempotency_key) = (None, None, None);
         (self.order_key, self.is_retry) = (None, false);
@@ -173,11 +174,11 @@
 }
 
 fn parse_id(value: &str) -> Result<String, FieldError> {
-    let is_id = value.len() == ID_DIGITS && value.bytes().all(|b| b.is_ascii_hexdigit());
-    is_id.then(|| value.to_owned()).ok_or(FieldError::BadId)
+    let is_valid = value.len() == ID_DIGITS && value.bytes().all(|b| b.is_ascii_hexdigit());
+    is_valid.then(|| value.to_owned()).ok_or(FieldError::BadId)
 }
 
-/// Milliseconds; a fraction is cut off.
+/// Parses a number of milliseconds and truncates its fraction.
 fn parse_wait_ms(value: &str) -> Result<u64, FieldError> {
     let digits = value.split_once('.').map_or(value, |(whole, _)| whole);
     match digits.parse::<u64>() {
@@ -186,10 +187,10 @@
     }
 }
 
-/// An idempotency key or an order key. Its form is the client's own; only its length is bounded.
+/// Parses an idempotency key or an order key, which is opaque to the gateway.
 fn parse_key(value: &str) -> Option<String> {
-    let is_key = (1..=MAX_KEY_BYTES).contains(&value.len()) && value.bytes().all(|b| b.is_ascii_graphic());
-    is_key.then(|| value.to_owned())
+    let is_valid = (1..=MAX_KEY_BYTES).contains(&value.len()) && value.bytes().all(|b| b.is_ascii_graphic());
+    is_valid.then(|| value.to_owned())
 }
 
 fn parse_retry(value: &str) -> Result<bool, FieldError> {
@@ -200,8 +201,8 @@
     value.parse::<f64>().ok().filter(|v| (0.0..=MAX_ESTIMATE).contains(v)).ok_or(FieldError::BadEstimate)
 }
 
-/// The number of an order key: FNV-1a over its bytes, so that two processes of one gateway agree on it. Keys that
-/// happen to share a number run one at a time with each other, which is safe.
+/// Hashes an order key with FNV-1a, so that all processes of a gateway compute the same id. Requests of keys whose
+/// hashes collide run one at a time, which is safe.
 pub fn key_id(order_key: &str) -> KeyId {
     const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0100_0000_01b3;
--- a/gateway/src/front/fields/tests.rs
+++ b/gateway/src/front/fields/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn fields_and_statement_are_split() {
+fn a_query_is_split_into_fields_and_statement() {
     let text = b"/* c=report,i=9b1f03aa5c7e2d41,d=1500,t=acme,h=820.0,mem=96 */ SELECT 1  ";
     let (f, statement) = split(text).unwrap();
     assert_eq!(statement, b"SELECT 1  ");
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn each_invalid_field_has_its_error() {
+fn each_invalid_field_is_reported_by_its_own_error() {
     let error = |text: &str| split(text.as_bytes()).unwrap_err();
     assert_eq!(error("SELECT 1"), FieldError::NoComment);
     assert_eq!(error("/* c=a,i=12 */ x"), FieldError::BadId);
@@ -37,13 +37,13 @@
 }
 
 #[test]
-fn order_key_and_retry_mark_are_read_in_any_position() {
+fn order_key_and_retry_are_parsed_in_any_position() {
     let fields = |text: &str| split(text.as_bytes()).unwrap().0;
-    let marked = fields("/* r=1,o=7f3a9c21e0b4d655,c=load */ x");
-    assert_eq!((marked.order_key.as_deref(), marked.is_retry), (Some("7f3a9c21e0b4d655"), true));
+    let retry = fields("/* r=1,o=7f3a9c21e0b4d655,c=load */ x");
+    assert_eq!((retry.order_key.as_deref(), retry.is_retry), (Some("7f3a9c21e0b4d655"), true));
     let plain = fields("/* c=load */ x");
     assert_eq!((plain.order_key, plain.is_retry), (None, false));
-    // Two processes of one gateway must agree on the number of a key, whatever its form.
+    // All processes of a gateway must compute the same id for a key.
     assert_eq!(key_id("a"), KeyId(0xaf63_dc4c_8601_ec8c));
     assert_ne!(key_id("7f3a9c21e0b4d655"), key_id("7f3a9c21e0b4d656"));
 }
--- a/gateway/src/front/mod.rs
+++ b/gateway/src/front/mod.rs
@@ -1,8 +1,8 @@
-//! Front ends: the protocols that clients speak, PostgreSQL ([`pg`]) and MySQL ([`mysql`]). Each is a state machine over
-//! bytes, without I/O or decisions.
+//! Front ends: the server side of the PostgreSQL ([`pg`]) and MySQL ([`mysql`]) protocols, as state machines over byte
+//! buffers. They perform no I/O and make no admission or routing decisions.
 //!
-//! A session turns what its client sends into [`ClientCommand`]s and writes what needs no decision. A
-//! [`ClientCommand::Request`] is owed one [`FinalAnswer`].
+//! A session parses its client's messages into [`ClientCommand`]s and writes the responses that need no decision. Each
+//! [`ClientCommand::Request`] must be answered by exactly one [`FinalAnswer`].
 
 pub mod fields;
 pub mod mysql;
@@ -11,46 +11,46 @@
 
 use crate::mysql_protocol::{Parameter, ResultSet};
 
-/// Rows of text as an engine made them, row by row, whatever its protocol.
+/// A result set in text format, independent of the engine's protocol.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Rows {
-    /// Names of the columns; their number holds for every row.
+    /// Column names. Every row has as many cells as there are names.
     pub columns: Vec<String>,
-    /// The cells, row by row; `None` is NULL.
+    /// Cells in row-major order. `None` is NULL.
     pub cells: Vec<Option<Vec<u8>>>,
 }
 
 impl Rows {
-    /// Rows, each a slice of cells.
+    /// Iterates over the rows as slices of cells.
     pub fn rows(&self) -> impl Iterator<Item = &[Option<Vec<u8>>]> {
         self.cells.chunks(self.columns.len().max(1))
     }
 }
 
-/// The result of a request, in the form that the request's front end speaks.
+/// The result of a request, in the format of the front end that received the request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Payload {
-    /// Rows of text.
+    /// For the PostgreSQL front end.
     Text(Rows),
-    /// A MySQL result set, packets as they came.
+    /// For the MySQL front end: the engine's packets, unchanged.
     MySql(ResultSet),
 }
 
-/// How a request ended, for a front end to write.
+/// The outcome of a request, which a front end encodes for its client.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FinalAnswer<'a> {
-    /// All rows of the result.
+    /// The complete result.
     Served(&'a Payload),
-    /// Rejected: a retry is safe, best after so many milliseconds.
+    /// A retry is safe. Holds the Retry-After in milliseconds, if there is one.
     Rejected(Option<u64>),
-    /// Failed: nothing is promised about the effect; with the message.
+    /// The request may or may not have been executed. Holds the error message for the client.
     Failed(&'a str),
     /// Cancelled by the client.
     Cancelled,
 }
 
 impl FinalAnswer<'_> {
-    /// Its name in the log.
+    /// Value of the log field `outcome`.
     pub fn name(&self) -> &'static str {
         match self {
             FinalAnswer::Served(_) => "served",
@@ -61,61 +61,61 @@
     }
 }
 
-/// Why the gateway ends a session; the client gets an error that says so.
+/// Reason for which the gateway closes a session. The client receives a corresponding error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DisconnectReason {
-    /// There is no place for the session; a retry is safe.
+    /// The session limit is reached. A retry is safe.
     TooManyConnections,
-    /// The session did not start, or a message that its client began did not end, in time.
+    /// The client did not complete the start-up phase or a message in time.
     Timeout,
-    /// The client sent too much behind an open request.
+    /// The client sent more data than is buffered while its request is open.
     InputOverrun,
-    /// No memory is left for the session; a retry is safe.
+    /// The memory budget has no bytes left for the session. A retry is safe.
     OutOfMemory,
-    /// The gateway shuts down; a retry is safe.
+    /// The gateway is shutting down. A retry is safe.
     ShuttingDown,
 }
 
-/// A request that a front end has read.
+/// A request parsed by a front end.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClientRequest {
-    /// Its fields.
+    /// Fields from the comment before the statement and from query attributes.
     pub fields: fields::RequestFields,
-    /// The statement without the comment that held the fields.
+    /// SQL text without the comment that contained the fields.
     pub statement: Vec<u8>,
-    /// How it is to be executed.
+    /// Determines the engine protocol and the command that executes the statement.
     pub run: ExecutionMode,
 }
 
-/// How a statement is to be executed.
+/// The way in which an engine executes a statement.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ExecutionMode {
-    /// As text, over the engines' HTTP protocol.
+    /// As SQL text, over the engines' HTTP protocol.
     Simple,
-    /// As text, over MySQL.
+    /// As SQL text, by COM_QUERY over MySQL.
     Query,
-    /// Prepared, with these parameters, over MySQL.
+    /// As a prepared statement with these parameters, by COM_STMT_EXECUTE over MySQL.
     Execute(Vec<Parameter>),
 }
 
-/// What a client's message requires of the event loop.
+/// The action that a client's message requires of the event loop.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ClientCommand {
-    /// Admit this request; it is owed one [`FinalAnswer`].
+    /// Submit this request for admission. The session expects one [`FinalAnswer`].
     Request(ClientRequest),
-    /// Check whether the settings know what these fields of a prepared statement name.
+    /// Validate the class and tenant of a statement that is being prepared against the settings.
     Prepare(fields::RequestFields),
-    /// Cancel another session's request.
+    /// Cancel the open request of another session.
     Cancel {
-        /// The session's id, as its client got it at the start.
+        /// Process ID from the BackendKeyData message of that session.
         session: u32,
-        /// The session's secret.
+        /// Secret key from the same message.
         secret: u32,
     },
-    /// Nothing more: the message was answered, or needs no answer.
+    /// No action: the message was answered, or needs no answer.
     Handled,
-    /// Nothing more: the message was answered with an error.
+    /// No action: the message was answered with an error.
     Invalid,
-    /// End this session, once its output is written.
+    /// Close this session after its output has been sent.
     Close,
 }
--- a/gateway/src/front/mysql/commands.rs
+++ b/gateway/src/front/mysql/commands.rs
@@ -1,4 +1,4 @@
-//! The command phase: commands, and requests that they open.
+//! Command phase of the MySQL protocol: dispatches commands, and opens requests for COM_QUERY and COM_STMT_EXECUTE.
 
 use super::{ClientCommand, ClientRequest, ExecutionMode, Session, State};
 use crate::front::fields::{self, FieldError};
@@ -37,9 +37,9 @@
     fn query(&mut self, mut reader: Reader<'_>, out: &mut Vec<u8>) -> Result<ClientCommand, PacketError> {
         let mut attributes = Vec::new();
         if self.has_capability(capabilities::CLIENT_QUERY_ATTRIBUTES) {
-            let count = reader.lenenc_int()? as usize;
-            let _sets = reader.lenenc_int()?;
-            attributes = read_parameters(&mut reader, count, true, &mut Vec::new())?;
+            let parameter_count = reader.lenenc_int()? as usize;
+            let _parameter_set_count = reader.lenenc_int()?;
+            attributes = read_parameters(&mut reader, parameter_count, true, &mut Vec::new())?;
         }
         Ok(match self.parse_request(reader.0) {
             Ok(request) => self.open(request, &attributes, out),
@@ -47,10 +47,10 @@
         })
     }
 
-    /// The request of a statement's text.
+    /// Parses a request from the text of COM_QUERY or COM_STMT_PREPARE.
     pub(super) fn parse_request(&self, text: &[u8]) -> Result<ClientRequest, FieldError> {
         let (mut fields, statement) = fields::split(text)?;
-        // The account says who the client is; a field can't change that.
+        // The tenant is that of the authenticated account. The field `t` can't override it.
         fields.tenant = self.tenant.as_deref().map(str::to_owned);
         Ok(ClientRequest { fields, statement: statement.to_vec(), run: ExecutionMode::Query })
     }
@@ -59,7 +59,7 @@
         self.invalid(error_code::ER_PARSE_ERROR, "42000", &error.to_string(), out)
     }
 
-    /// Opens a request; its query attributes are the fields of this execution.
+    /// Opens a request. Query attributes set its per-execution fields.
     pub(super) fn open(
         &mut self,
         mut request: ClientRequest,
--- a/gateway/src/front/mysql/handshake.rs
+++ b/gateway/src/front/mysql/handshake.rs
@@ -1,4 +1,4 @@
-//! The connection phase: handshake, handshake response and AuthSwitchRequest.
+//! Connection phase of the MySQL protocol: HandshakeV10, HandshakeResponse41, AuthSwitchRequest, and authentication.
 
 use super::{ClientCommand, OFFERED_CAPABILITIES, Session, State};
 use crate::mysql_protocol::{
@@ -7,7 +7,7 @@
 };
 
 const SERVER_VERSION: &[u8] = b"8.0.0-wrenhatch\0";
-/// The challenge comes in two parts, the first of this length.
+/// Length of `auth-plugin-data-part-1` in HandshakeV10. The rest of the challenge is `auth-plugin-data-part-2`.
 const CHALLENGE_PART_1_BYTES: usize = 8;
 
 impl Session {
@@ -22,7 +22,7 @@
         payload.push(CHARSET_UTF8MB4);
         payload.extend(SERVER_STATUS_AUTOCOMMIT.to_le_bytes());
         payload.extend(((OFFERED_CAPABILITIES >> 16) as u16).to_le_bytes());
-        payload.push(self.challenge.len() as u8 + 1); // With its terminating NUL.
+        payload.push(self.challenge.len() as u8 + 1); // Includes the terminating NUL.
         payload.extend([0; 10]);
         payload.extend(part_2);
         payload.push(0);
@@ -37,8 +37,8 @@
     ) -> Result<ClientCommand, PacketError> {
         let mut reader = Reader(payload);
         self.capabilities = reader.int(4)? as u32 & OFFERED_CAPABILITIES;
-        let _max_packet_charset_and_filler = reader.bytes(4 + 1 + 23)?;
-        // An SSLRequest, which was not offered, or an older protocol.
+        let _max_packet_size_charset_and_filler = reader.bytes(4 + 1 + 23)?;
+        // An SSLRequest, although CLIENT_SSL was not offered, or HandshakeResponse320.
         if reader.0.is_empty() || !self.has_capability(capabilities::CLIENT_PROTOCOL_41) {
             return Err(PacketError::Malformed);
         }
@@ -50,7 +50,7 @@
             reader.bytes(length)?
         };
         if self.has_capability(capabilities::CLIENT_CONNECT_WITH_DB) {
-            let _schema = reader.nul_terminated_string()?;
+            let _database = reader.nul_terminated_string()?;
         }
         let plugin = if self.has_capability(capabilities::CLIENT_PLUGIN_AUTH) {
             reader.nul_terminated_string().unwrap_or(b"")
@@ -72,13 +72,13 @@
         write_packet(out, &mut self.sequence, &payload);
     }
 
-    /// Checks the response to the challenge; the account says which tenant the session belongs to.
+    /// Checks the authentication response, and assigns the session to the tenant of the account.
     pub(super) fn authenticate(&mut self, user: &[u8], response: &[u8], out: &mut Vec<u8>) -> ClientCommand {
         let user = String::from_utf8_lossy(user).into_owned();
         let account = self.directory.look_up(&user);
-        let is_right =
+        let matches_challenge =
             |password: &str| native_password_response(password.as_bytes(), &self.challenge) == response;
-        match account.filter(|account| is_right(&account.password)) {
+        match account.filter(|account| matches_challenge(&account.password)) {
             Some(account) => {
                 self.tenant = Some(account.tenant.clone());
                 self.write_ok(0, 0, out);
--- a/gateway/src/front/mysql/mod.rs
+++ b/gateway/src/front/mysql/mod.rs
@@ -1,11 +1,12 @@
-//! The MySQL protocol with prepared statements: a client session without I/O. Names are those of the protocol's
-//! documentation.
+//! The server side of the MySQL protocol, with text queries and prepared statements. Packets and commands have the
+//! names of the MySQL documentation.
 //!
-//! A [`Session`] greets its client, then reads one command at a time and writes what needs no decision; the final
-//! answer to a request is written by [`Session::answer`]. While a request is open, no further command is read.
+//! [`Session::new`] writes the handshake. [`Session::read`] parses one packet at a time and writes the responses that
+//! need no decision. [`Session::answer`] writes the response to the open request. No command is read while a request is
+//! open.
 //!
-//! A prepared statement is kept with its client's session: its id is this gateway's own and no engine's. Engines
-//! prepare it when it is first executed over one of their connections.
+//! Prepared statements belong to the client's session, and the gateway assigns their ids. An engine prepares a
+//! statement when it is first executed over one of its connections.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -31,57 +32,57 @@
     | capabilities::CLIENT_QUERY_ATTRIBUTES;
 
 const CHALLENGE_BYTES: usize = 20;
-/// The bytes of the challenge are printable ASCII characters without the space: this one and those behind it.
-const FIRST_PRINTABLE: u8 = b'!';
-const PRINTABLE_CHARACTERS: u8 = 94;
+/// First of the visible ASCII characters, of which the challenge consists.
+const FIRST_VISIBLE_ASCII: u8 = b'!';
+const VISIBLE_ASCII_COUNT: u8 = 94;
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum State {
-    /// The handshake is written.
+    /// HandshakeV10 was written.
     AwaitingHandshakeResponse,
-    /// An AuthSwitchRequest is written to this user.
+    /// An AuthSwitchRequest was written. Holds the user name.
     AwaitingAuthSwitchResponse(Vec<u8>),
     /// Ready for a command.
     Ready,
-    /// A request is open, or the settings check a statement; what comes behind it waits.
+    /// A request is open, or the fields of a statement are being validated. Further packets stay in the input buffer.
     Busy,
     Closed,
 }
 
-/// An idle session after authentication: all that must be kept of it.
+/// The state kept for an idle session.
 #[derive(Debug)]
 pub struct SuspendedSession {
     capabilities: u32,
     tenant: Option<Rc<str>>,
-    /// Boxed, as few sessions have any.
+    /// Boxed, as few sessions have prepared statements.
     statements: Option<Box<PreparedStatements>>,
 }
 
 impl SuspendedSession {
-    /// Bytes that its prepared statements take.
+    /// Memory of the session's prepared statements, in bytes.
     pub fn statement_bytes(&self) -> usize {
         self.statements.as_ref().map_or(0, |s| s.bytes())
     }
 }
 
-/// One session.
+/// The protocol state of one client connection.
 pub struct Session {
     state: State,
     directory: Rc<Directory>,
     challenge: [u8; CHALLENGE_BYTES],
-    /// Capabilities that both sides have.
+    /// Capability flags set by both client and gateway.
     capabilities: u32,
     tenant: Option<Rc<str>>,
     sequence: u8,
     statements: Option<Box<PreparedStatements>>,
-    /// The next statement id, of all sessions: one that outlives its session names nothing in another.
+    /// Next statement id, shared by all sessions so that an id is never valid in two of them.
     statement_ids: Rc<Cell<u32>>,
-    /// A statement whose class and tenant the settings have yet to check.
+    /// A statement whose class and tenant are being validated against the settings.
     pending: Option<PreparedStatement>,
 }
 
 impl Session {
-    /// Greets a client that has just connected.
+    /// Creates a session for a new connection and writes the handshake.
     pub fn new(
         connection_id: u32,
         challenge: [u8; CHALLENGE_BYTES],
@@ -92,8 +93,8 @@
         let mut session = Self {
             state: State::AwaitingHandshakeResponse,
             directory,
-            // A NUL would end the challenge early.
-            challenge: challenge.map(|b| b % PRINTABLE_CHARACTERS + FIRST_PRINTABLE),
+            // The challenge must not contain a NUL, as it is sent NUL-terminated.
+            challenge: challenge.map(|b| b % VISIBLE_ASCII_COUNT + FIRST_VISIBLE_ASCII),
             capabilities: 0,
             tenant: None,
             sequence: 0,
@@ -105,18 +106,18 @@
         session
     }
 
-    /// Whether it is idle, so that it can be suspended.
+    /// Whether the session is between requests and can be suspended.
     pub fn is_idle(&self) -> bool {
         self.state == State::Ready && self.pending.is_none()
     }
 
-    /// What must be kept of it while it is idle.
+    /// Reduces an idle session to the state from which it can be resumed.
     pub fn suspend(self) -> SuspendedSession {
         debug_assert!(self.is_idle());
         SuspendedSession { capabilities: self.capabilities, tenant: self.tenant, statements: self.statements }
     }
 
-    /// Continues a session that was idle.
+    /// Restores a suspended session.
     pub fn resume(
         suspended: SuspendedSession,
         directory: Rc<Directory>,
@@ -126,7 +127,7 @@
         Self {
             state: State::Ready,
             directory,
-            // It was authenticated, and each command brings its own sequence number.
+            // Authentication is complete, and each command carries its own sequence number.
             challenge: [0; CHALLENGE_BYTES],
             capabilities,
             tenant,
@@ -137,10 +138,10 @@
         }
     }
 
-    /// Ends the session with an error.
+    /// Closes the session with an error.
     pub fn disconnect(&mut self, reason: DisconnectReason, out: &mut Vec<u8>) {
         if reason == DisconnectReason::TooManyConnections {
-            // The error stands in place of the handshake.
+            // The ERR packet replaces the handshake.
             out.clear();
             self.sequence = 0;
         }
@@ -165,13 +166,13 @@
         self.fatal(code, sqlstate, message, out);
     }
 
-    /// Whether its client has yet to authenticate.
+    /// Whether the session is in the connection phase.
     pub fn is_starting(&self) -> bool {
         matches!(self.state, State::AwaitingHandshakeResponse | State::AwaitingAuthSwitchResponse(_))
     }
 
-    /// Reads one packet from `input`, writes to `out` what needs no decision. `None`: more must come, or the open
-    /// request must end, first.
+    /// Reads one packet from `input` and writes any immediate response to `out`. Returns `None` if the packet is
+    /// incomplete, a request is open, or the session is closed.
     pub fn read(&mut self, input: &mut Vec<u8>, out: &mut Vec<u8>) -> Option<ClientCommand> {
         if matches!(self.state, State::Busy | State::Closed) {
             return None;
@@ -215,7 +216,7 @@
         self.capabilities & capability != 0
     }
 
-    /// Answers the open request, or the statement being prepared, as invalid, for fields that only the settings can check.
+    /// Answers the open request or COM_STMT_PREPARE with an error, for fields whose values are not in the settings.
     pub fn answer_invalid(&mut self, text: &str, out: &mut Vec<u8>) {
         self.state = State::Ready;
         self.pending = None;
--- a/gateway/src/front/mysql/prepared_statements.rs
+++ b/gateway/src/front/mysql/prepared_statements.rs
@@ -1,4 +1,5 @@
-//! Prepared statements: COM_STMT_PREPARE, COM_STMT_EXECUTE and the other commands on them.
+//! Prepared statements of a client session: COM_STMT_PREPARE, COM_STMT_EXECUTE, COM_STMT_SEND_LONG_DATA,
+//! COM_STMT_CLOSE and COM_STMT_RESET.
 
 use std::collections::BTreeMap;
 
@@ -9,32 +10,32 @@
     read_parameters, write_lenenc_string, write_packet,
 };
 
-/// Statements that one session may hold.
+/// Maximum number of prepared statements in one session.
 const MAX_STATEMENTS: usize = 256;
-/// Bytes that they may take together.
+/// Maximum memory of the prepared statements of one session.
 const MAX_STATEMENT_BYTES: usize = 192 * 1024;
 
-/// The character set of a binary column.
+/// Character set `binary`.
 const CHARSET_BINARY: u8 = 63;
-/// The column flag BINARY.
+/// Column definition flag `BINARY_FLAG`.
 const BINARY_FLAG: u8 = 0x80;
-/// The bytes of a column definition behind its texts.
+/// Length of the fixed-length fields in ColumnDefinition41.
 const COLUMN_FIXED_FIELDS_BYTES: u8 = 0x0c;
 
 /// A prepared statement.
 #[derive(Debug)]
 pub struct PreparedStatement {
-    /// The request of each execution, but for the fields of the execution.
+    /// Template for the request of each execution, without the per-execution fields.
     request: ClientRequest,
     parameters: usize,
-    /// The parameter types of the last execution that brought some.
+    /// Parameter types sent by the latest execution with new-params-bind-flag set.
     bound: Vec<ParameterType>,
-    /// COM_STMT_SEND_LONG_DATA came for it, which is not supported: its next execution fails.
+    /// COM_STMT_SEND_LONG_DATA was received. As it is not supported, executions fail until COM_STMT_RESET.
     has_long_data: bool,
 }
 
 impl PreparedStatement {
-    /// What it takes, with its share of the tree that holds it.
+    /// Memory of the statement, including its share of the map nodes, in bytes.
     pub fn bytes(&self) -> usize {
         let names: usize = self.bound.iter().map(|parameter| parameter.name.capacity()).sum();
         let bound = self.bound.capacity() * size_of::<ParameterType>() + names;
@@ -42,7 +43,7 @@
     }
 }
 
-/// The prepared statements of a session, with the bytes that they take.
+/// The prepared statements of a session and their total memory.
 #[derive(Debug, Default)]
 pub struct PreparedStatements {
     by_id: BTreeMap<u32, PreparedStatement>,
@@ -50,7 +51,7 @@
 }
 
 impl PreparedStatements {
-    /// Bytes that they take together.
+    /// Total memory of the statements, in bytes.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
@@ -68,12 +69,12 @@
 }
 
 impl Session {
-    /// Bytes that its prepared statements take, with the one being prepared.
+    /// Memory of the session's prepared statements, including the one being prepared, in bytes.
     pub fn statement_bytes(&self) -> usize {
         self.pending_bytes() + self.statements.as_ref().map_or(0, |s| s.bytes)
     }
 
-    /// Bytes that the statement takes which is being prepared.
+    /// Memory of the statement being prepared, in bytes.
     pub fn pending_bytes(&self) -> usize {
         self.pending.as_ref().map_or(0, PreparedStatement::bytes)
     }
@@ -87,7 +88,7 @@
         self.invalid(error_code::ER_UNKNOWN_STMT_HANDLER, "HY000", &message, out)
     }
 
-    /// COM_STMT_PREPARE. The settings check the statement's class and tenant next.
+    /// Handles COM_STMT_PREPARE. The caller must validate the statement's class and tenant next.
     pub(super) fn prepare(&mut self, text: &[u8], out: &mut Vec<u8>) -> ClientCommand {
         let (count, bytes) = self.statements.as_ref().map_or((0, 0), |s| (s.by_id.len(), s.bytes));
         if count >= MAX_STATEMENTS || bytes + text.len() > MAX_STATEMENT_BYTES {
@@ -111,7 +112,7 @@
         command
     }
 
-    /// Writes the response to COM_STMT_PREPARE for a statement that the settings have found good.
+    /// Writes COM_STMT_PREPARE_OK for the statement being prepared, whose class and tenant are valid.
     pub fn complete_prepare(&mut self, out: &mut Vec<u8>) {
         self.state = State::Ready;
         let Some(statement) = self.pending.take() else { return };
@@ -124,9 +125,9 @@
     fn write_prepare_ok(&mut self, statement_id: u32, parameters: usize, out: &mut Vec<u8>) {
         let mut payload = vec![OK_HEADER];
         payload.extend(statement_id.to_le_bytes());
-        payload.extend([0, 0]); // Columns come with the rows, from the engine that makes them.
+        payload.extend([0, 0]); // num_columns: unknown until an engine executes the statement.
         payload.extend((parameters as u16).to_le_bytes());
-        payload.extend([0, 0, 0]); // Filler and warnings.
+        payload.extend([0, 0, 0]); // Filler and warning_count.
         write_packet(out, &mut self.sequence, &payload);
         for _ in 0..parameters {
             write_packet(out, &mut self.sequence, &parameter_definition());
@@ -136,7 +137,7 @@
         }
     }
 
-    /// Answers COM_STMT_PREPARE with an error: sessions hold as many bytes of statements as they may.
+    /// Answers COM_STMT_PREPARE with an error: the memory budget for prepared statements is exhausted.
     pub fn fail_prepare_out_of_memory(&mut self, out: &mut Vec<u8>) {
         self.state = State::Ready;
         self.pending = None;
@@ -144,7 +145,7 @@
         self.invalid(error_code::ER_MAX_PREPARED_STMT_COUNT_REACHED, "42000", message, out);
     }
 
-    /// COM_STMT_EXECUTE.
+    /// Handles COM_STMT_EXECUTE.
     pub(super) fn execute(
         &mut self,
         mut reader: Reader<'_>,
@@ -152,7 +153,7 @@
     ) -> Result<ClientCommand, PacketError> {
         let statement_id = reader.int(4)? as u32;
         let flags = reader.int(1)?;
-        let _iterations = reader.bytes(4)?;
+        let _iteration_count = reader.bytes(4)?;
         let has_attributes = self.has_capability(capabilities::CLIENT_QUERY_ATTRIBUTES);
         let Some(statement) = self.statements.as_mut().and_then(|s| s.by_id.get_mut(&statement_id)) else {
             return Ok(self.unknown_statement(statement_id, "mysqld_stmt_execute", out));
@@ -186,7 +187,7 @@
         Ok(self.open(request, &attributes, out))
     }
 
-    /// COM_STMT_SEND_LONG_DATA, which gets no response: the next execution fails instead.
+    /// Handles COM_STMT_SEND_LONG_DATA. As the command has no response, the next execution reports the error.
     pub(super) fn send_long_data(&mut self, mut reader: Reader<'_>) -> Result<ClientCommand, PacketError> {
         let statement_id = reader.int(4)? as u32;
         if let Some(statement) = self.statement(statement_id) {
@@ -195,7 +196,7 @@
         Ok(ClientCommand::Handled)
     }
 
-    /// COM_STMT_CLOSE, which gets no response.
+    /// Handles COM_STMT_CLOSE, which has no response.
     pub(super) fn close_statement(&mut self, mut reader: Reader<'_>) -> Result<ClientCommand, PacketError> {
         let statement_id = reader.int(4)? as u32;
         if let Some(statements) = &mut self.statements {
@@ -207,7 +208,7 @@
         Ok(ClientCommand::Handled)
     }
 
-    /// COM_STMT_RESET.
+    /// Handles COM_STMT_RESET.
     pub(super) fn reset_statement(
         &mut self,
         mut reader: Reader<'_>,
@@ -223,7 +224,7 @@
     }
 }
 
-/// The definition of a parameter, the same for all: its type is not known before it is bound.
+/// Returns the definition sent for every parameter, as types are unknown before parameters are bound.
 fn parameter_definition() -> Vec<u8> {
     let mut definition = Vec::new();
     for text in [b"def".as_slice(), b"", b"", b"", b"?", b""] {
--- a/gateway/src/front/mysql/responses.rs
+++ b/gateway/src/front/mysql/responses.rs
@@ -1,9 +1,9 @@
-//! Responses to commands: OK, EOF and ERR packets, result sets, and the final answer to a request.
+//! Responses to commands: OK, EOF and ERR packets, and result sets.
 
 use super::{FinalAnswer, Payload, Session, SqlError, State, error_code, ok_payload, write_packet};
 use crate::mysql_protocol::{EOF_HEADER, OK_HEADER, ResultSet, capabilities, eof_payload, write_lenenc_int};
 
-/// The SQLSTATE of a rejection: its class says that a retry is safe, as on the PostgreSQL front end.
+/// SQLSTATE of a rejection. Clients take class 53 as a safe retry, as on the PostgreSQL front end.
 const REJECTED_SQLSTATE: &str = "53000";
 
 impl Session {
@@ -19,9 +19,9 @@
         write_packet(out, &mut self.sequence, &eof_payload());
     }
 
-    /// Writes the final answer to the open request.
+    /// Writes the response to the open request.
     pub fn answer(&mut self, answer: FinalAnswer<'_>, out: &mut Vec<u8>) {
-        debug_assert!(self.state == State::Busy, "an answer without a request");
+        debug_assert!(self.state == State::Busy, "no request is open");
         self.state = State::Ready;
         let error = match answer {
             FinalAnswer::Served(Payload::MySql(result)) => return self.write_result(result, out),
--- a/gateway/src/front/mysql/tests.rs
+++ b/gateway/src/front/mysql/tests.rs
@@ -4,8 +4,8 @@
 use crate::mysql_protocol::{Parameter, capabilities, write_packet};
 use crate::tenants::Account;
 
-/// A session whose client has authenticated with an empty password.
-fn ready() -> Session {
+/// Returns a session that has authenticated a client with an empty password.
+fn ready_session() -> Session {
     let account = Account { tenant: "acme".into(), password: String::new() };
     let directory = Rc::new(Directory::new([("unit".to_owned(), account)]));
     let mut out = Vec::new();
@@ -22,28 +22,28 @@
 }
 
 #[test]
-fn a_suspended_session_keeps_its_statements_and_their_bytes_add_up() {
-    let mut session = ready();
+fn a_resumed_session_has_its_statements_and_their_memory_is_released_on_close() {
+    let mut session = ready_session();
     let mut out = Vec::new();
     for _ in 0..3 {
         session.read(&mut packet(b"\x16/* c=lookup */ SELECT ? FROM a_1.b", 0), &mut out);
         session.complete_prepare(&mut out);
     }
-    let held = session.statement_bytes();
+    let bytes_before = session.statement_bytes();
     let (directory, statement_ids) = (session.directory.clone(), session.statement_ids.clone());
     let suspended = session.suspend();
-    assert_eq!(suspended.statement_bytes(), held);
+    assert_eq!(suspended.statement_bytes(), bytes_before);
     let mut session = Session::resume(suspended, directory, statement_ids);
-    assert_eq!(session.statement_bytes(), held);
+    assert_eq!(session.statement_bytes(), bytes_before);
     let execute = packet(&[0x17, 11, 0, 0, 0, 8, 1, 0, 0, 0, 1, 1, 1, 6, 0, 0], 0);
     let Some(ClientCommand::Request(request)) = session.read(&mut execute.clone(), &mut out) else {
-        panic!("none")
+        panic!("expected a request")
     };
     assert_eq!(request.fields.tenant.as_deref(), Some("acme"));
-    assert!(!session.is_idle(), "its request is open");
+    assert!(!session.is_idle(), "a request is open");
     session.answer(FinalAnswer::Rejected(None), &mut out);
-    for handle in 10..13 {
-        session.read(&mut packet(&[0x19, handle, 0, 0, 0], 0), &mut out);
+    for statement_id in 10..13 {
+        session.read(&mut packet(&[0x19, statement_id, 0, 0, 0], 0), &mut out);
     }
     assert_eq!((session.statement_bytes(), session.statements.is_none()), (0, true));
 }
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_client_with_another_authentication_plugin_gets_a_switch_request() {
+fn a_client_with_another_authentication_plugin_receives_an_auth_switch_request() {
     let directory = Rc::new(Directory::default());
     let mut out = Vec::new();
     let mut session = Session::new(1, [7; 20], directory, Rc::new(Cell::new(1)), &mut out);
@@ -69,26 +69,26 @@
     assert_eq!(
         session.read(&mut packet(b"", 3), &mut out),
         Some(ClientCommand::Close),
-        "no user is known here"
+        "the directory has no user"
     );
 }
 
 #[test]
-fn long_data_fails_the_next_execution_until_a_reset() {
-    let mut session = ready();
+fn executions_after_long_data_fail_until_a_reset() {
+    let mut session = ready_session();
     let mut out = Vec::new();
     let prepare = packet(b"\x16/* c=load */ INSERT INTO a_1.b VALUES (?)", 0);
     assert!(matches!(session.read(&mut prepare.clone(), &mut out), Some(ClientCommand::Prepare(_))));
     session.complete_prepare(&mut out);
     out.clear();
-    let long = packet(&[0x18, 10, 0, 0, 0, 0, 0, b'x'], 0);
-    assert_eq!(session.read(&mut long.clone(), &mut out), Some(ClientCommand::Handled));
-    assert_eq!(out, b"", "long data is never answered");
+    let send_long_data = packet(&[0x18, 10, 0, 0, 0, 0, 0, b'x'], 0);
+    assert_eq!(session.read(&mut send_long_data.clone(), &mut out), Some(ClientCommand::Handled));
+    assert_eq!(out, b"", "COM_STMT_SEND_LONG_DATA has no response");
     let execute = packet(&[0x17, 10, 0, 0, 0, 8, 1, 0, 0, 0, 1, 1, 1, 6, 0, 0], 0);
     assert_eq!(session.read(&mut execute.clone(), &mut out), Some(ClientCommand::Invalid));
     session.read(&mut packet(&[0x1a, 10, 0, 0, 0], 0), &mut out);
     let Some(ClientCommand::Request(request)) = session.read(&mut execute.clone(), &mut out) else {
-        panic!("none")
+        panic!("expected a request")
     };
     let null = Parameter { type_and_flag: 6, name: Vec::new(), value: None };
     assert_eq!(request.run, ExecutionMode::Execute(vec![null]));
@@ -96,23 +96,23 @@
 }
 
 quickcheck! {
-    /// Whatever comes, each command that is answered is answered once, and nothing panics.
-    fn random_commands_never_panic(commands: Vec<(u8, Vec<u8>)>) -> bool {
-        let mut session = ready();
+    /// Every command except COM_STMT_SEND_LONG_DATA and COM_STMT_CLOSE must be answered.
+    fn random_commands_are_answered_without_a_panic(commands: Vec<(u8, Vec<u8>)>) -> bool {
+        let mut session = ready_session();
         let command_bytes = [0x03, 0x0e, 0x16, 0x17, 0x18, 0x19, 0x1a, 0x05];
         let mut out = Vec::new();
-        for (kind, body) in commands {
-            let payload = [&[command_bytes[usize::from(kind) % command_bytes.len()]], body.as_slice()].concat();
+        for (selector, body) in commands {
+            let payload = [&[command_bytes[usize::from(selector) % command_bytes.len()]], body.as_slice()].concat();
             out.clear();
             let command = session.read(&mut packet(&payload, 0), &mut out);
-            let silent = matches!(payload[0], 0x18 | 0x19);
+            let has_no_response = matches!(payload[0], 0x18 | 0x19);
             match command {
                 Some(ClientCommand::Request(_)) => session.answer(FinalAnswer::Rejected(None), &mut out),
                 Some(ClientCommand::Prepare(_)) => session.complete_prepare(&mut out),
                 Some(ClientCommand::Close) => return !out.is_empty(),
                 _ => {}
             }
-            if out.is_empty() != silent || session.state != State::Ready {
+            if out.is_empty() != has_no_response || session.state != State::Ready {
                 return false;
             }
         }
--- a/gateway/src/front/pg/messages.rs
+++ b/gateway/src/front/pg/messages.rs
@@ -1,9 +1,9 @@
-//! Messages: their formats, and the encoding of those that the server sends.
+//! Message formats of the PostgreSQL protocol, and encoders for the messages sent by the server.
 
 use super::BackendKey;
 use crate::front::Rows;
 
-/// SQLSTATE codes, by their condition names.
+/// SQLSTATE codes, by the condition names of the PostgreSQL documentation.
 pub mod sqlstate {
     pub const PROTOCOL_VIOLATION: &str = "08P01";
     pub const FEATURE_NOT_SUPPORTED: &str = "0A000";
@@ -18,7 +18,7 @@
     pub const INTERNAL_ERROR: &str = "XX000";
 }
 
-/// EmptyQueryResponse.
+/// Type of EmptyQueryResponse.
 pub const EMPTY_QUERY_RESPONSE: u8 = b'I';
 const AUTHENTICATION: u8 = b'R';
 const BACKEND_KEY_DATA: u8 = b'K';
@@ -29,16 +29,17 @@
 const READY_FOR_QUERY: u8 = b'Z';
 const ROW_DESCRIPTION: u8 = b'T';
 
-/// ReadyForQuery's status: outside a transaction.
+/// Transaction status of ReadyForQuery: not in a transaction block.
 const TRANSACTION_IDLE: u8 = b'I';
-/// AuthenticationOk.
+/// Authentication code of AuthenticationOk.
 const AUTHENTICATION_OK: u32 = 0;
-/// The type `text`.
+/// OID of the data type `text`.
 const TEXT_OID: u32 = 25;
-/// The length of a NULL column in a DataRow; the size of a type of variable length; no type modifier.
+/// Length of a NULL value in DataRow. In RowDescription, the size of a variable-length data type and the absence of a
+/// type modifier.
 const NONE: i32 = -1;
 
-/// The kinds of client messages that the gateway distinguishes.
+/// Messages sent by the client, as far as the gateway distinguishes them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FrontendMessage {
     Query,
@@ -47,15 +48,15 @@
     /// Parse, Bind, Execute, Describe or Close.
     ExtendedQuery,
     FunctionCall,
-    /// Flush, CopyData, CopyDone or CopyFail: nothing follows from them.
+    /// Flush, CopyData, CopyDone or CopyFail. All are ignored.
     FlushOrCopy,
     Unknown,
 }
 
 impl FrontendMessage {
-    /// By the first byte of a message.
-    pub fn of(kind: u8) -> Self {
-        match kind {
+    /// Returns the message of a type byte.
+    pub fn of(message_type: u8) -> Self {
+        match message_type {
             b'Q' => Self::Query,
             b'S' => Self::Sync,
             b'X' => Self::Terminate,
@@ -67,14 +68,14 @@
     }
 }
 
-/// The first four bytes as an integer, most significant byte first.
+/// Reads an Int32 in network byte order from the first four bytes.
 pub fn be32(bytes: &[u8]) -> u32 {
     bytes.iter().take(4).fold(0, |n, b| n << 8 | u32::from(*b))
 }
 
-/// Writes a message: its first byte, its length, and what `body` writes.
-pub fn write_message(out: &mut Vec<u8>, kind: u8, body: impl FnOnce(&mut Vec<u8>)) {
-    out.push(kind);
+/// Writes a message: the type byte, the length, and the contents written by `body`.
+pub fn write_message(out: &mut Vec<u8>, message_type: u8, body: impl FnOnce(&mut Vec<u8>)) {
+    out.push(message_type);
     let at = out.len();
     out.extend([0; 4]);
     body(out);
@@ -119,7 +120,8 @@
     });
 }
 
-/// RowDescription, a DataRow for each row, and CommandComplete. An INSERT without rows has no RowDescription.
+/// Writes RowDescription, a DataRow for each row, and CommandComplete. RowDescription is omitted for an INSERT without
+/// rows.
 pub fn result(rows: &Rows, returns_rows: bool, out: &mut Vec<u8>) {
     if returns_rows || !rows.cells.is_empty() {
         row_description(out, &rows.columns);
@@ -135,11 +137,11 @@
         body.extend((columns.len() as u16).to_be_bytes());
         for name in columns {
             write_string(body, name);
-            body.extend([0; 6]); // No table, no column of it.
+            body.extend([0; 6]); // Table OID and column attribute number: not a table column.
             body.extend(TEXT_OID.to_be_bytes());
-            body.extend((NONE as i16).to_be_bytes()); // Size of the type.
+            body.extend((NONE as i16).to_be_bytes()); // Data type size.
             body.extend(NONE.to_be_bytes()); // Type modifier.
-            body.extend([0; 2]); // Format: text.
+            body.extend([0; 2]); // Format code: text.
         }
     });
 }
--- a/gateway/src/front/pg/mod.rs
+++ b/gateway/src/front/pg/mod.rs
@@ -1,8 +1,8 @@
-//! The PostgreSQL protocol, version 3.0, with simple queries: a client session without I/O. Names are those of the
-//! protocol's documentation.
+//! The server side of the PostgreSQL protocol, version 3.0, with the simple query protocol only. Messages and states
+//! have the names of the PostgreSQL documentation.
 //!
-//! A [`Session`] reads one message at a time and writes what needs no decision; the final answer to a request is
-//! written by [`Session::answer`]. While a request is open, no further message is read.
+//! [`Session::read`] parses one message at a time and writes the responses that need no decision.
+//! [`Session::answer`] writes the response to the open request. No message is read while a request is open.
 
 use super::{ClientCommand, ClientRequest, DisconnectReason, ExecutionMode, FinalAnswer, Payload, fields};
 
@@ -13,48 +13,49 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    /// The start-up packet is awaited.
+    /// Waiting for a StartupMessage, SSLRequest, GSSENCRequest or CancelRequest.
     StartUp,
     /// Ready for a query.
     Ready,
-    /// A request is open; what comes behind it waits.
+    /// A request is open. Further messages stay in the input buffer.
     Busy,
-    /// After an error in the extended query protocol, up to its Sync.
+    /// After an error in the extended query protocol. Messages are discarded until Sync.
     SkippingToSync,
     Closed,
 }
 
-/// What BackendKeyData tells a client, and its CancelRequest has to carry.
+/// Cancellation key: sent to the client in BackendKeyData and expected in its CancelRequest.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct BackendKey {
-    /// The session's id.
+    /// Identifies the session. It is not the ID of an operating system process.
     pub process_id: u32,
-    /// The session's secret key.
+    /// Must match for a CancelRequest to take effect.
     pub secret: u32,
 }
 
-/// One session.
+/// The protocol state of one client connection.
 pub struct Session {
     state: State,
     key: BackendKey,
-    /// The open statement is no INSERT: what its CommandComplete says.
+    /// False for an INSERT. Selects the command tag of CommandComplete.
     returns_rows: bool,
-    /// The longest message taken, in bytes; a longer one ends the session.
+    /// Limit of a message's length field, in bytes. A longer message closes the session.
     max_message_bytes: usize,
 }
 
 impl Session {
-    /// A session that a client has just opened; `key` is what its CancelRequest will carry.
+    /// Creates a session that waits for its start-up packet.
     pub fn new(key: BackendKey, max_message_bytes: usize) -> Self {
         Self { state: State::StartUp, key, returns_rows: true, max_message_bytes }
     }
 
-    /// Continues a session that was idle.
+    /// Restores an idle session from its cancellation key.
     pub fn resume(key: BackendKey, max_message_bytes: usize) -> Self {
         Self { state: State::Ready, ..Self::new(key, max_message_bytes) }
     }
 
-    /// Ends the session with an error. Where a retry is safe, the SQLSTATE is of class 53 or says so.
+    /// Closes the session with an error. If a retry is safe, the SQLSTATE is of class 53 or is
+    /// `cannot_connect_now`.
     pub fn disconnect(&mut self, reason: DisconnectReason, out: &mut Vec<u8>) {
         let (sqlstate, text) = match reason {
             DisconnectReason::TooManyConnections => (sqlstate::TOO_MANY_CONNECTIONS, "too many connections"),
@@ -68,23 +69,23 @@
         self.fatal(out, sqlstate, text);
     }
 
-    /// Whether its client has yet to start it.
+    /// Whether the session is in the start-up phase.
     pub fn is_starting(&self) -> bool {
         self.state == State::StartUp
     }
 
-    /// Whether it is idle, so that nothing but its key must be kept.
+    /// Whether the session is between requests. An idle session can be restored from its key alone.
     pub fn is_idle(&self) -> bool {
         self.state == State::Ready
     }
 
-    /// Whether a request is open here.
+    /// Whether a request is open.
     pub fn is_busy(&self) -> bool {
         self.state == State::Busy
     }
 
-    /// Reads one message from `input`, writes to `out` what needs no decision. `None`: more must come, or the open
-    /// request must end, first.
+    /// Reads one message from `input` and writes any immediate response to `out`. Returns `None` if the message is
+    /// incomplete, a request is open, or the session is closed.
     pub fn read(&mut self, input: &mut Vec<u8>, out: &mut Vec<u8>) -> Option<ClientCommand> {
         match self.state {
             State::Closed | State::Busy => None,
@@ -94,8 +95,8 @@
     }
 
     fn read_message(&mut self, input: &mut Vec<u8>, out: &mut Vec<u8>) -> Option<ClientCommand> {
-        let [kind, length @ ..] = input.get(..5)? else { return None };
-        let (kind, length) = (*kind, be32(length) as usize);
+        let [message_type, length @ ..] = input.get(..5)? else { return None };
+        let (message_type, length) = (*message_type, be32(length) as usize);
         if length < 4 {
             return Some(self.fatal(out, sqlstate::PROTOCOL_VIOLATION, "invalid message length"));
         }
@@ -106,11 +107,11 @@
             return None;
         }
         let body: Vec<u8> = input.drain(..=length).skip(5).collect();
-        Some(self.message(kind, &body, out))
+        Some(self.message(message_type, &body, out))
     }
 
-    fn message(&mut self, kind: u8, body: &[u8], out: &mut Vec<u8>) -> ClientCommand {
-        match FrontendMessage::of(kind) {
+    fn message(&mut self, message_type: u8, body: &[u8], out: &mut Vec<u8>) -> ClientCommand {
+        match FrontendMessage::of(message_type) {
             FrontendMessage::Terminate => {
                 self.state = State::Closed;
                 ClientCommand::Close
@@ -172,15 +173,15 @@
         ClientCommand::Close
     }
 
-    /// Answers the open request as invalid, for fields that only the settings can check.
+    /// Answers the open request with a syntax error, for fields whose values are not in the settings.
     pub fn answer_invalid(&mut self, text: &str, out: &mut Vec<u8>) {
         self.state = State::Ready;
         self.invalid(text, out);
     }
 
-    /// Writes the final answer to the open request.
+    /// Writes the response to the open request.
     pub fn answer(&mut self, answer: FinalAnswer<'_>, out: &mut Vec<u8>) {
-        debug_assert!(self.is_busy(), "an answer without a request");
+        debug_assert!(self.is_busy(), "no request is open");
         self.state = State::Ready;
         let mut error = |sqlstate, text: &str| messages::error_response(out, "ERROR", sqlstate, text);
         match answer {
@@ -188,7 +189,7 @@
             FinalAnswer::Served(Payload::MySql(_)) => {
                 error(sqlstate::INTERNAL_ERROR, "the result has another form");
             }
-            // SQLSTATE class 53 says that a retry is safe.
+            // Clients take SQLSTATE class 53 (insufficient resources) as a safe retry.
             FinalAnswer::Rejected(None) => error(sqlstate::INSUFFICIENT_RESOURCES, "refused"),
             FinalAnswer::Rejected(Some(ms)) => {
                 error(sqlstate::INSUFFICIENT_RESOURCES, &format!("refused, w={ms}"));
--- a/gateway/src/front/pg/startup.rs
+++ b/gateway/src/front/pg/startup.rs
@@ -1,4 +1,4 @@
-//! The start-up phase: StartupMessage, SSLRequest, GSSENCRequest and CancelRequest.
+//! Start-up phase of the PostgreSQL protocol: StartupMessage, SSLRequest, GSSENCRequest and CancelRequest.
 
 use super::messages::{
     authentication_ok, backend_key_data, be32, parameter_status, ready_for_query, sqlstate,
@@ -9,15 +9,15 @@
 const MAX_STARTUP_PACKET_BYTES: usize = 10_000;
 const CANCEL_REQUEST_BYTES: usize = 16;
 
-/// The protocol version of a StartupMessage.
+/// Protocol version number in StartupMessage.
 const PROTOCOL_3_0: u32 = 3 << 16;
 const CANCEL_REQUEST_CODE: u32 = (1234 << 16) | 5678;
 const SSL_REQUEST_CODE: u32 = (1234 << 16) | 5679;
 const GSSENC_REQUEST_CODE: u32 = (1234 << 16) | 5680;
-/// The response to an SSLRequest or a GSSENCRequest: the client goes on without encryption.
+/// Response to SSLRequest and GSSENCRequest: encryption is not available.
 const NO_ENCRYPTION: u8 = b'N';
 
-/// What the server reports by ParameterStatus.
+/// Run-time parameters reported by ParameterStatus.
 const PARAMETERS: [(&str, &str); 6] = [
     ("server_version", "15.0 (wrenhatch)"),
     ("server_encoding", "UTF8"),
--- a/gateway/src/front/table_group.rs
+++ b/gateway/src/front/table_group.rs
@@ -1,25 +1,25 @@
-//! The group of tables that a statement names, found by a tokenizer for SQL.
+//! Finds the table group that a SQL statement refers to, with a minimal SQL tokenizer.
 
 use std::borrow::Cow;
 
-/// Keywords before the name of a table.
+/// Keywords that precede a table name.
 const TABLE_KEYWORDS: [&str; 5] = ["from", "join", "into", "update", "table"];
-/// Keywords that may stand between those and the name.
+/// Keywords that may stand between a table keyword and the table name.
 const TABLE_MODIFIERS: [&str; 2] = ["only", "table"];
-/// The schema that belongs to no group, whatever its number.
+/// Name of the schemas that belong to no group, without the number.
 const STAGING_SCHEMA: &str = "staging";
 
 #[derive(Debug, PartialEq)]
 enum Token<'a> {
-    /// A keyword or a name, quoted or not.
+    /// A keyword or an identifier, quoted or not.
     Word(Cow<'a, str>),
     Dot,
     Other,
 }
 
-/// The group of tables: the number behind the underscore in the schema that the statement names, as in
-/// `sales_17.orders`. A schema counts where a table is named (after FROM, JOIN, INTO, UPDATE or TABLE); an alias such
-/// as `a_3.day` elsewhere is none, nor is `staging`, nor what stands in strings and comments.
+/// Returns the table group of a statement: the numeric suffix of the first numbered schema, as in `sales_17.orders`.
+/// Only schemas of table names (after FROM, JOIN, INTO, UPDATE or TABLE) are considered. Aliases such as `a_3.day`, the
+/// `staging` schemas, and the contents of strings and comments are ignored.
 pub fn table_group(statement: &[u8]) -> Option<u64> {
     let tokens = tokenize(statement);
     let is_keyword = |at: usize, keywords: &[&str]| {
@@ -41,7 +41,7 @@
     }
 }
 
-/// The parts of a name such as `database.schema.table`.
+/// Returns the parts of a qualified name such as `database.schema.table`.
 fn qualified_name<'t>(tokens: &'t [Token<'_>], mut at: usize) -> Vec<&'t str> {
     let mut parts = Vec::new();
     while let Some(part) = word(tokens, at) {
@@ -62,7 +62,7 @@
     number.parse().ok()
 }
 
-/// The tokens outside comments; a string is one token without its content.
+/// Splits a statement into tokens. Comments are skipped. A string literal is a single token without its contents.
 fn tokenize(text: &[u8]) -> Vec<Token<'_>> {
     let mut tokens = Vec::new();
     let mut at = 0;
@@ -74,7 +74,7 @@
     tokens
 }
 
-/// The token that begins at `at`, if something other than blanks or a comment does, and where the next one begins.
+/// Returns the token at `at` and the position after it. Whitespace and comments yield no token.
 fn next_token(text: &[u8], at: usize) -> (Option<Token<'_>>, usize) {
     match text[at] {
         b'-' if text.get(at + 1) == Some(&b'-') => (None, find(text, at, b"\n").unwrap_or(text.len())),
@@ -100,11 +100,11 @@
     b.is_ascii_alphanumeric() || b == b'_' || b >= 0x80
 }
 
-fn find(text: &[u8], from: usize, what: &[u8]) -> Option<usize> {
-    text.get(from..).and_then(|rest| rest.windows(what.len()).position(|w| w == what)).map(|n| from + n)
+fn find(text: &[u8], from: usize, target: &[u8]) -> Option<usize> {
+    text.get(from..).and_then(|rest| rest.windows(target.len()).position(|w| w == target)).map(|n| from + n)
 }
 
-/// Where the comment ends that begins at `at`; comments nest.
+/// Returns the position after the block comment that begins at `at`. Block comments nest.
 fn block_comment_end(text: &[u8], at: usize) -> usize {
     let (mut depth, mut end) = (1, at + 2);
     while depth > 0 && end < text.len() {
@@ -117,7 +117,8 @@
     end
 }
 
-/// Where the string ends whose quote is at `at`. Backslashes escape in E'..' only.
+/// Returns the position after the string literal whose opening quote is at `at`. Backslash escapes are recognised in
+/// `E'...'` only.
 fn string_end(text: &[u8], at: usize) -> usize {
     let has_e_before = at > 0 && matches!(text[at - 1], b'e' | b'E');
     let has_escapes = has_e_before && (at < 2 || !is_word_byte(text[at - 2]));
@@ -136,7 +137,8 @@
     end + 1
 }
 
-/// Where the string `$tag$..$tag$` ends that begins at `at`; a parameter such as `$1` is its sign alone.
+/// Returns the position after the dollar-quoted string `$tag$...$tag$` that begins at `at`. For a parameter such as
+/// `$1`, returns the position after the dollar sign.
 fn dollar_quote_end(text: &[u8], at: usize) -> usize {
     let tag_end = text[at + 1..].iter().position(|b| !is_word_byte(*b)).map(|n| at + 1 + n);
     match tag_end.filter(|end| text[*end] == b'$' && !text[at + 1].is_ascii_digit()) {
--- a/gateway/src/front/table_group/tests.rs
+++ b/gateway/src/front/table_group/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn group_comes_from_the_schema_of_a_table_only() {
+fn the_group_is_taken_from_the_schema_of_a_table_name() {
     let group = |s: &str| table_group(s.as_bytes());
     assert_eq!(group("SELECT day FROM sales_17.orders WHERE tag = '3f9c' GROUP BY day"), Some(17));
     assert_eq!(group("SELECT 'from x_1.y' FROM -- from x_2.y\n /* from x_3.y */ a_4.b"), Some(4));
