--- a/gateway/src/admin/call.rs
+++ b/gateway/src/admin/call.rs
@@ -1,50 +1,50 @@
-//! Calls to the admin interface: HTTP/1.1 requests parsed from bytes, responses written to bytes, without I/O.
+//! Parser for the HTTP/1.1 requests of the admin interface, and encoder for its responses.
 
 use std::fmt::Write;
 
-/// Bytes that the head of a call may have.
+/// Maximum length of a call's request line and header section.
 pub const MAX_CALL_BYTES: usize = 4096;
 const MAX_HEADERS: usize = 32;
-/// Bytes that an engine's name may have in a path, encoded.
+/// Maximum length of an engine's name in a path, before percent-decoding.
 const MAX_ENCODED_NAME_BYTES: usize = 256;
 
-/// What an operator asks for.
+/// An operator's call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AdminCall {
-    /// `GET /status`: whether this process takes clients.
+    /// `GET /status`: reports whether this process accepts clients.
     Status,
-    /// `GET /status/metrics`: the metrics.
+    /// `GET /status/metrics`: returns [`super::metrics::Metrics::text`].
     Metrics,
-    /// `PUT /maintenance/enter/ID`: exclude the engine of this name.
+    /// `PUT /maintenance/enter/ID`: excludes the engine with this name from new attempts.
     EnterMaintenance(String),
-    /// `PUT /maintenance/exit/ID`: the engine of this name may serve again.
+    /// `PUT /maintenance/exit/ID`: makes the engine with this name available again.
     ExitMaintenance(String),
 }
 
-/// Why a call is answered with an error.
+/// Error response to a call. Its text is the content of the response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CallError {
-    /// It is not HTTP.
+    /// The data is not an HTTP/1.1 request.
     #[error("this is no call in HTTP/1.1")]
     NotHttp,
-    /// Its head is longer than [`MAX_CALL_BYTES`] or has too many fields.
+    /// The header section exceeds [`MAX_CALL_BYTES`] or has too many fields.
     #[error("the head of the call is too long")]
     TooLong,
-    /// It has a body.
+    /// The call has content, which no method accepts.
     #[error("calls here have no body")]
     HasBody,
-    /// There is no such path.
+    /// No resource exists at the path.
     #[error(
         "no such path; there are /status, /status/metrics, /maintenance/enter/ID and /maintenance/exit/ID"
     )]
     UnknownPath,
-    /// The path is there for another method.
+    /// The resource does not support the method.
     #[error("not with this method: /status is for GET, /maintenance for PUT")]
     WrongMethod,
-    /// No engine of this name was ever in the endpoint list.
+    /// The endpoint list has never contained an engine with this name.
     #[error("no engine of this id was ever in the list")]
     UnknownEngine,
-    /// The process is shutting down, or another takes its place.
+    /// The process is shutting down or was replaced by its successor.
     #[error("this process takes no new clients any more")]
     ShuttingDown,
 }
@@ -61,10 +61,10 @@
     }
 }
 
-/// Parses a call; `None` while it is not complete.
+/// Parses a call. Returns `None` while it is incomplete.
 ///
 /// # Errors
-/// What is wrong with it. Nothing more is to be read then.
+/// The call is invalid. No further data must be read from the connection.
 pub fn read(bytes: &[u8]) -> Result<Option<AdminCall>, CallError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
@@ -75,7 +75,7 @@
         Err(httparse::Error::TooManyHeaders) => return Err(CallError::TooLong),
         Err(_) => return Err(CallError::NotHttp),
     }
-    if request.headers.iter().any(announces_body) {
+    if request.headers.iter().any(signals_body) {
         return Err(CallError::HasBody);
     }
     let (method, path) = (request.method.unwrap_or(""), request.path.unwrap_or(""));
@@ -87,7 +87,7 @@
     if method == allowed_method { Ok(Some(call)) } else { Err(CallError::WrongMethod) }
 }
 
-fn announces_body(header: &httparse::Header<'_>) -> bool {
+fn signals_body(header: &httparse::Header<'_>) -> bool {
     header.name.eq_ignore_ascii_case("transfer-encoding")
         || header.name.eq_ignore_ascii_case("content-length") && header.value.trim_ascii() != b"0"
 }
@@ -119,7 +119,7 @@
     String::from_utf8(bytes).ok()
 }
 
-/// Writes a response: 200 with this text, or an error's status and message.
+/// Writes a response: status 200 with the text, or the status and message of the error.
 pub fn write_response(response: Result<&str, CallError>, out: &mut Vec<u8>) {
     let (status_line, text) = match response {
         Ok(text) => ("200 OK", text.to_owned()),
--- a/gateway/src/admin/call/tests.rs
+++ b/gateway/src/admin/call/tests.rs
@@ -5,7 +5,7 @@
 }
 
 #[test]
-fn calls_are_read_and_everything_else_gets_its_error() {
+fn calls_are_parsed_and_invalid_ones_have_their_errors() {
     assert_eq!(call("GET /status"), Ok(Some(AdminCall::Status)));
     assert_eq!(call("GET /status/metrics"), Ok(Some(AdminCall::Metrics)));
     assert_eq!(call("PUT /maintenance/enter/s-00c4"), Ok(Some(AdminCall::EnterMaintenance("s-00c4".into()))));
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_call_may_come_byte_by_byte() {
+fn a_call_may_arrive_byte_by_byte() {
     let whole = b"PUT /maintenance/enter/e1 HTTP/1.1\r\nHost: gateway\r\nContent-Length: 0\r\n\r\n";
     for n in 0..whole.len() {
         assert_eq!(read(&whole[..n]), Ok(None), "{n}");
@@ -43,7 +43,7 @@
 }
 
 quickcheck::quickcheck! {
-    fn random_bytes_are_never_a_call_and_responses_state_their_length(bytes: Vec<u8>) -> bool {
+    fn random_bytes_are_not_a_call_and_responses_have_a_content_length(bytes: Vec<u8>) -> bool {
         let mut out = Vec::new();
         write_response(Err(CallError::UnknownPath), &mut out);
         let text = String::from_utf8(out).unwrap();
--- a/gateway/src/admin/metrics.rs
+++ b/gateway/src/admin/metrics.rs
@@ -1,64 +1,64 @@
-//! The metrics that operators fetch: counts of each class since the start of the process, and gauges.
+//! Metrics of the admin interface: counters per class since the start of the process, and gauges.
 //!
-//! The names of the figures as printed are fixed by the operators' pages.
+//! Operators' tools depend on the printed names.
 
 use std::fmt::Write;
 
 use workload_manager::ClassId;
 
-/// Counts of one class.
+/// Counters of one class.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClassMetrics {
-    /// Requests served.
+    /// Requests answered with a complete result.
     pub served: u64,
-    /// Requests rejected.
+    /// Requests answered with an error after which a retry is safe. Printed as `refused`.
     pub rejected: u64,
-    /// Requests failed.
+    /// Requests answered with any other error.
     pub failed: u64,
-    /// Attempts forwarded to engines.
+    /// Attempts forwarded to engines, including retries.
     pub attempts: u64,
 }
 
-/// How a request ended.
+/// The outcome of a request, for the counters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestEnd {
-    /// All rows.
+    /// The client received a complete result.
     Served,
-    /// A retry is safe.
+    /// The client received an error after which a retry is safe.
     Rejected,
-    /// Any other error.
+    /// The client received any other error.
     Failed,
 }
 
-/// Values that are read when the metrics are requested.
+/// Values sampled when the metrics are requested.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Gauges {
-    /// Requests taken and not ended.
+    /// Requests received and not yet answered.
     pub in_flight: usize,
-    /// Engines in the endpoint list.
+    /// Number of engines in the endpoint list.
     pub engines_known: usize,
-    /// Of these, those that get no new attempts: draining, in maintenance, ejected or resting.
+    /// Number of these engines that receive no new attempts: draining, in maintenance, ejected or cooling down.
     pub engines_excluded: usize,
 }
 
-/// The counts of all classes, by name: one that other settings change counts on.
+/// Counters of all classes. They are kept by name, so that they survive a change of the settings.
 #[derive(Clone, Debug)]
 pub struct Metrics {
     classes: Vec<(String, ClassMetrics)>,
-    /// By [`ClassId`], the index into `classes`.
+    /// Index into `classes` by [`ClassId`].
     index_by_class: Vec<usize>,
 }
 
 impl Metrics {
-    /// Nothing counted yet, for classes of these names.
+    /// Creates counters with value 0 for classes with these names.
     pub fn new<'a>(names: impl IntoIterator<Item = &'a str>) -> Self {
         let mut metrics = Self { classes: Vec::new(), index_by_class: Vec::new() };
         metrics.rename(names);
         metrics
     }
 
-    /// Takes over other settings: the names of the classes by [`ClassId`], of which some may be the same. The counts
-    /// of a name stay while a class has it.
+    /// Replaces the names of the classes, given in the order of [`ClassId`]. Classes with the same name share their
+    /// counters. The counters of a name are kept as long as a class has the name.
     pub fn rename<'a>(&mut self, names: impl IntoIterator<Item = &'a str>) {
         let old = std::mem::take(&mut self.classes);
         self.index_by_class.clear();
@@ -72,12 +72,12 @@
         }
     }
 
-    /// The counts of a class. Classes come from the settings, so that they are always there.
+    /// Returns the counters of a class. Panics if the class is not in the settings.
     pub fn class(&mut self, class: ClassId) -> &mut ClassMetrics {
         &mut self.classes[self.index_by_class[class.0]].1
     }
 
-    /// Counts the end of a request.
+    /// Increments the counter of a request's outcome.
     pub fn ended(&mut self, class: ClassId, end: RequestEnd) {
         let c = self.class(class);
         *match end {
@@ -87,18 +87,18 @@
         } += 1;
     }
 
-    /// The metrics as printed: a line for each figure.
+    /// Formats the metrics, with a line for each value.
     pub fn text(&self, gauges: Gauges) -> String {
         let mut text = String::new();
         // Writing to a string never fails.
         for (name, c) in &self.classes {
-            let figures = [
+            let counters = [
                 ("served", c.served),
                 ("refused", c.rejected),
                 ("failed", c.failed),
                 ("attempts", c.attempts),
             ];
-            for (what, n) in figures {
+            for (what, n) in counters {
                 let _ = writeln!(text, "edge_lb.{what}.{name}={n}");
             }
         }
--- a/gateway/src/admin/metrics/tests.rs
+++ b/gateway/src/admin/metrics/tests.rs
@@ -1,22 +1,22 @@
 use super::*;
 
 #[test]
-fn each_figure_has_a_line_of_its_own() {
+fn each_value_has_its_own_line() {
     let mut metrics = Metrics::new(["lookup", "load"]);
     metrics.ended(ClassId(0), RequestEnd::Served);
     metrics.ended(ClassId(1), RequestEnd::Rejected);
     metrics.ended(ClassId(1), RequestEnd::Failed);
     metrics.class(ClassId(1)).attempts += 2;
     let text = metrics.text(Gauges { in_flight: 3, engines_known: 8, engines_excluded: 1 });
-    let wanted = "edge_lb.served.lookup=1\nedge_lb.refused.lookup=0\nedge_lb.failed.lookup=0\n\
+    let expected = "edge_lb.served.lookup=1\nedge_lb.refused.lookup=0\nedge_lb.failed.lookup=0\n\
                   edge_lb.attempts.lookup=0\nedge_lb.served.load=0\nedge_lb.refused.load=1\n\
                   edge_lb.failed.load=1\nedge_lb.attempts.load=2\nedge_lb.in_flight=3\n\
                   edge_lb.engines_known=8\nedge_lb.engines_excluded=1\n";
-    assert_eq!(text, wanted);
+    assert_eq!(text, expected);
 }
 
 #[test]
-fn a_name_counts_on_whatever_numbers_it_has() {
+fn counters_of_a_class_name_survive_a_change_of_class_ids() {
     let mut m = Metrics::new(["lookup", "load"]);
     m.ended(ClassId(1), RequestEnd::Served);
     m.rename(["lookup", "load", "load"]);
--- a/gateway/src/admin/mod.rs
+++ b/gateway/src/admin/mod.rs
@@ -1,7 +1,6 @@
-//! The admin interface: status, metrics and maintenance of engines, over HTTP/1.1, without I/O.
+//! The admin interface over HTTP/1.1: status, metrics, and maintenance of engines. Performs no I/O.
 //!
-//! `net/admin.rs` carries it out: it reads a call with [`call::read`], does what the call asks for, and answers with
-//! [`call::write_response`].
+//! `net/admin.rs` reads a call with [`call::read`], executes it, and responds with [`call::write_response`].
 
 pub mod call;
 pub mod metrics;
--- a/gateway/src/engine/http/exchange.rs
+++ b/gateway/src/engine/http/exchange.rs
@@ -1,5 +1,5 @@
-//! The exchange of one attempt: called for until it ends, then page after page. Only when all pages are here has it
-//! succeeded, so that the request can be retried when its engine is lost between pages.
+//! The exchange of one attempt: polls for progress until the query ends, then fetches the result page by page. The
+//! attempt succeeds once all pages were received, so that the request can be retried if the engine fails between pages.
 
 use workload_manager::{LoadReport, Outcome};
 
@@ -13,27 +13,27 @@
     query_id: String,
     pages: Pages,
     cancelled: bool,
-    /// The awaited response is that to the call that starts it, when first written.
+    /// The next response answers the call that starts the query, rather than a later or repeated call.
     starting: bool,
-    /// The newest load report that came along: further pages bring none.
+    /// Latest load report. Kept here, as responses with further pages carry none.
     pub load_report: Option<LoadReport>,
 }
 
-/// What a response means for the attempt.
+/// The effect of a response on the attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
-    /// The next call has been written.
+    /// The next call was written to the output buffer.
     CallWritten,
-    /// The attempt was cancelled and still runs; no further call is written.
+    /// The query was cancelled but is still running. No further call is written.
     StillRunning,
-    /// This can't have been the engine's response as it was meant. The query itself may be well.
+    /// The response does not fit the call. The query itself may still be running.
     Unusable,
-    /// It has ended.
+    /// The attempt has ended.
     Ended(Outcome),
 }
 
 impl Exchange {
-    /// An attempt whose start is being written.
+    /// Creates the exchange of an attempt whose first call is being written.
     pub fn new(query_id: &str) -> Self {
         Self {
             query_id: query_id.to_owned(),
@@ -44,23 +44,23 @@
         }
     }
 
-    /// Writes a call for the one whose response was lost: for a progress report, or for the page that is next.
+    /// Writes a call that replaces one whose response was lost. It requests a progress report or the next page.
     pub fn repeat_call(&mut self, out: &mut Vec<u8>) {
         self.starting = false;
         get(&self.query_id, self.pages.next_page(), out);
     }
 
-    /// Bytes of the result that are held so far.
+    /// Memory of the pages received so far, in bytes.
     pub fn held_bytes(&self) -> usize {
         self.pages.allocated_bytes()
     }
 
-    /// It is being cancelled: no further call is written.
+    /// Records that the query is being cancelled. No further calls are written.
     pub fn cancel(&mut self) {
         self.cancelled = true;
     }
 
-    /// Takes a response, and writes the next call to `out` if there is one.
+    /// Handles a response, and writes the next call to `out` if there is one.
     pub fn on_response(&mut self, response: &mut Response, out: &mut Vec<u8>) -> Step {
         self.load_report = response.load_report.or(self.load_report);
         let starting = std::mem::replace(&mut self.starting, false);
@@ -78,14 +78,14 @@
                 get(&self.query_id, self.pages.next_page(), out);
                 Step::CallWritten
             }
-            // Only these prove that it never ran, and only for the call that starts it: after a response that it
-            // runs, or over another connection, perhaps to another engine at its address, they may mean the call for
-            // a progress report. The same status without the mark may hide anything.
+            // `X-Shed` proves that the query never ran only in the response to the call that starts it. Later, or over
+            // another connection, the header may refer to a progress call, or come from another engine at the same
+            // address. Without the header, these status codes say nothing about the query.
             status::SERVICE_UNAVAILABLE if response.shed && starting => Step::Ended(Outcome::Rejected),
             status::GATEWAY_TIMEOUT if response.shed && starting => Step::Ended(Outcome::NeverSent),
             status::SERVICE_UNAVAILABLE | status::GATEWAY_TIMEOUT if response.shed => Step::Unusable,
-            // The engine took the cancellation before it answered the last call. That it does not know the query any
-            // more is the end that was wanted, and no fault of the engine's.
+            // The engine processed the cancellation before it responded to the last call. An error for a query that no
+            // longer exists is expected then.
             status::OK | status::INTERNAL_SERVER_ERROR if self.cancelled => Step::Ended(Outcome::Cancelled),
             status::INTERNAL_SERVER_ERROR | status::SERVICE_UNAVAILABLE | status::GATEWAY_TIMEOUT => {
                 Step::Ended(Outcome::Error)
@@ -94,7 +94,7 @@
         }
     }
 
-    /// The rows of all pages; `None` if they are no table.
+    /// Returns the rows of all pages. `None` if a row is incomplete or the rows differ in their number of columns.
     pub fn rows(&self) -> Option<Rows> {
         self.pages.rows()
     }
--- a/gateway/src/engine/http/load_report.rs
+++ b/gateway/src/engine/http/load_report.rs
@@ -1,9 +1,9 @@
-//! Load reports, as the header `X-Meter` has them.
+//! Parser for load reports in the header field `X-Meter`.
 
 use workload_manager::LoadReport;
 
-/// Parses a load report such as `inflight:7;util:0.61`. The settings say what x0 and x1 stand for. Unknown names and
-/// values that are no numbers are ignored.
+/// Parses a load report such as `inflight:7;util:0.61`. `extras` has the meanings of `x0` and `x1` from the settings.
+/// Unknown names and non-numeric values are ignored.
 pub fn parse(text: &str, extras: &[String; 2]) -> LoadReport {
     let mut report = LoadReport::default();
     for (name, value) in text.split(';').filter_map(|part| part.split_once(':')) {
--- a/gateway/src/engine/http/mod.rs
+++ b/gateway/src/engine/http/mod.rs
@@ -1,8 +1,8 @@
-//! The engines' HTTP protocol: requests, responses, and the exchange of one attempt, without I/O.
+//! The engines' HTTP protocol: encodes calls, parses responses, and tracks the exchange of one attempt, without I/O.
 //!
-//! An attempt is started by [`post`]; its [`Exchange`] takes each [`Response`] that [`read`] finds, says what it means
-//! for the attempt and writes the next call. Names on the wire (`X-Ticket`, `X-Meter`, ...) are mapped in `request` and
-//! `response` alone.
+//! [`post`] writes the call that starts an attempt. Each [`Response`] parsed by [`read`] is passed to the attempt's
+//! [`Exchange`], which determines its effect and writes the next call. Header names such as `X-Ticket` and `X-Meter`
+//! occur in `request` and `response` only.
 
 mod exchange;
 mod load_report;
@@ -15,17 +15,16 @@
 pub use request::{Start, delete, get, post, put_priority};
 pub use response::{NotHttp, Response, read};
 
-/// The longest head or body of a response, in bytes.
+/// Maximum length of a response's header section, and of its content.
 pub const MAX_RESPONSE_BYTES: usize = 16 * 1024;
 
-/// How long a call for a progress report may stand at the engine before its response, in microseconds.
-const PROGRESS_CALL_US: u64 = 250_000;
-/// An engine drops a query that it has had no call for in 2 s, and every time limit of the protocol is 50 ms longer; in
-/// microseconds.
-const DROPPED_WITHOUT_CALL_US: u64 = 2_050_000;
-/// How long an engine that says nothing more may run a query after the last call for it was written, in microseconds:
-/// while that call stands at the engine, the query is not dropped.
-pub const MAX_RUN_AFTER_LAST_CALL_US: u64 = PROGRESS_CALL_US + DROPPED_WITHOUT_CALL_US;
+/// Maximum time for which an engine delays the response to a progress call (long polling).
+const MAX_PROGRESS_POLL_US: u64 = 250_000;
+/// Time without a call after which an engine drops a query: 2 s, plus the protocol's tolerance of 50 ms.
+const QUERY_EXPIRY_US: u64 = 2_050_000;
+/// Time after the last call was written beyond which an unresponsive engine no longer runs the query. The engine can't
+/// drop the query while it delays the response to that call.
+pub const MAX_RUN_AFTER_LAST_CALL_US: u64 = MAX_PROGRESS_POLL_US + QUERY_EXPIRY_US;
 
 #[cfg(test)]
 mod tests;
--- a/gateway/src/engine/http/pages.rs
+++ b/gateway/src/engine/http/pages.rs
@@ -1,48 +1,48 @@
-//! The pages of a result: lines of rows, each of cells that tabs separate.
+//! Result pages: rows are terminated by LF, and cells are separated by tabs.
 
 use crate::front::Rows;
 
 use super::Response;
 
-/// A page holds at most so many bytes.
+/// Maximum length of a page.
 pub const MAX_PAGE_BYTES: usize = 6_000;
-/// A result holds at most so many bytes, on pages of at least one row each.
+/// Maximum total length of the pages of a result.
 const MAX_RESULT_BYTES: usize = 48_000;
 const MAX_PAGES: u32 = 1_000;
-/// Columns of a result without rows.
+/// Number of columns of a result without rows.
 const DEFAULT_COLUMNS: usize = 3;
 
-/// The pages of a result that have come so far.
+/// The pages of a result received so far.
 #[derive(Debug, Default)]
 pub struct Pages {
     pages: Vec<Vec<u8>>,
-    /// Columns of the rows so far.
+    /// Number of columns. `None` until a page with rows was received.
     columns: Option<usize>,
-    /// How many there are in all, once the first has come.
+    /// Total number of pages, from the first page. 0 before.
     page_count: u32,
 }
 
 impl Pages {
-    /// The number of the page that is next.
+    /// Number of the next page, from 0.
     pub fn next_page(&self) -> u32 {
         self.pages.len() as u32
     }
 
-    /// Whether all pages are here.
+    /// Whether all pages were received.
     pub fn is_complete(&self) -> bool {
         self.next_page() >= self.page_count
     }
 
-    /// Bytes allocated for the pages.
+    /// Memory allocated for the pages, in bytes.
     pub fn allocated_bytes(&self) -> usize {
         self.pages.iter().map(Vec::capacity).sum()
     }
 
-    /// Whether a response 200 is the page that is next, and complete: page 0 names the number of pages, a further one
-    /// its own, and each holds complete rows that have as many columns as those before.
+    /// Whether a response with status 200 contains the next page. Page 0 must have `Page-Count`, and each further page
+    /// its number in `Page-No`. A page must consist of complete rows with the same number of columns as earlier rows.
     pub fn is_next(&self, response: &Response) -> bool {
         let next = self.next_page();
-        let is_named = if next == 0 {
+        let is_numbered = if next == 0 {
             response.page_count.is_some_and(|n| n <= MAX_PAGES) && response.page_no.unwrap_or(0) == 0
         } else {
             response.page_no == Some(next)
@@ -52,14 +52,14 @@
         let columns = column_count(page);
         let has_same_columns = columns == self.columns || self.columns.is_none() || page.is_empty();
         let is_complete = page.is_empty() || columns.is_some();
-        is_named
+        is_numbered
             && is_complete
             && has_same_columns
             && page.len() <= MAX_PAGE_BYTES
             && bytes + page.len() <= MAX_RESULT_BYTES
     }
 
-    /// Adds the page of a response; see [`Pages::is_next`].
+    /// Appends the page of a response for which [`Pages::is_next`] returned true.
     pub fn push(&mut self, response: &mut Response) {
         if self.pages.is_empty() {
             self.page_count = response.page_count.unwrap_or(1);
@@ -68,7 +68,7 @@
         self.pages.push(std::mem::take(&mut response.body));
     }
 
-    /// The rows of all pages; `None` if they are no table.
+    /// Returns the rows of all pages. `None` if a row is incomplete or the rows differ in their number of columns.
     pub fn rows(&self) -> Option<Rows> {
         let mut rows = Rows::default();
         for page in self.pages.iter().filter(|page| !page.is_empty()) {
@@ -95,7 +95,7 @@
     (1..=count).map(|n| format!("c{n}")).collect()
 }
 
-/// How many columns the rows of a page have; `None` where they differ, the last is cut off, or there are none.
+/// Returns the number of columns of a page. `None` if its rows differ, the last row is incomplete, or there is no row.
 fn column_count(page: &[u8]) -> Option<usize> {
     let (b'\n', rows) = page.split_last()? else { return None };
     let mut counts = rows.split(|b| *b == b'\n').map(|row| row.iter().filter(|b| **b == b'\t').count() + 1);
--- a/gateway/src/engine/http/request.rs
+++ b/gateway/src/engine/http/request.rs
@@ -1,23 +1,23 @@
-//! Requests to an engine, written to a buffer. Writing to a buffer never fails.
+//! Encoders for the calls to an engine. Errors of `write!` are ignored, as writing to a `Vec` never fails.
 
 use std::io::Write;
 
-/// What starts a query on an engine.
+/// The parameters of the call that starts a query.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Start<'a> {
-    /// The query id.
+    /// Sent as `X-Ticket`. Identifies the query in all further calls.
     pub query_id: &'a str,
-    /// The class's name.
+    /// Name of the request's class, sent as `X-Queue`.
     pub class: &'a str,
-    /// The statement.
+    /// SQL text, sent as the content.
     pub statement: &'a [u8],
-    /// How long it is waited for, in milliseconds.
+    /// Time for which the gateway waits for the result, in milliseconds.
     pub max_ms: u64,
-    /// Memory to grant, in MB; 0: the engine's choice.
+    /// Memory grant in MB, rounded up. If 0, the engine chooses the grant.
     pub memory_mb: f64,
-    /// Its priority, 0 to 3.
+    /// 0 to 3.
     pub priority: u8,
-    /// The client's idempotency key, by which engines know a repeat of the same work.
+    /// Key by which engines recognise a repeated request, sent as `X-Nonce`.
     pub idempotency_key: Option<&'a str>,
 }
 
@@ -38,7 +38,7 @@
     out.extend(start.statement);
 }
 
-/// Writes the call for a progress report and the first page (page 0), or for a further page.
+/// Writes the call that requests a page. For page 0, the engine responds with a progress report until the page exists.
 pub fn get(query_id: &str, page: u32, out: &mut Vec<u8>) {
     let _ = write!(out, "GET /data/{query_id}/{page} HTTP/1.1\r\nHost: engine\r\n\r\n");
 }
--- a/gateway/src/engine/http/response.rs
+++ b/gateway/src/engine/http/response.rs
@@ -1,4 +1,4 @@
-//! Responses of an engine, read from a buffer.
+//! Parser for the HTTP/1.1 responses of an engine.
 
 use workload_manager::{LoadReport, Progress};
 
@@ -7,45 +7,45 @@
 const MAX_HEADER_FIELDS: usize = 48;
 const NOT_MODIFIED: u16 = 304;
 
-/// A response.
+/// The parts of a response that the gateway uses.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Response {
-    /// Status code.
+    /// Status code, see [`status`].
     pub status: u16,
-    /// `X-Shed`: it proves that nothing ran.
+    /// `X-Shed: 1`: proves that the query did not run, if this is the response to the call that starts it.
     pub shed: bool,
-    /// `Page-Count`.
+    /// `Page-Count`: total number of pages of the result.
     pub page_count: Option<u32>,
-    /// `Page-No`.
+    /// `Page-No`: number of this page, from 0.
     pub page_no: Option<u32>,
-    /// `X-Remark` with `Figure`.
+    /// `X-Remark` with its value in `Figure`.
     pub progress: Option<Progress>,
-    /// `X-Meter`.
+    /// `X-Meter`, parsed with the meanings that the settings give to `x0` and `x1`.
     pub load_report: Option<LoadReport>,
-    /// The content.
+    /// Content, without any transfer coding.
     pub body: Vec<u8>,
-    /// The engine closes the connection after it.
+    /// The engine closes the connection after this response.
     pub close: bool,
 }
 
-/// A response that can't be read.
+/// Received data that is not a valid HTTP response, or exceeds [`MAX_RESPONSE_BYTES`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("the engine's answer is no HTTP")]
-pub struct NotHttp;
+#[error("not a valid HTTP response")]
+pub struct InvalidResponse;
 
-/// How the end of the content is found.
+/// Header fields that determine the length of the content (RFC 9112, section 6).
 #[derive(Clone, Copy, Debug, Default)]
 struct Framing {
     content_length: Option<usize>,
     chunked: bool,
 }
 
-/// Takes one response out of `input`; `None` while it is not complete. Informational responses (1xx) are skipped.
-/// `extras` says what x0 and x1 of a load report stand for.
+/// Removes one response from `input`. Returns `None` while the response is incomplete. Informational responses (1xx)
+/// are skipped. `extras` has the meanings of `x0` and `x1` in load reports.
 ///
 /// # Errors
-/// What came is not HTTP, or longer than [`MAX_RESPONSE_BYTES`].
-pub fn read(input: &mut Vec<u8>, extras: &[String; 2]) -> Result<Option<Response>, NotHttp> {
+/// The input is not a valid HTTP response, or exceeds [`MAX_RESPONSE_BYTES`].
+pub fn read(input: &mut Vec<u8>, extras: &[String; 2]) -> Result<Option<Response>, InvalidResponse> {
     loop {
         match read_one(input, extras)? {
             Some(Response { status: 100..=199, .. }) => {}
@@ -54,12 +54,12 @@
     }
 }
 
-fn read_one(input: &mut Vec<u8>, extras: &[String; 2]) -> Result<Option<Response>, NotHttp> {
+fn read_one(input: &mut Vec<u8>, extras: &[String; 2]) -> Result<Option<Response>, InvalidResponse> {
     let mut fields = [httparse::EMPTY_HEADER; MAX_HEADER_FIELDS];
     let mut head = httparse::Response::new(&mut fields);
-    let body_start = match head.parse(input).map_err(|_| NotHttp)? {
+    let body_start = match head.parse(input).map_err(|_| InvalidResponse)? {
         httparse::Status::Complete(length) => length,
-        httparse::Status::Partial if input.len() > MAX_RESPONSE_BYTES => return Err(NotHttp),
+        httparse::Status::Partial if input.len() > MAX_RESPONSE_BYTES => return Err(InvalidResponse),
         httparse::Status::Partial => return Ok(None),
     };
     let is_http_1_0 = head.version == Some(0);
@@ -79,18 +79,18 @@
     fields: &[httparse::Header<'_>],
     extras: &[String; 2],
     response: &mut Response,
-) -> Result<Framing, NotHttp> {
+) -> Result<Framing, InvalidResponse> {
     let mut framing = Framing::default();
     let (mut remark, mut figure) = (None, 0.0);
     for field in fields {
-        let value = std::str::from_utf8(field.value).map_err(|_| NotHttp)?.trim();
-        let number = || value.parse::<u32>().map_err(|_| NotHttp);
+        let value = std::str::from_utf8(field.value).map_err(|_| InvalidResponse)?.trim();
+        let number = || value.parse::<u32>().map_err(|_| InvalidResponse);
         match field.name.to_ascii_lowercase().as_str() {
             "content-length" => {
-                let length = value.parse::<usize>().map_err(|_| NotHttp)?;
-                // Two different lengths: the end of the response would be a guess.
+                let length = value.parse::<usize>().map_err(|_| InvalidResponse)?;
+                // Conflicting lengths are an unrecoverable error (RFC 9112, section 6.3).
                 if framing.content_length.replace(length).is_some_and(|other| other != length) {
-                    return Err(NotHttp);
+                    return Err(InvalidResponse);
                 }
             }
             "transfer-encoding" => framing.chunked = value.eq_ignore_ascii_case("chunked"),
@@ -118,40 +118,40 @@
     }
 }
 
-/// Reads the body after `start`; where it ends, or `None` while it is not complete.
+/// Reads a body whose length is determined by the header section. Returns its end, or `None` while it is incomplete.
 fn read_sized_body(
     input: &[u8],
     start: usize,
     framing: Framing,
     response: &mut Response,
-) -> Result<Option<usize>, NotHttp> {
+) -> Result<Option<usize>, InvalidResponse> {
     let length = match (response.status, framing.content_length) {
         (100..=199 | status::NO_CONTENT | NOT_MODIFIED, _) => 0,
-        // A result without a stated length could not be told from one that was cut off.
-        (status::OK, None) => return Err(NotHttp),
+        // Without a length, a result that ends with the connection could be truncated undetected.
+        (status::OK, None) => return Err(InvalidResponse),
         (_, length) => length.unwrap_or(0),
     };
     if length > MAX_RESPONSE_BYTES {
-        return Err(NotHttp);
+        return Err(InvalidResponse);
     }
     let Some(body) = input.get(start..start + length) else { return Ok(None) };
     response.body.extend(body);
     Ok(Some(start + length))
 }
 
-/// Reads the chunked body after `start`; where it ends, or `None` while it is not complete.
-fn read_chunked_body(input: &[u8], start: usize, body: &mut Vec<u8>) -> Result<Option<usize>, NotHttp> {
+/// Reads a body in the chunked transfer coding. Returns its end, or `None` while it is incomplete.
+fn read_chunked_body(input: &[u8], start: usize, body: &mut Vec<u8>) -> Result<Option<usize>, InvalidResponse> {
     let mut at = start;
     loop {
-        let (chunk_start, length) = match httparse::parse_chunk_size(&input[at..]).map_err(|_| NotHttp)? {
+        let (chunk_start, length) = match httparse::parse_chunk_size(&input[at..]).map_err(|_| InvalidResponse)? {
             httparse::Status::Complete((size_line, length)) => (at + size_line, length as usize),
             httparse::Status::Partial => return Ok(None),
         };
         if length > MAX_RESPONSE_BYTES || body.len() + length > MAX_RESPONSE_BYTES {
-            return Err(NotHttp);
+            return Err(InvalidResponse);
         }
         let chunk_end = chunk_start + length;
-        // Each chunk is followed by CR LF.
+        // The chunk data is followed by CRLF.
         let Some(chunk) = input.get(chunk_start..chunk_end + 2) else { return Ok(None) };
         body.extend(&chunk[..length]);
         at = chunk_end + 2;
--- a/gateway/src/engine/http/status.rs
+++ b/gateway/src/engine/http/status.rs
@@ -1,14 +1,14 @@
-//! The status codes that engines answer with, and what they mean for a query.
+//! Status codes of engine responses, and their meanings in the engines' protocol.
 
-/// A page of the result.
+/// The content is a page of the result.
 pub const OK: u16 = 200;
-/// The query runs.
+/// The query is running.
 pub const ACCEPTED: u16 = 202;
-/// The call was taken; there is nothing to say of the query.
+/// The call was accepted. The response carries no information about the query.
 pub const NO_CONTENT: u16 = 204;
-/// The query failed, or the engine does not know it.
+/// The query failed, or the engine has no query with this id.
 pub const INTERNAL_SERVER_ERROR: u16 = 500;
-/// An error; with the mark that the query never ran, the engine rejected it.
+/// The query failed. With `X-Shed`, the engine rejected it before it ran.
 pub const SERVICE_UNAVAILABLE: u16 = 503;
-/// An error; with the mark that the query never ran, it did not reach the engine.
+/// The query failed. With `X-Shed`, it did not reach the engine.
 pub const GATEWAY_TIMEOUT: u16 = 504;
--- a/gateway/src/engine/http/tests.rs
+++ b/gateway/src/engine/http/tests.rs
@@ -19,13 +19,13 @@
     [String::new(), String::new()]
 }
 
-fn answer(text: &str) -> Response {
+fn response(text: &str) -> Response {
     read(&mut text.as_bytes().to_vec(), &no_extras()).unwrap().unwrap()
 }
 
 #[test]
-fn an_idempotency_key_is_sent_beside_the_query_id() {
-    let start = |token| {
+fn an_idempotency_key_is_sent_with_the_query_id() {
+    let start = |idempotency_key| {
         let (query_id, class, statement) = ("9b1f03aa5c7e2d41", "batch", b"SELECT 1".as_slice());
         let mut out = Vec::new();
         post(
@@ -36,7 +36,7 @@
                 max_ms: 9,
                 memory_mb: 0.0,
                 priority: 1,
-                idempotency_key: token,
+                idempotency_key: idempotency_key,
             },
             &mut out,
         );
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn responses_are_read_when_complete() {
+fn incomplete_responses_are_not_parsed() {
     let text = b"HTTP/1.1 200 OK\r\nPage-Count: 2\r\nX-Meter: queue:3;util:0.5\r\nContent-Length: 6\r\n\r\na\tb\tc\nHTTP";
     for cut in 0..text.len() - 4 {
         assert_eq!(read(&mut text[..cut].to_vec(), &no_extras()), Ok(None), "{cut} bytes");
@@ -60,23 +60,23 @@
 }
 
 #[test]
-fn chunked_bodies_are_joined() {
-    let r = answer("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n1\r\nc\r\n0\r\n\r\n");
+fn chunked_bodies_are_decoded() {
+    let r = response("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n1\r\nc\r\n0\r\n\r\n");
     assert_eq!(r.body, b"abc");
 }
 
 #[test]
-fn other_protocols_and_endless_heads_are_errors() {
-    assert_eq!(read(&mut b"220 smtp ready\r\n".to_vec(), &no_extras()), Err(NotHttp));
+fn other_protocols_and_oversized_header_sections_are_errors() {
+    assert_eq!(read(&mut b"220 smtp ready\r\n".to_vec(), &no_extras()), Err(InvalidResponse));
     let long = format!("HTTP/1.1 200 OK\r\nX: {}", "a".repeat(MAX_RESPONSE_BYTES));
-    assert_eq!(read(&mut long.into_bytes(), &no_extras()), Err(NotHttp));
+    assert_eq!(read(&mut long.into_bytes(), &no_extras()), Err(InvalidResponse));
 }
 
 #[test]
-fn each_response_has_its_outcome() {
+fn status_and_shed_header_determine_the_outcome() {
     let end = |text: &str| {
         let mut out = Vec::new();
-        Exchange::new("aa").on_response(&mut answer(text), &mut out)
+        Exchange::new("aa").on_response(&mut response(text), &mut out)
     };
     let empty = "Content-Length: 0\r\n\r\n";
     assert_eq!(end(&format!("HTTP/1.1 503 x\r\nX-Shed: 1\r\n{empty}")), Step::Ended(Outcome::Rejected));
@@ -85,39 +85,39 @@
     assert_eq!(end(&format!("HTTP/1.1 500 x\r\nX-Shed: 1\r\n{empty}")), Step::Ended(Outcome::Error));
     assert_eq!(end(&format!("HTTP/1.1 202 x\r\n{empty}")), Step::CallWritten);
     assert_eq!(end(&format!("HTTP/1.1 404 x\r\n{empty}")), Step::Unusable);
-    assert_eq!(end(&format!("HTTP/1.1 200 x\r\n{empty}")), Step::Unusable, "it names no pages");
+    assert_eq!(end(&format!("HTTP/1.1 200 x\r\n{empty}")), Step::Unusable, "Page-Count is missing");
     assert_eq!(end(&format!("HTTP/1.1 200 x\r\nPage-Count: 4000000000\r\n{empty}")), Step::Unusable);
 }
 
 #[test]
-fn only_the_first_response_to_the_start_proves_that_nothing_ran() {
+fn only_the_first_response_to_the_start_call_proves_that_nothing_ran() {
     let empty = "Content-Length: 0\r\n\r\n";
     for status in [503, 504] {
-        let shed = answer(&format!("HTTP/1.1 {status} x\r\nX-Shed: 1\r\n{empty}"));
+        let shed = response(&format!("HTTP/1.1 {status} x\r\nX-Shed: 1\r\n{empty}"));
         let mut out = Vec::new();
         let mut e = Exchange::new("aa");
-        let later = answer(&format!("HTTP/1.1 202 x\r\n{empty}"));
-        assert_eq!(e.on_response(&mut later.clone(), &mut out), Step::CallWritten);
-        assert_eq!(e.on_response(&mut shed.clone(), &mut out), Step::Unusable, "{status} on a progress call");
+        let accepted = response(&format!("HTTP/1.1 202 x\r\n{empty}"));
+        assert_eq!(e.on_response(&mut accepted.clone(), &mut out), Step::CallWritten);
+        assert_eq!(e.on_response(&mut shed.clone(), &mut out), Step::Unusable, "{status} to a progress call");
         let mut e = Exchange::new("aa");
         e.repeat_call(&mut out);
-        assert_eq!(e.on_response(&mut shed.clone(), &mut out), Step::Unusable, "{status} on a repeated call");
+        assert_eq!(e.on_response(&mut shed.clone(), &mut out), Step::Unusable, "{status} to a repeated call");
         let mut e = Exchange::new("aa");
-        let page = answer("HTTP/1.1 200 OK\r\nPage-Count: 2\r\nContent-Length: 2\r\n\r\na\n");
+        let page = response("HTTP/1.1 200 OK\r\nPage-Count: 2\r\nContent-Length: 2\r\n\r\na\n");
         assert_eq!(e.on_response(&mut page.clone(), &mut out), Step::CallWritten);
-        assert_eq!(e.on_response(&mut shed.clone(), &mut out), Step::Unusable, "{status} on a page");
+        assert_eq!(e.on_response(&mut shed.clone(), &mut out), Step::Unusable, "{status} to a page call");
     }
 }
 
 #[test]
-fn an_exchange_ends_when_all_pages_have_come() {
+fn an_exchange_succeeds_when_all_pages_were_received() {
     let mut e = Exchange::new("aa");
     let mut out = Vec::new();
     let first = "HTTP/1.1 200 OK\r\nPage-Count: 2\r\nContent-Length: 6\r\n\r\na\tb\tc\n";
-    assert_eq!(e.on_response(&mut answer(first), &mut out), Step::CallWritten);
+    assert_eq!(e.on_response(&mut response(first), &mut out), Step::CallWritten);
     assert!(out.starts_with(b"GET /data/aa/1 "));
     let second = "HTTP/1.1 200 OK\r\nPage-No: 1\r\nContent-Length: 5\r\n\r\nd\t\tf\n";
-    assert_eq!(e.on_response(&mut answer(second), &mut out), Step::Ended(Outcome::Success));
+    assert_eq!(e.on_response(&mut response(second), &mut out), Step::Ended(Outcome::Success));
     let rows = e.rows().unwrap();
     assert_eq!(rows.rows().count(), 2);
     assert_eq!(rows.cells[4].as_deref(), Some(b"".as_slice()));
@@ -130,27 +130,27 @@
     let mut out = Vec::new();
     let empty = "Content-Length: 0\r\n\r\n";
     assert_eq!(
-        e.on_response(&mut answer(&format!("HTTP/1.1 202 x\r\n{empty}")), &mut out),
+        e.on_response(&mut response(&format!("HTTP/1.1 202 x\r\n{empty}")), &mut out),
         Step::StillRunning
     );
     assert_eq!(out, b"", "no further call is written");
-    let gone = answer(&format!("HTTP/1.1 500 x\r\n{empty}"));
-    assert_eq!(e.on_response(&mut gone.clone(), &mut out), Step::Ended(Outcome::Cancelled));
+    let error = response(&format!("HTTP/1.1 500 x\r\n{empty}"));
+    assert_eq!(e.on_response(&mut error.clone(), &mut out), Step::Ended(Outcome::Cancelled));
 }
 
 #[test]
 fn the_load_report_of_the_first_page_is_kept() {
     let mut e = Exchange::new("aa");
     let first = "HTTP/1.1 200 OK\r\nPage-Count: 2\r\nX-Meter: queue:2\r\nContent-Length: 2\r\n\r\na\n";
-    e.on_response(&mut answer(first), &mut Vec::new());
+    e.on_response(&mut response(first), &mut Vec::new());
     let second = "HTTP/1.1 200 OK\r\nPage-No: 1\r\nContent-Length: 2\r\n\r\nb\n";
-    assert_eq!(e.on_response(&mut answer(second), &mut Vec::new()), Step::Ended(Outcome::Success));
+    assert_eq!(e.on_response(&mut response(second), &mut Vec::new()), Step::Ended(Outcome::Success));
     assert_eq!(e.load_report.and_then(|r| r.queued), Some(2.0));
 }
 
 #[test]
 fn informational_responses_are_skipped() {
-    let r = answer("HTTP/1.1 103 x\r\nLink: a\r\n\r\nHTTP/1.1 102 y\r\n\r\nHTTP/1.1 202 z\r\n\r\n");
+    let r = response("HTTP/1.1 103 x\r\nLink: a\r\n\r\nHTTP/1.1 102 y\r\n\r\nHTTP/1.1 202 z\r\n\r\n");
     assert_eq!(r.status, 202);
     assert_eq!(read(&mut b"HTTP/1.1 100 x\r\n\r\nHTTP".to_vec(), &no_extras()), Ok(None));
 }
@@ -159,16 +159,16 @@
 fn contradictory_or_missing_lengths_are_errors() {
     for lengths in ["Content-Length: 2\r\nContent-Length: 3\r\n", "Content-Length: -1\r\n", ""] {
         let text = format!("HTTP/1.1 200 x\r\n{lengths}\r\na\n");
-        assert_eq!(read(&mut text.into_bytes(), &no_extras()), Err(NotHttp), "{lengths}");
+        assert_eq!(read(&mut text.into_bytes(), &no_extras()), Err(InvalidResponse), "{lengths}");
     }
     let huge = "HTTP/1.1 200 x\r\nContent-Length: 3000000000\r\n\r\n";
-    assert_eq!(read(&mut huge.as_bytes().to_vec(), &no_extras()), Err(NotHttp));
+    assert_eq!(read(&mut huge.as_bytes().to_vec(), &no_extras()), Err(InvalidResponse));
 }
 
 #[test]
-fn a_page_of_cut_or_uneven_rows_is_unusable_and_can_be_called_for_again() {
+fn a_page_with_truncated_or_uneven_rows_is_rejected_and_can_be_requested_again() {
     let page = |head: &str, body: &str| {
-        answer(&format!("HTTP/1.1 200 OK\r\n{head}\r\nContent-Length: {}\r\n\r\n{body}", body.len()))
+        response(&format!("HTTP/1.1 200 OK\r\n{head}\r\nContent-Length: {}\r\n\r\n{body}", body.len()))
     };
     let mut out = Vec::new();
     let mut e = Exchange::new("aa");
@@ -176,8 +176,8 @@
         assert_eq!(e.on_response(&mut page("Page-Count: 2", body), &mut out), Step::Unusable);
     }
     assert_eq!(e.on_response(&mut page("Page-Count: 2", "a\tb\n"), &mut out), Step::CallWritten);
-    assert_eq!(e.on_response(&mut page("Page-No: 1", "c\n"), &mut out), Step::Unusable, "narrower");
-    assert_eq!(e.on_response(&mut page("Page-No: 2", "c\td\n"), &mut out), Step::Unusable, "another page");
+    assert_eq!(e.on_response(&mut page("Page-No: 1", "c\n"), &mut out), Step::Unusable, "fewer columns");
+    assert_eq!(e.on_response(&mut page("Page-No: 2", "c\td\n"), &mut out), Step::Unusable, "wrong page number");
     out.clear();
     e.repeat_call(&mut out);
     assert!(out.starts_with(b"GET /data/aa/1 "));
@@ -190,7 +190,7 @@
 fn an_error_for_a_page_ends_the_exchange_with_an_error() {
     let mut e = Exchange::new("aa");
     let first = "HTTP/1.1 200 OK\r\nPage-Count: 2\r\nContent-Length: 6\r\n\r\na\tb\tc\n";
-    e.on_response(&mut answer(first), &mut Vec::new());
+    e.on_response(&mut response(first), &mut Vec::new());
     let lost = "HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n";
-    assert_eq!(e.on_response(&mut answer(lost), &mut Vec::new()), Step::Ended(Outcome::Error));
+    assert_eq!(e.on_response(&mut response(lost), &mut Vec::new()), Step::Ended(Outcome::Error));
 }
--- a/gateway/src/engine/mod.rs
+++ b/gateway/src/engine/mod.rs
@@ -1,4 +1,5 @@
-//! Engine protocols: HTTP ([`http`]) and MySQL ([`mysql`]). Each is a state machine over bytes, without I/O or decisions.
+//! Engine protocols: the client side of HTTP ([`http`]) and MySQL ([`mysql`]), as state machines over byte buffers.
+//! They perform no I/O and make no routing or retry decisions.
 
 pub mod http;
 pub mod mysql;
--- a/gateway/src/engine/mysql/commands.rs
+++ b/gateway/src/engine/mysql/commands.rs
@@ -1,24 +1,24 @@
-//! The command phase: the commands that execute work.
+//! Command phase of the MySQL protocol: writes the commands that prepare and execute statements.
 
-use super::{Session, State, Work};
+use super::{Session, State, Statement};
 use crate::mysql_protocol::command::{
     COM_QUERY, COM_STMT_CLOSE, COM_STMT_EXECUTE, COM_STMT_PREPARE, PARAMETER_COUNT_AVAILABLE,
 };
 use crate::mysql_protocol::{capabilities, write_lenenc_int, write_packet, write_parameters};
 
-/// Statements that a connection keeps prepared; the least recently used is closed for the next.
+/// Maximum number of prepared statements on a connection. The least recently used one is closed when it is exceeded.
 const MAX_PREPARED_STATEMENTS: usize = 64;
 
 impl Session {
-    /// Starts work on a connection that is ready.
-    pub fn start(&mut self, work: Work, out: &mut Vec<u8>) {
+    /// Starts a statement on a connection that is ready.
+    pub fn start(&mut self, statement: Statement, out: &mut Vec<u8>) {
         debug_assert!(self.is_ready());
         (self.executed, self.result_bytes) = (false, 0);
-        let to_prepare = match &work {
-            Work::Execute(sql, ..) if !self.prepared.contains_key(sql) => Some(sql.clone()),
+        let to_prepare = match &statement {
+            Statement::Execute(sql, ..) if !self.prepared.contains_key(sql) => Some(sql.clone()),
             _ => None,
         };
-        self.work = Some(work);
+        self.statement = Some(statement);
         match to_prepare {
             Some(sql) => {
                 self.close_least_recently_used(out);
@@ -28,26 +28,26 @@
         }
     }
 
-    /// Starts a KILL of another connection of the same engine, with the statement that runs there.
+    /// Starts a KILL statement for another connection of the same engine, which also ends the statement running on it.
     pub fn kill(&mut self, connection_id: u32, out: &mut Vec<u8>) {
-        self.start(Work::Query(format!("KILL {connection_id}").into_bytes(), Vec::new()), out);
+        self.start(Statement::Query(format!("KILL {connection_id}").into_bytes(), Vec::new()), out);
     }
 
-    /// Writes the command that executes the work.
+    /// Writes the command that executes the statement.
     pub fn execute(&mut self, out: &mut Vec<u8>) {
-        let (command, body) = match &self.work {
+        let (command, body) = match &self.statement {
             None => return,
-            Some(Work::Query(sql, attributes)) => {
+            Some(Statement::Query(sql, attributes)) => {
                 let mut body = Vec::new();
                 if self.has_capability(capabilities::CLIENT_QUERY_ATTRIBUTES) {
                     write_lenenc_int(&mut body, attributes.len() as u64);
-                    body.push(1); // One set of parameters.
+                    body.push(1); // parameter_set_count; always 1.
                     write_parameters(&mut body, attributes, true);
                 }
                 body.extend(sql);
                 (COM_QUERY, body)
             }
-            Some(Work::Execute(..)) => {
+            Some(Statement::Execute(..)) => {
                 let Some(body) = self.execute_body() else { return };
                 (COM_STMT_EXECUTE, body)
             }
@@ -57,10 +57,10 @@
         self.state = State::Running;
     }
 
-    /// The body of COM_STMT_EXECUTE; `None` if the work's statement is not prepared.
+    /// Returns the body of COM_STMT_EXECUTE. `None` if the statement is not prepared on this connection.
     fn execute_body(&mut self) -> Option<Vec<u8>> {
         let has_attributes = self.has_capability(capabilities::CLIENT_QUERY_ATTRIBUTES);
-        let Some(Work::Execute(sql, parameters, attributes)) = &self.work else { return None };
+        let Some(Statement::Execute(sql, parameters, attributes)) = &self.statement else { return None };
         self.executions += 1;
         let prepared = self.prepared.get_mut(sql)?;
         prepared.last_use = self.executions;
@@ -70,7 +70,7 @@
             parameters.extend(attributes.iter().cloned());
         }
         body.push(if has_attributes { PARAMETER_COUNT_AVAILABLE } else { 0 });
-        body.extend(1_u32.to_le_bytes()); // Iterations; always one.
+        body.extend(1_u32.to_le_bytes()); // iteration_count; always 1.
         if has_attributes {
             write_lenenc_int(&mut body, parameters.len() as u64);
         }
--- a/gateway/src/engine/mysql/handshake.rs
+++ b/gateway/src/engine/mysql/handshake.rs
@@ -1,4 +1,4 @@
-//! The connection phase: handshake and authentication.
+//! Connection phase of the MySQL protocol: HandshakeV10, HandshakeResponse41 and AuthSwitchRequest.
 
 use super::{Event, Session, State, WANTED_CAPABILITIES};
 use crate::mysql_protocol::{
@@ -22,7 +22,7 @@
         let capabilities = capabilities_low | (reader.int(2)? as u32) << 16;
         let challenge_length = reader.int(1)? as usize;
         let _reserved = reader.bytes(10)?;
-        // The rest of the challenge, without its terminating NUL.
+        // auth-plugin-data-part-2, without its terminating NUL.
         challenge.extend(reader.bytes(challenge_length.saturating_sub(9).clamp(12, 32))?);
         self.capabilities = capabilities & WANTED_CAPABILITIES;
         self.write_handshake_response(&challenge, out);
@@ -43,7 +43,8 @@
         write_packet(out, &mut self.sequence, &payload);
     }
 
-    /// Reads the engine's verdict, or its AuthSwitchRequest, which is answered for the one plugin that is supported.
+    /// Reads the OK packet that completes authentication, or an AuthSwitchRequest. Of the authentication plugins, only
+    /// `mysql_native_password` is supported.
     pub(super) fn authentication_response(
         &mut self,
         payload: &[u8],
@@ -56,7 +57,7 @@
         let mut reader = Reader(&payload[1..]);
         let is_switch_request = payload[0] == EOF_HEADER;
         if !is_switch_request || reader.nul_terminated_string()? != MYSQL_NATIVE_PASSWORD.as_bytes() {
-            let message = "it wants a method of authentication other than mysql_native_password";
+            let message = "the engine requires an authentication plugin other than mysql_native_password";
             let error = SqlError::new(error_code::ER_NOT_SUPPORTED_AUTH_MODE, "08004", message);
             return Ok(Some(Event::ConnectionRejected(error)));
         }
--- a/gateway/src/engine/mysql/mod.rs
+++ b/gateway/src/engine/mysql/mod.rs
@@ -1,9 +1,9 @@
-//! The MySQL protocol towards an engine: one connection, without I/O.
+//! The client side of the MySQL protocol, over one connection to an engine.
 //!
-//! A [`Session`] authenticates, then executes one [`Work`] at a time: [`Session::start`] writes its first command,
-//! [`Session::read`] turns what the engine sends into [`Event`]s. A statement with parameters is prepared on the
-//! connection first and executed by [`Session::execute`] after [`Event::Prepared`], so that its attempt can still be
-//! called off in between.
+//! A [`Session`] authenticates, then executes one [`Statement`] at a time: [`Session::start`] writes the first command,
+//! and [`Session::read`] parses the engine's packets into [`Event`]s. A statement with parameters is prepared on the
+//! connection first and executed by [`Session::execute`] after [`Event::Prepared`], so that the attempt can still be
+//! cancelled in between.
 
 use std::collections::BTreeMap;
 
@@ -15,66 +15,66 @@
 mod handshake;
 mod responses;
 
-/// The capabilities that the gateway uses where an engine has them.
+/// Capability flags that the gateway sets if the engine has set them.
 const WANTED_CAPABILITIES: u32 = capabilities::BASE
     | capabilities::CLIENT_PLUGIN_AUTH
     | capabilities::CLIENT_DEPRECATE_EOF
     | capabilities::CLIENT_QUERY_ATTRIBUTES;
 
-/// The account of the gateway at its engines.
+/// The gateway's account on MySQL engines.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Login {
-    /// User.
+    /// From `[mysql.login]` in the operator's file.
     pub user: String,
-    /// Password.
+    /// From the same section. Empty if the account has no password.
     pub password: String,
 }
 
-/// What a connection is to execute.
+/// A statement to be executed over a connection.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Work {
-    /// A statement as text, with query attributes.
+pub enum Statement {
+    /// SQL text and query attributes, for COM_QUERY.
     Query(Vec<u8>, Vec<Parameter>),
-    /// A prepared statement with its parameters, and query attributes.
+    /// SQL text, parameters and query attributes, for COM_STMT_PREPARE and COM_STMT_EXECUTE.
     Execute(Vec<u8>, Vec<Parameter>, Vec<Parameter>),
 }
 
-/// What the engine's packets mean.
+/// The effect of one or more packets from the engine.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// The connection takes work.
+    /// The connection is authenticated and ready for a statement.
     Ready,
-    /// The statement of the work is prepared here; [`Session::execute`] executes it.
+    /// The statement is prepared on this connection. [`Session::execute`] executes it.
     Prepared,
-    /// The work is done.
+    /// The statement was executed, or failed with a statement error (see [`SqlError::is_statement_error`]).
     Completed(ResultSet),
-    /// The engine rejected the connection: nothing ran.
+    /// The engine rejected the connection. No statement was executed.
     ConnectionRejected(SqlError),
-    /// The work ended in an error of the engine's.
+    /// The statement failed with an error that another engine might not report.
     Failed(SqlError),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    /// The engine's handshake is awaited.
+    /// Waiting for HandshakeV10.
     AwaitingHandshake,
-    /// The handshake response is written.
+    /// HandshakeResponse41 was written.
     Authenticating,
-    /// Ready for work.
+    /// Ready for a statement.
     Idle,
-    /// COM_STMT_PREPARE is written.
+    /// COM_STMT_PREPARE was written.
     Preparing,
-    /// So many packets of the response to COM_STMT_PREPARE are still to come.
+    /// Reading the definitions after COM_STMT_PREPARE_OK. Holds the number of remaining packets.
     PreparedDefinitions(usize),
-    /// The statement is prepared and not executed.
+    /// The statement is prepared but not yet executed.
     Prepared,
-    /// COM_QUERY or COM_STMT_EXECUTE is written.
+    /// COM_QUERY or COM_STMT_EXECUTE was written.
     Running,
-    /// So many column definitions are still to come.
+    /// Reading column definitions. Holds the number of remaining ones.
     ColumnDefinitions(usize),
-    /// The EOF packet behind the column definitions is still to come.
+    /// Waiting for the EOF packet after the column definitions.
     ColumnsEof,
-    /// Rows are coming.
+    /// Reading rows.
     Rows,
 }
 
@@ -82,32 +82,32 @@
 #[derive(Clone, Copy, Debug)]
 struct PreparedStatement {
     statement_id: u32,
-    /// Which of the connection's executions was its last.
+    /// Value of the session's `executions` at the latest execution of this statement.
     last_use: u64,
 }
 
-/// One connection.
+/// The protocol state of one connection to an engine.
 pub struct Session {
     state: State,
     login: Login,
-    /// Capabilities that both sides have.
+    /// Capability flags set by both engine and gateway.
     capabilities: u32,
-    /// The engine's id of this connection, for KILL.
+    /// Assigned by the engine. Argument of KILL.
     pub connection_id: u32,
     sequence: u8,
-    /// By text of the statement.
+    /// By SQL text.
     prepared: BTreeMap<Vec<u8>, PreparedStatement>,
     executions: u64,
-    work: Option<Work>,
+    statement: Option<Statement>,
     columns: Vec<Vec<u8>>,
     rows: Vec<Vec<u8>>,
     result_bytes: usize,
-    /// The command that executes the work has been written.
+    /// The command that executes the statement was written.
     executed: bool,
 }
 
 impl Session {
-    /// A connection that awaits its engine's handshake.
+    /// Creates a session for a new connection, which waits for the engine's handshake.
     pub fn new(login: Login) -> Self {
         Self {
             state: State::AwaitingHandshake,
@@ -117,7 +117,7 @@
             sequence: 0,
             prepared: BTreeMap::new(),
             executions: 0,
-            work: None,
+            statement: None,
             columns: Vec::new(),
             rows: Vec::new(),
             result_bytes: 0,
@@ -125,30 +125,30 @@
         }
     }
 
-    /// Whether work can be given to it.
+    /// Whether the connection is ready for a statement.
     pub fn is_ready(&self) -> bool {
         self.state == State::Idle
     }
 
-    /// Whether its engine has yet to accept it.
+    /// Whether the session is in the connection phase.
     pub fn is_authenticating(&self) -> bool {
         matches!(self.state, State::AwaitingHandshake | State::Authenticating)
     }
 
-    /// Whether the work may have run: false until the first byte that executes it was written.
+    /// Whether the engine may have executed the statement. False until the command that executes it is written.
     pub fn may_have_run(&self) -> bool {
         self.executed
     }
 
-    /// Whether this statement is prepared here.
+    /// Whether this statement is prepared on the connection.
     pub fn has_prepared(&self, sql: &[u8]) -> bool {
         self.prepared.contains_key(sql)
     }
 
-    /// Reads packets from `input` up to the next event, and writes what the engine is owed for them to `out`.
+    /// Reads packets from `input` until an event occurs, and writes any immediate responses to `out`.
     ///
     /// # Errors
-    /// What came is not the protocol; the connection is of no more use.
+    /// The input violates the protocol, or a result is too large. The connection must be closed.
     pub fn read(&mut self, input: &mut Vec<u8>, out: &mut Vec<u8>) -> Result<Option<Event>, PacketError> {
         while let Some((sequence, payload)) = read_packet(input)? {
             self.sequence = sequence.wrapping_add(1);
@@ -167,10 +167,10 @@
         match self.state {
             State::AwaitingHandshake => self.handshake(&payload, out).map(|()| None),
             State::Authenticating => self.authentication_response(&payload, out),
-            // No packet is awaited.
+            // No packet is expected.
             State::Idle | State::Prepared => Err(PacketError::Malformed),
             State::Preparing => self.prepare_response(&payload),
-            State::PreparedDefinitions(left) => Ok(self.prepared_definitions_left(left - 1)),
+            State::PreparedDefinitions(remaining) => Ok(self.prepared_definitions_remaining(remaining - 1)),
             State::Running | State::ColumnDefinitions(_) | State::ColumnsEof | State::Rows => {
                 self.result_packet(header, payload)
             }
--- a/gateway/src/engine/mysql/responses.rs
+++ b/gateway/src/engine/mysql/responses.rs
@@ -1,54 +1,54 @@
-//! The command phase: responses to COM_STMT_PREPARE, COM_QUERY and COM_STMT_EXECUTE.
+//! Command phase of the MySQL protocol: reads the responses to COM_STMT_PREPARE, COM_QUERY and COM_STMT_EXECUTE.
 
-use super::{Event, PreparedStatement, Session, State, Work};
+use super::{Event, PreparedStatement, Session, State, Statement};
 use crate::mysql_protocol::{
     EOF_HEADER, OK_HEADER, PacketError, Reader, ResultSet, SqlError, capabilities, error_code,
 };
 
-/// Bytes that a result may take.
+/// Maximum memory of a result.
 const MAX_RESULT_BYTES: usize = 128 * 1024;
-/// What a packet of a result takes beside its payload, in bytes.
+/// Memory of a result's packet in addition to its payload.
 const PACKET_OVERHEAD_BYTES: usize = 32;
 const MAX_COLUMNS: usize = 4096;
 
 impl Session {
-    /// COM_STMT_PREPARE_OK: the definitions of parameters and columns follow.
+    /// Reads COM_STMT_PREPARE_OK, which parameter and column definitions follow.
     pub(super) fn prepare_response(&mut self, payload: &[u8]) -> Result<Option<Event>, PacketError> {
         let mut reader = Reader(&payload[1..]);
         let statement_id = reader.int(4)? as u32;
         let (columns, parameters) = (reader.int(2)? as usize, reader.int(2)? as usize);
-        if let Some(Work::Execute(sql, ..)) = &self.work {
+        if let Some(Statement::Execute(sql, ..)) = &self.statement {
             let prepared = PreparedStatement { statement_id, last_use: self.executions };
             self.prepared.insert(sql.clone(), prepared);
         }
         let eof_packets = usize::from(!self.has_capability(capabilities::CLIENT_DEPRECATE_EOF));
         let definitions = [columns, parameters].iter().filter(|n| **n > 0).map(|n| n + eof_packets).sum();
-        Ok(self.prepared_definitions_left(definitions))
+        Ok(self.prepared_definitions_remaining(definitions))
     }
 
-    pub(super) fn prepared_definitions_left(&mut self, left: usize) -> Option<Event> {
-        self.state = if left == 0 { State::Prepared } else { State::PreparedDefinitions(left) };
-        (left == 0).then_some(Event::Prepared)
+    pub(super) fn prepared_definitions_remaining(&mut self, remaining: usize) -> Option<Event> {
+        self.state = if remaining == 0 { State::Prepared } else { State::PreparedDefinitions(remaining) };
+        (remaining == 0).then_some(Event::Prepared)
     }
 
-    /// A packet of the response to COM_QUERY or COM_STMT_EXECUTE.
+    /// Reads a packet of the response to COM_QUERY or COM_STMT_EXECUTE.
     pub(super) fn result_packet(
         &mut self,
         header: u8,
         payload: Vec<u8>,
     ) -> Result<Option<Event>, PacketError> {
         match self.state {
-            State::ColumnDefinitions(left) => {
+            State::ColumnDefinitions(remaining) => {
                 self.add_result_bytes(&payload)?;
                 self.columns.push(payload);
-                self.state = match left {
-                    2.. => State::ColumnDefinitions(left - 1),
+                self.state = match remaining {
+                    2.. => State::ColumnDefinitions(remaining - 1),
                     _ if self.has_capability(capabilities::CLIENT_DEPRECATE_EOF) => State::Rows,
                     _ => State::ColumnsEof,
                 };
             }
             State::ColumnsEof => self.state = State::Rows,
-            // A row that starts so would be far longer than a packet may be.
+            // A row can't begin with 0xfe: its first value would be 16 MB or longer, which exceeds the packet limit.
             State::Rows if header == EOF_HEADER => {
                 let (columns, rows) = (std::mem::take(&mut self.columns), std::mem::take(&mut self.rows));
                 return Ok(Some(self.completed(ResultSet::Rows { columns, rows })));
@@ -81,17 +81,18 @@
 
     fn completed(&mut self, result: ResultSet) -> Event {
         self.state = State::Idle;
-        self.work = None;
+        self.statement = None;
         Event::Completed(result)
     }
 
-    /// An ERR packet. An engine that has dropped the prepared statement ran nothing: the statement is prepared again.
+    /// Handles an ERR packet. If the engine no longer has the prepared statement, the statement was not executed and is
+    /// prepared again.
     pub(super) fn error(&mut self, error: SqlError, out: &mut Vec<u8>) -> Option<Event> {
         if self.is_authenticating() {
             return Some(Event::ConnectionRejected(error));
         }
-        if let (error_code::ER_UNKNOWN_STMT_HANDLER, State::Running, Some(Work::Execute(sql, ..))) =
-            (error.code, self.state, &self.work)
+        if let (error_code::ER_UNKNOWN_STMT_HANDLER, State::Running, Some(Statement::Execute(sql, ..))) =
+            (error.code, self.state, &self.statement)
         {
             let sql = sql.clone();
             self.prepared.remove(&sql);
@@ -99,11 +100,11 @@
             self.prepare(&sql, out);
             return None;
         }
-        if error.blames_statement() {
+        if error.is_statement_error() {
             return Some(self.completed(ResultSet::StatementError(error)));
         }
         self.state = State::Idle;
-        self.work = None;
+        self.statement = None;
         Some(Event::Failed(error))
     }
 }
--- a/gateway/src/mysql_protocol/command.rs
+++ b/gateway/src/mysql_protocol/command.rs
@@ -1,23 +1,23 @@
-//! Command bytes of the command phase.
+//! Command bytes and flags of the command phase.
 
-/// Ends the session.
+/// Closes the connection.
 pub const COM_QUIT: u8 = 0x01;
-/// Executes a statement given as text.
+/// Executes a statement in the text protocol.
 pub const COM_QUERY: u8 = 0x03;
-/// Asks whether the server is there.
+/// Checks whether the server is alive.
 pub const COM_PING: u8 = 0x0e;
 /// Prepares a statement.
 pub const COM_STMT_PREPARE: u8 = 0x16;
-/// Executes a prepared statement.
+/// Executes a prepared statement in the binary protocol.
 pub const COM_STMT_EXECUTE: u8 = 0x17;
-/// Sends the value of a parameter in pieces; it has no response.
+/// Sends a part of a parameter's value. Has no response.
 pub const COM_STMT_SEND_LONG_DATA: u8 = 0x18;
-/// Closes a prepared statement; it has no response.
+/// Deallocates a prepared statement. Has no response.
 pub const COM_STMT_CLOSE: u8 = 0x19;
-/// Resets a prepared statement.
+/// Discards the data sent by COM_STMT_SEND_LONG_DATA for a prepared statement.
 pub const COM_STMT_RESET: u8 = 0x1a;
 
-/// Flags of COM_STMT_EXECUTE that ask for a cursor.
+/// Flags of COM_STMT_EXECUTE that request a cursor.
 pub const CURSOR_TYPE_MASK: u64 = 0x07;
-/// Flag of COM_STMT_EXECUTE: the number of parameters, with the query attributes, is stated.
+/// Flag of COM_STMT_EXECUTE: the packet contains a parameter count, which includes the query attributes.
 pub const PARAMETER_COUNT_AVAILABLE: u8 = 0x08;
--- a/gateway/src/mysql_protocol/error.rs
+++ b/gateway/src/mysql_protocol/error.rs
@@ -1,75 +1,76 @@
-//! ERR packets.
+//! ERR packets, and the classification of their errors.
 
 use super::{ERR_HEADER, PacketError, Reader};
 
-/// Error codes that are sent or distinguished here, by their names in the server's documentation.
+/// Error codes that the gateway sends or distinguishes, by the symbols of the MySQL documentation.
 pub mod error_code {
-    /// Too many connections.
+    /// The connection limit is reached.
     pub const ER_CON_COUNT_ERROR: u16 = 1040;
-    /// Out of memory.
+    /// The server is out of memory or another resource.
     pub const ER_OUT_OF_RESOURCES: u16 = 1041;
-    /// Access denied.
+    /// Unknown user or wrong password.
     pub const ER_ACCESS_DENIED_ERROR: u16 = 1045;
-    /// Unknown command.
+    /// The command byte is not supported.
     pub const ER_UNKNOWN_COM_ERROR: u16 = 1047;
-    /// Server shutdown in progress.
+    /// The server is shutting down.
     pub const ER_SERVER_SHUTDOWN: u16 = 1053;
     /// The statement can't be parsed.
     pub const ER_PARSE_ERROR: u16 = 1064;
-    /// There is no connection of this id.
+    /// KILL found no connection with this id.
     pub const ER_NO_SUCH_THREAD: u16 = 1094;
-    /// Any other error.
+    /// An error without a more specific code.
     pub const ER_UNKNOWN_ERROR: u16 = 1105;
-    /// A packet is too large.
+    /// A packet exceeds the maximum length.
     pub const ER_NET_PACKET_TOO_LARGE: u16 = 1153;
-    /// A packet did not come in time.
+    /// A packet was not received in time.
     pub const ER_NET_READ_INTERRUPTED: u16 = 1159;
-    /// Too many connections of this user.
+    /// The connection limit of this user is reached.
     pub const ER_TOO_MANY_USER_CONNECTIONS: u16 = 1203;
-    /// Wrong arguments.
+    /// A command has invalid arguments.
     pub const ER_WRONG_ARGUMENTS: u16 = 1210;
     /// A limit of this user is reached.
     pub const ER_USER_LIMIT_REACHED: u16 = 1226;
-    /// Not supported.
+    /// The feature is not supported.
     pub const ER_NOT_SUPPORTED_YET: u16 = 1235;
-    /// There is no such prepared statement.
+    /// No prepared statement has this id.
     pub const ER_UNKNOWN_STMT_HANDLER: u16 = 1243;
-    /// The authentication plugin is not supported.
+    /// The other side requires an unsupported authentication plugin.
     pub const ER_NOT_SUPPORTED_AUTH_MODE: u16 = 1251;
-    /// The statement was cancelled.
+    /// The statement was cancelled, for example by KILL.
     pub const ER_QUERY_INTERRUPTED: u16 = 1317;
-    /// Too many placeholders.
+    /// A statement has more than 65,535 placeholders.
     pub const ER_PS_MANY_PARAM: u16 = 1390;
-    /// Too many prepared statements.
+    /// The limit of prepared statements is reached.
     pub const ER_MAX_PREPARED_STMT_COUNT_REACHED: u16 = 1461;
     /// A packet is malformed.
     pub const ER_MALFORMED_PACKET: u16 = 1835;
 }
 
-/// Classes of SQLSTATE that blame the statement: cardinality, data, integrity constraints, syntax and access.
+/// SQLSTATE classes of errors caused by the statement itself: cardinality violation, data exception, integrity
+/// constraint violation, and syntax error or access rule violation.
 const STATEMENT_ERROR_CLASSES: [&str; 4] = ["21", "22", "23", "42"];
 
-/// The content of an ERR packet.
+/// The contents of an ERR packet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SqlError {
-    /// Error code.
+    /// One of [`error_code`], or any other code from an engine.
     pub code: u16,
-    /// SQLSTATE.
+    /// SQLSTATE of five characters.
     pub state: String,
-    /// Message.
+    /// Human-readable text, forwarded to the client unchanged.
     pub message: String,
 }
 
 impl SqlError {
-    /// An error.
+    /// Creates an error with a SQLSTATE of five characters.
     pub fn new(code: u16, state: &str, message: impl Into<String>) -> Self {
         Self { code, state: state.to_owned(), message: message.into() }
     }
 
-    /// Reads the payload of an ERR packet.
+    /// Reads the payload of an ERR packet. The SQLSTATE is `HY000` if the packet has none.
     ///
     /// # Errors
-    /// The payload is cut off.
+    /// The payload is truncated.
     pub fn read(payload: &[u8]) -> Result<Self, PacketError> {
         let mut reader = Reader(payload);
         reader.bytes(1)?;
@@ -82,7 +83,7 @@
         Ok(Self { code, state, message: String::from_utf8_lossy(reader.0).into_owned() })
     }
 
-    /// The payload of its ERR packet.
+    /// Returns the payload of an ERR packet with this error.
     pub fn payload(&self) -> Vec<u8> {
         let mut payload = vec![ERR_HEADER];
         payload.extend(self.code.to_le_bytes());
@@ -92,8 +93,8 @@
         payload
     }
 
-    /// Whether the statement itself is at fault, so that every engine would answer the same.
-    pub fn blames_statement(&self) -> bool {
+    /// Whether the statement itself caused the error, so that every engine would report the same error.
+    pub fn is_statement_error(&self) -> bool {
         STATEMENT_ERROR_CLASSES.iter().any(|class| self.state.starts_with(class))
     }
 }
--- a/gateway/src/mysql_protocol/mod.rs
+++ b/gateway/src/mysql_protocol/mod.rs
@@ -1,8 +1,7 @@
-//! The MySQL client/server protocol, as far as both sides of the gateway need it: the front end, towards clients, and
-//! the engine protocol. Names are those of the protocol's documentation.
+//! Packets and data types of the MySQL client/server protocol, shared by the MySQL front end and the MySQL engine
+//! protocol. Names are those of the MySQL documentation.
 //!
-//! All of it works on byte buffers: reading takes complete packets from the front of an input buffer, writing appends
-//! to an output buffer.
+//! Readers remove complete packets from the front of an input buffer. Writers append to an output buffer.
 
 mod authentication;
 pub mod capabilities;
@@ -24,7 +23,7 @@
 pub use primitives::{Reader, write_lenenc_int, write_lenenc_string};
 pub use result_set::{ResultSet, SERVER_STATUS_AUTOCOMMIT, eof_payload, ok_payload};
 
-/// The version of the handshake packet.
+/// Protocol version field of HandshakeV10.
 pub const HANDSHAKE_VERSION: u8 = 10;
-/// `utf8mb4_general_ci`.
+/// ID of the collation `utf8mb4_general_ci`.
 pub const CHARSET_UTF8MB4: u8 = 45;
--- a/gateway/src/mysql_protocol/packet.rs
+++ b/gateway/src/mysql_protocol/packet.rs
@@ -1,31 +1,31 @@
-//! Packets: a header of three bytes of length and one of sequence number, and a payload.
+//! Packet framing: a payload length of three bytes, a sequence id of one byte, and the payload.
 
-/// The longest packet taken from either side, in bytes.
+/// Maximum payload length accepted from clients and engines.
 pub const MAX_PACKET_BYTES: usize = 128 * 1024;
 const HEADER_BYTES: usize = 4;
 
-/// First byte of an OK packet's payload.
+/// First byte in the payload of an OK packet.
 pub const OK_HEADER: u8 = 0x00;
-/// First byte of the payload of an EOF packet, of an OK packet that ends a result set, and of an AuthSwitchRequest.
+/// First byte in the payload of an EOF packet, an OK packet that ends a result set, or an AuthSwitchRequest.
 pub const EOF_HEADER: u8 = 0xfe;
-/// First byte of an ERR packet's payload.
+/// First byte in the payload of an ERR packet.
 pub const ERR_HEADER: u8 = 0xff;
 
-/// Bytes that are no packet of this protocol, or one that is too long.
+/// Error in a received packet. The MySQL front end sends its text to the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PacketError {
-    /// Longer than [`MAX_PACKET_BYTES`].
+    /// The payload exceeds [`MAX_PACKET_BYTES`].
     #[error("the packet is too long")]
     TooLong,
-    /// It does not hold what its kind demands.
+    /// The payload does not have the format of the expected packet.
     #[error("the packet is malformed")]
     Malformed,
 }
 
-/// Takes one packet out of `input`: its sequence number and payload. `None` while it is not complete.
+/// Removes one packet from `input` and returns its sequence id and payload. Returns `None` while it is incomplete.
 ///
 /// # Errors
-/// It is longer than [`MAX_PACKET_BYTES`].
+/// The payload exceeds [`MAX_PACKET_BYTES`].
 pub fn read_packet(input: &mut Vec<u8>) -> Result<Option<(u8, Vec<u8>)>, PacketError> {
     let [a, b, c, sequence, ..] = input[..] else { return Ok(None) };
     let length = usize::from(a) | usize::from(b) << 8 | usize::from(c) << 16;
@@ -41,7 +41,7 @@
     Ok(Some((sequence, payload)))
 }
 
-/// Writes a packet and increments the sequence number.
+/// Writes a packet and increments the sequence id.
 pub fn write_packet(out: &mut Vec<u8>, sequence: &mut u8, payload: &[u8]) {
     out.extend(&(payload.len() as u32).to_le_bytes()[..3]);
     out.push(*sequence);
--- a/gateway/src/mysql_protocol/packet/tests.rs
+++ b/gateway/src/mysql_protocol/packet/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn packets_are_read_when_complete() {
+fn incomplete_and_oversized_packets_are_not_read() {
     let mut out = Vec::new();
     let mut sequence = 3;
     write_packet(&mut out, &mut sequence, b"abc");
--- a/gateway/src/mysql_protocol/parameters.rs
+++ b/gateway/src/mysql_protocol/parameters.rs
@@ -1,8 +1,8 @@
-//! Parameters of prepared statements and query attributes, in the binary protocol.
+//! Binary protocol values: parameters of prepared statements, and query attributes.
 
 use super::{PacketError, Reader, write_lenenc_string};
 
-/// Column types, as far as they are distinguished here.
+/// Column types (`MYSQL_TYPE_*`) whose values the gateway can read, with the corresponding SQL types.
 pub mod column_type {
     /// DECIMAL.
     pub const DECIMAL: u8 = 0x00;
@@ -26,7 +26,7 @@
     pub const INT24: u8 = 0x09;
     /// DATE.
     pub const DATE: u8 = 0x0a;
-    /// DATETIME; TIME stands between it and DATE.
+    /// DATETIME. The type between DATE and DATETIME is TIME.
     pub const DATETIME: u8 = 0x0c;
     /// YEAR.
     pub const YEAR: u8 = 0x0d;
@@ -34,9 +34,9 @@
     pub const VARCHAR: u8 = 0x0f;
     /// BIT.
     pub const BIT: u8 = 0x10;
-    /// JSON, the first of the types whose values are length-encoded strings.
+    /// JSON. The values of this and all higher types are length-encoded strings.
     pub const JSON: u8 = 0xf5;
-    /// VARCHAR of variable length.
+    /// VARCHAR, as sent in result sets.
     pub const VAR_STRING: u8 = 0xfd;
     /// CHAR.
     pub const STRING: u8 = 0xfe;
@@ -45,31 +45,31 @@
 }
 
 const UNSIGNED_FLAG: u16 = 0x8000;
-/// Bytes of the value of [`Parameter::as_text`]'s longest integer.
+/// Size of the largest integer type, BIGINT.
 const MAX_INTEGER_BYTES: usize = 8;
 
-/// The type of a parameter with the unsigned flag, and its name; query attributes have one.
+/// The type and name of a parameter, as bound_types by new-params-bind-flag.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ParameterType {
-    /// A column type in the lower byte, 0x8000 for unsigned.
+    /// A column type in the lower byte. The flag 0x8000 marks unsigned integers.
     pub type_and_flag: u16,
-    /// Name; empty for parameters of the statement.
+    /// Name of a query attribute. Empty for the parameters of a statement.
     pub name: Vec<u8>,
 }
 
-/// One parameter or query attribute.
+/// A statement parameter or a query attribute.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Parameter {
-    /// A column type in the lower byte, 0x8000 for unsigned.
+    /// A column type in the lower byte. The flag 0x8000 marks unsigned integers.
     pub type_and_flag: u16,
-    /// Name; empty for parameters of the statement.
+    /// Name of a query attribute. Empty for the parameters of a statement.
     pub name: Vec<u8>,
-    /// The value as it is encoded on the wire; `None` is NULL.
+    /// The value in its encoding on the wire. `None` is NULL.
     pub value: Option<Vec<u8>>,
 }
 
 impl Parameter {
-    /// A text attribute.
+    /// Creates a query attribute of type [`column_type::VAR_STRING`].
     pub fn text(name: &str, value: &str) -> Self {
         let mut encoded = Vec::new();
         write_lenenc_string(&mut encoded, value.as_bytes());
@@ -77,7 +77,7 @@
         Self { type_and_flag, name: name.as_bytes().to_vec(), value: Some(encoded) }
     }
 
-    /// The value as text: strings as they are, numbers in digits; `None` for NULL and other types.
+    /// Returns the value as text, with numbers in decimal. `None` for NULL and for types that have no text form here.
     pub fn as_text(&self) -> Option<String> {
         use column_type as t;
         let value = self.value.as_ref()?;
@@ -123,60 +123,60 @@
     Ok(&whole[..whole.len() - reader.0.len()])
 }
 
-/// Reads `count` parameters with their NULL bitmap. Types come along, and are kept in `bound`, or are those bound
-/// before. Parameters have names where the sender's capabilities include query attributes.
+/// Reads `count` parameters with their NULL bitmap. If the packet binds new types, they are stored in `bound_types`.
+/// Otherwise, the types from there are used. `has_names` is whether the capabilities include query attributes.
 ///
 /// # Errors
-/// The payload does not hold as many, or binds other ones than `bound` has.
+/// The payload is truncated, has an unknown type, or binds no types and `bound_types` has another number of them.
 pub fn read_parameters(
     reader: &mut Reader<'_>,
     count: usize,
-    named: bool,
-    bound: &mut Vec<ParameterType>,
+    has_names: bool,
+    bound_types: &mut Vec<ParameterType>,
 ) -> Result<Vec<Parameter>, PacketError> {
     if count == 0 {
         return Ok(Vec::new());
     }
-    // Guards against a count that would allocate more than the packet holds: each parameter takes a bit at least.
+    // Bounds the allocation by the packet's length, as each parameter has a bit in the NULL bitmap.
     if count > reader.0.len() * 8 {
         return Err(PacketError::Malformed);
     }
-    let nulls = reader.bytes(count.div_ceil(8))?;
-    let binds_new_types = reader.int(1)? == 1;
-    if binds_new_types {
-        bound.clear();
+    let null_bitmap = reader.bytes(count.div_ceil(8))?;
+    let new_params_bind = reader.int(1)? == 1;
+    if new_params_bind {
+        bound_types.clear();
         for _ in 0..count {
             let type_and_flag = reader.int(2)? as u16;
-            let name = if named { reader.lenenc_string()?.to_vec() } else { Vec::new() };
-            bound.push(ParameterType { type_and_flag, name });
+            let name = if has_names { reader.lenenc_string()?.to_vec() } else { Vec::new() };
+            bound_types.push(ParameterType { type_and_flag, name });
         }
     }
-    if bound.len() != count {
+    if bound_types.len() != count {
         return Err(PacketError::Malformed);
     }
     let mut parameters = Vec::with_capacity(count);
-    for (i, ParameterType { type_and_flag, name }) in bound.iter().enumerate() {
-        let is_null = nulls[i / 8] >> (i % 8) & 1 == 1;
+    for (i, ParameterType { type_and_flag, name }) in bound_types.iter().enumerate() {
+        let is_null = null_bitmap[i / 8] >> (i % 8) & 1 == 1;
         let value = if is_null { None } else { Some(read_value(reader, *type_and_flag)?.to_vec()) };
         parameters.push(Parameter { type_and_flag: *type_and_flag, name: name.clone(), value });
     }
     Ok(parameters)
 }
 
-/// Writes parameters as [`read_parameters`] reads them.
-pub fn write_parameters(out: &mut Vec<u8>, parameters: &[Parameter], named: bool) {
+/// Writes parameters in the format read by [`read_parameters`]. Always binds their types.
+pub fn write_parameters(out: &mut Vec<u8>, parameters: &[Parameter], has_names: bool) {
     if parameters.is_empty() {
         return;
     }
-    let mut nulls = vec![0; parameters.len().div_ceil(8)];
+    let mut null_bitmap = vec![0; parameters.len().div_ceil(8)];
     for (i, parameter) in parameters.iter().enumerate() {
-        nulls[i / 8] |= u8::from(parameter.value.is_none()) << (i % 8);
+        null_bitmap[i / 8] |= u8::from(parameter.value.is_none()) << (i % 8);
     }
-    out.extend(nulls);
+    out.extend(null_bitmap);
     out.push(1);
     for parameter in parameters {
         out.extend(parameter.type_and_flag.to_le_bytes());
-        if named {
+        if has_names {
             write_lenenc_string(out, &parameter.name);
         }
     }
--- a/gateway/src/mysql_protocol/parameters/tests.rs
+++ b/gateway/src/mysql_protocol/parameters/tests.rs
@@ -3,24 +3,24 @@
 use super::*;
 
 quickcheck! {
-    fn parameters_are_read_as_written(values: Vec<Option<Vec<u8>>>, named: bool) -> bool {
+    fn parameters_are_read_as_written(values: Vec<Option<Vec<u8>>>, has_names: bool) -> bool {
         let parameter = |value: &Option<Vec<u8>>| {
             let encode = |text: &Vec<u8>| {
                 let mut encoded = Vec::new();
                 write_lenenc_string(&mut encoded, text);
                 encoded
             };
-            let name = if named { b"n".to_vec() } else { Vec::new() };
+            let name = if has_names { b"n".to_vec() } else { Vec::new() };
             Parameter { type_and_flag: 0xfd, name, value: value.as_ref().map(encode) }
         };
         let sent: Vec<Parameter> = values.iter().map(parameter).collect();
         let mut out = Vec::new();
-        write_parameters(&mut out, &sent, named);
+        write_parameters(&mut out, &sent, has_names);
         let mut reader = Reader(&out);
-        read_parameters(&mut reader, sent.len(), named, &mut Vec::new()) == Ok(sent) && reader.0.is_empty()
+        read_parameters(&mut reader, sent.len(), has_names, &mut Vec::new()) == Ok(sent) && reader.0.is_empty()
     }
 
-    fn no_bytes_are_read_past_their_end(bytes: Vec<u8>, count: u8) -> bool {
+    fn random_bytes_never_panic(bytes: Vec<u8>, count: u8) -> bool {
         let mut reader = Reader(&bytes);
         read_parameters(&mut reader, usize::from(count), true, &mut Vec::new()).is_err()
             || reader.0.len() <= bytes.len()
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn attributes_read_as_text() {
+fn integers_and_strings_are_returned_as_text() {
     let number = |type_and_flag, value: &[u8]| Parameter {
         type_and_flag,
         name: Vec::new(),
--- a/gateway/src/mysql_protocol/placeholders.rs
+++ b/gateway/src/mysql_protocol/placeholders.rs
@@ -1,9 +1,9 @@
-//! Placeholders of a statement's text.
+//! Counts the parameter placeholders of a statement.
 
-/// The number of `?` in a statement that stand for parameters: not in strings, quoted names or comments.
+/// Returns the number of `?` placeholders in a statement, outside strings, quoted identifiers and comments.
 pub fn count_placeholders(sql: &[u8]) -> usize {
     let (mut count, mut i) = (0, 0);
-    // The place behind the next `end`.
+    // Returns the position after the next occurrence of `end`.
     let skip = |from: usize, end: &[u8]| {
         let found = sql.get(from..).and_then(|s| s.windows(end.len()).position(|w| w == end));
         found.map_or(sql.len(), |p| from + p + end.len())
--- a/gateway/src/mysql_protocol/primitives.rs
+++ b/gateway/src/mysql_protocol/primitives.rs
@@ -1,4 +1,5 @@
-//! Integers and strings of the protocol: fixed-length, length-encoded and NUL-terminated.
+//! Basic data types of the protocol: fixed-length and length-encoded integers, and length-encoded and NUL-terminated
+//! strings.
 
 use super::PacketError;
 
@@ -27,25 +28,25 @@
     out.extend(text);
 }
 
-/// Reads a payload from its front; holds what is left of it. Each method fails with [`PacketError::Malformed`] where
-/// the payload does not hold what is asked for.
+/// A cursor over a payload, which holds the unread remainder. Each method fails with [`PacketError::Malformed`] if the
+/// remainder is too short or has another format.
 #[derive(Clone, Copy, Debug)]
 pub struct Reader<'a>(pub &'a [u8]);
 
 impl<'a> Reader<'a> {
-    /// The next `n` bytes.
+    /// Reads `n` bytes.
     pub fn bytes(&mut self, n: usize) -> Result<&'a [u8], PacketError> {
         let (head, rest) = self.0.split_at_checked(n).ok_or(PacketError::Malformed)?;
         self.0 = rest;
         Ok(head)
     }
 
-    /// A fixed-length integer of `n` bytes, least significant byte first.
+    /// Reads a fixed-length integer of `n` bytes, in little-endian order.
     pub fn int(&mut self, n: usize) -> Result<u64, PacketError> {
         Ok(self.bytes(n)?.iter().rev().fold(0, |v, b| v << 8 | u64::from(*b)))
     }
 
-    /// A length-encoded integer.
+    /// Reads a length-encoded integer.
     pub fn lenenc_int(&mut self) -> Result<u64, PacketError> {
         match self.int(1)? {
             0xfc => self.int(2),
@@ -56,13 +57,13 @@
         }
     }
 
-    /// A length-encoded string.
+    /// Reads a length-encoded string.
     pub fn lenenc_string(&mut self) -> Result<&'a [u8], PacketError> {
         let n = self.lenenc_int()?;
         self.bytes(usize::try_from(n).map_err(|_| PacketError::Malformed)?)
     }
 
-    /// A NUL-terminated string, without the NUL.
+    /// Reads a NUL-terminated string. The NUL is not returned.
     pub fn nul_terminated_string(&mut self) -> Result<&'a [u8], PacketError> {
         let n = self.0.iter().position(|b| *b == 0).ok_or(PacketError::Malformed)?;
         let text = self.bytes(n)?;
--- a/gateway/src/mysql_protocol/primitives/tests.rs
+++ b/gateway/src/mysql_protocol/primitives/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 quickcheck! {
-    fn length_encoded_integers_are_read_as_written(n: u64) -> bool {
+    fn length_encoded_integers_round_trip(n: u64) -> bool {
         let mut out = Vec::new();
         write_lenenc_int(&mut out, n);
         Reader(&out).lenenc_int() == Ok(n)
--- a/gateway/src/net/engines.rs
+++ b/gateway/src/net/engines.rs
@@ -168,7 +168,7 @@
     },
     MySql {
         /// The statement, until it is handed to the connection.
-        work: Option<mysql::Work>,
+        work: Option<mysql::Statement>,
     },
 }
 
--- a/gateway/src/net/engines/attempts.rs
+++ b/gateway/src/net/engines/attempts.rs
@@ -229,7 +229,7 @@
 }
 
 /// A request as work for a MySQL engine; its id, class and remaining time go beside it as query attributes.
-fn mysql_work(request: &OpenClientRequest, class: &str, max_ms: u64) -> mysql::Work {
+fn mysql_work(request: &OpenClientRequest, class: &str, max_ms: u64) -> mysql::Statement {
     let mut attributes = vec![
         Parameter::text(field_name::ID, &request.query_id),
         Parameter::text(field_name::CLASS, class),
@@ -240,7 +240,7 @@
     );
     let sql = request.statement.clone();
     match &request.run {
-        ExecutionMode::Execute(params) => mysql::Work::Execute(sql, params.clone(), attributes),
-        ExecutionMode::Simple | ExecutionMode::Query => mysql::Work::Query(sql, attributes),
+        ExecutionMode::Execute(params) => mysql::Statement::Execute(sql, params.clone(), attributes),
+        ExecutionMode::Simple | ExecutionMode::Query => mysql::Statement::Query(sql, attributes),
     }
 }
--- a/gateway/src/net/engines/connection_events.rs
+++ b/gateway/src/net/engines/connection_events.rs
@@ -28,7 +28,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 enum ResponseError {
     #[error(transparent)]
-    Http(#[from] http::NotHttp),
+    Http(#[from] http::InvalidResponse),
     #[error(transparent)]
     MySql(#[from] PacketError),
 }
