--- a/gateway/src/admin/metrics.rs
+++ b/gateway/src/admin/metrics.rs
@@ -37,7 +37,7 @@
     pub in_flight: usize,
     /// Number of engines in the endpoint list.
     pub engines_known: usize,
-    /// Number of these engines that receive no new attempts: draining, in maintenance, ejected or cooling down.
+    /// Number of these engines that receive no new attempts: draining, in maintenance, ejected or paused.
     pub engines_excluded: usize,
 }
 
--- a/gateway/src/front/mysql/mod.rs
+++ b/gateway/src/front/mysql/mod.rs
@@ -216,7 +216,7 @@
         self.capabilities & capability != 0
     }
 
-    /// Answers the open request or COM_STMT_PREPARE with an error, for fields whose values are not in the settings.
+    /// Answers the open request or COM_STMT_PREPARE with an error, for fields that the session itself can't validate.
     pub fn answer_invalid(&mut self, text: &str, out: &mut Vec<u8>) {
         self.state = State::Ready;
         self.pending = None;
--- a/gateway/src/front/pg/mod.rs
+++ b/gateway/src/front/pg/mod.rs
@@ -173,7 +173,7 @@
         ClientCommand::Close
     }
 
-    /// Answers the open request with a syntax error, for fields whose values are not in the settings.
+    /// Answers the open request with a syntax error, for fields that the session itself can't validate.
     pub fn answer_invalid(&mut self, text: &str, out: &mut Vec<u8>) {
         self.state = State::Ready;
         self.invalid(text, out);
--- a/gateway/src/mysql_protocol/parameters.rs
+++ b/gateway/src/mysql_protocol/parameters.rs
@@ -48,7 +48,7 @@
 /// Size of the largest integer type, BIGINT.
 const MAX_INTEGER_BYTES: usize = 8;
 
-/// The type and name of a parameter, as bound_types by new-params-bind-flag.
+/// The type and name of a parameter, bound by an execution that sets new-params-bind-flag.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ParameterType {
     /// A column type in the lower byte. The flag 0x8000 marks unsigned integers.
--- a/sessions/benches/structures.rs
+++ b/sessions/benches/structures.rs
@@ -1,4 +1,5 @@
-//! The timer wheel against a binary heap with tombstones, and the eviction candidate against a scan of all sessions.
+//! Benchmarks the timer wheel against a binary heap with lazy deletion, and the selection of the eviction candidate
+//! against a scan of all sessions.
 //!
 //! `cargo bench -p wrenhatch-sessions`
 
@@ -15,7 +16,7 @@
 
 const SIZES: [usize; 4] = [1_000, 10_000, 100_000, 1_000_000];
 
-/// Times within 20 s, the same for both.
+/// Returns pseudorandom due times within 20 s.
 fn times(n: usize) -> Vec<u64> {
     let mut state = 7_u64;
     let next = |_| {
@@ -25,7 +26,7 @@
     (0..n).map(next).collect()
 }
 
-/// A heap whose cancelled timers stay until they are due, distinguished by their generation.
+/// A heap in which cancelled timers stay until they are due. Generations distinguish them from armed timers.
 #[derive(Default)]
 struct Heap {
     heap: BinaryHeap<Reverse<(u64, u32, u32)>>,
@@ -67,21 +68,21 @@
     (wheel, ids)
 }
 
-/// All timers are armed, in memory that both have used before.
+/// Arms all timers, in memory that was inputs before.
 #[divan::bench_group(sample_count = 20, sample_size = 1)]
 mod arm {
     use super::*;
 
     #[divan::bench(args = SIZES)]
     fn wheel_(bencher: Bencher, n: usize) {
-        let used = || {
+        let inputs = || {
             let (mut wheel, ids) = wheel(&times(n));
             ids.iter().for_each(|id| {
                 wheel.cancel(*id);
             });
             (wheel, times(n))
         };
-        bencher.with_inputs(used).bench_refs(|(wheel, times)| {
+        bencher.with_inputs(inputs).bench_refs(|(wheel, times)| {
             times.iter().zip(0..).for_each(|(at, i)| {
                 black_box(wheel.arm(*at, i));
             });
@@ -90,18 +91,18 @@
 
     #[divan::bench(args = SIZES)]
     fn heap_(bencher: Bencher, n: usize) {
-        let used = || {
+        let inputs = || {
             let mut heap = heap(&times(n));
             heap.heap.clear();
             (heap, times(n))
         };
-        bencher.with_inputs(used).bench_refs(|(heap, times)| {
+        bencher.with_inputs(inputs).bench_refs(|(heap, times)| {
             times.iter().zip(0..).for_each(|(at, i)| heap.arm(*at, i));
         });
     }
 }
 
-/// All timers are cancelled, and then nothing is left: with a heap that is only so once all have been due.
+/// Cancels all timers, and pops until their entries are removed.
 #[divan::bench_group(sample_count = 20, sample_size = 1)]
 mod cancel_until_gone {
     use super::*;
@@ -125,7 +126,7 @@
     }
 }
 
-/// All timers fire, in steps of a millisecond.
+/// Fires all timers, in steps of a millisecond.
 #[divan::bench_group(sample_count = 20, sample_size = 1)]
 mod expire {
     use super::*;
@@ -153,8 +154,8 @@
     }
 }
 
-/// Time-outs as a gateway has them: each of `n` sessions arms one and cancels it soon, over and over, so that
-/// nearly none fires. A million such operations while 40 s pass.
+/// Arms and cancels timeouts of 20 s for `n` sessions, of which nearly none fires: a million operations within 40 s of
+/// simulated time.
 #[divan::bench_group(sample_count = 5, sample_size = 1)]
 mod arm_and_cancel_in_time {
     use super::*;
@@ -190,11 +191,11 @@
     }
 }
 
-/// The session to evict, among so many.
+/// Selects the session to evict.
 mod eviction_candidate {
     use super::*;
 
-    type Peer = Option<(u64, Activity, [u64; 40])>;
+    type ScanEntry = Option<(u64, Activity, [u64; 40])>;
 
     const SESSIONS: [usize; 3] = [1_000, 10_000, 100_000];
 
@@ -211,17 +212,17 @@
 
     #[divan::bench(args = SESSIONS)]
     fn scan(bencher: Bencher, n: usize) {
-        // A peer as it was: connection, role and session in one place, most of it of no use here.
-        let peers: Vec<Peer> = (0..n as u64).map(|i| Some((i, Activity::Idle, [i; 40]))).collect();
+        // The state of a session is stored in line, so that the scan reads one entry per session.
+        let entries: Vec<ScanEntry> = (0..n as u64).map(|i| Some((i, Activity::Idle, [i; 40]))).collect();
         bencher.bench_local(|| {
-            let rank = |(at, p): (usize, &Peer)| match p {
+            let rank = |(at, p): (usize, &ScanEntry)| match p {
                 Some((since, Activity::Idle, _)) => Some((2, *since, at)),
                 Some((since, Activity::IncompleteMessage, _)) if black_box(10_000_000) - since > 100_000 => {
                     Some((1, *since, at))
                 }
                 _ => None,
             };
-            peers.iter().enumerate().filter_map(rank).min()
+            entries.iter().enumerate().filter_map(rank).min()
         });
     }
 }
--- a/sessions/src/lib.rs
+++ b/sessions/src/lib.rs
@@ -1,8 +1,8 @@
-//! What the gateway keeps of its clients, without sockets and without a clock of its own: the
-//! [`session_table`], whose idle sessions cost a slot each, a [`timer_wheel`], a [`memory_budget`], and the
-//! [`read_scheduler`], which decides which sessions are read when more are ready than a turn can carry.
+//! Data structures for the gateway's client sessions, without sockets and without a clock: the [`session_table`], in
+//! which an idle session takes a single slot, a [`timer_wheel`], a [`memory_budget`], and the [`read_scheduler`], which
+//! selects the sessions to be read when more are ready than fit into a turn of the event loop.
 //!
-//! All times are whole microseconds of the caller's monotonic clock, handed in.
+//! All times are passed in by the caller, in whole microseconds of a monotonic clock.
 
 pub mod memory_budget;
 pub mod read_scheduler;
--- a/sessions/src/memory_budget.rs
+++ b/sessions/src/memory_budget.rs
@@ -1,26 +1,26 @@
-//! The memory budget: how many bytes the gateway holds for clients, by purpose, and how many it may hold.
+//! The memory budget: accounts for the memory held for clients, by purpose, and limits it.
 //!
-//! Owners report each change of what they hold; [`MemoryBudget::check`] says beforehand whether more may be
-//! held. The nearer the limit, the fewer purposes may take more, so that open requests always end.
+//! Owners check with [`MemoryBudget::check`] before they allocate, and report every change of their allocations. As the
+//! budget fills up, fewer purposes may allocate, so that open requests can always be completed.
 
-/// What memory is held for.
+/// The purpose for which memory is held.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[repr(u8)]
 pub enum MemoryPurpose {
-    /// Slots of sessions, and the state of active ones.
+    /// Slots of all sessions, and the state of active sessions.
     Sessions,
-    /// Bytes read from clients and not yet parsed, and bytes to be written to them.
+    /// Unparsed input from clients, and output not yet sent to them.
     Buffers,
     /// Statements of open requests.
     Requests,
-    /// Results that are being read from engines or written to clients.
+    /// Results being received from engines or sent to clients.
     Results,
-    /// Prepared statements.
+    /// Prepared statements of all sessions.
     Statements,
 }
 
 impl MemoryPurpose {
-    /// All of them, in the order of their numbers.
+    /// All purposes, in the order of their discriminants.
     pub const ALL: [MemoryPurpose; 5] = [
         MemoryPurpose::Sessions,
         MemoryPurpose::Buffers,
@@ -29,7 +29,7 @@
         MemoryPurpose::Statements,
     ];
 
-    /// Its name among the printed figures.
+    /// Name in the printed counters.
     pub fn name(self) -> &'static str {
         match self {
             MemoryPurpose::Sessions => "sessions",
@@ -41,71 +41,72 @@
     }
 }
 
-const PURPOSES: usize = MemoryPurpose::ALL.len();
+const PURPOSE_COUNT: usize = MemoryPurpose::ALL.len();
 
-/// The budget is the process's memory divided by this.
+/// Process memory divided by the budget.
 const BUDGET_DIVISOR: usize = 2;
-/// Sessions may have the budget divided by this.
+/// Budget divided by the limit for sessions.
 const SESSIONS_DIVISOR: usize = 2;
-/// Prepared statements may have the budget divided by this.
+/// Budget divided by the limit for prepared statements.
 const STATEMENTS_DIVISOR: usize = 4;
-/// Quarters of the budget from which memory pressure is elevated.
+/// Usage, in quarters of the budget, from which memory pressure is elevated.
 const ELEVATED_QUARTERS: usize = 3;
-/// Eighths of the budget from which memory pressure is high.
+/// Usage, in eighths of the budget, from which memory pressure is high.
 const HIGH_EIGHTHS: usize = 7;
 
-/// How much of the budget is held.
+/// Usage of the budget, and the measures that follow from it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum MemoryPressure {
-    /// Up to three quarters.
+    /// Less than three quarters.
     Normal,
-    /// Three quarters or more: no new sessions and prepared statements, and idle sessions with statements are evicted.
+    /// Three quarters or more. New sessions and prepared statements are rejected, and idle sessions with prepared
+    /// statements are evicted.
     Elevated,
-    /// Seven eighths or more: no new requests, and sessions with incomplete messages are evicted. Reading
-    /// goes on.
+    /// Seven eighths or more. New requests are rejected, and sessions with incomplete messages are evicted. Sessions
+    /// are still read.
     High,
-    /// All of it: sessions that don't read their answers are evicted too. Results of open requests still
-    /// grow.
+    /// The whole budget. Sessions with unread output are evicted too. Results of open requests may still grow.
     Exhausted,
 }
 
-/// Why more memory may not be held.
+/// Reason for which an allocation is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InsufficientMemory {
-    /// The budget is exhausted, or near enough that what is left is kept for other purposes.
-    #[error("memory is short")]
+    /// The budget is exhausted, or the remainder is reserved for other purposes.
+    #[error("the memory budget is exhausted")]
     Budget,
-    /// The purpose has reached its own limit.
-    #[error("the share for this is used up")]
+    /// The limit of the purpose is reached.
+    #[error("the memory limit of this purpose is reached")]
     Purpose,
 }
 
-/// The memory budget.
+/// Bytes held for each purpose, and their limits.
 #[derive(Clone, Debug)]
 pub struct MemoryBudget {
     limit: usize,
-    purpose_limits: [usize; PURPOSES],
-    held: [usize; PURPOSES],
+    purpose_limits: [usize; PURPOSE_COUNT],
+    held: [usize; PURPOSE_COUNT],
     peak: usize,
 }
 
 impl MemoryBudget {
-    /// A budget for a process that may have `memory` bytes. Half of them is left to the program, the workload manager
-    /// and the allocator; of the budget prepared statements may have a quarter and sessions a half, the others all.
+    /// Creates the budget of a process that may use `memory` bytes. Half of them is left to the program, the workload
+    /// manager and the allocator. Prepared statements may hold a quarter of the budget, sessions a half, and all other
+    /// purposes the whole.
     pub fn new(memory: usize) -> Self {
         let limit = memory / BUDGET_DIVISOR;
-        let mut purpose_limits = [limit; PURPOSES];
+        let mut purpose_limits = [limit; PURPOSE_COUNT];
         purpose_limits[MemoryPurpose::Sessions as usize] = limit / SESSIONS_DIVISOR;
         purpose_limits[MemoryPurpose::Statements as usize] = limit / STATEMENTS_DIVISOR;
-        Self { limit, purpose_limits, held: [0; PURPOSES], peak: 0 }
+        Self { limit, purpose_limits, held: [0; PURPOSE_COUNT], peak: 0 }
     }
 
-    /// Bytes that may be held.
+    /// Limit of the total, in bytes.
     pub fn limit(&self) -> usize {
         self.limit
     }
 
-    /// Bytes that may be held for one purpose.
+    /// Limit of one purpose, in bytes.
     pub fn purpose_limit(&self, purpose: MemoryPurpose) -> usize {
         self.purpose_limits[purpose as usize]
     }
@@ -115,12 +116,12 @@
         self.held[purpose as usize]
     }
 
-    /// Bytes held in all.
+    /// Bytes held for all purposes.
     pub fn total(&self) -> usize {
         self.held.iter().sum()
     }
 
-    /// The most bytes that were held at once.
+    /// Maximum of the total so far, in bytes.
     pub fn peak(&self) -> usize {
         self.peak
     }
@@ -133,7 +134,7 @@
         self.limit / 8 * HIGH_EIGHTHS
     }
 
-    /// How much of the budget is held.
+    /// The memory pressure that follows from the current total.
     pub fn pressure(&self) -> MemoryPressure {
         let total = self.total();
         match () {
@@ -144,10 +145,10 @@
         }
     }
 
-    /// Whether `bytes` more may be held for a purpose.
+    /// Checks whether `bytes` more may be held for a purpose.
     ///
     /// # Errors
-    /// The purpose has reached its limit, or what is left is kept for purposes that end open requests.
+    /// The limit of the purpose is reached, or the remaining budget is reserved for the completion of open requests.
     pub fn check(&self, purpose: MemoryPurpose, bytes: usize) -> Result<(), InsufficientMemory> {
         if self.held(purpose) + bytes > self.purpose_limit(purpose) {
             return Err(InsufficientMemory::Purpose);
@@ -160,20 +161,20 @@
         if self.total() + bytes > total_limit { Err(InsufficientMemory::Budget) } else { Ok(()) }
     }
 
-    /// Reserves `bytes` more. Never fails: whoever may be refused asks [`MemoryBudget::check`] before.
+    /// Records an allocation of `bytes`. Does not enforce any limit, see [`MemoryBudget::check`].
     pub fn reserve(&mut self, purpose: MemoryPurpose, bytes: usize) {
         self.resize(purpose, 0, bytes);
     }
 
-    /// Gives back `bytes` that were reserved.
+    /// Records that `bytes` were freed.
     pub fn release(&mut self, purpose: MemoryPurpose, bytes: usize) {
         self.resize(purpose, bytes, 0);
     }
 
-    /// Changes a reservation of `before` bytes into one of `after` bytes.
+    /// Records that an allocation changed from `before` to `after` bytes.
     pub fn resize(&mut self, purpose: MemoryPurpose, before: usize, after: usize) {
         let held = &mut self.held[purpose as usize];
-        debug_assert!(*held >= before, "{purpose:?}: {held} held, {before} given back");
+        debug_assert!(*held >= before, "{purpose:?}: {held} held, {before} released");
         *held = held.saturating_sub(before) + after;
         self.peak = self.peak.max(self.total());
     }
--- a/sessions/src/memory_budget/tests.rs
+++ b/sessions/src/memory_budget/tests.rs
@@ -3,26 +3,26 @@
 const MB: usize = 1 << 20;
 
 #[test]
-fn idle_sessions_are_refused_memory_first_and_open_requests_last() {
+fn memory_is_denied_to_idle_sessions_first_and_to_results_last() {
     let mut memory = MemoryBudget::new(32 * MB);
     assert_eq!((memory.limit(), memory.pressure()), (16 * MB, MemoryPressure::Normal));
-    let may = |memory: &MemoryBudget| MemoryPurpose::ALL.map(|p| memory.check(p, 4096).is_ok());
-    assert_eq!(may(&memory), [true; 5]);
+    let allowed = |memory: &MemoryBudget| MemoryPurpose::ALL.map(|p| memory.check(p, 4096).is_ok());
+    assert_eq!(allowed(&memory), [true; 5]);
     memory.reserve(MemoryPurpose::Results, 12 * MB);
     assert_eq!(
-        (memory.pressure(), may(&memory)),
+        (memory.pressure(), allowed(&memory)),
         (MemoryPressure::Elevated, [false, true, true, true, false])
     );
     memory.reserve(MemoryPurpose::Results, 2 * MB);
-    assert_eq!((memory.pressure(), may(&memory)), (MemoryPressure::High, [false, false, false, true, false]));
+    assert_eq!((memory.pressure(), allowed(&memory)), (MemoryPressure::High, [false, false, false, true, false]));
     memory.reserve(MemoryPurpose::Results, 2 * MB);
-    assert_eq!((memory.pressure(), may(&memory)), (MemoryPressure::Exhausted, [false; 5]));
+    assert_eq!((memory.pressure(), allowed(&memory)), (MemoryPressure::Exhausted, [false; 5]));
     memory.release(MemoryPurpose::Results, 16 * MB);
     assert_eq!((memory.pressure(), memory.peak()), (MemoryPressure::Normal, 16 * MB));
 }
 
 #[test]
-fn statements_have_a_limit_of_their_own() {
+fn statements_have_their_own_limit() {
     let mut memory = MemoryBudget::new(32 * MB);
     memory.reserve(MemoryPurpose::Statements, 4 * MB);
     assert_eq!(memory.check(MemoryPurpose::Statements, 1), Err(InsufficientMemory::Purpose));
--- a/sessions/src/read_scheduler.rs
+++ b/sessions/src/read_scheduler.rs
@@ -1,44 +1,44 @@
-//! The read scheduler: when more sessions are ready than a turn of the event loop can carry, it decides which
-//! are read now, which wait, and which are read ahead of their turn so that their requests may be rejected,
-//! and how long a Retry-After is.
+//! The read scheduler. When more sessions are ready than fit into a turn of the event loop, it selects those to be read
+//! in this turn, defers the others, and computes the Retry-After of rejected requests.
 //!
-//! - Sessions wait in queues by [`ReadPriority`], which share every turn by stride scheduling; within a queue,
-//!   groups (a tenant, or an address where the tenant is not known) take turns, whatever the number of their sessions.
-//! - How much fits into a turn is learned from the time that turns took ([`CostModel`]).
-//! - Where the queues are longer than clients wait, sessions are read ahead of their turn, and a request that could
-//!   not be served in time is rejected as soon as it is read.
+//! - Ready sessions are queued by [`ReadPriority`]. The queues share each turn by stride scheduling. Within a queue,
+//!   groups (a tenant, or an address if the tenant is unknown) are served round-robin, regardless of their numbers of
+//!   sessions.
+//! - The capacity of a turn is estimated from the durations of earlier turns ([`CostModel`]).
+//! - If the backlog approaches the time for which clients wait, sessions are read ahead of their turn. A request that
+//!   can't be served in time is then rejected as soon as it is read.
 //!
-//! A turn: [`ReadScheduler::enqueue`] for each session that is ready, [`ReadScheduler::next_read`] until it returns
-//! nothing, [`ReadScheduler::charge`] for all work done, [`ReadScheduler::end_turn`].
+//! In each turn, call [`ReadScheduler::enqueue`] for each ready session, [`ReadScheduler::next_read`] until it returns
+//! `None`, [`ReadScheduler::charge`] for all work done, and [`ReadScheduler::end_turn`].
 
 mod cost_model;
 mod queues;
 
 use cost_model::TurnWork;
 pub use cost_model::{CostModel, Work};
-use queues::{QUEUES, ReadQueues};
+use queues::{QUEUE_COUNT, ReadQueues};
 
 use crate::session_table::Handle;
 
-/// What a session that is ready to be read is doing. Open requests are read first; the others share the turns
-/// by stride, earlier ones with no smaller part.
+/// The priority of a session that is ready to be read. Sessions with an open request are read first. The other
+/// priorities share the turns by their strides, and a higher priority has no smaller share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[repr(u8)]
 pub enum ReadPriority {
-    /// A request is open: what is read may end it.
+    /// A request is open. The input may end it, for example if the client has disconnected.
     OpenRequest,
-    /// A message was begun, or more messages have come already.
+    /// A part of a message was read, or further messages are buffered.
     PartialMessage,
-    /// It was active within [`RECENTLY_ACTIVE_US`].
+    /// The session was active within [`RECENTLY_ACTIVE_US`].
     RecentlyActive,
-    /// It was idle for longer.
+    /// The session was idle for longer.
     LongIdle,
-    /// It has not started its session.
+    /// The session has not completed its start-up phase.
     Starting,
 }
 
 impl ReadPriority {
-    /// All of them, highest first.
+    /// All priorities, highest first.
     pub const ALL: [ReadPriority; 5] = [
         ReadPriority::OpenRequest,
         ReadPriority::PartialMessage,
@@ -47,7 +47,7 @@
         ReadPriority::Starting,
     ];
 
-    /// Its name among the printed figures.
+    /// Name in the printed counters.
     pub fn name(self) -> &'static str {
         match self {
             ReadPriority::OpenRequest => "open",
@@ -59,23 +59,24 @@
     }
 }
 
-/// How long after its last answer a session counts as recently active.
+/// Time after its last response during which a session has the priority [`ReadPriority::RecentlyActive`].
 pub const RECENTLY_ACTIVE_US: u64 = 2_000_000;
 
-/// What the operator and the settings bound.
+/// Limits from the operator's file and the settings.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ReadLimits {
-    /// How long the reading of sessions may make a turn, in microseconds.
+    /// Target duration of a turn, in microseconds. No further sessions are read beyond it.
     pub turn_us: u64,
-    /// Messages of one session in one turn.
+    /// Maximum number of messages processed for one session in one turn.
     pub messages_per_turn: usize,
-    /// Bytes read from one session in one turn.
+    /// Maximum number of bytes read from one session in one turn.
     pub bytes_per_turn: usize,
-    /// The shortest Retry-After, in milliseconds.
+    /// Lower bound of Retry-After, in milliseconds.
     pub min_retry_after_ms: u64,
-    /// The longest, in milliseconds.
+    /// Upper bound of Retry-After, in milliseconds.
     pub max_retry_after_ms: u64,
-    /// The shortest time that clients wait for an answer, in microseconds.
+    /// Shortest time for which clients of any class wait, in microseconds. Half of it is the backlog beyond which
+    /// sessions are read ahead.
     pub shortest_deadline_us: u64,
 }
 
@@ -92,27 +93,28 @@
     }
 }
 
-/// Sessions that are read in any turn, whatever it has cost already, so that the loop always gets on.
+/// Number of sessions read in every turn, regardless of its duration, so that the event loop always makes progress.
 const MIN_READS_PER_TURN: usize = 8;
-/// The part of what is left of a turn that accepting may have while sessions wait to be read.
+/// Fraction of the remaining turn used for accepting connections while sessions wait to be read.
 const ACCEPT_TIME_RATIO: f64 = 0.25;
-/// Connections that are accepted in a turn, at least and at most.
+/// Minimum and maximum number of connections accepted in a turn.
 const ACCEPTS_PER_TURN: std::ops::RangeInclusive<usize> = 4..=256;
-/// Retries are spread so that they take this part of one core.
+/// Fraction of one core that scheduled retries may use.
 const RETRY_CORE_RATIO: f64 = 0.5;
 
-/// A session whose turn to be read has come.
+/// A session selected to be read now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ScheduledRead {
-    /// The session.
+    /// Identifies the session. It may have ended since it was enqueued.
     pub handle: Handle,
-    /// Since when it has waited to be read, in microseconds.
+    /// Time at which the session was enqueued, in microseconds.
     pub ready_us: u64,
-    /// It is read ahead of its turn: a request of it is admitted only if it will be served in time.
+    /// The session is read ahead of its turn. Its request must be rejected if it can't be served in time, see
+    /// [`ReadScheduler::can_meet_deadline`].
     pub read_ahead: bool,
 }
 
-/// The read scheduler.
+/// Queues of ready sessions, and the cost model that bounds a turn.
 #[derive(Debug)]
 pub struct ReadScheduler {
     limits: ReadLimits,
@@ -120,15 +122,15 @@
     queues: ReadQueues,
     turn_work: TurnWork,
     turn_reads: usize,
-    /// Latest time, in microseconds, at which a rejected client was told to retry; the next one gets a later time.
+    /// Latest time assigned to a retry, in microseconds. Later calls assign later times.
     last_assigned_retry_us: f64,
     deferred: u64,
-    longest_waits_us: [u64; QUEUES],
+    longest_waits_us: [u64; QUEUE_COUNT],
     longest_turn_us: u64,
 }
 
 impl ReadScheduler {
-    /// A scheduler that has learned nothing.
+    /// Creates a scheduler with empty queues and initial costs.
     pub fn new(limits: ReadLimits) -> Self {
         Self {
             limits,
@@ -138,47 +140,47 @@
             turn_reads: 0,
             last_assigned_retry_us: 0.0,
             deferred: 0,
-            longest_waits_us: [0; QUEUES],
+            longest_waits_us: [0; QUEUE_COUNT],
             longest_turn_us: 0,
         }
     }
 
-    /// Replaces the limits. What was learned stays.
+    /// Replaces the limits. Queues and learned costs are kept.
     pub fn set_limits(&mut self, limits: ReadLimits) {
         self.limits = limits;
     }
 
-    /// The limits in force.
+    /// The current limits.
     pub fn limits(&self) -> &ReadLimits {
         &self.limits
     }
 
-    /// What work has been found to cost.
+    /// The learned costs of each kind of work.
     pub fn costs(&self) -> &CostModel {
         &self.costs
     }
 
-    /// Sessions that wait to be read, with those that have ended meanwhile.
+    /// Number of queued sessions, including those that have ended since they were enqueued.
     pub fn waiting(&self) -> usize {
         self.queues.len()
     }
 
-    /// How often a session had to wait for a later turn.
+    /// Total number of deferrals of a session to a later turn.
     pub fn deferred(&self) -> u64 {
         self.deferred
     }
 
-    /// The longest that a session of this priority has waited to be read, in microseconds.
+    /// Longest time between enqueueing and reading a session of this priority, in microseconds.
     pub fn longest_wait_us(&self, priority: ReadPriority) -> u64 {
         self.longest_waits_us[priority as usize]
     }
 
-    /// The longest turn so far, in microseconds.
+    /// Duration of the longest turn so far, in microseconds.
     pub fn longest_turn_us(&self) -> u64 {
         self.longest_turn_us
     }
 
-    /// A session is ready to be read. The caller enqueues each once until it is returned by
+    /// Enqueues a session that is ready to be read. The caller must not enqueue it again before it is returned by
     /// [`ReadScheduler::next_read`].
     pub fn enqueue(&mut self, handle: Handle, priority: ReadPriority, group: u32, now_us: u64) {
         let read_ahead = priority > ReadPriority::RecentlyActive
@@ -186,26 +188,27 @@
         self.queues.push(priority, group, ScheduledRead { handle, ready_us: now_us, read_ahead });
     }
 
-    /// Work was done in this turn: so many pieces, or bytes.
+    /// Records work done in this turn. `amount` is in bytes for [`Work::Bytes`], and a number of operations otherwise.
     pub fn charge(&mut self, work: Work, amount: usize) {
         self.turn_work.add(work, amount);
     }
 
-    fn turn_left_us(&self) -> f64 {
+    fn remaining_turn_us(&self) -> f64 {
         self.limits.turn_us as f64 - self.costs.predict_us(&self.turn_work)
     }
 
-    /// How many connections may be accepted now.
+    /// Number of connections that may be accepted in this turn.
     pub fn accepts(&self) -> usize {
         let ratio = if self.waiting() > 0 { ACCEPT_TIME_RATIO } else { 1.0 };
-        let fit = self.turn_left_us().max(0.0) * ratio / self.costs.cost_us(Work::Accept);
-        (fit as usize).clamp(*ACCEPTS_PER_TURN.start(), *ACCEPTS_PER_TURN.end())
+        let fitting = self.remaining_turn_us().max(0.0) * ratio / self.costs.cost_us(Work::Accept);
+        (fitting as usize).clamp(*ACCEPTS_PER_TURN.start(), *ACCEPTS_PER_TURN.end())
     }
 
-    /// The session that is read next; `None` where none waits or the turn is full. The read itself is charged here.
+    /// Removes the next session to be read. Returns `None` if no session is queued or the turn is full. Charges one
+    /// [`Work::Read`].
     pub fn next_read(&mut self, now_us: u64) -> Option<ScheduledRead> {
         let is_full =
-            || self.turn_reads >= MIN_READS_PER_TURN && self.turn_left_us() < self.costs.cost_us(Work::Read);
+            || self.turn_reads >= MIN_READS_PER_TURN && self.remaining_turn_us() < self.costs.cost_us(Work::Read);
         if !self.queues.has_open_requests() && is_full() {
             return None;
         }
@@ -217,7 +220,7 @@
         Some(read)
     }
 
-    /// The turn is over and its work took so many microseconds.
+    /// Ends the turn: updates the costs from its duration, and counts the sessions still queued as deferred.
     pub fn end_turn(&mut self, took_us: u64) {
         self.longest_turn_us = self.longest_turn_us.max(took_us);
         self.costs.learn(&self.turn_work, took_us as f64);
@@ -230,21 +233,20 @@
         self.costs.cost_us(Work::Read) + self.costs.cost_us(Work::Request)
     }
 
-    /// How long the sessions that wait will keep a core busy, in microseconds. Those that are read ahead don't
-    /// count, as most of them will be rejected.
+    /// Estimated CPU time to serve the queued sessions, in microseconds. Sessions to be read ahead are not counted, as
+    /// most of them will be rejected.
     pub fn backlog_us(&self) -> u64 {
-        (self.queues.waiting_in_turn() as f64 * self.request_cost_us()) as u64
+        (self.queues.len_without_read_ahead() as f64 * self.request_cost_us()) as u64
     }
 
-    /// Whether a request that has just been read can be served in time: `work_ahead_us` of work are done before it,
-    /// and its client waits until `deadline_us`.
+    /// Whether a request can be served by `deadline_us` if `work_ahead_us` of work precede it.
     pub fn can_meet_deadline(now_us: u64, work_ahead_us: u64, deadline_us: u64) -> bool {
         now_us + work_ahead_us < deadline_us
     }
 
-    /// The Retry-After of a request that is rejected now, in milliseconds: after the backlog, each retry at a time of
-    /// its own, at the rate at which half a core carries requests. Times beyond the longest Retry-After are wrapped
-    /// into the range that there is. Changes state: every call claims the next time.
+    /// Assigns the Retry-After of a request that is rejected now, in milliseconds. Retries are scheduled after the
+    /// backlog, at distinct times, and at the rate at which half a core serves requests. Times beyond the upper bound
+    /// of Retry-After are wrapped into the allowed range.
     pub fn retry_after_ms(&mut self, now_us: u64) -> u64 {
         let ReadLimits { min_retry_after_ms, max_retry_after_ms, .. } = self.limits;
         let interval_us = self.request_cost_us() / RETRY_CORE_RATIO;
--- a/sessions/src/read_scheduler/queues.rs
+++ b/sessions/src/read_scheduler/queues.rs
@@ -1,24 +1,25 @@
-//! The queues of sessions that wait to be read: one for each [`ReadPriority`] and one for read-ahead.
+//! Queues of sessions that are ready to be read: one for each [`ReadPriority`], and one for read-ahead.
 //!
-//! Open requests come first. The other queues share the turns by stride scheduling (Waldspurger and Weihl, 1995):
-//! each has a pass that grows by its stride with every session taken, and the lowest pass is next, so that no queue
-//! starves. Within a queue, groups take turns; within a group, first come is first served.
+//! The queue of open requests has absolute priority. The others share the turns by stride scheduling (Waldspurger and
+//! Weihl, 1995): a queue's pass increases by its stride with every session removed, and the queue with the lowest pass
+//! is next, so that no queue starves. Within a queue, groups are served round-robin. Within a group, sessions are
+//! served in the order of their arrival.
 
 use std::collections::{HashMap, VecDeque};
 
 use super::{ReadPriority, ScheduledRead};
 
-/// Number of priorities, and the index of the queue for read-ahead, which comes after theirs.
+/// Index of the queue for read-ahead, which follows the queues of the priorities.
 const READ_AHEAD: usize = ReadPriority::ALL.len();
-pub(super) const QUEUES: usize = READ_AHEAD + 1;
+pub(super) const QUEUE_COUNT: usize = READ_AHEAD + 1;
 const OPEN_REQUEST: usize = ReadPriority::OpenRequest as usize;
-/// Strides by queue: half the stride is twice the turns. Open requests have none, as they always go first.
-const STRIDES: [u64; QUEUES] = [0, 1, 1, 2, 4, 2];
+/// Stride of each queue. A queue with half the stride is served twice as often. Unused for open requests.
+const STRIDES: [u64; QUEUE_COUNT] = [0, 1, 1, 2, 4, 2];
 
 #[derive(Debug, Default)]
 struct Queue {
-    /// Groups with waiting sessions, in the order of their turns.
-    ring: VecDeque<u32>,
+    /// Groups with queued sessions, in round-robin order.
+    round_robin: VecDeque<u32>,
     groups: HashMap<u32, VecDeque<ScheduledRead>>,
     waiting: usize,
     pass: u64,
@@ -28,42 +29,42 @@
     fn push(&mut self, group: u32, read: ScheduledRead) {
         let waiting = self.groups.entry(group).or_default();
         if waiting.is_empty() {
-            self.ring.push_back(group);
+            self.round_robin.push_back(group);
         }
         waiting.push_back(read);
         self.waiting += 1;
     }
 
     fn pop(&mut self) -> Option<ScheduledRead> {
-        let group = self.ring.pop_front()?;
+        let group = self.round_robin.pop_front()?;
         let waiting = self.groups.get_mut(&group)?;
         let read = waiting.pop_front();
         if waiting.is_empty() {
             self.groups.remove(&group);
         } else {
-            self.ring.push_back(group);
+            self.round_robin.push_back(group);
         }
         self.waiting -= usize::from(read.is_some());
         read
     }
 }
 
-/// All queues.
+/// The queues of all priorities and of read-ahead.
 #[derive(Debug, Default)]
 pub(super) struct ReadQueues {
-    queues: [Queue; QUEUES],
-    /// The largest pass at which a session was taken: where a queue that was empty goes on.
+    queues: [Queue; QUEUE_COUNT],
+    /// Highest pass at which a session was removed. A queue that was empty continues from it.
     global_pass: u64,
 }
 
 impl ReadQueues {
-    /// Sessions in all queues.
+    /// Number of sessions in all queues.
     pub(super) fn len(&self) -> usize {
         self.queues.iter().map(|queue| queue.waiting).sum()
     }
 
-    /// Sessions that are not read ahead of their turn.
-    pub(super) fn waiting_in_turn(&self) -> usize {
+    /// Number of sessions in all queues except that for read-ahead.
+    pub(super) fn len_without_read_ahead(&self) -> usize {
         self.queues[..READ_AHEAD].iter().map(|queue| queue.waiting).sum()
     }
 
@@ -71,22 +72,22 @@
         self.queues[OPEN_REQUEST].waiting > 0
     }
 
-    /// Adds a session, to the queue for read-ahead where `read` says so.
+    /// Adds a session to the queue of its priority, or to the queue for read-ahead if `read.read_ahead` is set.
     pub(super) fn push(&mut self, priority: ReadPriority, group: u32, read: ScheduledRead) {
         let queue = &mut self.queues[if read.read_ahead { READ_AHEAD } else { priority as usize }];
         if queue.waiting == 0 {
-            // A queue gains no credit while it is empty, also where no other one has sessions now.
+            // An empty queue must not accumulate credit, even if all other queues are empty too.
             queue.pass = queue.pass.max(self.global_pass);
         }
         queue.push(group, read);
     }
 
-    /// Takes the next session, with the index of its queue.
+    /// Removes the next session. Returns the index of its queue as well.
     pub(super) fn pop(&mut self) -> Option<(usize, ScheduledRead)> {
         let index = if self.has_open_requests() {
             OPEN_REQUEST
         } else {
-            let waiting = (OPEN_REQUEST + 1..QUEUES).filter(|index| self.queues[*index].waiting > 0);
+            let waiting = (OPEN_REQUEST + 1..QUEUE_COUNT).filter(|index| self.queues[*index].waiting > 0);
             waiting.min_by_key(|index| self.queues[*index].pass)?
         };
         let queue = &mut self.queues[index];
--- a/sessions/src/read_scheduler/tests.rs
+++ b/sessions/src/read_scheduler/tests.rs
@@ -6,8 +6,8 @@
     (0..n).map(|_| table.insert(0, Box::new(()))).collect()
 }
 
-/// A scheduler that has learned that a read costs `read_us` and nothing else anything.
-fn learned(read_us: f64) -> ReadScheduler {
+/// Returns a scheduler whose cost model has scheduler_with_read_cost `read_us` as the cost of a read.
+fn scheduler_with_read_cost(read_us: f64) -> ReadScheduler {
     let mut scheduler = ReadScheduler::new(ReadLimits { turn_us: 4_000, ..ReadLimits::default() });
     for _ in 0..500 {
         scheduler.charge(Work::Read, 10);
@@ -16,56 +16,56 @@
     scheduler
 }
 
-fn turn(scheduler: &mut ReadScheduler, now_us: u64) -> Vec<ScheduledRead> {
+fn read_turn(scheduler: &mut ReadScheduler, now_us: u64) -> Vec<ScheduledRead> {
     std::iter::from_fn(|| scheduler.next_read(now_us)).collect()
 }
 
 #[test]
-fn a_turn_carries_what_earlier_turns_have_cost() {
+fn the_number_of_reads_in_a_turn_follows_the_learned_cost() {
     let all = handles(2000);
-    for (cost, about) in [(10.0, 400), (40.0, 100), (200.0, 20)] {
-        let mut scheduler = learned(cost);
+    for (cost, expected) in [(10.0, 400), (40.0, 100), (200.0, 20)] {
+        let mut scheduler = scheduler_with_read_cost(cost);
         all.iter().for_each(|h| scheduler.enqueue(*h, ReadPriority::LongIdle, 1, 0));
-        let picked = turn(&mut scheduler, 0).len();
-        assert!(picked.abs_diff(about) <= about / 10, "{picked} reads at {cost}");
+        let reads = read_turn(&mut scheduler, 0).len();
+        assert!(reads.abs_diff(expected) <= expected / 10, "{reads} reads at {cost}");
     }
-    let mut slow = learned(20_000.0);
+    let mut slow = scheduler_with_read_cost(20_000.0);
     all.iter().for_each(|h| slow.enqueue(*h, ReadPriority::LongIdle, 1, 0));
-    assert_eq!(turn(&mut slow, 0).len(), MIN_READS_PER_TURN, "it always gets on");
+    assert_eq!(read_turn(&mut slow, 0).len(), MIN_READS_PER_TURN, "every turn makes progress");
 }
 
 #[test]
-fn a_recently_active_session_does_not_wait_for_a_surge_of_idle_ones() {
+fn a_recently_active_session_is_not_delayed_by_a_surge_of_idle_ones() {
     let all = handles(5001);
-    let mut scheduler = learned(40.0);
+    let mut scheduler = scheduler_with_read_cost(40.0);
     all[..5000].iter().for_each(|h| scheduler.enqueue(*h, ReadPriority::LongIdle, 1, 0));
-    turn(&mut scheduler, 0);
+    read_turn(&mut scheduler, 0);
     scheduler.end_turn(4000);
     scheduler.enqueue(all[5000], ReadPriority::RecentlyActive, 1, 4000);
-    let second = turn(&mut scheduler, 4000);
-    assert!(second[..2].iter().any(|p| p.handle == all[5000]), "it is read in its first turn");
+    let second = read_turn(&mut scheduler, 4000);
+    assert!(second[..2].iter().any(|p| p.handle == all[5000]), "read in its first turn");
 }
 
 #[test]
 fn an_empty_queue_gains_no_credit_while_others_are_served() {
     let all = handles(5001);
-    let mut scheduler = learned(40.0);
+    let mut scheduler = scheduler_with_read_cost(40.0);
     for n in 0..10_000 {
         scheduler.enqueue(all[5000], ReadPriority::RecentlyActive, 1, n);
-        assert_eq!(turn(&mut scheduler, n).len(), 1);
+        assert_eq!(read_turn(&mut scheduler, n).len(), 1);
         scheduler.end_turn(40);
     }
     all[..5000].iter().for_each(|h| scheduler.enqueue(*h, ReadPriority::LongIdle, 2, 0));
-    turn(&mut scheduler, 0);
+    read_turn(&mut scheduler, 0);
     scheduler.end_turn(4000);
     scheduler.enqueue(all[5000], ReadPriority::RecentlyActive, 1, 0);
-    assert!(turn(&mut scheduler, 0)[..4].iter().any(|p| p.handle == all[5000]));
+    assert!(read_turn(&mut scheduler, 0)[..4].iter().any(|p| p.handle == all[5000]));
 }
 
 #[test]
-fn no_priority_starves_whatever_else_is_ready() {
+fn no_priority_starves() {
     let all = handles(400);
-    let mut scheduler = learned(400.0);
+    let mut scheduler = scheduler_with_read_cost(400.0);
     let priorities = [
         ReadPriority::PartialMessage,
         ReadPriority::RecentlyActive,
@@ -74,51 +74,51 @@
     ];
     let mut served = [0; 4];
     let mut next = all.iter();
-    // There is always more of each than fits.
+    // Each queue has more sessions than fit into all turns.
     for (i, s) in priorities.iter().enumerate() {
         next.by_ref().take(100).for_each(|h| scheduler.enqueue(*h, *s, i as u32, 0));
     }
     for _ in 0..8 {
-        for pick in turn(&mut scheduler, 0) {
-            served[pick.handle.index as usize / 100] += 1;
+        for read in read_turn(&mut scheduler, 0) {
+            served[read.handle.index as usize / 100] += 1;
         }
         scheduler.end_turn(4000);
     }
-    let [begun, active, woken, new] = served;
-    assert!(new >= 5 && woken >= 2 * new - 2 && active >= 2 * woken - 2 && begun >= active - 1, "{served:?}");
+    let [partial, active, idle, starting] = served;
+    assert!(starting >= 5 && idle >= 2 * starting - 2 && active >= 2 * idle - 2 && partial >= active - 1, "{served:?}");
 }
 
 #[test]
-fn a_surge_from_one_address_does_not_keep_another_waiting() {
+fn a_surge_from_one_address_does_not_delay_another() {
     let all = handles(1001);
-    let mut scheduler = learned(40.0);
+    let mut scheduler = scheduler_with_read_cost(40.0);
     all[..1000].iter().for_each(|h| scheduler.enqueue(*h, ReadPriority::LongIdle, 1, 0));
     scheduler.enqueue(all[1000], ReadPriority::LongIdle, 2, 0);
-    assert_eq!(turn(&mut scheduler, 0)[1].handle, all[1000]);
+    assert_eq!(read_turn(&mut scheduler, 0)[1].handle, all[1000]);
     assert_eq!(scheduler.waiting(), 1001 - 100);
 }
 
 #[test]
-fn open_requests_go_first_even_when_the_turn_is_full() {
+fn open_requests_are_read_even_if_the_turn_is_full() {
     let all = handles(300);
-    let mut scheduler = learned(400.0);
+    let mut scheduler = scheduler_with_read_cost(400.0);
     all[..200].iter().for_each(|h| scheduler.enqueue(*h, ReadPriority::PartialMessage, 1, 0));
-    turn(&mut scheduler, 0);
+    read_turn(&mut scheduler, 0);
     all[200..].iter().for_each(|h| scheduler.enqueue(*h, ReadPriority::OpenRequest, 1, 0));
-    assert_eq!(turn(&mut scheduler, 0).len(), 100);
+    assert_eq!(read_turn(&mut scheduler, 0).len(), 100);
 }
 
 #[test]
-fn retries_are_spread_at_the_rate_at_which_they_can_be_served() {
-    let mut scheduler = learned(100.0);
+fn retries_are_spread_at_a_rate_that_can_be_served() {
+    let mut scheduler = scheduler_with_read_cost(100.0);
     scheduler.limits.max_retry_after_ms = 60_000;
     let each = scheduler.costs.cost_us(Work::Read) + scheduler.costs.cost_us(Work::Request);
     let mut waits: Vec<u64> = (0..10_000).map(|_| scheduler.retry_after_ms(1_000_000)).collect();
     assert!(waits[0] >= scheduler.limits.min_retry_after_ms);
     let span_ms = waits[9_999] - waits[0];
-    let wanted = 10_000.0 * each / RETRY_CORE_RATIO / 1e3;
-    assert!((span_ms as f64 - wanted).abs() < 0.01 * wanted, "{span_ms} ms, not {wanted}");
-    // Where a Retry-After is half a second at most, retries still don't come together.
+    let expected = 10_000.0 * each / RETRY_CORE_RATIO / 1e3;
+    assert!((span_ms as f64 - expected).abs() < 0.01 * expected, "{span_ms} ms, not {expected}");
+    // If Retry-After is limited to half a second, retries are still spread evenly.
     scheduler.limits.max_retry_after_ms = 500;
     waits = (0..10_000).map(|_| scheduler.retry_after_ms(1_000_000)).collect();
     let mut buckets = [0; 10];
@@ -128,24 +128,24 @@
 }
 
 #[test]
-fn a_session_that_would_be_reached_too_late_is_read_ahead_of_its_turn() {
+fn a_session_that_would_be_read_too_late_is_read_ahead() {
     let all = handles(10_000);
-    let mut scheduler = learned(400.0);
+    let mut scheduler = scheduler_with_read_cost(400.0);
     all.iter().for_each(|h| scheduler.enqueue(*h, ReadPriority::LongIdle, 1, 0));
-    let behind = all.iter().position(|h| h.index as u64 * 440 > 1_500_000).unwrap();
-    let mut early = Vec::new();
+    let first_late = all.iter().position(|h| h.index as u64 * 440 > 1_500_000).unwrap();
+    let mut ahead = Vec::new();
     for _ in 0..20 {
-        early.extend(turn(&mut scheduler, 0).into_iter().filter(|p| p.read_ahead));
+        ahead.extend(read_turn(&mut scheduler, 0).into_iter().filter(|p| p.read_ahead));
         scheduler.end_turn(4000);
     }
-    assert!(early.len() >= 80, "{}: half of every turn", early.len());
-    assert!(early.iter().all(|p| p.handle.index as usize + 10 >= behind));
+    assert!(ahead.len() >= 80, "{} sessions were read ahead", ahead.len());
+    assert!(ahead.iter().all(|p| p.handle.index as usize + 10 >= first_late));
     assert!(!ReadScheduler::can_meet_deadline(0, scheduler.backlog_us(), 1_000_000));
 }
 
 #[test]
 fn a_request_misses_its_deadline_only_if_the_work_before_it_takes_longer() {
-    let mut scheduler = learned(40.0);
+    let mut scheduler = scheduler_with_read_cost(40.0);
     handles(1000).iter().for_each(|h| scheduler.enqueue(*h, ReadPriority::LongIdle, 1, 0));
     let work = scheduler.backlog_us();
     assert!(work >= 1000 * 40);
--- a/sessions/src/session_table.rs
+++ b/sessions/src/session_table.rs
@@ -1,58 +1,58 @@
-//! The table of sessions: a slot for each, which holds all of a suspended session and a pointer to an active one,
-//! and intrusive lists of the sessions by activity and age, threaded through the slots.
+//! The session table: a slab with one slot per session. A slot contains the whole state of a suspended session, or a
+//! pointer to the state of an active one.
 //!
-//! - A [`Handle`] carries its slot's generation: once a session has ended, its handles reach none, also after the
-//!   slot was reused.
-//! - The lists name the session to evict in constant time.
-//! - `S` is the state of a suspended session, `A` that of an active one.
+//! - A [`Handle`] contains the generation of its slot. After a session has ended, its handles are invalid even if the
+//!   slot is reused.
+//! - Intrusive lists through the slots order the sessions of each [`Activity`] by age, so that the session to evict is
+//!   found in constant time.
 
 use std::num::NonZeroU32;
 
 const NONE: u32 = u32::MAX;
 
-/// Identifies a session until it ends.
+/// Identifies a session, and becomes invalid when the session ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Handle {
-    /// The number of its slot.
+    /// Index of the session's slot. It is reused after the session has ended.
     pub index: u32,
     generation: NonZeroU32,
 }
 
-/// Bits of a generation; after so many sessions in one slot a handle is given out again.
+/// Size of a generation. A handle is reused after 2^30 - 1 sessions in its slot.
 const GENERATION_BITS: u32 = 30;
 
 impl Handle {
-    /// As one number of 62 bits, for a poller's key.
+    /// Encodes the handle in the lower 62 bits of an integer, for use as a poll key.
     pub fn to_bits(self) -> u64 {
         u64::from(self.generation.get()) << 32 | u64::from(self.index)
     }
 
-    /// Back from [`Handle::to_bits`].
+    /// Decodes a handle from [`Handle::to_bits`]. `None` if the generation is 0.
     pub fn from_bits(bits: u64) -> Option<Self> {
         Some(Self { index: bits as u32, generation: NonZeroU32::new((bits >> 32) as u32)? })
     }
 }
 
-/// What a session is doing, for eviction.
+/// The state of a session with regard to eviction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[repr(u8)]
 pub enum Activity {
-    /// It is being closed: its client has still to read the last message, and what it sends is discarded.
+    /// The session is being closed. Its last message is being sent, and its input is discarded.
     Closing,
-    /// It has not started, or has sent a part of a message.
+    /// The session is in its start-up phase, or its client has sent a part of a message.
     IncompleteMessage,
-    /// It has not read all of its answer.
+    /// The client has not read the whole response.
     UnreadOutput,
-    /// It has its answers and sends nothing.
+    /// All requests are answered, and no input is pending.
     Idle,
-    /// The same, and it holds prepared statements beside its slot.
+    /// As `Idle`, but the session also holds memory for prepared statements.
     IdleWithStatements,
-    /// A request is open, or it is being read in this turn.
+    /// A request is open, or the session is being read in this turn.
     Busy,
 }
 
 impl Activity {
-    /// Those that are kept in lists, which is all but [`Activity::Busy`].
+    /// All activities for which the table maintains a list, that is, all but [`Activity::Busy`].
     pub const LISTED: [Activity; 5] = [
         Activity::Closing,
         Activity::IncompleteMessage,
@@ -61,7 +61,7 @@
         Activity::IdleWithStatements,
     ];
 
-    /// Its name among the printed figures.
+    /// Name in the printed counters.
     pub fn name(self) -> &'static str {
         match self {
             Activity::Closing => "told",
@@ -73,19 +73,19 @@
         }
     }
 
-    /// Whether the session waits for nothing and nothing waits for it.
+    /// Whether the session is idle, with or without prepared statements.
     pub fn is_idle(self) -> bool {
         matches!(self, Activity::Idle | Activity::IdleWithStatements)
     }
 }
 
-/// A session that is closing, or has sent a part of a message, is not evicted for this time: its client needs a
-/// round trip or two to read the last message or to end its own.
+/// Minimum age at which a session that is closing or has an incomplete message may be evicted. The client needs one or
+/// two round trips to read the last message or to complete its own.
 pub const EVICTION_GRACE_US: u64 = 100_000;
-/// The same for an incomplete message during a connection surge, which would else evict all idle sessions before any
-/// of its own could be recognised as silent.
+/// Minimum age for an incomplete message during a connection surge. With the longer [`EVICTION_GRACE_US`], a surge
+/// would evict all idle sessions before its own silent sessions become candidates.
 pub const SURGE_GRACE_US: u64 = 20_000;
-/// The same for a session that has an answer to read.
+/// Minimum age for a session with unread output.
 pub const OUTPUT_READ_GRACE_US: u64 = 2_000_000;
 
 #[derive(Debug)]
@@ -93,7 +93,7 @@
     Free,
     Suspended(S),
     Active(Box<A>),
-    /// Between two of these; never visible outside.
+    /// Placeholder while `resume` or `suspend` converts the state.
     Transition,
 }
 
@@ -118,13 +118,13 @@
 /// The state of a session that was removed.
 #[derive(Debug)]
 pub enum RemovedSession<S, A> {
-    /// It was suspended.
+    /// The state from the slot of a suspended session.
     Suspended(S),
-    /// It was active.
+    /// The state of an active session.
     Active(Box<A>),
 }
 
-/// The sessions, each suspended (`S`, in its slot) or active (`A`, boxed).
+/// A table of sessions. `S` is the state of a suspended session, `A` the state of an active one.
 #[derive(Debug)]
 pub struct SessionTable<S, A> {
     slots: Vec<Slot<S, A>>,
@@ -141,38 +141,38 @@
 }
 
 impl<S, A> SessionTable<S, A> {
-    /// An empty table.
+    /// Creates an empty table.
     pub fn new() -> Self {
         let list = List { first: NONE, last: NONE, len: 0 };
         Self { slots: Vec::new(), free: NONE, lists: [list; Activity::LISTED.len()], suspended: 0, active: 0 }
     }
 
-    /// Sessions in all.
+    /// Number of sessions, suspended and active.
     pub fn len(&self) -> usize {
         self.suspended + self.active
     }
 
-    /// Whether there is none.
+    /// Whether the table has no sessions.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Sessions that are suspended.
+    /// Number of suspended sessions.
     pub fn suspended_count(&self) -> usize {
         self.suspended
     }
 
-    /// Sessions of one activity; busy ones are in no list and are not counted.
+    /// Number of sessions with an activity. Always 0 for [`Activity::Busy`], which has no list.
     pub fn count(&self, activity: Activity) -> usize {
         self.lists.get(activity as usize).map_or(0, |l| l.len)
     }
 
-    /// Bytes of one slot, which is all that a suspended session takes.
+    /// Size of a slot in bytes. A suspended session takes no further memory, apart from any that `S` owns on the heap.
     pub const fn slot_bytes() -> usize {
         size_of::<Slot<S, A>>()
     }
 
-    /// The handle that the next session will have, so that a socket can be registered under it.
+    /// The handle that the next call of [`Self::insert`] returns, so that a socket can be registered before.
     pub fn next_handle(&self) -> Handle {
         match self.slots.get(self.free as usize) {
             Some(slot) => Handle { index: self.free, generation: slot.generation },
@@ -180,7 +180,7 @@
         }
     }
 
-    /// Adds a session; it is active and busy.
+    /// Adds an active session with [`Activity::Busy`].
     pub fn insert(&mut self, now_us: u64, active: Box<A>) -> Handle {
         let handle = self.next_handle();
         if self.free == NONE {
@@ -213,13 +213,13 @@
         (slot.generation == handle.generation && !matches!(slot.body, Body::Free)).then_some(slot)
     }
 
-    /// The handle of the session that is in this slot now.
+    /// The handle of the session that currently occupies a slot.
     pub fn handle_of_slot(&self, index: u32) -> Option<Handle> {
         let slot = self.slots.get(index as usize).filter(|s| !matches!(s.body, Body::Free))?;
         Some(Handle { index, generation: slot.generation })
     }
 
-    /// Whether the session has not ended.
+    /// Whether the handle is valid, that is, its session has not ended.
     pub fn contains(&self, handle: Handle) -> bool {
         self.slot(handle).is_some()
     }
@@ -232,7 +232,7 @@
         }
     }
 
-    /// The same, to change it.
+    /// The mutable state of an active session; `None` if it is suspended or has ended.
     pub fn active_mut(&mut self, handle: Handle) -> Option<&mut A> {
         match &mut self.slot_mut(handle)?.body {
             Body::Active(active) => Some(active),
@@ -248,13 +248,13 @@
         }
     }
 
-    /// All sessions.
+    /// The handles of all sessions, in the order of their slots.
     pub fn handles(&self) -> impl Iterator<Item = Handle> {
-        let taken = |(index, s): (usize, &Slot<S, A>)| {
+        let occupied = |(index, s): (usize, &Slot<S, A>)| {
             let handle = Handle { index: index as u32, generation: s.generation };
             (!matches!(s.body, Body::Free)).then_some(handle)
         };
-        self.slots.iter().enumerate().filter_map(taken)
+        self.slots.iter().enumerate().filter_map(occupied)
     }
 
     /// The states of all active sessions.
@@ -265,12 +265,13 @@
         })
     }
 
-    /// What a session is doing, and since when, in microseconds.
+    /// The activity of a session, and the time from which its age counts, in microseconds.
     pub fn activity(&self, handle: Handle) -> Option<(Activity, u64)> {
         self.slot(handle).map(|s| (s.activity, s.since_us))
     }
 
-    /// Makes a suspended session active and busy. An active one stays as it is. False if it has ended.
+    /// Makes a suspended session active and busy. Does not change an active session. Returns false if the session has
+    /// ended.
     pub fn resume(&mut self, handle: Handle, now_us: u64, activate: impl FnOnce(S) -> Box<A>) -> bool {
         match self.slot(handle).map(|s| &s.body) {
             Some(Body::Suspended(_)) => {}
@@ -285,8 +286,8 @@
         true
     }
 
-    /// Suspends an active session: `suspend` turns its state into that of a suspended one, or hands it back where it
-    /// can't be suspended. True if it is suspended now.
+    /// Suspends an active session. `suspend` converts its state, or returns it unchanged if the session can't be
+    /// suspended. Returns true if the session was suspended by this call.
     pub fn suspend(&mut self, handle: Handle, suspend: impl FnOnce(Box<A>) -> Result<S, Box<A>>) -> bool {
         let Some(slot) = self.slot_mut(handle).filter(|s| matches!(s.body, Body::Active(_))) else {
             return false;
@@ -307,22 +308,22 @@
         is_suspended
     }
 
-    /// Notes that a session waits to be read; false if it did already, or has ended.
+    /// Marks a session as queued for reading. Returns false if it was already marked or has ended.
     pub fn set_queued(&mut self, handle: Handle) -> bool {
         self.slot_mut(handle).is_some_and(|s| !std::mem::replace(&mut s.queued, true))
     }
 
-    /// Whether a session waits to be read.
+    /// Whether a session is queued for reading.
     pub fn is_queued(&self, handle: Handle) -> bool {
         self.slot(handle).is_some_and(|s| s.queued)
     }
 
-    /// Its turn has come; false if it did not wait, or has ended.
+    /// Clears the mark set by [`Self::set_queued`]. Returns false if it was not set or the session has ended.
     pub fn clear_queued(&mut self, handle: Handle) -> bool {
         self.slot_mut(handle).is_some_and(|s| std::mem::replace(&mut s.queued, false))
     }
 
-    /// Notes what a session is doing from now on. Its age goes on where that is what it did before.
+    /// Sets the activity of a session. Its age restarts only if the activity changes.
     pub fn set_activity(&mut self, handle: Handle, activity: Activity, now_us: u64) {
         match self.slot(handle) {
             Some(slot) if slot.activity != activity => {}
@@ -332,7 +333,7 @@
         self.link(handle.index, activity, now_us);
     }
 
-    /// Lets a session's age begin anew, as it has made progress.
+    /// Restarts the age of a session that has made progress without a change of its activity.
     pub fn restart_age(&mut self, handle: Handle, now_us: u64) {
         let Some(activity) = self.slot(handle).map(|s| s.activity) else { return };
         self.unlink(handle.index);
@@ -366,7 +367,7 @@
         }
     }
 
-    /// Removes a session that ends, and returns its state.
+    /// Removes a session and returns its state.
     pub fn remove(&mut self, handle: Handle) -> Option<RemovedSession<S, A>> {
         self.slot(handle)?;
         self.unlink(handle.index);
@@ -390,23 +391,21 @@
         }
     }
 
-    /// The session that has had this activity for longest, and since when, in microseconds.
+    /// The oldest session with an activity, and the time from which its age counts, in microseconds.
     pub fn oldest(&self, activity: Activity) -> Option<(Handle, u64)> {
         let index = self.lists.get(activity as usize)?.first;
         let slot = self.slots.get(index as usize)?;
         Some((Handle { index, generation: slot.generation }, slot.since_us))
     }
 
-    /// The session that is evicted so that another may have its place, if there is one. In this order:
+    /// Selects the session to evict in favour of another one, in constant time. The first that exists of:
     ///
-    /// 1. the oldest that is closing, past [`EVICTION_GRACE_US`];
-    /// 2. the oldest with an incomplete message or with unread output, past [`EVICTION_GRACE_US`] or
-    ///    [`OUTPUT_READ_GRACE_US`];
-    /// 3. during a surge, which is `surge_size` sessions with incomplete messages, the oldest of these past
-    ///    [`SURGE_GRACE_US`], unless it is this side that has yet to read it;
-    /// 4. the one idle for longest.
-    ///
-    /// Constant time.
+    /// 1. the oldest closing session, past [`EVICTION_GRACE_US`];
+    /// 2. the oldest session with an incomplete message or unread output, past [`EVICTION_GRACE_US`] or
+    ///    [`OUTPUT_READ_GRACE_US`], respectively;
+    /// 3. during a surge of at least `surge_size` sessions with incomplete messages, the oldest of them, past
+    ///    [`SURGE_GRACE_US`], unless it is queued for reading;
+    /// 4. the session that has been idle for longest.
     pub fn eviction_candidate(&self, now_us: u64, surge_size: usize) -> Option<Handle> {
         let past_grace = |activity, grace_us: u64| {
             self.oldest(activity).filter(|(_, since_us)| now_us.saturating_sub(*since_us) >= grace_us)
@@ -421,13 +420,13 @@
             ])
         };
         let is_surge = self.count(Activity::IncompleteMessage) >= surge_size;
-        let of_surge = || {
+        let surging = || {
             past_grace(Activity::IncompleteMessage, SURGE_GRACE_US)
                 .filter(|(handle, _)| is_surge && !self.is_queued(*handle))
         };
         let idle = || older([self.oldest(Activity::Idle), self.oldest(Activity::IdleWithStatements)]);
         let closing = past_grace(Activity::Closing, EVICTION_GRACE_US);
-        closing.or_else(slow).or_else(of_surge).or_else(idle).map(|(handle, _)| handle)
+        closing.or_else(slow).or_else(surging).or_else(idle).map(|(handle, _)| handle)
     }
 }
 
--- a/sessions/src/session_table/tests.rs
+++ b/sessions/src/session_table/tests.rs
@@ -2,7 +2,7 @@
 
 const NOW: u64 = 10_000_000;
 
-/// A table with one session for each activity and time, in the order of the times.
+/// Returns a table with one session for each activity and start time, and their handles.
 fn table(activities: &[(Activity, u64)]) -> (SessionTable<u8, u32>, Vec<Handle>) {
     let mut table = SessionTable::new();
     let add = |(activity, since): &(Activity, u64)| {
@@ -14,44 +14,44 @@
     (table, handles)
 }
 
-fn chosen(activities: &[(Activity, u64)]) -> Option<usize> {
+fn evicted(activities: &[(Activity, u64)]) -> Option<usize> {
     let (table, handles) = table(activities);
     let candidate = table.eviction_candidate(NOW, usize::MAX)?;
     handles.iter().position(|h| *h == candidate)
 }
 
 #[test]
-fn a_closing_session_is_evicted_before_a_slow_one_before_an_idle_one() {
+fn eviction_prefers_closing_to_slow_to_idle_sessions() {
     let (idle, slow, closing) =
         ((Activity::Idle, 10), (Activity::IncompleteMessage, 100), (Activity::Closing, 500));
-    assert_eq!(chosen(&[(Activity::Busy, 0), idle, slow, closing]), Some(3));
-    assert_eq!(chosen(&[(Activity::Busy, 0), idle, slow]), Some(2));
-    assert_eq!(chosen(&[(Activity::Busy, 0), idle]), Some(1));
-    assert_eq!(chosen(&[(Activity::Busy, 0)]), None, "an open request is never closed for another");
+    assert_eq!(evicted(&[(Activity::Busy, 0), idle, slow, closing]), Some(3));
+    assert_eq!(evicted(&[(Activity::Busy, 0), idle, slow]), Some(2));
+    assert_eq!(evicted(&[(Activity::Busy, 0), idle]), Some(1));
+    assert_eq!(evicted(&[(Activity::Busy, 0)]), None, "a busy session is never evicted");
     assert_eq!(
-        chosen(&[(Activity::Idle, 8), (Activity::Idle, 9), (Activity::Idle, 11)]),
+        evicted(&[(Activity::Idle, 8), (Activity::Idle, 9), (Activity::Idle, 11)]),
         Some(0),
         "the oldest"
     );
     assert_eq!(
-        chosen(&[(Activity::UnreadOutput, 50), (Activity::IncompleteMessage, 60)]),
+        evicted(&[(Activity::UnreadOutput, 50), (Activity::IncompleteMessage, 60)]),
         Some(0),
         "the oldest of both kinds"
     );
 }
 
 #[test]
-fn a_new_session_may_finish_its_message() {
+fn sessions_are_not_evicted_within_their_grace_period() {
     let fresh = NOW - EVICTION_GRACE_US + 1;
-    assert_eq!(chosen(&[(Activity::IncompleteMessage, fresh), (Activity::Closing, fresh)]), None);
-    assert_eq!(chosen(&[(Activity::IncompleteMessage, fresh), (Activity::Idle, NOW)]), Some(1));
-    assert_eq!(chosen(&[(Activity::IncompleteMessage, fresh - 1)]), Some(0));
-    assert_eq!(chosen(&[(Activity::UnreadOutput, fresh - 1)]), None, "an answer takes longer to read");
-    assert_eq!(chosen(&[(Activity::UnreadOutput, NOW - OUTPUT_READ_GRACE_US)]), Some(0));
+    assert_eq!(evicted(&[(Activity::IncompleteMessage, fresh), (Activity::Closing, fresh)]), None);
+    assert_eq!(evicted(&[(Activity::IncompleteMessage, fresh), (Activity::Idle, NOW)]), Some(1));
+    assert_eq!(evicted(&[(Activity::IncompleteMessage, fresh - 1)]), Some(0));
+    assert_eq!(evicted(&[(Activity::UnreadOutput, fresh - 1)]), None, "unread output has a longer grace period");
+    assert_eq!(evicted(&[(Activity::UnreadOutput, NOW - OUTPUT_READ_GRACE_US)]), Some(0));
 }
 
 #[test]
-fn a_handle_reaches_no_later_session_of_its_slot() {
+fn a_stale_handle_reaches_no_session_in_a_reused_slot() {
     let (mut table, handles) = table(&[(Activity::Idle, 1)]);
     let old = handles[0];
     assert!(table.remove(old).is_some());
@@ -60,7 +60,7 @@
     assert!(!table.contains(old) && table.active(old).is_none() && table.remove(old).is_none());
     assert!(
         !table.resume(old, 3, |_| Box::new(9)),
-        "an event of a session that has ended resumes no other one"
+        "a stale handle resumes no session"
     );
     assert!(!table.suspend(old, |_| Ok(1)));
     table.set_activity(old, Activity::Closing, 3);
@@ -70,29 +70,29 @@
 }
 
 #[test]
-fn a_suspended_session_is_its_slot_and_resumes_with_all_of_its_state() {
+fn a_suspended_session_resumes_with_its_state() {
     let (mut table, handles) = table(&[(Activity::Busy, 1)]);
-    let it = handles[0];
-    assert!(!table.suspend(it, Err), "one that can't be suspended stays as it is");
-    assert!(table.suspend(it, |_| Ok(5)));
-    assert_eq!((table.suspended_count(), table.suspended(it), table.active(it)), (1, Some(&5), None));
-    assert!(table.resume(it, 2, |state| Box::new(u32::from(state))));
-    assert_eq!((table.suspended_count(), table.active(it)), (0, Some(&5)));
+    let handle = handles[0];
+    assert!(!table.suspend(handle, Err), "the session stays active");
+    assert!(table.suspend(handle, |_| Ok(5)));
+    assert_eq!((table.suspended_count(), table.suspended(handle), table.active(handle)), (1, Some(&5), None));
+    assert!(table.resume(handle, 2, |state| Box::new(u32::from(state))));
+    assert_eq!((table.suspended_count(), table.active(handle)), (0, Some(&5)));
 }
 
 #[test]
-fn a_silent_surge_evicts_no_idle_session() {
+fn a_surge_of_silent_sessions_evicts_no_idle_session() {
     let surge: Vec<_> = (0..50).map(|n| (Activity::IncompleteMessage, NOW - 40_000 + n)).collect();
     let (mut table, handles) = table(&[vec![(Activity::Idle, 1)], surge].concat());
-    assert_eq!(table.eviction_candidate(NOW, 51), Some(handles[0]), "fifty are no surge yet");
+    assert_eq!(table.eviction_candidate(NOW, 51), Some(handles[0]), "50 sessions are not a surge of 51");
     assert_eq!(table.eviction_candidate(NOW, 50), Some(handles[1]));
-    assert_eq!(table.eviction_candidate(NOW - 30_000, 50), Some(handles[0]), "they have just come");
+    assert_eq!(table.eviction_candidate(NOW - 30_000, 50), Some(handles[0]), "within the grace period");
     table.set_queued(handles[1]);
-    assert_eq!(table.eviction_candidate(NOW, 50), Some(handles[0]), "it has spoken and was not read yet");
+    assert_eq!(table.eviction_candidate(NOW, 50), Some(handles[0]), "the session has unread input");
 }
 
 #[test]
-fn a_queued_session_that_ends_leaves_no_mark_on_its_slot() {
+fn removing_a_queued_session_clears_the_mark_of_its_slot() {
     let (mut table, handles) = table(&[(Activity::Idle, 1)]);
     assert!(table.set_queued(handles[0]) && !table.set_queued(handles[0]));
     table.remove(handles[0]);
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn progress_restarts_an_age_and_the_same_activity_does_not() {
+fn progress_restarts_the_age_but_an_unchanged_activity_does_not() {
     let (mut table, handles) = table(&[(Activity::IncompleteMessage, 1), (Activity::IncompleteMessage, 2)]);
     table.set_activity(handles[0], Activity::IncompleteMessage, 3);
     assert_eq!(table.oldest(Activity::IncompleteMessage), Some((handles[0], 1)));
--- a/sessions/src/timer_wheel.rs
+++ b/sessions/src/timer_wheel.rs
@@ -1,23 +1,24 @@
-//! A hierarchical timing wheel of one microsecond's resolution (Varghese and Lauck, 1987, scheme 7), with levels
-//! chosen by the highest digit in which a timer differs from the time reached, as in a radix heap.
+//! A hierarchical timing wheel with a resolution of one microsecond (Varghese and Lauck, 1987, scheme 7). As in a radix
+//! heap, a timer's level is that of the highest digit in which its due time differs from the current time of the wheel.
 //!
-//! - Arm, re-arm and cancel take constant time; a timer moves down at most once for each level on its way.
-//! - A cancelled timer is removed at once.
-//! - Timers fire in the order of their times, those of one microsecond in the order in which they were armed.
-//!   None fires early; how late one fires is up to the caller of [`TimerWheel::pop`].
-//! - One armed for a time that has passed is due at once; its order among others that are due is not promised.
+//! - Arming, rearming and cancelling take constant time. A timer is moved at most once per level before it fires.
+//! - A cancelled timer is removed immediately.
+//! - Timers fire in the order of their due times, and timers with the same due time in the order in which they were
+//!   armed. No timer fires early. A late call of [`TimerWheel::pop`] fires them late.
+//! - A timer whose due time has passed when it is armed is due at once. Its order among other due timers is not
+//!   specified.
 
 const BITS_PER_LEVEL: u32 = 12;
 const SLOTS_PER_LEVEL: usize = 1 << BITS_PER_LEVEL;
-/// Forty-eight bits of microseconds: nine years. Later times are taken for the last of these.
+/// Due times have 48 bits, which is nine years. Later due times are clamped to the last of these.
 const LEVELS: usize = 4;
 const MAX_TIME_US: u64 = (1 << (BITS_PER_LEVEL * LEVELS as u32)) - 1;
 const BITS_PER_WORD: usize = 64;
 const NONE: u32 = u32::MAX;
-/// No slot: the entry is free.
+/// Slot number of an entry in the free list.
 const FREE: u16 = u16::MAX;
 
-/// Identifies an armed timer. Once it has fired or was cancelled its id reaches no other timer.
+/// Identifies an armed timer, and becomes invalid when the timer has fired or was cancelled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TimerId {
     index: u32,
@@ -34,7 +35,7 @@
     value: Option<T>,
 }
 
-/// Which slots of a level are occupied: a bit for each, and one for each word of these.
+/// Two-level bitmap of the occupied slots of a level: one bit per slot, and one bit per non-zero word of slot bits.
 #[derive(Clone, Copy, Debug)]
 struct Occupied {
     words: u64,
@@ -61,26 +62,27 @@
     }
 }
 
-/// A list of timers: two numbers of [`TimerWheel::slots`], so that slots which were never used are never touched.
+/// The list of timers in a slot. `TimerWheel::slots` stores it as two integers that are initially 0, so that the memory
+/// of slots that were never used is not touched.
 #[derive(Clone, Copy, Debug)]
 struct Slot {
     first: u32,
     last: u32,
-    /// No timer here is due before; exact unless the first one was cancelled.
+    /// Lower bound of the due times in this slot. Exact unless the earliest timer was cancelled.
     earliest_us: u64,
 }
 
-/// A wheel of timers that carry a `T` each.
+/// A timer wheel. Each timer carries a value of type `T`.
 #[derive(Debug)]
 pub struct TimerWheel<T> {
     current_us: u64,
     entries: Vec<Entry<T>>,
     free: u32,
     armed: usize,
-    /// Nothing is due before; often too early by far.
+    /// No timer is due before this time. It may be much earlier than the next due time.
     not_due_before_us: u64,
     occupied: Box<[Occupied; LEVELS]>,
-    /// For each slot its first and last timer, each with one added, and its least time.
+    /// Two integers per slot: the indices of the first and last timer, each plus one, and the earliest due time.
     slots: Vec<u64>,
 }
 
@@ -91,7 +93,7 @@
 }
 
 impl<T> TimerWheel<T> {
-    /// A wheel at time 0 without timers.
+    /// Creates a wheel at time 0 without timers.
     pub fn new() -> Self {
         Self {
             current_us: 0,
@@ -104,7 +106,7 @@
         }
     }
 
-    /// Timers that are armed.
+    /// Number of armed timers.
     pub fn len(&self) -> usize {
         self.armed
     }
@@ -126,12 +128,12 @@
         self.slots[2 * at + 1] = slot.earliest_us;
     }
 
-    /// The level and the number of the first slot that is occupied. What is on a lower level is due sooner.
+    /// Level and number of the first occupied slot. Timers on a lower level are due before those on higher levels.
     fn first_slot(&self) -> Option<(usize, usize)> {
         self.occupied.iter().enumerate().find_map(|(level, o)| Some((level, o.first()?)))
     }
 
-    /// Arms a timer for `due_us`.
+    /// Arms a timer for `due_us`, in microseconds.
     pub fn arm(&mut self, due_us: u64, value: T) -> TimerId {
         let due_us = due_us.min(MAX_TIME_US);
         let index = if self.free == NONE {
@@ -158,7 +160,7 @@
         TimerId { index, generation }
     }
 
-    /// Moves a timer to another time; false if it is not armed any more.
+    /// Changes the due time of a timer. Returns false if the timer is no longer armed.
     pub fn rearm(&mut self, id: TimerId, due_us: u64) -> bool {
         if !self.is_armed(id) {
             return false;
@@ -171,8 +173,8 @@
         true
     }
 
-    /// Arms, moves or cancels a timer that its owner keeps with its time, so that it is armed for `due_us`, or not at
-    /// all.
+    /// Arms, rearms or cancels a timer, so that it is armed for `due_us`, or not armed if that is `None`. `timer` is
+    /// the owner's record of the due time and the id.
     pub fn reschedule(&mut self, timer: &mut Option<(u64, TimerId)>, due_us: Option<u64>, value: T) {
         if due_us == timer.map(|(due_us, _)| due_us) {
             return;
@@ -187,7 +189,7 @@
         };
     }
 
-    /// Cancels a timer and returns its value; `None` if it is not armed any more.
+    /// Cancels a timer and returns its value. Returns `None` if the timer is no longer armed.
     pub fn cancel(&mut self, id: TimerId) -> Option<T> {
         if !self.is_armed(id) {
             return None;
@@ -196,20 +198,21 @@
         self.release(id.index)
     }
 
-    /// Whether this timer has neither fired nor been cancelled.
+    /// Whether a timer has neither fired nor been cancelled.
     pub fn is_armed(&self, id: TimerId) -> bool {
         let entry = self.entries.get(id.index as usize);
         entry.is_some_and(|e| e.generation == id.generation && e.slot != FREE)
     }
 
-    /// A time before which nothing is due, `None` without timers. It is the time of the next timer, or sooner
-    /// by less than its slot's span where one that was due before it has been cancelled; each slot is too early once.
+    /// A time before which no timer is due, or `None` if no timer is armed. It is the due time of the next timer, or
+    /// earlier by less than the span of its slot if an earlier timer in that slot was cancelled. A slot causes at most
+    /// one early wake-up.
     pub fn next_us(&self) -> Option<u64> {
         let (level, number) = self.first_slot()?;
         Some(self.slot(level * SLOTS_PER_LEVEL + number).earliest_us)
     }
 
-    /// Removes the next timer that is due by `now_us`, with the time it was armed for.
+    /// Removes the next timer that is due at `now_us`, and returns its due time and value.
     pub fn pop(&mut self, now_us: u64) -> Option<(u64, T)> {
         if now_us < self.not_due_before_us {
             return None;
@@ -223,7 +226,7 @@
             let digit = number as u64;
             let at = level * SLOTS_PER_LEVEL + number;
             let shift = BITS_PER_LEVEL * level as u32;
-            // What stands above this level's digit is the same for all timers here as for the time reached.
+            // All timers in this slot have the same higher digits as the current time.
             let above = self.current_us >> shift >> BITS_PER_LEVEL << BITS_PER_LEVEL;
             let start_us = (above | digit) << shift;
             let Slot { first, earliest_us, .. } = self.slot(at);
@@ -238,7 +241,7 @@
                 self.unlink(first);
                 return self.release(first).map(|value| (due_us, value));
             }
-            // Down with all of them, in their order.
+            // Move all timers of the slot to lower levels, in their order.
             self.set_slot(at, Slot { first: NONE, last: NONE, earliest_us: 0 });
             self.occupied[level].clear(number);
             let mut index = first;
@@ -252,7 +255,7 @@
 
     fn link(&mut self, index: u32) {
         let due_us = self.entries[index as usize].due_us;
-        // What is late goes where the time reached stands.
+        // A timer that is already due is placed in the slot of the current time.
         let key = due_us.max(self.current_us);
         let differ = key ^ self.current_us;
         let level = (63 - (differ | 1).leading_zeros()) / BITS_PER_LEVEL;
