--- a/gateway/src/engine/http/exchange.rs
+++ b/gateway/src/engine/http/exchange.rs
@@ -80,7 +80,7 @@
             }
             // `X-Shed` proves that the query never ran only in the response to the call that starts it. Later, or over
             // another connection, the header may refer to a progress call, or come from another engine at the same
-            // address. Without the header, these status codes say nothing about the query.
+            // address. Without the header, the query may have run.
             status::SERVICE_UNAVAILABLE if response.shed && starting => Step::Ended(Outcome::Rejected),
             status::GATEWAY_TIMEOUT if response.shed && starting => Step::Ended(Outcome::NeverSent),
             status::SERVICE_UNAVAILABLE | status::GATEWAY_TIMEOUT if response.shed => Step::Unusable,
--- a/gateway/src/engine/http/mod.rs
+++ b/gateway/src/engine/http/mod.rs
@@ -13,7 +13,7 @@
 
 pub use exchange::{Exchange, Step};
 pub use request::{Start, delete, get, post, put_priority};
-pub use response::{NotHttp, Response, read};
+pub use response::{InvalidResponse, Response, read};
 
 /// Maximum length of a response's header section, and of its content.
 pub const MAX_RESPONSE_BYTES: usize = 16 * 1024;
--- a/sessions/src/read_scheduler/tests.rs
+++ b/sessions/src/read_scheduler/tests.rs
@@ -6,7 +6,7 @@
     (0..n).map(|_| table.insert(0, Box::new(()))).collect()
 }
 
-/// Returns a scheduler whose cost model has scheduler_with_read_cost `read_us` as the cost of a read.
+/// Returns a scheduler whose cost model has learned `read_us` as the cost of a read.
 fn scheduler_with_read_cost(read_us: f64) -> ReadScheduler {
     let mut scheduler = ReadScheduler::new(ReadLimits { turn_us: 4_000, ..ReadLimits::default() });
     for _ in 0..500 {
