--- a/gateway/src/engine/http/response.rs
+++ b/gateway/src/engine/http/response.rs
@@ -140,13 +140,18 @@
 }
 
 /// Reads a body in the chunked transfer coding. Returns its end, or `None` while it is incomplete.
-fn read_chunked_body(input: &[u8], start: usize, body: &mut Vec<u8>) -> Result<Option<usize>, InvalidResponse> {
+fn read_chunked_body(
+    input: &[u8],
+    start: usize,
+    body: &mut Vec<u8>,
+) -> Result<Option<usize>, InvalidResponse> {
     let mut at = start;
     loop {
-        let (chunk_start, length) = match httparse::parse_chunk_size(&input[at..]).map_err(|_| InvalidResponse)? {
-            httparse::Status::Complete((size_line, length)) => (at + size_line, length as usize),
-            httparse::Status::Partial => return Ok(None),
-        };
+        let (chunk_start, length) =
+            match httparse::parse_chunk_size(&input[at..]).map_err(|_| InvalidResponse)? {
+                httparse::Status::Complete((size_line, length)) => (at + size_line, length as usize),
+                httparse::Status::Partial => return Ok(None),
+            };
         if length > MAX_RESPONSE_BYTES || body.len() + length > MAX_RESPONSE_BYTES {
             return Err(InvalidResponse);
         }
--- a/gateway/src/engine/http/tests.rs
+++ b/gateway/src/engine/http/tests.rs
@@ -177,7 +177,11 @@
     }
     assert_eq!(e.on_response(&mut page("Page-Count: 2", "a\tb\n"), &mut out), Step::CallWritten);
     assert_eq!(e.on_response(&mut page("Page-No: 1", "c\n"), &mut out), Step::Unusable, "fewer columns");
-    assert_eq!(e.on_response(&mut page("Page-No: 2", "c\td\n"), &mut out), Step::Unusable, "wrong page number");
+    assert_eq!(
+        e.on_response(&mut page("Page-No: 2", "c\td\n"), &mut out),
+        Step::Unusable,
+        "wrong page number"
+    );
     out.clear();
     e.repeat_call(&mut out);
     assert!(out.starts_with(b"GET /data/aa/1 "));
--- a/gateway/src/engine/mysql/tests.rs
+++ b/gateway/src/engine/mysql/tests.rs
@@ -82,7 +82,8 @@
     let (event, e) = end(1205, "HY000");
     assert_eq!(event, Event::Failed(e));
     let too_many_connections = SqlError::new(1040, "08004", "Too many connections");
-    let read = Session::new(Login::default()).read(&mut packets(&[&too_many_connections.payload()], 0), &mut Vec::new());
+    let read = Session::new(Login::default())
+        .read(&mut packets(&[&too_many_connections.payload()], 0), &mut Vec::new());
     assert_eq!(read, Ok(Some(Event::ConnectionRejected(too_many_connections))));
 }
 
--- a/gateway/src/front/pg/tests.rs
+++ b/gateway/src/front/pg/tests.rs
@@ -167,7 +167,8 @@
 #[test]
 fn a_query_may_be_pipelined_behind_the_startup_message() {
     let mut session = Session::new(BackendKey { process_id: 1, secret: 2 }, MAX_MESSAGE_BYTES);
-    let mut input = [vec![0, 0, 0, 8, 0x04, 0xd2, 0x16, 0x2f], startup_message(), bytes(Step::ValidQuery)].concat();
+    let mut input =
+        [vec![0, 0, 0, 8, 0x04, 0xd2, 0x16, 0x2f], startup_message(), bytes(Step::ValidQuery)].concat();
     let mut out = Vec::new();
     let read = |_| session.read(&mut input, &mut out);
     let [Some(ClientCommand::Handled), Some(ClientCommand::Handled), Some(ClientCommand::Request(request))] =
@@ -182,8 +183,8 @@
 #[test]
 fn a_cancel_request_yields_the_session_and_its_secret() {
     let mut input = vec![0, 0, 0, 16, 0x04, 0xd2, 0x16, 0x2e, 0, 0, 0, 7, 0, 0, 0, 8];
-    let command =
-        Session::new(BackendKey { process_id: 1, secret: 2 }, MAX_MESSAGE_BYTES).read(&mut input, &mut Vec::new());
+    let command = Session::new(BackendKey { process_id: 1, secret: 2 }, MAX_MESSAGE_BYTES)
+        .read(&mut input, &mut Vec::new());
     assert_eq!(command, Some(ClientCommand::Cancel { session: 7, secret: 8 }));
 }
 
--- a/sessions/src/memory_budget/tests.rs
+++ b/sessions/src/memory_budget/tests.rs
@@ -14,7 +14,10 @@
         (MemoryPressure::Elevated, [false, true, true, true, false])
     );
     memory.reserve(MemoryPurpose::Results, 2 * MB);
-    assert_eq!((memory.pressure(), allowed(&memory)), (MemoryPressure::High, [false, false, false, true, false]));
+    assert_eq!(
+        (memory.pressure(), allowed(&memory)),
+        (MemoryPressure::High, [false, false, false, true, false])
+    );
     memory.reserve(MemoryPurpose::Results, 2 * MB);
     assert_eq!((memory.pressure(), allowed(&memory)), (MemoryPressure::Exhausted, [false; 5]));
     memory.release(MemoryPurpose::Results, 16 * MB);
--- a/sessions/src/read_scheduler.rs
+++ b/sessions/src/read_scheduler.rs
@@ -193,14 +193,14 @@
         self.turn_work.add(work, amount);
     }
 
-    fn remaining_turn_us(&self) -> f64 {
+    fn remaining_us(&self) -> f64 {
         self.limits.turn_us as f64 - self.costs.predict_us(&self.turn_work)
     }
 
     /// Number of connections that may be accepted in this turn.
     pub fn accepts(&self) -> usize {
         let ratio = if self.waiting() > 0 { ACCEPT_TIME_RATIO } else { 1.0 };
-        let fitting = self.remaining_turn_us().max(0.0) * ratio / self.costs.cost_us(Work::Accept);
+        let fitting = self.remaining_us().max(0.0) * ratio / self.costs.cost_us(Work::Accept);
         (fitting as usize).clamp(*ACCEPTS_PER_TURN.start(), *ACCEPTS_PER_TURN.end())
     }
 
@@ -208,7 +208,7 @@
     /// [`Work::Read`].
     pub fn next_read(&mut self, now_us: u64) -> Option<ScheduledRead> {
         let is_full =
-            || self.turn_reads >= MIN_READS_PER_TURN && self.remaining_turn_us() < self.costs.cost_us(Work::Read);
+            || self.turn_reads >= MIN_READS_PER_TURN && self.remaining_us() < self.costs.cost_us(Work::Read);
         if !self.queues.has_open_requests() && is_full() {
             return None;
         }
--- a/sessions/src/read_scheduler/tests.rs
+++ b/sessions/src/read_scheduler/tests.rs
@@ -85,7 +85,10 @@
         scheduler.end_turn(4000);
     }
     let [partial, active, idle, starting] = served;
-    assert!(starting >= 5 && idle >= 2 * starting - 2 && active >= 2 * idle - 2 && partial >= active - 1, "{served:?}");
+    assert!(
+        starting >= 5 && idle >= 2 * starting - 2 && active >= 2 * idle - 2 && partial >= active - 1,
+        "{served:?}"
+    );
 }
 
 #[test]
--- a/sessions/src/session_table/tests.rs
+++ b/sessions/src/session_table/tests.rs
@@ -46,7 +46,11 @@
     assert_eq!(evicted(&[(Activity::IncompleteMessage, fresh), (Activity::Closing, fresh)]), None);
     assert_eq!(evicted(&[(Activity::IncompleteMessage, fresh), (Activity::Idle, NOW)]), Some(1));
     assert_eq!(evicted(&[(Activity::IncompleteMessage, fresh - 1)]), Some(0));
-    assert_eq!(evicted(&[(Activity::UnreadOutput, fresh - 1)]), None, "unread output has a longer grace period");
+    assert_eq!(
+        evicted(&[(Activity::UnreadOutput, fresh - 1)]),
+        None,
+        "unread output has a longer grace period"
+    );
     assert_eq!(evicted(&[(Activity::UnreadOutput, NOW - OUTPUT_READ_GRACE_US)]), Some(0));
 }
 
@@ -58,10 +62,7 @@
     let new = table.insert(2, Box::new(7));
     assert_eq!((old.index, old == new), (new.index, false));
     assert!(!table.contains(old) && table.active(old).is_none() && table.remove(old).is_none());
-    assert!(
-        !table.resume(old, 3, |_| Box::new(9)),
-        "a stale handle resumes no session"
-    );
+    assert!(!table.resume(old, 3, |_| Box::new(9)), "a stale handle resumes no session");
     assert!(!table.suspend(old, |_| Ok(1)));
     table.set_activity(old, Activity::Closing, 3);
     assert_eq!((table.activity(new), table.active(new)), (Some((Activity::Busy, 2)), Some(&7)));
--- a/sessions/tests/model.rs
+++ b/sessions/tests/model.rs
@@ -157,7 +157,7 @@
                 let (name, suspended) = match removed {
                     Some(RemovedSession::Suspended(name)) => (name, true),
                     Some(RemovedSession::Active(name)) => (*name, false),
-                    None => return Err(TestCaseError::fail("the table has no state for a session of the model")),
+                    None => return Err(TestCaseError::fail("a session of the model is missing")),
                 };
                 prop_assert_eq!((name, suspended), (session.name, session.suspended));
                 if let Some((timer, ..)) = session.timer {
@@ -248,7 +248,10 @@
 
 fn check_invariants(harness: &Harness, memory: &MemoryBudget) -> Result<(), TestCaseError> {
     prop_assert_eq!(harness.table.len(), harness.sessions.len());
-    prop_assert_eq!(harness.table.suspended_count(), harness.sessions.values().filter(|s| s.suspended).count());
+    prop_assert_eq!(
+        harness.table.suspended_count(),
+        harness.sessions.values().filter(|s| s.suspended).count()
+    );
     for handle in &harness.handles {
         let session = harness.sessions.get(handle);
         prop_assert_eq!(harness.table.contains(*handle), session.is_some());
@@ -265,7 +268,10 @@
     }
     // Sessions of different activities suspendable have the same start time. Either suspendable be evicted first.
     let since = |h: Option<Handle>| h.and_then(|h| harness.table.activity(h)).map(|(_, since_us)| since_us);
-    prop_assert_eq!(since(harness.table.eviction_candidate(harness.now_us, usize::MAX)), since(harness.eviction_candidate()));
+    prop_assert_eq!(
+        since(harness.table.eviction_candidate(harness.now_us, usize::MAX)),
+        since(harness.eviction_candidate())
+    );
     for (at, purpose) in MemoryPurpose::ALL.into_iter().enumerate() {
         prop_assert_eq!(memory.held(purpose), harness.sessions.values().map(|s| s.held[at]).sum::<usize>());
     }
--- a/sessions/tests/surge.rs
+++ b/sessions/tests/surge.rs
@@ -137,7 +137,11 @@
 fn active_clients_are_not_delayed_by_requests_of_50_000_idle_clients() {
     let simulation = simulate_surge(100_000, 20_000_000);
     let active = &simulation.waits[&ReadPriority::RecentlyActive];
-    assert_eq!((active.len(), simulation.waits[&ReadPriority::LongIdle].len()), (1000, 50_000), "each request is served once");
+    assert_eq!(
+        (active.len(), simulation.waits[&ReadPriority::LongIdle].len()),
+        (1000, 50_000),
+        "each request is served once"
+    );
     assert!(simulation.rejected_ms.is_empty(), "all requests can be served in time");
     let longest_wait = active.iter().max().unwrap();
     assert!(*longest_wait <= 10_000, "an active client waited {longest_wait} us");
