--- a/gateway/src/front/mod.rs
+++ b/gateway/src/front/mod.rs
@@ -29,7 +29,7 @@
 
 /// The result of a request, in the format of the front end that received the request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Payload {
+pub enum QueryResult {
     /// For the PostgreSQL front end.
     Text(Rows),
     /// For the MySQL front end: the engine's packets, unchanged.
@@ -40,7 +40,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FinalAnswer<'a> {
     /// The complete result.
-    Served(&'a Payload),
+    Served(&'a QueryResult),
     /// A retry is safe. Holds the Retry-After in milliseconds, if there is one.
     Rejected(Option<u64>),
     /// The request may or may not have been executed. Holds the error message for the client.
--- a/gateway/src/front/mysql/mod.rs
+++ b/gateway/src/front/mysql/mod.rs
@@ -11,7 +11,7 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-use super::{ClientCommand, ClientRequest, DisconnectReason, ExecutionMode, FinalAnswer, Payload};
+use super::{ClientCommand, ClientRequest, DisconnectReason, ExecutionMode, FinalAnswer, QueryResult};
 use crate::mysql_protocol::{
     PacketError, SqlError, capabilities, error_code, ok_payload, read_packet, write_packet,
 };
--- a/gateway/src/front/mysql/responses.rs
+++ b/gateway/src/front/mysql/responses.rs
@@ -1,6 +1,6 @@
 //! Responses to commands: OK, EOF and ERR packets, and result sets.
 
-use super::{FinalAnswer, Payload, Session, SqlError, State, error_code, ok_payload, write_packet};
+use super::{FinalAnswer, QueryResult, Session, SqlError, State, error_code, ok_payload, write_packet};
 use crate::mysql_protocol::{EOF_HEADER, OK_HEADER, ResultSet, capabilities, eof_payload, write_lenenc_int};
 
 /// SQLSTATE of a rejection. Clients take class 53 as a safe retry, as on the PostgreSQL front end.
@@ -24,8 +24,8 @@
         debug_assert!(self.state == State::Busy, "no request is open");
         self.state = State::Ready;
         let error = match answer {
-            FinalAnswer::Served(Payload::MySql(result)) => return self.write_result(result, out),
-            FinalAnswer::Served(Payload::Text(_)) => {
+            FinalAnswer::Served(QueryResult::MySql(result)) => return self.write_result(result, out),
+            FinalAnswer::Served(QueryResult::Text(_)) => {
                 SqlError::new(error_code::ER_UNKNOWN_ERROR, "HY000", "the result has another form")
             }
             FinalAnswer::Rejected(None) => {
--- a/gateway/src/front/pg/mod.rs
+++ b/gateway/src/front/pg/mod.rs
@@ -4,7 +4,9 @@
 //! [`Session::read`] parses one message at a time and writes the responses that need no decision.
 //! [`Session::answer`] writes the response to the open request. No message is read while a request is open.
 
-use super::{ClientCommand, ClientRequest, DisconnectReason, ExecutionMode, FinalAnswer, Payload, fields};
+use super::{
+    ClientCommand, ClientRequest, DisconnectReason, ExecutionMode, FinalAnswer, QueryResult, fields,
+};
 
 mod messages;
 mod startup;
@@ -185,8 +187,8 @@
         self.state = State::Ready;
         let mut error = |sqlstate, text: &str| messages::error_response(out, "ERROR", sqlstate, text);
         match answer {
-            FinalAnswer::Served(Payload::Text(rows)) => messages::result(rows, self.returns_rows, out),
-            FinalAnswer::Served(Payload::MySql(_)) => {
+            FinalAnswer::Served(QueryResult::Text(rows)) => messages::result(rows, self.returns_rows, out),
+            FinalAnswer::Served(QueryResult::MySql(_)) => {
                 error(sqlstate::INTERNAL_ERROR, "the result has another form");
             }
             // Clients take SQLSTATE class 53 (insufficient resources) as a safe retry.
--- a/gateway/src/front/pg/tests.rs
+++ b/gateway/src/front/pg/tests.rs
@@ -205,7 +205,7 @@
     let columns = ["c1", "c2"].map(str::to_owned).to_vec();
     let cells = vec![Some(b"\xff".to_vec()), Some(Vec::new()), Some(b"b".to_vec()), None];
     let mut out = Vec::new();
-    session.answer(FinalAnswer::Served(&Payload::Text(Rows { columns, cells })), &mut out);
+    session.answer(FinalAnswer::Served(&QueryResult::Text(Rows { columns, cells })), &mut out);
     assert_eq!(message_types(&out), "TDDCZ");
     let first = b"D\0\0\0\x0f\0\x02\0\0\0\x01\xff\0\0\0\0";
     assert!(out.windows(first.len()).any(|w| w == first));
--- a/gateway/src/net/clients/requests.rs
+++ b/gateway/src/net/clients/requests.rs
@@ -10,7 +10,7 @@
 use crate::core::{Command, Input, NewRequest};
 use crate::front::fields::{self, RequestFields};
 use crate::front::table_group;
-use crate::front::{ClientRequest, FinalAnswer, Payload};
+use crate::front::{ClientRequest, FinalAnswer, QueryResult};
 use crate::mysql_protocol::ResultSet;
 use crate::net::{OpenClientRequest, Server};
 
@@ -165,7 +165,7 @@
             "request answered"
         );
         let (counter, end) = match answer {
-            FinalAnswer::Served(Payload::MySql(ResultSet::StatementError(_))) => {
+            FinalAnswer::Served(QueryResult::MySql(ResultSet::StatementError(_))) => {
                 (&mut self.counters.failed, RequestEnd::Failed)
             }
             FinalAnswer::Served(_) => (&mut self.counters.served, RequestEnd::Served),
--- a/gateway/src/net/engines/http_responses.rs
+++ b/gateway/src/net/engines/http_responses.rs
@@ -7,7 +7,7 @@
 use super::{AttemptId, ConnectionEnd, Execution, Job};
 use crate::core::Input;
 use crate::engine::http::{Response, Step, status};
-use crate::front::Payload;
+use crate::front::QueryResult;
 use crate::net::Server;
 
 impl Server {
@@ -106,7 +106,7 @@
         let load_report = exchange.load_report;
         if outcome == Outcome::Success {
             match exchange.rows() {
-                Some(rows) => drop(self.pools.results.insert(id, Payload::Text(rows))),
+                Some(rows) => drop(self.pools.results.insert(id, QueryResult::Text(rows))),
                 None => outcome = Outcome::Error,
             }
         }
--- a/gateway/src/net/engines/mysql_events.rs
+++ b/gateway/src/net/engines/mysql_events.rs
@@ -4,7 +4,7 @@
 
 use super::{AttemptId, ConnectionEnd, Job, ProtocolState};
 use crate::engine::mysql::Event;
-use crate::front::Payload;
+use crate::front::QueryResult;
 use crate::mysql_protocol::{ResultSet, SqlError, error_code};
 use crate::net::Server;
 
@@ -25,7 +25,7 @@
             (Event::Completed(result), Job::Attempt(id)) => {
                 // An error of the statement itself is a final answer, as rows are: no other engine would answer
                 // otherwise, and none is at fault.
-                self.pools.results.insert(id, Payload::MySql(result));
+                self.pools.results.insert(id, QueryResult::MySql(result));
                 self.release(slot);
                 self.end_attempt(id, Outcome::Success, None);
             }
--- a/gateway/src/net/pools.rs
+++ b/gateway/src/net/pools.rs
@@ -12,7 +12,7 @@
 use super::engines::{Attempt, AttemptId, Engine, Link, Unconfirmed};
 use super::poll::Poll;
 use super::poll_key::PollKey;
-use crate::front::Payload;
+use crate::front::QueryResult;
 
 /// A connection to an engine.
 pub struct EngineConnection {
@@ -43,7 +43,7 @@
     pub attempts: BTreeMap<AttemptId, Attempt>,
     /// Lost attempts whose end is to be confirmed.
     pub unconfirmed: BTreeMap<AttemptId, Unconfirmed>,
-    pub results: BTreeMap<AttemptId, Payload>,
+    pub results: BTreeMap<AttemptId, QueryResult>,
 }
 
 impl Pools {
