--- a/gateway/src/net/listeners.rs
+++ b/gateway/src/net/listeners.rs
@@ -183,7 +183,7 @@
     /// Accepts as many connections as the turn can carry; for the rest the poller has another event. False once none
     /// waits any more.
     pub(super) fn accept(&mut self, front: FrontEnd) -> bool {
-        for _ in 0..self.sessions.scheduler.accepts() {
+        for _ in 0..self.sessions.scheduler.accept_limit() {
             let Some(listener) = self.listeners.listener(front) else { return false };
             match listener.accept() {
                 Ok((stream, from)) => {
--- a/sessions/src/read_scheduler.rs
+++ b/sessions/src/read_scheduler.rs
@@ -198,7 +198,7 @@
     }
 
     /// Number of connections that may be accepted in this turn.
-    pub fn accepts(&self) -> usize {
+    pub fn accept_limit(&self) -> usize {
         let ratio = if self.waiting() > 0 { ACCEPT_TIME_RATIO } else { 1.0 };
         let fitting = self.remaining_us().max(0.0) * ratio / self.costs.cost_us(Work::Accept);
         (fitting as usize).clamp(*ACCEPTS_PER_TURN.start(), *ACCEPTS_PER_TURN.end())
--- a/sessions/tests/surge.rs
+++ b/sessions/tests/surge.rs
@@ -50,7 +50,7 @@
             }
         }
         let mut duration_us = 20;
-        let accepts = self.scheduler.accepts().min(self.pending_connections);
+        let accepts = self.scheduler.accept_limit().min(self.pending_connections);
         self.pending_connections -= accepts;
         self.scheduler.charge(Work::Accept, accepts);
         duration_us += accepts as u64 * ACCEPT_US;
