--- a/gateway/src/engine/http/mod.rs
+++ b/gateway/src/engine/http/mod.rs
@@ -12,7 +12,7 @@
 pub mod status;
 
 pub use exchange::{Exchange, Step};
-pub use request::{Start, delete, get, post, put_priority};
+pub use request::{StartCall, delete, get, post, put_priority};
 pub use response::{InvalidResponse, Response, read};
 
 /// Maximum length of a response's header section, and of its content.
--- a/gateway/src/engine/http/request.rs
+++ b/gateway/src/engine/http/request.rs
@@ -4,7 +4,7 @@
 
 /// The parameters of the call that starts a query.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Start<'a> {
+pub struct StartCall<'a> {
     /// Sent as `X-Ticket`. Identifies the query in all further calls.
     pub query_id: &'a str,
     /// Name of the request's class, sent as `X-Queue`.
@@ -22,7 +22,7 @@
 }
 
 /// Writes the call that starts a query.
-pub fn post(start: &Start<'_>, out: &mut Vec<u8>) {
+pub fn post(start: &StartCall<'_>, out: &mut Vec<u8>) {
     let _ = write!(
         out,
         "POST /data HTTP/1.1\r\nHost: engine\r\nX-Ticket: {}\r\nX-Queue: {}\r\nX-Max-Ms: {}\r\nRank: {}\r\n",
--- a/gateway/src/engine/http/tests.rs
+++ b/gateway/src/engine/http/tests.rs
@@ -29,7 +29,7 @@
         let (query_id, class, statement) = ("9b1f03aa5c7e2d41", "batch", b"SELECT 1".as_slice());
         let mut out = Vec::new();
         post(
-            &Start {
+            &StartCall {
                 query_id,
                 class,
                 statement,
--- a/gateway/src/net/engines/attempts.rs
+++ b/gateway/src/net/engines/attempts.rs
@@ -215,7 +215,7 @@
 
 fn http_execution(request: &OpenClientRequest, class: &str, max_ms: u64, terms: AttemptTerms) -> Execution {
     let mut start = Vec::with_capacity(256 + request.statement.len());
-    let call = http::Start {
+    let call = http::StartCall {
         query_id: &request.query_id,
         class,
         statement: &request.statement,
