--- a/gateway/src/admin/metrics.rs
+++ b/gateway/src/admin/metrics.rs
@@ -53,13 +53,13 @@
     /// Creates counters with value 0 for classes with these names.
     pub fn new<'a>(names: impl IntoIterator<Item = &'a str>) -> Self {
         let mut metrics = Self { classes: Vec::new(), index_by_class: Vec::new() };
-        metrics.rename(names);
+        metrics.set_class_names(names);
         metrics
     }
 
     /// Replaces the names of the classes, given in the order of [`ClassId`]. Classes with the same name share their
     /// counters. The counters of a name are kept as long as a class has the name.
-    pub fn rename<'a>(&mut self, names: impl IntoIterator<Item = &'a str>) {
+    pub fn set_class_names<'a>(&mut self, names: impl IntoIterator<Item = &'a str>) {
         let old = std::mem::take(&mut self.classes);
         self.index_by_class.clear();
         for name in names {
--- a/gateway/src/admin/metrics/tests.rs
+++ b/gateway/src/admin/metrics/tests.rs
@@ -19,13 +19,13 @@
 fn counters_of_a_class_name_survive_a_change_of_class_ids() {
     let mut m = Metrics::new(["lookup", "load"]);
     m.ended(ClassId(1), RequestEnd::Served);
-    m.rename(["lookup", "load", "load"]);
+    m.set_class_names(["lookup", "load", "load"]);
     m.ended(ClassId(1), RequestEnd::Served);
     m.ended(ClassId(2), RequestEnd::Served);
     let text = m.text(Gauges::default());
     assert_eq!(text.matches("served.load=").count(), 1);
     assert!(text.contains("served.load=3\n"), "{text}");
-    m.rename(["other", "other", "load"]);
+    m.set_class_names(["other", "other", "load"]);
     let text = m.text(Gauges::default());
     assert!(text.contains("served.load=3\n") && !text.contains("lookup"), "{text}");
 }
--- a/gateway/src/net/live_reconfiguration.rs
+++ b/gateway/src/net/live_reconfiguration.rs
@@ -27,7 +27,7 @@
         self.config.engine_idle_timeout_us = new.engine_idle_timeout_us;
         self.config.connect_timeout_us = new.connect_timeout_us;
         self.config.max_open_requests = new.max_open_requests;
-        self.metrics.rename(self.names.classes.iter().map(String::as_str));
+        self.metrics.set_class_names(self.names.classes.iter().map(String::as_str));
         let deadlines = || active.iter().map(|class| class.deadline);
         self.sessions.scheduler.set_limits(sessions::read_limits(&self.config, deadlines()));
         self.shutdown.set_deadlines(deadlines());
--- a/gateway/tests/recorded_messages.rs
+++ b/gateway/tests/recorded_messages.rs
@@ -284,7 +284,7 @@
     metrics.ended(ClassId(0), RequestEnd::Rejected);
     metrics.ended(ClassId(1), RequestEnd::Failed);
     let before = metrics.text(Gauges::default());
-    metrics.rename(["new", "lookup"]);
+    metrics.set_class_names(["new", "lookup"]);
     let after = metrics.text(Gauges { in_flight: 3, engines_known: 12, engines_excluded: 1 });
     assert_eq!(before + &after, METRICS);
 }
