--- a/gateway/src/front/pg/messages.rs
+++ b/gateway/src/front/pg/messages.rs
@@ -55,7 +55,7 @@
 
 impl FrontendMessage {
     /// Returns the message of a type byte.
-    pub fn of(message_type: u8) -> Self {
+    pub fn from_type(message_type: u8) -> Self {
         match message_type {
             b'Q' => Self::Query,
             b'S' => Self::Sync,
--- a/gateway/src/front/pg/mod.rs
+++ b/gateway/src/front/pg/mod.rs
@@ -113,7 +113,7 @@
     }
 
     fn message(&mut self, message_type: u8, body: &[u8], out: &mut Vec<u8>) -> ClientCommand {
-        match FrontendMessage::of(message_type) {
+        match FrontendMessage::from_type(message_type) {
             FrontendMessage::Terminate => {
                 self.state = State::Closed;
                 ClientCommand::Close
