--- a/gateway/src/engine/http/tests.rs
+++ b/gateway/src/engine/http/tests.rs
@@ -25,7 +25,7 @@
 
 #[test]
 fn an_idempotency_key_is_sent_with_the_query_id() {
-    let start = |idempotency_key| {
+    let start = |key| {
         let (query_id, class, statement) = ("9b1f03aa5c7e2d41", "batch", b"SELECT 1".as_slice());
         let mut out = Vec::new();
         post(
@@ -36,7 +36,7 @@
                 max_ms: 9,
                 memory_mb: 0.0,
                 priority: 1,
-                idempotency_key: idempotency_key,
+                idempotency_key: key,
             },
             &mut out,
         );
