--- a/gateway/src/admin/metrics.rs
+++ b/gateway/src/admin/metrics.rs
@@ -21,7 +21,7 @@
 
 /// The outcome of a request, for the counters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RequestEnd {
+pub enum RequestOutcome {
     /// The client received a complete result.
     Served,
     /// The client received an error after which a retry is safe.
@@ -66,8 +66,8 @@
             let known = self.classes.iter().position(|(n, _)| n == name);
             self.index_by_class.push(known.unwrap_or(self.classes.len()));
             if known.is_none() {
-                let counted = old.iter().find(|(n, _)| n == name).map(|(_, counted)| *counted);
-                self.classes.push((name.to_owned(), counted.unwrap_or_default()));
+                let counters = old.iter().find(|(n, _)| n == name).map(|(_, counters)| *counters);
+                self.classes.push((name.to_owned(), counters.unwrap_or_default()));
             }
         }
     }
@@ -78,12 +78,12 @@
     }
 
     /// Increments the counter of a request's outcome.
-    pub fn ended(&mut self, class: ClassId, end: RequestEnd) {
+    pub fn count_outcome(&mut self, class: ClassId, outcome: RequestOutcome) {
         let c = self.class(class);
-        *match end {
-            RequestEnd::Served => &mut c.served,
-            RequestEnd::Rejected => &mut c.rejected,
-            RequestEnd::Failed => &mut c.failed,
+        *match outcome {
+            RequestOutcome::Served => &mut c.served,
+            RequestOutcome::Rejected => &mut c.rejected,
+            RequestOutcome::Failed => &mut c.failed,
         } += 1;
     }
 
--- a/gateway/src/front/table_group.rs
+++ b/gateway/src/front/table_group.rs
@@ -120,8 +120,8 @@
 /// Returns the position after the string literal whose opening quote is at `at`. Backslash escapes are recognised in
 /// `E'...'` only.
 fn string_end(text: &[u8], at: usize) -> usize {
-    let has_e_before = at > 0 && matches!(text[at - 1], b'e' | b'E');
-    let has_escapes = has_e_before && (at < 2 || !is_word_byte(text[at - 2]));
+    let has_e_prefix = at > 0 && matches!(text[at - 1], b'e' | b'E');
+    let has_escapes = has_e_prefix && (at < 2 || !is_word_byte(text[at - 2]));
     let mut end = at + 1;
     while end < text.len() {
         if has_escapes && text[end] == b'\\' {
--- a/gateway/src/mysql_protocol/authentication.rs
+++ b/gateway/src/mysql_protocol/authentication.rs
@@ -12,6 +12,6 @@
         return Vec::new();
     }
     let stage1 = Sha1::digest(password);
-    let mix = Sha1::new().chain_update(challenge).chain_update(Sha1::digest(stage1)).finalize();
-    stage1.iter().zip(mix).map(|(a, b)| a ^ b).collect()
+    let mask = Sha1::new().chain_update(challenge).chain_update(Sha1::digest(stage1)).finalize();
+    stage1.iter().zip(mask).map(|(a, b)| a ^ b).collect()
 }
--- a/gateway/src/net/clients/requests.rs
+++ b/gateway/src/net/clients/requests.rs
@@ -5,7 +5,7 @@
 use wrenhatch_sessions::read_scheduler::Work;
 use wrenhatch_sessions::session_table::{Activity, Handle};
 
-use crate::admin::metrics::RequestEnd;
+use crate::admin::metrics::RequestOutcome;
 use crate::admission::{self, AdmissionInput, Admitted, Rejection, Subject};
 use crate::core::{Command, Input, NewRequest};
 use crate::front::fields::{self, RequestFields};
@@ -54,7 +54,7 @@
 
     fn reject_request(&mut self, handle: Handle, request: &OpenClientRequest, rejection: &Rejection) {
         self.counters.refused += 1;
-        self.metrics.ended(request.class, RequestEnd::Rejected);
+        self.metrics.count_outcome(request.class, RequestOutcome::Rejected);
         for counter in rejection.counters() {
             *self.counters.rejected_for(counter) += 1;
         }
@@ -166,16 +166,16 @@
         );
         let (counter, end) = match answer {
             FinalAnswer::Served(QueryResult::MySql(ResultSet::StatementError(_))) => {
-                (&mut self.counters.failed, RequestEnd::Failed)
+                (&mut self.counters.failed, RequestOutcome::Failed)
             }
-            FinalAnswer::Served(_) => (&mut self.counters.served, RequestEnd::Served),
-            FinalAnswer::Rejected(_) => (&mut self.counters.refused, RequestEnd::Rejected),
+            FinalAnswer::Served(_) => (&mut self.counters.served, RequestOutcome::Served),
+            FinalAnswer::Rejected(_) => (&mut self.counters.refused, RequestOutcome::Rejected),
             FinalAnswer::Failed(_) | FinalAnswer::Cancelled => {
-                (&mut self.counters.failed, RequestEnd::Failed)
+                (&mut self.counters.failed, RequestOutcome::Failed)
             }
         };
         *counter += 1;
-        self.metrics.ended(request.class, end);
+        self.metrics.count_outcome(request.class, end);
         let Some(session) = self.sessions.table.active_mut(request.client) else { return };
         if session.open_request == Some(id) {
             session.request_closed();
