--- a/sessions/benches/structures.rs
+++ b/sessions/benches/structures.rs
@@ -68,7 +68,7 @@
     (wheel, ids)
 }
 
-/// Arms all timers, in memory that was inputs before.
+/// Arms all timers, in memory that was used before.
 #[divan::bench_group(sample_count = 20, sample_size = 1)]
 mod arm {
     use super::*;
--- a/sessions/tests/model.rs
+++ b/sessions/tests/model.rs
@@ -266,7 +266,7 @@
     for activity in ACTIVITIES.into_iter().filter(|u| *u != Activity::Busy) {
         prop_assert_eq!(harness.table.count(activity), counts.get(&activity).copied().unwrap_or(0));
     }
-    // Sessions of different activities suspendable have the same start time. Either suspendable be evicted first.
+    // Sessions of the same age may be evicted in any order.
     let since = |h: Option<Handle>| h.and_then(|h| harness.table.activity(h)).map(|(_, since_us)| since_us);
     prop_assert_eq!(
         since(harness.table.eviction_candidate(harness.now_us, usize::MAX)),
@@ -276,7 +276,7 @@
         prop_assert_eq!(memory.held(purpose), harness.sessions.values().map(|s| s.held[at]).sum::<usize>());
     }
     let next = harness.sessions.values().filter_map(|s| s.timer.map(|(_, at_us, _)| at_us)).min();
-    // The time suspendable be too early if a timer was cancelled, but must never be too late.
+    // The time may be too early if a timer was cancelled, but must never be too late.
     prop_assert_eq!(harness.wheel.next_us().is_some(), next.is_some());
     prop_assert!(harness.wheel.next_us() <= next || next.is_none());
     prop_assert_eq!(harness.wheel.len(), harness.sessions.values().filter(|s| s.timer.is_some()).count());
