--- a/gateway/src/net/clients/requests.rs
+++ b/gateway/src/net/clients/requests.rs
@@ -5,12 +5,12 @@
 use wrenhatch_sessions::read_scheduler::Work;
 use wrenhatch_sessions::session_table::{Activity, Handle};
 
-use crate::admin::metrics::RequestEnd;
+use crate::admin::metrics::RequestOutcome;
 use crate::admission::{self, AdmissionInput, Admitted, Rejection, ResolvedNames};
 use crate::core::{Command, Input, NewRequest};
 use crate::front::fields::{self, RequestFields};
 use crate::front::table_group;
-use crate::front::{ClientRequest, FinalAnswer, Payload};
+use crate::front::{ClientRequest, FinalAnswer, QueryResult};
 use crate::mysql_protocol::ResultSet;
 use crate::net::{OpenClientRequest, Server};
 
@@ -53,7 +53,7 @@
 
     fn reject_request(&mut self, handle: Handle, request: &OpenClientRequest, rejection: &Rejection) {
         self.counters.refused += 1;
-        self.metrics.ended(request.class, RequestEnd::Rejected);
+        self.metrics.count_outcome(request.class, RequestOutcome::Rejected);
         for counter in rejection.counters() {
             *self.counters.rejection_counter(counter) += 1;
         }
@@ -165,17 +165,17 @@
             "request answered"
         );
         let (counter, end) = match answer {
-            FinalAnswer::Served(Payload::MySql(ResultSet::StatementError(_))) => {
-                (&mut self.counters.failed, RequestEnd::Failed)
+            FinalAnswer::Served(QueryResult::MySql(ResultSet::StatementError(_))) => {
+                (&mut self.counters.failed, RequestOutcome::Failed)
             }
-            FinalAnswer::Served(_) => (&mut self.counters.served, RequestEnd::Served),
-            FinalAnswer::Rejected(_) => (&mut self.counters.refused, RequestEnd::Rejected),
+            FinalAnswer::Served(_) => (&mut self.counters.served, RequestOutcome::Served),
+            FinalAnswer::Rejected(_) => (&mut self.counters.refused, RequestOutcome::Rejected),
             FinalAnswer::Failed(_) | FinalAnswer::Cancelled => {
-                (&mut self.counters.failed, RequestEnd::Failed)
+                (&mut self.counters.failed, RequestOutcome::Failed)
             }
         };
         *counter += 1;
-        self.metrics.ended(request.class, end);
+        self.metrics.count_outcome(request.class, end);
         let Some(session) = self.sessions.table.active_mut(request.client) else { return };
         if session.open_request == Some(id) {
             session.take_open_request();
--- a/gateway/src/net/engines/attempts.rs
+++ b/gateway/src/net/engines/attempts.rs
@@ -215,7 +215,7 @@
 
 fn http_execution(request: &OpenClientRequest, class: &str, max_ms: u64, terms: AttemptTerms) -> Execution {
     let mut start = Vec::with_capacity(256 + request.statement.len());
-    let call = http::Start {
+    let call = http::StartCall {
         query_id: &request.query_id,
         class,
         statement: &request.statement,
@@ -228,8 +228,8 @@
     Execution::Http { exchange: http::Exchange::new(&request.query_id), start: Some(start) }
 }
 
-/// Converts a request to work for a MySQL engine. Its id, class and remaining time are sent as query attributes.
-fn mysql_work(request: &OpenClientRequest, class: &str, max_ms: u64) -> mysql::Work {
+/// Converts a request to a statement for a MySQL engine. Its id, class and remaining time are sent as query attributes.
+fn mysql_work(request: &OpenClientRequest, class: &str, max_ms: u64) -> mysql::Statement {
     let mut attributes = vec![
         Parameter::text(field_name::ID, &request.query_id),
         Parameter::text(field_name::CLASS, class),
@@ -240,7 +240,7 @@
     );
     let sql = request.statement.clone();
     match &request.run {
-        ExecutionMode::Execute(params) => mysql::Work::Execute(sql, params.clone(), attributes),
-        ExecutionMode::Simple | ExecutionMode::Query => mysql::Work::Query(sql, attributes),
+        ExecutionMode::Execute(params) => mysql::Statement::Execute(sql, params.clone(), attributes),
+        ExecutionMode::Simple | ExecutionMode::Query => mysql::Statement::Query(sql, attributes),
     }
 }
--- a/gateway/tests/recorded_messages.rs
+++ b/gateway/tests/recorded_messages.rs
@@ -8,7 +8,7 @@
 use serde_json::Value;
 use workload_manager::{ClassId, EndpointState, KeyId, Outcome};
 use wrenhatch::admin::call::{self, AdminCall, CallError};
-use wrenhatch::admin::metrics::{Gauges, Metrics, RequestEnd};
+use wrenhatch::admin::metrics::{Gauges, Metrics, RequestOutcome};
 use wrenhatch::control_plane::{self, ReportResponse};
 use wrenhatch::counters::Counters;
 use wrenhatch::discovery::{Endpoint, EndpointListEvent, UnreadableEntry, parse_event, write_stream_request};
@@ -279,12 +279,12 @@
     let mut metrics = Metrics::new(["lookup", "load", "lookup"]);
     metrics.class(ClassId(0)).attempts = 5;
     metrics.class(ClassId(1)).attempts = u64::MAX;
-    metrics.ended(ClassId(2), RequestEnd::Served);
-    metrics.ended(ClassId(0), RequestEnd::Rejected);
-    metrics.ended(ClassId(0), RequestEnd::Rejected);
-    metrics.ended(ClassId(1), RequestEnd::Failed);
+    metrics.count_outcome(ClassId(2), RequestOutcome::Served);
+    metrics.count_outcome(ClassId(0), RequestOutcome::Rejected);
+    metrics.count_outcome(ClassId(0), RequestOutcome::Rejected);
+    metrics.count_outcome(ClassId(1), RequestOutcome::Failed);
     let before = metrics.text(Gauges::default());
-    metrics.rename(["new", "lookup"]);
+    metrics.set_class_names(["new", "lookup"]);
     let after = metrics.text(Gauges { in_flight: 3, engines_known: 12, engines_excluded: 1 });
     assert_eq!(before + &after, METRICS);
 }
