--- a/gateway/tests/deployments.rs
+++ b/gateway/tests/deployments.rs
@@ -1,5 +1,5 @@
-//! Deployments drawn at random, over sockets, and judged by the rules of the protocol alone: the gateway is a program
-//! between scripted clients, engines and a coordinator, and nothing of it is known to the auditor.
+//! Runs random deployments of scripted clients, engines and a discovery service around the gateway process, and checks
+//! their event logs against the rules of the protocol.
 #![allow(missing_docs)]
 
 mod common;
@@ -8,29 +8,29 @@
 mod auditor;
 #[path = "deployments/client.rs"]
 mod client;
-#[path = "deployments/coordinator.rs"]
-mod coordinator;
-#[path = "deployments/draw.rs"]
-mod draw;
+#[path = "deployments/discovery.rs"]
+mod discovery;
 #[path = "deployments/engine.rs"]
 mod engine;
+#[path = "deployments/generator.rs"]
+mod generator;
+#[path = "deployments/harness.rs"]
+mod harness;
 #[path = "deployments/run.rs"]
 mod run;
-#[path = "deployments/world.rs"]
-mod world;
 
 use std::collections::BTreeSet;
 use std::sync::OnceLock;
 use std::thread;
 
-use auditor::{Breach, Effect, Rule};
-use draw::{Conduct, Deployment, Fate, Opening, Reports};
+use auditor::{RetrySafety, Rule, Violation};
+use generator::{Behavior, ClientAction, ConnectionKind, Deployment, LoadReports};
 
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=16;
-/// Deployments that run at once.
-const AT_ONCE: usize = 8;
+/// Deployments that run at the same time.
+const CONCURRENT_RUNS: usize = 8;
 
-/// The seeds of this run: those of `DEPLOYMENT_SEEDS`, as in `3,5`, or all.
+/// The seeds in `DEPLOYMENT_SEEDS`, for instance `3,5`, or else all.
 fn seeds() -> Vec<u64> {
     match std::env::var("DEPLOYMENT_SEEDS") {
         Ok(list) => list.split(',').filter_map(|seed| seed.parse().ok()).collect(),
@@ -38,97 +38,101 @@
     }
 }
 
-/// What was found, by seed; the tests below share one run.
-fn found() -> &'static [(u64, Breach)] {
-    static FOUND: OnceLock<Vec<(u64, Breach)>> = OnceLock::new();
+/// The violations with their seeds. All tests share one run.
+fn violations() -> &'static [(u64, Violation)] {
+    static FOUND: OnceLock<Vec<(u64, Violation)>> = OnceLock::new();
     FOUND.get_or_init(|| {
         let mut found = Vec::new();
-        for some in seeds().chunks(AT_ONCE) {
+        for chunk in seeds().chunks(CONCURRENT_RUNS) {
             let start = |seed: u64| (seed, thread::spawn(move || run::run(seed)));
-            let runs: Vec<_> = some.iter().copied().map(start).collect();
+            let runs: Vec<_> = chunk.iter().copied().map(start).collect();
             for (seed, run) in runs {
-                let breaches = run.join().expect("a run that ends");
-                found.extend(breaches.into_iter().map(|breach| (seed, breach)));
+                let violations = run.join().expect("the run panicked");
+                found.extend(violations.into_iter().map(|violation| (seed, violation)));
             }
         }
         found
     })
 }
 
-fn none_of(is: impl Fn(Rule) -> bool) {
-    let of_these = found().iter().filter(|(_, breach)| is(breach.rule));
-    let told: Vec<String> = of_these
-        .map(|(seed, breach)| {
-            format!("seed {seed}: {:?}, request {:?}: {}", breach.rule, breach.request, breach.what)
+fn assert_none(matches: impl Fn(Rule) -> bool) {
+    let selected = violations().iter().filter(|(_, violation)| matches(violation.rule));
+    let lines: Vec<String> = selected
+        .map(|(seed, violation)| {
+            format!(
+                "seed {seed}: {:?}, request {:?}: {}",
+                violation.rule, violation.request, violation.detail
+            )
         })
         .collect();
-    assert!(told.is_empty(), "{} breaches:\n{}", told.len(), told.join("\n"));
+    assert!(lines.is_empty(), "{} violations:\n{}", lines.len(), lines.join("\n"));
 }
 
 #[test]
-fn the_rules_hold_in_deployments_drawn_at_random() {
-    none_of(|rule| rule != Rule::Cancel);
+fn the_rules_hold_in_random_deployments() {
+    assert_none(|rule| rule != Rule::Cancel);
 }
 
 #[test]
 fn no_attempt_is_cancelled_where_cancelling_is_not_allowed() {
-    none_of(|rule| rule == Rule::Cancel);
+    assert_none(|rule| rule == Rule::Cancel);
 }
 
-/// A rule that no seed puts to the test is not tested.
+/// Guards against seeds that never exercise a rule.
 #[test]
-fn the_seeds_draw_every_behaviour() {
-    let drawn: Vec<Deployment> = SEEDS.map(Deployment::draw).collect();
-    let some = |what: &str, is: &dyn Fn(&Deployment) -> bool| {
-        assert!(drawn.iter().any(is), "no seed has {what}");
+fn the_seeds_cover_every_behavior() {
+    let generated: Vec<Deployment> = SEEDS.map(Deployment::generate).collect();
+    let covers = |what: &str, matches: &dyn Fn(&Deployment) -> bool| {
+        assert!(generated.iter().any(matches), "no seed has {what}");
     };
-    for reports in [Reports::None, Reports::Answers, Reports::Probes] {
-        some("these reports", &|d| d.reports == reports);
+    for reports in [LoadReports::None, LoadReports::Answers, LoadReports::Probes] {
+        covers("these load reports", &|d| d.reports == reports);
     }
     for attempts in 1..=3 {
-        some("this many attempts", &|d| d.terms.max_attempts == attempts);
+        covers("this many attempts", &|d| d.spec.max_attempts == attempts);
     }
     for flag in [true, false] {
-        some("cancels allowed or not", &|d| d.terms.may_cancel == flag);
-        some("zones or none", &|d| d.zoned == flag);
-        some("an engine that refuses, or none", &|d| d.refusing.contains(&true) == flag);
+        covers("this cancelling setting", &|d| d.spec.may_cancel == flag);
+        covers("this use of zones", &|d| d.zoned == flag);
+        covers("this use of refusing engines", &|d| d.refusing.contains(&true) == flag);
     }
-    let kind = |effect: Effect| match effect {
-        Effect::Safe => "safe".to_owned(),
-        Effect::Keyed { group, .. } => format!("{group:?}"),
-        Effect::Unsafe => "unsafe".to_owned(),
+    let kind = |retry_safety: RetrySafety| match retry_safety {
+        RetrySafety::Safe => "safe".to_owned(),
+        RetrySafety::Keyed { group, .. } => format!("{group:?}"),
+        RetrySafety::Unsafe => "unsafe".to_owned(),
     };
     for ordered in [true, false] {
-        let classes = drawn.iter().flat_map(|d| &d.terms.classes).filter(|c| c.ordered == ordered);
-        let kinds: BTreeSet<String> = classes.map(|class| kind(class.effect)).collect();
-        assert_eq!(kinds.len(), 5, "effects of classes that keep order or not ({ordered}): {kinds:?}");
+        let classes = generated.iter().flat_map(|d| &d.spec.classes).filter(|c| c.ordered == ordered);
+        let kinds: BTreeSet<String> = classes.map(|class| kind(class.retry_safety)).collect();
+        assert_eq!(kinds.len(), 5, "idempotency of classes with ordered={ordered}: {kinds:?}");
     }
     for name in ["c", "i", "d", "t", "r", "h", "mem", "o", "k", "z"] {
-        let holds = |text: &str| text.contains(&format!("{name}="));
-        some("a field", &|d| d.texts.iter().any(|text| holds(text)));
+        let contains = |text: &str| text.contains(&format!("{name}="));
+        covers("this field", &|d| d.queries.iter().any(|text| contains(text)));
         let optional = name != "c";
-        some("a request without a field", &|d| !optional || d.texts.iter().any(|text| !holds(text)));
+        covers("a request without a field", &|d| !optional || d.queries.iter().any(|text| !contains(text)));
     }
-    let steps = || drawn.iter().flat_map(|d| &d.lanes).flat_map(|lane| &lane.steps);
+    let steps = || generated.iter().flat_map(|d| &d.scripts).flat_map(|script| &script.steps);
     assert!(steps().any(|step| step.requests.len() > 1), "pipelining");
-    for opening in [Opening::Fresh, Opening::WithStart, Opening::Reused] {
-        assert!(steps().any(|step| step.opening == opening), "{opening:?}");
+    for connection in [ConnectionKind::New, ConnectionKind::WithStartup, ConnectionKind::Reused] {
+        assert!(steps().any(|step| step.connection == connection), "{connection:?}");
     }
-    assert!(steps().any(|step| matches!(step.conduct, Conduct::Leave(_))));
-    assert!(steps().any(|step| matches!(step.conduct, Conduct::Cancel(_))));
-    let fates: BTreeSet<_> = drawn.iter().flat_map(|d| d.fates.iter().flatten()).map(name_of).collect();
-    assert_eq!(fates.len(), 8, "{fates:?}");
+    assert!(steps().any(|step| matches!(step.action, ClientAction::Leave(_))));
+    assert!(steps().any(|step| matches!(step.action, ClientAction::Cancel(_))));
+    let behaviors: BTreeSet<_> =
+        generated.iter().flat_map(|d| d.behaviors.iter().flatten()).map(name_of).collect();
+    assert_eq!(behaviors.len(), 8, "{behaviors:?}");
 }
 
-fn name_of(fate: &Fate) -> &'static str {
-    match fate {
-        Fate::Served { .. } => "served",
-        Fate::Error { .. } => "error",
-        Fate::Shed => "shed",
-        Fate::Over => "over",
-        Fate::Dies => "dies",
-        Fate::DiesForGood => "dies for good",
-        Fate::Reset { .. } => "reset",
-        Fate::Silent => "silent",
+fn name_of(behavior: &Behavior) -> &'static str {
+    match behavior {
+        Behavior::Served { .. } => "served",
+        Behavior::Error { .. } => "error",
+        Behavior::Shed => "shed",
+        Behavior::Expired => "expired",
+        Behavior::Crashes => "crashes",
+        Behavior::CrashesForGood => "crashes for good",
+        Behavior::Reset { .. } => "reset",
+        Behavior::Silent => "silent",
     }
 }
--- a/gateway/tests/deployments/auditor.rs
+++ b/gateway/tests/deployments/auditor.rs
@@ -1,29 +1,29 @@
-//! The rules of the protocol, judged from a log of what clients, engines and the coordinator did and saw. Nothing here
-//! knows the gateway.
+//! Checks the rules of the protocol against a log of the events at clients, engines and the discovery service. The
+//! gateway is a black box here.
 //!
-//! Stamps are taken so that lateness of the machine never condemns: what a peer does is stamped before it does it,
-//! what it sees is stamped after it has seen it. Where a rule compares two stamps that no message orders, the
-//! [`Allowance`] is granted on top.
+//! Scheduling delays must not cause false violations: a peer logs an action before performing it and an observation
+//! after making it. Rules that compare two timestamps without a message between them allow for the [`Tolerance`].
 #![allow(missing_docs)]
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// An engine ends a query that it has not been asked for in this long.
-pub const UNASKED: Duration = Duration::from_secs(2);
-/// Every time limit is longer by this on sockets.
-pub const ON_SOCKETS: Duration = Duration::from_millis(50);
+/// Time without a poll after which an engine ends a query.
+pub const POLL_TIMEOUT: Duration = Duration::from_secs(2);
+/// Added to every time limit for the delays of real sockets.
+pub const SOCKET_TOLERANCE: Duration = Duration::from_millis(50);
 
-/// A request's number; it stands in its statement, so that engines know a request without its id.
-pub type Serial = usize;
-/// An engine's place in [`Terms::engines`].
-pub type EngineNo = usize;
+/// Position of a request in [`Spec::requests`]. Every statement contains it, so that engines recognize requests without
+/// an id.
+pub type RequestIndex = usize;
+/// Position of an engine in [`Spec::engines`].
+pub type EngineIndex = usize;
 
-/// What repeating a request would do.
+/// Whether a request may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum RetrySafety {
     Safe,
-    /// Engines of the group drop repeats for a while.
+    /// Engines of the group drop requests with a known idempotency key during the window.
     Keyed {
         group: Group,
         window: Duration,
@@ -31,7 +31,7 @@
     Unsafe,
 }
 
-/// Which engines know a repeat.
+/// Engines that share their known idempotency keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Group {
     All,
@@ -43,78 +43,78 @@
 pub struct Class {
     pub name: String,
     pub ordered: bool,
-    pub effect: Effect,
+    pub retry_safety: RetrySafety,
     pub deadline: Duration,
 }
 
 #[derive(Clone, Debug)]
-pub struct EngineFacts {
+pub struct EngineInfo {
     pub name: String,
     pub zone: String,
     pub cell: u64,
 }
 
-/// A request as its client words it.
+/// A request as its client sends it.
 #[derive(Clone, Debug)]
 pub struct Request {
     pub class: usize,
     pub id: Option<String>,
-    /// Milliseconds, as written.
-    pub wait_ms: Option<f64>,
-    pub key: Option<String>,
-    pub token: Option<String>,
+    /// The request's field `d`.
+    pub timeout_ms: Option<f64>,
+    pub order_key: Option<String>,
+    pub idempotency_key: Option<String>,
     pub statement: String,
-    /// The request that was written ahead of it on its connection without waiting for the answer.
-    pub behind: Option<Serial>,
+    /// The unanswered request that this one was pipelined after on its connection.
+    pub follows: Option<RequestIndex>,
 }
 
-/// What a deployment's settings say.
+/// The settings of a deployment, its engines, and the requests of its clients.
 #[derive(Clone, Debug)]
-pub struct Terms {
+pub struct Spec {
     pub classes: Vec<Class>,
-    pub engines: Vec<EngineFacts>,
+    pub engines: Vec<EngineInfo>,
     pub requests: Vec<Request>,
     pub may_cancel: bool,
     pub may_probe: bool,
     pub max_attempts: usize,
-    pub settle: Duration,
-    pub grace: Duration,
-    pub slack: Duration,
+    pub order_pause: Duration,
+    pub drain_grace: Duration,
+    pub answer_slack: Duration,
 }
 
-/// The fields of a call that starts a query, as the engine got them.
+/// A call that starts a query, as received by the engine.
 #[derive(Clone, Debug, Default)]
 pub struct Call {
     pub query_id: Option<String>,
     pub class: Option<String>,
     pub max_ms: Option<String>,
-    pub token: Option<String>,
+    pub idempotency_key: Option<String>,
     pub rank: Option<String>,
     pub grant_mb: Option<String>,
     pub statement: String,
 }
 
-/// How an engine ended an attempt.
+/// The engine's result of an attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum End {
-    /// Served, with these rows.
+pub enum Outcome {
+    /// The rows of the result.
     Rows(Vec<String>),
-    /// It may have run.
+    /// The query failed and may have run.
     Error,
-    /// Proved not to have run.
+    /// The query was rejected before it ran.
     NeverRan,
 }
 
-/// A client's answer.
+/// The answer that a client received.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
     Rows(Vec<String>),
-    /// The error's code.
+    /// The SQLSTATE.
     Error(String),
 }
 
 impl Answer {
-    fn invites(&self) -> bool {
+    fn invites_retry(&self) -> bool {
         matches!(self, Answer::Error(code) if code.starts_with("53") || code == "57P03")
     }
 }
@@ -127,31 +127,32 @@
 
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A client is about to write a request's last byte.
-    Writing(Serial),
-    /// It has written it.
-    Written(Serial),
-    Answered(Serial, Answer),
-    /// Its connection ended without a whole answer.
-    CutOff(Serial),
-    /// A client stops waiting: no answer is owed.
-    Left(Serial),
-    /// A call that starts a query has come whole.
-    Arrived(EngineNo, Call),
-    /// A call for news or a page has come.
-    Asked(EngineNo, Serial),
-    /// The engine is about to write the last of an attempt's end.
-    Ending(EngineNo, Serial, End),
-    /// A DELETE has come whole.
-    GivenUp(EngineNo, Serial),
-    /// The engine's process is about to die with the query, and to reset its connection.
-    Dying(EngineNo, Serial),
-    /// The coordinator has told this of an engine.
-    Told(EngineNo, State),
-    Probed(EngineNo),
+    /// A client is about to write a request.
+    Writing(RequestIndex),
+    /// A client has written a request.
+    Written(RequestIndex),
+    Answered(RequestIndex, Answer),
+    /// The client's connection ended without a complete answer.
+    Disconnected(RequestIndex),
+    /// A client has disconnected or cancelled. No answer is required from here on.
+    Left(RequestIndex),
+    /// An engine has received a call that starts a query.
+    Arrived(EngineIndex, Call),
+    /// An engine has received a poll of a query, or a call for a page of its result.
+    Polled(EngineIndex, RequestIndex),
+    /// An engine is about to write the final response of an attempt.
+    Ending(EngineIndex, RequestIndex, Outcome),
+    /// An engine has received a DELETE for a query.
+    Cancelled(EngineIndex, RequestIndex),
+    /// An engine process is about to crash with the query and to reset its connections.
+    Crashing(EngineIndex, RequestIndex),
+    /// The discovery service has sent a state of an engine.
+    Announced(EngineIndex, State),
+    /// An engine has received a health check.
+    Probed(EngineIndex),
 }
 
-/// An event and when it was stamped, from the log's start.
+/// An event and its time since the start of the log.
 #[derive(Clone, Debug)]
 pub struct Entry {
     pub at: Duration,
@@ -161,432 +162,460 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
     /// Every request is answered.
-    Answer,
-    /// In time.
-    Time,
-    /// Once.
-    OneAnswer,
-    /// Served with what an engine made for it, whole.
+    Answered,
+    /// A request is answered before its deadline.
+    Deadline,
+    /// A request is answered once.
+    SingleAnswer,
+    /// Rows are those that an engine produced for the request, complete.
     Result,
-    /// One request of a key at a time.
-    OneOfKey,
-    /// In the order in which they were taken.
-    Order,
-    /// A key rests after an attempt that may still run.
-    Rest,
-    /// No second attempt while the first is out.
-    OneAttempt,
-    /// No more attempts than the settings let it have.
-    Attempts,
-    /// Once-only work runs once.
-    Once,
-    /// Nobody is invited to repeat once-only work that may have run.
-    Invitation,
-    /// Repeats go to engines that know them as such.
-    Repeat,
-    /// Nothing new for engines that drain or have gone.
+    /// Requests with the same order key run one at a time.
+    OneRequestPerKey,
+    /// Requests with the same order key run in the order of their admission.
+    KeyOrder,
+    /// An order key is paused after an attempt that may still be running.
+    KeyPause,
+    /// A request has at most one attempt in flight.
+    OneAttemptInFlight,
+    /// The number of attempts stays within the settings.
+    MaxAttempts,
+    /// A request that is not idempotent runs at most once.
+    AtMostOnce,
+    /// No error invites the client to retry a request that is not idempotent and may have run.
+    RetryInvitation,
+    /// Retries go to engines that know the idempotency key.
+    RetryPlacement,
+    /// Nothing new is sent to engines that drain or are gone.
     Drain,
-    /// Fields come through.
+    /// Fields of the request reach the engine unchanged.
     Fields,
-    /// No cancel where it is not allowed.
+    /// Attempts are not cancelled where the settings forbid it.
     Cancel,
-    /// No probe where it is not allowed.
+    /// Engines are not health-checked where the settings forbid it.
     Probe,
 }
 
 #[derive(Clone, Debug)]
-pub struct Breach {
+pub struct Violation {
     pub rule: Rule,
-    pub request: Option<Serial>,
-    pub what: String,
+    pub request: Option<RequestIndex>,
+    pub detail: String,
 }
 
-/// How late stamps may be that no message orders.
+/// Tolerated delay between timestamps without a message between them.
 #[derive(Clone, Copy, Debug)]
-pub struct Allowance {
-    /// For spans of the gateway's own timers, which began with a message.
+pub struct Tolerance {
+    /// For timers of the gateway that a message starts.
     pub timers: Duration,
-    /// For news on its way and answers.
-    pub passage: Duration,
+    /// For the delivery of endpoint events and answers.
+    pub delivery: Duration,
 }
 
-impl Allowance {
-    /// For a machine whose threads were seen to wake up this late.
-    pub fn of(lateness: Duration) -> Self {
+impl Tolerance {
+    /// The tolerance on a machine with this timer lag.
+    pub fn of(timer_lag: Duration) -> Self {
         Self {
-            timers: Duration::from_millis(50) + 2 * lateness,
-            passage: Duration::from_millis(500) + 4 * lateness,
+            timers: Duration::from_millis(50) + 2 * timer_lag,
+            delivery: Duration::from_millis(500) + 4 * timer_lag,
         }
     }
 }
 
-/// An attempt as its engine saw it.
+/// An attempt as its engine observed it.
 #[derive(Debug)]
 struct Attempt {
-    request: Serial,
-    engine: EngineNo,
-    /// Its place in the log.
-    index: usize,
+    request: RequestIndex,
+    engine: EngineIndex,
+    log_index: usize,
     at: Duration,
-    asked: Duration,
-    end: Option<(Duration, Ended)>,
+    /// Time of the last poll.
+    polled_at: Duration,
+    end: Option<(Duration, End)>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Ended {
+enum End {
     Rows,
     Error,
     NeverRan,
-    GivenUp,
-    Died,
+    Cancelled,
+    Crashed,
 }
 
 impl Attempt {
-    /// Until when it surely was out, at least.
-    fn out_until(&self, allowance: Allowance) -> Duration {
+    /// Earliest time at which the attempt may have ended.
+    fn in_flight_until(&self, tolerance: Tolerance) -> Duration {
         match self.end {
             Some((at, _)) => at,
-            None => (self.asked + UNASKED).saturating_sub(allowance.timers),
+            None => (self.polled_at + POLL_TIMEOUT).saturating_sub(tolerance.timers),
         }
     }
 
     fn may_have_run(&self) -> bool {
-        !matches!(self.end, Some((_, Ended::NeverRan)))
+        !matches!(self.end, Some((_, End::NeverRan)))
     }
 
-    /// Until when its key rests, at least.
-    fn rests_until(&self, settle: Duration, allowance: Allowance) -> Duration {
+    /// Earliest time at which the pause of the attempt's order key may end.
+    fn paused_until(&self, pause: Duration, tolerance: Tolerance) -> Duration {
         match self.end {
-            Some((at, Ended::GivenUp | Ended::Died)) => (at + settle).saturating_sub(allowance.timers),
+            Some((at, End::Cancelled | End::Crashed)) => (at + pause).saturating_sub(tolerance.timers),
             Some((at, _)) => at,
-            None => (self.asked + settle).saturating_sub(allowance.timers),
+            None => (self.polled_at + pause).saturating_sub(tolerance.timers),
         }
     }
 }
 
-/// Judges a log.
-pub fn audit(terms: &Terms, log: &[Entry], allowance: Allowance) -> Vec<Breach> {
-    let mut auditor = Auditor { terms, log, allowance, attempts: Vec::new(), breaches: Vec::new() };
-    auditor.gather();
-    auditor.answers();
-    auditor.attempts();
-    auditor.keys();
-    auditor.drains();
-    auditor.breaches
+/// Checks all rules and returns the violations found.
+pub fn audit(spec: &Spec, log: &[Entry], tolerance: Tolerance) -> Vec<Violation> {
+    let mut auditor = Auditor { spec, log, tolerance, attempts: Vec::new(), violations: Vec::new() };
+    auditor.collect_attempts();
+    auditor.check_answers();
+    auditor.check_attempts();
+    auditor.check_order_keys();
+    auditor.check_drains();
+    auditor.violations
 }
 
-/// The request whose number stands in a statement.
-pub fn serial_of(statement: &str) -> Option<Serial> {
+/// The request whose index a statement contains.
+pub fn request_of(statement: &str) -> Option<RequestIndex> {
     let (_, rest) = statement.split_once("tag = '#")?;
     rest.split_once('\'')?.0.parse().ok()
 }
 
 struct Auditor<'a> {
-    terms: &'a Terms,
+    spec: &'a Spec,
     log: &'a [Entry],
-    allowance: Allowance,
+    tolerance: Tolerance,
     attempts: Vec<Attempt>,
-    breaches: Vec<Breach>,
+    violations: Vec<Violation>,
 }
 
 impl Auditor<'_> {
-    fn breach(&mut self, rule: Rule, request: Serial, what: String) {
-        self.breaches.push(Breach { rule, request: Some(request), what });
+    fn report(&mut self, rule: Rule, request: RequestIndex, detail: String) {
+        self.violations.push(Violation { rule, request: Some(request), detail });
     }
 
-    fn class(&self, request: Serial) -> &Class {
-        &self.terms.classes[self.terms.requests[request].class]
+    fn class(&self, request: RequestIndex) -> &Class {
+        &self.spec.classes[self.spec.requests[request].class]
     }
 
-    /// When the first entry of some kind was stamped.
-    fn stamp(&self, is: impl Fn(&Event) -> bool) -> Option<Duration> {
-        self.log.iter().find(|entry| is(&entry.event)).map(|entry| entry.at)
+    /// Time of the first event that matches.
+    fn first_at(&self, matches: impl Fn(&Event) -> bool) -> Option<Duration> {
+        self.log.iter().find(|entry| matches(&entry.event)).map(|entry| entry.at)
     }
 
-    /// Puts attempts together, and judges each call by itself.
-    fn gather(&mut self) {
-        for (index, entry) in self.log.iter().enumerate() {
+    /// Builds the list of attempts and checks the rules that concern a single call.
+    fn collect_attempts(&mut self) {
+        for (log_index, entry) in self.log.iter().enumerate() {
             let at = entry.at;
             match &entry.event {
-                Event::Arrived(engine, call) => self.arrived(index, at, *engine, call),
-                Event::Asked(engine, request) => {
-                    if let Some(attempt) = self.last(*engine, *request) {
-                        attempt.asked = at;
+                Event::Arrived(engine, call) => self.attempt_arrived(log_index, at, *engine, call),
+                Event::Polled(engine, request) => {
+                    if let Some(attempt) = self.last_attempt(*engine, *request) {
+                        attempt.polled_at = at;
                     }
                 }
-                Event::Ending(engine, request, end) => {
-                    let ended = match end {
-                        End::Rows(_) => Ended::Rows,
-                        End::Error => Ended::Error,
-                        End::NeverRan => Ended::NeverRan,
+                Event::Ending(engine, request, outcome) => {
+                    let end = match outcome {
+                        Outcome::Rows(_) => End::Rows,
+                        Outcome::Error => End::Error,
+                        Outcome::NeverRan => End::NeverRan,
                     };
-                    self.ended(*engine, *request, at, ended);
+                    self.end_attempt(*engine, *request, at, end);
                 }
-                Event::GivenUp(engine, request) => {
-                    self.ended(*engine, *request, at, Ended::GivenUp);
-                    if !self.terms.may_cancel {
-                        let what = format!("engine {engine} was told to give it up");
-                        self.breach(Rule::Cancel, *request, what);
+                Event::Cancelled(engine, request) => {
+                    self.end_attempt(*engine, *request, at, End::Cancelled);
+                    if !self.spec.may_cancel {
+                        let detail = format!("engine {engine} received a cancellation");
+                        self.report(Rule::Cancel, *request, detail);
                     }
                 }
-                Event::Dying(engine, request) => self.ended(*engine, *request, at, Ended::Died),
-                Event::Probed(engine) if !self.terms.may_probe => {
-                    let what = format!("engine {engine} was probed");
-                    self.breaches.push(Breach { rule: Rule::Probe, request: None, what });
+                Event::Crashing(engine, request) => self.end_attempt(*engine, *request, at, End::Crashed),
+                Event::Probed(engine) if !self.spec.may_probe => {
+                    let detail = format!("engine {engine} received a health check");
+                    self.violations.push(Violation { rule: Rule::Probe, request: None, detail });
                 }
                 _ => {}
             }
         }
     }
 
-    fn last(&mut self, engine: EngineNo, request: Serial) -> Option<&mut Attempt> {
+    fn last_attempt(&mut self, engine: EngineIndex, request: RequestIndex) -> Option<&mut Attempt> {
         self.attempts.iter_mut().rev().find(|a| a.engine == engine && a.request == request)
     }
 
-    fn ended(&mut self, engine: EngineNo, request: Serial, at: Duration, how: Ended) {
-        if let Some(attempt) = self.last(engine, request) {
-            attempt.end.get_or_insert((at, how));
+    fn end_attempt(&mut self, engine: EngineIndex, request: RequestIndex, at: Duration, end: End) {
+        if let Some(attempt) = self.last_attempt(engine, request) {
+            attempt.end.get_or_insert((at, end));
         }
     }
 
-    fn arrived(&mut self, index: usize, at: Duration, engine: EngineNo, call: &Call) {
-        let request = serial_of(&call.statement).filter(|serial| *serial < self.terms.requests.len());
+    fn attempt_arrived(&mut self, log_index: usize, at: Duration, engine: EngineIndex, call: &Call) {
+        let request = request_of(&call.statement).filter(|index| *index < self.spec.requests.len());
         let Some(request) = request else {
-            let what = format!("no client sent {:?}", call.statement);
-            return self.breaches.push(Breach { rule: Rule::Fields, request: None, what });
+            let detail = format!("no client sent {:?}", call.statement);
+            return self.violations.push(Violation { rule: Rule::Fields, request: None, detail });
         };
-        self.attempts.push(Attempt { request, engine, index, at, asked: at, end: None });
-        for what in self.wrong_fields(request, call) {
-            self.breach(Rule::Fields, request, what);
+        self.attempts.push(Attempt { request, engine, log_index, at, polled_at: at, end: None });
+        for detail in self.field_errors(request, call) {
+            self.report(Rule::Fields, request, detail);
         }
     }
 
-    /// What is wrong with the fields of a call.
-    fn wrong_fields(&self, request: Serial, call: &Call) -> Vec<String> {
-        let (asked, class) = (&self.terms.requests[request], self.class(request));
-        let mut wrong = Vec::new();
+    fn field_errors(&self, request: RequestIndex, call: &Call) -> Vec<String> {
+        let (sent, class) = (&self.spec.requests[request], self.class(request));
+        let mut errors = Vec::new();
         let query_id = call.query_id.as_deref().unwrap_or("");
         let is_id = query_id.len() == 16 && query_id.bytes().all(|b| b.is_ascii_hexdigit());
-        if !is_id || asked.id.as_deref().is_some_and(|id| id != query_id) {
-            wrong.push(format!("X-Ticket {query_id:?} for the id {:?}", asked.id));
+        if !is_id || sent.id.as_deref().is_some_and(|id| id != query_id) {
+            errors.push(format!("X-Ticket {query_id:?} for the id {:?}", sent.id));
         }
         if call.class.as_deref() != Some(&class.name) {
-            wrong.push(format!("X-Queue {:?} for the class {}", call.class, class.name));
+            errors.push(format!("X-Queue {:?} for the class {}", call.class, class.name));
         }
-        let most_ms = asked.wait_ms.unwrap_or(class.deadline.as_secs_f64() * 1000.0);
+        let limit_ms = sent.timeout_ms.unwrap_or(class.deadline.as_secs_f64() * 1000.0);
         let max_ms = call.max_ms.as_deref().and_then(|ms| ms.parse::<u64>().ok()).unwrap_or(0);
-        if max_ms == 0 || max_ms as f64 > most_ms {
-            wrong.push(format!("X-Max-Ms {:?} for a wait of {most_ms} ms", call.max_ms));
+        if max_ms == 0 || max_ms as f64 > limit_ms {
+            errors.push(format!("X-Max-Ms {:?} for a timeout of {limit_ms} ms", call.max_ms));
         }
-        if call.statement.trim_ascii_start() != asked.statement {
-            wrong.push(format!("the statement {:?} for {:?}", call.statement, asked.statement));
+        if call.statement.trim_ascii_start() != sent.statement {
+            errors.push(format!("the statement {:?} for {:?}", call.statement, sent.statement));
         }
-        if call.token != asked.token {
-            wrong.push(format!("X-Nonce {:?} for the token {:?}", call.token, asked.token));
+        if call.idempotency_key != sent.idempotency_key {
+            errors.push(format!(
+                "X-Nonce {:?} for the idempotency key {:?}",
+                call.idempotency_key, sent.idempotency_key
+            ));
         }
         if call.rank.as_ref().is_some_and(|rank| !["0", "1", "2", "3"].contains(&rank.as_str())) {
-            wrong.push(format!("Rank {:?}", call.rank));
+            errors.push(format!("Rank {:?}", call.rank));
         }
         if call.grant_mb.as_ref().is_some_and(|mb| mb.parse::<f64>().is_err()) {
-            wrong.push(format!("Grant-Mb {:?}", call.grant_mb));
+            errors.push(format!("Grant-Mb {:?}", call.grant_mb));
         }
-        wrong
+        errors
     }
 
-    /// One final answer for each request, in time, and what it may say.
-    fn answers(&mut self) {
-        for request in 0..self.terms.requests.len() {
-            let of = |event: &Event| matches!(event, Event::Answered(serial, _) if *serial == request);
-            let answers: Vec<&Entry> = self.log.iter().filter(|entry| of(&entry.event)).collect();
-            let left = self.stamp(|event| matches!(event, Event::Left(serial) if *serial == request));
-            let written = self.stamp(|event| matches!(event, Event::Written(serial) if *serial == request));
+    /// Checks that each request has one answer, its time and its content.
+    fn check_answers(&mut self) {
+        for request in 0..self.spec.requests.len() {
+            let is_answer = |event: &Event| matches!(event, Event::Answered(index, _) if *index == request);
+            let answers: Vec<&Entry> = self.log.iter().filter(|entry| is_answer(&entry.event)).collect();
+            let left = self.first_at(|event| matches!(event, Event::Left(index) if *index == request));
+            let written = self.first_at(|event| matches!(event, Event::Written(index) if *index == request));
             let Some(written) = written else { continue };
             if answers.len() > 1 {
-                self.breach(Rule::OneAnswer, request, format!("{} answers", answers.len()));
+                self.report(Rule::SingleAnswer, request, format!("{} answers", answers.len()));
             }
             let Some(first) = answers.first() else {
-                let cut_off = |event: &Event| matches!(event, Event::CutOff(serial) if *serial == request);
-                let what = match self.stamp(cut_off) {
-                    Some(at) => format!("its connection ended at {at:?} without a whole answer"),
-                    None => "nothing came".to_owned(),
+                let disconnected =
+                    |event: &Event| matches!(event, Event::Disconnected(index) if *index == request);
+                let detail = match self.first_at(disconnected) {
+                    Some(at) => format!("its connection ended at {at:?} without a complete answer"),
+                    None => "no answer was received".to_owned(),
                 };
                 if left.is_none() {
-                    self.breach(Rule::Answer, request, what);
+                    self.report(Rule::Answered, request, detail);
                 }
                 continue;
             };
             if left.is_none() {
-                self.in_time(request, written, first.at);
+                self.check_deadline(request, written, first.at);
             }
             let Event::Answered(_, answer) = &first.event else { continue };
-            self.is_true(request, first.at, answer);
+            self.check_answer(request, first.at, answer);
         }
     }
 
-    fn in_time(&mut self, request: Serial, written: Duration, answered: Duration) {
-        let asked = &self.terms.requests[request];
+    fn check_deadline(&mut self, request: RequestIndex, written: Duration, answered: Duration) {
+        let sent = &self.spec.requests[request];
         let deadline = self.class(request).deadline;
-        let wait = asked.wait_ms.map_or(deadline, |ms| Duration::from_secs_f64(ms / 1000.0).min(deadline));
-        // A session carries one query at a time: what was written behind another begins with that one's end.
-        let behind =
-            |event: &Event| matches!(event, Event::Answered(serial, _) if Some(*serial) == asked.behind);
-        let from = self.stamp(behind).map_or(written, |ended| ended.max(written));
-        let limit = from + wait + self.terms.slack + ON_SOCKETS + self.allowance.passage;
+        let timeout =
+            sent.timeout_ms.map_or(deadline, |ms| Duration::from_secs_f64(ms / 1000.0).min(deadline));
+        // A session runs one query at a time. The timeout of a pipelined query starts when the previous query ends.
+        let previous =
+            |event: &Event| matches!(event, Event::Answered(index, _) if Some(*index) == sent.follows);
+        let from = self.first_at(previous).map_or(written, |ended| ended.max(written));
+        let limit = from + timeout + self.spec.answer_slack + SOCKET_TOLERANCE + self.tolerance.delivery;
         if answered > limit {
             let took = answered.saturating_sub(from);
-            self.breach(Rule::Time, request, format!("answered after {took:?} with a wait of {wait:?}"));
+            self.report(
+                Rule::Deadline,
+                request,
+                format!("answered after {took:?} with a timeout of {timeout:?}"),
+            );
         }
     }
 
-    fn is_true(&mut self, request: Serial, answered: Duration, answer: &Answer) {
-        let made = |entry: &Entry| match (&entry.event, answer) {
-            (Event::Ending(_, serial, End::Rows(made)), Answer::Rows(rows)) => {
-                *serial == request && made == rows && entry.at <= answered
+    fn check_answer(&mut self, request: RequestIndex, answered: Duration, answer: &Answer) {
+        let produced = |entry: &Entry| match (&entry.event, answer) {
+            (Event::Ending(_, index, Outcome::Rows(produced)), Answer::Rows(rows)) => {
+                *index == request && produced == rows && entry.at <= answered
             }
             _ => false,
         };
-        if matches!(answer, Answer::Rows(_)) && !self.log.iter().any(made) {
-            self.breach(Rule::Result, request, format!("no engine made {answer:?}"));
+        if matches!(answer, Answer::Rows(_)) && !self.log.iter().any(produced) {
+            self.report(Rule::Result, request, format!("no engine produced {answer:?}"));
         }
         let ran = |a: &Attempt| {
-            let never = matches!(a.end, Some((_, Ended::NeverRan)));
+            let never = matches!(a.end, Some((_, End::NeverRan)));
             a.request == request && a.at <= answered && !never
         };
-        let once = self.class(request).effect == Effect::Unsafe;
-        if once && answer.invites() && self.attempts.iter().any(ran) {
-            self.breach(Rule::Invitation, request, format!("{answer:?} for work that may have run"));
+        let non_idempotent = self.class(request).retry_safety == RetrySafety::Unsafe;
+        if non_idempotent && answer.invites_retry() && self.attempts.iter().any(ran) {
+            self.report(
+                Rule::RetryInvitation,
+                request,
+                format!("{answer:?} invites a retry of a request that may have run"),
+            );
         }
     }
 
-    /// What the attempts of one request may be.
-    fn attempts(&mut self) {
-        let mut by_request: BTreeMap<Serial, Vec<usize>> = BTreeMap::new();
-        for (at, attempt) in self.attempts.iter().enumerate() {
-            by_request.entry(attempt.request).or_default().push(at);
+    /// Checks the number of attempts of each request, and each attempt against the earlier ones.
+    fn check_attempts(&mut self) {
+        let mut by_request: BTreeMap<RequestIndex, Vec<usize>> = BTreeMap::new();
+        for (n, attempt) in self.attempts.iter().enumerate() {
+            by_request.entry(attempt.request).or_default().push(n);
         }
         for (request, attempts) in by_request {
-            if self.terms.max_attempts > 0 && attempts.len() > self.terms.max_attempts {
-                self.breach(Rule::Attempts, request, format!("{} attempts", attempts.len()));
+            if self.spec.max_attempts > 0 && attempts.len() > self.spec.max_attempts {
+                self.report(Rule::MaxAttempts, request, format!("{} attempts", attempts.len()));
             }
             for (n, later) in attempts.iter().enumerate() {
                 for earlier in &attempts[..n] {
-                    self.pair(request, *earlier, *later);
+                    self.check_attempt_pair(request, *earlier, *later);
                 }
             }
         }
     }
 
-    fn pair(&mut self, request: Serial, earlier: usize, later: usize) {
+    fn check_attempt_pair(&mut self, request: RequestIndex, earlier: usize, later: usize) {
         let (earlier, later) = (&self.attempts[earlier], &self.attempts[later]);
-        let out_until = earlier.out_until(self.allowance);
+        let in_flight_until = earlier.in_flight_until(self.tolerance);
         let mut found = Vec::new();
-        if later.at < out_until {
-            let what = format!("an attempt at {:?} while one was out until {out_until:?}", later.at);
-            found.push((Rule::OneAttempt, what));
+        if later.at < in_flight_until {
+            let detail =
+                format!("an attempt at {:?} while another was in flight until {in_flight_until:?}", later.at);
+            found.push((Rule::OneAttemptInFlight, detail));
         }
         if earlier.may_have_run() {
-            match self.class(request).effect {
-                Effect::Safe => {}
-                Effect::Unsafe => {
-                    let what = format!("sent again at {:?} when it may have run", later.at);
-                    found.push((Rule::Once, what));
+            match self.class(request).retry_safety {
+                RetrySafety::Safe => {}
+                RetrySafety::Unsafe => {
+                    let detail = format!("sent again at {:?} although it may have run", later.at);
+                    found.push((Rule::AtMostOnce, detail));
                 }
-                Effect::Keyed { group, window } => {
+                RetrySafety::Keyed { group, window } => {
                     let (first, second) =
-                        (&self.terms.engines[earlier.engine], &self.terms.engines[later.engine]);
+                        (&self.spec.engines[earlier.engine], &self.spec.engines[later.engine]);
                     let known = match group {
                         Group::All => true,
                         Group::Zone => first.zone == second.zone,
                         Group::Cell => first.cell == second.cell,
                     };
-                    if !known || later.at > earlier.at + window + self.allowance.timers {
-                        let what = format!(
+                    if !known || later.at > earlier.at + window + self.tolerance.timers {
+                        let detail = format!(
                             "sent again to {} at {:?}, first to {} at {:?}",
                             second.name, later.at, first.name, earlier.at
                         );
-                        found.push((Rule::Repeat, what));
+                        found.push((Rule::RetryPlacement, detail));
                     }
                 }
             }
         }
-        for (rule, what) in found {
-            self.breach(rule, request, what);
+        for (rule, detail) in found {
+            self.report(rule, request, detail);
         }
     }
 
-    /// Requests of one key run one at a time and in order, and a key rests.
-    fn keys(&mut self) {
-        let mut lines: BTreeMap<(usize, &str), Vec<Serial>> = BTreeMap::new();
+    /// Checks the rules for requests with the same order key.
+    fn check_order_keys(&mut self) {
+        let mut queues: BTreeMap<(usize, &str), Vec<RequestIndex>> = BTreeMap::new();
         let mut seen = BTreeSet::new();
         for entry in self.log {
             let Event::Written(request) = entry.event else { continue };
-            let asked = &self.terms.requests[request];
-            let (true, Some(key)) = (self.class(request).ordered, &asked.key) else { continue };
+            let sent = &self.spec.requests[request];
+            let (true, Some(order_key)) = (self.class(request).ordered, &sent.order_key) else { continue };
             if seen.insert(request) {
-                lines.entry((asked.class, key)).or_default().push(request);
+                queues.entry((sent.class, order_key)).or_default().push(request);
             }
         }
         let mut found = Vec::new();
-        for line in lines.values() {
-            let place = |request: Serial| line.iter().position(|r| *r == request);
+        for queue in queues.values() {
+            let position = |request: RequestIndex| queue.iter().position(|r| *r == request);
             let attempts: Vec<&Attempt> =
-                self.attempts.iter().filter(|a| place(a.request).is_some()).collect();
+                self.attempts.iter().filter(|a| position(a.request).is_some()).collect();
             for (n, later) in attempts.iter().enumerate() {
                 for earlier in attempts[..n].iter().filter(|a| a.request != later.request) {
-                    found.extend(self.neighbours(
+                    found.extend(self.check_key_pair(
                         earlier,
                         later,
-                        place(earlier.request) > place(later.request),
+                        position(earlier.request) > position(later.request),
                     ));
                 }
             }
         }
-        for (rule, request, what) in found {
-            self.breach(rule, request, what);
+        for (rule, request, detail) in found {
+            self.report(rule, request, detail);
         }
     }
 
-    fn neighbours(&self, earlier: &Attempt, later: &Attempt, passed: bool) -> Option<(Rule, Serial, String)> {
-        debug_assert!(earlier.index < later.index);
+    fn check_key_pair(
+        &self,
+        earlier: &Attempt,
+        later: &Attempt,
+        out_of_order: bool,
+    ) -> Option<(Rule, RequestIndex, String)> {
+        debug_assert!(earlier.log_index < later.log_index);
         let request = later.request;
-        let out_until = earlier.out_until(self.allowance);
-        let rests_until = earlier.rests_until(self.terms.settle, self.allowance);
+        let in_flight_until = earlier.in_flight_until(self.tolerance);
+        let paused_until = earlier.paused_until(self.spec.order_pause, self.tolerance);
         let other = earlier.request;
         let at = later.at;
-        if passed {
-            return Some((Rule::Order, request, format!("went out behind {other}, which was taken later")));
+        if out_of_order {
+            return Some((
+                Rule::KeyOrder,
+                request,
+                format!("sent after request {other}, which was admitted later"),
+            ));
         }
-        if at < out_until {
-            let what = format!("went out at {at:?} while {other} of its key was out until {out_until:?}");
-            return Some((Rule::OneOfKey, request, what));
+        if at < in_flight_until {
+            let detail = format!(
+                "sent at {at:?} while request {other} of its key was in flight until {in_flight_until:?}"
+            );
+            return Some((Rule::OneRequestPerKey, request, detail));
         }
-        let what = || format!("went out at {at:?}, its key was to rest for {other} until {rests_until:?}");
-        (at < rests_until).then(|| (Rule::Rest, request, what()))
+        let detail =
+            || format!("sent at {at:?} while its key was paused for request {other} until {paused_until:?}");
+        (at < paused_until).then(|| (Rule::KeyPause, request, detail()))
     }
 
-    /// Nothing new goes to an engine that has been told to drain, or gone. A send is no older than the request, nor
-    /// than the end of the attempt before it.
-    fn drains(&mut self) {
+    /// Checks that nothing new goes to an engine that drains or is gone. An attempt is sent after its request was
+    /// written and after the previous attempt ended.
+    fn check_drains(&mut self) {
         let mut found = Vec::new();
         for (n, attempt) in self.attempts.iter().enumerate() {
-            let told = self.log.iter().find_map(|entry| match entry.event {
-                Event::Told(engine, state) if engine == attempt.engine => Some((entry.at, state)),
+            let announced = self.log.iter().find_map(|entry| match entry.event {
+                Event::Announced(engine, state) if engine == attempt.engine => Some((entry.at, state)),
                 _ => None,
             });
-            let Some((told, state)) = told else { continue };
+            let Some((announced_at, state)) = announced else { continue };
             let request = attempt.request;
-            let writing = self.stamp(|event| matches!(event, Event::Writing(serial) if *serial == request));
-            let before = self.attempts[..n].iter().rev().find(|a| a.request == request);
-            let before = before.and_then(|a| a.end).map_or(Duration::ZERO, |(at, _)| at);
-            let sent = writing.unwrap_or(Duration::ZERO).max(before);
-            let sent = sent.max(attempt.at.saturating_sub(self.allowance.passage));
-            if sent > told + self.terms.grace + self.allowance.passage {
-                let what = format!("sent after {sent:?} to engine {}, {state:?} at {told:?}", attempt.engine);
-                found.push((request, what));
+            let writing = self.first_at(|event| matches!(event, Event::Writing(index) if *index == request));
+            let previous = self.attempts[..n].iter().rev().find(|a| a.request == request);
+            let previous_end = previous.and_then(|a| a.end).map_or(Duration::ZERO, |(at, _)| at);
+            let sent_at = writing.unwrap_or(Duration::ZERO).max(previous_end);
+            let sent_at = sent_at.max(attempt.at.saturating_sub(self.tolerance.delivery));
+            if sent_at > announced_at + self.spec.drain_grace + self.tolerance.delivery {
+                let detail = format!(
+                    "sent after {sent_at:?} to engine {}, which was {state:?} at {announced_at:?}",
+                    attempt.engine
+                );
+                found.push((request, detail));
             }
         }
-        for (request, what) in found {
-            self.breach(Rule::Drain, request, what);
+        for (request, detail) in found {
+            self.report(Rule::Drain, request, detail);
         }
     }
 }
--- a/gateway/tests/deployments/client.rs
+++ b/gateway/tests/deployments/client.rs
@@ -1,4 +1,4 @@
-//! Scripted PostgreSQL clients: what they write and read goes into the log.
+//! Scripted PostgreSQL clients, which log the requests that they write and the answers that they read.
 
 use std::collections::VecDeque;
 use std::io::{self, Read, Write};
@@ -7,36 +7,35 @@
 use std::thread;
 use std::time::Duration;
 
-use crate::auditor::{Answer, Event, Serial};
-use crate::world::{World, locked};
+use crate::auditor::{Answer, Event, RequestIndex};
+use crate::harness::{Harness, lock};
 
-/// Far more than any answer takes.
-const PATIENCE: Duration = Duration::from_secs(15);
+const READ_TIMEOUT: Duration = Duration::from_secs(15);
 
-const START: &[u8] = b"\0\x03\0\0user\0app\0database\0warehouse\0\0";
-const CANCEL: [u8; 8] = [0, 0, 0, 16, 0x04, 0xd2, 0x16, 0x2e];
+const STARTUP: &[u8] = b"\0\x03\0\0user\0app\0database\0warehouse\0\0";
+const CANCEL_REQUEST: [u8; 8] = [0, 0, 0, 16, 0x04, 0xd2, 0x16, 0x2e];
 
-/// A client's connection; a thread reads what comes over it.
+/// A client's connection. A [`Reader`] thread receives the answers.
 pub struct Session {
     stream: TcpStream,
-    world: Arc<World>,
-    told: Arc<Mutex<Told>>,
+    harness: Arc<Harness>,
+    shared: Arc<Mutex<Shared>>,
 }
 
-/// What reader and writer know of each other.
+/// State shared by the writer and the reader of a connection.
 #[derive(Default)]
-struct Told {
+struct Shared {
     /// Requests that were written and have no answer yet.
-    open: VecDeque<Serial>,
-    key: Option<[u8; 8]>,
+    unanswered: VecDeque<RequestIndex>,
+    cancel_key: Option<[u8; 8]>,
     ready: bool,
-    /// Nothing more is to be written: it has ended, or its client has stopped waiting.
+    /// Nothing more is to be written: the connection has ended or its client has left.
     ended: bool,
-    /// Its reader has ended.
-    lost: bool,
+    /// The reader has ended.
+    disconnected: bool,
 }
 
-/// One message of the server's.
+/// A message from the server.
 struct Message {
     kind: u8,
     body: Vec<u8>,
@@ -52,14 +51,14 @@
         Ok(Self { kind: head[0], body })
     }
 
-    /// The cells of a row, with tabs between.
+    /// The cells of a row, separated by tabs.
     fn row(&self) -> Option<String> {
         let (mut cells, mut rest) = (Vec::new(), self.body.get(2..)?);
-        while let Some((length, behind)) = rest.split_at_checked(4) {
+        while let Some((length, after)) = rest.split_at_checked(4) {
             let length = u32::from_be_bytes(length.try_into().ok()?) as usize;
-            let (cell, behind) = behind.split_at_checked(length)?;
+            let (cell, after) = after.split_at_checked(length)?;
             cells.push(String::from_utf8_lossy(cell).into_owned());
-            rest = behind;
+            rest = after;
         }
         Some(cells.join("\t"))
     }
@@ -71,101 +70,105 @@
 }
 
 impl Session {
-    /// Opens a connection and writes the start-up message and, in the same go, these queries.
-    pub fn open(address: SocketAddr, world: &Arc<World>, queries: &[(Serial, &str)]) -> io::Result<Self> {
+    /// Opens a connection and writes the start-up message and these queries in one piece.
+    pub fn open(
+        address: SocketAddr,
+        harness: &Arc<Harness>,
+        queries: &[(RequestIndex, &str)],
+    ) -> io::Result<Self> {
         let stream = TcpStream::connect(address)?;
         stream.set_nodelay(true)?;
-        stream.set_read_timeout(Some(PATIENCE))?;
-        let mut session = Self { stream, world: world.clone(), told: Arc::default() };
+        stream.set_read_timeout(Some(READ_TIMEOUT))?;
+        let mut session = Self { stream, harness: harness.clone(), shared: Arc::default() };
         let reader = Reader {
             stream: session.stream.try_clone()?,
-            world: world.clone(),
-            told: session.told.clone(),
+            harness: harness.clone(),
+            shared: session.shared.clone(),
             answering: None,
             rows: Vec::new(),
         };
-        let mut bytes = (START.len() as u32 + 4).to_be_bytes().to_vec();
-        bytes.extend(START);
-        session.write_behind(bytes, queries);
+        let mut bytes = (STARTUP.len() as u32 + 4).to_be_bytes().to_vec();
+        bytes.extend(STARTUP);
+        session.write_after(bytes, queries);
         thread::spawn(move || reader.run());
         Ok(session)
     }
 
-    /// Waits until the session has started.
+    /// Waits for the first ReadyForQuery.
     pub fn wait_ready(&self) {
-        while !locked(&self.told).ready {
+        while !lock(&self.shared).ready {
             thread::sleep(Duration::from_millis(1));
         }
     }
 
-    /// Whether all that was written is answered.
+    /// Whether all queries are answered.
     pub fn is_answered(&self) -> bool {
-        let told = locked(&self.told);
-        told.ready && told.open.is_empty()
+        let shared = lock(&self.shared);
+        shared.ready && shared.unanswered.is_empty()
     }
 
     /// Whether nothing more is to be written.
     pub fn is_ended(&self) -> bool {
-        locked(&self.told).ended
+        lock(&self.shared).ended
     }
 
-    /// Writes queries in one go.
-    pub fn write(&mut self, queries: &[(Serial, &str)]) {
-        self.write_behind(Vec::new(), queries);
+    /// Writes queries in one piece.
+    pub fn write(&mut self, queries: &[(RequestIndex, &str)]) {
+        self.write_after(Vec::new(), queries);
     }
 
-    fn write_behind(&mut self, mut bytes: Vec<u8>, queries: &[(Serial, &str)]) {
+    fn write_after(&mut self, mut bytes: Vec<u8>, queries: &[(RequestIndex, &str)]) {
         for (request, text) in queries {
             bytes.push(b'Q');
             bytes.extend((text.len() as u32 + 5).to_be_bytes());
             bytes.extend(text.as_bytes());
             bytes.push(0);
-            self.world.log(Event::Writing(*request));
+            self.harness.log(Event::Writing(*request));
         }
-        let mut told = locked(&self.told);
-        if told.lost {
-            // Nobody reads any more what comes.
+        let mut shared = lock(&self.shared);
+        if shared.disconnected {
+            // There is no reader that would receive the answers.
             for (request, _) in queries {
-                self.world.log(Event::Written(*request));
-                self.world.log(Event::CutOff(*request));
+                self.harness.log(Event::Written(*request));
+                self.harness.log(Event::Disconnected(*request));
             }
             return;
         }
-        told.open.extend(queries.iter().map(|(request, _)| *request));
-        drop(told);
-        // A connection that has ended is told of by its reader.
+        shared.unanswered.extend(queries.iter().map(|(request, _)| *request));
+        drop(shared);
+        // The reader logs the end of the connection.
         let _ = self.stream.write_all(&bytes);
         for (request, _) in queries {
-            self.world.log(Event::Written(*request));
+            self.harness.log(Event::Written(*request));
         }
     }
 
-    /// Stops waiting for a request; false if it has its answer.
-    fn leave(&self, request: Serial) -> bool {
-        let mut told = locked(&self.told);
-        let open = told.open.contains(&request);
-        if open {
-            told.ended = true;
-            self.world.log(Event::Left(request));
+    /// Marks the client of a request as having left. Returns false if the request is already answered.
+    fn leave(&self, request: RequestIndex) -> bool {
+        let mut shared = lock(&self.shared);
+        let waiting = shared.unanswered.contains(&request);
+        if waiting {
+            shared.ended = true;
+            self.harness.log(Event::Left(request));
         }
-        open
+        waiting
     }
 
-    /// Closes the connection unless the request has its answer.
-    pub fn close_over(&self, request: Serial) {
+    /// Closes the connection unless the request is already answered.
+    pub fn disconnect_during(&self, request: RequestIndex) {
         if self.leave(request) {
             let _ = self.stream.shutdown(Shutdown::Both);
         }
     }
 
-    /// Cancels the request over another connection unless it has its answer, and closes this one later.
-    pub fn cancel(&self, address: SocketAddr, request: Serial) -> io::Result<()> {
-        let Some(key) = locked(&self.told).key else { return Ok(()) };
+    /// Cancels the request over another connection unless it is already answered, then closes this one.
+    pub fn cancel(&self, address: SocketAddr, request: RequestIndex) -> io::Result<()> {
+        let Some(cancel_key) = lock(&self.shared).cancel_key else { return Ok(()) };
         if !self.leave(request) {
             return Ok(());
         }
         let mut stream = TcpStream::connect(address)?;
-        stream.write_all(&[&CANCEL[..], &key[..]].concat())?;
+        stream.write_all(&[&CANCEL_REQUEST[..], &cancel_key[..]].concat())?;
         thread::sleep(Duration::from_millis(500));
         self.stream.shutdown(Shutdown::Both)
     }
@@ -173,51 +176,51 @@
 
 struct Reader {
     stream: TcpStream,
-    world: Arc<World>,
-    told: Arc<Mutex<Told>>,
-    /// The request whose answer has been read since the last ReadyForQuery.
-    answering: Option<Serial>,
+    harness: Arc<Harness>,
+    shared: Arc<Mutex<Shared>>,
+    /// The request answered since the last ReadyForQuery.
+    answering: Option<RequestIndex>,
     rows: Vec<String>,
 }
 
 impl Reader {
-    /// Reads until the connection ends; what is open then has been cut off.
+    /// Reads until the connection ends. Unanswered requests are logged as disconnected.
     fn run(mut self) {
         while let Ok(message) = Message::read(&mut self.stream) {
-            self.take(&message);
+            self.handle(&message);
         }
-        let mut told = locked(&self.told);
-        (told.ready, told.ended, told.lost) = (true, true, true);
-        for request in told.open.drain(..) {
-            self.world.log(Event::CutOff(request));
+        let mut shared = lock(&self.shared);
+        (shared.ready, shared.ended, shared.disconnected) = (true, true, true);
+        for request in shared.unanswered.drain(..) {
+            self.harness.log(Event::Disconnected(request));
         }
     }
 
-    fn take(&mut self, message: &Message) {
+    fn handle(&mut self, message: &Message) {
         match message.kind {
-            b'K' => locked(&self.told).key = message.body.as_slice().try_into().ok(),
+            b'K' => lock(&self.shared).cancel_key = message.body.as_slice().try_into().ok(),
             b'Z' => {
                 self.answering = None;
-                locked(&self.told).ready = true;
+                lock(&self.shared).ready = true;
             }
             b'D' => self.rows.extend(message.row()),
             b'C' => {
                 let rows = std::mem::take(&mut self.rows);
-                self.answered(Answer::Rows(rows));
+                self.record_answer(Answer::Rows(rows));
             }
-            b'I' => self.answered(Answer::Rows(Vec::new())),
-            b'E' => self.answered(Answer::Error(message.code())),
+            b'I' => self.record_answer(Answer::Rows(Vec::new())),
+            b'E' => self.record_answer(Answer::Error(message.code())),
             _ => {}
         }
     }
 
-    /// A second answer before the next ReadyForQuery is one to the same request.
-    fn answered(&mut self, answer: Answer) {
-        let mut told = locked(&self.told);
-        let request = self.answering.or_else(|| told.open.pop_front());
+    /// A second answer before the next ReadyForQuery belongs to the same request.
+    fn record_answer(&mut self, answer: Answer) {
+        let mut shared = lock(&self.shared);
+        let request = self.answering.or_else(|| shared.unanswered.pop_front());
         self.answering = request;
         if let Some(request) = request {
-            self.world.log(Event::Answered(request, answer));
+            self.harness.log(Event::Answered(request, answer));
         }
     }
 }
--- a/gateway/tests/deployments/engine.rs
+++ b/gateway/tests/deployments/engine.rs
@@ -1,4 +1,4 @@
-//! A scripted engine: HTTP as on the protocol's page, with the fate of each attempt drawn beforehand.
+//! A scripted engine with its HTTP protocol. The generated deployment determines the behavior for each attempt.
 
 use std::collections::HashMap;
 use std::io::{self, BufRead, BufReader, Write};
@@ -10,84 +10,84 @@
 
 use socket2::{Domain, Protocol, SockRef, Socket, Type};
 
-use crate::auditor::{Call, End, EngineNo, Event, Serial, serial_of};
-use crate::draw::{Fate, Reports};
-use crate::world::{World, locked};
+use crate::auditor::{Call, EngineIndex, Event, Outcome, RequestIndex, request_of};
+use crate::generator::{Behavior, LoadReports};
+use crate::harness::{Harness, lock};
 
-/// An engine says after this long that there is no news.
-const NO_NEWS: Duration = Duration::from_millis(250);
-/// How often it looks whether a query has been given up.
-const LOOK: Duration = Duration::from_millis(5);
+/// Time after which the poll of a running query is answered with state 202.
+const POLL_HOLD: Duration = Duration::from_millis(250);
+/// Interval at which a held poll checks its query.
+const CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
 /// A query that an engine knows.
 struct Query {
-    request: Serial,
+    request: RequestIndex,
     due: Instant,
     silent: bool,
-    noted: bool,
-    /// It ends with an error.
-    errs: bool,
+    /// Polls are answered with a progress report.
+    progress: bool,
+    /// The query ends with an error.
+    fails: bool,
     pages: Vec<String>,
 }
 
 struct Engine {
-    number: EngineNo,
-    world: Arc<World>,
+    index: EngineIndex,
+    harness: Arc<Harness>,
     queries: Mutex<HashMap<String, Query>>,
     address: SocketAddr,
-    streams: Mutex<Vec<TcpStream>>,
-    dead: AtomicBool,
+    connections: Mutex<Vec<TcpStream>>,
+    crashed: AtomicBool,
 }
 
-/// Where an engine is: its address is held, so that nobody else gets it when it no longer listens.
-pub struct Place {
+/// The address of an engine, which stays reserved after the engine stops listening.
+pub struct Endpoint {
     pub address: SocketAddr,
-    _held: Socket,
+    _reserved: Socket,
 }
 
-fn bound(address: SocketAddr) -> io::Result<Socket> {
+fn bind(address: SocketAddr) -> io::Result<Socket> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, Some(Protocol::TCP))?;
     socket.set_reuse_port(true)?;
     socket.bind(&address.into())?;
     Ok(socket)
 }
 
-/// Starts an engine.
-pub fn start(number: EngineNo, world: &Arc<World>) -> io::Result<Place> {
-    let place = refusing()?;
-    let socket = bound(place.address)?;
+pub fn start(index: EngineIndex, harness: &Arc<Harness>) -> io::Result<Endpoint> {
+    let endpoint = reserve()?;
+    let socket = bind(endpoint.address)?;
     socket.listen(128)?;
     let listener: TcpListener = socket.into();
     let engine = Arc::new(Engine {
-        number,
-        world: world.clone(),
+        index,
+        harness: harness.clone(),
         queries: Mutex::default(),
-        address: place.address,
-        streams: Mutex::default(),
-        dead: AtomicBool::new(false),
+        address: endpoint.address,
+        connections: Mutex::default(),
+        crashed: AtomicBool::new(false),
     });
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
-            if engine.dead.load(Ordering::SeqCst) {
+            if engine.crashed.load(Ordering::SeqCst) {
                 let _ = reset(&stream);
                 return;
             }
-            locked(&engine.streams).extend(stream.try_clone());
+            lock(&engine.connections).extend(stream.try_clone());
             let engine = engine.clone();
             thread::spawn(move || drop(engine.serve(stream)));
         }
     });
-    Ok(place)
+    Ok(endpoint)
 }
 
-/// An address that refuses connections.
-pub fn refusing() -> io::Result<Place> {
-    let socket = bound(([127, 0, 0, 1], 0).into())?;
+/// Reserves an address that refuses connections.
+pub fn reserve() -> io::Result<Endpoint> {
+    let socket = bind(([127, 0, 0, 1], 0).into())?;
     let address = socket.local_addr()?.as_socket().ok_or(io::ErrorKind::AddrNotAvailable)?;
-    Ok(Place { address, _held: socket })
+    Ok(Endpoint { address, _reserved: socket })
 }
 
-/// A call as it came.
+/// An HTTP call.
 pub struct HttpCall {
     pub verb: String,
     pub path: String,
@@ -96,7 +96,7 @@
 }
 
 impl HttpCall {
-    /// The next one, whole; `None` once the other side has ended.
+    /// Reads the next call. Returns `None` at the end of the connection.
     pub fn read(reader: &mut impl BufRead) -> io::Result<Option<Self>> {
         let mut line = String::new();
         if reader.read_line(&mut line)? == 0 {
@@ -117,13 +117,13 @@
         Ok(Some(Self { verb, path, headers, body }))
     }
 
-    fn start(&self) -> Call {
+    fn start_call(&self) -> Call {
         let header = |name: &str| self.headers.get(name).cloned();
         Call {
             query_id: header("x-ticket"),
             class: header("x-queue"),
             max_ms: header("x-max-ms"),
-            token: header("x-nonce"),
+            idempotency_key: header("x-nonce"),
             rank: header("rank"),
             grant_mb: header("grant-mb"),
             statement: String::from_utf8_lossy(&self.body).into_owned(),
@@ -132,7 +132,7 @@
 }
 
 impl Engine {
-    /// Serves a connection until its end, which is no error.
+    /// Serves a connection until its end.
     fn serve(&self, mut stream: TcpStream) -> io::Result<()> {
         stream.set_nodelay(true)?;
         let mut reader = BufReader::new(stream.try_clone()?);
@@ -140,174 +140,174 @@
             let mut parts = call.path.split('/').skip(2);
             let query_id = parts.next().unwrap_or_default().to_owned();
             let page = parts.next().and_then(|page| page.parse::<usize>().ok());
-            let answer = match (call.verb.as_str(), call.path.as_str()) {
+            let response = match (call.verb.as_str(), call.path.as_str()) {
                 ("GET", "/healthz" | "/busy") => {
-                    self.world.log(Event::Probed(self.number));
-                    Some(self.answer("200 OK", "", ""))
+                    self.harness.log(Event::Probed(self.index));
+                    Some(self.response("200 OK", "", ""))
                 }
-                ("POST", "/data") => match self.started(&call) {
-                    Started::Answer(answer) => Some(answer),
-                    Started::News(query_id) => self.news(&query_id),
-                    Started::Reset => return reset(&stream),
+                ("POST", "/data") => match self.start_query(&call) {
+                    StartReaction::Response(response) => Some(response),
+                    StartReaction::Poll(query_id) => self.poll(&query_id),
+                    StartReaction::Reset => return reset(&stream),
                 },
-                ("GET", _) if page == Some(0) => self.news(&query_id),
+                ("GET", _) if page == Some(0) => self.poll(&query_id),
                 ("GET", _) => self.page(&query_id, page.unwrap_or(0)),
                 ("PUT", _) => Some(no_content()),
-                ("DELETE", _) => self.given_up(&query_id),
-                _ => Some(self.answer("400 no", "", "")),
+                ("DELETE", _) => self.cancel(&query_id),
+                _ => Some(self.response("400 no", "", "")),
             };
-            if self.dead.load(Ordering::SeqCst) {
+            if self.crashed.load(Ordering::SeqCst) {
                 return reset(&stream);
             }
-            if let Some(answer) = answer {
-                stream.write_all(answer.as_bytes())?;
+            if let Some(response) = response {
+                stream.write_all(response.as_bytes())?;
             }
         }
         Ok(())
     }
 
-    fn answer(&self, status: &str, headers: &str, body: &str) -> String {
-        let meter = match self.world.reports {
-            Reports::Answers => "X-Meter: inflight:1;util:0.05\r\n",
-            Reports::None | Reports::Probes => "",
+    fn response(&self, status: &str, headers: &str, body: &str) -> String {
+        let meter = match self.harness.reports {
+            LoadReports::Answers => "X-Meter: inflight:1;util:0.05\r\n",
+            LoadReports::None | LoadReports::Probes => "",
         };
         format!("HTTP/1.1 {status}\r\n{headers}{meter}Content-Length: {}\r\n\r\n{body}", body.len())
     }
 
-    fn unknown(&self) -> String {
-        self.answer("500 Internal Server Error", "", "")
+    fn server_error(&self) -> String {
+        self.response("500 Internal Server Error", "", "")
     }
 
-    fn ending(&self, request: Serial, end: End) {
-        self.world.log(Event::Ending(self.number, request, end));
+    fn ending(&self, request: RequestIndex, end: Outcome) {
+        self.harness.log(Event::Ending(self.index, request, end));
     }
 
-    /// An attempt has come whole.
-    fn started(&self, call: &HttpCall) -> Started {
-        let start = call.start();
+    /// Starts an attempt with the next behavior of its request.
+    fn start_query(&self, call: &HttpCall) -> StartReaction {
+        let start = call.start_call();
         let query_id = start.query_id.clone().unwrap_or_default();
-        let request = serial_of(&start.statement);
-        self.world.log(Event::Arrived(self.number, start));
-        let Some(request) = request else { return Started::Answer(self.unknown()) };
-        let (fate, number) = self.world.fate(request);
+        let request = request_of(&start.statement);
+        self.harness.log(Event::Arrived(self.index, start));
+        let Some(request) = request else { return StartReaction::Response(self.server_error()) };
+        let (behavior, number) = self.harness.next_behavior(request);
         let pages = |pages: usize| {
-            let row = |page: usize| format!("{}\t{request}.{number}\trow {page}\n", self.number);
+            let row = |page: usize| format!("{}\t{request}.{number}\trow {page}\n", self.index);
             (0..pages).map(row).collect()
         };
         let query = |after_ms: u64, pages: Vec<String>| Query {
             request,
             due: Instant::now() + Duration::from_millis(after_ms),
             silent: false,
-            noted: false,
-            errs: false,
+            progress: false,
+            fails: false,
             pages,
         };
-        let keep = |query: Query| drop(locked(&self.queries).insert(query_id.clone(), query));
-        match fate {
-            Fate::Served { after_ms, pages: count, noted } => {
-                keep(Query { noted, ..query(after_ms, pages(count)) });
-                Started::News(query_id)
+        let store = |query: Query| drop(lock(&self.queries).insert(query_id.clone(), query));
+        match behavior {
+            Behavior::Served { after_ms, pages: count, progress } => {
+                store(Query { progress, ..query(after_ms, pages(count)) });
+                StartReaction::Poll(query_id)
             }
-            Fate::Silent => {
-                keep(Query { silent: true, ..query(0, Vec::new()) });
-                Started::News(query_id)
+            Behavior::Silent => {
+                store(Query { silent: true, ..query(0, Vec::new()) });
+                StartReaction::Poll(query_id)
             }
-            Fate::Reset { after_ms } => {
-                keep(query(after_ms, pages(2)));
-                Started::Reset
+            Behavior::Reset { after_ms } => {
+                store(query(after_ms, pages(2)));
+                StartReaction::Reset
             }
-            Fate::Dies => {
-                self.world.log(Event::Dying(self.number, request));
-                Started::Reset
+            Behavior::Crashes => {
+                self.harness.log(Event::Crashing(self.index, request));
+                StartReaction::Reset
             }
-            Fate::DiesForGood => {
-                self.world.log(Event::Dying(self.number, request));
-                self.die();
-                Started::Reset
+            Behavior::CrashesForGood => {
+                self.harness.log(Event::Crashing(self.index, request));
+                self.crash();
+                StartReaction::Reset
             }
-            Fate::Error { after_ms } => {
-                keep(Query { errs: true, ..query(after_ms, Vec::new()) });
-                Started::News(query_id)
+            Behavior::Error { after_ms } => {
+                store(Query { fails: true, ..query(after_ms, Vec::new()) });
+                StartReaction::Poll(query_id)
             }
-            Fate::Shed => {
-                self.ending(request, End::NeverRan);
-                Started::Answer(self.answer("503 Service Unavailable", "X-Shed: 1\r\n", ""))
+            Behavior::Shed => {
+                self.ending(request, Outcome::NeverRan);
+                StartReaction::Response(self.response("503 Service Unavailable", "X-Shed: 1\r\n", ""))
             }
-            Fate::Over => {
-                self.ending(request, End::NeverRan);
-                Started::Answer(self.answer("504 Gateway Timeout", "X-Shed: 1\r\n", ""))
+            Behavior::Expired => {
+                self.ending(request, Outcome::NeverRan);
+                StartReaction::Response(self.response("504 Gateway Timeout", "X-Shed: 1\r\n", ""))
             }
         }
     }
 
-    /// What there is to tell of a query; nothing of one that is silent.
-    fn news(&self, query_id: &str) -> Option<String> {
-        let asked = Instant::now();
-        if let Some(query) = locked(&self.queries).get(query_id) {
-            self.world.log(Event::Asked(self.number, query.request));
+    /// Waits until a query ends or the hold time passes. A silent query gets no response.
+    fn poll(&self, query_id: &str) -> Option<String> {
+        let polled_at = Instant::now();
+        if let Some(query) = lock(&self.queries).get(query_id) {
+            self.harness.log(Event::Polled(self.index, query.request));
         }
         loop {
-            let queries = locked(&self.queries);
-            let Some(query) = queries.get(query_id) else { return Some(self.unknown()) };
+            let queries = lock(&self.queries);
+            let Some(query) = queries.get(query_id) else { return Some(self.server_error()) };
             if query.silent {
                 return None;
             }
-            if Instant::now() >= query.due && query.errs {
-                self.ending(query.request, End::Error);
-                return Some(self.unknown());
+            if Instant::now() >= query.due && query.fails {
+                self.ending(query.request, Outcome::Error);
+                return Some(self.server_error());
             }
             if Instant::now() >= query.due {
                 let rows = query.pages.iter().map(|page| page.trim_end().to_owned()).collect();
-                self.ending(query.request, End::Rows(rows));
+                self.ending(query.request, Outcome::Rows(rows));
                 let count = format!("Page-Count: {}\r\n", query.pages.len());
-                return Some(self.answer("200 OK", &count, query.pages.first().map_or("", String::as_str)));
+                return Some(self.response("200 OK", &count, query.pages.first().map_or("", String::as_str)));
             }
-            if asked.elapsed() >= NO_NEWS {
-                let note = if query.noted { "X-Remark: progress\r\nFigure: 0.5\r\n" } else { "" };
-                return Some(self.answer("202 Accepted", note, ""));
+            if polled_at.elapsed() >= POLL_HOLD {
+                let remark = if query.progress { "X-Remark: progress\r\nFigure: 0.5\r\n" } else { "" };
+                return Some(self.response("202 Accepted", remark, ""));
             }
             drop(queries);
-            thread::sleep(LOOK);
+            thread::sleep(CHECK_INTERVAL);
         }
     }
 
-    /// The process dies with all that it runs; from here on its address refuses connections.
-    fn die(&self) {
-        self.dead.store(true, Ordering::SeqCst);
-        for (_, query) in locked(&self.queries).drain() {
-            self.world.log(Event::Dying(self.number, query.request));
+    /// Ends the process with all its queries. From here on its address refuses connections.
+    fn crash(&self) {
+        self.crashed.store(true, Ordering::SeqCst);
+        for (_, query) in lock(&self.queries).drain() {
+            self.harness.log(Event::Crashing(self.index, query.request));
         }
-        // Its listener wakes up, sees that it is dead, and closes.
+        // Each connection wakes the listener, which closes once it has seen the flag.
         while TcpStream::connect(self.address).is_ok() {
             thread::sleep(Duration::from_millis(1));
         }
-        for stream in locked(&self.streams).drain(..) {
+        for stream in lock(&self.connections).drain(..) {
             let _ = reset(&stream);
             let _ = stream.shutdown(Shutdown::Read);
         }
     }
 
     fn page(&self, query_id: &str, page: usize) -> Option<String> {
-        let queries = locked(&self.queries);
-        let Some(query) = queries.get(query_id) else { return Some(self.unknown()) };
-        self.world.log(Event::Asked(self.number, query.request));
-        let Some(body) = query.pages.get(page) else { return Some(self.unknown()) };
-        Some(self.answer("200 OK", &format!("Page-No: {page}\r\n"), body))
+        let queries = lock(&self.queries);
+        let Some(query) = queries.get(query_id) else { return Some(self.server_error()) };
+        self.harness.log(Event::Polled(self.index, query.request));
+        let Some(body) = query.pages.get(page) else { return Some(self.server_error()) };
+        Some(self.response("200 OK", &format!("Page-No: {page}\r\n"), body))
     }
 
-    fn given_up(&self, query_id: &str) -> Option<String> {
-        let mut queries = locked(&self.queries);
+    fn cancel(&self, query_id: &str) -> Option<String> {
+        let mut queries = lock(&self.queries);
         let Some(query) = queries.remove(query_id) else { return Some(no_content()) };
-        self.world.log(Event::GivenUp(self.number, query.request));
+        self.harness.log(Event::Cancelled(self.index, query.request));
         (!query.silent).then(no_content)
     }
 }
 
-/// What an engine does about the call that starts a query.
-enum Started {
-    Answer(String),
-    /// The same as when news of this query is asked for.
-    News(String),
+/// Reaction to the call that starts a query.
+enum StartReaction {
+    Response(String),
+    /// Responds as to a poll of this query.
+    Poll(String),
     Reset,
 }
 
--- a/gateway/tests/deployments/run.rs
+++ b/gateway/tests/deployments/run.rs
@@ -1,105 +1,105 @@
-//! Carries a drawn deployment out: the real program between its peers, until every request is settled.
+//! Runs a generated deployment: the gateway process between scripted peers, until every request is settled.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 use std::thread;
 use std::time::{Duration, Instant};
 
-use crate::auditor::{Breach, Class, Effect, Group, Serial, State, audit};
+use crate::auditor::{Class, Group, RequestIndex, RetrySafety, State, Violation, audit};
 use crate::client::Session;
 use crate::common::Gateway;
-use crate::coordinator::Coordinator;
-use crate::draw::{Conduct, Deployment, Lane, Opening, Reports, Step};
-use crate::engine::{self, Place};
-use crate::world::{World, locked};
+use crate::discovery::DiscoveryService;
+use crate::engine::{self, Endpoint};
+use crate::generator::{ClientAction, ClientScript, ConnectionKind, Deployment, LoadReports, Step};
+use crate::harness::{Harness, lock};
 
 /// Longer than any request of a deployment may take.
-const PATIENCE: Duration = Duration::from_secs(30);
-/// How long second answers and late attempts are waited for.
-const LINGER: Duration = Duration::from_millis(300);
-/// What separates two requests of a key, the first of which came on a new connection.
-const BEHIND_NEW: Duration = Duration::from_millis(250);
-
-/// Runs the deployment of a seed and judges it.
-pub fn run(seed: u64) -> Vec<Breach> {
-    let deployment = Deployment::draw(seed);
-    let world = World::new(deployment.fates.clone(), deployment.reports);
-    let places: Vec<Place> = (deployment.refusing.iter().enumerate())
-        .map(|(n, refusing)| if *refusing { engine::refusing() } else { engine::start(n, &world) }.unwrap())
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(30);
+/// Wait for duplicate answers and late attempts after the last request is settled.
+const LATE_EVENT_WAIT: Duration = Duration::from_millis(300);
+/// Pause between two requests of an order key if the first was pipelined after a start-up message.
+const STARTUP_PAUSE: Duration = Duration::from_millis(250);
+
+/// Runs the deployment of a seed and returns the violations found in its log.
+pub fn run(seed: u64) -> Vec<Violation> {
+    let deployment = Deployment::generate(seed);
+    let harness = Harness::new(deployment.behaviors.clone(), deployment.reports);
+    let endpoints: Vec<Endpoint> = (deployment.refusing.iter().enumerate())
+        .map(|(n, refusing)| if *refusing { engine::reserve() } else { engine::start(n, &harness) }.unwrap())
         .collect();
-    let coordinator = Coordinator::listen().unwrap();
-    let config = config(&deployment, &places, coordinator.address);
+    let discovery = DiscoveryService::listen().unwrap();
+    let config = config(&deployment, &endpoints, discovery.address);
     let gateway = Gateway::scripted("", None, "", None, |_| config.clone());
     let change = deployment.change;
-    let entry = entry(&deployment, change.engine, &places, state_name(change.state));
-    coordinator.tell(&world, change, entry);
-    let driver = Arc::new(Driver { deployment, world: world.clone(), gateway: Mutex::new(gateway) });
-    let lanes: Vec<_> = (driver.deployment.lanes.iter().cloned())
-        .map(|lane| {
+    let entry = entry(&deployment, change.engine, &endpoints, state_name(change.state));
+    discovery.serve(&harness, change, entry);
+    let driver = Arc::new(Driver { deployment, harness: harness.clone(), gateway: Mutex::new(gateway) });
+    let scripts: Vec<_> = (driver.deployment.scripts.iter().cloned())
+        .map(|script| {
             let driver = driver.clone();
-            thread::spawn(move || driver.lane(&lane))
+            thread::spawn(move || driver.run_script(&script))
         })
         .collect();
-    let sessions: Vec<_> = lanes.into_iter().map(|lane| lane.join().unwrap()).collect();
+    let sessions: Vec<_> = scripts.into_iter().map(|script| script.join().unwrap()).collect();
     driver.wait_settled();
-    world.end();
+    harness.finish();
     drop(sessions);
-    let breaches = audit(&driver.deployment.terms, &world.entries(), world.allowance());
-    driver.show(seed, &breaches);
-    breaches
+    let violations = audit(&driver.deployment.spec, &harness.entries(), harness.tolerance());
+    driver.write_logs(seed, &violations);
+    violations
 }
 
 struct Driver {
     deployment: Deployment,
-    world: Arc<World>,
+    harness: Arc<Harness>,
     gateway: Mutex<Gateway>,
 }
 
 impl Driver {
     fn address(&self) -> SocketAddr {
-        locked(&self.gateway).pg
+        lock(&self.gateway).pg
     }
 
     fn log(&self) -> String {
-        locked(&self.gateway).log()
+        lock(&self.gateway).log()
     }
 
-    /// Carries out the steps of a lane; its sessions stay open until all is over.
-    fn lane(&self, lane: &Lane) -> Vec<Arc<Mutex<Session>>> {
+    /// Runs the steps of a script. Its sessions stay open until the run is finished.
+    fn run_script(&self, script: &ClientScript) -> Vec<Arc<Mutex<Session>>> {
         let mut sessions: Vec<Arc<Mutex<Session>>> = Vec::new();
-        for step in &lane.steps {
+        for step in &script.steps {
             thread::sleep(Duration::from_millis(step.pause_ms));
             let session = self.write(step, sessions.last().cloned());
-            self.conduct(step, &session);
+            self.apply_action(step, &session);
             sessions.push(session);
-            if lane.keyed {
-                self.wait_taken(step);
+            if script.ordered {
+                self.wait_admitted(step);
             }
         }
         sessions
     }
 
-    fn write(&self, step: &Step, before: Option<Arc<Mutex<Session>>>) -> Arc<Mutex<Session>> {
-        let text = |request: &Serial| (*request, self.deployment.texts[*request].as_str());
-        let queries: Vec<(Serial, &str)> = step.requests.iter().map(text).collect();
-        let open = |queries| Session::open(self.address(), &self.world, queries).unwrap();
-        match (step.opening, before) {
-            (Opening::WithStart, _) => Arc::new(Mutex::new(open(&queries))),
-            (Opening::Reused, Some(session)) => {
-                while !locked(&session).is_answered() {
+    fn write(&self, step: &Step, previous: Option<Arc<Mutex<Session>>>) -> Arc<Mutex<Session>> {
+        let text = |request: &RequestIndex| (*request, self.deployment.queries[*request].as_str());
+        let queries: Vec<(RequestIndex, &str)> = step.requests.iter().map(text).collect();
+        let open = |queries| Session::open(self.address(), &self.harness, queries).unwrap();
+        match (step.connection, previous) {
+            (ConnectionKind::WithStartup, _) => Arc::new(Mutex::new(open(&queries))),
+            (ConnectionKind::Reused, Some(session)) => {
+                while !lock(&session).is_answered() {
                     thread::sleep(Duration::from_millis(1));
                 }
-                let mut writer = locked(&session);
-                // One that was closed by its client, or ends with an error, takes nothing more.
+                let mut writer = lock(&session);
+                // A session that its client has closed, or that has ended, cannot be reused.
                 if writer.is_ended() {
                     drop(writer);
-                    return self.write(&Step { opening: Opening::Fresh, ..step.clone() }, None);
+                    return self.write(&Step { connection: ConnectionKind::New, ..step.clone() }, None);
                 }
                 writer.write(&queries);
                 drop(writer);
                 session
             }
-            (Opening::Fresh | Opening::Reused, _) => {
+            (ConnectionKind::New | ConnectionKind::Reused, _) => {
                 let mut session = open(&[]);
                 session.wait_ready();
                 session.write(&queries);
@@ -108,56 +108,61 @@
         }
     }
 
-    fn conduct(&self, step: &Step, session: &Arc<Mutex<Session>>) {
+    fn apply_action(&self, step: &Step, session: &Arc<Mutex<Session>>) {
         let (address, session, request) = (self.address(), session.clone(), step.requests[0]);
-        match step.conduct {
-            Conduct::Wait => {}
-            Conduct::Leave(after_ms) => drop(thread::spawn(move || {
+        match step.action {
+            ClientAction::Wait => {}
+            ClientAction::Leave(after_ms) => drop(thread::spawn(move || {
                 thread::sleep(Duration::from_millis(after_ms));
-                locked(&session).close_over(request);
+                lock(&session).disconnect_during(request);
             })),
-            Conduct::Cancel(after_ms) => drop(thread::spawn(move || {
+            ClientAction::Cancel(after_ms) => drop(thread::spawn(move || {
                 thread::sleep(Duration::from_millis(after_ms));
-                let _ = locked(&session).cancel(address, request);
+                let _ = lock(&session).cancel(address, request);
             })),
         }
     }
 
-    /// Waits until a request has been taken or settled: what is written behind it then is taken behind it.
-    fn wait_taken(&self, step: &Step) {
+    /// Waits until a request is admitted or settled, so that requests written later are admitted later.
+    fn wait_admitted(&self, step: &Step) {
         let request = step.requests[0];
-        let id = self.deployment.terms.requests[request].id.as_deref().unwrap_or_default();
-        let taken = format!("request admitted query_id=\"{id}\"");
+        let id = self.deployment.spec.requests[request].id.as_deref().unwrap_or_default();
+        let admitted = format!("request admitted query_id=\"{id}\"");
         let began = Instant::now();
-        while !self.log().contains(&taken) && !self.world.is_settled(request) && began.elapsed() < PATIENCE {
+        while !self.log().contains(&admitted)
+            && !self.harness.is_settled(request)
+            && began.elapsed() < SETTLE_TIMEOUT
+        {
             thread::sleep(Duration::from_millis(5));
         }
-        if step.opening == Opening::WithStart {
-            thread::sleep(BEHIND_NEW);
+        if step.connection == ConnectionKind::WithStartup {
+            thread::sleep(STARTUP_PAUSE);
         }
     }
 
     fn wait_settled(&self) {
         let began = Instant::now();
-        let requests = self.deployment.terms.requests.len();
-        while !(0..requests).all(|request| self.world.is_settled(request)) && began.elapsed() < PATIENCE {
+        let requests = self.deployment.spec.requests.len();
+        while !(0..requests).all(|request| self.harness.is_settled(request))
+            && began.elapsed() < SETTLE_TIMEOUT
+        {
             thread::sleep(Duration::from_millis(10));
         }
-        while !self.world.is_quiet() && began.elapsed() < PATIENCE {
+        while !self.harness.is_idle() && began.elapsed() < SETTLE_TIMEOUT {
             thread::sleep(Duration::from_millis(10));
         }
-        thread::sleep(LINGER);
+        thread::sleep(LATE_EVENT_WAIT);
     }
 
-    /// With `DEPLOYMENT_LOGS` set to a folder, leaves there what was seen and what the gateway logged.
-    fn show(&self, seed: u64, breaches: &[Breach]) {
+    /// Writes the event log and the gateway's log to the folder that `DEPLOYMENT_LOGS` names, if it is set.
+    fn write_logs(&self, seed: u64, violations: &[Violation]) {
         let Ok(folder) = std::env::var("DEPLOYMENT_LOGS") else { return };
         let mut text = format!("{:#?}\n", self.deployment);
-        for entry in self.world.entries() {
+        for entry in self.harness.entries() {
             text += &format!("{:?} {:?}\n", entry.at, entry.event);
         }
-        for breach in breaches {
-            text += &format!("{breach:?}\n");
+        for violation in violations {
+            text += &format!("{violation:?}\n");
         }
         std::fs::write(format!("{folder}/{seed}.seen"), text).unwrap();
         std::fs::write(format!("{folder}/{seed}.log"), self.log()).unwrap();
@@ -171,20 +176,20 @@
     }
 }
 
-/// An engine's entry in the list.
-fn entry(deployment: &Deployment, engine: usize, places: &[Place], status: &str) -> String {
-    let (facts, address) = (&deployment.terms.engines[engine], places[engine].address);
-    let (name, zone, cell) = (&facts.name, &facts.zone, facts.cell);
+/// An engine's entry in the endpoint list.
+fn entry(deployment: &Deployment, engine: usize, endpoints: &[Endpoint], status: &str) -> String {
+    let (info, address) = (&deployment.spec.engines[engine], endpoints[engine].address);
+    let (name, zone, cell) = (&info.name, &info.zone, info.cell);
     format!(
         "{{\"name\":\"{name}\",\"address\":\"{address}\",\"zone\":\"{zone}\",\"type\":\"std\",\"group\":{cell},\"status\":\"{status}\",\"weight\":1,\"since_ms\":0}}"
     )
 }
 
 fn class(class: &Class) -> String {
-    let repeat = match class.effect {
-        Effect::Safe => "\"repeat\":\"pure\"".to_owned(),
-        Effect::Unsafe => "\"repeat\":\"side_effect\"".to_owned(),
-        Effect::Keyed { group, window } => {
+    let repeat = match class.retry_safety {
+        RetrySafety::Safe => "\"repeat\":\"pure\"".to_owned(),
+        RetrySafety::Unsafe => "\"repeat\":\"side_effect\"".to_owned(),
+        RetrySafety::Keyed { group, window } => {
             let group = match group {
                 Group::All => "all",
                 Group::Zone => "zone",
@@ -201,16 +206,16 @@
     )
 }
 
-/// The gateway's configuration.
-fn config(deployment: &Deployment, places: &[Place], coordinator: SocketAddr) -> String {
-    let terms = &deployment.terms;
-    let list: Vec<String> = (0..places.len()).map(|n| entry(deployment, n, places, "Ready")).collect();
-    let classes: Vec<String> = terms.classes.iter().map(class).collect();
-    let each = |value: &str| vec![value; terms.classes.len()].join(",");
+/// The gateway's configuration file.
+fn config(deployment: &Deployment, endpoints: &[Endpoint], coordinator: SocketAddr) -> String {
+    let spec = &deployment.spec;
+    let list: Vec<String> = (0..endpoints.len()).map(|n| entry(deployment, n, endpoints, "Ready")).collect();
+    let classes: Vec<String> = spec.classes.iter().map(class).collect();
+    let per_class = |value: &str| vec![value; spec.classes.len()].join(",");
     let how = match deployment.reports {
-        Reports::None => "none",
-        Reports::Answers => "answers",
-        Reports::Probes => "probe",
+        LoadReports::None => "none",
+        LoadReports::Answers => "answers",
+        LoadReports::Probes => "probe",
     };
     let (locality, zones) = if deployment.zoned { ("east", "\"east\",\"west\"") } else { ("", "") };
     format!(
@@ -231,14 +236,14 @@
    "fall-multiple":2.5,"order-pause-s":{settle},"overload-for-s":3.0,"warm-up-s":15.0}}}}}}"#,
         list = list.join(","),
         classes = classes.join(","),
-        may_cancel = terms.may_cancel,
-        may_probe = terms.may_probe,
-        max_attempts = terms.max_attempts,
+        may_cancel = spec.may_cancel,
+        may_probe = spec.may_probe,
+        max_attempts = spec.max_attempts,
         retry_after = deployment.retry_after,
-        no = each("false"),
-        one = each("1"),
-        slack = terms.slack.as_secs_f64(),
-        grace = terms.grace.as_secs_f64(),
-        settle = terms.settle.as_secs_f64(),
+        no = per_class("false"),
+        one = per_class("1"),
+        slack = spec.answer_slack.as_secs_f64(),
+        grace = spec.drain_grace.as_secs_f64(),
+        settle = spec.order_pause.as_secs_f64(),
     )
 }
