--- a/gateway/tests/crossings.rs
+++ b/gateway/tests/crossings.rs
@@ -1,6 +1,5 @@
-//! Races: clients that leave, connections that close, and engines and endpoint lists that change at a moment when
-//! something else is under way. Peers are scripted, so that the order of two events is forced by what they send, never
-//! by the machine's speed.
+//! Guards against race conditions between clients, connections, engines and the endpoint list. Scripted peers force the
+//! order of events.
 
 mod common;
 
@@ -16,8 +15,8 @@
     format!("/* c={class},i={},d=20000 */ SELECT v FROM sales_17.orders", id(n))
 }
 
-/// Sends a request until it is served, with a new id for each try.
-fn served(gateway: &Gateway, class: &str, from: u64) -> u64 {
+/// Sends requests with new ids until one is served. Returns its number.
+fn query_until_served(gateway: &Gateway, class: &str, from: u64) -> u64 {
     let mut client = pg::Client::connect(gateway.pg);
     for n in from..from + 100 {
         match client.query(&text(class, n)) {
@@ -28,10 +27,10 @@
             }
         }
     }
-    panic!("refused a hundred times");
+    panic!("rejected 100 times");
 }
 
-/// One request taken and forwarded: its client, and the engine's end of the connection with the call read off it.
+/// Sends a request and reads its call. Returns the client and the engine's end of the connection.
 fn request_in_flight(engine: &Peer, gateway: &Gateway, class: &str) -> (pg::Client, Wire) {
     let mut client = pg::Client::connect(gateway.pg);
     client.send(&text(class, 1));
@@ -41,17 +40,18 @@
     (client, wire)
 }
 
-/// Ids that engines of [`run_all`] ran.
-fn ran() -> Arc<Mutex<Vec<String>>> {
+/// Records the ids of the queries that engines of [`run_all`] run.
+fn id_log() -> Arc<Mutex<Vec<String>>> {
     Arc::default()
 }
 
-/// Settings in which attempts may not be cancelled: nothing but the check at the first byte holds them.
-fn no_cancel(config: String) -> String {
+/// Forbids cancellation, so that only the check before the first byte stops an attempt.
+fn without_cancelling(config: String) -> String {
     config.replace("\"cancelling\":true", "\"cancelling\":false")
 }
 
-fn patient_connects(config: String) -> String {
+/// Raises the connect timeout beyond the duration of a test.
+fn long_connect_timeout(config: String) -> String {
     config.replace("\"connect-timeout-s\":0.25", "\"connect-timeout-s\":30.0")
 }
 
@@ -67,10 +67,10 @@
         client.send(&text("load", n as u64));
         wait_taken(&gateway, n as u64);
     }
-    // One that has more behind its request than anybody reads ahead.
-    let mut flooding = clients.pop().unwrap();
-    assert!(flooding.flood(1 << 20), "what can't be kept is read all the same");
-    drop(flooding);
+    // This client sends more data after its request than the gateway buffers.
+    let mut flooder = clients.pop().unwrap();
+    assert!(flooder.flood(1 << 20), "the gateway must go on reading data that it discards");
+    drop(flooder);
     let (mut cancels, resets) = (clients.pop().unwrap(), clients.pop().unwrap());
     pg::Client::cancel(gateway.pg, cancels.key);
     assert_eq!(error_code(&cancels.answer()), "57014");
@@ -78,17 +78,17 @@
     clients[1].end_writing();
     drop(clients);
     (0..5).for_each(|n| wait_left(&gateway, n));
-    let ran_there = ran();
+    let ran_ids = id_log();
     watch.event(2, &engine.entry("Ready"));
-    run_all(engine, ran_there.clone());
-    let n = served(&gateway, "load", 100);
-    assert_eq!(*ran_there.lock().unwrap(), [id(n)]);
+    run_all(engine, ran_ids.clone());
+    let n = query_until_served(&gateway, "load", 100);
+    assert_eq!(*ran_ids.lock().unwrap(), [id(n)]);
     let (exit, log) = gateway.end();
     assert_eq!(exit, Some(0));
     assert!(log.contains("left=5"), "{log}");
 }
 
-/// All leave in the very turn in which the engine comes that would serve them.
+/// The clients leave in the same event loop turn in which the first ready engine is listed.
 #[test]
 fn a_queued_request_whose_client_leaves_in_the_turn_of_a_new_engine_is_never_forwarded() {
     let (engine, discovery) = (Peer::new("e1"), Peer::new("c"));
@@ -104,17 +104,17 @@
         watch.event(2, &engine.entry("Ready"));
         drop(clients);
     });
-    let ran = ran();
+    let ran = id_log();
     run_all(engine, ran.clone());
-    let n = served(&gateway, "load", 100);
+    let n = query_until_served(&gateway, "load", 100);
     assert_eq!(*ran.lock().unwrap(), [id(n)]);
     (0..60).for_each(|n| wait_left(&gateway, n));
 }
 
 #[test]
 fn a_request_whose_client_leaves_while_its_connection_is_established_is_never_forwarded() {
-    let may_not: fn(String) -> String = |t| no_cancel(patient_connects(t));
-    for (change, comes_up) in [(patient_connects as fn(String) -> String, false), (may_not, true)] {
+    let no_cancel: fn(String) -> String = |t| without_cancelling(long_connect_timeout(t));
+    for (change, connects) in [(long_connect_timeout as fn(String) -> String, false), (no_cancel, true)] {
         let mut engine = Peer::shut("e1");
         let gateway = Gateway::scripted(&engine.entry("Ready"), None, "", None, change);
         let mut client = pg::Client::connect(gateway.pg);
@@ -123,9 +123,9 @@
         drop(client);
         wait_left(&gateway, 1);
         engine.let_in();
-        // Where it was not closed it is up at last, long after its request has gone: it may carry another's.
-        let wire = comes_up.then(|| engine.accept());
-        let ran = ran();
+        // Without cancellation the connection is established after its request has ended. Other requests may use it.
+        let wire = connects.then(|| engine.accept());
+        let ran = id_log();
         let late = thread::spawn({
             let ran = ran.clone();
             move || {
@@ -137,7 +137,7 @@
             }
         });
         run_all(engine, ran.clone());
-        let n = served(&gateway, "load", 100);
+        let n = query_until_served(&gateway, "load", 100);
         drop(gateway);
         late.join().unwrap();
         assert_eq!(*ran.lock().unwrap(), [id(n)]);
@@ -149,14 +149,14 @@
     let engine = Peer::new("e1");
     let gateway = Gateway::scripted(&engine.entry("Ready"), None, "", None, |t| t);
     let (client, mut wire) = request_in_flight(&engine, &gateway, "load");
-    // Full, so that it rests before the next attempt.
+    // The engine sheds the attempt, which delays the next one.
     wire.say("HTTP/1.1 503 x\r\nX-Shed: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
     gateway.logged("attempt ended query_id=\"0000000000000001\"");
     drop(client);
     wait_left(&gateway, 1);
-    let ran = ran();
+    let ran = id_log();
     run_all(engine, ran.clone());
-    let n = served(&gateway, "load", 100);
+    let n = query_until_served(&gateway, "load", 100);
     assert_eq!(*ran.lock().unwrap(), [id(n)]);
 }
 
@@ -172,7 +172,7 @@
 }
 
 #[test]
-fn a_flood_behind_a_request_ends_its_session_alone() {
+fn a_flood_after_a_request_ends_only_its_own_session() {
     let engine = Peer::new("e1");
     let gateway = Gateway::scripted(&engine.entry("Ready"), None, "", None, |t| t);
     let (mut client, mut other) = (pg::Client::connect(gateway.pg), pg::Client::connect(gateway.pg));
@@ -181,11 +181,11 @@
     wire.call();
     for _ in 0..16 {
         assert!(client.flood(256 << 10));
-        assert_eq!(other.query(";"), pg::Answer::Empty, "others are read beside it");
+        assert_eq!(other.query(";"), pg::Answer::Empty, "the gateway must go on reading other clients");
     }
     wire.row(&id(1));
-    assert_eq!(client.answer(), row_of(1), "what it asked for is answered");
-    assert_eq!(error_code(&client.answer()), "54000", "and what cannot be understood behind it, once");
+    assert_eq!(client.answer(), row_of(1), "the request must be answered");
+    assert_eq!(error_code(&client.answer()), "54000", "the invalid data must be answered once");
     assert!(client.is_ended());
     let (_, log) = gateway.end();
     assert!(log.contains("invalid=1"), "{log}");
@@ -196,33 +196,33 @@
     let engine = Peer::new("e1");
     let operator = "[clients]\nmost_sessions = 180\nturn_ms = 1";
     let gateway = Gateway::scripted(&engine.entry("Ready"), None, operator, None, |t| t);
-    let ran = ran();
+    let ran = id_log();
     run_all(engine, ran.clone());
-    let mut crowd: Vec<_> = (0..140).map(|_| pg::Client::connect(gateway.pg)).collect();
+    let mut others: Vec<_> = (0..140).map(|_| pg::Client::connect(gateway.pg)).collect();
     let mut client = pg::Client::connect(gateway.pg);
-    // All of them wait to be read, the one behind the others; the cancel comes over a new connection.
+    // All requests wait to be read, the one to be cancelled last. The cancel request uses a new connection.
     let _cancel = gateway.paused(|| {
-        for (n, one) in crowd.iter_mut().enumerate() {
+        for (n, one) in others.iter_mut().enumerate() {
             one.send(&text("lookup", 1000 + n as u64));
         }
         client.send(&text("lookup", 1));
         pg::Client::cancel_unread(gateway.pg, client.key)
     });
     assert_eq!(error_code(&client.answer()), "57014");
-    for one in &mut crowd {
+    for one in &mut others {
         one.answer();
     }
-    assert!(!ran.lock().unwrap().contains(&id(1)), "nothing of it was sent");
-    // A wrong key, and one whose request is over, end nothing.
+    assert!(!ran.lock().unwrap().contains(&id(1)), "the cancelled request was forwarded");
+    // Cancel requests with a wrong key or for a finished request have no effect.
     let key = client.key;
     pg::Client::cancel(gateway.pg, key);
     pg::Client::cancel(gateway.pg, [key[0], key[1], key[2], key[3], key[4], key[5], key[6], !key[7]]);
-    let n = served(&gateway, "lookup", 100);
+    let n = query_until_served(&gateway, "lookup", 100);
     assert!(ran.lock().unwrap().contains(&id(n)));
 }
 
 #[test]
-fn a_late_duplicate_response_is_taken_for_no_other_query() {
+fn a_late_duplicate_response_is_not_matched_to_another_query() {
     let engine = Peer::new("e1");
     let gateway = Gateway::scripted(&engine.entry("Ready"), None, "", None, |t| t);
     thread::spawn(move || {
@@ -245,8 +245,8 @@
     }
 }
 
-/// The second answer to a call that asks for news makes the next call's look like an answer too many: the connection
-/// seems to be at rest while one is still to come, from an engine that stands still for longer than it rests.
+/// After a duplicate response to a poll, the response to the next poll is counted as surplus. The connection then looks
+/// idle although a response is still outstanding.
 #[test]
 fn a_connection_with_a_duplicate_response_is_not_reused() {
     let engine = Peer::new("e1");
@@ -255,10 +255,10 @@
     client.send(&text("lookup", 1));
     let mut wire = engine.accept();
     assert_eq!(wire.call().query_id(), id(1));
-    let later = "HTTP/1.1 202 x\r\nContent-Length: 0\r\n\r\n";
-    wire.say(later);
+    let accepted = "HTTP/1.1 202 x\r\nContent-Length: 0\r\n\r\n";
+    wire.say(accepted);
     assert_eq!(wire.call().verb, "GET");
-    wire.say(later);
+    wire.say(accepted);
     assert_eq!(wire.call().verb, "GET");
     wire.row(&id(1));
     assert_eq!(client.answer(), row_of(1));
@@ -266,17 +266,17 @@
     other.send(&text("lookup", 2));
     thread::sleep(Duration::from_millis(40));
     wire.try_say(&row(&id(1)));
-    run_all(engine, ran());
-    assert_eq!(other.answer(), row_of(2), "not what was the first one's");
+    run_all(engine, id_log());
+    assert_eq!(other.answer(), row_of(2), "the response to the first query was delivered to the second");
 }
 
-/// Settings in which a class may be repeated for so many seconds.
-fn keyed(config: &str, class: &str, window: f64) -> String {
+/// Allows retries of a class with an idempotency key for `window_s` seconds.
+fn keyed(config: &str, class: &str, window_s: f64) -> String {
     let token =
-        format!("\"name\":\"{class}\",\"repeat\":\"token\",\"group\":\"all\",\"window-s\":{window:.1}");
+        format!("\"name\":\"{class}\",\"repeat\":\"token\",\"group\":\"all\",\"window-s\":{window_s:.1}");
     let changed = config.replace(&format!("\"name\":\"{class}\",\"repeat\":\"pure\""), &token);
     assert_ne!(changed, config);
-    patient_connects(changed)
+    long_connect_timeout(changed)
 }
 
 #[test]
@@ -288,7 +288,7 @@
         |token: &str| format!("/* c=report,i={},d=20000,k={token} */ SELECT v FROM sales_17.orders", id(1));
     client.send(&text("report", 2));
     let mut wire = engine.accept();
-    assert!(!wire.call().headers.contains_key("x-nonce"), "none of the gateway's own making");
+    assert!(!wire.call().headers.contains_key("x-nonce"), "the gateway added an idempotency key");
     wire.say(&row(&id(2)).replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n"));
     assert_eq!(client.answer(), row_of(2));
     client.send(&query("16d2cf6db534bf77e12ba3280ca951ca"));
@@ -323,22 +323,22 @@
     gateway.logged("name=\"e1\" state=Draining");
     wire.say("HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n");
     gateway.logged("attempt ended query_id=\"0000000000000001\"");
-    // Only a connection that was begun before can have been kept out.
+    // The attempt's connection must have begun before the engine accepts connections.
     gateway.logged("connection opened engine=1");
-    // A connection that was not let in is tried again by the kernel after a second, twice the window.
+    // The kernel resends the SYN after one second, which is twice the window.
     two.let_in();
-    assert!(error_code(&client.answer()).starts_with("53"), "repeats are known as such everywhere");
-    let ran = ran();
+    assert!(error_code(&client.answer()).starts_with("53"), "the class must allow retries at every engine");
+    let ran = id_log();
     run_all(two, ran.clone());
-    let n = served(&gateway, "lookup", 100);
-    assert!(!ran.lock().unwrap().contains(&id(1)), "the window was over");
+    let n = query_until_served(&gateway, "lookup", 100);
+    assert!(!ran.lock().unwrap().contains(&id(1)), "the request was forwarded after its window");
     assert!(ran.lock().unwrap().contains(&id(n)));
 }
 
 #[test]
 fn nothing_is_forwarded_to_an_engine_that_drains_while_its_connection_is_established() {
     let (mut one, two, discovery) = (Peer::shut("e1"), Peer::new("e2"), Peer::new("c"));
-    let change = patient_connects;
+    let change = long_connect_timeout;
     let gateway = Gateway::scripted(&one.entry("Ready"), Some(discovery.address), "", None, change);
     let (mut watch, _) = discovery.watch();
     watch.stream();
@@ -347,15 +347,14 @@
     gateway.logged("connection opened");
     watch.event(2, &format!("{},{}", one.entry("Terminating"), two.entry("Ready")));
     gateway.logged("name=\"e1\" state=Draining");
-    let elsewhere = ran();
-    run_all(two, elsewhere.clone());
+    let ran_on_two = id_log();
+    run_all(two, ran_on_two.clone());
     one.let_in();
-    assert_eq!(client.answer(), row_of(1), "it never ran, so it may go elsewhere");
-    assert_eq!(*elsewhere.lock().unwrap(), [id(1)]);
-    // Its connection is of no use; whatever comes over it is no call.
-    let n = served(&gateway, "load", 100);
-    assert_eq!(*elsewhere.lock().unwrap(), [id(1), id(n)]);
-    // The log is read as it comes; up to this line it is whole.
+    assert_eq!(client.answer(), row_of(1), "a request that never ran may be sent to another engine");
+    assert_eq!(*ran_on_two.lock().unwrap(), [id(1)]);
+    let n = query_until_served(&gateway, "load", 100);
+    assert_eq!(*ran_on_two.lock().unwrap(), [id(1), id(n)]);
+    // The log is read asynchronously. It is complete up to this line.
     wait_answered(&gateway, n);
     assert!(gateway.log().matches("attempt forwarded query_id=").count() == 2, "{}", gateway.log());
 }
@@ -371,7 +370,7 @@
         client.send(&text("load", 1));
         watch.event(2, &format!("{},{}", one.entry("Terminating"), two.entry("Ready")));
     });
-    run_all(two, ran());
+    run_all(two, id_log());
     assert_eq!(client.answer(), row_of(1));
     assert!(one.is_left_alone());
 }
@@ -383,11 +382,11 @@
     let (mut watch, _) = discovery.watch();
     watch.stream();
     let (mut client, wire) = request_in_flight(&engine, &gateway, "report");
-    let heir = engine.entry("Ready").replace("\"e1\"", "\"e2\"");
-    watch.event(2, &format!("{},{heir}", engine.entry("Gone")));
+    let replacement = engine.entry("Ready").replace("\"e1\"", "\"e2\"");
+    watch.event(2, &format!("{},{replacement}", engine.entry("Gone")));
     gateway.logged("name=\"e2\" state=Ready");
     wire.reset();
-    // Neither asked for nor given up where nobody knows it.
+    // The query is neither polled nor cancelled at the new engine.
     assert!(error_code(&client.answer()).starts_with("53"));
     client.send(&text("report", 2));
     let mut wire = engine.accept();
@@ -397,7 +396,7 @@
     assert_eq!(client.answer(), row_of(2));
 }
 
-/// The whole call was written and nothing came: the engine may have closed the connection as idle, or run the query.
+/// The engine may have closed an idle connection or started the query, so the gateway polls the query before a retry.
 #[test]
 fn a_call_whose_connection_is_closed_as_it_is_written_is_retried_as_its_class_allows() {
     let unknown = "HTTP/1.1 500 x\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
@@ -406,10 +405,9 @@
         let gateway = Gateway::scripted(&engine.entry("Ready"), None, "", None, |t| t);
         let (mut client, wire) = request_in_flight(&engine, &gateway, class);
         drop(wire);
-        // The engine is asked whether it knows the query.
-        let mut asked = engine.accept();
-        assert_eq!(asked.call().path, format!("/data/{}/0", id(1)));
-        asked.say(unknown);
+        let mut poll = engine.accept();
+        assert_eq!(poll.call().path, format!("/data/{}/0", id(1)));
+        poll.say(unknown);
         if again {
             let mut second = engine.accept();
             let call = second.call();
@@ -433,16 +431,16 @@
     assert_eq!(last, 1);
     watch.stream();
     watch.event(3, &two.entry("Terminating"));
-    let (mut again, last) = discovery.watch();
-    assert_eq!(last, 1, "the second has not come");
-    assert!(watch.is_ended(), "one stream at a time");
-    again.stream();
-    again.event(2, &one.entry("Terminating"));
-    again.event(3, &two.entry("Terminating"));
+    let (mut second, last) = discovery.watch();
+    assert_eq!(last, 1, "event 2 has not been received");
+    assert!(watch.is_ended(), "the previous stream must be closed");
+    second.stream();
+    second.event(2, &one.entry("Terminating"));
+    second.event(3, &two.entry("Terminating"));
     gateway.logged("name=\"e2\" state=Draining");
-    assert!(gateway.log().contains("name=\"e1\" state=Draining"), "in their order");
-    // What is not there the second time either is not waited for; an old one changes nothing.
-    again.event(6, &one.entry("Ready"));
+    assert!(gateway.log().contains("name=\"e1\" state=Draining"), "events must be applied in order");
+    // Events that are also missing from the second stream are skipped. An old event changes nothing.
+    second.event(6, &one.entry("Ready"));
     let (mut last_one, last) = discovery.watch();
     assert_eq!(last, 3);
     last_one.stream();
@@ -461,24 +459,24 @@
     let (mut watch, _) = discovery.watch();
     watch.stream();
     watch.event(4, "");
-    let (mut again, last) = discovery.watch();
+    let (mut second, last) = discovery.watch();
     assert_eq!(last, 1);
-    again.stream();
-    again.event(2, &one.entry("Terminating"));
-    again.event(6, "");
+    second.stream();
+    second.event(2, &one.entry("Terminating"));
+    second.event(6, "");
     let (_third, last) = discovery.watch();
-    assert_eq!(last, 2, "the second has come, and is not asked for again");
+    assert_eq!(last, 2, "event 2 must not be requested again");
     gateway.logged("name=\"e1\" state=Draining");
 }
 
 #[test]
-fn an_endpoint_stream_without_an_end_of_line_is_given_up_as_silent() {
+fn an_endpoint_stream_without_line_ends_times_out() {
     let (engine, discovery) = (Peer::new("e1"), Peer::new("c"));
     let gateway = Gateway::scripted(&engine.entry("Ready"), Some(discovery.address), "", None, |t| t);
     let (mut watch, _) = discovery.watch();
     watch.stream();
     watch.say(": here\n\n");
-    // Half a character of half a line, byte by byte.
+    // The bytes never complete a line.
     watch.say("id: 2\ndata: \u{e9}");
     while discovery.is_left_alone() {
         watch.say("x");
@@ -493,7 +491,7 @@
     let gateway = Gateway::scripted(&engine.entry("Ready"), Some(discovery.address), "", None, |t| t);
     gateway.logged("the discovery service is silent");
     discovery.let_in();
-    // The connection that was given up may have come up after all, and ends without a call.
+    // The abandoned connection may still be established. It then ends without a call.
     let mut wire = discovery.accept();
     let call = wire.next_call().unwrap_or_else(|| discovery.accept().call());
     assert_eq!(call.path, "/v2/stream");
@@ -507,23 +505,23 @@
     let gateway = Gateway::scripted(&list, Some(old.address), "", None, |t| t);
     let (mut watch, _) = old.watch();
     watch.say("HTTP/1.1 503 later\r\nContent-Length: 0\r\n\r\n");
-    // The next one never gets a head; discovery moves meanwhile.
-    let (mut mute, last) = old.watch();
+    // The next stream never gets a response head. Discovery moves to another address meanwhile.
+    let (mut silent, last) = old.watch();
     assert_eq!(last, 1);
     gateway.reconfigure(|t| t.replace(&old.address.to_string(), &new.address.to_string()));
     let (mut moved, last) = new.watch();
     assert_eq!(last, 1);
-    assert!(mute.is_ended(), "two streams never feed one list");
+    assert!(silent.is_ended(), "the old stream must be closed before the new one is used");
     moved.stream();
     moved.event(2, &two.entry("Terminating"));
     gateway.logged("name=\"e2\" state=Draining");
-    // Broken in the middle of a line: it is asked for behind the last whole event.
+    // After a reset in the middle of a line, the stream continues from the last complete event.
     moved.say("id: 3\ndata: {\"index\":3,\"endp");
     moved.reset();
-    let (mut whole, last) = new.watch();
+    let (mut reopened, last) = new.watch();
     assert_eq!(last, 2);
-    whole.stream();
-    whole.event(3, &one.entry("Terminating"));
+    reopened.stream();
+    reopened.event(3, &one.entry("Terminating"));
     gateway.logged("name=\"e1\" state=Draining");
     drop(old);
 }
@@ -536,7 +534,7 @@
     client.send(&text("report", 1));
     let mut wire = engine.accept();
     assert_eq!(wire.call().headers["x-queue"], "report");
-    // The class that is out has another name, and the others other places.
+    // The class of the running request is renamed, and the other classes change places.
     gateway.reconfigure(|t| {
         t.replace("\"report\"", "\"digest\"").replace("\"lookup\"", "\"load\"").replacen(
             "\"name\":\"load\",\"repeat\":\"side",
@@ -546,8 +544,12 @@
     });
     gateway.logged("classes_gone=[\"report\"] classes_new=[\"digest\"]");
     wire.row(&id(1));
-    assert_eq!(client.answer(), row_of(1), "what is out ends as it was taken");
-    assert_eq!(error_code(&client.query(&text("digest", 2))), "42601", "a class of the next start");
+    assert_eq!(client.answer(), row_of(1), "a running request must keep its settings");
+    assert_eq!(
+        error_code(&client.query(&text("digest", 2))),
+        "42601",
+        "the new class takes effect at the next start"
+    );
     client.send(&text("report", 3));
     assert_eq!(wire.call().headers["x-queue"], "report");
     assert_eq!(gateway.log().matches("settings in the file differ from those in force").count(), 1);
@@ -558,7 +560,7 @@
     for signal in ["-HUP", "-USR1", "-TERM"] {
         let engine = Peer::new("e1");
         let starting = Gateway::starting(&engine.entry("Ready"));
-        // It waits for its configuration.
+        // The process waits for its configuration.
         starting.signal(signal);
         let gateway = starting.go_on();
         match signal {
@@ -570,41 +572,44 @@
 }
 
 #[test]
-fn sigterm_serves_connections_and_requests_of_the_last_moment() {
+fn sigterm_answers_connections_and_requests_that_arrive_late() {
     let engine = Peer::new("e1");
-    // More come than a turn carries.
+    // One event loop turn is too short for all requests below.
     let operator = "[clients]\nmost_sessions = 180\nturn_ms = 1";
     let gateway = Gateway::scripted(&engine.entry("Ready"), None, operator, None, |t| t);
-    let ran = ran();
+    let ran = id_log();
     run_all(engine, ran.clone());
-    let mut resting = pg::Client::connect(gateway.pg);
-    let mut crossing: Vec<_> = (0..70).map(|_| pg::Client::connect(gateway.pg)).collect();
-    let (mut half, mut starting) = (pg::Client::connect(gateway.pg), pg::Client::silent(gateway.pg));
-    half.raw(b"Q\0\0\0\x40/* c=lookup");
+    let mut idle = pg::Client::connect(gateway.pg);
+    let mut late_senders: Vec<_> = (0..70).map(|_| pg::Client::connect(gateway.pg)).collect();
+    let (mut partial, mut starting) = (pg::Client::connect(gateway.pg), pg::Client::silent(gateway.pg));
+    partial.raw(b"Q\0\0\0\x40/* c=lookup");
     starting.raw(&[0, 0, 0, 40, 0, 3]);
-    assert_eq!(half.clone().key, half.key);
+    assert_eq!(partial.clone().key, partial.key);
     gateway.terminate();
     gateway.logged("graceful shutdown begins");
     gateway.terminate();
-    // All of this is there when the time for taking is over.
+    // All of these requests have arrived when the gateway stops accepting requests.
     let late = gateway.paused(|| {
         thread::sleep(Duration::from_millis(900));
-        for (n, client) in crossing.iter_mut().enumerate() {
-            // Long ones, so that not all of them are read in one turn.
+        for (n, client) in late_senders.iter_mut().enumerate() {
+            // Long texts, so that not all of them are read in one turn.
             client.send(&(text("lookup", n as u64) + &" ".repeat(60_000)));
         }
         (100..190).map(|n| pg::Client::late(gateway.pg, &text("lookup", n))).collect::<Vec<_>>()
     });
-    for client in &mut crossing {
-        assert!(error_code(&client.answer()).starts_with("53"), "refused, as nothing is sent on any more");
+    for client in &mut late_senders {
+        assert!(
+            error_code(&client.answer()).starts_with("53"),
+            "requests must be rejected, since none is forwarded any more"
+        );
     }
     for mut client in late {
         let answer = client.late_answer();
         assert!(answer.starts_with("53") || answer == "57P03", "{answer}");
     }
-    assert_eq!(error_code(&half.answer()), "57P03");
+    assert_eq!(error_code(&partial.answer()), "57P03");
     assert_eq!(error_code(&starting.answer()), "57P03");
-    assert!(resting.is_ended() && half.is_ended(), "an end, no reset");
+    assert!(idle.is_ended() && partial.is_ended(), "connections must be closed without a reset");
     assert!(ran.lock().unwrap().is_empty());
     let (exit, log) = gateway.wait();
     assert_eq!(exit, Some(0), "{log}");
@@ -613,11 +618,11 @@
 #[test]
 fn sigterm_answers_all_requests_in_flight_before_exit() {
     let (engine, discovery) = (Peer::new("e1"), Peer::new("c"));
-    // Deadlines beyond all patience here: whoever waited for them would not be answered.
+    // Deadlines are longer than the test's read timeout, so that the answers cannot be caused by a deadline.
     let long = |t: String| t.replace("\"deadline-s\":2", "\"deadline-s\":32");
     let gateway = Gateway::scripted(&engine.entry("Ready"), Some(discovery.address), "", None, long);
-    // Discovery answers nothing, and moves in the very turn of the signal.
-    let (_mute, _) = discovery.watch();
+    // The discovery service never responds. SIGHUP and SIGTERM arrive in the same turn.
+    let (_silent, _) = discovery.watch();
     let mut clients: Vec<_> = (0..3).map(|_| pg::Client::connect(gateway.pg)).collect();
     let mut wires = Vec::new();
     for (n, (client, class)) in clients.iter_mut().zip(["report", "load", "report"]).enumerate() {
@@ -625,13 +630,13 @@
         if n < 2 {
             let mut wire = engine.accept();
             assert_eq!(wire.call().query_id(), id(n as u64 + 1));
-            // It hangs, and says so.
+            // The query never ends.
             wire.say("HTTP/1.1 202 x\r\nContent-Length: 0\r\n\r\n");
             wires.push(wire);
         }
         wait_taken(&gateway, n as u64 + 1);
     }
-    let news = wires.into_iter().map(|mut wire| {
+    let pollers = wires.into_iter().map(|mut wire| {
         thread::spawn(move || {
             while wire.next_call().is_some() {
                 thread::sleep(Duration::from_millis(100));
@@ -639,12 +644,12 @@
             }
         })
     });
-    let news: Vec<_> = news.collect();
+    let pollers: Vec<_> = pollers.collect();
     gateway.paused(|| {
         gateway.signal("-HUP");
         gateway.terminate();
     });
-    // Their engine would run them for minutes; repeats of a report do no harm, those of a load would.
+    // The queries would run for minutes. A report may be retried, a load may not.
     assert!(error_code(&clients[0].answer()).starts_with("53"));
     assert_eq!(error_code(&clients[1].answer()), "58000");
     assert!(error_code(&clients[2].answer()).starts_with("53"));
@@ -652,44 +657,44 @@
     let (exit, log) = gateway.wait();
     assert_eq!(exit, Some(0), "{log}");
     drop(engine);
-    news.into_iter().for_each(|n| n.join().unwrap());
+    pollers.into_iter().for_each(|n| n.join().unwrap());
 }
 
 #[test]
 fn idle_clients_that_hold_all_descriptors_are_evicted_for_engines_watch_and_new_clients() {
     let (engine, discovery) = (Peer::new("e1"), Peer::new("c"));
-    // Fewer descriptors than the configuration says: they run out long before the places do.
+    // The process gets fewer descriptors than the configuration says, so that they run out before the client limit.
     let gateway = Gateway::scripted(&engine.entry("Ready"), Some(discovery.address), "", Some(64), |t| t);
     let (watch, _) = discovery.watch();
     let address = discovery.address;
     drop((watch, discovery));
-    // Discovery is down: what it held may be taken by clients.
+    // The discovery service is down, so that clients may take the descriptor of its stream.
     let mut clients: Vec<_> = (0..80).map(|_| pg::Client::connect(gateway.pg)).collect();
-    let mut asking = clients.split_off(76);
-    for (n, client) in asking.iter_mut().enumerate() {
+    let mut requesters = clients.split_off(76);
+    for (n, client) in requesters.iter_mut().enumerate() {
         client.send(&text("lookup", n as u64));
     }
-    // All of them are out at once, each over a connection of its own.
-    let mut wires: Vec<_> = (0..asking.len()).map(|_| engine.accept()).collect();
+    // All requests run at the same time, each over its own connection.
+    let mut wires: Vec<_> = (0..requesters.len()).map(|_| engine.accept()).collect();
     for wire in &mut wires {
         let query_id = wire.call().query_id().to_owned();
         wire.row(&query_id);
     }
-    for (n, client) in asking.iter_mut().enumerate() {
-        assert_eq!(client.answer(), row_of(n as u64), "an engine is reached");
+    for (n, client) in requesters.iter_mut().enumerate() {
+        assert_eq!(client.answer(), row_of(n as u64), "engine connections must get descriptors");
     }
     drop(wires);
-    run_all(engine, ran());
-    served(&gateway, "lookup", 100);
-    let back = Peer::at("c", address);
-    let (mut watch, _) = back.watch();
+    run_all(engine, id_log());
+    query_until_served(&gateway, "lookup", 100);
+    let restarted = Peer::at("c", address);
+    let (mut watch, _) = restarted.watch();
     watch.stream();
     watch.event(2, "");
     let turns = gateway.turns();
     thread::sleep(Duration::from_millis(200));
-    assert!(gateway.turns() - turns < 100, "it does not spin");
-    assert!(clients[0].is_ended(), "the one idle for longest has yielded");
-    assert_eq!(asking[3].query(";"), pg::Answer::Empty);
+    assert!(gateway.turns() - turns < 100, "the event loop is spinning");
+    assert!(clients[0].is_ended(), "the client idle for longest must be evicted");
+    assert_eq!(requesters[3].query(";"), pg::Answer::Empty);
 }
 
 #[test]
@@ -701,9 +706,9 @@
         )
     });
     let list = list.collect::<Vec<_>>().join(",");
-    let mute = Peer::new("c");
+    let silent = Peer::new("c");
     let down = Peer::new("d").address;
-    for discovery in [mute.address, down] {
+    for discovery in [silent.address, down] {
         let gateway = Gateway::scripted(&list, Some(discovery), "", None, |t| t);
         let mut client = pg::Client::connect(gateway.pg);
         assert_eq!(client.query(";"), pg::Answer::Empty);
@@ -715,29 +720,29 @@
     let engine = Peer::new("e1");
     let operator = "[clients]\nidle_limit_s = 1";
     let gateway = Gateway::scripted(&engine.entry("Ready"), None, operator, None, |t| t);
-    run_all(engine, ran());
-    let (mut crossing, mut idle) = (pg::Client::connect(gateway.pg), pg::Client::connect(gateway.pg));
+    run_all(engine, id_log());
+    let (mut sender, mut idle) = (pg::Client::connect(gateway.pg), pg::Client::connect(gateway.pg));
     gateway.paused(|| {
         thread::sleep(Duration::from_millis(1200));
-        crossing.send(&text("lookup", 1));
+        sender.send(&text("lookup", 1));
     });
-    assert_eq!(crossing.answer(), row_of(1));
+    assert_eq!(sender.answer(), row_of(1));
     assert!(idle.is_ended());
 }
 
 #[test]
-fn a_response_that_is_cut_off_is_called_for_again_and_a_load_runs_once() {
+fn a_truncated_response_is_requested_again_and_a_load_runs_once() {
     let engine = Peer::new("e1");
     let gateway = Gateway::scripted(&engine.entry("Ready"), None, "", None, |t| t);
     let mut client = pg::Client::connect(gateway.pg);
     let whole = row(&id(1));
     let head = whole.find("\r\n\r\n").unwrap();
-    // In the head, between head and body, in the body, a length that lies, one that never ends.
-    for cut in [5, head + 4, whole.len() - 3] {
+    // The response ends within its head, between head and body, and within its body.
+    for length in [5, head + 4, whole.len() - 3] {
         client.send(&text("load", 1));
         let mut wire = engine.accept();
         assert_eq!(wire.call().verb, "POST");
-        wire.say(&whole[..cut]);
+        wire.say(&whole[..length]);
         wire.end_writing();
         let mut again = engine.accept();
         let call = again.call();
--- a/gateway/tests/fronts.rs
+++ b/gateway/tests/fronts.rs
@@ -1,4 +1,4 @@
-//! Both front ends, with simulated engines: the real program, real sockets, loopback only.
+//! Tests both front ends of the gateway process with simulated engines over loopback sockets.
 
 mod common;
 
@@ -14,7 +14,7 @@
     format!("/* c={class},i={id},d={wait_ms},t=acme,h=20.0,mem=96 */ SELECT v FROM sales_17.orders")
 }
 
-/// Sends a request until it is not rejected; a retry of a rejected request is safe.
+/// Sends a request until it is not rejected. A rejected request is safe to retry.
 fn until_served<A>(mut ask: impl FnMut() -> A, is_rejection: impl Fn(&A) -> bool) -> A {
     for _ in 0..40 {
         let answer = ask();
@@ -39,7 +39,7 @@
     let seen = Seen::default();
     let engine = Engine::start("e1", &seen, 5);
     let gateway = Gateway::start(&[&engine], false);
-    assert!(gateway.mysql.is_none(), "the MySQL front is off unless it is asked for");
+    assert!(gateway.mysql.is_none(), "the MySQL front end must be off by default");
     let mut client = pg::Client::connect(gateway.pg);
     assert_eq!(client.query(""), pg::Answer::Empty);
     assert_eq!(client.query(" ; "), pg::Answer::Empty);
@@ -52,13 +52,17 @@
     assert_eq!(error_code(&client.query("SELECT 1")), "42601");
     assert_eq!(error_code(&client.query(&text("gossip", ID, 2000))), "42601");
     assert_eq!(error_code(&client.query(&text("lookup", "12", 2000))), "42601");
-    assert_eq!(seen.count(), 1, "nothing of these was forwarded");
+    assert_eq!(seen.count(), 1, "an invalid request was forwarded");
     assert_eq!(client.query(&text("lookup", ID, 2000)), rows(["a", "b", "c"]));
 
     let mut other = pg::Client::connect(gateway.pg);
     other.raw(b"Q\x7f\xff\xff\xff");
     assert_eq!(error_code(&other.answer()), "54000");
-    assert_eq!(client.query(&text("lookup", ID, 2000)), rows(["a", "b", "c"]), "others are unhurt");
+    assert_eq!(
+        client.query(&text("lookup", ID, 2000)),
+        rows(["a", "b", "c"]),
+        "an error of one client must not affect others"
+    );
 
     let (exit, log) = gateway.end();
     assert_eq!(exit, Some(0));
@@ -73,15 +77,15 @@
     let silent: Vec<_> = (0..gateway.most_clients()).map(|_| pg::Client::silent(gateway.pg)).collect();
     thread::sleep(Duration::from_millis(200));
     let mut client = pg::Client::connect(gateway.pg);
-    assert_eq!(served_by(&mut client), "e1", "who says nothing keeps nobody out");
+    assert_eq!(served_by(&mut client), "e1", "silent connections must not block clients");
     drop(silent);
 
-    // Idle ones make room too, the one that has been idle for longest first.
+    // Idle clients are evicted too, starting with the one idle for longest.
     let held: Vec<_> = (0..gateway.most_clients()).map(|_| pg::Client::connect(gateway.pg)).collect();
     assert!(client.is_ended());
     drop(held);
 
-    // Where every place has an open request, one too many is told so, and that trying again is harmless.
+    // If all clients have open requests, a new client is rejected with an error that permits a retry.
     engine.set_work_ms(30_000);
     let mut busy: Vec<_> = (0..gateway.most_clients()).map(|_| pg::Client::connect(gateway.pg)).collect();
     for (n, client) in busy.iter_mut().enumerate() {
@@ -100,8 +104,8 @@
     half.raw(b"Q\0\0\0\x40/* c=lookup");
     assert_eq!(error_code(&silent.answer()), "57014");
     assert_eq!(error_code(&half.answer()), "57014");
-    assert!(half.is_ended(), "and the connection ends");
-    assert_eq!(served_by(&mut idle), "e1", "one that owes nothing stays");
+    assert!(half.is_ended(), "the connection must be closed");
+    assert_eq!(served_by(&mut idle), "e1", "an idle client must not time out");
 }
 
 #[test]
@@ -131,8 +135,8 @@
     for id in ["9b1f03aa5c7e2dff", "9B1F03AA5C7E2DFF"] {
         assert_eq!(error_code(&other.query(&text("lookup", id, 2000))), "42601");
     }
-    assert!(matches!(client.answer(), pg::Answer::Rows(_)), "the open one is unhurt");
-    assert_eq!(seen.count(), 1, "nothing of the others was sent on");
+    assert!(matches!(client.answer(), pg::Answer::Rows(_)), "the open request must be served");
+    assert_eq!(seen.count(), 1, "a request with an id in use was forwarded");
 }
 
 #[test]
@@ -143,8 +147,12 @@
     let mut client = pg::Client::connect(gateway.pg);
     let began = Instant::now();
     let answer = client.query(&text("load", ID, 400));
-    assert_eq!(error_code(&answer), "58000", "a load that may run is not refused");
-    assert!(began.elapsed() < Duration::from_secs(2), "long before the engine's answer");
+    assert_eq!(
+        error_code(&answer),
+        "58000",
+        "a load that may still run must not be rejected as safe to retry"
+    );
+    assert!(began.elapsed() < Duration::from_secs(2), "the answer must not wait for the engine");
 
     let (address, key) = (gateway.pg, client.key);
     let canceller = thread::spawn(move || {
@@ -159,21 +167,21 @@
     assert!(matches!(served, pg::Answer::Rows(_)), "{served:?}");
 }
 
-/// The engine that serves one lookup now.
+/// Sends a lookup and returns the name of the engine that served it.
 fn served_by(client: &mut pg::Client) -> String {
     match until_served(|| client.query(&text("lookup", ID, 2000)), pg_rejected) {
         pg::Answer::Rows(rows) => rows[0][0].clone(),
-        other => panic!("rows were expected, not {other:?}"),
+        other => panic!("expected rows, got {other:?}"),
     }
 }
 
-/// Waits until this engine alone serves, as far as 20 answers can tell.
+/// Waits until this engine has served 20 requests in a row.
 fn only_served_by(client: &mut pg::Client, name: &str) {
     let began = Instant::now();
-    let mut in_a_row = 0;
-    while in_a_row < 20 {
-        assert!(began.elapsed() < Duration::from_secs(60), "others still serve");
-        in_a_row = if served_by(client) == name { in_a_row + 1 } else { 0 };
+    let mut consecutive = 0;
+    while consecutive < 20 {
+        assert!(began.elapsed() < Duration::from_secs(60), "other engines still serve");
+        consecutive = if served_by(client) == name { consecutive + 1 } else { 0 };
     }
 }
 
@@ -185,7 +193,7 @@
     let discovery = DiscoveryService::unsteady([one.entry("Terminating"), back]);
     let gateway = Gateway::start_with(&[&one, &two], false, Some(discovery.address));
     let mut client = pg::Client::connect(gateway.pg);
-    // The third stream is opened for the second's silence, behind the last event.
+    // The third stream replaces the silent second one and continues from the last event.
     let began = Instant::now();
     while discovery.requested.lock().unwrap().len() < 3 {
         assert!(began.elapsed() < Duration::from_secs(60), "{:?}", discovery.requested);
@@ -193,7 +201,7 @@
     }
     assert_eq!(*discovery.requested.lock().unwrap(), ["1", "2", "3"]);
     for _ in 0..10 {
-        assert_eq!(served_by(&mut client), "e1", "the other has gone");
+        assert_eq!(served_by(&mut client), "e1", "the other engine is gone");
     }
 }
 
@@ -204,7 +212,7 @@
     let discovery = DiscoveryService::unsteady([one.entry("Terminating"), one.entry("Terminating")]);
     let gateway = Gateway::start_with(&[&one, &two], false, Some(discovery.address));
     let mut client = pg::Client::connect(gateway.pg);
-    // The second stream is opened behind the first event: it has been read.
+    // The second stream continues from the first event, which has thus been read.
     while discovery.requested.lock().unwrap().len() < 2 {
         thread::sleep(Duration::from_millis(5));
     }
@@ -222,13 +230,13 @@
     let mut client = pg::Client::connect(gateway.pg);
     assert!(matches!(client.query(&text("lookup", ID, 2000)), pg::Answer::Rows(_)));
 
-    // Half a file, and one whose values make no sense: the service goes on as it was.
+    // An incomplete file is rejected. The settings in force stay.
     gateway.reconfigure(|t| t[..t.len() / 2].to_owned());
     gateway.logged("the old settings are kept");
     served_by(&mut client);
-    assert_eq!(old.requested.lock().unwrap().len(), 1, "the old stream stays");
+    assert_eq!(old.requested.lock().unwrap().len(), 1, "the old stream must stay open");
 
-    // Half a file that is written out a little later.
+    // An incomplete file is completed a little later.
     let new = DiscoveryService::steady(3, vec![DiscoveryService::change(3, &two.entry("Gone"))]);
     let list = format!("{},{}", one.entry("Ready"), two.entry("Ready"));
     let whole = include_str!("common/config.json").replace("LIST", &list);
@@ -238,10 +246,10 @@
     gateway.reconfigure(|_| whole.clone());
     let began = Instant::now();
     while new.requested.lock().unwrap().is_empty() {
-        assert!(began.elapsed() < Duration::from_secs(60), "the new discovery is asked");
+        assert!(began.elapsed() < Duration::from_secs(60), "no stream was requested from the new service");
         thread::sleep(Duration::from_millis(5));
     }
-    assert_eq!(*new.requested.lock().unwrap(), ["2"], "the numbers go on");
+    assert_eq!(*new.requested.lock().unwrap(), ["2"], "the stream must continue from the last event");
     only_served_by(&mut client, "e1");
     let (exit, log) = gateway.end();
     assert_eq!(exit, Some(0), "{log}");
@@ -252,14 +260,14 @@
     let seen = Seen::default();
     let engines: Vec<Engine> = ["e1", "e2", "e3"].iter().map(|name| Engine::start(name, &seen, 1)).collect();
     let [one, two, three] = &engines[..] else { unreachable!() };
-    // The second is in a state that nobody knows, the third drains.
+    // The second engine has an unknown state, the third one drains.
     let list = format!("{},{}", two.entry("Sick"), three.entry("Terminating"));
     let discovery = DiscoveryService::steady(2, vec![DiscoveryService::change(2, &list)]);
     let gateway = Gateway::start_with(&[one, two, three], false, Some(discovery.address));
     gateway.logged("engine=\"e2\" unread=1");
     let began = Instant::now();
     while discovery.requested.lock().unwrap().len() < 2 {
-        assert!(began.elapsed() < Duration::from_secs(60), "asked for once more");
+        assert!(began.elapsed() < Duration::from_secs(60), "the event was not requested again");
         thread::sleep(Duration::from_millis(5));
     }
     let mut client = pg::Client::connect(gateway.pg);
@@ -285,7 +293,7 @@
     assert_eq!(
         *discovery.requested.lock().unwrap(),
         ["1", "1", "2"],
-        "asked for once more, then passed over"
+        "the unreadable event must be requested once more and then skipped"
     );
     let mut client = pg::Client::connect(gateway.pg);
     only_served_by(&mut client, "e1");
@@ -306,7 +314,7 @@
     assert_eq!(seen.engines_of(ID), ["e1"]);
 }
 
-/// A reset connection proves nothing of the process: what runs there must still be told.
+/// A reset connection does not prove that the query has ended.
 #[test]
 fn a_cancellation_is_repeated_over_connections_that_are_reset() {
     let seen = Seen::default();
@@ -316,41 +324,41 @@
     client.send(&text("load", ID, 20_000));
     let began = Instant::now();
     while seen.count() == 0 {
-        assert!(began.elapsed() < Duration::from_secs(60), "the load gets there");
+        assert!(began.elapsed() < Duration::from_secs(60), "the load did not reach its engine");
         thread::sleep(Duration::from_millis(1));
     }
     engine.reset_new(2);
     drop(client);
     while seen.deletes().is_empty() {
-        assert!(began.elapsed() < Duration::from_secs(60), "the engine is told that nobody waits");
+        assert!(began.elapsed() < Duration::from_secs(60), "the engine received no cancellation");
         thread::sleep(Duration::from_millis(1));
     }
     let (_, log) = gateway.end();
     assert!(log.contains("ended_withdrawn=1"), "{log}");
 }
 
-/// The query has run, and its result is kept: it is asked for again, never run again.
+/// Guards against a second run of a query whose result the engine still has.
 #[test]
-fn unusable_responses_are_called_for_again() {
+fn unusable_responses_are_requested_again() {
     let seen = Seen::default();
     let engine = Engine::start("e1", &seen, 1);
     let gateway = Gateway::start(&[&engine], false);
     let mut client = pg::Client::connect(gateway.pg);
-    let ways = [
+    let cases = [
         &[ResponseFault::Garbage][..],
         &[ResponseFault::BadStatusLine, ResponseFault::CutOff],
         &[ResponseFault::Endless, ResponseFault::Short],
         &[ResponseFault::Silent],
         &[ResponseFault::Preceded, ResponseFault::Preceded],
-        // The first page's second copy must not be taken for the second page, nor that one's for the next result.
+        // A duplicate of the first page must not be taken for the second page, nor one of the second for a new result.
         &[ResponseFault::Twice, ResponseFault::Twice],
     ];
-    for (n, ways) in ways.iter().enumerate() {
-        engine.spoil(ways);
+    for (n, faults) in cases.iter().enumerate() {
+        engine.spoil(faults);
         let id = format!("{n:016x}");
         let answer = client.query(&text("load", &id, 20_000));
-        assert!(matches!(&answer, pg::Answer::Rows(rows) if rows.len() == 3), "{ways:?}: {answer:?}");
-        assert_eq!(seen.engines_of(&id), ["e1"], "{ways:?}");
+        assert!(matches!(&answer, pg::Answer::Rows(rows) if rows.len() == 3), "{faults:?}: {answer:?}");
+        assert_eq!(seen.engines_of(&id), ["e1"], "{faults:?}");
     }
 }
 
@@ -362,11 +370,11 @@
     engines.iter().for_each(Engine::mute);
     let mut client = pg::Client::connect(gateway.pg);
     let answer = client.query(&text("report", ID, 20_000));
-    assert!(pg_rejected(&answer), "the client may ask again, long before its time is up: {answer:?}");
-    assert_eq!(seen.engines_of(ID).len(), 1, "what may run on is not sent elsewhere");
+    assert!(pg_rejected(&answer), "the client must be allowed to retry long before its deadline: {answer:?}");
+    assert_eq!(seen.engines_of(ID).len(), 1, "a query that may still run was sent to another engine");
 }
 
-/// The engine that runs it, once one does.
+/// Waits until a query has started and returns its engine.
 fn engine_of<'a>(seen: &Seen, id: &str, engines: &'a [Engine]) -> &'a Engine {
     loop {
         if let Some(name) = seen.engines_of(id).first() {
@@ -376,8 +384,8 @@
     }
 }
 
-/// A connection that is refused proves nothing of a query sent over another: an engine that drains, or has all
-/// the connections that it may have, refuses more and runs on what it runs.
+/// A refused connection does not prove that the query has ended: an engine that drains or has too many connections
+/// refuses new ones.
 #[test]
 fn a_query_is_not_retried_elsewhere_when_its_engine_refuses_connections() {
     let seen = Seen::default();
@@ -392,11 +400,11 @@
         engine.cut();
         let answer = client.answer();
         assert_eq!(pg_rejected(&answer), class == "report", "{answer:?}");
-        assert_eq!(seen.engines_of(&id).len(), 1, "it may run on where it was sent");
+        assert_eq!(seen.engines_of(&id).len(), 1, "a query that may still run was sent to another engine");
     }
 }
 
-/// The same for the call that gives a query up: where that does not get through, the query may run on.
+/// The query may still run if its cancellation does not reach the engine.
 #[test]
 fn a_cancelled_query_is_retried_elsewhere_only_after_its_engine_was_notified() {
     let seen = Seen::default();
@@ -405,10 +413,10 @@
     let mut client = pg::Client::connect(gateway.pg);
     client.send(&text("lookup", ID, 3_000));
     engine_of(&seen, ID, &engines).refuse_new();
-    // Its pace says that it will take far longer than lookups do: a fresh attempt is wanted.
+    // The query runs far longer than a lookup usually does, so the gateway wants a new attempt.
     assert!(!matches!(client.answer(), pg::Answer::Rows(_)));
     let sent = seen.engines_of(ID).len();
-    assert!(sent == 1 || seen.deletes().contains(&ID.to_owned()), "{sent} copies, none of them given up");
+    assert!(sent == 1 || seen.deletes().contains(&ID.to_owned()), "{sent} copies, none of them cancelled");
 }
 
 #[test]
@@ -443,7 +451,7 @@
     let rows = |given: &str| mysql::Answer::Rows(vec!["e1".to_owned(), given.to_owned()]);
     let lookup = "/* c=lookup,h=20,mem=9 */ SELECT v FROM sales_17.orders";
     assert_eq!(client.query(lookup, &[("i", ID)]), rows(""));
-    assert_eq!(seen.engines_of(ID), ["e1"], "the id goes on as it came");
+    assert_eq!(seen.engines_of(ID), ["e1"], "the id must be forwarded unchanged");
 
     let (handle, params) = client.prepare(&format!("{lookup} WHERE a = ? AND b = ?")).unwrap();
     assert_eq!(params, 2);
@@ -458,14 +466,14 @@
     client.close_statement(handle);
     assert!(unknown(client.execute(handle, &["x", "y"], &[])));
     let mut again = mysql::Client::connect(gateway.mysql());
-    assert!(unknown(again.execute(insert, &["2"], &[])), "a handle ends with its connection");
+    assert!(unknown(again.execute(insert, &["2"], &[])), "a handle must be invalid on another connection");
     let (fresh, _) = again.prepare(lookup).unwrap();
-    assert!(fresh != handle && fresh != insert, "no later handle names an older plan");
+    assert!(fresh != handle && fresh != insert, "handles must not be reused");
     assert!(unknown(again.execute(insert, &["2"], &[])));
 
     let number = |a: mysql::Answer| match a {
         mysql::Answer::Error(code, ..) => code,
-        other => panic!("an error was expected, not {other:?}"),
+        other => panic!("expected an error, got {other:?}"),
     };
     assert_eq!(number(client.prepare("SELECT ?").unwrap_err()), 1064);
     assert_eq!(number(client.prepare("/* c=gossip */ SELECT ?").unwrap_err()), 1210);
@@ -473,8 +481,12 @@
     client.command(0x05, b"db");
     assert_eq!(number(client.answer(false)), 1047);
     let runs = seen.count();
-    assert_eq!(number(client.query("/* c=lookup */ nonsense", &[])), 1064, "the engine's own word");
-    assert_eq!(seen.count(), runs + 1, "an error of the statement's own is not tried elsewhere");
+    assert_eq!(
+        number(client.query("/* c=lookup */ nonsense", &[])),
+        1064,
+        "the engine's error code must be returned"
+    );
+    assert_eq!(seen.count(), runs + 1, "a statement error must not be retried");
     assert_eq!(client.ping(), mysql::Answer::Done);
 
     let (exit, log) = gateway.end();
@@ -491,15 +503,18 @@
     let (load, _) = client.prepare("/* c=load,h=20 */ INSERT INTO a_1.b VALUES (?)").unwrap();
     let began = Instant::now();
     let answer = client.execute(load, &["1"], &[("d", "400"), ("i", ID)]);
-    assert!(matches!(answer, mysql::Answer::Error(1105, ..)), "a load that may run failed: {answer:?}");
-    assert!(began.elapsed() < Duration::from_secs(2), "its deadline is its own");
+    assert!(
+        matches!(answer, mysql::Answer::Error(1105, ..)),
+        "a load that may still run must fail: {answer:?}"
+    );
+    assert!(began.elapsed() < Duration::from_secs(2), "the request's own deadline must apply");
     let answer = client.query("/* c=lookup,d=300 */ SELECT 1", &[]);
-    assert!(mysql_rejected(&answer), "trying a lookup again is harmless: {answer:?}");
+    assert!(mysql_rejected(&answer), "a lookup is safe to retry: {answer:?}");
     engine.set_work_ms(1);
     let fails = "/* c=load */ INSERT fail";
     let answer = until_served(|| client.query(fails, &[("i", "00000000000000ff")]), mysql_rejected);
     assert!(matches!(answer, mysql::Answer::Error(1105, ..)), "{answer:?}");
-    assert_eq!(seen.engines_of("00000000000000ff").len(), 1, "a load that failed is not sent again");
+    assert_eq!(seen.engines_of("00000000000000ff").len(), 1, "a failed load was sent again");
     assert_eq!(seen.engines_of(ID).len(), 1);
 }
 
@@ -516,36 +531,36 @@
     drop(client);
     let began = Instant::now();
     while seen.kills().is_empty() {
-        assert!(began.elapsed() < Duration::from_secs(60), "the engine is told");
+        assert!(began.elapsed() < Duration::from_secs(60), "the engine received no KILL");
         thread::sleep(Duration::from_millis(5));
     }
-    assert_eq!(seen.kills(), [1], "it is told of the connection that ran the work");
+    assert_eq!(seen.kills(), [1], "KILL must name the connection of the statement");
     let (exit, log) = gateway.end();
     assert_eq!(exit, Some(0));
     assert!(log.contains("left=1"), "{log}");
 }
 
 #[test]
-fn a_prepared_lookup_survives_its_engine_and_a_load_runs_once() {
+fn a_prepared_lookup_survives_an_engine_crash_and_a_load_runs_once() {
     let seen = Seen::default();
     let (one, two) = (Engine::start("e1", &seen, 2), Engine::start("e2", &seen, 2));
     let gateway = Gateway::start(&[&one, &two], true);
     let mut client = mysql::Client::connect(gateway.mysql());
     let (lookup, _) = client.prepare("/* c=lookup,h=20 */ SELECT v FROM a_1.b WHERE c = ?").unwrap();
     let (load, _) = client.prepare("/* c=load,h=20 */ INSERT INTO a_1.b VALUES (?)").unwrap();
-    let mysql::Answer::Rows(rows) = client.execute(lookup, &["1"], &[]) else { panic!("no rows") };
-    let (dead, alive) = if rows[0] == "e1" { (&one, &two) } else { (&two, &one) };
-    dead.kill();
+    let mysql::Answer::Rows(rows) = client.execute(lookup, &["1"], &[]) else { panic!("expected rows") };
+    let (crashed, alive) = if rows[0] == "e1" { (&one, &two) } else { (&two, &one) };
+    crashed.kill();
     let answer = until_served(|| client.execute(lookup, &["2"], &[]), mysql_rejected);
     assert_eq!(answer, mysql::Answer::Rows(vec![alive.name.clone(), "2".to_owned()]));
-    // Never sent to the dead one, the load may go to the other; it runs once.
+    // The load was not sent to the crashed engine, so the other engine may run it. It runs once.
     let answer = until_served(|| client.execute(load, &["3"], &[("i", ID)]), mysql_rejected);
     assert_eq!(answer, mysql::Answer::Done);
     assert_eq!(seen.engines_of(ID), [alive.name.as_str()]);
-    // The engine dies with the load in hand: it may have run, so it fails and goes nowhere else.
+    // The engine crashes while it runs the load. The load may have run, so it fails without a retry.
     alive.set_work_ms(400);
     let runs = seen.count();
-    let killer = thread::spawn({
+    let wait_started = thread::spawn({
         let seen = seen.clone();
         move || {
             while seen.count() == runs {
@@ -553,14 +568,14 @@
             }
         }
     });
-    let asker = thread::spawn(move || client.execute(load, &["4"], &[("i", "00000000000000bb")]));
-    killer.join().unwrap();
+    let request = thread::spawn(move || client.execute(load, &["4"], &[("i", "00000000000000bb")]));
+    wait_started.join().unwrap();
     alive.kill();
-    assert!(matches!(asker.join().unwrap(), mysql::Answer::Error(1105, ..)));
+    assert!(matches!(request.join().unwrap(), mysql::Answer::Error(1105, ..)));
     assert_eq!(seen.engines_of("00000000000000bb"), [alive.name.as_str()]);
 }
 
-/// A statement may outlive its connection, and MySQL has no way to ask for it over another.
+/// A MySQL statement may outlive its connection and cannot be polled over another one.
 #[test]
 fn a_mysql_statement_whose_connection_breaks_is_not_retried() {
     let seen = Seen::default();
@@ -568,13 +583,13 @@
     let gateway = Gateway::start(&[&engines[0], &engines[1]], true);
     let mut client = mysql::Client::connect(gateway.mysql());
     let (lookup, _) = client.prepare("/* c=lookup,h=20 */ SELECT v FROM a_1.b WHERE c = ?").unwrap();
-    let asker = thread::spawn(move || client.execute(lookup, &["1"], &[("i", ID)]));
+    let request = thread::spawn(move || client.execute(lookup, &["1"], &[("i", ID)]));
     engine_of(&seen, ID, &engines).cut();
-    assert!(mysql_rejected(&asker.join().unwrap()), "its client may ask again");
-    assert_eq!(seen.engines_of(ID).len(), 1, "no second copy beside one that may run on");
+    assert!(mysql_rejected(&request.join().unwrap()), "the client must be allowed to retry");
+    assert_eq!(seen.engines_of(ID).len(), 1, "a statement that may still run was sent again");
 }
 
-/// Mixed traffic over both fronts; returns the latencies of lookups.
+/// Sends lookups and loads over these front ends and returns the latencies of the lookups.
 fn traffic(gateway: &Gateway, fronts: &[&str], rounds: u32) -> Vec<Duration> {
     let mut workers = Vec::new();
     for (w, front) in fronts.iter().cycle().take(8).enumerate() {
@@ -608,11 +623,11 @@
                     if served && !load {
                         latencies.push(began.elapsed());
                     }
-                    assert!(served || refused || load, "a lookup that goes elsewhere does not fail");
+                    assert!(served || refused || load, "a lookup is safe to retry and must not fail");
                     tries += 1;
-                    // A load that failed may have run: it is over.
+                    // A load that failed may have run, so it is not retried.
                     if !refused || tries == 40 {
-                        assert!(tries < 40, "it is served in the end");
+                        assert!(tries < 40, "not served after 40 tries");
                         break;
                     }
                     thread::sleep(Duration::from_millis(50));
@@ -621,7 +636,7 @@
             latencies
         }));
     }
-    workers.into_iter().flat_map(|w| w.join().expect("each request has one good answer")).collect()
+    workers.into_iter().flat_map(|w| w.join().expect("a worker panicked")).collect()
 }
 
 #[test]
@@ -631,17 +646,17 @@
     let gateway = Gateway::start(&engines.iter().collect::<Vec<_>>(), true);
     let killer = thread::spawn({
         let seen = seen.clone();
-        let dying = engines.into_iter().next().unwrap();
+        let victim = engines.into_iter().next().unwrap();
         move || {
             while seen.count() < 100 {
                 thread::sleep(Duration::from_millis(1));
             }
-            dying.kill();
+            victim.kill();
         }
     });
     let latencies = traffic(&gateway, &["pg", "mysql"], 40);
     killer.join().unwrap();
-    assert_eq!(latencies.len(), 8 * 32, "every lookup was served");
+    assert_eq!(latencies.len(), 8 * 32, "a lookup was not served");
     for w in 0..8 {
         for n in (4..40).step_by(5) {
             for tries in 0..40 {
@@ -654,10 +669,10 @@
     assert_eq!(exit, Some(0));
 }
 
-/// A measurement for the record, no verdict: `cargo test --release -- --ignored --nocapture latency`.
+/// Prints measurements without a check: `cargo test --release -- --ignored --nocapture latency`.
 #[test]
-#[ignore = "it measures time"]
-fn lookup_latency_beside_a_postgres_only_run() {
+#[ignore = "measures latencies"]
+fn lookup_latency_with_and_without_mysql_traffic() {
     let measure = |fronts: &[&str]| {
         let seen = Seen::default();
         let engines = ["e1", "e2", "e3"].map(|n| Engine::start(n, &seen, 20));
