--- a/gateway/tests/fronts.rs
+++ b/gateway/tests/fronts.rs
@@ -10,8 +10,8 @@
 
 const ID: &str = "9b1f03aa5c7e2d41";
 
-fn text(class: &str, id: &str, wait_ms: u32) -> String {
-    format!("/* c={class},i={id},d={wait_ms},t=acme,h=20.0,mem=96 */ SELECT v FROM sales_17.orders")
+fn text(class: &str, id: &str, timeout_ms: u32) -> String {
+    format!("/* c={class},i={id},d={timeout_ms},t=acme,h=20.0,mem=96 */ SELECT v FROM sales_17.orders")
 }
 
 /// Sends a request until it is not rejected. A rejected request is safe to retry.
@@ -99,12 +99,12 @@
     let seen = Seen::default();
     let engine = Engine::start("e1", &seen, 1);
     let gateway = Gateway::start(&[&engine], false);
-    let (mut idle, mut half) = (pg::Client::connect(gateway.pg), pg::Client::connect(gateway.pg));
+    let (mut idle, mut partial) = (pg::Client::connect(gateway.pg), pg::Client::connect(gateway.pg));
     let mut silent = pg::Client::silent(gateway.pg);
-    half.raw(b"Q\0\0\0\x40/* c=lookup");
+    partial.raw(b"Q\0\0\0\x40/* c=lookup");
     assert_eq!(error_code(&silent.answer()), "57014");
-    assert_eq!(error_code(&half.answer()), "57014");
-    assert!(half.is_ended(), "the connection must be closed");
+    assert_eq!(error_code(&partial.answer()), "57014");
+    assert!(partial.is_ended(), "the connection must be closed");
     assert_eq!(served_by(&mut idle), "e1", "an idle client must not time out");
 }
 
@@ -189,8 +189,8 @@
 fn the_endpoint_list_is_followed_across_broken_and_silent_streams() {
     let seen = Seen::default();
     let (one, two) = (Engine::start("e1", &seen, 1), Engine::start("e2", &seen, 1));
-    let back = format!("{},{}", one.entry("Ready"), two.entry("Gone"));
-    let discovery = DiscoveryService::unsteady([one.entry("Terminating"), back]);
+    let second_event = format!("{},{}", one.entry("Ready"), two.entry("Gone"));
+    let discovery = DiscoveryService::unsteady([one.entry("Terminating"), second_event]);
     let gateway = Gateway::start_with(&[&one, &two], false, Some(discovery.address));
     let mut client = pg::Client::connect(gateway.pg);
     // The third stream replaces the silent second one and continues from the last event.
@@ -682,9 +682,9 @@
         (latencies[latencies.len() / 2], latencies[latencies.len() * 95 / 100])
     };
     for round in 1..=3 {
-        let (alone, mixed) = (measure(&["pg"]), measure(&["pg", "mysql"]));
+        let (postgres_only, mixed) = (measure(&["pg"]), measure(&["pg", "mysql"]));
         println!(
-            "round {round}: median and 95th percentile, PostgreSQL only {alone:?}, both fronts {mixed:?}"
+            "round {round}: median and 95th percentile, PostgreSQL only {postgres_only:?}, both fronts {mixed:?}"
         );
     }
 }
