--- a/lab/src/capacity/bounds.rs
+++ b/lab/src/capacity/bounds.rs
@@ -1,19 +1,19 @@
-//! What a run may use: memory, processes and time. A run that outgrows a bound is stopped and says so.
+//! Limits on the memory, processes and time of a run. A run that exceeds a limit is stopped with an error.
 
 use std::time::{Duration, Instant};
 
 use super::error::{Bound, CapacityError};
 
-/// The bounds of a run.
+/// Resource limits of a run.
 #[derive(Clone, Copy, Debug, clap::Args)]
 pub struct Limits {
-    /// Memory of all processes of a run together, in MB.
+    /// Memory limit of all processes of a run together, in MB.
     #[arg(long, default_value_t = 2_048)]
     pub memory_mb: u64,
-    /// Processes of a run, and threads of the measuring one.
+    /// Limit on the processes of a run plus the threads of the measuring process.
     #[arg(long, default_value_t = 400)]
     pub processes: u64,
-    /// Time of a run, in seconds.
+    /// Time limit of a run, in seconds.
     #[arg(long, default_value_t = 60)]
     pub seconds: u64,
 }
@@ -24,22 +24,22 @@
     }
 }
 
-/// What a run uses at a moment.
+/// Resources in use by a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Usage {
     /// Memory of all processes together, in MB.
     pub memory_mb: u64,
-    /// Processes, and threads of the measuring one.
+    /// Processes plus the threads of the measuring process.
     pub processes: u64,
-    /// Since the start of the run, in seconds.
+    /// Time since the start of the run, in seconds.
     pub seconds: u64,
 }
 
 impl Limits {
-    /// Holds what is used against the bounds.
+    /// Compares resource usage with the limits.
     ///
     /// # Errors
-    /// A bound is passed.
+    /// A limit is exceeded.
     pub fn check(&self, usage: Usage) -> Result<(), CapacityError> {
         let outgrown = |bound, reached, most| Err(CapacityError::Outgrown { bound, reached, most });
         if usage.memory_mb > self.memory_mb {
@@ -55,10 +55,10 @@
     }
 }
 
-/// The longest time between two checks of the bounds during a wait.
+/// Maximum time between two checks of the limits during a wait.
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Holds a run to its bounds.
+/// Enforces the limits of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct Guard {
     limits: Limits,
@@ -66,15 +66,15 @@
 }
 
 impl Guard {
-    /// The guard of a run that begins now.
+    /// Creates the guard of a run that starts now.
     pub fn new(limits: Limits) -> Self {
         Self { limits, began: Instant::now() }
     }
 
-    /// Holds this process, and a gateway's where there is one, to the bounds.
+    /// Checks this process and, if given, the gateway process against the limits.
     ///
     /// # Errors
-    /// A bound is passed.
+    /// A limit is exceeded.
     pub fn check(&self, gateway: Option<u32>) -> Result<(), CapacityError> {
         let own = std::process::id();
         let resident = |process| status(process, "VmRSS:").unwrap_or(0);
@@ -86,10 +86,10 @@
         self.limits.check(usage)
     }
 
-    /// Waits, and checks the bounds meanwhile.
+    /// Sleeps while checking the limits.
     ///
     /// # Errors
-    /// A bound is passed.
+    /// A limit is exceeded.
     pub fn sleep(&self, span: Duration, gateway: Option<u32>) -> Result<(), CapacityError> {
         let end = Instant::now() + span;
         loop {
@@ -103,7 +103,7 @@
     }
 }
 
-/// A number from `status` of proc(5): kilobytes, or a count.
+/// Returns a number from `/proc/PID/status`: kilobytes or a count.
 pub fn status(process: u32, key: &str) -> Option<u64> {
     let text = std::fs::read_to_string(format!("/proc/{process}/status")).ok()?;
     let line = text.lines().find_map(|line| line.strip_prefix(key))?;
--- a/lab/src/capacity/control_machine.rs
+++ b/lab/src/capacity/control_machine.rs
@@ -1,4 +1,4 @@
-//! A stand-in for a control machine: it sends one gateway versions of the settings, and receives its reports.
+//! A mock control machine, which sends versions of the settings to one gateway and receives its reports.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -10,33 +10,33 @@
 
 use super::error::CapacityError;
 
-/// How long the gateway is waited for.
+/// Maximum wait for the gateway.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
-/// A report's body has no more bytes than this.
+/// Maximum length of the body of a report.
 const LONGEST_REPORT: usize = 64 * 1024;
-/// The head of the stream of versions.
+/// Response head of the stream of versions.
 const STREAM: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n";
-/// The answer to a report.
+/// Response to a report.
 const TAKEN: &[u8] = b"HTTP/1.1 204 No Content\r\n\r\n";
 
-/// A control machine.
+/// A mock control machine, served by background threads.
 pub struct ControlMachine {
-    /// Where it listens.
+    /// Listening address.
     pub address: SocketAddr,
     streams: Receiver<TcpStream>,
     reports: Receiver<Report>,
 }
 
-/// The stream of one gateway.
+/// An open stream of versions to one gateway.
 pub struct VersionStream {
     stream: TcpStream,
 }
 
 impl ControlMachine {
-    /// Listens.
+    /// Starts listening on a free loopback port.
     ///
     /// # Errors
-    /// No descriptor, or no port.
+    /// The listening socket can't be opened.
     pub fn start() -> Result<Self, CapacityError> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
@@ -44,17 +44,17 @@
         thread::spawn(move || {
             for connection in listener.incoming().map_while(Result::ok) {
                 let (streams, reports) = (streams_in.clone(), reports_in.clone());
-                // A connection that breaks is missed by whoever waits for what it was to bring.
+                // Errors of a connection are ignored: the method that waits for its stream or report times out.
                 thread::spawn(move || drop(serve(connection, &streams, &reports)));
             }
         });
         Ok(Self { address, streams, reports })
     }
 
-    /// The next stream that a gateway opens.
+    /// Waits for the next stream that a gateway opens.
     ///
     /// # Errors
-    /// None comes.
+    /// The gateway opens no stream within `ANSWER_TIMEOUT`.
     pub fn stream(&self) -> Result<VersionStream, CapacityError> {
         let none = |_| CapacityError::Peer("the gateway opens no stream of versions".to_owned());
         let stream = self.streams.recv_timeout(ANSWER_TIMEOUT).map_err(none)?;
@@ -64,7 +64,7 @@
     /// Waits until the gateway reports that this version is in force.
     ///
     /// # Errors
-    /// It reports something else, or nothing.
+    /// The gateway sends a different report, or none within `ANSWER_TIMEOUT`.
     pub fn applied(&self, version: u64) -> Result<(), CapacityError> {
         let none = |_| CapacityError::Peer(format!("no report of version {version}"));
         let report = self.reports.recv_timeout(ANSWER_TIMEOUT).map_err(none)?;
@@ -79,10 +79,10 @@
 }
 
 impl VersionStream {
-    /// Tells of a version; how many bytes that takes on the stream.
+    /// Sends a version and returns its length on the stream in bytes.
     ///
     /// # Errors
-    /// The gateway has ended its stream.
+    /// The gateway has closed the stream.
     pub fn send(&mut self, message: &Message) -> Result<usize, CapacityError> {
         let text = format!("id: {}\ndata: {}\n\n", message.version().0, message.encode());
         self.stream.write_all(text.as_bytes())?;
@@ -103,7 +103,7 @@
     let length = content_length(&mut reader)?;
     if verb.starts_with("GET ") {
         connection.write_all(STREAM)?;
-        // Whoever waited for it may have ended.
+        // The receiver may be gone.
         let _ = streams.send(connection);
         return Ok(());
     }
@@ -115,12 +115,12 @@
     let unreadable = |what: String| CapacityError::Peer(format!("a report that can't be read: {what}"));
     let text = std::str::from_utf8(&body).map_err(|e| unreadable(e.to_string()))?;
     let (_, report) = Report::parse(text).map_err(|e| unreadable(e.to_string()))?;
-    // Whoever waited for it may have ended.
+    // The receiver may be gone.
     let _ = reports.send(report);
     Ok(connection.write_all(TAKEN)?)
 }
 
-/// Reads the headers of a call, and how long its body is.
+/// Reads the headers of a request and returns its `Content-Length`, 0 if absent.
 fn content_length(reader: &mut impl BufRead) -> Result<usize, CapacityError> {
     let mut length = 0;
     loop {
--- a/lab/src/capacity/decisions.rs
+++ b/lab/src/capacity/decisions.rs
@@ -1,4 +1,5 @@
-//! Decisions alone: the gateway's core in memory, on simulated time, with engines that answer after a fixed time.
+//! Measures the gateway's core without a process: in memory, on simulated time, with engines that answer after a fixed
+//! time.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -10,24 +11,24 @@
 use super::error::CapacityError;
 use super::site::Site;
 
-/// Statements a second that the loop in memory makes: about what a gateway gets at the operators' size.
+/// Rate of the simulated clients, close to one gateway's share at the target size.
 const STATEMENTS_PER_SECOND: f64 = 2_364.0;
-/// How long clients wait, in microseconds.
+/// Deadline of a request after its arrival, in microseconds.
 const CLIENT_TIMEOUT_US: u64 = 3_000_000;
-/// Zones of the site.
+/// Number of zones that the engines are distributed over.
 const ZONES: usize = 5;
-/// Seed of the core's random numbers.
+/// Seed of the core's random number generator.
 const SEED: u64 = 0x8c1f_30d2_7a5b_e964;
-/// Simulated time between two changes of the list, in microseconds.
+/// Simulated time between two events of the endpoint list, in microseconds.
 const CHANGE_INTERVAL_US: u64 = 10_000;
 
-/// An attempt that its engine answers at a time.
+/// An attempt in flight and the time of its response.
 struct Running {
     done_us: u64,
     attempt: AttemptId,
 }
 
-/// A core with a closed loop of requests.
+/// A core driven by a closed loop of simulated clients.
 pub struct Decisions {
     core: Core,
     now_us: u64,
@@ -35,20 +36,20 @@
     service_us: u64,
     running: VecDeque<Running>,
     requests: u64,
-    /// Requests that were answered with all rows.
+    /// Requests answered with all rows.
     pub served: u64,
-    /// Requests that were not.
+    /// Requests rejected or failed.
     pub unserved: u64,
     commands: Vec<Command>,
 }
 
-/// Processor time of this thread, in microseconds.
+/// Returns the processor time of this thread in microseconds.
 pub fn thread_cpu_us() -> f64 {
     let time = clock_gettime(ClockId::ThreadCPUTime);
     time.tv_sec as f64 * 1e6 + time.tv_nsec as f64 / 1e3
 }
 
-/// The settings that a gateway at this site reads from its file.
+/// Returns the settings of a site as the gateway reads them from its configuration file.
 fn settings(site: &Site) -> Result<Settings, CapacityError> {
     let name = format!("wrenhatch-decisions-{}.json", std::process::id());
     let path = std::env::temp_dir().join(name);
@@ -59,10 +60,10 @@
 }
 
 impl Decisions {
-    /// A core that knows so many engines and has as many requests open as it is to have at once.
+    /// Creates a core with `engines` engines and `open` requests in flight.
     ///
     /// # Errors
-    /// The settings do not hold.
+    /// The settings are rejected, or their temporary file can't be written.
     pub fn new(engines: usize, open: usize) -> Result<Self, CapacityError> {
         let site = Site::new(vec![SocketAddr::from(([127, 0, 0, 1], 1)); 1]);
         let core = Core::new(settings(&site)?, SEED)?;
@@ -114,7 +115,7 @@
         Input::RequestArrived { id: RequestId(self.requests), request }
     }
 
-    /// One turn of the core; attempts that start are answered later.
+    /// Runs one turn of the core and schedules the responses of the attempts that it starts.
     fn turn(&mut self, mut inputs: Vec<Input>) {
         let mut commands = std::mem::take(&mut self.commands);
         self.core.turn(self.now_us, &mut inputs, &mut commands);
@@ -135,7 +136,7 @@
         self.commands = commands;
     }
 
-    /// Turns for the core's own timers up to a time; how many.
+    /// Runs the core's timers that are due before `until_us` and returns their number.
     fn run_timers_until(&mut self, until_us: u64) -> u64 {
         let mut ticks = 0;
         while let Some(due_us) = self.core.next_timer_us().filter(|due_us| *due_us < until_us) {
@@ -147,7 +148,7 @@
         ticks
     }
 
-    /// The oldest attempt ends, and its client sends the next request.
+    /// Ends the oldest attempt and sends the next request of its client.
     fn statement(&mut self) {
         let Some(next) = self.running.pop_front() else { return };
         self.run_timers_until(next.done_us);
@@ -161,14 +162,15 @@
         self.turn(vec![ended, request]);
     }
 
-    /// So many statements; processor time of each, control ticks between them included.
+    /// Runs statements and returns the mean processor time of one in microseconds, including the control ticks between
+    /// them.
     pub fn statements(&mut self, count: u64) -> f64 {
         let began_us = thread_cpu_us();
         (0..count).for_each(|_| self.statement());
         (thread_cpu_us() - began_us) / count as f64
     }
 
-    /// So many control ticks with all requests in flight and nothing else; processor time of each.
+    /// Runs control ticks with all requests in flight and returns the mean processor time of one in microseconds.
     pub fn control_ticks(&mut self, count: u64) -> f64 {
         let (mut seen, mut cpu_us) = (0, 0.0);
         while seen < count {
@@ -185,7 +187,8 @@
         cpu_us / seen.max(1) as f64
     }
 
-    /// So many changes of one engine, each beside the requests that are open; processor time of each.
+    /// Applies changes of one engine each, with requests in flight, and returns the mean processor time of one in
+    /// microseconds.
     pub fn changes(&mut self, count: u64) -> f64 {
         let mut cpu_us = 0.0;
         for change in 0..count {
@@ -203,7 +206,7 @@
         cpu_us / count as f64
     }
 
-    /// So many whole lists; processor time of each.
+    /// Applies full endpoint lists and returns the mean processor time of one in microseconds.
     pub fn lists(&mut self, count: u64) -> f64 {
         let mut cpu_us = 0.0;
         for _ in 0..count {
@@ -221,7 +224,7 @@
         thread_cpu_us() - began_us
     }
 
-    /// Time passes, with the statements that end in it.
+    /// Advances the simulated time and runs the statements that end meanwhile.
     fn pass(&mut self, span_us: u64) {
         let until_us = self.now_us + span_us;
         while self.running.front().is_some_and(|r| r.done_us <= until_us) {
--- a/lab/src/capacity/error.rs
+++ b/lab/src/capacity/error.rs
@@ -1,4 +1,4 @@
-//! Why a measurement or a page was not made.
+//! Errors of the `capacity` command.
 
 use std::fmt;
 use std::io;
@@ -8,14 +8,14 @@
 
 use super::experiment::Experiment;
 
-/// What is bounded.
+/// A limited resource.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Bound {
-    /// Memory of all processes together, in MB.
+    /// Memory of all processes of a run together, in MB.
     Memory,
-    /// Processes, and threads of this one.
+    /// Processes of a run plus the threads of this process.
     Processes,
-    /// Time since the start, in seconds.
+    /// Time since the start of the run, in seconds.
     Time,
 }
 
@@ -29,78 +29,78 @@
     }
 }
 
-/// Why a measurement or a page was not made.
+/// A failure of a measurement or of the page's generation.
 #[derive(Debug, thiserror::Error)]
 pub enum CapacityError {
-    /// The run has outgrown one of its bounds and was stopped.
+    /// The run exceeded one of its limits and was stopped.
     #[error("stopped: {reached} {bound} are over the bound of {most}")]
     Outgrown {
-        /// Which bound.
+        /// The exceeded limit.
         bound: Bound,
-        /// What was reached.
+        /// Usage in the unit of the resource.
         reached: u64,
-        /// The bound.
+        /// The limit in the unit of the resource.
         most: u64,
     },
-    /// The target can't be used.
+    /// The target file is invalid.
     #[error(transparent)]
     Target(#[from] TomlError),
     /// A file can't be read or written.
     #[error("{path}: {source}")]
     File {
-        /// Which.
+        /// Path of the file.
         path: PathBuf,
-        /// Why.
+        /// The underlying error.
         source: io::Error,
     },
-    /// A file does not hold what it should.
+    /// A file has invalid or unexpected JSON content.
     #[error("{path}: {source}")]
     Json {
-        /// Which.
+        /// Path of the file.
         path: PathBuf,
-        /// Why.
+        /// The underlying error.
         source: serde_json::Error,
     },
-    /// The gateway's configuration does not hold.
+    /// The gateway's configuration is invalid.
     #[error("configuration: {0}")]
     Config(#[from] wrenhatch::config::ConfigError),
-    /// The settings make no sense.
+    /// The settings are invalid.
     #[error("settings: {0}")]
     Settings(#[from] workload_manager::SettingsError),
-    /// The gateway or a stand-in did not do what was waited for.
+    /// The gateway or a mock peer failed or behaved unexpectedly.
     #[error("{0}")]
     Peer(String),
-    /// The page is not what the tool makes of its inputs.
+    /// The page differs from the one generated from its inputs.
     #[error("{0} differs from what its inputs give: run `wrenhatch-lab capacity page`")]
     Stale(PathBuf),
-    /// A size that can't be played.
+    /// A size outside the supported range.
     #[error("size {size} is not within 1 and {most}")]
     Size {
-        /// The size.
+        /// The requested size.
         size: usize,
-        /// The most.
+        /// The largest supported size.
         most: usize,
     },
-    /// No run gave figures that can be used.
+    /// No run of an experiment gave usable figures.
     #[error("unusable: no play of {experiment} gave figures: {}", .why.join("; "))]
     Unusable {
-        /// Of which experiment.
+        /// The experiment without figures.
         experiment: Experiment,
-        /// Why, for each run.
+        /// The reason for each run.
         why: Vec<String>,
     },
-    /// The system refuses.
+    /// A system call failed.
     #[error("{0}")]
     Io(#[from] io::Error),
 }
 
 impl CapacityError {
-    /// A file could not be read or written.
+    /// Returns a conversion that adds the path to an I/O error.
     pub fn file(path: &Path) -> impl FnOnce(io::Error) -> Self + '_ {
         move |source| Self::File { path: path.to_owned(), source }
     }
 
-    /// A file does not hold what it should.
+    /// A file has invalid or unexpected JSON content.
     pub fn json(path: &Path) -> impl FnOnce(serde_json::Error) -> Self + '_ {
         move |source| Self::Json { path: path.to_owned(), source }
     }
--- a/lab/src/capacity/estimate/control.rs
+++ b/lab/src/capacity/estimate/control.rs
@@ -1,19 +1,19 @@
-//! What the target needs of a control machine. None of its programs is in this repository: what gateways cause is
-//! calculated, what it costs there is not measured.
+//! Needs of a control machine at the target size. Its programs are not in this repository: the load that gateways
+//! cause is calculated, and its cost on the machine is not measured.
 
 use super::super::experiment::{Experiment as E, Quantity as Q};
 use super::super::stand_ins::COMMENT;
 use super::{CapacityEstimate, Case, DAY_S, Entry, Resource, Role, Source, entry, list_events_per_day};
 
-/// Control machines that are left when one of so many parts of them is gone; one at least.
+/// Returns the number of control machines that remain after the loss of one of `parts` equal parts, at least 1.
 pub fn left(machines: f64, parts: f64) -> f64 {
     (machines - (machines / parts).ceil()).max(1.0)
 }
 
-/// The coordinator is the operators'.
+/// Mechanism named for needs that the coordinator meets.
 const COORDINATOR: &str = "the operators' coordinator, not in this repository";
 
-/// Adds all needs of a control machine.
+/// Adds the needs of a control machine.
 pub fn add_needs(estimate: &mut CapacityEstimate<'_>) {
     let t = estimate.target;
     let cases = [
--- a/lab/src/capacity/estimate/database.rs
+++ b/lab/src/capacity/estimate/database.rs
@@ -1,12 +1,12 @@
-//! What the target needs of a database, as far as gateways cause it.
+//! Needs of a database at the target size, as far as gateways cause them.
 
 use super::super::experiment::{Experiment as E, Quantity as Q};
 use super::{CapacityEstimate, Case, DAY_S, Resource, Role, Source, entry};
 
-/// Databases close a connection that was idle for so long, in seconds (`keepalive-s`).
+/// Time after which a database closes an idle connection, in seconds (setting `keepalive-s`).
 const KEPT_S: f64 = 15.0;
 
-/// Adds all needs of a database.
+/// Adds the needs of a database.
 pub fn add_needs(estimate: &mut CapacityEstimate<'_>) {
     let t = estimate.target;
     let calls = entry(Resource::Messages, Case::Ordinary, "statements", "a second");
@@ -19,7 +19,7 @@
     connections(estimate, &held.times(1.0 / t.databases));
 }
 
-/// Connections and handshakes, from how many a gateway holds to a database.
+/// Adds connections and handshakes, from the connections that a gateway holds to one database.
 fn connections(estimate: &mut CapacityEstimate<'_>, each: &Source) {
     let t = estimate.target;
     let by = "gateway/src/net/pools.rs";
@@ -38,7 +38,7 @@
         "handshakes when the gateways of its zone come back",
         "at once",
     );
-    // Where a gateway holds no more connections than its zone has databases, those are the ones.
+    // A gateway prefers the databases of its zone, so that its connections go to them first.
     let share = each.amount.value.max((each.amount.value * t.databases / t.databases_per_zone()).min(1.0));
     let at_home = each.times(share / each.amount.value.max(f64::MIN_POSITIVE));
     estimate.add(Role::Database, zone.by(by), at_home.times(t.gateways_per_zone()));
--- a/lab/src/capacity/estimate/gateway.rs
+++ b/lab/src/capacity/estimate/gateway.rs
@@ -1,4 +1,4 @@
-//! What the target needs of a gateway.
+//! Needs of a gateway at the target size.
 
 use super::super::experiment::{Experiment as E, Quantity as Q};
 use super::{
@@ -6,25 +6,25 @@
     list_events_per_day, number,
 };
 
-/// Microseconds of a second.
+/// Microseconds per second.
 const SECOND_US: f64 = 1e6;
-/// Open requests of the experiments that vary something else.
+/// Open requests in experiments with another variable.
 const FIXED_OPEN: f64 = 16.0;
-/// The fewest engines that were measured.
+/// Smallest number of engines in the experiments.
 const FEWEST_ENGINES: f64 = 16.0;
-/// Descriptors of a process beside connections: its own, and the admin interface's with its callers.
+/// Descriptors other than for clients and engines: the process itself and the admin interface with its connections.
 const OWN_DESCRIPTORS: f64 = 49.0;
-/// The part of its memory that the text of one list event may take, `MEMORY_DIVISOR` of `wrenhatch::discovery`.
+/// Share of a gateway's memory that the text of a list event may take (`MEMORY_DIVISOR` of `wrenhatch::discovery`).
 const EVENT_MEMORY_RATIO: f64 = 1.0 / 16.0;
-/// A gateway's active subset has as many databases as it gets requests in so many seconds (`ARRIVALS_WINDOW_SECONDS` of the
-/// decisions).
+/// Seconds in which a gateway receives as many requests as its active subset has databases
+/// (`ARRIVALS_WINDOW_SECONDS` of the decisions).
 const ACTIVE_SUBSET_SECONDS: f64 = 2.0;
-/// How long a connection is not used after an answer, in seconds (`REUSE_DELAY_US` of the gateway).
+/// Time for which a connection is not reused after a response, in seconds (`REUSE_DELAY_US` of the gateway).
 const REUSE_DELAY_SECONDS: f64 = 0.025;
-/// Bytes of the comment that the stream brings each second.
+/// Bytes of the comment that the stream carries each second.
 const COMMENT_BYTES: f64 = super::super::stand_ins::COMMENT.len() as f64;
 
-/// Adds all needs of a gateway.
+/// Adds the needs of a gateway.
 pub fn add_needs(estimate: &mut CapacityEstimate<'_>) {
     statements(estimate);
     list(estimate);
@@ -39,7 +39,7 @@
     entry(Resource::Processor, case, what, "cores")
 }
 
-/// Processor time of statements: the whole, and its parts.
+/// Adds the processor time of statements, in total and by part.
 fn statements(estimate: &mut CapacityEstimate<'_>) {
     let t = estimate.target;
     let (rate, cores) = (t.statements_per_gateway() / SECOND_US, t.gateway_cores);
@@ -100,7 +100,7 @@
     }
 }
 
-/// The list of engines: processor time and bytes, against what control may take.
+/// Adds the processor time and traffic of the endpoint list, compared with the limits for control.
 fn list(estimate: &mut CapacityEstimate<'_>) {
     let t = estimate.target;
     let by = "gateway/src/net/watch.rs, gateway/src/discovery/, src/decisions/";
@@ -156,7 +156,7 @@
     }
 }
 
-/// Configuration in service, and what a restart for each change took before.
+/// Adds the needs of configuration changes in service, and of a restart per change for comparison.
 fn configuration(estimate: &mut CapacityEstimate<'_>) {
     let t = estimate.target;
     let (per_day, clients) = (t.configuration_per_day, t.connections_per_gateway());
@@ -184,7 +184,7 @@
     estimate.add(Role::Control, versions.by(by), Source::target(t.gateways));
 }
 
-/// Versions of the settings taken over in service: what they take, and how long one takes.
+/// Adds the processor time, traffic and duration of applying versions of the settings in service.
 fn versions(estimate: &mut CapacityEstimate<'_>) {
     let t = estimate.target;
     let (per_day, per_s) = (t.configuration_per_day, t.configuration_per_day / DAY_S);
@@ -209,7 +209,7 @@
     }
 }
 
-/// The file of configuration read again for each change: what that takes, and what its bytes would.
+/// Adds the processor time of reloading the configuration file for each change, and the traffic of sending it.
 fn files(estimate: &mut CapacityEstimate<'_>) {
     let t = estimate.target;
     let per_s = t.configuration_per_day / DAY_S;
@@ -233,7 +233,7 @@
     }
 }
 
-/// A quantity of the configuration at all engines, with what classes and tenants add by experiments of their own.
+/// Returns a quantity at the target's number of engines, plus the contributions of classes and tenants.
 fn with_names(
     estimate: &mut CapacityEstimate<'_>,
     experiment: E,
@@ -249,7 +249,7 @@
     Some(all)
 }
 
-/// A change of primary: nothing knows one.
+/// Adds changes of primary, for which no mechanism exists.
 fn primary(estimate: &mut CapacityEstimate<'_>) {
     let t = estimate.target;
     let what =
@@ -259,7 +259,7 @@
     estimate.add(Role::Gateway, none.by_nothing(instead.to_owned(), None), Source::target(t.primary_per_day));
 }
 
-/// Connections and descriptors.
+/// Adds connections and descriptors.
 fn connections(estimate: &mut CapacityEstimate<'_>) {
     let t = estimate.target;
     let clients = t.connections_per_gateway();
@@ -295,7 +295,7 @@
     estimate.add(Role::Gateway, none.by_nothing(instead, Some(descriptors_share)), engines);
 }
 
-/// Calls over each connection, which rests behind every answer.
+/// Adds the call rate per connection, which `REUSE_DELAY_SECONDS` limits.
 fn calls(estimate: &mut CapacityEstimate<'_>, connections: &Source) {
     let t = estimate.target;
     let what = "calls over each connection, which rests for 25 ms behind an answer";
@@ -307,7 +307,7 @@
     estimate.add(Role::Gateway, each.by("gateway/src/net/engines/connections.rs"), rate);
 }
 
-/// Memory, for control and in all.
+/// Adds the memory for control and in total.
 fn memory(estimate: &mut CapacityEstimate<'_>) {
     let t = estimate.target;
     let mb = |case, what: &str, limit: f64, by: &'static str| {
@@ -335,7 +335,7 @@
     estimate.add(Role::Gateway, mb(Case::Ordinary, what, t.gateway_memory_mb, by), total.times(to_mb));
 }
 
-/// The log and the figures.
+/// Adds the volume of the log and of the metrics.
 fn volume(estimate: &mut CapacityEstimate<'_>) {
     let t = estimate.target;
     let rate = t.statements_per_gateway();
--- a/lab/src/capacity/estimate/mod.rs
+++ b/lab/src/capacity/estimate/mod.rs
@@ -1,4 +1,4 @@
-//! What the target needs of each role, by the measured slopes, against the limits.
+//! Calculates the needs of each role at the target size from the measured slopes, and compares them with the limits.
 
 mod control;
 mod database;
@@ -10,31 +10,31 @@
 use super::slopes::{Estimate, Mark, Measured, Slopes};
 use super::target::Target;
 
-/// Seconds of a day.
+/// Seconds per day.
 pub const DAY_S: f64 = 86_400.0;
-/// Bytes of a megabyte.
+/// Bytes per megabyte.
 pub const MEGABYTE: f64 = 1e6;
-/// Events of the list for a database that is restarted or fails: it drains, goes and comes back.
+/// List events for a restart or failure of a database: draining, removed and ready again.
 pub const EVENTS_PER_RESTART: f64 = 3.0;
-/// From this part of its limit on a need is listed as near it.
+/// Ratio of need to limit from which a need is listed as near its limit.
 pub const NEAR_LIMIT_RATIO: f64 = 0.5;
 
-/// A role of a machine.
+/// The role of a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// A gateway.
+    /// A gateway between clients and databases.
     Gateway,
-    /// A database.
+    /// A database, which gateways call an engine.
     Database,
-    /// A control machine.
+    /// A machine that runs the coordinator and the control plane.
     Control,
 }
 
 impl Role {
-    /// All of them.
+    /// All roles in the order of the page.
     pub const ALL: [Role; 3] = [Role::Gateway, Role::Database, Role::Control];
 
-    /// Its name in the file of hollow runs.
+    /// Returns the name used in the file of hollow runs.
     pub fn key(self) -> &'static str {
         match self {
             Role::Gateway => "gateway",
@@ -54,16 +54,16 @@
     }
 }
 
-/// What is needed.
+/// The kind of resource that is needed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Resource {
-    /// What is held.
+    /// Held state, such as connections.
     State,
-    /// What is said, and how often.
+    /// Traffic, or the time that it takes.
     Messages,
-    /// Processor time.
+    /// Processor time, in cores or percent of a core.
     Processor,
-    /// Memory.
+    /// Memory, in bytes or MB.
     Memory,
 }
 
@@ -78,12 +78,12 @@
     }
 }
 
-/// When it is needed.
+/// The conditions under which a resource is needed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Case {
     /// On an ordinary day.
     Ordinary,
-    /// In the worst event of this kind.
+    /// In the worst event of its kind.
     Worst,
 }
 
@@ -96,32 +96,32 @@
     }
 }
 
-/// A value with the spread of the runs behind it.
+/// A value with its uncertainty.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Amount {
     /// The value.
     pub value: f64,
-    /// How far it may be off, by the runs alone.
+    /// Uncertainty that results from the spread of the runs.
     pub spread: f64,
 }
 
 impl Amount {
-    /// A value that no run stands behind.
+    /// Returns an amount without uncertainty.
     pub fn exact(value: f64) -> Self {
         Self { value, spread: 0.0 }
     }
 
-    /// So many times as much.
+    /// Multiplies value and uncertainty by a factor.
     pub fn times(self, factor: f64) -> Self {
         Self { value: self.value * factor, spread: self.spread * factor.abs() }
     }
 
-    /// Both together; their errors are taken as independent.
+    /// Adds two amounts, with errors taken as independent.
     pub fn plus(self, other: Self) -> Self {
         Self { value: self.value + other.value, spread: self.spread.hypot(other.spread) }
     }
 
-    /// What one is beyond the other.
+    /// Subtracts an amount, with errors taken as independent.
     pub fn minus(self, other: Self) -> Self {
         self.plus(other.times(-1.0))
     }
@@ -133,32 +133,32 @@
     }
 }
 
-/// What is done today in place of a mechanism that does not exist.
+/// What the gateway does in place of a missing mechanism.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Instead {
-    /// What.
+    /// Description, as printed on the page.
     pub what: String,
-    /// What that needs, in times its limit or what is ordinary, where it can be said.
+    /// Need of the workaround relative to its limit or ordinary amount, if known.
     pub ratio: Option<f64>,
 }
 
-/// What carries a need.
+/// The mechanism that meets a need.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Carrier {
-    /// A mechanism, by file.
+    /// The source files that implement it.
     File(&'static str),
-    /// No mechanism exists.
+    /// The mechanism does not exist.
     Nothing(Instead),
 }
 
-/// How much of its limit is needed.
+/// The ratio of a need to its limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Ratio {
-    /// Need over limit.
+    /// Need divided by limit.
     Of(f64),
     /// No limit is stated.
     NoLimit,
-    /// No mechanism exists.
+    /// The mechanism does not exist.
     None,
 }
 
@@ -173,33 +173,33 @@
     }
 }
 
-/// Something that the target needs.
+/// A need of one role at the target size: a row of its table.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Need {
-    /// Of which role.
+    /// Role with the need.
     pub role: Role,
-    /// What it is.
+    /// Kind of resource.
     pub resource: Resource,
-    /// Its description.
+    /// Description, as printed on the page.
     pub what: String,
-    /// When.
+    /// Conditions of the need.
     pub case: Case,
-    /// How much.
+    /// Needed amount in `unit`.
     pub amount: Amount,
-    /// Its unit.
+    /// Unit of the amount and the limit, empty for a count.
     pub unit: &'static str,
-    /// The limit, where one is stated.
+    /// Limit in `unit`, if one is stated.
     pub limit: Option<f64>,
-    /// The slopes that it comes from, or what else.
+    /// Description of the inputs of the calculation.
     pub from: String,
-    /// Where the figure comes from.
+    /// Origin of the amount.
     pub mark: Mark,
-    /// What carries it.
+    /// Mechanism that meets the need.
     pub carrier: Carrier,
 }
 
 impl Need {
-    /// Need to limit.
+    /// Returns the ratio of the amount to the limit.
     pub fn ratio(&self) -> Ratio {
         match (&self.carrier, self.limit) {
             (Carrier::Nothing(_), _) => Ratio::None,
@@ -209,7 +209,7 @@
     }
 }
 
-/// A number as tables have it: three digits, thousands apart.
+/// Formats a number for tables, with about three significant digits and a thousands separator.
 pub fn number(value: f64) -> String {
     let digits = match value.abs() {
         v if v.fract() == 0.0 || v >= 100.0 => 0,
@@ -231,17 +231,17 @@
     format!("{sign}{grouped}{rest}")
 }
 
-/// All needs, and the slopes that are missing for them.
+/// The needs of all roles, and the measurements that are missing for them.
 pub struct CapacityEstimate<'a> {
     target: &'a Target,
     slopes: &'a Slopes,
-    /// What is needed.
+    /// Calculated needs, in the order of the tables.
     pub needs: Vec<Need>,
-    /// Slopes that a need would come from, and that were not measured.
+    /// Names of missing measurements.
     pub unmeasured: Vec<String>,
 }
 
-/// A need that has not got its role yet.
+/// A need without its role and amount.
 struct Entry {
     resource: Resource,
     case: Case,
@@ -251,7 +251,7 @@
     carrier: Carrier,
 }
 
-/// A need without a limit, of which it is not said yet what carries it.
+/// Creates an entry without a limit and with an empty list of source files.
 fn entry(resource: Resource, case: Case, what: impl Into<String>, unit: &'static str) -> Entry {
     Entry { resource, case, what: what.into(), unit, limit: None, carrier: Carrier::File("") }
 }
@@ -271,7 +271,7 @@
 }
 
 impl<'a> CapacityEstimate<'a> {
-    /// Calculates all needs of a target.
+    /// Calculates the needs of all roles.
     pub fn new(target: &'a Target, slopes: &'a Slopes) -> Self {
         let mut estimate = Self { target, slopes, needs: Vec::new(), unmeasured: Vec::new() };
         gateway::add_needs(&mut estimate);
@@ -280,12 +280,12 @@
         estimate
     }
 
-    /// The needs of a role.
+    /// Returns the needs of a role.
     pub fn of(&self, role: Role) -> impl Iterator<Item = &Need> {
         self.needs.iter().filter(move |need| need.role == role)
     }
 
-    /// What has no mechanism, the dearest stand-in first, then what passes its limit or is near it, by ratio.
+    /// Returns the needs without a mechanism, then those over or near their limit, each sorted by descending ratio.
     pub fn missing(&self) -> Vec<&Need> {
         let weight = |need: &Need| match (need.ratio(), &need.carrier) {
             (Ratio::None, Carrier::Nothing(instead)) => Some((true, instead.ratio.unwrap_or(0.0))),
@@ -306,7 +306,7 @@
         found
     }
 
-    /// The value at a size.
+    /// Returns the value at a size. A missing measurement is added to `unmeasured`.
     fn at(&mut self, experiment: Experiment, quantity: Quantity, size: f64) -> Option<Source> {
         let measured = self.measured(experiment, quantity)?;
         let estimate = measured.at(size)?;
@@ -314,7 +314,7 @@
         Some(Source { amount: estimate.into(), from, mark: estimate.mark })
     }
 
-    /// What one more costs.
+    /// Returns the increase per unit of size. A missing measurement is added to `unmeasured`.
     fn slope(&mut self, experiment: Experiment, quantity: Quantity) -> Option<Source> {
         let measured = self.measured(experiment, quantity)?;
         let fit = measured.fit?;
@@ -329,7 +329,7 @@
     }
 }
 
-/// An amount and where it comes from.
+/// An amount and the inputs that it was calculated from.
 #[derive(Clone, Debug)]
 struct Source {
     amount: Amount,
@@ -338,12 +338,12 @@
 }
 
 impl Source {
-    /// From the target alone.
+    /// Returns an amount that follows from the target alone.
     fn target(value: f64) -> Self {
         Self { amount: Amount::exact(value), from: "the target".to_owned(), mark: Mark::Calculated }
     }
 
-    /// The same in a unit of which one is so many times less.
+    /// Converts the amount to another unit, which keeps its origin.
     fn in_unit(&self, factor: f64) -> Self {
         Self { amount: self.amount.times(factor), ..self.clone() }
     }
@@ -366,7 +366,7 @@
     }
 }
 
-/// Events of the list on an ordinary day.
+/// Returns the number of list events on an ordinary day.
 fn list_events_per_day(target: &Target) -> f64 {
     EVENTS_PER_RESTART * target.database_restarts_per_day()
 }
--- a/lab/src/capacity/experiment.rs
+++ b/lab/src/capacity/experiment.rs
@@ -1,24 +1,24 @@
-//! Names of experiments, of what they measure and of what they vary, as the command line and the file of slopes have
-//! them.
+//! Names of the experiments, their variables and their measured quantities, as used on the command line and in the
+//! slopes file.
 
 use std::fmt;
 
 use clap::ValueEnum;
 use serde::{Deserialize, Serialize};
 
-/// What a figure is a function of.
+/// The variable of an experiment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Variable {
-    /// Engines in the list.
+    /// Engines in the endpoint list.
     Engines,
-    /// Requests that are open at once.
+    /// Requests in flight at once.
     OpenRequests,
-    /// Sessions of clients.
+    /// Idle client sessions.
     Sessions,
-    /// Classes of request.
+    /// Request classes in the settings.
     Classes,
-    /// Tenants.
+    /// Tenants in the settings.
     Tenants,
 }
 
@@ -34,55 +34,55 @@
     }
 }
 
-/// An experiment: what is done, and what is varied.
+/// An experiment: an operation and the variable that it is repeated for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, ValueEnum, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Experiment {
-    /// The decisions of a statement in memory, by engines.
+    /// Decisions of a statement in memory, by engines.
     DecideStatementEngines,
-    /// The decisions of a statement in memory, by open requests.
+    /// Decisions of a statement in memory, by open requests.
     DecideStatementOpen,
-    /// A control tick of the decisions, in memory, by engines.
+    /// A control tick of the core in memory, by engines.
     #[serde(rename = "decide-look-engines")]
     #[value(name = "decide-look-engines")]
     DecideControlTickEngines,
-    /// Taking a change of one engine in memory, by engines.
+    /// Applying a change of one engine in memory, by engines.
     DecideChangeEngines,
-    /// Taking a whole list in memory, by engines.
+    /// Applying a full endpoint list in memory, by engines.
     DecideListEngines,
     /// A statement through the process, by engines.
     StatementEngines,
-    /// A statement through the process, by sessions that are active at once.
+    /// A statement through the process, by concurrently active sessions.
     StatementOpen,
-    /// A statement through the process, by sessions that are idle beside.
+    /// A statement through the process, by additional idle sessions.
     StatementSessions,
-    /// A statement through the process, by engines, with many requests open and many sessions idle.
+    /// A statement through the process, by engines, with many open requests and many idle sessions.
     StatementTogether,
     /// A change of one engine sent by the coordinator, by engines.
     ChangeEngines,
-    /// A whole list sent by the coordinator, by engines.
+    /// A full endpoint list sent by the coordinator, by engines.
     ListEngines,
-    /// The configuration read again on SIGHUP, by engines in it.
+    /// A configuration reload on SIGHUP, by engines.
     ReloadEngines,
-    /// The configuration read again on SIGHUP, by classes in it.
+    /// A configuration reload on SIGHUP, by classes.
     ReloadClasses,
-    /// The configuration read again on SIGHUP, by tenants in it.
+    /// A configuration reload on SIGHUP, by tenants.
     ReloadTenants,
-    /// A version of the settings sent by a control machine and taken over in service, by engines.
+    /// A version of the settings sent by a control machine and applied in service, by engines.
     VersionEngines,
-    /// The same by classes.
+    /// A version of the settings sent by a control machine and applied in service, by classes.
     VersionClasses,
-    /// The same by tenants.
+    /// A version of the settings sent by a control machine and applied in service, by tenants.
     VersionTenants,
-    /// A start of the process, by engines.
+    /// Startup of the process, by engines.
     StartEngines,
-    /// A start of the process, by classes.
+    /// Startup of the process, by classes.
     StartClasses,
-    /// A start of the process, by tenants.
+    /// Startup of the process, by tenants.
     StartTenants,
-    /// Sessions that are opened and then idle.
+    /// Opening sessions and keeping them idle.
     IdleSessions,
-    /// A process without clients that follows the coordinator, by engines.
+    /// A process without clients that follows the coordinator's endpoint list, by engines.
     IdleEngines,
 }
 
@@ -92,39 +92,39 @@
     }
 }
 
-/// What is measured in an experiment.
+/// A quantity measured by an experiment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Quantity {
-    /// Processor time of the process (of the thread, in memory) for each of what is done.
+    /// Processor time of the process (in memory: of the thread) per operation.
     Cpu,
-    /// Share of a core without requests.
+    /// Processor time without requests, in percent of a core.
     IdleCpu,
-    /// Anonymous memory that is resident.
+    /// Resident anonymous memory.
     Resident,
-    /// Connections to engines.
+    /// Connections opened to engines.
     Connections,
-    /// Descriptors held.
+    /// Open file descriptors of the process.
     Descriptors,
-    /// Bytes of the coordinator's or a control machine's stream for each event.
+    /// Bytes per event on the stream of the coordinator or a control machine.
     StreamBytes,
-    /// Bytes of the configuration's file.
+    /// Bytes of the configuration file.
     FileBytes,
-    /// Bytes written to the log, at the level that is the default, for each of what is done.
+    /// Bytes written to the log at the default level, per operation.
     LogBytes,
-    /// The same at debug.
+    /// Bytes written to the log at level debug, per operation.
     DebugLogBytes,
-    /// Bytes of one answer with all figures.
+    /// Bytes of one response with all metrics.
     MetricsBytes,
-    /// The 99th percentile of the latency at clients.
+    /// 99th percentile of the latency at clients.
     LatencyP99,
-    /// From an event's writing until the gateway's figures show it, the median, with the call that fetches them; of a
-    /// version, until its report has come.
+    /// Median time until an event is applied: from its writing until the gateway's metrics show it (including the
+    /// request for them), or for a version until its report arrives.
     Taken,
 }
 
 impl Quantity {
-    /// The unit of its values.
+    /// Returns the unit used in the slopes file, empty for a count.
     pub fn unit(self) -> &'static str {
         match self {
             Quantity::Cpu => "us",
@@ -161,7 +161,7 @@
 }
 
 impl Experiment {
-    /// What is varied.
+    /// Returns the variable of the experiment.
     pub fn variable(self) -> Variable {
         use Experiment as E;
         match self {
@@ -184,7 +184,7 @@
         }
     }
 
-    /// What is held fixed.
+    /// Returns the fixed conditions, as printed on the page.
     pub fn fixed(self) -> &'static str {
         use Experiment as E;
         match self {
@@ -215,7 +215,7 @@
         }
     }
 
-    /// The sizes that it is run at.
+    /// Returns the default sizes to run at.
     pub fn sizes(self) -> &'static [usize] {
         match self.variable() {
             Variable::Engines => &[16, 80, 200, 400, 810],
--- a/lab/src/capacity/experiments/decisions.rs
+++ b/lab/src/capacity/experiments/decisions.rs
@@ -1,4 +1,4 @@
-//! Decisions in memory, without a process: statements, control ticks, changes and lists.
+//! Experiments with a core in memory: statements, control ticks, changes of one engine and full endpoint lists.
 
 use super::{ExperimentRun, ExperimentRunner, WARM_UP_STATEMENTS_PER_ENGINE, unserved};
 use crate::capacity::decisions::Decisions;
@@ -15,7 +15,7 @@
         self.decide(engines, open, |decisions| decisions.statements(statements))
     }
 
-    /// Something that a core decides, once it has worked with all of its engines.
+    /// Warms up a core with requests to all of its engines, then runs one measurement.
     pub(super) fn decide(
         &self,
         engines: usize,
--- a/lab/src/capacity/experiments/endpoint_list.rs
+++ b/lab/src/capacity/experiments/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: changes, whole lists, and a gateway that only follows it.
+//! Experiments with the endpoint list: changes of one engine, full lists, and a gateway that follows an unchanged list.
 
 use std::time::{Duration, Instant};
 
@@ -10,14 +10,14 @@
 use crate::capacity::site::Site;
 use crate::capacity::stand_ins::{Coordinator, Engines, Stream};
 
-/// Between two changes of one engine.
+/// Interval between changes of one engine.
 const CHANGE_INTERVAL: Duration = Duration::from_millis(5);
-/// Events of a run that are timed.
+/// Number of events per run whose application is timed.
 const TIMED_EVENTS: u64 = 9;
-/// How long one of them may take.
+/// Maximum time until a timed event is applied.
 const EVENT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A gateway that follows a coordinator.
+/// A gateway with an open endpoint stream from the coordinator.
 struct WatchingGateway {
     gateway: Gateway,
     stream: Stream,
@@ -26,8 +26,8 @@
 }
 
 impl WatchingGateway {
-    /// The median time, in milliseconds, from the writing of an event by which the first engine goes or
-    /// comes back until the gateway's metrics show it, including the call that fetches them.
+    /// Returns the median time in milliseconds from writing an event, which removes or restores the first engine, until
+    /// the gateway's metrics show it. This includes the request for the metrics.
     fn median_taken_ms(
         &self,
         first_index: u64,
@@ -87,7 +87,7 @@
         Ok(ExperimentRun::of(vec![(Quantity::IdleCpu, percent(cpu_us, self.effort.idle))]))
     }
 
-    /// A gateway that follows a coordinator, with the engines behind it.
+    /// Starts engines, a coordinator and a gateway that follows it.
     fn watching_gateway(&self, engines: usize) -> Result<WatchingGateway, CapacityError> {
         let engines = Engines::start(engines)?;
         let coordinator = Coordinator::listen()?;
@@ -98,7 +98,7 @@
         Ok(WatchingGateway { gateway, stream, site, _engines: engines })
     }
 
-    /// Writes events at an interval; what each costs.
+    /// Sends events at an interval and measures the cost per event.
     fn stream_events(
         &self,
         watching: &WatchingGateway,
--- a/lab/src/capacity/experiments/experiment_run.rs
+++ b/lab/src/capacity/experiments/experiment_run.rs
@@ -1,18 +1,18 @@
-//! What one run of an experiment gives, and whether it can be used.
+//! The result of one run of an experiment, and the reasons that make it unusable.
 
 use std::time::Duration;
 
 use crate::capacity::experiment::Quantity;
 
-/// A schedule that ends later than this part of its length makes a run unusable.
+/// Delay at the end of a schedule, relative to its length, above which a run is unusable.
 const MAX_SCHEDULE_LAG_RATIO: f64 = 0.1;
 
-/// What one run has measured.
+/// The result of one run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ExperimentRun {
-    /// Its figures.
+    /// Measured values, at most one per quantity, in the unit of the quantity.
     pub figures: Vec<(Quantity, f64)>,
-    /// Why the figures can't be used, if so.
+    /// Reason that makes the figures unusable.
     pub unusable: Option<String>,
 }
 
@@ -21,30 +21,30 @@
         Self { figures, unusable: None }
     }
 
-    /// The figures can't be used if this is a reason.
+    /// Marks the run as unusable if a reason is given. The first reason is kept.
     pub(super) fn unless(mut self, reason: Option<String>) -> Self {
         self.unusable = self.unusable.or(reason);
         self
     }
 
-    /// The same with one more figure.
+    /// Adds a figure.
     pub(super) fn with(mut self, quantity: Quantity, value: f64) -> Self {
         self.figures.push((quantity, value));
         self
     }
 }
 
-/// Processor time as percent of a core.
+/// Converts processor time to percent of a core.
 pub(super) fn percent(cpu_us: f64, of: Duration) -> f64 {
     100.0 * cpu_us / of.as_micros().max(1) as f64
 }
 
-/// Why a run with so many unserved statements can't be used.
+/// Returns the reason that makes a run unusable if statements failed.
 pub(super) fn unserved(count: u64) -> Option<String> {
     (count > 0).then(|| format!("{count} statements were not served"))
 }
 
-/// Why a run can't be used whose schedule took so much longer than planned.
+/// Returns the reason that makes a run unusable if its schedule took much longer than planned.
 pub fn fell_behind(took: Duration, planned: Duration) -> Option<String> {
     let most = planned.mul_f64(1.0 + MAX_SCHEDULE_LAG_RATIO);
     let (took_ms, planned_ms) = (took.as_millis(), planned.as_millis());
--- a/lab/src/capacity/experiments/idle_sessions.rs
+++ b/lab/src/capacity/experiments/idle_sessions.rs
@@ -1,4 +1,4 @@
-//! Sessions that are open and idle.
+//! Experiment with open, idle sessions.
 
 use super::{ExperimentRun, ExperimentRunner, FIXED_ENGINES, SETTLE_TIME, percent};
 use crate::capacity::error::CapacityError;
--- a/lab/src/capacity/experiments/mod.rs
+++ b/lab/src/capacity/experiments/mod.rs
@@ -1,5 +1,5 @@
-//! The experiments: what one run of each does, and what it gives. A module for each kind adds its experiments to
-//! [`ExperimentRunner`], which runs them within the bounds of its guard.
+//! Runs the experiments. Each submodule adds the experiments of one kind to [`ExperimentRunner`], which runs them
+//! within the limits of its guard.
 
 mod decisions;
 mod endpoint_list;
@@ -22,41 +22,41 @@
 pub use experiment_run::{ExperimentRun, fell_behind};
 use experiment_run::{percent, unserved};
 
-/// Open requests, and active sessions, where that is not what is varied.
+/// Open requests or active sessions of experiments with another variable.
 const FIXED_OPEN_REQUESTS: usize = 16;
-/// Sessions of the experiment that combines active and idle ones, as many as at the operators' size.
+/// Sessions of the experiment that combines active and idle ones.
 const COMBINED_LOAD: CombinedLoad = CombinedLoad { active_sessions: 64, idle_sessions: 3_455 };
-/// Engines where these are not what is varied.
+/// Engines of experiments with another variable.
 const FIXED_ENGINES: usize = 80;
-/// The largest size of any experiment: with a descriptor for each engine and session.
+/// Largest size of an experiment. Each engine and session needs a descriptor in this process.
 pub const MAX_SIZE: usize = 8_000;
-/// Time in which the gateway handles what came last.
+/// Time for the gateway to handle the last input.
 const SETTLE_TIME: Duration = Duration::from_millis(150);
-/// Between two whole lists, two versions, or two readings of the configuration.
+/// Interval between full lists, versions of the settings, or configuration reloads.
 const SLOW_INTERVAL: Duration = Duration::from_millis(50);
-/// Statements for each engine before a run: a gateway hardly uses a new engine at first.
+/// Statements per engine before a run, since a gateway sends few requests to a new engine at first.
 const WARM_UP_STATEMENTS_PER_ENGINE: u64 = 3;
 
-/// Sessions of one kind and the other.
+/// Numbers of concurrently open sessions.
 struct CombinedLoad {
     active_sessions: usize,
     idle_sessions: usize,
 }
 
-/// How much a run does.
+/// Number of operations of each kind in a run.
 #[derive(Clone, Copy, Debug)]
 pub struct Effort {
-    /// Statements that are decided in memory.
+    /// Statements of experiments in memory.
     pub decided: u64,
-    /// Statements through the process.
+    /// Statements through the process with its log at level info.
     pub statements: u64,
-    /// Statements through the process while its log is at debug.
+    /// Statements through the process with its log at level debug.
     pub logged: u64,
-    /// Changes of one engine, or control ticks.
+    /// Changes of one engine or control ticks.
     pub changes: u64,
-    /// Whole lists, or readings of the configuration.
+    /// Full lists, versions of the settings or configuration reloads.
     pub lists: u64,
-    /// How long an idle process is observed.
+    /// Observation time of an idle process.
     pub idle: Duration,
 }
 
@@ -73,22 +73,22 @@
     }
 }
 
-/// Runs experiments.
+/// Runs experiments within limits.
 #[derive(Clone, Debug)]
 pub struct ExperimentRunner {
-    /// The gateway's program.
+    /// Path of the gateway binary.
     pub program: PathBuf,
-    /// How much a run does.
+    /// Number of operations of each kind in a run.
     pub effort: Effort,
-    /// The bounds.
+    /// Enforces the limits of memory, processes and time.
     pub guard: Guard,
 }
 
 impl ExperimentRunner {
-    /// Runs an experiment at some sizes, `runs` times at each.
+    /// Runs an experiment `runs` times at each size.
     ///
     /// # Errors
-    /// A bound is passed, or the gateway does not do what is waited for.
+    /// A limit is exceeded, a size is out of range, or the gateway behaves unexpectedly.
     pub fn run(
         &self,
         experiment: Experiment,
@@ -113,7 +113,8 @@
         Ok(points.into_iter().map(measured).collect())
     }
 
-    /// Does something at an interval, then lets the gateway settle; why the run can't be used if it fell behind.
+    /// Calls `work` at an interval, then waits `SETTLE_TIME`. Returns the reason that makes the run unusable if the
+    /// schedule fell behind.
     fn repeat_at_interval(
         &self,
         count: u64,
@@ -133,10 +134,10 @@
         Ok(lag)
     }
 
-    /// One run at a size.
+    /// Runs an experiment once at a size.
     ///
     /// # Errors
-    /// A bound is passed, or the gateway does not do what is waited for.
+    /// A limit is exceeded, a size is out of range, or the gateway behaves unexpectedly.
     pub fn run_once(&self, experiment: Experiment, size: usize) -> Result<ExperimentRun, CapacityError> {
         use Experiment as E;
         if !(1..=MAX_SIZE).contains(&size) {
@@ -187,7 +188,7 @@
     }
 }
 
-/// A site of which engines are not what is varied, and are not called.
+/// Returns a site with `FIXED_ENGINES` engines, whose addresses no longer accept connections.
 fn fixed_site() -> Result<Site, CapacityError> {
     Ok(Site::new(Engines::start(FIXED_ENGINES)?.addresses.clone()))
 }
--- a/lab/src/capacity/experiments/settings.rs
+++ b/lab/src/capacity/experiments/settings.rs
@@ -1,4 +1,4 @@
-//! Settings: versions in service, the file read again, and the start.
+//! Experiments with the configuration: versions applied in service, reloads of the file, and startup.
 
 use std::time::Instant;
 
@@ -30,7 +30,7 @@
         Ok(run.unless(lag).unless(missing))
     }
 
-    /// Versions of the settings, each a difference to the one before.
+    /// Applies versions of the settings, each sent as a delta to the previous one.
     pub(super) fn versions(&self, site: Site) -> Result<ExperimentRun, CapacityError> {
         let machine = ControlMachine::start()?;
         let site = Site { control: Some(machine.address), ..site };
@@ -77,7 +77,7 @@
     }
 }
 
-/// The settings of a version.
+/// Returns the settings of a version.
 fn document(site: &Site, version: u64) -> Result<Document, CapacityError> {
     let text = site.changed_settings(version).to_string();
     text.parse().map_err(|e| CapacityError::Peer(format!("settings that are no document: {e}")))
--- a/lab/src/capacity/experiments/statements.rs
+++ b/lab/src/capacity/experiments/statements.rs
@@ -1,4 +1,4 @@
-//! Statements through the process, in a closed loop.
+//! Experiments with statements through the gateway process, in a closed loop.
 
 use super::{
     ExperimentRun, ExperimentRunner, FIXED_OPEN_REQUESTS, SETTLE_TIME, WARM_UP_STATEMENTS_PER_ENGINE,
@@ -11,7 +11,7 @@
 use crate::capacity::site::Site;
 use crate::capacity::stand_ins::Engines;
 
-/// Sessions that send the statements of the warm-up.
+/// Number of sessions that send warm-up statements.
 const WARM_UP_SESSIONS: usize = 64;
 
 impl ExperimentRunner {
@@ -46,14 +46,15 @@
         Ok(run.with(Quantity::DebugLogBytes, debug).unless(unserved(tally.unserved)))
     }
 
-    /// Has a gateway use all of its engines, from sessions of its own.
+    /// Sends statements from separate sessions until the gateway uses all engines.
     fn warm_up(&self, gateway: &Gateway, engines: u64) -> Result<(), CapacityError> {
         let mut sessions = Session::open_all(gateway.listen, WARM_UP_SESSIONS)?;
         closed_loop(&mut sessions, WARM_UP_STATEMENTS_PER_ENGINE * engines)?;
         self.guard.check(Some(gateway.process()))
     }
 
-    /// Bytes of the log at debug for each statement: of a process of its own, as writing them takes time.
+    /// Returns the bytes logged per statement at level debug. A separate process logs them, because writing the log
+    /// costs time.
     fn debug_log_bytes(&self, site: &Site) -> Result<f64, CapacityError> {
         let gateway = Gateway::start(&self.program, site, "debug")?;
         let mut sessions = Session::open_all(gateway.listen, FIXED_OPEN_REQUESTS)?;
--- a/lab/src/capacity/fit.rs
+++ b/lab/src/capacity/fit.rs
@@ -1,24 +1,24 @@
-//! A line through runs by least squares, with the error of its slope and a test of whether growth is linear.
+//! Least-squares fit of a line through runs, with the standard error of the slope and a test for linear growth.
 
 use serde::{Deserialize, Serialize};
 
 /// Runs at one size.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Point {
-    /// The size.
+    /// The value of the experiment's variable.
     pub size: f64,
-    /// The figure of each run.
+    /// The measured value of each run.
     #[serde(rename = "plays")]
     pub runs: Vec<f64>,
 }
 
 impl Point {
-    /// The mean of the runs.
+    /// Returns the mean of the runs.
     pub fn mean(&self) -> f64 {
         self.runs.iter().sum::<f64>() / self.runs.len().max(1) as f64
     }
 
-    /// The median run; of an even number, the mean of the two in the middle.
+    /// Returns the median of the runs, NaN without runs.
     pub fn median(&self) -> f64 {
         let mut sorted = self.runs.clone();
         sorted.sort_by(f64::total_cmp);
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Half of what lies between the least and the largest run.
+    /// Returns half of the difference between the largest and the smallest run.
     pub fn spread(&self) -> f64 {
         let least = self.runs.iter().copied().fold(f64::INFINITY, f64::min);
         let most = self.runs.iter().copied().fold(f64::NEG_INFINITY, f64::max);
@@ -38,34 +38,34 @@
     }
 }
 
-/// A line through runs.
+/// A line fitted through runs.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Fit {
-    /// What the line gives at size 0.
+    /// Value of the line at size 0.
     pub intercept: f64,
-    /// What one more costs.
+    /// Increase of the value per unit of size.
     pub slope: f64,
-    /// The standard error of the slope.
+    /// Standard error of the slope.
     pub slope_error: f64,
-    /// The standard deviation of runs of one size round their mean.
+    /// Pooled standard deviation of the runs of a size from their mean.
     pub noise: f64,
-    /// Root of the mean square by which the means of the sizes miss the line, weighed by their runs.
+    /// Root mean square deviation of the means of the sizes from the line, weighted by their number of runs.
     pub misfit: f64,
-    /// Whether the misfit is within what the noise explains.
+    /// Whether the noise explains the misfit, or the misfit is negligible.
     pub linear: bool,
-    /// The slope between the two smallest sizes.
+    /// Slope between the two smallest sizes.
     pub first_slope: f64,
-    /// The slope between the two largest sizes.
+    /// Slope between the two largest sizes.
     pub last_slope: f64,
 }
 
-/// Growth is called other than linear where the misfit is more than so many times the noise: the root of the 99%
-/// point of Snedecor's F with 2 and 8 degrees of freedom (four sizes of three runs), 8.65.
+/// Largest ratio of misfit to noise at which growth counts as linear: the square root of 8.65, the 99% quantile of
+/// the F distribution with 2 and 8 degrees of freedom (four sizes of three runs).
 const MOST_MISFIT: f64 = 2.94;
-/// A misfit under this share of the largest mean does not matter here, however quiet the runs were.
+/// A misfit up to this ratio to the largest mean counts as linear, whatever the noise.
 const SMALL_MISFIT: f64 = 0.05;
 
-/// Sums over all runs, about their means.
+/// Means over all runs, and sums of products of deviations from them.
 struct Sums {
     count: f64,
     size_mean: f64,
@@ -86,7 +86,7 @@
     }
 }
 
-/// Fits a line through runs at three sizes or more, sorted by size; `None` for fewer.
+/// Fits a line through points sorted by size. Returns `None` for fewer than three points or a point without runs.
 pub fn fit(points: &[Point]) -> Option<Fit> {
     let sizes = points.len();
     if sizes < 3 || points.iter().any(|p| p.runs.is_empty()) {
--- a/lab/src/capacity/hollow.rs
+++ b/lab/src/capacity/hollow.rs
@@ -1,4 +1,4 @@
-//! The figures of hollow runs, as another command of this program leaves them.
+//! Reads the figures that the commands `hollow` and `configuration` write, for the page.
 
 use std::path::Path;
 
@@ -10,36 +10,36 @@
 /// A figure of a hollow run.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct HollowFigure {
-    /// `gateway`, `database` or `control`.
+    /// The role that it concerns: `gateway`, `database` or `control`.
     pub role: String,
-    /// What it counts.
+    /// Name of the counted quantity.
     pub quantity: String,
-    /// In which event.
+    /// Event during which it was counted.
     pub event: String,
-    /// The value.
+    /// Value in `unit`.
     pub value: f64,
-    /// Its unit.
+    /// Unit, as printed on the page.
     pub unit: String,
-    /// Hollow or simulated.
+    /// Origin of the value: hollow or simulated.
     pub mark: Mark,
-    /// The command that counted it.
+    /// Command that produced it.
     pub command: String,
 }
 
-/// The file of hollow runs.
+/// Content of the file of hollow runs.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 pub struct Hollow {
-    /// Its figures.
+    /// Figures in the order of the file.
     pub figures: Vec<HollowFigure>,
 }
 
-/// The file of `wrenhatch-lab configuration`, as far as it is read here.
+/// The part of the file of `wrenhatch-lab configuration` that the page uses.
 #[derive(Debug, Deserialize)]
 struct Configuration {
     rows: Vec<ConfigurationRow>,
 }
 
-/// A scenario on a fleet of one size.
+/// The results of a scenario on a fleet of one size.
 #[derive(Debug, Deserialize)]
 struct ConfigurationRow {
     scenario: String,
@@ -49,14 +49,14 @@
     machine_bytes_per_s: f64,
 }
 
-/// The largest of some times.
+/// The part of a time distribution that the page uses.
 #[derive(Debug, Deserialize)]
 struct Worst {
     max_ms: f64,
 }
 
 impl ConfigurationRow {
-    /// Its figures, each with its role.
+    /// Converts the row to figures of the page.
     fn figures(&self) -> [HollowFigure; 3] {
         let figure = |role: &str, quantity: &str, value: f64, unit: &str| HollowFigure {
             role: role.to_owned(),
@@ -86,11 +86,10 @@
 }
 
 impl Hollow {
-    /// Adds the figures of configuration in service on the largest fleet that was played; a file that is not there
-    /// yet adds nothing.
+    /// Adds the figures of configuration in service on the largest simulated fleet. A missing file adds nothing.
     ///
     /// # Errors
-    /// It can't be read, or is not of this form.
+    /// The file can't be read or parsed.
     pub fn with_configuration(mut self, path: &Path) -> Result<Self, CapacityError> {
         if !path.exists() {
             return Ok(self);
@@ -103,10 +102,10 @@
         Ok(self)
     }
 
-    /// Reads the file; one that is not there yet holds nothing.
+    /// Reads the file. A missing file counts as empty.
     ///
     /// # Errors
-    /// It can't be read, or is not of this form.
+    /// The file can't be read or parsed.
     pub fn read(path: &Path) -> Result<Self, CapacityError> {
         if !path.exists() {
             return Ok(Self::default());
--- a/lab/src/capacity/mod.rs
+++ b/lab/src/capacity/mod.rs
@@ -1,4 +1,5 @@
-//! What the gateway costs as a function of size, and the page that holds it against the size that has to be carried.
+//! The `capacity` command: measures the gateway's cost as a function of size, and generates the page that compares
+//! it with a target size.
 
 pub mod bounds;
 pub mod control_machine;
@@ -30,7 +31,7 @@
 use slopes::{Machine, Measured, Slopes};
 use target::Target;
 
-/// What the gateway costs by size, and the page that holds it against a target.
+/// Measures the gateway's cost as a function of size and compares it with a target size.
 #[derive(Args)]
 pub struct Options {
     #[command(subcommand)]
@@ -39,61 +40,61 @@
 
 #[derive(Subcommand)]
 enum Action {
-    /// Runs experiments and puts their figures into the file of slopes.
+    /// Runs experiments and writes their figures to the slopes file.
     Measure(MeasureOptions),
-    /// Makes the page from slopes, target and, where they are there, figures of hollow runs.
+    /// Generates the page from the slopes, the target and any figures of hollow runs.
     Page(PageOptions),
 }
 
-/// What the page is made from, and where it goes.
+/// Inputs and output of the page.
 #[derive(Args)]
 struct PageOptions {
-    /// The file of slopes.
+    /// The slopes file.
     #[arg(long, default_value = "docs/capacity/slopes.json")]
     slopes: PathBuf,
-    /// The size that has to be carried.
+    /// The target size.
     #[arg(long, default_value = "docs/capacity/target.toml")]
     target: PathBuf,
-    /// Figures of hollow runs; a file that is not there holds none.
+    /// Figures of hollow runs. A missing file counts as empty.
     #[arg(long, default_value = "docs/capacity/hollow.json")]
     hollow: PathBuf,
-    /// Figures of configuration in service; a file that is not there holds none.
+    /// Figures of configuration in service. A missing file counts as empty.
     #[arg(long, default_value = "docs/capacity/configuration.json")]
     configuration: PathBuf,
-    /// Where the page goes.
+    /// The page to write.
     #[arg(long, default_value = "docs/CAPACITY.md")]
     output: PathBuf,
-    /// Writes nothing, and fails where the page is another.
+    /// Write nothing, and fail if the existing page differs.
     #[arg(long)]
     check: bool,
 }
 
-/// What to measure, and where the figures go.
+/// Experiments to run, and the file for their figures.
 #[derive(Args)]
 struct MeasureOptions {
-    /// Which experiments.
+    /// The experiments to run.
     #[arg(required = true, value_enum)]
     experiments: Vec<Experiment>,
-    /// Other sizes than those of the experiment.
+    /// Sizes to run at instead of the experiment's own.
     #[arg(long, value_delimiter = ',')]
     sizes: Vec<usize>,
-    /// Runs at each size.
+    /// Number of runs at each size.
     #[arg(long, default_value_t = 3)]
     plays: usize,
-    /// A gateway that is built already; without it the workspace's is built.
+    /// A gateway binary. Without this option, the workspace's gateway is built.
     #[arg(long)]
     gateway: Option<PathBuf>,
-    /// The file of slopes; what the experiments gave before is replaced.
+    /// The slopes file. Earlier figures of the same experiments are replaced.
     #[arg(long)]
     slopes: Option<PathBuf>,
     #[command(flatten)]
     limits: Limits,
 }
 
-/// Does what the options say.
+/// Runs the subcommand.
 ///
 /// # Errors
-/// A bound is passed, a file is wrong, or the gateway does not do what is waited for.
+/// A limit is exceeded, a file is missing or malformed, or the gateway behaves unexpectedly.
 pub fn run(options: &Options) -> Result<(), CapacityError> {
     match &options.action {
         Action::Measure(options) => measure(options),
@@ -138,7 +139,7 @@
     Ok(())
 }
 
-/// The sizes to run at, each once and in order.
+/// Returns the sizes to run at, sorted and without duplicates.
 fn sizes(options: &MeasureOptions, experiment: Experiment) -> Vec<usize> {
     if options.sizes.is_empty() {
         return experiment.sizes().to_vec();
@@ -169,7 +170,7 @@
     measured.unusable.iter().for_each(|why| println!("  unusable: {why}"));
 }
 
-/// Builds the gateway and says where it is.
+/// Builds the gateway and returns the path of its binary.
 fn build() -> Result<PathBuf, CapacityError> {
     let cargo = std::env::var_os("CARGO").unwrap_or_else(|| "cargo".into());
     let built = Command::new(cargo).args(["build", "--release", "--locked", "-p", "wrenhatch"]).status()?;
--- a/lab/src/capacity/page.rs
+++ b/lab/src/capacity/page.rs
@@ -1,4 +1,5 @@
-//! The page: for each role what the target needs, by the slopes, and what is missing.
+//! Generates the capacity page: the needs of each role at the target size, the measured slopes and the missing
+//! mechanisms.
 
 use std::fmt::Write;
 
@@ -8,7 +9,7 @@
 use super::slopes::{Measured, Slopes};
 use super::target::Target;
 
-/// What the tool does not measure, whatever stands in its files.
+/// Gaps of the measurements that do not depend on the input files.
 const NOT_MEASURED: [&str; 11] = [
     "processor time and memory of databases: the engines of the plays answer at once and do no work",
     "processor time of control machines: no program for them is in the repository",
@@ -23,7 +24,7 @@
     "the settings of a fleet: a play has `balancers` 1, as with hundreds its part of a few engines would hold it back",
 ];
 
-/// Makes the page.
+/// Returns the text of the page in Markdown.
 pub fn page(target: &Target, slopes: &Slopes, hollow: &Hollow) -> String {
     let estimate = CapacityEstimate::new(target, slopes);
     let mut page = String::new();
@@ -127,7 +128,7 @@
     Ok(())
 }
 
-/// What was guessed to be missing first, with the figures that speak for it or against.
+/// Writes the mechanisms that were expected to be missing, with their calculated needs.
 fn guesses(
     page: &mut String,
     t: &Target,
@@ -168,7 +169,7 @@
     growth(page, t, slopes)
 }
 
-/// Where a statement's processor time goes, by engines.
+/// Writes the processor time of a statement by number of engines.
 fn growth(page: &mut String, t: &Target, slopes: &Slopes) -> std::fmt::Result {
     let get = |experiment| slopes.get(experiment, Quantity::Cpu);
     let (Some(whole), Some(decided)) =
@@ -237,7 +238,7 @@
     )
 }
 
-/// A slope with two digits, however small.
+/// Formats a slope, with an exponent if it is small.
 fn small(value: f64) -> String {
     if value == 0.0 || value.abs() >= 0.01 { number(value) } else { format!("{value:.1e}") }
 }
--- a/lab/src/capacity/process.rs
+++ b/lab/src/capacity/process.rs
@@ -1,4 +1,4 @@
-//! The gateway as a process, and what the system says of it.
+//! Starts a gateway process and reads its resource usage, counters and metrics.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -16,33 +16,33 @@
 use super::error::CapacityError;
 use super::site::Site;
 
-/// How long an answer of the gateway is waited for.
+/// Maximum wait for a log line or a response of the gateway.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
-/// Bytes of a line end.
+/// Length of a line feed in bytes.
 const LINE_END: u64 = 1;
 
-/// A gateway process.
+/// A running gateway process, killed on drop.
 pub struct Gateway {
     child: Child,
     folder: PathBuf,
     lines: Receiver<String>,
     log_bytes: Arc<AtomicU64>,
-    /// Where it speaks PostgreSQL.
+    /// Address of the PostgreSQL listener.
     pub listen: SocketAddr,
-    /// Where operators call.
+    /// Address of the admin interface.
     pub ops: SocketAddr,
-    /// Bytes of its configuration's file.
+    /// Length of the configuration file in bytes.
     pub file_bytes: usize,
 }
 
-/// Tells folders of gateways apart that one run starts.
+/// Number for the directory of the next gateway, unique within this process.
 static STARTED: AtomicU64 = AtomicU64::new(0);
 
 impl Gateway {
-    /// Starts a program at a site, with its log at a level.
+    /// Starts a gateway binary with the configuration of a site and a log level, and waits until it serves.
     ///
     /// # Errors
-    /// It does not serve.
+    /// The process can't be started, or does not log that it serves within `ANSWER_TIMEOUT`.
     pub fn start(program: &Path, site: &Site, level: &str) -> Result<Self, CapacityError> {
         let number = STARTED.fetch_add(1, Ordering::SeqCst);
         let folder = std::env::temp_dir().join(format!("wrenhatch-capacity-{}-{number}", std::process::id()));
@@ -75,15 +75,15 @@
         Ok(gateway)
     }
 
-    /// Its process.
+    /// Returns the process id.
     pub fn process(&self) -> u32 {
         self.child.id()
     }
 
-    /// Processor time so far, in microseconds: of its one thread, by `schedstat` of proc(5).
+    /// Returns the processor time in microseconds from `/proc/PID/schedstat`, which covers the gateway's only thread.
     ///
     /// # Errors
-    /// It has ended.
+    /// The process has ended.
     pub fn cpu_us(&self) -> Result<f64, CapacityError> {
         let path = PathBuf::from(format!("/proc/{}/schedstat", self.process()));
         let text = std::fs::read_to_string(&path).map_err(CapacityError::file(&path))?;
@@ -93,42 +93,42 @@
             .ok_or_else(|| CapacityError::Peer("no processor time in schedstat".to_owned()))
     }
 
-    /// Anonymous memory that is resident, in bytes.
+    /// Returns the resident anonymous memory in bytes.
     ///
     /// # Errors
-    /// It has ended.
+    /// The process has ended.
     pub fn resident_bytes(&self) -> Result<f64, CapacityError> {
         let kilobytes = status(self.process(), "RssAnon:");
         let ended = || CapacityError::Peer("the gateway has ended".to_owned());
         kilobytes.map(|kb| kb as f64 * 1024.0).ok_or_else(ended)
     }
 
-    /// Descriptors that it holds.
+    /// Returns the number of open file descriptors.
     ///
     /// # Errors
-    /// It has ended.
+    /// The process has ended.
     pub fn descriptors(&self) -> Result<usize, CapacityError> {
         let path = PathBuf::from(format!("/proc/{}/fd", self.process()));
         Ok(std::fs::read_dir(&path).map_err(CapacityError::file(&path))?.count())
     }
 
-    /// Bytes that it has logged so far.
+    /// Returns the number of bytes logged since the start.
     pub fn log_bytes(&self) -> u64 {
         self.log_bytes.load(Ordering::SeqCst)
     }
 
-    /// Sends SIGHUP: it reads its configuration again.
+    /// Makes the gateway reload its configuration with SIGHUP.
     ///
     /// # Errors
-    /// It has ended.
+    /// The process has ended.
     pub fn reload(&self) -> Result<(), CapacityError> {
         self.signal(Signal::HUP)
     }
 
-    /// Has it print its counters, and reads one of them.
+    /// Makes the gateway print its counters with SIGUSR1, and returns one of them.
     ///
     /// # Errors
-    /// It has ended, or does not know the counter.
+    /// The process has ended, or does not print the counter.
     pub fn counter(&self, name: &str) -> Result<u64, CapacityError> {
         while self.lines.try_recv().is_ok() {}
         self.signal(Signal::USR1)?;
@@ -139,10 +139,10 @@
         value.and_then(|n| n.parse().ok()).ok_or_else(unknown)
     }
 
-    /// The answer to `GET /status/metrics`, head included.
+    /// Returns the response to `GET /status/metrics`, including its head.
     ///
     /// # Errors
-    /// It does not answer.
+    /// The admin interface does not respond.
     pub fn metrics(&self) -> Result<String, CapacityError> {
         let mut stream = TcpStream::connect(self.ops)?;
         stream.set_read_timeout(Some(ANSWER_TIMEOUT))?;
@@ -152,10 +152,10 @@
         Ok(answer)
     }
 
-    /// Engines in its list, by its own figures.
+    /// Returns the number of engines in the gateway's endpoint list according to its metrics.
     ///
     /// # Errors
-    /// It does not answer, or its metrics do not say.
+    /// The admin interface does not respond, or the metric is missing.
     pub fn engines_known(&self) -> Result<usize, CapacityError> {
         let figures = self.metrics()?;
         let known = figures.lines().find_map(|line| line.strip_prefix("edge_lb.engines_known="));
@@ -188,7 +188,8 @@
     }
 }
 
-/// Counts the bytes of the log and passes on the lines that are waited for; those of single requests are not kept.
+/// Counts the bytes of the log. Forwards only the lines that `wait_for_line` looks for, so that those of requests do
+/// not accumulate.
 fn read_log(log: ChildStderr, counted: &AtomicU64, lines_sender: &Sender<String>) {
     for line in BufReader::new(log).lines().map_while(Result::ok) {
         counted.fetch_add(line.len() as u64 + LINE_END, Ordering::SeqCst);
--- a/lab/src/capacity/sessions.rs
+++ b/lab/src/capacity/sessions.rs
@@ -1,4 +1,4 @@
-//! Clients: sessions of PostgreSQL that send statements in a closed loop, or are idle.
+//! PostgreSQL client sessions, which send statements in a closed loop or stay idle.
 
 use std::io::{BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -9,33 +9,33 @@
 
 use super::error::CapacityError;
 
-/// How long an answer is waited for.
+/// Maximum wait for a message of the gateway.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
-/// Latencies are counted in microseconds up to ten minutes, with three digits.
+/// Lowest and highest latency in microseconds, and significant digits of the histogram.
 const LATENCIES: (u64, u64, u8) = (1, 600_000_000, 3);
-/// Type and length of a message.
+/// Length of the type and length fields of a message.
 const HEAD_BYTES: usize = 5;
 
-/// A session.
+/// An open client session.
 pub struct Session {
     stream: BufReader<TcpStream>,
     number: usize,
     statements: u64,
 }
 
-/// Outcomes of the statements of sessions.
+/// Outcomes of statements.
 #[derive(Clone, Debug)]
 pub struct Tally {
     /// Statements with all their rows.
     pub served: u64,
     /// Statements that ended with an error.
     pub unserved: u64,
-    /// What clients waited, in microseconds.
+    /// Latencies at the clients, in microseconds.
     pub latencies: Histogram<u64>,
 }
 
 impl Tally {
-    /// No statement yet.
+    /// Creates an empty tally.
     pub fn new() -> Result<Self, CapacityError> {
         let (low, high, digits) = LATENCIES;
         let latencies = Histogram::new_with_bounds(low, high, digits);
@@ -51,10 +51,10 @@
 }
 
 impl Session {
-    /// Opens a session that goes by this number.
+    /// Opens a session. Its number makes the query ids of its statements unique.
     ///
     /// # Errors
-    /// The gateway does not take it.
+    /// The gateway does not accept the session.
     pub fn open(gateway: SocketAddr, number: usize) -> Result<Self, CapacityError> {
         let stream = TcpStream::connect(gateway)?;
         stream.set_nodelay(true)?;
@@ -68,15 +68,15 @@
         Ok(session)
     }
 
-    /// Opens so many.
+    /// Opens `count` sessions, numbered from 0.
     ///
     /// # Errors
-    /// The gateway does not take one of them.
+    /// The gateway does not accept one of the sessions.
     pub fn open_all(gateway: SocketAddr, count: usize) -> Result<Vec<Self>, CapacityError> {
         (0..count).map(|number| Self::open(gateway, number)).collect()
     }
 
-    /// Sends a lookup and reads its answer; whether it was served.
+    /// Sends a lookup and reads its response. Returns whether it succeeded.
     fn send_lookup(&mut self) -> Result<bool, CapacityError> {
         let (run, number, statement) =
             (std::process::id() as u16, self.number as u16, self.statements as u32);
@@ -91,7 +91,7 @@
         self.read_until_ready()
     }
 
-    /// Reads messages until the session is ready; whether no error was among them.
+    /// Reads messages until ReadyForQuery. Returns whether there was no ErrorResponse.
     fn read_until_ready(&mut self) -> Result<bool, CapacityError> {
         let mut served = true;
         loop {
@@ -123,11 +123,11 @@
     }
 }
 
-/// Has all sessions send statements at once, each in a thread of its own and again as soon as it is answered, until
-/// there were so many of all sessions; at least one each.
+/// Distributes `statements` statements evenly over the sessions, rounded up. The sessions run concurrently, each on a
+/// thread of its own that sends the next statement after the response to the last.
 ///
 /// # Errors
-/// A session was lost.
+/// A session was closed or timed out.
 pub fn closed_loop(sessions: &mut [Session], statements: u64) -> Result<Tally, CapacityError> {
     let each = statements.div_ceil(sessions.len().max(1) as u64);
     let tallies: Vec<Result<Tally, CapacityError>> = thread::scope(|scope| {
--- a/lab/src/capacity/site.rs
+++ b/lab/src/capacity/site.rs
@@ -1,62 +1,62 @@
-//! The configuration of a gateway whose size is varied: engines, classes, tenants, clients.
+//! Generates the configuration of a gateway for a given number of engines, classes, tenants and clients.
 
 use std::net::SocketAddr;
 
 use serde_json::{Value, json};
 
-/// What a gateway reads at its start.
+/// Parameters of a gateway's configuration.
 #[derive(Clone, Debug)]
 pub struct Site {
-    /// Where engines listen; each stands in the list as `e` and its number.
+    /// Addresses of the engines. The endpoint list names them `e0`, `e1` and so on.
     pub engines: Vec<SocketAddr>,
-    /// Where the coordinator listens, if there is one.
+    /// Address of the coordinator, if the gateway follows one.
     pub coordinator: Option<SocketAddr>,
-    /// Where a control machine listens, if one is followed.
+    /// Address of the control machine, if the gateway follows one.
     pub control: Option<SocketAddr>,
-    /// Classes of request, three at least.
+    /// Number of request classes, at least 3.
     pub classes: usize,
-    /// Tenants, one at least.
+    /// Number of tenants, at least 1.
     pub tenants: usize,
-    /// Places for clients.
+    /// Number of client connections that the descriptor limit allows for.
     pub clients: usize,
 }
 
-/// Zones that engines are dealt out to in turn; gateways are in the first.
+/// Zones assigned to engines in rotation. The gateway is in the first one.
 const ZONES: [&str; 5] = ["z0", "z1", "z2", "z3", "z4"];
-/// A tenant's share that no run reaches.
+/// Quota of a tenant, above the rate of any run.
 const QUOTA_PER_S: f64 = 100_000.0;
-/// Descriptors beside clients': connections to engines and the process's own.
+/// Descriptors for engine connections and the process itself.
 const OTHER_DESCRIPTORS: usize = 4_096;
 
 impl Site {
-    /// One in front of these engines, with the fewest of all else.
+    /// Creates a site with these engines and the minimum of classes and tenants.
     pub fn new(engines: Vec<SocketAddr>) -> Self {
         Self { engines, coordinator: None, control: None, classes: 3, tenants: 1, clients: 1_100 }
     }
 
-    /// An engine's entry in the list.
+    /// Returns an engine's entry of the endpoint list.
     pub fn entry(&self, engine: usize, status: &str) -> Value {
         let address = self.engines[engine].to_string();
         json!({"name": format!("e{engine}"), "address": address, "zone": ZONES[engine % ZONES.len()], "type": "k",
             "group": 0, "status": status, "weight": 1, "since_ms": 0})
     }
 
-    /// An event of the list.
+    /// Returns an event of the endpoint list.
     pub fn event(&self, index: u64, whole: bool, entries: Vec<Value>) -> Value {
         json!({"index": index, "endpoints": {"index": index, "snapshot": whole, "endpoints": entries}})
     }
 
-    /// The event that holds the whole list.
+    /// Returns an event with the full endpoint list.
     pub fn whole_list(&self, index: u64) -> Value {
         let entries = (0..self.engines.len()).map(|engine| self.entry(engine, "Ready")).collect();
         self.event(index, true, entries)
     }
 
-    /// The configuration's file.
+    /// Returns the content of the configuration file.
     pub fn configuration(&self) -> String {
         let mut whole = json!({
             "name": "capacity", "listen": "127.0.0.1:0", "seed": "8c1f30d27a5be964",
-            // Of these a third are clients'.
+            // The gateway reserves a third of its sockets for clients.
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 3 * self.clients + OTHER_DESCRIPTORS},
             "known": {"index": 1, "updates": [self.whole_list(1)]},
             "settings": self.settings(),
@@ -67,12 +67,12 @@
         whole.to_string()
     }
 
-    /// The operator's file, where there is anything to say in it.
+    /// Returns the content of the operator's file, if one is needed.
     pub fn operator(&self) -> Option<String> {
         self.control.map(|machine| format!("[control]\nmachines = [\"{machine}\"]\n"))
     }
 
-    /// The settings with the deadline of one class changed, another one for each of a few numbers in a row.
+    /// Returns the settings with a changed deadline of one class. Consecutive numbers give different deadlines.
     pub fn changed_settings(&self, number: u64) -> Value {
         const DEADLINES: u64 = 5;
         let mut settings = self.settings();
--- a/lab/src/capacity/slopes.rs
+++ b/lab/src/capacity/slopes.rs
@@ -1,4 +1,4 @@
-//! What was measured, as it stands in the file of slopes.
+//! The slopes file: measured quantities as functions of size, and estimates at other sizes.
 
 use std::fmt;
 use std::path::Path;
@@ -9,40 +9,40 @@
 use super::experiment::{Experiment, Quantity, Variable};
 use super::fit::{Fit, Point, fit};
 
-/// A measured quantity: runs at some sizes, and the line through them.
+/// Runs of one quantity of an experiment at several sizes, and the line fitted through them.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Measured {
-    /// In which experiment.
+    /// Experiment that measured it.
     pub experiment: Experiment,
-    /// What.
+    /// The measured quantity.
     pub quantity: Quantity,
-    /// The unit of the values.
+    /// Unit of the values, from `Quantity::unit`.
     pub unit: String,
-    /// What it is a function of.
+    /// Variable that the sizes refer to.
     pub of: Variable,
-    /// What was held fixed.
+    /// Fixed conditions, from `Experiment::fixed`.
     pub fixed: String,
-    /// The command that measured it.
+    /// Command that repeats the measurement.
     pub command: String,
-    /// The runs, by size.
+    /// Usable runs, sorted by size.
     pub points: Vec<Point>,
-    /// The line through them.
+    /// Fitted line, absent for fewer than three sizes.
     pub fit: Option<Fit>,
-    /// Why runs can't be used, each with its size; such runs are not among the points.
+    /// Size and reason of each unusable run. `points` excludes these runs.
     pub unusable: Vec<String>,
 }
 
-/// Where a figure comes from.
+/// Origin of a figure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Mark {
     /// Measured at this size.
     Measured,
-    /// Counted with many hollow gateways.
+    /// Counted with hollow gateways.
     Hollow,
-    /// From simulated time.
+    /// Measured in simulated time.
     Simulated,
-    /// By arithmetic from others.
+    /// Calculated from other figures.
     #[serde(rename = "reckoned")]
     Calculated,
 }
@@ -58,19 +58,19 @@
     }
 }
 
-/// A value at a size.
+/// The value of a measured quantity at a size.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Estimate {
-    /// The value.
+    /// Value in the unit of the quantity.
     pub value: f64,
-    /// Half of what lies between the least and the largest run, or the deviation of runs from the line.
+    /// Half of the range of the runs at a measured size, else the larger of the fit's noise and misfit.
     pub spread: f64,
-    /// Measured at this size, or estimated from other sizes.
+    /// `Measured` at this size, or `Calculated` from other sizes.
     pub mark: Mark,
 }
 
 impl Measured {
-    /// Makes one from its runs.
+    /// Creates a measurement from its runs and fits a line through them.
     pub fn new(
         experiment: Experiment,
         quantity: Quantity,
@@ -91,13 +91,13 @@
         }
     }
 
-    /// Its name in tables.
+    /// Returns the name used in tables: experiment and quantity.
     pub fn name(&self) -> String {
         format!("{} {}", self.experiment, self.quantity)
     }
 
-    /// The value at a size: the median run where that size was measured, else the line where growth is linear, else
-    /// between the sizes beside it, or on from the two nearest.
+    /// Estimates the value at a size: the median run at a measured size, else the fitted line if growth is linear, else
+    /// interpolation between the neighbouring sizes or extrapolation from the two nearest.
     pub fn at(&self, size: f64) -> Option<Estimate> {
         if let Some(point) = self.points.iter().find(|p| p.size == size) {
             return Some(Estimate { value: point.median(), spread: point.spread(), mark: Mark::Measured });
@@ -116,17 +116,17 @@
     }
 }
 
-/// The machine of the runs.
+/// The machine that ran the experiments.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Machine {
-    /// Its processor.
+    /// Processor model from `/proc/cpuinfo`.
     pub processor: String,
-    /// Its cores.
+    /// Number of cores available to the process, 0 if unknown.
     pub cores: usize,
 }
 
 impl Machine {
-    /// This one.
+    /// Describes the machine that this process runs on.
     pub fn this() -> Self {
         let text = std::fs::read_to_string("/proc/cpuinfo").unwrap_or_default();
         let model = text.lines().find_map(|line| line.strip_prefix("model name")?.split_once(": "));
@@ -137,20 +137,20 @@
     }
 }
 
-/// All that was measured.
+/// Content of the slopes file.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Slopes {
-    /// Of the runs.
+    /// Machine of the last experiment.
     pub machine: Machine,
-    /// The measured things, by experiment.
+    /// Measurements, sorted by experiment and quantity.
     pub measured: Vec<Measured>,
 }
 
 impl Slopes {
-    /// Reads the file; one that is not there yet holds nothing.
+    /// Reads the file. A missing file counts as empty.
     ///
     /// # Errors
-    /// It can't be read, or is not of this form.
+    /// The file can't be read or parsed.
     pub fn read(path: &Path) -> Result<Self, CapacityError> {
         if !path.exists() {
             return Ok(Self::default());
@@ -162,20 +162,20 @@
     /// Writes the file.
     ///
     /// # Errors
-    /// It can't be written.
+    /// The file can't be written.
     pub fn write(&self, path: &Path) -> Result<(), CapacityError> {
         let text = serde_json::to_string_pretty(self).map_err(CapacityError::json(path))? + "\n";
         std::fs::write(path, text).map_err(CapacityError::file(path))
     }
 
-    /// Takes in what an experiment gave, in place of what it gave before.
+    /// Replaces all measurements of an experiment.
     pub fn replace(&mut self, experiment: Experiment, measured: Vec<Measured>) {
         self.measured.retain(|m| m.experiment != experiment);
         self.measured.extend(measured);
         self.measured.sort_by_key(|m| (m.experiment, m.quantity));
     }
 
-    /// A measured thing.
+    /// Returns the measurement of a quantity in an experiment.
     pub fn get(&self, experiment: Experiment, quantity: Quantity) -> Option<&Measured> {
         self.measured.iter().find(|m| m.experiment == experiment && m.quantity == quantity)
     }
--- a/lab/src/capacity/stand_ins.rs
+++ b/lab/src/capacity/stand_ins.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for engines and the coordinator, written from the public protocol.
+//! Mock engines and a mock coordinator, implemented from the public protocol.
 
 use std::io::{self, BufRead, BufReader, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -12,21 +12,21 @@
 
 use super::error::CapacityError;
 
-/// The most bytes that are read from a connection at a time.
+/// Maximum number of bytes read from a connection at a time.
 const READ_BYTES: usize = 4_096;
-/// The longest time between two checks whether the engines are to end.
+/// Maximum time between two checks of the stop flag.
 const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// The least poller key of a connection; keys below are listeners'.
+/// Smallest poller key of a connection. Smaller keys belong to listeners.
 const FIRST_CONNECTION_KEY: u64 = 1 << 32;
-/// The answer to a query: one row on one page.
+/// Response to a query: one row on one page.
 const ROW_RESPONSE: &[u8] =
     b"HTTP/1.1 200 OK\r\nPage-Count: 1\r\nX-Meter: queue:0\r\nContent-Length: 2\r\n\r\n1\n";
-/// The answer to the cancellation of a query.
+/// Response to the cancellation of a query.
 const CANCELLED_RESPONSE: &[u8] = b"HTTP/1.1 204 No Content\r\n\r\n";
-/// For reading only: answers are short and fit the socket's buffer.
+/// Readiness to write is not awaited: responses fit the socket's buffer.
 const READABLE: Interest = Interest { read: true, write: false };
 
-/// Counters of all engines.
+/// Counters summed over all engines.
 #[derive(Clone, Debug, Default)]
 pub struct EngineCounters {
     connections: Arc<AtomicU64>,
@@ -34,32 +34,32 @@
 }
 
 impl EngineCounters {
-    /// Connections accepted.
+    /// Returns the number of accepted connections.
     pub fn connections(&self) -> u64 {
         self.connections.load(Ordering::SeqCst)
     }
 
-    /// Queries answered.
+    /// Returns the number of answered queries.
     pub fn queries(&self) -> u64 {
         self.queries.load(Ordering::SeqCst)
     }
 }
 
-/// Engines that answer each query at once, served by one thread.
+/// Mock engines that answer each query immediately, served by one thread until dropped.
 pub struct Engines {
-    /// Where each listens.
+    /// Listening address of each engine.
     pub addresses: Vec<SocketAddr>,
-    /// Their counters.
+    /// Counters, updated by the thread of the engines.
     pub counters: EngineCounters,
     stop: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl Engines {
-    /// Starts so many.
+    /// Starts `count` engines on free loopback ports.
     ///
     /// # Errors
-    /// No descriptors, or no ports.
+    /// A listening socket can't be opened.
     pub fn start(count: usize) -> Result<Self, CapacityError> {
         let listeners: Vec<TcpListener> =
             (0..count).map(|_| TcpListener::bind("127.0.0.1:0")).collect::<io::Result<_>>()?;
@@ -93,7 +93,7 @@
     }
 }
 
-/// A connection and what of its next call has come.
+/// A connection and the received part of its next request.
 struct Connection {
     stream: TcpStream,
     input: Vec<u8>,
@@ -152,7 +152,7 @@
 }
 
 impl Connection {
-    /// Reads what has come and answers each call that is whole; an error once it has ended.
+    /// Reads the available bytes and answers each complete request. Returns an error when the connection has ended.
     fn serve(&mut self, counters: &EngineCounters) -> io::Result<()> {
         let mut chunk = [0; READ_BYTES];
         loop {
@@ -164,7 +164,7 @@
             }
             while let Some(length) = call_length(&self.input) {
                 let query = self.input.starts_with(b"POST");
-                // Counted first: whoever has the answer finds the query among those counters.
+                // Counted before the response, so that a client that has received it finds the query counted.
                 counters.queries.fetch_add(u64::from(query), Ordering::SeqCst);
                 self.stream.write_all(if query { ROW_RESPONSE } else { CANCELLED_RESPONSE })?;
                 self.input.drain(..length);
@@ -173,7 +173,7 @@
     }
 }
 
-/// The bytes of the first call, head and body, once it is whole.
+/// Returns the length of the first request, head and body, if it is complete.
 fn call_length(input: &[u8]) -> Option<usize> {
     let head = input.windows(4).position(|w| w == b"\r\n\r\n")? + 4;
     let text = std::str::from_utf8(&input[..head]).ok()?;
@@ -185,23 +185,23 @@
     (input.len() >= whole).then_some(whole)
 }
 
-/// How long a gateway is waited for.
+/// Maximum wait for the gateway.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
-/// Between two comments on a stream.
+/// Interval of comments on an endpoint stream.
 const COMMENTS: Duration = Duration::from_secs(1);
 
-/// The coordinator: one gateway's stream, on which a script says what comes and when.
+/// A mock coordinator, which sends events to one gateway at the caller's request.
 pub struct Coordinator {
     listener: TcpListener,
-    /// Where it listens.
+    /// Listening address.
     pub address: SocketAddr,
 }
 
 impl Coordinator {
-    /// Listens.
+    /// Starts listening on a free loopback port.
     ///
     /// # Errors
-    /// No descriptor, or no port.
+    /// The listening socket can't be opened.
     pub fn listen() -> Result<Self, CapacityError> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         listener.set_nonblocking(true)?;
@@ -209,10 +209,10 @@
         Ok(Self { listener, address })
     }
 
-    /// Takes in the gateway's stream.
+    /// Accepts the endpoint stream of the gateway and starts a thread that writes to it.
     ///
     /// # Errors
-    /// None comes.
+    /// The gateway opens no stream within `ANSWER_TIMEOUT`.
     pub fn watch(&self) -> Result<Stream, CapacityError> {
         let stream = self.accept()?;
         stream.set_nonblocking(false)?;
@@ -243,7 +243,7 @@
     }
 }
 
-/// Writes what is to be said, and a comment each second, until the gateway or the script ends.
+/// Writes events and periodic comments until either side closes the stream.
 fn tell(mut stream: TcpStream, events: &Receiver<Vec<u8>>) {
     let head = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n".to_vec();
     let mut next = head;
@@ -261,19 +261,19 @@
     }
 }
 
-/// The comment of each second.
+/// Comment sent every second to show that the stream is alive.
 pub const COMMENT: &[u8] = b": here\n\n";
 
-/// A gateway's stream.
+/// An open endpoint stream to a gateway.
 pub struct Stream {
     say: Sender<Vec<u8>>,
 }
 
 impl Stream {
-    /// Tells an event; how many bytes that takes on the stream.
+    /// Sends an event and returns its length on the stream in bytes.
     ///
     /// # Errors
-    /// The gateway has ended its stream.
+    /// The gateway has closed the stream.
     pub fn event(&self, index: u64, event: &serde_json::Value) -> Result<usize, CapacityError> {
         let bytes = format!("id: {index}\ndata: {event}\n\n").into_bytes();
         let length = bytes.len();
--- a/lab/src/capacity/target.rs
+++ b/lab/src/capacity/target.rs
@@ -1,5 +1,4 @@
-//! The size that has to be carried, from a TOML file. An unknown key or a value that makes no sense is an error with
-//! file, line and key.
+//! Reads the target size from a TOML file. Unknown keys and values out of range are errors with file, line and key.
 
 use std::ops::RangeInclusive;
 use std::path::Path;
@@ -10,9 +9,9 @@
 
 use super::error::CapacityError;
 
-/// A count, as it stands in the file.
+/// An integer with its position in the file.
 type Count = Spanned<i64>;
-/// A figure, as it stands in the file: whole or not.
+/// An integer or float with its position in the file.
 type Figure = Spanned<Number>;
 
 #[derive(Clone, Copy, Debug, Deserialize)]
@@ -94,64 +93,64 @@
     descriptors: Count,
 }
 
-/// The size that has to be carried.
+/// The size of the fleet and load that the gateway has to support.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Target {
-    /// Gateways.
+    /// Number of gateways in the fleet.
     pub gateways: f64,
-    /// Databases, which a gateway's list calls engines.
+    /// Number of databases in the fleet. The endpoint list of a gateway calls them engines.
     pub databases: f64,
-    /// Regions.
+    /// Number of regions of the fleet.
     pub regions: f64,
-    /// Zones of all regions together.
+    /// Number of zones in all regions together.
     pub zones: f64,
-    /// Classes of request.
+    /// Number of request classes.
     pub classes: f64,
-    /// Tenants.
+    /// Number of tenants in the settings.
     pub tenants: f64,
-    /// Connections of clients, to all gateways.
+    /// Client connections to all gateways together.
     pub connections: f64,
-    /// Statements a second, of all gateways.
+    /// Statements per second at all gateways together.
     pub statements_per_s: f64,
-    /// Requests that are open at a gateway at once.
+    /// Requests in flight at a gateway at once.
     pub open_per_gateway: f64,
-    /// Changes of primary a day.
+    /// Changes of primary per day.
     pub primary_per_day: f64,
-    /// Each is over within so many seconds.
+    /// Time limit of a change of primary, in seconds.
     pub primary_within_s: f64,
-    /// Changes of configuration a day.
+    /// Changes of configuration per day.
     pub configuration_per_day: f64,
-    /// Each is in force everywhere within so many seconds.
+    /// Time limit for a change of configuration to be in force on all gateways, in seconds.
     pub configuration_within_s: f64,
-    /// Machines that fail on an ordinary day.
+    /// Machines of all roles that fail on an ordinary day.
     pub failures_per_day: f64,
-    /// Machines that are restarted or replaced on an ordinary day.
+    /// Machines of all roles that are restarted or replaced on an ordinary day.
     pub restarts_per_day: f64,
-    /// Machines set aside for control.
+    /// Number of control machines.
     pub control_machines: f64,
-    /// What a gateway may spend on control: per cent of a core.
+    /// Limit on a gateway's processor time for control, in percent of a core.
     pub control_core_percent: f64,
-    /// And MB of memory.
+    /// Limit on a gateway's memory for control, in MB.
     pub control_memory_mb: f64,
-    /// And bytes a second.
+    /// Limit on a gateway's control traffic, in bytes per second.
     pub control_bytes_per_s: f64,
-    /// Cores that a gateway can use.
+    /// Cores available to a gateway.
     pub gateway_cores: f64,
-    /// Memory of a gateway in MB.
+    /// Memory available to a gateway, in MB.
     pub gateway_memory_mb: f64,
-    /// Descriptors of a gateway.
+    /// Limit on the open file descriptors of a gateway.
     pub gateway_descriptors: f64,
 }
 
-/// The most machines of a role, regions, zones, classes or tenants that make sense.
+/// Valid numbers of machines of a role, regions, zones, classes, tenants or open requests.
 const MOST_MACHINES: RangeInclusive<f64> = 1.0..=1e6;
-/// The most connections, statements a second, or events a day.
+/// Valid numbers of connections, statements per second or events per day.
 const MOST_EVENTS: RangeInclusive<f64> = 1e-3..=1e9;
-/// Spans of time in seconds, up to a day.
+/// Valid durations in seconds, up to a day.
 const SPANS: RangeInclusive<f64> = 1e-3..=86_400.0;
-/// Cores, or per cent of one.
+/// Valid numbers of cores, or percentages of one.
 const CORES: RangeInclusive<f64> = 1e-3..=1e4;
-/// Megabytes, bytes a second and descriptors.
+/// Valid numbers of megabytes, bytes per second or descriptors.
 const AMOUNTS: RangeInclusive<f64> = 1.0..=1e9;
 
 fn check_range(
@@ -175,19 +174,19 @@
 }
 
 impl Target {
-    /// Reads the file.
+    /// Reads and checks the file.
     ///
     /// # Errors
-    /// It can't be read, or its content is wrong.
+    /// The file can't be read, or its content is invalid.
     pub fn read(path: &Path) -> Result<Self, CapacityError> {
         let text = std::fs::read_to_string(path).map_err(CapacityError::file(path))?;
         Ok(Self::parse(&path.display().to_string(), &text)?)
     }
 
-    /// Reads the text of a file that is named in messages.
+    /// Parses the text of a file. Error messages contain `path`.
     ///
     /// # Errors
-    /// An unknown or missing key, a value of the wrong form, or one that makes no sense.
+    /// A key is unknown or missing, or a value has the wrong type or is out of range.
     pub fn parse(path: &str, text: &str) -> Result<Self, TomlError> {
         let toml = TomlFile { path, text };
         let file: File = toml.parse()?;
@@ -221,7 +220,7 @@
         Ok(target)
     }
 
-    /// Figures that make sense by themselves and not beside others.
+    /// Checks the values that depend on each other.
     fn check_together(&self, toml: &TomlFile<'_>, file: &File) -> Result<(), TomlError> {
         if self.zones < self.regions {
             let message = format!("{} zones are fewer than {} regions", self.zones, self.regions);
@@ -235,42 +234,42 @@
         Ok(())
     }
 
-    /// Connections of clients at a gateway.
+    /// Returns the client connections per gateway, rounded up.
     pub fn connections_per_gateway(&self) -> f64 {
         (self.connections / self.gateways).ceil()
     }
 
-    /// Statements a second at a gateway.
+    /// Returns the statements per second at a gateway.
     pub fn statements_per_gateway(&self) -> f64 {
         self.statements_per_s / self.gateways
     }
 
-    /// Pairs of gateway and database.
+    /// Returns the number of pairs of a gateway and a database.
     pub fn pairs(&self) -> f64 {
         self.gateways * self.databases
     }
 
-    /// Machines of all roles.
+    /// Returns the number of machines of all roles.
     fn machines(&self) -> f64 {
         self.gateways + self.databases + self.control_machines
     }
 
-    /// Restarts and failures of databases on an ordinary day: their part by number.
+    /// Returns the restarts and failures of databases on an ordinary day, in proportion to their share of the machines.
     pub fn database_restarts_per_day(&self) -> f64 {
         (self.restarts_per_day + self.failures_per_day) * self.databases / self.machines()
     }
 
-    /// Restarts and failures of gateways on an ordinary day: their part by number.
+    /// Returns the restarts and failures of gateways on an ordinary day, in proportion to their share of the machines.
     pub fn gateway_restarts_per_day(&self) -> f64 {
         (self.restarts_per_day + self.failures_per_day) * self.gateways / self.machines()
     }
 
-    /// Databases of one zone.
+    /// Returns the databases per zone, rounded up.
     pub fn databases_per_zone(&self) -> f64 {
         (self.databases / self.zones).ceil()
     }
 
-    /// Gateways of one zone.
+    /// Returns the gateways per zone, rounded up.
     pub fn gateways_per_zone(&self) -> f64 {
         (self.gateways / self.zones).ceil()
     }
--- a/lab/tests/capacity.rs
+++ b/lab/tests/capacity.rs
@@ -1,4 +1,4 @@
-//! The fit, the target's file, the bounds and the page of `wrenhatch-lab capacity`, without processes.
+//! Tests the fit, the target file, the limits and the page of `wrenhatch-lab capacity` without processes.
 
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -23,7 +23,7 @@
     std::fs::read_to_string(docs("capacity/target.toml")).unwrap()
 }
 
-/// Plays of a function of size, each off by these.
+/// Runs of a function of size, with the given deviations at each size.
 fn plays(sizes: &[f64], off: [f64; 3], value: impl Fn(f64) -> f64) -> Vec<Point> {
     let point = |size: &f64| Point { size: *size, runs: off.iter().map(|off| value(*size) + off).collect() };
     sizes.iter().map(point).collect()
@@ -36,7 +36,7 @@
     let fit = fit(&plays(&SIZES, [-1.0, 0.0, 1.0], |size| 5.0 + 2.0 * size)).unwrap();
     assert!((fit.slope - 2.0).abs() < 1e-9 && (fit.intercept - 5.0).abs() < 1e-9, "{fit:?}");
     assert!((fit.noise - 1.0).abs() < 1e-9 && fit.misfit < 1e-6 && fit.linear, "{fit:?}");
-    // By hand: the sum of squares is 8 over 10 degrees of freedom, and the sizes' 3 times 2,875.
+    // The residuals' sum of squares is 8 with 10 degrees of freedom, and that of the sizes is 3 times 2,875.
     assert!((fit.slope_error - (0.8_f64 / 8_625.0).sqrt()).abs() < 1e-9, "{fit:?}");
 }
 
@@ -92,7 +92,7 @@
     assert_eq!((t.control_core_percent, t.control_memory_mb, t.control_bytes_per_s), (2.3, 64.0, 18_000.0));
 }
 
-/// The message for a target in which something is put in place of something else.
+/// Returns the error message for the target file with `from` replaced by `to`.
 fn error_message(from: &str, to: &str) -> String {
     let text = target_text();
     assert!(text.contains(from), "{from}");
@@ -175,7 +175,7 @@
     assert_eq!(why, "fell behind its schedule: 1101 ms for 1000 ms");
 }
 
-/// Slopes of round figures for all that the page is made from.
+/// Slopes with round figures for the measurements that the tests refer to.
 fn round_slopes() -> Slopes {
     let mut slopes = Slopes::default();
     let engines = [100.0, 200.0, 400.0, 810.0];
@@ -200,29 +200,29 @@
     let (target, slopes) = (Target::parse("t", &target_text()).unwrap(), round_slopes());
     let estimate = CapacityEstimate::new(&target, &slopes);
     let need = |what: &str| estimate.needs.iter().find(|n| n.what.contains(what)).unwrap();
-    // 2,363.6 statements of 810 us.
+    // 2,363.6 statements per second of 810 us each.
     let statements = need("statements, few open at once");
     assert!((statements.amount.value - 1.914_545).abs() < 1e-5, "{statements:?}");
     assert!(matches!(statements.ratio(), Ratio::Of(ratio) if (ratio - 1.914_545).abs() < 1e-5));
-    // 162 changes of 810 us within 11 s.
+    // 162 changes of 810 us each within 11 s.
     let zone = need("all 162 databases of a zone change");
     assert!((zone.amount.value - 100.0 * 162.0 * 810e-6 / 11.0).abs() < 1e-9, "{zone:?}");
-    // A start of 81 ms and 3,455 sessions of 100 us, 3,100 times a day.
+    // A start of 81 ms and 3,455 sessions of 100 us each, 3,100 times a day.
     let restarts = need("were each change of configuration a restart");
     let share = 100.0 * 3_100.0 * (0.081 + 0.3455) / 86_400.0;
     assert!(matches!(restarts.ratio(), Ratio::Of(ratio) if (ratio - share / 2.3).abs() < 1e-9));
-    // Something carries changes now; the target states no limit for how many.
+    // A mechanism for configuration changes exists, and the target states no limit on their number.
     let missing = estimate.missing();
     assert_eq!(need("changes of classes").ratio(), Ratio::NoLimit);
     assert!(missing.iter().all(|n| !n.what.contains("changes of classes")));
-    // Nothing chooses a subset of databases: 810 connections, as the plays have them, of 20,000 descriptors.
+    // No mechanism chooses a subset of databases: the runs have 810 connections, of 20,000 descriptors.
     let subset = missing.iter().find(|n| n.what.contains("a stable, even subset")).unwrap();
     assert_eq!(subset.ratio(), Ratio::None);
     let wrenhatch_lab::capacity::estimate::Carrier::Nothing(instead) = &subset.carrier else {
         panic!("something carries it")
     };
     assert!((instead.ratio.unwrap() - 810.0 / 20_000.0).abs() < 1e-9);
-    // 7 machines, 3 of them when a region is gone.
+    // 550 gateways over 7 machines, over 5 without those of a zone, and over 3 without those of a region.
     let streams: Vec<f64> = estimate
         .of(Role::Control)
         .filter(|n| n.what.starts_with("streams"))
--- a/lab/tests/capacity_process.rs
+++ b/lab/tests/capacity_process.rs
@@ -1,4 +1,5 @@
-//! Small plays of `wrenhatch-lab capacity` through a real process on loopback. Counts are held to, times are not.
+//! Tests small runs of `wrenhatch-lab capacity` through a real gateway process on loopback. Counts are checked, times
+//! are not.
 
 use std::path::PathBuf;
 use std::process::Command;
@@ -14,7 +15,8 @@
 use wrenhatch_lab::capacity::site::Site;
 use wrenhatch_lab::capacity::stand_ins::{Coordinator, Engines};
 
-/// The gateway's program, beside the tests'. It is built here where the tests of this package run alone.
+/// Returns the gateway binary next to the test binary, and builds it first: running this package's tests alone does
+/// not.
 fn program() -> PathBuf {
     static BUILT: OnceLock<PathBuf> = OnceLock::new();
     let build = || {
@@ -66,7 +68,7 @@
     let bytes = stream.event(2, &change).unwrap();
     assert!(bytes > change.to_string().len());
     stream.event(3, &site.whole_list(3)).unwrap();
-    // It prints its counters until it has read both.
+    // The gateway may print its counters before it has read both events.
     let taken = || gateway.counter("list_events").unwrap() - before;
     assert!((0..1_000).any(|_| taken() == 2), "{} of 2", taken());
 }
--- a/lab/tests/recorded_files.rs
+++ b/lab/tests/recorded_files.rs
@@ -1,7 +1,7 @@
-//! The lab's files of figures as they were written once must stay readable, and give the same page.
+//! Guards against changes that make recorded files of figures unreadable or give a different page for them.
 //!
-//! The files in `recorded_files` are copies that nothing makes anew. `hollow.json` holds every tenth figure of its
-//! original; the page is the one that the lab made from these copies.
+//! The files in `recorded_files` are never regenerated. `hollow.json` has every tenth figure of its original. The
+//! page was generated from these copies.
 
 use std::path::{Path, PathBuf};
 
@@ -21,7 +21,7 @@
     std::fs::read_to_string(recorded(file)).unwrap()
 }
 
-/// What a writer of the lab makes of what it has read.
+/// Returns the text that a writer produces.
 fn written(name: &str, write: impl FnOnce(&Path)) -> String {
     let path = std::env::temp_dir().join(format!("wrenhatch-{}-{name}", std::process::id()));
     write(&path);
