--- a/lab/src/capacity/bounds.rs
+++ b/lab/src/capacity/bounds.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use super::error::{Bound, CapacityError};
+use super::error::{CapacityError, LimitKind};
 
 /// Resource limits of a run.
 #[derive(Clone, Copy, Debug, clap::Args)]
@@ -41,15 +41,15 @@
     /// # Errors
     /// A limit is exceeded.
     pub fn check(&self, usage: Usage) -> Result<(), CapacityError> {
-        let outgrown = |bound, reached, most| Err(CapacityError::Outgrown { bound, reached, most });
+        let exceeded = |kind, used, limit| Err(CapacityError::LimitExceeded { kind, used, limit });
         if usage.memory_mb > self.memory_mb {
-            return outgrown(Bound::Memory, usage.memory_mb, self.memory_mb);
+            return exceeded(LimitKind::Memory, usage.memory_mb, self.memory_mb);
         }
         if usage.processes > self.processes {
-            return outgrown(Bound::Processes, usage.processes, self.processes);
+            return exceeded(LimitKind::Processes, usage.processes, self.processes);
         }
         if usage.seconds > self.seconds {
-            return outgrown(Bound::Time, usage.seconds, self.seconds);
+            return exceeded(LimitKind::Time, usage.seconds, self.seconds);
         }
         Ok(())
     }
@@ -62,13 +62,13 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Guard {
     limits: Limits,
-    began: Instant,
+    started_at: Instant,
 }
 
 impl Guard {
     /// Creates the guard of a run that starts now.
     pub fn new(limits: Limits) -> Self {
-        Self { limits, began: Instant::now() }
+        Self { limits, started_at: Instant::now() }
     }
 
     /// Checks this process and, if given, the gateway process against the limits.
@@ -77,11 +77,11 @@
     /// A limit is exceeded.
     pub fn check(&self, gateway: Option<u32>) -> Result<(), CapacityError> {
         let own = std::process::id();
-        let resident = |process| status(process, "VmRSS:").unwrap_or(0);
+        let resident = |pid| proc_status(pid, "VmRSS:").unwrap_or(0);
         let usage = Usage {
             memory_mb: (resident(own) + gateway.map_or(0, resident)) / 1024,
-            processes: status(own, "Threads:").unwrap_or(0) + u64::from(gateway.is_some()),
-            seconds: self.began.elapsed().as_secs(),
+            processes: proc_status(own, "Threads:").unwrap_or(0) + u64::from(gateway.is_some()),
+            seconds: self.started_at.elapsed().as_secs(),
         };
         self.limits.check(usage)
     }
@@ -90,22 +90,22 @@
     ///
     /// # Errors
     /// A limit is exceeded.
-    pub fn sleep(&self, span: Duration, gateway: Option<u32>) -> Result<(), CapacityError> {
-        let end = Instant::now() + span;
+    pub fn sleep(&self, duration: Duration, gateway: Option<u32>) -> Result<(), CapacityError> {
+        let end = Instant::now() + duration;
         loop {
             self.check(gateway)?;
-            let left = end.saturating_duration_since(Instant::now());
-            if left.is_zero() {
+            let remaining = end.saturating_duration_since(Instant::now());
+            if remaining.is_zero() {
                 return Ok(());
             }
-            std::thread::sleep(left.min(CHECK_INTERVAL));
+            std::thread::sleep(remaining.min(CHECK_INTERVAL));
         }
     }
 }
 
 /// Returns a number from `/proc/PID/status`: kilobytes or a count.
-pub fn status(process: u32, key: &str) -> Option<u64> {
-    let text = std::fs::read_to_string(format!("/proc/{process}/status")).ok()?;
+pub fn proc_status(pid: u32, key: &str) -> Option<u64> {
+    let text = std::fs::read_to_string(format!("/proc/{pid}/status")).ok()?;
     let line = text.lines().find_map(|line| line.strip_prefix(key))?;
     line.split_whitespace().next()?.parse().ok()
 }
--- a/lab/src/capacity/control_machine.rs
+++ b/lab/src/capacity/control_machine.rs
@@ -13,11 +13,11 @@
 /// Maximum wait for the gateway.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
 /// Maximum length of the body of a report.
-const LONGEST_REPORT: usize = 64 * 1024;
+const MAX_REPORT_BYTES: usize = 64 * 1024;
 /// Response head of the stream of versions.
-const STREAM: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n";
+const STREAM_HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n";
 /// Response to a report.
-const TAKEN: &[u8] = b"HTTP/1.1 204 No Content\r\n\r\n";
+const NO_CONTENT_RESPONSE: &[u8] = b"HTTP/1.1 204 No Content\r\n\r\n";
 
 /// A mock control machine, served by background threads.
 pub struct ControlMachine {
@@ -40,10 +40,10 @@
     pub fn start() -> Result<Self, CapacityError> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
-        let ((streams_in, streams), (reports_in, reports)) = (channel(), channel());
+        let ((streams_sender, streams), (reports_sender, reports)) = (channel(), channel());
         thread::spawn(move || {
             for connection in listener.incoming().map_while(Result::ok) {
-                let (streams, reports) = (streams_in.clone(), reports_in.clone());
+                let (streams, reports) = (streams_sender.clone(), reports_sender.clone());
                 // Errors of a connection are ignored: the method that waits for its stream or report times out.
                 thread::spawn(move || drop(serve(connection, &streams, &reports)));
             }
@@ -55,9 +55,9 @@
     ///
     /// # Errors
     /// The gateway opens no stream within `ANSWER_TIMEOUT`.
-    pub fn stream(&self) -> Result<VersionStream, CapacityError> {
-        let none = |_| CapacityError::Peer("the gateway opens no stream of versions".to_owned());
-        let stream = self.streams.recv_timeout(ANSWER_TIMEOUT).map_err(none)?;
+    pub fn accept_stream(&self) -> Result<VersionStream, CapacityError> {
+        let timed_out = |_| CapacityError::Unexpected("the gateway opened no stream of versions".to_owned());
+        let stream = self.streams.recv_timeout(ANSWER_TIMEOUT).map_err(timed_out)?;
         Ok(VersionStream { stream })
     }
 
@@ -65,15 +65,16 @@
     ///
     /// # Errors
     /// The gateway sends a different report, or none within `ANSWER_TIMEOUT`.
-    pub fn applied(&self, version: u64) -> Result<(), CapacityError> {
-        let none = |_| CapacityError::Peer(format!("no report of version {version}"));
-        let report = self.reports.recv_timeout(ANSWER_TIMEOUT).map_err(none)?;
+    pub fn wait_until_applied(&self, version: u64) -> Result<(), CapacityError> {
+        let timed_out =
+            |_| CapacityError::Unexpected(format!("the gateway sent no report of version {version}"));
+        let report = self.reports.recv_timeout(ANSWER_TIMEOUT).map_err(timed_out)?;
         let expected = Report::Applied { version: Version(version) };
         if report == expected {
             return Ok(());
         }
-        Err(CapacityError::Peer(format!(
-            "version {version} was to be applied, and the report says {report:?}"
+        Err(CapacityError::Unexpected(format!(
+            "expected a report that version {version} is applied, got {report:?}"
         )))
     }
 }
@@ -98,26 +99,26 @@
     connection.set_nodelay(true)?;
     connection.set_read_timeout(Some(ANSWER_TIMEOUT))?;
     let mut reader = BufReader::new(connection.try_clone()?);
-    let mut verb = String::new();
-    reader.read_line(&mut verb)?;
+    let mut request_line = String::new();
+    reader.read_line(&mut request_line)?;
     let length = content_length(&mut reader)?;
-    if verb.starts_with("GET ") {
-        connection.write_all(STREAM)?;
+    if request_line.starts_with("GET ") {
+        connection.write_all(STREAM_HEAD)?;
         // The receiver may be gone.
         let _ = streams.send(connection);
         return Ok(());
     }
-    if length > LONGEST_REPORT {
-        return Err(CapacityError::Peer(format!("a report of {length} bytes")));
+    if length > MAX_REPORT_BYTES {
+        return Err(CapacityError::Unexpected(format!("report too long: {length} bytes")));
     }
     let mut body = vec![0; length];
     reader.read_exact(&mut body)?;
-    let unreadable = |what: String| CapacityError::Peer(format!("a report that can't be read: {what}"));
+    let unreadable = |reason: String| CapacityError::Unexpected(format!("unreadable report: {reason}"));
     let text = std::str::from_utf8(&body).map_err(|e| unreadable(e.to_string()))?;
     let (_, report) = Report::parse(text).map_err(|e| unreadable(e.to_string()))?;
     // The receiver may be gone.
     let _ = reports.send(report);
-    Ok(connection.write_all(TAKEN)?)
+    Ok(connection.write_all(NO_CONTENT_RESPONSE)?)
 }
 
 /// Reads the headers of a request and returns its `Content-Length`, 0 if absent.
@@ -128,8 +129,8 @@
         reader.read_line(&mut header)?;
         let Some((name, value)) = header.trim_end().split_once(':') else { return Ok(length) };
         if name.eq_ignore_ascii_case("content-length") {
-            let wrong = |_| CapacityError::Peer(format!("a length that is no number: {value}"));
-            length = value.trim().parse().map_err(wrong)?;
+            let invalid = |_| CapacityError::Unexpected(format!("invalid Content-Length: {value}"));
+            length = value.trim().parse().map_err(invalid)?;
         }
     }
 }
--- a/lab/src/capacity/decisions.rs
+++ b/lab/src/capacity/decisions.rs
@@ -23,23 +23,23 @@
 const CHANGE_INTERVAL_US: u64 = 10_000;
 
 /// An attempt in flight and the time of its response.
-struct Running {
-    done_us: u64,
+struct InFlight {
+    response_us: u64,
     attempt: AttemptId,
 }
 
 /// A core driven by a closed loop of simulated clients.
-pub struct Decisions {
+pub struct CoreSimulation {
     core: Core,
     now_us: u64,
     engines: usize,
     service_us: u64,
-    running: VecDeque<Running>,
-    requests: u64,
+    in_flight: VecDeque<InFlight>,
+    request_count: u64,
     /// Requests answered with all rows.
     pub served: u64,
     /// Requests rejected or failed.
-    pub unserved: u64,
+    pub failed: u64,
     commands: Vec<Command>,
 }
 
@@ -53,13 +53,13 @@
 fn settings(site: &Site) -> Result<Settings, CapacityError> {
     let name = format!("wrenhatch-decisions-{}.json", std::process::id());
     let path = std::env::temp_dir().join(name);
-    std::fs::write(&path, site.configuration()).map_err(CapacityError::file(&path))?;
-    let read = wrenhatch::config::from_file(&path.to_string_lossy());
+    std::fs::write(&path, site.config_json()).map_err(CapacityError::file(&path))?;
+    let config = wrenhatch::config::from_file(&path.to_string_lossy());
     std::fs::remove_file(&path).map_err(CapacityError::file(&path))?;
-    Ok(read?.settings)
+    Ok(config?.settings)
 }
 
-impl Decisions {
+impl CoreSimulation {
     /// Creates a core with `engines` engines and `open` requests in flight.
     ///
     /// # Errors
@@ -68,25 +68,25 @@
         let site = Site::new(vec![SocketAddr::from(([127, 0, 0, 1], 1)); 1]);
         let core = Core::new(settings(&site)?, SEED)?;
         let service_us = (open as f64 / STATEMENTS_PER_SECOND * 1e6) as u64;
-        let mut decisions = Self {
+        let mut simulation = Self {
             core,
             now_us: 0,
             engines,
             service_us,
-            running: VecDeque::new(),
-            requests: 0,
+            in_flight: VecDeque::new(),
+            request_count: 0,
             served: 0,
-            unserved: 0,
+            failed: 0,
             commands: Vec::new(),
         };
-        decisions.whole_list();
+        simulation.apply_full_list();
         let gap_us = (service_us / open.max(1) as u64).max(1);
         for _ in 0..open {
-            decisions.now_us += gap_us;
-            let request = decisions.new_request();
-            decisions.turn(vec![request]);
+            simulation.now_us += gap_us;
+            let request = simulation.new_request();
+            simulation.turn(vec![request]);
         }
-        Ok(decisions)
+        Ok(simulation)
     }
 
     fn entry(&self, engine: usize, state: EndpointState) -> EndpointEntry {
@@ -101,7 +101,7 @@
     }
 
     fn new_request(&mut self) -> Input {
-        self.requests += 1;
+        self.request_count += 1;
         let request = NewRequest {
             class: ClassId(0),
             tenant: Some(TenantId(0)),
@@ -112,7 +112,7 @@
             key: None,
             is_retry: false,
         };
-        Input::RequestArrived { id: RequestId(self.requests), request }
+        Input::RequestArrived { id: RequestId(self.request_count), request }
     }
 
     /// Runs one turn of the core and schedules the responses of the attempts that it starts.
@@ -122,11 +122,11 @@
         for command in commands.drain(..) {
             match command {
                 Command::StartAttempt { attempt, .. } => {
-                    let done_us = self.now_us + self.service_us;
-                    self.running.push_back(Running { done_us, attempt });
+                    let response_us = self.now_us + self.service_us;
+                    self.in_flight.push_back(InFlight { response_us, attempt });
                 }
                 Command::Serve(..) => self.served += 1,
-                Command::Reject { .. } | Command::Fail(_) => self.unserved += 1,
+                Command::Reject { .. } | Command::Fail(_) => self.failed += 1,
                 Command::SetPriority { .. }
                 | Command::CancelAttempt(..)
                 | Command::ClaimLease { .. }
@@ -149,9 +149,9 @@
     }
 
     /// Ends the oldest attempt and sends the next request of its client.
-    fn statement(&mut self) {
-        let Some(next) = self.running.pop_front() else { return };
-        self.run_timers_until(next.done_us);
+    fn run_statement(&mut self) {
+        let Some(next) = self.in_flight.pop_front() else { return };
+        self.run_timers_until(next.response_us);
         let report = LoadReport { queued: Some(0.0), ..LoadReport::default() };
         let ended = Input::AttemptEnded {
             attempt: next.attempt,
@@ -164,35 +164,35 @@
 
     /// Runs statements and returns the mean processor time of one in microseconds, including the control ticks between
     /// them.
-    pub fn statements(&mut self, count: u64) -> f64 {
+    pub fn run_statements(&mut self, count: u64) -> f64 {
         let began_us = thread_cpu_us();
-        (0..count).for_each(|_| self.statement());
+        (0..count).for_each(|_| self.run_statement());
         (thread_cpu_us() - began_us) / count as f64
     }
 
     /// Runs control ticks with all requests in flight and returns the mean processor time of one in microseconds.
-    pub fn control_ticks(&mut self, count: u64) -> f64 {
-        let (mut seen, mut cpu_us) = (0, 0.0);
-        while seen < count {
+    pub fn run_control_ticks(&mut self, count: u64) -> f64 {
+        let (mut ticks, mut cpu_us) = (0, 0.0);
+        while ticks < count {
             let Some(next) = self.core.next_timer_us() else { break };
-            let due = self.running.front().map_or(u64::MAX, |r| r.done_us);
+            let due = self.in_flight.front().map_or(u64::MAX, |r| r.response_us);
             if due <= next {
-                self.statement();
+                self.run_statement();
                 continue;
             }
             let began_us = thread_cpu_us();
-            seen += self.run_timers_until(next + 1);
+            ticks += self.run_timers_until(next + 1);
             cpu_us += thread_cpu_us() - began_us;
         }
-        cpu_us / seen.max(1) as f64
+        cpu_us / ticks.max(1) as f64
     }
 
     /// Applies changes of one engine each, with requests in flight, and returns the mean processor time of one in
     /// microseconds.
-    pub fn changes(&mut self, count: u64) -> f64 {
+    pub fn run_changes(&mut self, count: u64) -> f64 {
         let mut cpu_us = 0.0;
         for change in 0..count {
-            self.pass(CHANGE_INTERVAL_US);
+            self.advance(CHANGE_INTERVAL_US);
             let engine = (change / 2) as usize % self.engines;
             let state = if change % 2 == 0 { EndpointState::Draining } else { EndpointState::Ready };
             let list = Input::EndpointList {
@@ -207,16 +207,16 @@
     }
 
     /// Applies full endpoint lists and returns the mean processor time of one in microseconds.
-    pub fn lists(&mut self, count: u64) -> f64 {
+    pub fn run_lists(&mut self, count: u64) -> f64 {
         let mut cpu_us = 0.0;
         for _ in 0..count {
-            self.pass(CHANGE_INTERVAL_US);
-            cpu_us += self.whole_list();
+            self.advance(CHANGE_INTERVAL_US);
+            cpu_us += self.apply_full_list();
         }
         cpu_us / count as f64
     }
 
-    fn whole_list(&mut self) -> f64 {
+    fn apply_full_list(&mut self) -> f64 {
         let entries = (0..self.engines).map(|engine| self.entry(engine, EndpointState::Ready)).collect();
         let list = vec![Input::EndpointList { mode: EndpointListMode::Full, entries }];
         let began_us = thread_cpu_us();
@@ -225,10 +225,10 @@
     }
 
     /// Advances the simulated time and runs the statements that end meanwhile.
-    fn pass(&mut self, span_us: u64) {
+    fn advance(&mut self, span_us: u64) {
         let until_us = self.now_us + span_us;
-        while self.running.front().is_some_and(|r| r.done_us <= until_us) {
-            self.statement();
+        while self.in_flight.front().is_some_and(|r| r.response_us <= until_us) {
+            self.run_statement();
         }
         self.run_timers_until(until_us);
     }
--- a/lab/src/capacity/error.rs
+++ b/lab/src/capacity/error.rs
@@ -10,7 +10,7 @@
 
 /// A limited resource.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Bound {
+pub enum LimitKind {
     /// Memory of all processes of a run together, in MB.
     Memory,
     /// Processes of a run plus the threads of this process.
@@ -19,12 +19,12 @@
     Time,
 }
 
-impl fmt::Display for Bound {
+impl fmt::Display for LimitKind {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Bound::Memory => "MB of memory",
-            Bound::Processes => "processes and threads",
-            Bound::Time => "seconds",
+            LimitKind::Memory => "MB of memory",
+            LimitKind::Processes => "processes and threads",
+            LimitKind::Time => "seconds",
         })
     }
 }
@@ -33,14 +33,14 @@
 #[derive(Debug, thiserror::Error)]
 pub enum CapacityError {
     /// The run exceeded one of its limits and was stopped.
-    #[error("stopped: {reached} {bound} are over the bound of {most}")]
-    Outgrown {
+    #[error("stopped: {used} {kind} exceed the limit of {limit}")]
+    LimitExceeded {
         /// The exceeded limit.
-        bound: Bound,
+        kind: LimitKind,
         /// Usage in the unit of the resource.
-        reached: u64,
+        used: u64,
         /// The limit in the unit of the resource.
-        most: u64,
+        limit: u64,
     },
     /// The target file is invalid.
     #[error(transparent)]
@@ -69,25 +69,25 @@
     Settings(#[from] workload_manager::SettingsError),
     /// The gateway or a mock peer failed or behaved unexpectedly.
     #[error("{0}")]
-    Peer(String),
+    Unexpected(String),
     /// The page differs from the one generated from its inputs.
-    #[error("{0} differs from what its inputs give: run `wrenhatch-lab capacity page`")]
+    #[error("{0} is out of date: run `wrenhatch-lab capacity page`")]
     Stale(PathBuf),
     /// A size outside the supported range.
-    #[error("size {size} is not within 1 and {most}")]
+    #[error("size {size} is not between 1 and {max}")]
     Size {
         /// The requested size.
         size: usize,
         /// The largest supported size.
-        most: usize,
+        max: usize,
     },
     /// No run of an experiment gave usable figures.
-    #[error("unusable: no play of {experiment} gave figures: {}", .why.join("; "))]
+    #[error("no run of {experiment} gave usable figures: {}", .reasons.join("; "))]
     Unusable {
         /// The experiment without figures.
         experiment: Experiment,
         /// The reason for each run.
-        why: Vec<String>,
+        reasons: Vec<String>,
     },
     /// A system call failed.
     #[error("{0}")]
--- a/lab/src/capacity/estimate/control.rs
+++ b/lab/src/capacity/estimate/control.rs
@@ -3,10 +3,10 @@
 
 use super::super::experiment::{Experiment as E, Quantity as Q};
 use super::super::stand_ins::COMMENT;
-use super::{CapacityEstimate, Case, DAY_S, Entry, Resource, Role, Source, entry, list_events_per_day};
+use super::{CapacityEstimate, Case, DAY_S, Entry, Figure, Resource, Role, entry, list_events_per_day};
 
 /// Returns the number of control machines that remain after the loss of one of `parts` equal parts, at least 1.
-pub fn left(machines: f64, parts: f64) -> f64 {
+pub fn remaining(machines: f64, parts: f64) -> f64 {
     (machines - (machines / parts).ceil()).max(1.0)
 }
 
@@ -18,35 +18,39 @@
     let t = estimate.target;
     let cases = [
         (Case::Ordinary, t.control_machines, String::new()),
-        (Case::Worst, left(t.control_machines, t.zones), ", those of a zone gone".to_owned()),
-        (Case::Worst, left(t.control_machines, t.regions), ", those of a region gone".to_owned()),
+        (Case::Worst, remaining(t.control_machines, t.zones), ", those of a zone gone".to_owned()),
+        (Case::Worst, remaining(t.control_machines, t.regions), ", those of a region gone".to_owned()),
     ];
-    for (case, machines, gone) in cases {
+    for (case, machines, suffix) in cases {
         let streams = (t.gateways / machines).ceil();
-        let need = |resource, what: &str, unit| -> Entry {
-            entry(resource, case, format!("{what}{gone}"), unit).by(COORDINATOR)
+        let need = |resource, description: &str, unit| -> Entry {
+            entry(resource, case, format!("{description}{suffix}"), unit).met_by(COORDINATOR)
         };
-        estimate.add(Role::Control, need(Resource::State, "streams", ""), Source::target(streams));
+        estimate.add(Role::Control, need(Resource::State, "streams", ""), Figure::from_target(streams));
         if let Some(event) = estimate.at(E::ChangeEngines, Q::StreamBytes, t.databases) {
             let changes = event.times(streams * list_events_per_day(t) / DAY_S);
-            let all = changes.plus(&Source::target(streams * COMMENT.len() as f64));
+            let all = changes.plus(&Figure::from_target(streams * COMMENT.len() as f64));
             estimate.add(Role::Control, need(Resource::Messages, "bytes out for the list", "bytes/s"), all);
         }
         if let Some(list) = estimate.at(E::ListEngines, Q::StreamBytes, t.databases) {
-            let what = "a whole list to each gateway that comes back";
-            estimate.add(Role::Control, need(Resource::Messages, what, "bytes at once"), list.times(streams));
+            let description = "a whole list to each gateway that comes back";
+            estimate.add(
+                Role::Control,
+                need(Resource::Messages, description, "bytes at once"),
+                list.times(streams),
+            );
         }
     }
     if let Some(list) = estimate.at(E::ListEngines, Q::StreamBytes, t.databases) {
-        let kept = entry(Resource::Memory, Case::Ordinary, "the list, as text", "bytes").by(COORDINATOR);
+        let kept = entry(Resource::Memory, Case::Ordinary, "the list, as text", "bytes").met_by(COORDINATOR);
         estimate.add(Role::Control, kept, list);
     }
-    let what = "processor time for a change and for a watcher that comes back";
-    let none = entry(Resource::Processor, Case::Ordinary, what, "machines");
-    let instead = "no program for control machines is ours, so that nothing can be measured";
+    let description = "processor time for a change and for a watcher that comes back";
+    let missing = entry(Resource::Processor, Case::Ordinary, description, "machines");
+    let fallback = "no program for control machines is ours, so that nothing can be measured";
     estimate.add(
         Role::Control,
-        none.by_nothing(instead.to_owned(), None),
-        Source::target(t.control_machines),
+        missing.without_mechanism(fallback.to_owned(), None),
+        Figure::from_target(t.control_machines),
     );
 }
--- a/lab/src/capacity/estimate/database.rs
+++ b/lab/src/capacity/estimate/database.rs
@@ -1,37 +1,38 @@
 //! Needs of a database at the target size, as far as gateways cause them.
 
 use super::super::experiment::{Experiment as E, Quantity as Q};
-use super::{CapacityEstimate, Case, DAY_S, Resource, Role, Source, entry};
+use super::{CapacityEstimate, Case, DAY_S, Figure, Resource, Role, entry};
 
 /// Time after which a database closes an idle connection, in seconds (setting `keepalive-s`).
-const KEPT_S: f64 = 15.0;
+const IDLE_TIMEOUT_S: f64 = 15.0;
 
 /// Adds the needs of a database.
 pub fn add_needs(estimate: &mut CapacityEstimate<'_>) {
     let t = estimate.target;
     let calls = entry(Resource::Messages, Case::Ordinary, "statements", "a second");
     let each = t.statements_per_s / t.databases;
-    estimate.add(Role::Database, calls.by("src/decisions/"), Source::target(each));
+    estimate.add(Role::Database, calls.met_by("src/decisions/"), Figure::from_target(each));
     let probes = entry(Resource::Messages, Case::Ordinary, "probes", "a second");
-    let none = Source { from: "gateways send none".to_owned(), ..Source::target(0.0) };
-    estimate.add(Role::Database, probes.by("src/decisions/"), none);
+    let no_probes = Figure { source: "gateways send none".to_owned(), ..Figure::from_target(0.0) };
+    estimate.add(Role::Database, probes.met_by("src/decisions/"), no_probes);
     let Some(held) = estimate.at(E::StatementEngines, Q::Connections, t.databases) else { return };
-    connections(estimate, &held.times(1.0 / t.databases));
+    add_connections(estimate, &held.times(1.0 / t.databases));
 }
 
 /// Adds connections and handshakes, from the connections that a gateway holds to one database.
-fn connections(estimate: &mut CapacityEstimate<'_>, each: &Source) {
+fn add_connections(estimate: &mut CapacityEstimate<'_>, each: &Figure) {
     let t = estimate.target;
-    let by = "gateway/src/net/pools.rs";
+    let files = "gateway/src/net/pools.rs";
     let held = entry(Resource::State, Case::Ordinary, "connections of all gateways", "");
-    estimate.add(Role::Database, held.by(by), each.times(t.gateways));
+    estimate.add(Role::Database, held.met_by(files), each.times(t.gateways));
     let per_pair = t.statements_per_s / t.pairs();
-    let reopened = t.gateways * per_pair * (-KEPT_S * per_pair).exp() * DAY_S;
+    let reopened = t.gateways * per_pair * (-IDLE_TIMEOUT_S * per_pair).exp() * DAY_S;
     let restarts = t.gateway_restarts_per_day() + t.gateways * t.database_restarts_per_day() / t.databases;
-    let handshakes = entry(Resource::Messages, Case::Ordinary, "handshakes", "a day").by(by);
-    estimate.add(Role::Database, handshakes, each.times(restarts).plus(&Source::target(reopened)));
-    let back = entry(Resource::Messages, Case::Worst, "handshakes when it comes back", "at once").by(by);
-    estimate.add(Role::Database, back, each.times(t.gateways));
+    let handshakes = entry(Resource::Messages, Case::Ordinary, "handshakes", "a day").met_by(files);
+    estimate.add(Role::Database, handshakes, each.times(restarts).plus(&Figure::from_target(reopened)));
+    let reconnects =
+        entry(Resource::Messages, Case::Worst, "handshakes when it comes back", "at once").met_by(files);
+    estimate.add(Role::Database, reconnects, each.times(t.gateways));
     let zone = entry(
         Resource::Messages,
         Case::Worst,
@@ -40,11 +41,11 @@
     );
     // A gateway prefers the databases of its zone, so that its connections go to them first.
     let share = each.amount.value.max((each.amount.value * t.databases / t.databases_per_zone()).min(1.0));
-    let at_home = each.times(share / each.amount.value.max(f64::MIN_POSITIVE));
-    estimate.add(Role::Database, zone.by(by), at_home.times(t.gateways_per_zone()));
+    let in_zone = each.times(share / each.amount.value.max(f64::MIN_POSITIVE));
+    estimate.add(Role::Database, zone.met_by(files), in_zone.times(t.gateways_per_zone()));
     let per_s = t.configuration_per_day * t.gateways / DAY_S;
-    let what = "handshakes, were each change of configuration a restart";
-    let restarts =
-        entry(Resource::Messages, Case::Ordinary, what, "a second").by("gateway/src/net/reload.rs");
+    let description = "handshakes, were each change of configuration a restart";
+    let restarts = entry(Resource::Messages, Case::Ordinary, description, "a second")
+        .met_by("gateway/src/net/reload.rs");
     estimate.add(Role::Database, restarts, each.times(per_s));
 }
--- a/lab/src/capacity/estimate/gateway.rs
+++ b/lab/src/capacity/estimate/gateway.rs
@@ -2,8 +2,8 @@
 
 use super::super::experiment::{Experiment as E, Quantity as Q};
 use super::{
-    Amount, CapacityEstimate, Case, DAY_S, Entry, MEGABYTE, Resource, Role, Source, entry,
-    list_events_per_day, number,
+    Amount, CapacityEstimate, Case, DAY_S, Entry, Figure, MEGABYTE, Resource, Role, entry, format_number,
+    list_events_per_day,
 };
 
 /// Microseconds per second.
@@ -11,7 +11,7 @@
 /// Open requests in experiments with another variable.
 const FIXED_OPEN: f64 = 16.0;
 /// Smallest number of engines in the experiments.
-const FEWEST_ENGINES: f64 = 16.0;
+const MIN_ENGINES: f64 = 16.0;
 /// Descriptors other than for clients and engines: the process itself and the admin interface with its connections.
 const OWN_DESCRIPTORS: f64 = 49.0;
 /// Share of a gateway's memory that the text of a list event may take (`MEMORY_DIVISOR` of `wrenhatch::discovery`).
@@ -26,40 +26,44 @@
 
 /// Adds the needs of a gateway.
 pub fn add_needs(estimate: &mut CapacityEstimate<'_>) {
-    statements(estimate);
-    list(estimate);
-    configuration(estimate);
-    primary(estimate);
-    connections(estimate);
-    memory(estimate);
-    volume(estimate);
+    add_statements(estimate);
+    add_endpoint_list(estimate);
+    add_configuration(estimate);
+    add_primary_changes(estimate);
+    add_connections(estimate);
+    add_memory(estimate);
+    add_log_and_metrics(estimate);
 }
 
-fn processor(case: Case, what: impl Into<String>) -> Entry {
-    entry(Resource::Processor, case, what, "cores")
+fn processor_entry(case: Case, description: impl Into<String>) -> Entry {
+    entry(Resource::Processor, case, description, "cores")
 }
 
 /// Adds the processor time of statements, in total and by part.
-fn statements(estimate: &mut CapacityEstimate<'_>) {
+fn add_statements(estimate: &mut CapacityEstimate<'_>) {
     let t = estimate.target;
     let (rate, cores) = (t.statements_per_gateway() / SECOND_US, t.gateway_cores);
     let Some(whole) = estimate.at(E::StatementEngines, Q::Cpu, t.databases) else { return };
-    let by = "gateway/src/net/mod.rs, src/decisions/";
+    let files = "gateway/src/net/mod.rs, src/decisions/";
     let mut total = whole.clone();
     estimate.add(
         Role::Gateway,
-        processor(Case::Ordinary, "statements, few open at once").limit(cores).by(by),
+        processor_entry(Case::Ordinary, "statements, few open at once").limit(cores).met_by(files),
         whole.times(rate),
     );
-    if let Some(few) = estimate.at(E::StatementEngines, Q::Cpu, FEWEST_ENGINES) {
+    if let Some(few) = estimate.at(E::StatementEngines, Q::Cpu, MIN_ENGINES) {
         let grown = entry(Resource::Processor, Case::Ordinary, "of these, what grows with engines", "cores");
-        estimate.add(Role::Gateway, grown.limit(cores).by("src/decisions/"), whole.minus(&few).times(rate));
+        estimate.add(
+            Role::Gateway,
+            grown.limit(cores).met_by("src/decisions/"),
+            whole.minus(&few).times(rate),
+        );
     }
     if let Some(decided) = estimate.at(E::DecideStatementEngines, Q::Cpu, t.databases) {
-        let what = "of these, decisions alone";
+        let description = "of these, decisions alone";
         estimate.add(
             Role::Gateway,
-            processor(Case::Ordinary, what).limit(cores).by("src/decisions/"),
+            processor_entry(Case::Ordinary, description).limit(cores).met_by("src/decisions/"),
             decided.times(rate),
         );
     }
@@ -68,83 +72,95 @@
     if let (Some(few), Some(open)) = (few, open) {
         let more = open.minus(&few);
         total = total.plus(&more);
-        let what =
-            format!("beside that, {} requests open at once, which share turns", number(t.open_per_gateway));
+        let description = format!(
+            "beside that, {} requests open at once, which share turns",
+            format_number(t.open_per_gateway)
+        );
         estimate.add(
             Role::Gateway,
-            processor(Case::Ordinary, what).limit(cores).by("gateway/src/core/, src/decisions/"),
+            processor_entry(Case::Ordinary, description)
+                .limit(cores)
+                .met_by("gateway/src/core/, src/decisions/"),
             more.times(rate),
         );
     }
     if let Some(idle) = estimate.slope(E::StatementSessions, Q::Cpu) {
         let more = idle.times(t.connections_per_gateway());
         total = total.plus(&more);
-        let what = format!("beside that, {} sessions that are idle", number(t.connections_per_gateway()));
+        let description =
+            format!("beside that, {} sessions that are idle", format_number(t.connections_per_gateway()));
         estimate.add(
             Role::Gateway,
-            processor(Case::Ordinary, what).limit(cores).by("gateway/src/net/sessions/"),
+            processor_entry(Case::Ordinary, description).limit(cores).met_by("gateway/src/net/sessions/"),
             more.times(rate),
         );
     }
     if let Some(together) = estimate.at(E::StatementTogether, Q::Cpu, t.databases) {
-        let what = "to hold against it: 64 open and 3,455 idle, played together";
-        let need = processor(Case::Ordinary, what).limit(cores).by(by);
+        let description = "to hold against it: 64 open and 3,455 idle, played together";
+        let need = processor_entry(Case::Ordinary, description).limit(cores).met_by(files);
         estimate.add(Role::Gateway, need, together.times(rate));
     }
-    let all = processor(Case::Ordinary, "statements, all of it").limit(cores).by(by);
+    let all = processor_entry(Case::Ordinary, "statements, all of it").limit(cores).met_by(files);
     estimate.add(Role::Gateway, all, total.times(rate));
     if t.zones > 1.0 {
         let rate = rate * t.zones / (t.zones - 1.0);
-        let what = "statements, with the gateways of a zone gone";
-        estimate.add(Role::Gateway, processor(Case::Worst, what).limit(cores).by(by), total.times(rate));
+        let description = "statements, with the gateways of a zone gone";
+        estimate.add(
+            Role::Gateway,
+            processor_entry(Case::Worst, description).limit(cores).met_by(files),
+            total.times(rate),
+        );
     }
 }
 
 /// Adds the processor time and traffic of the endpoint list, compared with the limits for control.
-fn list(estimate: &mut CapacityEstimate<'_>) {
+fn add_endpoint_list(estimate: &mut CapacityEstimate<'_>) {
     let t = estimate.target;
-    let by = "gateway/src/net/watch.rs, gateway/src/discovery/, src/decisions/";
+    let files = "gateway/src/net/watch.rs, gateway/src/discovery/, src/decisions/";
     let per_day = list_events_per_day(t);
-    let share = |cpu: &Source, events: f64, over_s: f64| cpu.times(100.0 * events / (over_s * SECOND_US));
-    let percent = |case, what: String| {
-        entry(Resource::Processor, case, what, "% of a core").limit(t.control_core_percent).by(by)
+    let share = |cpu: &Figure, events: f64, over_s: f64| cpu.times(100.0 * events / (over_s * SECOND_US));
+    let percent = |case, description: String| {
+        entry(Resource::Processor, case, description, "% of a core")
+            .limit(t.control_core_percent)
+            .met_by(files)
     };
-    let bytes = |case, what: String| {
-        entry(Resource::Messages, case, what, "bytes/s").limit(t.control_bytes_per_s).by(by)
+    let bytes = |case, description: String| {
+        entry(Resource::Messages, case, description, "bytes/s").limit(t.control_bytes_per_s).met_by(files)
     };
     let (within_s, zone) = (t.configuration_within_s, t.databases_per_zone());
     if let Some(cpu) = estimate.at(E::ChangeEngines, Q::Cpu, t.databases) {
-        let what = format!("changes of the list, {} a day", number(per_day));
-        estimate.add(Role::Gateway, percent(Case::Ordinary, what), share(&cpu, per_day, DAY_S));
-        let what = format!("all {zone} databases of a zone change, over {within_s} s");
-        estimate.add(Role::Gateway, percent(Case::Worst, what), share(&cpu, zone, within_s));
+        let description = format!("changes of the list, {} a day", format_number(per_day));
+        estimate.add(Role::Gateway, percent(Case::Ordinary, description), share(&cpu, per_day, DAY_S));
+        let description = format!("all {zone} databases of a zone change, over {within_s} s");
+        estimate.add(Role::Gateway, percent(Case::Worst, description), share(&cpu, zone, within_s));
     }
     if let Some(cpu) = estimate.at(E::ListEngines, Q::Cpu, t.databases) {
-        let what = format!("a whole list, over {within_s} s");
-        estimate.add(Role::Gateway, percent(Case::Worst, what), share(&cpu, 1.0, within_s));
+        let description = format!("a whole list, over {within_s} s");
+        estimate.add(Role::Gateway, percent(Case::Worst, description), share(&cpu, 1.0, within_s));
     }
     if let Some(event) = estimate.at(E::ChangeEngines, Q::StreamBytes, t.databases) {
-        let day = event.times(per_day / DAY_S).plus(&Source::target(COMMENT_BYTES));
+        let day = event.times(per_day / DAY_S).plus(&Figure::from_target(COMMENT_BYTES));
         estimate.add(
             Role::Gateway,
             bytes(Case::Ordinary, "the list, with a comment a second".to_owned()),
             day,
         );
-        let what = format!("all {zone} databases of a zone change, over {within_s} s");
-        estimate.add(Role::Gateway, bytes(Case::Worst, what), event.times(zone / within_s));
+        let description = format!("all {zone} databases of a zone change, over {within_s} s");
+        estimate.add(Role::Gateway, bytes(Case::Worst, description), event.times(zone / within_s));
     }
     if let Some(list) = estimate.at(E::ListEngines, Q::StreamBytes, t.databases) {
-        let what = format!("a whole list, over {within_s} s");
-        estimate.add(Role::Gateway, bytes(Case::Worst, what), list.times(1.0 / within_s));
+        let description = format!("a whole list, over {within_s} s");
+        estimate.add(Role::Gateway, bytes(Case::Worst, description), list.times(1.0 / within_s));
         let room = t.gateway_memory_mb * MEGABYTE * EVENT_MEMORY_RATIO;
         let text = entry(Resource::Memory, Case::Worst, "the text of a whole list", "bytes").limit(room);
-        estimate.add(Role::Gateway, text.by("gateway/src/discovery/"), list);
+        estimate.add(Role::Gateway, text.met_by("gateway/src/discovery/"), list);
     }
-    for (experiment, what) in
+    for (experiment, description) in
         [(E::ChangeEngines, "time to take a change"), (E::ListEngines, "time to take a whole list")]
     {
         let Some(taken) = estimate.at(experiment, Q::Taken, t.databases) else { continue };
-        let time = entry(Resource::Messages, Case::Ordinary, what, "ms").limit(within_s * 1e3).by(by);
+        let time =
+            entry(Resource::Messages, Case::Ordinary, description, "ms").limit(within_s * 1e3).met_by(files);
         estimate.add(Role::Gateway, time, taken);
     }
     if let Some(idle) = estimate.at(E::IdleEngines, Q::IdleCpu, t.databases) {
@@ -157,89 +173,93 @@
 }
 
 /// Adds the needs of configuration changes in service, and of a restart per change for comparison.
-fn configuration(estimate: &mut CapacityEstimate<'_>) {
+fn add_configuration(estimate: &mut CapacityEstimate<'_>) {
     let t = estimate.target;
     let (per_day, clients) = (t.configuration_per_day, t.connections_per_gateway());
-    versions(estimate);
-    files(estimate);
+    add_versions(estimate);
+    add_reloads(estimate);
     let (start, session) =
         (estimate.at(E::StartEngines, Q::Cpu, t.databases), estimate.at(E::IdleSessions, Q::Cpu, clients));
     let (Some(start), Some(session)) = (start, session) else { return };
     let restart = start.plus(&session.times(clients));
     let share = restart.times(100.0 * per_day / (DAY_S * SECOND_US));
-    let what = format!(
+    let description = format!(
         "{} changes of classes, shares or limits a day, in force within {} s",
-        number(per_day),
+        format_number(per_day),
         t.configuration_within_s
     );
-    let changes = entry(Resource::Messages, Case::Ordinary, what, "a day");
-    let by = "configuration/src/subscriber.rs, gateway/src/net/control_plane.rs, gateway/src/live_reconfiguration/";
-    estimate.add(Role::Gateway, changes.by(by), Source::target(per_day));
-    let what = "were each change of configuration a restart, as before it could be taken over in service";
-    let restarted = entry(Resource::Processor, Case::Ordinary, what, "% of a core");
-    estimate.add(Role::Gateway, restarted.limit(t.control_core_percent).by("gateway/src/main.rs"), share);
-    let what = "a version of the configuration to all gateways, and who has it";
-    let versions = entry(Resource::State, Case::Ordinary, what, "gateways");
-    let by = "configuration/src/publisher.rs; the program around it is not in this repository";
-    estimate.add(Role::Control, versions.by(by), Source::target(t.gateways));
+    let changes = entry(Resource::Messages, Case::Ordinary, description, "a day");
+    let files = "configuration/src/subscriber.rs, gateway/src/net/control_plane.rs, gateway/src/live_reconfiguration/";
+    estimate.add(Role::Gateway, changes.met_by(files), Figure::from_target(per_day));
+    let description =
+        "were each change of configuration a restart, as before it could be taken over in service";
+    let restarted = entry(Resource::Processor, Case::Ordinary, description, "% of a core");
+    estimate.add(Role::Gateway, restarted.limit(t.control_core_percent).met_by("gateway/src/main.rs"), share);
+    let description = "a version of the configuration to all gateways, and who has it";
+    let versions = entry(Resource::State, Case::Ordinary, description, "gateways");
+    let files = "configuration/src/publisher.rs; the program around it is not in this repository";
+    estimate.add(Role::Control, versions.met_by(files), Figure::from_target(t.gateways));
 }
 
 /// Adds the processor time, traffic and duration of applying versions of the settings in service.
-fn versions(estimate: &mut CapacityEstimate<'_>) {
+fn add_versions(estimate: &mut CapacityEstimate<'_>) {
     let t = estimate.target;
     let (per_day, per_s) = (t.configuration_per_day, t.configuration_per_day / DAY_S);
-    let by = "configuration/src/subscriber.rs, gateway/src/net/control_plane.rs, gateway/src/net/live_reconfiguration.rs";
+    let files = "configuration/src/subscriber.rs, gateway/src/net/control_plane.rs, gateway/src/net/live_reconfiguration.rs";
     let names = [E::VersionClasses, E::VersionTenants];
-    if let Some(cpu) = with_names(estimate, E::VersionEngines, names, Q::Cpu) {
-        let what = format!("versions of the settings taken over in service, {} a day", number(per_day));
-        let share = entry(Resource::Processor, Case::Ordinary, what, "% of a core");
-        let share = share.limit(t.control_core_percent).by(by);
+    if let Some(cpu) = with_classes_and_tenants(estimate, E::VersionEngines, names, Q::Cpu) {
+        let description =
+            format!("versions of the settings taken over in service, {} a day", format_number(per_day));
+        let share = entry(Resource::Processor, Case::Ordinary, description, "% of a core");
+        let share = share.limit(t.control_core_percent).met_by(files);
         estimate.add(Role::Gateway, share, cpu.times(100.0 * per_s / SECOND_US));
     }
-    if let Some(difference) = with_names(estimate, E::VersionEngines, names, Q::StreamBytes) {
-        let what = "their differences, each of one class";
-        let bytes = entry(Resource::Messages, Case::Ordinary, what, "bytes/s").limit(t.control_bytes_per_s);
-        estimate.add(Role::Gateway, bytes.by(by), difference.times(per_s));
+    if let Some(difference) = with_classes_and_tenants(estimate, E::VersionEngines, names, Q::StreamBytes) {
+        let description = "their differences, each of one class";
+        let bytes =
+            entry(Resource::Messages, Case::Ordinary, description, "bytes/s").limit(t.control_bytes_per_s);
+        estimate.add(Role::Gateway, bytes.met_by(files), difference.times(per_s));
     }
-    if let Some(taken) = with_names(estimate, E::VersionEngines, names, Q::Taken) {
-        let what = "time to take a version over, with its report";
-        let time =
-            entry(Resource::Messages, Case::Ordinary, what, "ms").limit(t.configuration_within_s * 1e3);
-        estimate.add(Role::Gateway, time.by(by), taken);
+    if let Some(taken) = with_classes_and_tenants(estimate, E::VersionEngines, names, Q::Taken) {
+        let description = "time to take a version over, with its report";
+        let time = entry(Resource::Messages, Case::Ordinary, description, "ms")
+            .limit(t.configuration_within_s * 1e3);
+        estimate.add(Role::Gateway, time.met_by(files), taken);
     }
 }
 
 /// Adds the processor time of reloading the configuration file for each change, and the traffic of sending it.
-fn files(estimate: &mut CapacityEstimate<'_>) {
+fn add_reloads(estimate: &mut CapacityEstimate<'_>) {
     let t = estimate.target;
     let per_s = t.configuration_per_day / DAY_S;
     let names = [E::ReloadClasses, E::ReloadTenants];
-    if let Some(read) = with_names(estimate, E::ReloadEngines, names, Q::Cpu) {
-        let what = format!(
+    if let Some(read) = with_classes_and_tenants(estimate, E::ReloadEngines, names, Q::Cpu) {
+        let description = format!(
             "the file read again {} times a day, by signal; classes, shares and limits don't count",
-            number(t.configuration_per_day)
+            format_number(t.configuration_per_day)
         );
-        let share = entry(Resource::Processor, Case::Ordinary, what, "% of a core");
+        let share = entry(Resource::Processor, Case::Ordinary, description, "% of a core");
         estimate.add(
             Role::Gateway,
-            share.limit(t.control_core_percent).by("gateway/src/net/reload.rs"),
+            share.limit(t.control_core_percent).met_by("gateway/src/net/reload.rs"),
             read.times(100.0 * per_s / SECOND_US),
         );
     }
-    if let Some(file) = with_names(estimate, E::ReloadEngines, names, Q::FileBytes) {
-        let what = "the whole file, were it sent for each change";
-        let bytes = entry(Resource::Messages, Case::Ordinary, what, "bytes/s").limit(t.control_bytes_per_s);
-        estimate.add(Role::Gateway, bytes.by("gateway/src/net/reload.rs"), file.times(per_s));
+    if let Some(file) = with_classes_and_tenants(estimate, E::ReloadEngines, names, Q::FileBytes) {
+        let description = "the whole file, were it sent for each change";
+        let bytes =
+            entry(Resource::Messages, Case::Ordinary, description, "bytes/s").limit(t.control_bytes_per_s);
+        estimate.add(Role::Gateway, bytes.met_by("gateway/src/net/reload.rs"), file.times(per_s));
     }
 }
 
 /// Returns a quantity at the target's number of engines, plus the contributions of classes and tenants.
-fn with_names(
+fn with_classes_and_tenants(
     estimate: &mut CapacityEstimate<'_>,
     experiment: E,
     [by_classes, by_tenants]: [E; 2],
     quantity: Q,
-) -> Option<Source> {
+) -> Option<Figure> {
     let t = estimate.target;
     let mut all = estimate.at(experiment, quantity, t.databases)?;
     for (experiment, count) in [(by_classes, t.classes), (by_tenants, t.tenants)] {
@@ -250,74 +270,87 @@
 }
 
 /// Adds changes of primary, for which no mechanism exists.
-fn primary(estimate: &mut CapacityEstimate<'_>) {
+fn add_primary_changes(estimate: &mut CapacityEstimate<'_>) {
     let t = estimate.target;
-    let what =
+    let description =
         format!("{} changes of primary a day, each over within {} s", t.primary_per_day, t.primary_within_s);
-    let instead = "no primary, epoch or fencing is known; a list event moves all statements alike";
-    let none = entry(Resource::State, Case::Worst, what, "a day");
-    estimate.add(Role::Gateway, none.by_nothing(instead.to_owned(), None), Source::target(t.primary_per_day));
+    let fallback = "no primary, epoch or fencing is known; a list event moves all statements alike";
+    let missing = entry(Resource::State, Case::Worst, description, "a day");
+    estimate.add(
+        Role::Gateway,
+        missing.without_mechanism(fallback.to_owned(), None),
+        Figure::from_target(t.primary_per_day),
+    );
 }
 
 /// Adds connections and descriptors.
-fn connections(estimate: &mut CapacityEstimate<'_>) {
+fn add_connections(estimate: &mut CapacityEstimate<'_>) {
     let t = estimate.target;
     let clients = t.connections_per_gateway();
-    let held = |what: &str| entry(Resource::State, Case::Ordinary, what, "");
+    let held = |description: &str| entry(Resource::State, Case::Ordinary, description, "");
     let Some(engines) = estimate.at(E::StatementEngines, Q::Connections, t.databases) else { return };
-    let to_engines = held("connections to databases").by("gateway/src/net/pools.rs, src/decisions/");
+    let to_engines = held("connections to databases").met_by("gateway/src/net/pools.rs, src/decisions/");
     estimate.add(Role::Gateway, to_engines, engines.clone());
-    let all = engines.plus(&Source::target(clients + OWN_DESCRIPTORS));
+    let all = engines.plus(&Figure::from_target(clients + OWN_DESCRIPTORS));
     let descriptors = held("descriptors, with those of clients").limit(t.gateway_descriptors);
-    estimate.add(Role::Gateway, descriptors.by("gateway/src/net/pools.rs, gateway/src/net/sessions/"), all);
+    estimate.add(
+        Role::Gateway,
+        descriptors.met_by("gateway/src/net/pools.rs, gateway/src/net/sessions/"),
+        all,
+    );
     let places = held("sessions, of a third of the descriptors").limit(t.gateway_descriptors / 3.0);
-    estimate.add(Role::Gateway, places.by("gateway/src/net/sessions/"), Source::target(clients));
-    calls(estimate, &engines);
+    estimate.add(Role::Gateway, places.met_by("gateway/src/net/sessions/"), Figure::from_target(clients));
+    add_call_rate(estimate, &engines);
     let elsewhere = t.databases - t.databases_per_zone();
     let moved =
         entry(Resource::State, Case::Worst, "descriptors, its zone's databases gone, one to each other", "");
     estimate.add(
         Role::Gateway,
-        moved.limit(t.gateway_descriptors).by("gateway/src/net/pools.rs, src/decisions/"),
-        Source::target(elsewhere + clients + OWN_DESCRIPTORS),
+        moved.limit(t.gateway_descriptors).met_by("gateway/src/net/pools.rs, src/decisions/"),
+        Figure::from_target(elsewhere + clients + OWN_DESCRIPTORS),
     );
     let share = engines.amount.value / t.databases;
-    let what = "a stable, even subset of databases by zone that a gateway works with";
-    let instead = format!(
+    let description = "a stable, even subset of databases by zone that a gateway works with";
+    let fallback = format!(
         "as many as there are requests in {ACTIVE_SUBSET_SECONDS} s, {}, those of its zone first where they have room: connections to \
          {}% of all databases, {} in the fleet",
-        number(ACTIVE_SUBSET_SECONDS * t.statements_per_gateway()),
-        number(100.0 * share),
-        number(share * t.pairs())
+        format_number(ACTIVE_SUBSET_SECONDS * t.statements_per_gateway()),
+        format_number(100.0 * share),
+        format_number(share * t.pairs())
     );
     let descriptors_share = engines.amount.value / t.gateway_descriptors;
-    let none = entry(Resource::State, Case::Ordinary, what, "databases");
-    estimate.add(Role::Gateway, none.by_nothing(instead, Some(descriptors_share)), engines);
+    let missing = entry(Resource::State, Case::Ordinary, description, "databases");
+    estimate.add(Role::Gateway, missing.without_mechanism(fallback, Some(descriptors_share)), engines);
 }
 
 /// Adds the call rate per connection, which `REUSE_DELAY_SECONDS` limits.
-fn calls(estimate: &mut CapacityEstimate<'_>, connections: &Source) {
+fn add_call_rate(estimate: &mut CapacityEstimate<'_>, connections: &Figure) {
     let t = estimate.target;
-    let what = "calls over each connection, which rests for 25 ms behind an answer";
-    let each = entry(Resource::Messages, Case::Ordinary, what, "a second").limit(1.0 / REUSE_DELAY_SECONDS);
-    let rate = Source {
+    let description = "calls over each connection, which rests for 25 ms behind an answer";
+    let each =
+        entry(Resource::Messages, Case::Ordinary, description, "a second").limit(1.0 / REUSE_DELAY_SECONDS);
+    let rate = Figure {
         amount: Amount::exact(t.statements_per_gateway() / connections.amount.value),
         ..connections.times(1.0)
     };
-    estimate.add(Role::Gateway, each.by("gateway/src/net/engines/connections.rs"), rate);
+    estimate.add(Role::Gateway, each.met_by("gateway/src/net/engines/connections.rs"), rate);
 }
 
 /// Adds the memory for control and in total.
-fn memory(estimate: &mut CapacityEstimate<'_>) {
+fn add_memory(estimate: &mut CapacityEstimate<'_>) {
     let t = estimate.target;
-    let mb = |case, what: &str, limit: f64, by: &'static str| {
-        entry(Resource::Memory, case, what, "MB").limit(limit).by(by)
+    let mb = |case, description: &str, limit: f64, files: &'static str| {
+        entry(Resource::Memory, case, description, "MB").limit(limit).met_by(files)
     };
     let to_mb = 1.0 / MEGABYTE;
     if let Some(kept) = estimate.at(E::StartEngines, Q::Resident, t.databases) {
-        let what = "resident with the list and no client";
-        let by = "gateway/src/net/pools.rs, src/decisions/";
-        estimate.add(Role::Gateway, mb(Case::Ordinary, what, t.control_memory_mb, by), kept.in_unit(to_mb));
+        let description = "resident with the list and no client";
+        let files = "gateway/src/net/pools.rs, src/decisions/";
+        estimate.add(
+            Role::Gateway,
+            mb(Case::Ordinary, description, t.control_memory_mb, files),
+            kept.in_unit(to_mb),
+        );
     }
     let Some(worked) = estimate.at(E::StatementEngines, Q::Resident, t.databases) else { return };
     let mut total = worked.clone();
@@ -330,17 +363,21 @@
         let Some(each) = estimate.slope(experiment, Q::Resident) else { continue };
         total = total.plus(&each.times(count));
     }
-    let by = "sessions/src/session_table.rs, gateway/src/net/pools.rs, src/decisions/";
-    let what = "resident with all sessions, classes, tenants and connections";
-    estimate.add(Role::Gateway, mb(Case::Ordinary, what, t.gateway_memory_mb, by), total.times(to_mb));
+    let files = "sessions/src/session_table.rs, gateway/src/net/pools.rs, src/decisions/";
+    let description = "resident with all sessions, classes, tenants and connections";
+    estimate.add(
+        Role::Gateway,
+        mb(Case::Ordinary, description, t.gateway_memory_mb, files),
+        total.times(to_mb),
+    );
 }
 
 /// Adds the volume of the log and of the metrics.
-fn volume(estimate: &mut CapacityEstimate<'_>) {
+fn add_log_and_metrics(estimate: &mut CapacityEstimate<'_>) {
     let t = estimate.target;
     let rate = t.statements_per_gateway();
     let log =
-        |what: &str| entry(Resource::Messages, Case::Ordinary, what, "bytes/s").by("gateway/src/main.rs");
+        |text: &str| entry(Resource::Messages, Case::Ordinary, text, "bytes/s").met_by("gateway/src/main.rs");
     if let Some(info) = estimate.at(E::StatementEngines, Q::LogBytes, t.databases) {
         estimate.add(Role::Gateway, log("the log of statements"), info.times(rate));
     }
@@ -350,6 +387,6 @@
     if let Some(metrics) = estimate.at(E::StartClasses, Q::MetricsBytes, t.classes) {
         let each =
             entry(Resource::Messages, Case::Ordinary, "all figures, each time they are fetched", "bytes");
-        estimate.add(Role::Gateway, each.by("gateway/src/admin/metrics.rs"), metrics);
+        estimate.add(Role::Gateway, each.met_by("gateway/src/admin/metrics.rs"), metrics);
     }
 }
--- a/lab/src/capacity/estimate/mod.rs
+++ b/lab/src/capacity/estimate/mod.rs
@@ -7,7 +7,7 @@
 use std::fmt;
 
 use super::experiment::{Experiment, Quantity};
-use super::slopes::{Estimate, Mark, Measured, Slopes};
+use super::slopes::{Estimate, Mark, Measurement, Slopes};
 use super::target::Target;
 
 /// Seconds per day.
@@ -133,42 +133,42 @@
     }
 }
 
-/// What the gateway does in place of a missing mechanism.
+/// What happens today in place of a missing mechanism.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Instead {
+pub struct Fallback {
     /// Description, as printed on the page.
-    pub what: String,
+    pub text: String,
     /// Need of the workaround relative to its limit or ordinary amount, if known.
     pub ratio: Option<f64>,
 }
 
 /// The mechanism that meets a need.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Carrier {
-    /// The source files that implement it.
-    File(&'static str),
+pub enum Mechanism {
+    /// The source files that implement it, or the program that contains it.
+    Exists(&'static str),
     /// The mechanism does not exist.
-    Nothing(Instead),
+    Missing(Fallback),
 }
 
 /// The ratio of a need to its limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Ratio {
     /// Need divided by limit.
-    Of(f64),
+    OfLimit(f64),
     /// No limit is stated.
     NoLimit,
     /// The mechanism does not exist.
-    None,
+    NoMechanism,
 }
 
 impl fmt::Display for Ratio {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Ratio::Of(ratio) if ratio.abs() >= 0.0005 => write!(f, "{}", number(*ratio)),
-            Ratio::Of(_) => f.write_str("under 0.001"),
+            Ratio::OfLimit(ratio) if ratio.abs() >= 0.0005 => write!(f, "{}", format_number(*ratio)),
+            Ratio::OfLimit(_) => f.write_str("under 0.001"),
             Ratio::NoLimit => f.write_str("-"),
-            Ratio::None => f.write_str("**none**"),
+            Ratio::NoMechanism => f.write_str("**none**"),
         }
     }
 }
@@ -181,7 +181,7 @@
     /// Kind of resource.
     pub resource: Resource,
     /// Description, as printed on the page.
-    pub what: String,
+    pub description: String,
     /// Conditions of the need.
     pub case: Case,
     /// Needed amount in `unit`.
@@ -191,26 +191,26 @@
     /// Limit in `unit`, if one is stated.
     pub limit: Option<f64>,
     /// Description of the inputs of the calculation.
-    pub from: String,
+    pub source: String,
     /// Origin of the amount.
     pub mark: Mark,
     /// Mechanism that meets the need.
-    pub carrier: Carrier,
+    pub mechanism: Mechanism,
 }
 
 impl Need {
     /// Returns the ratio of the amount to the limit.
     pub fn ratio(&self) -> Ratio {
-        match (&self.carrier, self.limit) {
-            (Carrier::Nothing(_), _) => Ratio::None,
-            (Carrier::File(_), Some(limit)) => Ratio::Of(self.amount.value / limit),
-            (Carrier::File(_), None) => Ratio::NoLimit,
+        match (&self.mechanism, self.limit) {
+            (Mechanism::Missing(_), _) => Ratio::NoMechanism,
+            (Mechanism::Exists(_), Some(limit)) => Ratio::OfLimit(self.amount.value / limit),
+            (Mechanism::Exists(_), None) => Ratio::NoLimit,
         }
     }
 }
 
 /// Formats a number for tables, with about three significant digits and a thousands separator.
-pub fn number(value: f64) -> String {
+pub fn format_number(value: f64) -> String {
     let digits = match value.abs() {
         v if v.fract() == 0.0 || v >= 100.0 => 0,
         v if v >= 10.0 => 1,
@@ -245,15 +245,22 @@
 struct Entry {
     resource: Resource,
     case: Case,
-    what: String,
+    description: String,
     unit: &'static str,
     limit: Option<f64>,
-    carrier: Carrier,
+    mechanism: Mechanism,
 }
 
 /// Creates an entry without a limit and with an empty list of source files.
-fn entry(resource: Resource, case: Case, what: impl Into<String>, unit: &'static str) -> Entry {
-    Entry { resource, case, what: what.into(), unit, limit: None, carrier: Carrier::File("") }
+fn entry(resource: Resource, case: Case, description: impl Into<String>, unit: &'static str) -> Entry {
+    Entry {
+        resource,
+        case,
+        description: description.into(),
+        unit,
+        limit: None,
+        mechanism: Mechanism::Exists(""),
+    }
 }
 
 impl Entry {
@@ -261,12 +268,12 @@
         Self { limit: Some(limit), ..self }
     }
 
-    fn by(self, file: &'static str) -> Self {
-        Self { carrier: Carrier::File(file), ..self }
+    fn met_by(self, name: &'static str) -> Self {
+        Self { mechanism: Mechanism::Exists(name), ..self }
     }
 
-    fn by_nothing(self, what: String, ratio: Option<f64>) -> Self {
-        Self { carrier: Carrier::Nothing(Instead { what, ratio }), ..self }
+    fn without_mechanism(self, text: String, ratio: Option<f64>) -> Self {
+        Self { mechanism: Mechanism::Missing(Fallback { text, ratio }), ..self }
     }
 }
 
@@ -281,15 +288,15 @@
     }
 
     /// Returns the needs of a role.
-    pub fn of(&self, role: Role) -> impl Iterator<Item = &Need> {
+    pub fn needs_of(&self, role: Role) -> impl Iterator<Item = &Need> {
         self.needs.iter().filter(move |need| need.role == role)
     }
 
     /// Returns the needs without a mechanism, then those over or near their limit, each sorted by descending ratio.
     pub fn missing(&self) -> Vec<&Need> {
-        let weight = |need: &Need| match (need.ratio(), &need.carrier) {
-            (Ratio::None, Carrier::Nothing(instead)) => Some((true, instead.ratio.unwrap_or(0.0))),
-            (Ratio::Of(ratio), _) if ratio >= NEAR_LIMIT_RATIO => Some((false, ratio)),
+        let weight = |need: &Need| match (need.ratio(), &need.mechanism) {
+            (Ratio::NoMechanism, Mechanism::Missing(fallback)) => Some((true, fallback.ratio.unwrap_or(0.0))),
+            (Ratio::OfLimit(ratio), _) if ratio >= NEAR_LIMIT_RATIO => Some((false, ratio)),
             _ => None,
         };
         let mut missing: Vec<_> = self.needs.iter().filter_map(|n| Some((weight(n)?, n))).collect();
@@ -297,7 +304,7 @@
         missing.into_iter().map(|(_, need)| need).collect()
     }
 
-    fn measured(&mut self, experiment: Experiment, quantity: Quantity) -> Option<&'a Measured> {
+    fn measured(&mut self, experiment: Experiment, quantity: Quantity) -> Option<&'a Measurement> {
         let found = self.slopes.get(experiment, quantity);
         let name = format!("{experiment} {quantity}");
         if found.is_none() && !self.unmeasured.contains(&name) {
@@ -307,40 +314,51 @@
     }
 
     /// Returns the value at a size. A missing measurement is added to `unmeasured`.
-    fn at(&mut self, experiment: Experiment, quantity: Quantity, size: f64) -> Option<Source> {
+    fn at(&mut self, experiment: Experiment, quantity: Quantity, size: f64) -> Option<Figure> {
         let measured = self.measured(experiment, quantity)?;
         let estimate = measured.at(size)?;
-        let from = format!("{} at {}", measured.name(), number(size));
-        Some(Source { amount: estimate.into(), from, mark: estimate.mark })
+        let source = format!("{} at {}", measured.name(), format_number(size));
+        Some(Figure { amount: estimate.into(), source, mark: estimate.mark })
     }
 
     /// Returns the increase per unit of size. A missing measurement is added to `unmeasured`.
-    fn slope(&mut self, experiment: Experiment, quantity: Quantity) -> Option<Source> {
+    fn slope(&mut self, experiment: Experiment, quantity: Quantity) -> Option<Figure> {
         let measured = self.measured(experiment, quantity)?;
         let fit = measured.fit?;
         let amount = Amount { value: fit.slope, spread: fit.slope_error };
-        Some(Source { amount, from: format!("slope of {}", measured.name()), mark: Mark::Calculated })
+        Some(Figure { amount, source: format!("slope of {}", measured.name()), mark: Mark::Calculated })
     }
 
-    fn add(&mut self, role: Role, entry: Entry, source: Source) {
-        let Entry { resource, case, what, unit, limit, carrier } = entry;
-        let Source { amount, from, mark } = source;
-        self.needs.push(Need { role, resource, what, case, amount, unit, limit, from, mark, carrier });
+    fn add(&mut self, role: Role, entry: Entry, figure: Figure) {
+        let Entry { resource, case, description, unit, limit, mechanism } = entry;
+        let Figure { amount, source, mark } = figure;
+        self.needs.push(Need {
+            role,
+            resource,
+            description,
+            case,
+            amount,
+            unit,
+            limit,
+            source,
+            mark,
+            mechanism,
+        });
     }
 }
 
 /// An amount and the inputs that it was calculated from.
 #[derive(Clone, Debug)]
-struct Source {
+struct Figure {
     amount: Amount,
-    from: String,
+    source: String,
     mark: Mark,
 }
 
-impl Source {
+impl Figure {
     /// Returns an amount that follows from the target alone.
-    fn target(value: f64) -> Self {
-        Self { amount: Amount::exact(value), from: "the target".to_owned(), mark: Mark::Calculated }
+    fn from_target(value: f64) -> Self {
+        Self { amount: Amount::exact(value), source: "the target".to_owned(), mark: Mark::Calculated }
     }
 
     /// Converts the amount to another unit, which keeps its origin.
@@ -353,12 +371,12 @@
     }
 
     fn plus(&self, other: &Self) -> Self {
-        let from = if self.from == other.from {
-            self.from.clone()
+        let source = if self.source == other.source {
+            self.source.clone()
         } else {
-            format!("{}; {}", self.from, other.from)
+            format!("{}; {}", self.source, other.source)
         };
-        Self { amount: self.amount.plus(other.amount), from, mark: Mark::Calculated }
+        Self { amount: self.amount.plus(other.amount), source, mark: Mark::Calculated }
     }
 
     fn minus(&self, other: &Self) -> Self {
--- a/lab/src/capacity/experiments/endpoint_list.rs
+++ b/lab/src/capacity/experiments/endpoint_list.rs
@@ -8,7 +8,7 @@
 use crate::capacity::fit::Point;
 use crate::capacity::process::Gateway;
 use crate::capacity::site::Site;
-use crate::capacity::stand_ins::{Coordinator, Engines, Stream};
+use crate::capacity::stand_ins::{Coordinator, EndpointStream, Engines};
 
 /// Interval between changes of one engine.
 const CHANGE_INTERVAL: Duration = Duration::from_millis(5);
@@ -20,7 +20,7 @@
 /// A gateway with an open endpoint stream from the coordinator.
 struct WatchingGateway {
     gateway: Gateway,
-    stream: Stream,
+    stream: EndpointStream,
     site: Site,
     _engines: Engines,
 }
@@ -28,7 +28,7 @@
 impl WatchingGateway {
     /// Returns the median time in milliseconds from writing an event, which removes or restores the first engine, until
     /// the gateway's metrics show it. This includes the request for the metrics.
-    fn median_taken_ms(
+    fn median_apply_ms(
         &self,
         first_index: u64,
         event: impl Fn(u64, bool) -> serde_json::Value,
@@ -36,13 +36,13 @@
         let all = self.site.engines.len();
         let mut times = Vec::new();
         for n in 0..TIMED_EVENTS {
-            let (index, gone) = (first_index + n, n % 2 == 0);
-            let event = event(index, gone);
+            let (index, removed) = (first_index + n, n % 2 == 0);
+            let event = event(index, removed);
             let began = Instant::now();
-            self.stream.event(index, &event)?;
-            while self.gateway.engines_known()? != all - usize::from(gone) {
+            self.stream.send(index, &event)?;
+            while self.gateway.engines_known()? != all - usize::from(removed) {
                 if began.elapsed() > EVENT_TIMEOUT {
-                    return Err(CapacityError::Peer(format!("event {index} is not taken")));
+                    return Err(CapacityError::Unexpected(format!("event {index} was not applied")));
                 }
             }
             times.push(began.elapsed().as_secs_f64() * 1e3);
@@ -52,39 +52,44 @@
 }
 
 impl ExperimentRunner {
-    pub(super) fn changes(&self, engines: usize) -> Result<ExperimentRun, CapacityError> {
+    pub(super) fn list_changes(&self, engines: usize) -> Result<ExperimentRun, CapacityError> {
         let watching = self.watching_gateway(engines)?;
         let site = &watching.site;
-        let count = self.effort.changes;
+        let count = self.workload.changes;
         let run = self.stream_events(&watching, count, CHANGE_INTERVAL, |change| {
             let engine = (change / 2) as usize % engines;
             let status = if change % 2 == 0 { "Terminating" } else { "Ready" };
-            site.event(change + 2, false, vec![site.entry(engine, status)])
+            site.list_event(change + 2, false, vec![site.endpoint_entry(engine, status)])
         })?;
-        let taken = watching.median_taken_ms(count + 2, |index, gone| {
-            site.event(index, false, vec![site.entry(0, if gone { "Gone" } else { "Ready" })])
+        let applied = watching.median_apply_ms(count + 2, |index, removed| {
+            site.list_event(
+                index,
+                false,
+                vec![site.endpoint_entry(0, if removed { "Gone" } else { "Ready" })],
+            )
         })?;
-        Ok(run.with(Quantity::Taken, taken))
+        Ok(run.with_figure(Quantity::Taken, applied))
     }
 
-    pub(super) fn lists(&self, engines: usize) -> Result<ExperimentRun, CapacityError> {
+    pub(super) fn full_lists(&self, engines: usize) -> Result<ExperimentRun, CapacityError> {
         let watching = self.watching_gateway(engines)?;
         let site = &watching.site;
-        let count = self.effort.lists;
-        let run = self.stream_events(&watching, count, SLOW_INTERVAL, |list| site.whole_list(list + 2))?;
-        let taken = watching.median_taken_ms(count + 2, |index, gone| {
-            let listed = (usize::from(gone)..engines).map(|engine| site.entry(engine, "Ready"));
-            site.event(index, true, listed.collect())
+        let count = self.workload.lists;
+        let run =
+            self.stream_events(&watching, count, SLOW_INTERVAL, |list| site.full_list_event(list + 2))?;
+        let applied = watching.median_apply_ms(count + 2, |index, removed| {
+            let listed = (usize::from(removed)..engines).map(|engine| site.endpoint_entry(engine, "Ready"));
+            site.list_event(index, true, listed.collect())
         })?;
-        Ok(run.with(Quantity::Taken, taken))
+        Ok(run.with_figure(Quantity::Taken, applied))
     }
 
-    pub(super) fn idle(&self, engines: usize) -> Result<ExperimentRun, CapacityError> {
+    pub(super) fn idle_watch(&self, engines: usize) -> Result<ExperimentRun, CapacityError> {
         let watching = self.watching_gateway(engines)?;
         let before = watching.gateway.cpu_us()?;
-        self.guard.sleep(self.effort.idle, Some(watching.gateway.process()))?;
+        self.guard.sleep(self.workload.idle_time, Some(watching.gateway.pid()))?;
         let cpu_us = watching.gateway.cpu_us()? - before;
-        Ok(ExperimentRun::of(vec![(Quantity::IdleCpu, percent(cpu_us, self.effort.idle))]))
+        Ok(ExperimentRun::new(vec![(Quantity::IdleCpu, percent(cpu_us, self.workload.idle_time))]))
     }
 
     /// Starts engines, a coordinator and a gateway that follows it.
@@ -93,8 +98,8 @@
         let coordinator = Coordinator::listen()?;
         let site = Site { coordinator: Some(coordinator.address), ..Site::new(engines.addresses.clone()) };
         let gateway = Gateway::start(&self.program, &site, "info")?;
-        let stream = coordinator.watch()?;
-        self.guard.sleep(SETTLE_TIME, Some(gateway.process()))?;
+        let stream = coordinator.accept_stream()?;
+        self.guard.sleep(SETTLE_TIME, Some(gateway.pid()))?;
         Ok(WatchingGateway { gateway, stream, site, _engines: engines })
     }
 
@@ -110,19 +115,19 @@
         let before = gateway.counter("list_events")?;
         let (cpu_us, logged) = (gateway.cpu_us()?, gateway.log_bytes());
         let mut bytes = 0;
-        let lag = self.repeat_at_interval(count, interval, gateway, |n| {
-            bytes += watching.stream.event(n + 2, &event(n))?;
+        let overrun = self.repeat_at_interval(count, interval, gateway, |n| {
+            bytes += watching.stream.send(n + 2, &event(n))?;
             Ok(())
         })?;
         let (cpu_us, logged) = (gateway.cpu_us()? - cpu_us, gateway.log_bytes() - logged);
-        let taken = gateway.counter("list_events")? - before;
-        let missing = (taken != count).then(|| format!("{taken} of {count} events were taken"));
-        let each = count as f64;
-        let run = ExperimentRun::of(vec![
-            (Quantity::Cpu, cpu_us / each),
-            (Quantity::StreamBytes, bytes as f64 / each),
-            (Quantity::LogBytes, logged as f64 / each),
+        let applied = gateway.counter("list_events")? - before;
+        let missing = (applied != count).then(|| format!("{applied} of {count} events were taken"));
+        let operations = count as f64;
+        let run = ExperimentRun::new(vec![
+            (Quantity::Cpu, cpu_us / operations),
+            (Quantity::StreamBytes, bytes as f64 / operations),
+            (Quantity::LogBytes, logged as f64 / operations),
         ]);
-        Ok(run.unless(lag).unless(missing))
+        Ok(run.unusable_if(overrun).unusable_if(missing))
     }
 }
--- a/lab/src/capacity/experiments/experiment_run.rs
+++ b/lab/src/capacity/experiments/experiment_run.rs
@@ -17,18 +17,18 @@
 }
 
 impl ExperimentRun {
-    pub(super) fn of(figures: Vec<(Quantity, f64)>) -> Self {
+    pub(super) fn new(figures: Vec<(Quantity, f64)>) -> Self {
         Self { figures, unusable: None }
     }
 
     /// Marks the run as unusable if a reason is given. The first reason is kept.
-    pub(super) fn unless(mut self, reason: Option<String>) -> Self {
+    pub(super) fn unusable_if(mut self, reason: Option<String>) -> Self {
         self.unusable = self.unusable.or(reason);
         self
     }
 
     /// Adds a figure.
-    pub(super) fn with(mut self, quantity: Quantity, value: f64) -> Self {
+    pub(super) fn with_figure(mut self, quantity: Quantity, value: f64) -> Self {
         self.figures.push((quantity, value));
         self
     }
@@ -40,13 +40,13 @@
 }
 
 /// Returns the reason that makes a run unusable if statements failed.
-pub(super) fn unserved(count: u64) -> Option<String> {
+pub(super) fn failed_statements(count: u64) -> Option<String> {
     (count > 0).then(|| format!("{count} statements were not served"))
 }
 
 /// Returns the reason that makes a run unusable if its schedule took much longer than planned.
-pub fn fell_behind(took: Duration, planned: Duration) -> Option<String> {
-    let most = planned.mul_f64(1.0 + MAX_SCHEDULE_LAG_RATIO);
+pub fn schedule_overrun(took: Duration, planned: Duration) -> Option<String> {
+    let limit = planned.mul_f64(1.0 + MAX_SCHEDULE_LAG_RATIO);
     let (took_ms, planned_ms) = (took.as_millis(), planned.as_millis());
-    (took > most).then(|| format!("fell behind its schedule: {took_ms} ms for {planned_ms} ms"))
+    (took > limit).then(|| format!("fell behind its schedule: {took_ms} ms for {planned_ms} ms"))
 }
--- a/lab/src/capacity/experiments/idle_sessions.rs
+++ b/lab/src/capacity/experiments/idle_sessions.rs
@@ -15,13 +15,13 @@
         let gateway = Gateway::start(&self.program, &site, "info")?;
         let before = gateway.cpu_us()?;
         let sessions = Session::open_all(gateway.listen, count)?;
-        self.guard.sleep(SETTLE_TIME, Some(gateway.process()))?;
+        self.guard.sleep(SETTLE_TIME, Some(gateway.pid()))?;
         let opened_us = gateway.cpu_us()?;
-        self.guard.sleep(self.effort.idle, Some(gateway.process()))?;
+        self.guard.sleep(self.workload.idle_time, Some(gateway.pid()))?;
         let idle_us = gateway.cpu_us()? - opened_us;
-        let run = ExperimentRun::of(vec![
+        let run = ExperimentRun::new(vec![
             (Quantity::Cpu, (opened_us - before) / count.max(1) as f64),
-            (Quantity::IdleCpu, percent(idle_us, self.effort.idle)),
+            (Quantity::IdleCpu, percent(idle_us, self.workload.idle_time)),
             (Quantity::Resident, gateway.resident_bytes()?),
             (Quantity::Descriptors, gateway.descriptors()? as f64),
         ]);
--- a/lab/src/capacity/experiments/mod.rs
+++ b/lab/src/capacity/experiments/mod.rs
@@ -17,13 +17,13 @@
 use super::fit::Point;
 use super::process::Gateway;
 use super::site::Site;
-use super::slopes::Measured;
+use super::slopes::Measurement;
 use super::stand_ins::Engines;
-pub use experiment_run::{ExperimentRun, fell_behind};
-use experiment_run::{percent, unserved};
+pub use experiment_run::{ExperimentRun, schedule_overrun};
+use experiment_run::{failed_statements, percent};
 
 /// Open requests or active sessions of experiments with another variable.
-const FIXED_OPEN_REQUESTS: usize = 16;
+const FIXED_REQUESTS: usize = 16;
 /// Sessions of the experiment that combines active and idle ones.
 const COMBINED_LOAD: CombinedLoad = CombinedLoad { active_sessions: 64, idle_sessions: 3_455 };
 /// Engines of experiments with another variable.
@@ -45,30 +45,30 @@
 
 /// Number of operations of each kind in a run.
 #[derive(Clone, Copy, Debug)]
-pub struct Effort {
+pub struct Workload {
     /// Statements of experiments in memory.
-    pub decided: u64,
+    pub in_memory_statements: u64,
     /// Statements through the process with its log at level info.
     pub statements: u64,
     /// Statements through the process with its log at level debug.
-    pub logged: u64,
+    pub debug_statements: u64,
     /// Changes of one engine or control ticks.
     pub changes: u64,
     /// Full lists, versions of the settings or configuration reloads.
     pub lists: u64,
     /// Observation time of an idle process.
-    pub idle: Duration,
+    pub idle_time: Duration,
 }
 
-impl Default for Effort {
+impl Default for Workload {
     fn default() -> Self {
         Self {
-            decided: 4_000,
+            in_memory_statements: 4_000,
             statements: 640,
-            logged: 64,
+            debug_statements: 64,
             changes: 200,
             lists: 10,
-            idle: Duration::from_secs(1),
+            idle_time: Duration::from_secs(1),
         }
     }
 }
@@ -79,7 +79,7 @@
     /// Path of the gateway binary.
     pub program: PathBuf,
     /// Number of operations of each kind in a run.
-    pub effort: Effort,
+    pub workload: Workload,
     /// Enforces the limits of memory, processes and time.
     pub guard: Guard,
 }
@@ -95,7 +95,7 @@
         sizes: &[usize],
         runs: usize,
         command: &str,
-    ) -> Result<Vec<Measured>, CapacityError> {
+    ) -> Result<Vec<Measurement>, CapacityError> {
         let mut points: Vec<(Quantity, Vec<Point>)> = Vec::new();
         let mut unusable = Vec::new();
         for size in sizes.iter().copied() {
@@ -103,13 +103,13 @@
                 self.guard.check(None)?;
                 let run = self.run_once(experiment, size)?;
                 match run.unusable {
-                    Some(why) => unusable.push(format!("{size}: {why}")),
+                    Some(reason) => unusable.push(format!("{size}: {reason}")),
                     None => run.figures.iter().for_each(|f| add_point(&mut points, size, *f)),
                 }
             }
         }
         let measured =
-            |(quantity, points)| Measured::new(experiment, quantity, points, unusable.clone(), command);
+            |(quantity, points)| Measurement::new(experiment, quantity, points, unusable.clone(), command);
         Ok(points.into_iter().map(measured).collect())
     }
 
@@ -127,11 +127,11 @@
             let due = began + interval.mul_f64(n as f64);
             std::thread::sleep(due.saturating_duration_since(Instant::now()));
             work(n)?;
-            self.guard.check(Some(gateway.process()))?;
+            self.guard.check(Some(gateway.pid()))?;
         }
-        let lag = fell_behind(began.elapsed(), interval.mul_f64(count as f64));
-        self.guard.sleep(SETTLE_TIME, Some(gateway.process()))?;
-        Ok(lag)
+        let overrun = schedule_overrun(began.elapsed(), interval.mul_f64(count as f64));
+        self.guard.sleep(SETTLE_TIME, Some(gateway.pid()))?;
+        Ok(overrun)
     }
 
     /// Runs an experiment once at a size.
@@ -141,47 +141,47 @@
     pub fn run_once(&self, experiment: Experiment, size: usize) -> Result<ExperimentRun, CapacityError> {
         use Experiment as E;
         if !(1..=MAX_SIZE).contains(&size) {
-            return Err(CapacityError::Size { size, most: MAX_SIZE });
+            return Err(CapacityError::Size { size, max: MAX_SIZE });
         }
         match experiment {
-            E::DecideStatementEngines => self.decide_statements(size, FIXED_OPEN_REQUESTS),
-            E::DecideStatementOpen => self.decide_statements(FIXED_ENGINES, size),
+            E::DecideStatementEngines => self.core_statements(size, FIXED_REQUESTS),
+            E::DecideStatementOpen => self.core_statements(FIXED_ENGINES, size),
             E::DecideControlTickEngines => {
-                self.decide(size, FIXED_OPEN_REQUESTS, |d| d.control_ticks(self.effort.changes))
+                self.run_core(size, FIXED_REQUESTS, |d| d.run_control_ticks(self.workload.changes))
             }
             E::DecideChangeEngines => {
-                self.decide(size, FIXED_OPEN_REQUESTS, |d| d.changes(self.effort.changes))
+                self.run_core(size, FIXED_REQUESTS, |d| d.run_changes(self.workload.changes))
             }
-            E::DecideListEngines => self.decide(size, FIXED_OPEN_REQUESTS, |d| d.lists(self.effort.lists)),
-            E::StatementEngines => self.statements(size, FIXED_OPEN_REQUESTS, 0),
+            E::DecideListEngines => self.run_core(size, FIXED_REQUESTS, |d| d.run_lists(self.workload.lists)),
+            E::StatementEngines => self.statements(size, FIXED_REQUESTS, 0),
             E::StatementOpen => self.statements(FIXED_ENGINES, size, 0),
-            E::StatementSessions => self.statements(FIXED_ENGINES, FIXED_OPEN_REQUESTS, size),
+            E::StatementSessions => self.statements(FIXED_ENGINES, FIXED_REQUESTS, size),
             E::StatementTogether => {
                 self.statements(size, COMBINED_LOAD.active_sessions, COMBINED_LOAD.idle_sessions)
             }
-            E::ChangeEngines => self.changes(size),
-            E::ListEngines => self.lists(size),
+            E::ChangeEngines => self.list_changes(size),
+            E::ListEngines => self.full_lists(size),
             E::ReloadEngines => self.reloads(Site::new(Engines::start(size)?.addresses.clone())),
             E::ReloadClasses => self.reloads(Site { classes: size, ..fixed_site()? }),
             E::ReloadTenants => self.reloads(Site { tenants: size, ..fixed_site()? }),
             E::VersionEngines => self.versions(Site::new(Engines::start(size)?.addresses.clone())),
             E::VersionClasses => self.versions(Site { classes: size, ..fixed_site()? }),
             E::VersionTenants => self.versions(Site { tenants: size, ..fixed_site()? }),
-            E::StartEngines => self.start(&Site::new(Engines::start(size)?.addresses.clone())),
-            E::StartClasses => self.start(&Site { classes: size, ..fixed_site()? }),
-            E::StartTenants => self.start(&Site { tenants: size, ..fixed_site()? }),
+            E::StartEngines => self.startup(&Site::new(Engines::start(size)?.addresses.clone())),
+            E::StartClasses => self.startup(&Site { classes: size, ..fixed_site()? }),
+            E::StartTenants => self.startup(&Site { tenants: size, ..fixed_site()? }),
             E::IdleSessions => self.idle_sessions(size),
-            E::IdleEngines => self.idle(size),
+            E::IdleEngines => self.idle_watch(size),
         }
     }
 }
 
 fn add_point(points: &mut Vec<(Quantity, Vec<Point>)>, size: usize, (quantity, value): (Quantity, f64)) {
-    let at = points.iter().position(|(q, _)| *q == quantity).unwrap_or_else(|| {
+    let index = points.iter().position(|(q, _)| *q == quantity).unwrap_or_else(|| {
         points.push((quantity, Vec::new()));
         points.len() - 1
     });
-    let points_of_quantity = &mut points[at].1;
+    let points_of_quantity = &mut points[index].1;
     match points_of_quantity.iter_mut().find(|p| p.size == size as f64) {
         Some(point) => point.runs.push(value),
         None => points_of_quantity.push(Point { size: size as f64, runs: vec![value] }),
--- a/lab/src/capacity/experiments/settings.rs
+++ b/lab/src/capacity/experiments/settings.rs
@@ -16,18 +16,18 @@
     pub(super) fn reloads(&self, site: Site) -> Result<ExperimentRun, CapacityError> {
         let gateway = Gateway::start(&self.program, &site, "info")?;
         let before = gateway.counter("reloads")?;
-        let (cpu_us, logged, count) = (gateway.cpu_us()?, gateway.log_bytes(), self.effort.lists);
-        let lag = self.repeat_at_interval(count, SLOW_INTERVAL, &gateway, |_| gateway.reload())?;
+        let (cpu_us, logged, count) = (gateway.cpu_us()?, gateway.log_bytes(), self.workload.lists);
+        let overrun = self.repeat_at_interval(count, SLOW_INTERVAL, &gateway, |_| gateway.reload())?;
         let (cpu_us, logged) = (gateway.cpu_us()? - cpu_us, gateway.log_bytes() - logged);
-        let taken = gateway.counter("reloads")? - before;
-        let missing = (taken != count).then(|| format!("{taken} of {count} readings were made"));
-        let each = count as f64;
-        let run = ExperimentRun::of(vec![
-            (Quantity::Cpu, cpu_us / each),
+        let made = gateway.counter("reloads")? - before;
+        let missing = (made != count).then(|| format!("{made} of {count} readings were made"));
+        let operations = count as f64;
+        let run = ExperimentRun::new(vec![
+            (Quantity::Cpu, cpu_us / operations),
             (Quantity::FileBytes, gateway.file_bytes as f64),
-            (Quantity::LogBytes, logged as f64 / each),
+            (Quantity::LogBytes, logged as f64 / operations),
         ]);
-        Ok(run.unless(lag).unless(missing))
+        Ok(run.unusable_if(overrun).unusable_if(missing))
     }
 
     /// Applies versions of the settings, each sent as a delta to the previous one.
@@ -35,39 +35,39 @@
         let machine = ControlMachine::start()?;
         let site = Site { control: Some(machine.address), ..site };
         let gateway = Gateway::start(&self.program, &site, "info")?;
-        let mut stream = machine.stream()?;
+        let mut stream = machine.accept_stream()?;
         let mut in_force = (Version(1), document(&site, 1)?);
         stream.send(&Message::Snapshot(Snapshot::of(in_force.0, &in_force.1)))?;
-        machine.applied(1)?;
-        self.guard.sleep(SETTLE_TIME, Some(gateway.process()))?;
-        let (cpu_us, logged, count) = (gateway.cpu_us()?, gateway.log_bytes(), self.effort.lists);
+        machine.wait_until_applied(1)?;
+        self.guard.sleep(SETTLE_TIME, Some(gateway.pid()))?;
+        let (cpu_us, logged, count) = (gateway.cpu_us()?, gateway.log_bytes(), self.workload.lists);
         let (mut bytes, mut times) = (0, Vec::new());
-        let lag = self.repeat_at_interval(count, SLOW_INTERVAL, &gateway, |n| {
+        let overrun = self.repeat_at_interval(count, SLOW_INTERVAL, &gateway, |n| {
             let next = (Version(n + 2), document(&site, n + 2)?);
             let from = (in_force.0, &in_force.1);
             let message = Message::Delta(Delta::between(from, (next.0, &next.1)));
             let began = Instant::now();
             bytes += stream.send(&message)?;
-            machine.applied(next.0.0)?;
+            machine.wait_until_applied(next.0.0)?;
             times.push(began.elapsed().as_secs_f64() * 1e3);
             in_force = next;
             Ok(())
         })?;
         let (cpu_us, logged) = (gateway.cpu_us()? - cpu_us, gateway.log_bytes() - logged);
-        let each = count as f64;
-        let run = ExperimentRun::of(vec![
-            (Quantity::Cpu, cpu_us / each),
-            (Quantity::StreamBytes, bytes as f64 / each),
-            (Quantity::LogBytes, logged as f64 / each),
-            (Quantity::Taken, Point { size: each, runs: times }.median()),
+        let operations = count as f64;
+        let run = ExperimentRun::new(vec![
+            (Quantity::Cpu, cpu_us / operations),
+            (Quantity::StreamBytes, bytes as f64 / operations),
+            (Quantity::LogBytes, logged as f64 / operations),
+            (Quantity::Taken, Point { size: operations, runs: times }.median()),
         ]);
-        Ok(run.unless(lag))
+        Ok(run.unusable_if(overrun))
     }
 
-    pub(super) fn start(&self, site: &Site) -> Result<ExperimentRun, CapacityError> {
+    pub(super) fn startup(&self, site: &Site) -> Result<ExperimentRun, CapacityError> {
         let gateway = Gateway::start(&self.program, site, "info")?;
-        self.guard.sleep(SETTLE_TIME, Some(gateway.process()))?;
-        Ok(ExperimentRun::of(vec![
+        self.guard.sleep(SETTLE_TIME, Some(gateway.pid()))?;
+        Ok(ExperimentRun::new(vec![
             (Quantity::Cpu, gateway.cpu_us()?),
             (Quantity::Resident, gateway.resident_bytes()?),
             (Quantity::FileBytes, gateway.file_bytes as f64),
@@ -80,5 +80,5 @@
 /// Returns the settings of a version.
 fn document(site: &Site, version: u64) -> Result<Document, CapacityError> {
     let text = site.changed_settings(version).to_string();
-    text.parse().map_err(|e| CapacityError::Peer(format!("settings that are no document: {e}")))
+    text.parse().map_err(|e| CapacityError::Unexpected(format!("invalid settings document: {e}")))
 }
--- a/lab/src/capacity/fit.rs
+++ b/lab/src/capacity/fit.rs
@@ -32,9 +32,9 @@
 
     /// Returns half of the difference between the largest and the smallest run.
     pub fn spread(&self) -> f64 {
-        let least = self.runs.iter().copied().fold(f64::INFINITY, f64::min);
-        let most = self.runs.iter().copied().fold(f64::NEG_INFINITY, f64::max);
-        0.5 * (most - least).max(0.0)
+        let smallest = self.runs.iter().copied().fold(f64::INFINITY, f64::min);
+        let largest = self.runs.iter().copied().fold(f64::NEG_INFINITY, f64::max);
+        0.5 * (largest - smallest).max(0.0)
     }
 }
 
@@ -61,9 +61,9 @@
 
 /// Largest ratio of misfit to noise at which growth counts as linear: the square root of 8.65, the 99% quantile of
 /// the F distribution with 2 and 8 degrees of freedom (four sizes of three runs).
-const MOST_MISFIT: f64 = 2.94;
+const MAX_MISFIT_TO_NOISE: f64 = 2.94;
 /// A misfit up to this ratio to the largest mean counts as linear, whatever the noise.
-const SMALL_MISFIT: f64 = 0.05;
+const NEGLIGIBLE_MISFIT_RATIO: f64 = 0.05;
 
 /// Means over all runs, and sums of products of deviations from them.
 struct Sums {
@@ -96,22 +96,23 @@
     let slope = sums.products / sums.size_squares;
     let intercept = sums.value_mean - slope * sums.size_mean;
     let line = |size: f64| intercept + slope * size;
-    let about = |p: &Point, centre: f64| p.runs.iter().map(|v| (v - centre).powi(2)).sum::<f64>();
-    let from_line: f64 = points.iter().map(|p| about(p, line(p.size))).sum();
-    let from_means: f64 = points.iter().map(|p| about(p, p.mean())).sum();
-    let free_plays = sums.count - sizes as f64;
-    let noise = if free_plays > 0.0 { (from_means / free_plays).sqrt() } else { 0.0 };
-    let misfit = ((from_line - from_means).max(0.0) / (sizes as f64 - 2.0)).sqrt();
+    let squares_about = |p: &Point, centre: f64| p.runs.iter().map(|v| (v - centre).powi(2)).sum::<f64>();
+    let squares_about_line: f64 = points.iter().map(|p| squares_about(p, line(p.size))).sum();
+    let squares_about_means: f64 = points.iter().map(|p| squares_about(p, p.mean())).sum();
+    let degrees_of_freedom = sums.count - sizes as f64;
+    let noise =
+        if degrees_of_freedom > 0.0 { (squares_about_means / degrees_of_freedom).sqrt() } else { 0.0 };
+    let misfit = ((squares_about_line - squares_about_means).max(0.0) / (sizes as f64 - 2.0)).sqrt();
     let largest = points.iter().map(|p| p.mean().abs()).fold(0.0, f64::max);
-    let between = |a: &Point, b: &Point| (b.mean() - a.mean()) / (b.size - a.size);
+    let slope_between = |a: &Point, b: &Point| (b.mean() - a.mean()) / (b.size - a.size);
     Some(Fit {
         intercept,
         slope,
-        slope_error: (from_line / (sums.count - 2.0) / sums.size_squares).sqrt(),
+        slope_error: (squares_about_line / (sums.count - 2.0) / sums.size_squares).sqrt(),
         noise,
         misfit,
-        linear: misfit <= (MOST_MISFIT * noise).max(SMALL_MISFIT * largest),
-        first_slope: between(&points[0], &points[1]),
-        last_slope: between(&points[sizes - 2], &points[sizes - 1]),
+        linear: misfit <= (MAX_MISFIT_TO_NOISE * noise).max(NEGLIGIBLE_MISFIT_RATIO * largest),
+        first_slope: slope_between(&points[0], &points[1]),
+        last_slope: slope_between(&points[sizes - 2], &points[sizes - 1]),
     })
 }
--- a/lab/src/capacity/hollow.rs
+++ b/lab/src/capacity/hollow.rs
@@ -28,14 +28,14 @@
 
 /// Content of the file of hollow runs.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
-pub struct Hollow {
+pub struct HollowFile {
     /// Figures in the order of the file.
     pub figures: Vec<HollowFigure>,
 }
 
 /// The part of the file of `wrenhatch-lab configuration` that the page uses.
 #[derive(Debug, Deserialize)]
-struct Configuration {
+struct ConfigurationFile {
     rows: Vec<ConfigurationRow>,
 }
 
@@ -44,14 +44,14 @@
 struct ConfigurationRow {
     scenario: String,
     gateways: usize,
-    all: Worst,
+    all: TimeDistribution,
     gateway_bytes_per_s: f64,
     machine_bytes_per_s: f64,
 }
 
 /// The part of a time distribution that the page uses.
 #[derive(Debug, Deserialize)]
-struct Worst {
+struct TimeDistribution {
     max_ms: f64,
 }
 
@@ -85,7 +85,7 @@
     }
 }
 
-impl Hollow {
+impl HollowFile {
     /// Adds the figures of configuration in service on the largest simulated fleet. A missing file adds nothing.
     ///
     /// # Errors
@@ -95,9 +95,9 @@
             return Ok(self);
         }
         let text = std::fs::read_to_string(path).map_err(CapacityError::file(path))?;
-        let played: Configuration = serde_json::from_str(&text).map_err(CapacityError::json(path))?;
-        let largest = played.rows.iter().map(|row| row.gateways).max();
-        let rows = played.rows.iter().filter(|row| Some(row.gateways) == largest);
+        let parsed: ConfigurationFile = serde_json::from_str(&text).map_err(CapacityError::json(path))?;
+        let largest = parsed.rows.iter().map(|row| row.gateways).max();
+        let rows = parsed.rows.iter().filter(|row| Some(row.gateways) == largest);
         self.figures.extend(rows.flat_map(ConfigurationRow::figures));
         Ok(self)
     }
--- a/lab/src/capacity/mod.rs
+++ b/lab/src/capacity/mod.rs
@@ -26,9 +26,9 @@
 use bounds::{Guard, Limits};
 use error::CapacityError;
 use experiment::Experiment;
-use experiments::{Effort, ExperimentRunner};
-use hollow::Hollow;
-use slopes::{Machine, Measured, Slopes};
+use experiments::{ExperimentRunner, Workload};
+use hollow::HollowFile;
+use slopes::{Machine, Measurement, Slopes};
 use target::Target;
 
 /// Measures the gateway's cost as a function of size and compares it with a target size.
@@ -98,40 +98,41 @@
 pub fn run(options: &Options) -> Result<(), CapacityError> {
     match &options.action {
         Action::Measure(options) => measure(options),
-        Action::Page(options) => make_page(options),
+        Action::Page(options) => run_page(options),
     }
 }
 
-fn make_page(options: &PageOptions) -> Result<(), CapacityError> {
+fn run_page(options: &PageOptions) -> Result<(), CapacityError> {
     let target = Target::read(&options.target)?;
     let slopes = Slopes::read(&options.slopes)?;
-    let hollow = Hollow::read(&options.hollow)?.with_configuration(&options.configuration)?;
-    let text = page::page(&target, &slopes, &hollow);
+    let hollow = HollowFile::read(&options.hollow)?.with_configuration(&options.configuration)?;
+    let text = page::generate_page(&target, &slopes, &hollow);
     let path = &options.output;
     if !options.check {
         return std::fs::write(path, text).map_err(CapacityError::file(path));
     }
-    let present = std::fs::read_to_string(path).map_err(CapacityError::file(path))?;
-    if present == text { Ok(()) } else { Err(CapacityError::Stale(path.clone())) }
+    let existing = std::fs::read_to_string(path).map_err(CapacityError::file(path))?;
+    if existing == text { Ok(()) } else { Err(CapacityError::Stale(path.clone())) }
 }
 
 fn measure(options: &MeasureOptions) -> Result<(), CapacityError> {
     let program = match &options.gateway {
         Some(program) => program.clone(),
-        None => build()?,
+        None => build_gateway()?,
     };
-    let runner = ExperimentRunner { program, effort: Effort::default(), guard: Guard::new(options.limits) };
+    let runner =
+        ExperimentRunner { program, workload: Workload::default(), guard: Guard::new(options.limits) };
     for experiment in &options.experiments {
         let measured = runner.run(
             *experiment,
             &sizes(options, *experiment),
             options.plays.max(1),
-            &command(*experiment),
+            &command_line(*experiment),
         )?;
         measured.iter().for_each(print);
         if let Some(path) = &options.slopes {
             let mut slopes = Slopes::read(path)?;
-            slopes.machine = Machine::this();
+            slopes.machine = Machine::current();
             slopes.replace(*experiment, measured);
             slopes.write(path)?;
         }
@@ -150,15 +151,15 @@
     sizes
 }
 
-fn command(experiment: Experiment) -> String {
+fn command_line(experiment: Experiment) -> String {
     format!("wrenhatch-lab capacity measure {experiment}")
 }
 
-fn print(measured: &Measured) {
+fn print(measured: &Measurement) {
     println!("{} by {} ({})", measured.name(), measured.of, measured.fixed);
     for point in &measured.points {
-        let plays: Vec<String> = point.runs.iter().map(|v| format!("{v:.3}")).collect();
-        println!("  {:>6}  {:>14.3} {}  of {}", point.size, point.median(), measured.unit, plays.join(", "));
+        let runs: Vec<String> = point.runs.iter().map(|v| format!("{v:.3}")).collect();
+        println!("  {:>6}  {:>14.3} {}  of {}", point.size, point.median(), measured.unit, runs.join(", "));
     }
     if let Some(fit) = &measured.fit {
         let growth = if fit.linear { "linear" } else { "NOT linear" };
@@ -167,16 +168,16 @@
             fit.slope, fit.slope_error, fit.misfit, fit.noise, fit.first_slope, fit.last_slope
         );
     }
-    measured.unusable.iter().for_each(|why| println!("  unusable: {why}"));
+    measured.unusable.iter().for_each(|reason| println!("  unusable: {reason}"));
 }
 
 /// Builds the gateway and returns the path of its binary.
-fn build() -> Result<PathBuf, CapacityError> {
+fn build_gateway() -> Result<PathBuf, CapacityError> {
     let cargo = std::env::var_os("CARGO").unwrap_or_else(|| "cargo".into());
-    let built = Command::new(cargo).args(["build", "--release", "--locked", "-p", "wrenhatch"]).status()?;
-    if !built.success() {
-        return Err(CapacityError::Peer("the gateway could not be built".to_owned()));
+    let status = Command::new(cargo).args(["build", "--release", "--locked", "-p", "wrenhatch"]).status()?;
+    if !status.success() {
+        return Err(CapacityError::Unexpected("building the gateway failed".to_owned()));
     }
-    let own = std::env::current_exe()?;
-    Ok(own.parent().unwrap_or(Path::new(".")).join("../release/wrenhatch"))
+    let own_path = std::env::current_exe()?;
+    Ok(own_path.parent().unwrap_or(Path::new(".")).join("../release/wrenhatch"))
 }
--- a/lab/src/capacity/page.rs
+++ b/lab/src/capacity/page.rs
@@ -3,14 +3,14 @@
 
 use std::fmt::Write;
 
-use super::estimate::{CapacityEstimate, Carrier, Need, Ratio, Role, number};
+use super::estimate::{CapacityEstimate, Mechanism, Need, Ratio, Role, format_number};
 use super::experiment::{Experiment, Quantity};
-use super::hollow::{Hollow, HollowFigure};
-use super::slopes::{Measured, Slopes};
+use super::hollow::{HollowFigure, HollowFile};
+use super::slopes::{Measurement, Slopes};
 use super::target::Target;
 
 /// Gaps of the measurements that do not depend on the input files.
-const NOT_MEASURED: [&str; 11] = [
+const MEASUREMENT_GAPS: [&str; 11] = [
     "processor time and memory of databases: the engines of the plays answer at once and do no work",
     "processor time of control machines: no program for them is in the repository",
     "engines, open requests and idle sessions together, but for one point: each is measured with few of the others, and added",
@@ -25,7 +25,7 @@
 ];
 
 /// Returns the text of the page in Markdown.
-pub fn page(target: &Target, slopes: &Slopes, hollow: &Hollow) -> String {
+pub fn generate_page(target: &Target, slopes: &Slopes, hollow: &HollowFile) -> String {
     let estimate = CapacityEstimate::new(target, slopes);
     let mut page = String::new();
     // Writing to a string never fails.
@@ -37,22 +37,22 @@
     page: &mut String,
     target: &Target,
     slopes: &Slopes,
-    hollow: &Hollow,
+    hollow: &HollowFile,
     estimate: &CapacityEstimate<'_>,
 ) -> std::fmt::Result {
-    intro(page, target, slopes)?;
+    write_intro(page, target, slopes)?;
     for role in Role::ALL {
         writeln!(page, "\n## {role}\n")?;
-        needs(page, estimate.of(role))?;
-        hollow_figures(page, role, hollow)?;
+        write_needs(page, estimate.needs_of(role))?;
+        write_hollow_figures(page, role, hollow)?;
     }
-    guesses(page, target, slopes, estimate)?;
-    slope_table(page, slopes)?;
-    missing(page, estimate)?;
-    not_measured(page, slopes, estimate)
+    write_expected_gaps(page, target, slopes, estimate)?;
+    write_slopes(page, slopes)?;
+    write_missing(page, estimate)?;
+    write_unmeasured(page, slopes, estimate)
 }
 
-fn intro(page: &mut String, t: &Target, slopes: &Slopes) -> std::fmt::Result {
+fn write_intro(page: &mut String, target: &Target, slopes: &Slopes) -> std::fmt::Result {
     writeln!(page, "# Capacity\n")?;
     writeln!(
         page,
@@ -61,12 +61,12 @@
          [slopes.json](capacity/slopes.json) and [target.toml](capacity/target.toml), and events from `capacity/hollow.json` where\n\
          it is there; a test fails when page and inputs differ. How to make it for another size:\n\
          [operators/capacity.md](operators/capacity.md).\n",
-        number(t.gateways),
-        number(t.databases),
-        number(t.connections),
-        number(t.statements_per_s),
-        number(t.connections_per_gateway()),
-        number(t.statements_per_gateway()),
+        format_number(target.gateways),
+        format_number(target.databases),
+        format_number(target.connections),
+        format_number(target.statements_per_s),
+        format_number(target.connections_per_gateway()),
+        format_number(target.statements_per_gateway()),
     )?;
     writeln!(
         page,
@@ -79,46 +79,50 @@
     )
 }
 
-fn needs<'a>(page: &mut String, needs: impl Iterator<Item = &'a Need>) -> std::fmt::Result {
+fn write_needs<'a>(page: &mut String, needs: impl Iterator<Item = &'a Need>) -> std::fmt::Result {
     writeln!(page, "| what | when | need | limit | ratio | comes from | mark | carried by |")?;
     writeln!(page, "| --- | --- | --- | --- | --- | --- | --- | --- |")?;
     for need in needs {
-        let limit = need.limit.map_or_else(|| "not stated".to_owned(), number);
-        let carrier = match &need.carrier {
-            Carrier::File(file) => (*file).to_owned(),
-            Carrier::Nothing(instead) => format!("nothing. Today: {}", instead.what),
+        let limit = need.limit.map_or_else(|| "not stated".to_owned(), format_number);
+        let mechanism = match &need.mechanism {
+            Mechanism::Exists(files) => (*files).to_owned(),
+            Mechanism::Missing(today) => format!("nothing. Today: {}", today.text),
         };
         writeln!(
             page,
-            "| {}: {} | {} | {} | {limit} | {} | {} | {} | {carrier} |",
+            "| {}: {} | {} | {} | {limit} | {} | {} | {} | {mechanism} |",
             need.resource,
-            need.what,
+            need.description,
             need.case,
-            amount(need),
+            format_amount(need),
             need.ratio(),
-            need.from,
+            need.source,
             need.mark
         )?;
     }
     Ok(())
 }
 
-fn amount(need: &Need) -> String {
+fn format_amount(need: &Need) -> String {
     let spread = need.amount.spread;
-    let value = number(need.amount.value);
+    let value = format_number(need.amount.value);
     let unit = if need.unit.is_empty() { String::new() } else { format!(" {}", need.unit) };
-    if spread > 0.0 { format!("{value}{unit} +- {}", number(spread)) } else { format!("{value}{unit}") }
+    if spread > 0.0 {
+        format!("{value}{unit} +- {}", format_number(spread))
+    } else {
+        format!("{value}{unit}")
+    }
 }
 
-fn hollow_figures(page: &mut String, role: Role, hollow: &Hollow) -> std::fmt::Result {
-    let of: Vec<&HollowFigure> = hollow.figures.iter().filter(|f| f.role == role.key()).collect();
-    if of.is_empty() {
+fn write_hollow_figures(page: &mut String, role: Role, hollow: &HollowFile) -> std::fmt::Result {
+    let figures: Vec<&HollowFigure> = hollow.figures.iter().filter(|f| f.role == role.key()).collect();
+    if figures.is_empty() {
         return writeln!(page, "\nEvents: no hollow run has left figures yet.");
     }
     writeln!(page, "\n| event | what | value | mark | command |")?;
     writeln!(page, "| --- | --- | --- | --- | --- |")?;
-    for f in of {
-        let value = number(f.value);
+    for f in figures {
+        let value = format_number(f.value);
         writeln!(
             page,
             "| {} | {} | {value} {} | {} | `{}` |",
@@ -129,9 +133,9 @@
 }
 
 /// Writes the mechanisms that were expected to be missing, with their calculated needs.
-fn guesses(
+fn write_expected_gaps(
     page: &mut String,
-    t: &Target,
+    target: &Target,
     slopes: &Slopes,
     estimate: &CapacityEstimate<'_>,
 ) -> std::fmt::Result {
@@ -154,23 +158,24 @@
         ("a subset of databases", "calls over each connection"),
         ("a change of primary", "changes of primary"),
     ];
-    for (guess, what) in rows {
-        let Some(need) = estimate.needs.iter().find(|need| need.what.contains(what)) else { continue };
-        let (figure, against) = match &need.carrier {
-            Carrier::File(_) => (amount(need), need.ratio().to_string()),
-            Carrier::Nothing(i) => {
-                let ratio =
-                    i.ratio.map_or_else(String::new, |r| format!("; today's way {} times", number(r)));
-                (i.what.clone(), format!("none{ratio}"))
+    for (topic, text) in rows {
+        let Some(need) = estimate.needs.iter().find(|need| need.description.contains(text)) else { continue };
+        let (figure, against) = match &need.mechanism {
+            Mechanism::Exists(_) => (format_amount(need), need.ratio().to_string()),
+            Mechanism::Missing(today) => {
+                let ratio = today
+                    .ratio
+                    .map_or_else(String::new, |r| format!("; today's way {} times", format_number(r)));
+                (today.text.clone(), format!("none{ratio}"))
             }
         };
-        writeln!(page, "| {guess} | {}: {figure} | {against} |", need.what)?;
+        writeln!(page, "| {topic} | {}: {figure} | {against} |", need.description)?;
     }
-    growth(page, t, slopes)
+    write_statement_growth(page, target, slopes)
 }
 
 /// Writes the processor time of a statement by number of engines.
-fn growth(page: &mut String, t: &Target, slopes: &Slopes) -> std::fmt::Result {
+fn write_statement_growth(page: &mut String, target: &Target, slopes: &Slopes) -> std::fmt::Result {
     let get = |experiment| slopes.get(experiment, Quantity::Cpu);
     let (Some(whole), Some(decided)) =
         (get(Experiment::StatementEngines), get(Experiment::DecideStatementEngines))
@@ -181,25 +186,25 @@
     writeln!(
         page,
         "| engines | process | decisions alone | cores at {} statements a second |",
-        number(t.statements_per_gateway())
+        format_number(target.statements_per_gateway())
     )?;
     writeln!(page, "| --- | --- | --- | --- |")?;
     for point in &whole.points {
         let Some(decided) = decided.at(point.size) else { continue };
-        let cores = point.median() * t.statements_per_gateway() / 1e6;
+        let cores = point.median() * target.statements_per_gateway() / 1e6;
         writeln!(
             page,
             "| {} | {} | {} | {} |",
-            number(point.size),
-            number(point.median()),
-            number(decided.value),
-            number(cores)
+            format_number(point.size),
+            format_number(point.median()),
+            format_number(decided.value),
+            format_number(cores)
         )?;
     }
     Ok(())
 }
 
-fn slope_table(page: &mut String, slopes: &Slopes) -> std::fmt::Result {
+fn write_slopes(page: &mut String, slopes: &Slopes) -> std::fmt::Result {
     writeln!(page, "\n## Slopes, measured\n")?;
     writeln!(
         page,
@@ -212,18 +217,19 @@
         "| what | unit | by | sizes | middle of the plays | slope | growth | held fixed | command |"
     )?;
     writeln!(page, "| --- | --- | --- | --- | --- | --- | --- | --- | --- |")?;
-    slopes.measured.iter().try_for_each(|m| slope_row(page, m))
+    slopes.measured.iter().try_for_each(|m| write_slope(page, m))
 }
 
-fn slope_row(page: &mut String, m: &Measured) -> std::fmt::Result {
-    let join = |values: Vec<f64>| values.into_iter().map(number).collect::<Vec<_>>().join(" / ");
+fn write_slope(page: &mut String, m: &Measurement) -> std::fmt::Result {
+    let join = |values: Vec<f64>| values.into_iter().map(format_number).collect::<Vec<_>>().join(" / ");
     let sizes = join(m.points.iter().map(|p| p.size).collect());
     let middles = join(m.points.iter().map(|p| p.median()).collect());
     let (slope, growth) = match &m.fit {
         None => ("-".to_owned(), "too few sizes".to_owned()),
         Some(f) => {
-            let slope = format!("{} +- {}", small(f.slope), small(f.slope_error));
-            let ends = format!("not linear: {} to {}", small(f.first_slope), small(f.last_slope));
+            let slope = format!("{} +- {}", format_slope(f.slope), format_slope(f.slope_error));
+            let ends =
+                format!("not linear: {} to {}", format_slope(f.first_slope), format_slope(f.last_slope));
             (slope, if f.linear { "linear".to_owned() } else { ends })
         }
     };
@@ -239,11 +245,11 @@
 }
 
 /// Formats a slope, with an exponent if it is small.
-fn small(value: f64) -> String {
-    if value == 0.0 || value.abs() >= 0.01 { number(value) } else { format!("{value:.1e}") }
+fn format_slope(value: f64) -> String {
+    if value == 0.0 || value.abs() >= 0.01 { format_number(value) } else { format!("{value:.1e}") }
 }
 
-fn missing(page: &mut String, estimate: &CapacityEstimate<'_>) -> std::fmt::Result {
+fn write_missing(page: &mut String, estimate: &CapacityEstimate<'_>) -> std::fmt::Result {
     writeln!(page, "\n## What is missing, by ratio\n")?;
     writeln!(
         page,
@@ -253,19 +259,19 @@
     writeln!(page, "| | what | ratio | today's way | times its limit |")?;
     writeln!(page, "| --- | --- | --- | --- | --- |")?;
     for (at, need) in estimate.missing().into_iter().enumerate() {
-        let (way, of) = match (&need.carrier, need.ratio()) {
-            (Carrier::Nothing(i), _) => {
-                (i.what.clone(), i.ratio.map_or_else(|| "can't be said".to_owned(), number))
+        let (approach, times_limit) = match (&need.mechanism, need.ratio()) {
+            (Mechanism::Missing(today), _) => {
+                (today.text.clone(), today.ratio.map_or_else(|| "can't be said".to_owned(), format_number))
             }
-            (Carrier::File(file), Ratio::Of(ratio)) => ((*file).to_owned(), number(ratio)),
-            (Carrier::File(file), _) => ((*file).to_owned(), "-".to_owned()),
+            (Mechanism::Exists(files), Ratio::OfLimit(ratio)) => ((*files).to_owned(), format_number(ratio)),
+            (Mechanism::Exists(files), _) => ((*files).to_owned(), "-".to_owned()),
         };
         writeln!(
             page,
-            "| {} | {}: {} ({}) | {} | {way} | {of} |",
+            "| {} | {}: {} ({}) | {} | {approach} | {times_limit} |",
             at + 1,
             need.role,
-            need.what,
+            need.description,
             need.case,
             need.ratio()
         )?;
@@ -273,17 +279,17 @@
     Ok(())
 }
 
-fn not_measured(page: &mut String, slopes: &Slopes, estimate: &CapacityEstimate<'_>) -> std::fmt::Result {
+fn write_unmeasured(page: &mut String, slopes: &Slopes, estimate: &CapacityEstimate<'_>) -> std::fmt::Result {
     writeln!(page, "\n## What was not measured\n")?;
-    for what in NOT_MEASURED {
-        writeln!(page, "- {what}")?;
+    for gap in MEASUREMENT_GAPS {
+        writeln!(page, "- {gap}")?;
     }
     for name in &estimate.unmeasured {
         writeln!(page, "- {name}: no play has given it yet")?;
     }
     for m in &slopes.measured {
-        for why in &m.unusable {
-            writeln!(page, "- {}, a play at {why}: unusable", m.name())?;
+        for reason in &m.unusable {
+            writeln!(page, "- {}, a play at {reason}: unusable", m.name())?;
         }
     }
     Ok(())
--- a/lab/src/capacity/process.rs
+++ b/lab/src/capacity/process.rs
@@ -12,7 +12,7 @@
 
 use rustix::process::{Pid, Signal, kill_process};
 
-use super::bounds::status;
+use super::bounds::proc_status;
 use super::error::CapacityError;
 use super::site::Site;
 
@@ -24,7 +24,7 @@
 /// A running gateway process, killed on drop.
 pub struct Gateway {
     child: Child,
-    folder: PathBuf,
+    dir: PathBuf,
     lines: Receiver<String>,
     log_bytes: Arc<AtomicU64>,
     /// Address of the PostgreSQL listener.
@@ -36,7 +36,7 @@
 }
 
 /// Number for the directory of the next gateway, unique within this process.
-static STARTED: AtomicU64 = AtomicU64::new(0);
+static NEXT_NUMBER: AtomicU64 = AtomicU64::new(0);
 
 impl Gateway {
     /// Starts a gateway binary with the configuration of a site and a log level, and waits until it serves.
@@ -44,16 +44,16 @@
     /// # Errors
     /// The process can't be started, or does not log that it serves within `ANSWER_TIMEOUT`.
     pub fn start(program: &Path, site: &Site, level: &str) -> Result<Self, CapacityError> {
-        let number = STARTED.fetch_add(1, Ordering::SeqCst);
-        let folder = std::env::temp_dir().join(format!("wrenhatch-capacity-{}-{number}", std::process::id()));
-        std::fs::create_dir_all(&folder).map_err(CapacityError::file(&folder))?;
-        let config = folder.join("config.json");
-        let text = site.configuration();
+        let number = NEXT_NUMBER.fetch_add(1, Ordering::SeqCst);
+        let dir = std::env::temp_dir().join(format!("wrenhatch-capacity-{}-{number}", std::process::id()));
+        std::fs::create_dir_all(&dir).map_err(CapacityError::file(&dir))?;
+        let config = dir.join("config.json");
+        let text = site.config_json();
         std::fs::write(&config, &text).map_err(CapacityError::file(&config))?;
         let mut command = Command::new(program);
-        command.args(["serve", "--log", level]).env("LB_CONFIG", &config).env("TMPDIR", &folder);
-        if let Some(text) = site.operator() {
-            let operator = folder.join("operator.toml");
+        command.args(["serve", "--log", level]).env("LB_CONFIG", &config).env("TMPDIR", &dir);
+        if let Some(text) = site.operator_toml() {
+            let operator = dir.join("operator.toml");
             std::fs::write(&operator, text).map_err(CapacityError::file(&operator))?;
             command.arg("--config").arg(operator);
         }
@@ -63,20 +63,20 @@
         let log_bytes = Arc::<AtomicU64>::default();
         let (lines_sender, lines) = channel();
         if let Some(log) = child.stderr.take() {
-            let counted = log_bytes.clone();
-            thread::spawn(move || read_log(log, &counted, &lines_sender));
+            let counter = log_bytes.clone();
+            thread::spawn(move || read_log(log, &counter, &lines_sender));
         }
         let unset = SocketAddr::from(([127, 0, 0, 1], 0));
         let mut gateway =
-            Self { child, folder, lines, log_bytes, listen: unset, ops: unset, file_bytes: text.len() };
-        let serving = gateway.line_with("serving")?;
+            Self { child, dir, lines, log_bytes, listen: unset, ops: unset, file_bytes: text.len() };
+        let serving = gateway.wait_for_line("serving")?;
         gateway.listen = address(&serving, "listen=")?;
         gateway.ops = address(&serving, "ops=")?;
         Ok(gateway)
     }
 
     /// Returns the process id.
-    pub fn process(&self) -> u32 {
+    pub fn pid(&self) -> u32 {
         self.child.id()
     }
 
@@ -85,12 +85,12 @@
     /// # Errors
     /// The process has ended.
     pub fn cpu_us(&self) -> Result<f64, CapacityError> {
-        let path = PathBuf::from(format!("/proc/{}/schedstat", self.process()));
+        let path = PathBuf::from(format!("/proc/{}/schedstat", self.pid()));
         let text = std::fs::read_to_string(&path).map_err(CapacityError::file(&path))?;
         let spent = text.split_whitespace().next().and_then(|ns| ns.parse::<f64>().ok());
         spent
             .map(|ns| ns / 1e3)
-            .ok_or_else(|| CapacityError::Peer("no processor time in schedstat".to_owned()))
+            .ok_or_else(|| CapacityError::Unexpected("no processor time in schedstat".to_owned()))
     }
 
     /// Returns the resident anonymous memory in bytes.
@@ -98,8 +98,8 @@
     /// # Errors
     /// The process has ended.
     pub fn resident_bytes(&self) -> Result<f64, CapacityError> {
-        let kilobytes = status(self.process(), "RssAnon:");
-        let ended = || CapacityError::Peer("the gateway has ended".to_owned());
+        let kilobytes = proc_status(self.pid(), "RssAnon:");
+        let ended = || CapacityError::Unexpected("the gateway has ended".to_owned());
         kilobytes.map(|kb| kb as f64 * 1024.0).ok_or_else(ended)
     }
 
@@ -108,7 +108,7 @@
     /// # Errors
     /// The process has ended.
     pub fn descriptors(&self) -> Result<usize, CapacityError> {
-        let path = PathBuf::from(format!("/proc/{}/fd", self.process()));
+        let path = PathBuf::from(format!("/proc/{}/fd", self.pid()));
         Ok(std::fs::read_dir(&path).map_err(CapacityError::file(&path))?.count())
     }
 
@@ -132,11 +132,11 @@
     pub fn counter(&self, name: &str) -> Result<u64, CapacityError> {
         while self.lines.try_recv().is_ok() {}
         self.signal(Signal::USR1)?;
-        let line = self.line_with("counters=")?;
+        let line = self.wait_for_line("counters=")?;
         let key = format!("{name}=");
         let value = line.split(['"', ' ']).find_map(|part| part.strip_prefix(&key));
-        let unknown = || CapacityError::Peer(format!("no counter {name} in {line}"));
-        value.and_then(|n| n.parse().ok()).ok_or_else(unknown)
+        let missing = || CapacityError::Unexpected(format!("no counter {name} in {line}"));
+        value.and_then(|n| n.parse().ok()).ok_or_else(missing)
     }
 
     /// Returns the response to `GET /status/metrics`, including its head.
@@ -159,20 +159,20 @@
     pub fn engines_known(&self) -> Result<usize, CapacityError> {
         let figures = self.metrics()?;
         let known = figures.lines().find_map(|line| line.strip_prefix("edge_lb.engines_known="));
-        let unknown = || CapacityError::Peer("its metrics do not say how many engines it knows".to_owned());
-        known.and_then(|n| n.parse().ok()).ok_or_else(unknown)
+        let missing = || CapacityError::Unexpected("the metric edge_lb.engines_known is missing".to_owned());
+        known.and_then(|n| n.parse().ok()).ok_or_else(missing)
     }
 
     fn signal(&self, signal: Signal) -> Result<(), CapacityError> {
-        let process = Pid::from_raw(self.process() as i32);
-        let process = process.ok_or_else(|| CapacityError::Peer("no process".to_owned()))?;
+        let process = Pid::from_raw(self.pid() as i32);
+        let process = process.ok_or_else(|| CapacityError::Unexpected("invalid process id".to_owned()))?;
         kill_process(process, signal).map_err(|e| CapacityError::Io(e.into()))
     }
 
-    fn line_with(&self, text: &str) -> Result<String, CapacityError> {
+    fn wait_for_line(&self, text: &str) -> Result<String, CapacityError> {
         loop {
-            let none = |_| CapacityError::Peer(format!("the gateway logs nothing with {text}"));
-            let line = self.lines.recv_timeout(ANSWER_TIMEOUT).map_err(none)?;
+            let timed_out = |_| CapacityError::Unexpected(format!("the gateway logged no line with {text}"));
+            let line = self.lines.recv_timeout(ANSWER_TIMEOUT).map_err(timed_out)?;
             if line.contains(text) {
                 return Ok(line);
             }
@@ -184,15 +184,15 @@
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
-        let _ = std::fs::remove_dir_all(&self.folder);
+        let _ = std::fs::remove_dir_all(&self.dir);
     }
 }
 
 /// Counts the bytes of the log. Forwards only the lines that `wait_for_line` looks for, so that those of requests do
 /// not accumulate.
-fn read_log(log: ChildStderr, counted: &AtomicU64, lines_sender: &Sender<String>) {
+fn read_log(log: ChildStderr, counter: &AtomicU64, lines_sender: &Sender<String>) {
     for line in BufReader::new(log).lines().map_while(Result::ok) {
-        counted.fetch_add(line.len() as u64 + LINE_END, Ordering::SeqCst);
+        counter.fetch_add(line.len() as u64 + LINE_END, Ordering::SeqCst);
         if line.contains("serving") || line.contains("counters=") {
             let _ = lines_sender.send(line);
         }
@@ -201,6 +201,6 @@
 
 fn address(line: &str, key: &str) -> Result<SocketAddr, CapacityError> {
     let value = line.split_whitespace().find_map(|part| part.strip_prefix(key));
-    let none = || CapacityError::Peer(format!("no address behind {key} in: {line}"));
-    value.and_then(|value| value.trim_matches('"').parse().ok()).ok_or_else(none)
+    let missing = || CapacityError::Unexpected(format!("no address after {key} in: {line}"));
+    value.and_then(|value| value.trim_matches('"').parse().ok()).ok_or_else(missing)
 }
--- a/lab/src/capacity/sessions.rs
+++ b/lab/src/capacity/sessions.rs
@@ -12,9 +12,9 @@
 /// Maximum wait for a message of the gateway.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
 /// Lowest and highest latency in microseconds, and significant digits of the histogram.
-const LATENCIES: (u64, u64, u8) = (1, 600_000_000, 3);
+const LATENCY_HISTOGRAM: (u64, u64, u8) = (1, 600_000_000, 3);
 /// Length of the type and length fields of a message.
-const HEAD_BYTES: usize = 5;
+const HEADER_BYTES: usize = 5;
 
 /// An open client session.
 pub struct Session {
@@ -29,7 +29,7 @@
     /// Statements with all their rows.
     pub served: u64,
     /// Statements that ended with an error.
-    pub unserved: u64,
+    pub failed: u64,
     /// Latencies at the clients, in microseconds.
     pub latencies: Histogram<u64>,
 }
@@ -37,16 +37,16 @@
 impl Tally {
     /// Creates an empty tally.
     pub fn new() -> Result<Self, CapacityError> {
-        let (low, high, digits) = LATENCIES;
+        let (low, high, digits) = LATENCY_HISTOGRAM;
         let latencies = Histogram::new_with_bounds(low, high, digits);
-        let latencies = latencies.map_err(|e| CapacityError::Peer(e.to_string()))?;
-        Ok(Self { served: 0, unserved: 0, latencies })
+        let latencies = latencies.map_err(|e| CapacityError::Unexpected(e.to_string()))?;
+        Ok(Self { served: 0, failed: 0, latencies })
     }
 
     fn add(&mut self, other: &Self) -> Result<(), CapacityError> {
         self.served += other.served;
-        self.unserved += other.unserved;
-        self.latencies.add(&other.latencies).map_err(|e| CapacityError::Peer(e.to_string()))
+        self.failed += other.failed;
+        self.latencies.add(&other.latencies).map_err(|e| CapacityError::Unexpected(e.to_string()))
     }
 }
 
@@ -78,10 +78,10 @@
 
     /// Sends a lookup and reads its response. Returns whether it succeeded.
     fn send_lookup(&mut self) -> Result<bool, CapacityError> {
-        let (run, number, statement) =
+        let (process, number, statement) =
             (std::process::id() as u16, self.number as u16, self.statements as u32);
         self.statements += 1;
-        let id = format!("{run:04x}{number:04x}{statement:08x}");
+        let id = format!("{process:04x}{number:04x}{statement:08x}");
         let text = format!("/* c=lookup,i={id},d=3000,t=t0,h=2 */ SELECT v FROM a_1.b");
         let mut message = vec![b'Q'];
         message.extend((text.len() as u32 + 5).to_be_bytes());
@@ -95,7 +95,7 @@
     fn read_until_ready(&mut self) -> Result<bool, CapacityError> {
         let mut served = true;
         loop {
-            let mut head = [0; HEAD_BYTES];
+            let mut head = [0; HEADER_BYTES];
             self.stream.read_exact(&mut head)?;
             let length = u32::from_be_bytes([head[1], head[2], head[3], head[4]]);
             let mut body = vec![0; length.saturating_sub(4) as usize];
@@ -115,7 +115,7 @@
             if self.send_lookup()? {
                 tally.served += 1;
             } else {
-                tally.unserved += 1;
+                tally.failed += 1;
             }
             tally.latencies.saturating_record(began.elapsed().as_micros() as u64);
         }
@@ -128,13 +128,13 @@
 ///
 /// # Errors
 /// A session was closed or timed out.
-pub fn closed_loop(sessions: &mut [Session], statements: u64) -> Result<Tally, CapacityError> {
-    let each = statements.div_ceil(sessions.len().max(1) as u64);
+pub fn run_closed_loop(sessions: &mut [Session], statements: u64) -> Result<Tally, CapacityError> {
+    let per_session = statements.div_ceil(sessions.len().max(1) as u64);
     let tallies: Vec<Result<Tally, CapacityError>> = thread::scope(|scope| {
-        let started: Vec<_> =
-            sessions.iter_mut().map(|s| scope.spawn(move || s.send_lookups(each))).collect();
-        let lost = || Err(CapacityError::Peer("a client has ended".to_owned()));
-        started.into_iter().map(|thread| thread.join().unwrap_or_else(|_| lost())).collect()
+        let threads: Vec<_> =
+            sessions.iter_mut().map(|s| scope.spawn(move || s.send_lookups(per_session))).collect();
+        let panicked = || Err(CapacityError::Unexpected("a client thread panicked".to_owned()));
+        threads.into_iter().map(|thread| thread.join().unwrap_or_else(|_| panicked())).collect()
     });
     let mut all = Tally::new()?;
     for tally in tallies {
--- a/lab/src/capacity/site.rs
+++ b/lab/src/capacity/site.rs
@@ -35,40 +35,40 @@
     }
 
     /// Returns an engine's entry of the endpoint list.
-    pub fn entry(&self, engine: usize, status: &str) -> Value {
+    pub fn endpoint_entry(&self, engine: usize, status: &str) -> Value {
         let address = self.engines[engine].to_string();
         json!({"name": format!("e{engine}"), "address": address, "zone": ZONES[engine % ZONES.len()], "type": "k",
             "group": 0, "status": status, "weight": 1, "since_ms": 0})
     }
 
     /// Returns an event of the endpoint list.
-    pub fn event(&self, index: u64, whole: bool, entries: Vec<Value>) -> Value {
-        json!({"index": index, "endpoints": {"index": index, "snapshot": whole, "endpoints": entries}})
+    pub fn list_event(&self, index: u64, full: bool, entries: Vec<Value>) -> Value {
+        json!({"index": index, "endpoints": {"index": index, "snapshot": full, "endpoints": entries}})
     }
 
     /// Returns an event with the full endpoint list.
-    pub fn whole_list(&self, index: u64) -> Value {
-        let entries = (0..self.engines.len()).map(|engine| self.entry(engine, "Ready")).collect();
-        self.event(index, true, entries)
+    pub fn full_list_event(&self, index: u64) -> Value {
+        let entries = (0..self.engines.len()).map(|engine| self.endpoint_entry(engine, "Ready")).collect();
+        self.list_event(index, true, entries)
     }
 
     /// Returns the content of the configuration file.
-    pub fn configuration(&self) -> String {
-        let mut whole = json!({
+    pub fn config_json(&self) -> String {
+        let mut config = json!({
             "name": "capacity", "listen": "127.0.0.1:0", "seed": "8c1f30d27a5be964",
             // The gateway reserves a third of its sockets for clients.
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 3 * self.clients + OTHER_DESCRIPTORS},
-            "known": {"index": 1, "updates": [self.whole_list(1)]},
+            "known": {"index": 1, "updates": [self.full_list_event(1)]},
             "settings": self.settings(),
         });
         if let Some(coordinator) = self.coordinator {
-            whole["coordinator"] = json!(coordinator);
+            config["coordinator"] = json!(coordinator);
         }
-        whole.to_string()
+        config.to_string()
     }
 
     /// Returns the content of the operator's file, if one is needed.
-    pub fn operator(&self) -> Option<String> {
+    pub fn operator_toml(&self) -> Option<String> {
         self.control.map(|machine| format!("[control]\nmachines = [\"{machine}\"]\n"))
     }
 
--- a/lab/src/capacity/slopes.rs
+++ b/lab/src/capacity/slopes.rs
@@ -11,7 +11,7 @@
 
 /// Runs of one quantity of an experiment at several sizes, and the line fitted through them.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Measured {
+pub struct Measurement {
     /// Experiment that measured it.
     pub experiment: Experiment,
     /// The measured quantity.
@@ -69,7 +69,7 @@
     pub mark: Mark,
 }
 
-impl Measured {
+impl Measurement {
     /// Creates a measurement from its runs and fits a line through them.
     pub fn new(
         experiment: Experiment,
@@ -103,11 +103,11 @@
             return Some(Estimate { value: point.median(), spread: point.spread(), mark: Mark::Measured });
         }
         let fit = self.fit?;
-        let value = if fit.linear { fit.intercept + fit.slope * size } else { self.between(size)? };
+        let value = if fit.linear { fit.intercept + fit.slope * size } else { self.interpolate(size)? };
         Some(Estimate { value, spread: fit.noise.max(fit.misfit), mark: Mark::Calculated })
     }
 
-    fn between(&self, size: f64) -> Option<f64> {
+    fn interpolate(&self, size: f64) -> Option<f64> {
         let above = self.points.partition_point(|p| p.size < size);
         let at = above.clamp(1, self.points.len().checked_sub(1)?);
         let (low, high) = (&self.points[at - 1], &self.points[at]);
@@ -127,7 +127,7 @@
 
 impl Machine {
     /// Describes the machine that this process runs on.
-    pub fn this() -> Self {
+    pub fn current() -> Self {
         let text = std::fs::read_to_string("/proc/cpuinfo").unwrap_or_default();
         let model = text.lines().find_map(|line| line.strip_prefix("model name")?.split_once(": "));
         Self {
@@ -143,7 +143,7 @@
     /// Machine of the last experiment.
     pub machine: Machine,
     /// Measurements, sorted by experiment and quantity.
-    pub measured: Vec<Measured>,
+    pub measured: Vec<Measurement>,
 }
 
 impl Slopes {
@@ -169,14 +169,14 @@
     }
 
     /// Replaces all measurements of an experiment.
-    pub fn replace(&mut self, experiment: Experiment, measured: Vec<Measured>) {
+    pub fn replace(&mut self, experiment: Experiment, measured: Vec<Measurement>) {
         self.measured.retain(|m| m.experiment != experiment);
         self.measured.extend(measured);
         self.measured.sort_by_key(|m| (m.experiment, m.quantity));
     }
 
     /// Returns the measurement of a quantity in an experiment.
-    pub fn get(&self, experiment: Experiment, quantity: Quantity) -> Option<&Measured> {
+    pub fn get(&self, experiment: Experiment, quantity: Quantity) -> Option<&Measurement> {
         self.measured.iter().find(|m| m.experiment == experiment && m.quantity == quantity)
     }
 }
--- a/lab/src/capacity/stand_ins.rs
+++ b/lab/src/capacity/stand_ins.rs
@@ -74,12 +74,14 @@
             poll,
             listeners,
             connections: Vec::new(),
-            free: Vec::new(),
+            free_slots: Vec::new(),
             counters: counters.clone(),
         };
-        let ends = stop.clone();
+        let stop_requested = stop.clone();
         let thread =
-            thread::spawn(move || while !ends.load(Ordering::SeqCst) && engine_loop.turn().is_ok() {});
+            thread::spawn(
+                move || while !stop_requested.load(Ordering::SeqCst) && engine_loop.turn().is_ok() {},
+            );
         Ok(Self { addresses, counters, stop, thread: Some(thread) })
     }
 }
@@ -104,7 +106,7 @@
     poll: Poll,
     listeners: Vec<TcpListener>,
     connections: Vec<Option<Connection>>,
-    free: Vec<usize>,
+    free_slots: Vec<usize>,
     counters: EngineCounters,
 }
 
@@ -124,30 +126,30 @@
 
     fn accept(&mut self, listener: usize) {
         while let Ok((stream, _)) = self.listeners[listener].accept() {
-            let at = self.free.pop().unwrap_or_else(|| {
+            let slot = self.free_slots.pop().unwrap_or_else(|| {
                 self.connections.push(None);
                 self.connections.len() - 1
             });
             let ready = stream.set_nonblocking(true).and_then(|()| stream.set_nodelay(true));
-            let key = FIRST_CONNECTION_KEY + at as u64;
+            let key = FIRST_CONNECTION_KEY + slot as u64;
             if ready.and_then(|()| self.poll.add(&stream, key, READABLE, Trigger::Level)).is_err() {
-                self.free.push(at);
+                self.free_slots.push(slot);
                 continue;
             }
-            self.connections[at] = Some(Connection { stream, input: Vec::new() });
+            self.connections[slot] = Some(Connection { stream, input: Vec::new() });
             self.counters.connections.fetch_add(1, Ordering::SeqCst);
         }
     }
 
-    fn read(&mut self, at: usize) {
-        let Some(connection) = &mut self.connections[at] else { return };
+    fn read(&mut self, slot: usize) {
+        let Some(connection) = &mut self.connections[slot] else { return };
         if connection.serve(&self.counters).is_ok() {
             return;
         }
-        if let Some(ended) = self.connections[at].take() {
+        if let Some(ended) = self.connections[slot].take() {
             self.poll.remove(&ended.stream);
         }
-        self.free.push(at);
+        self.free_slots.push(slot);
     }
 }
 
@@ -162,7 +164,7 @@
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return Ok(()),
                 Err(e) => return Err(e),
             }
-            while let Some(length) = call_length(&self.input) {
+            while let Some(length) = request_length(&self.input) {
                 let query = self.input.starts_with(b"POST");
                 // Counted before the response, so that a client that has received it finds the query counted.
                 counters.queries.fetch_add(u64::from(query), Ordering::SeqCst);
@@ -174,21 +176,21 @@
 }
 
 /// Returns the length of the first request, head and body, if it is complete.
-fn call_length(input: &[u8]) -> Option<usize> {
+fn request_length(input: &[u8]) -> Option<usize> {
     let head = input.windows(4).position(|w| w == b"\r\n\r\n")? + 4;
     let text = std::str::from_utf8(&input[..head]).ok()?;
     let length = text.lines().find_map(|line| {
         let (name, value) = line.split_once(':')?;
         name.eq_ignore_ascii_case("content-length").then(|| value.trim().parse::<usize>().ok())?
     });
-    let whole = head + length.unwrap_or(0);
-    (input.len() >= whole).then_some(whole)
+    let total = head + length.unwrap_or(0);
+    (input.len() >= total).then_some(total)
 }
 
 /// Maximum wait for the gateway.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
 /// Interval of comments on an endpoint stream.
-const COMMENTS: Duration = Duration::from_secs(1);
+const COMMENT_INTERVAL: Duration = Duration::from_secs(1);
 
 /// A mock coordinator, which sends events to one gateway at the caller's request.
 pub struct Coordinator {
@@ -213,7 +215,7 @@
     ///
     /// # Errors
     /// The gateway opens no stream within `ANSWER_TIMEOUT`.
-    pub fn watch(&self) -> Result<Stream, CapacityError> {
+    pub fn accept_stream(&self) -> Result<EndpointStream, CapacityError> {
         let stream = self.accept()?;
         stream.set_nonblocking(false)?;
         stream.set_nodelay(true)?;
@@ -223,9 +225,9 @@
         while reader.read_line(&mut line)? > 2 {
             line.clear();
         }
-        let (say, events) = channel();
-        thread::spawn(move || tell(stream, &events));
-        Ok(Stream { say })
+        let (sender, events) = channel();
+        thread::spawn(move || write_events(stream, &events));
+        Ok(EndpointStream { sender })
     }
 
     fn accept(&self) -> Result<TcpStream, CapacityError> {
@@ -235,7 +237,9 @@
                 Ok((stream, _)) => return Ok(stream),
                 Err(e) if e.kind() != ErrorKind::WouldBlock => return Err(e.into()),
                 Err(_) if began.elapsed() > ANSWER_TIMEOUT => {
-                    return Err(CapacityError::Peer("the gateway opens no stream".to_owned()));
+                    return Err(CapacityError::Unexpected(
+                        "the gateway opened no endpoint stream".to_owned(),
+                    ));
                 }
                 Err(_) => thread::sleep(Duration::from_millis(1)),
             }
@@ -244,16 +248,16 @@
 }
 
 /// Writes events and periodic comments until either side closes the stream.
-fn tell(mut stream: TcpStream, events: &Receiver<Vec<u8>>) {
+fn write_events(mut stream: TcpStream, events: &Receiver<Vec<u8>>) {
     let head = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n".to_vec();
     let mut next = head;
-    let mut comment = Instant::now();
+    let mut last_comment = Instant::now();
     while stream.write_all(&next).is_ok() {
-        let left = (comment + COMMENTS).saturating_duration_since(Instant::now());
-        next = match events.recv_timeout(left) {
+        let remaining = (last_comment + COMMENT_INTERVAL).saturating_duration_since(Instant::now());
+        next = match events.recv_timeout(remaining) {
             Ok(event) => event,
             Err(RecvTimeoutError::Timeout) => {
-                comment = Instant::now();
+                last_comment = Instant::now();
                 COMMENT.to_vec()
             }
             Err(RecvTimeoutError::Disconnected) => return,
@@ -265,20 +269,20 @@
 pub const COMMENT: &[u8] = b": here\n\n";
 
 /// An open endpoint stream to a gateway.
-pub struct Stream {
-    say: Sender<Vec<u8>>,
+pub struct EndpointStream {
+    sender: Sender<Vec<u8>>,
 }
 
-impl Stream {
+impl EndpointStream {
     /// Sends an event and returns its length on the stream in bytes.
     ///
     /// # Errors
     /// The gateway has closed the stream.
-    pub fn event(&self, index: u64, event: &serde_json::Value) -> Result<usize, CapacityError> {
+    pub fn send(&self, index: u64, event: &serde_json::Value) -> Result<usize, CapacityError> {
         let bytes = format!("id: {index}\ndata: {event}\n\n").into_bytes();
         let length = bytes.len();
-        let ended = |_| CapacityError::Peer("the gateway has ended its stream".to_owned());
-        self.say.send(bytes).map_err(ended)?;
+        let ended = |_| CapacityError::Unexpected("the gateway closed its endpoint stream".to_owned());
+        self.sender.send(bytes).map_err(ended)?;
         Ok(length)
     }
 }
--- a/lab/src/capacity/target.rs
+++ b/lab/src/capacity/target.rs
@@ -17,15 +17,15 @@
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(untagged)]
 enum Number {
-    Whole(i64),
-    Part(f64),
+    Integer(i64),
+    Fraction(f64),
 }
 
 impl Number {
     fn value(self) -> f64 {
         match self {
-            Number::Whole(n) => n as f64,
-            Number::Part(x) => x,
+            Number::Integer(n) => n as f64,
+            Number::Fraction(x) => x,
         }
     }
 }
@@ -143,15 +143,15 @@
 }
 
 /// Valid numbers of machines of a role, regions, zones, classes, tenants or open requests.
-const MOST_MACHINES: RangeInclusive<f64> = 1.0..=1e6;
+const COUNT_RANGE: RangeInclusive<f64> = 1.0..=1e6;
 /// Valid numbers of connections, statements per second or events per day.
-const MOST_EVENTS: RangeInclusive<f64> = 1e-3..=1e9;
+const RATE_RANGE: RangeInclusive<f64> = 1e-3..=1e9;
 /// Valid durations in seconds, up to a day.
-const SPANS: RangeInclusive<f64> = 1e-3..=86_400.0;
+const SECONDS_RANGE: RangeInclusive<f64> = 1e-3..=86_400.0;
 /// Valid numbers of cores, or percentages of one.
-const CORES: RangeInclusive<f64> = 1e-3..=1e4;
+const CORE_RANGE: RangeInclusive<f64> = 1e-3..=1e4;
 /// Valid numbers of megabytes, bytes per second or descriptors.
-const AMOUNTS: RangeInclusive<f64> = 1.0..=1e9;
+const AMOUNT_RANGE: RangeInclusive<f64> = 1.0..=1e9;
 
 fn check_range(
     toml: &TomlFile<'_>,
@@ -162,7 +162,7 @@
     if range.contains(&value) {
         return Ok(value);
     }
-    Err(toml.error_at(offset, format!("{value} is not within {} and {}", range.start(), range.end())))
+    Err(toml.error_at(offset, format!("{value} is not between {} and {}", range.start(), range.end())))
 }
 
 fn count(toml: &TomlFile<'_>, count: &Count, range: RangeInclusive<f64>) -> Result<f64, TomlError> {
@@ -193,35 +193,35 @@
         let count = |field, range| count(&toml, field, range);
         let figure = |field, range| figure(&toml, field, range);
         let target = Self {
-            gateways: count(&file.fleet.gateways, MOST_MACHINES)?,
-            databases: count(&file.fleet.databases, MOST_MACHINES)?,
-            regions: count(&file.fleet.regions, MOST_MACHINES)?,
-            zones: count(&file.fleet.zones, MOST_MACHINES)?,
-            classes: count(&file.fleet.classes, MOST_MACHINES)?,
-            tenants: count(&file.fleet.tenants, MOST_MACHINES)?,
-            connections: count(&file.load.connections, MOST_EVENTS)?,
-            statements_per_s: figure(&file.load.statements_per_s, MOST_EVENTS)?,
-            open_per_gateway: count(&file.load.open_per_gateway, MOST_MACHINES)?,
-            primary_per_day: figure(&file.changes.primary_per_day, MOST_EVENTS)?,
-            primary_within_s: figure(&file.changes.primary_within_s, SPANS)?,
-            configuration_per_day: figure(&file.changes.configuration_per_day, MOST_EVENTS)?,
-            configuration_within_s: figure(&file.changes.configuration_within_s, SPANS)?,
-            failures_per_day: figure(&file.events.failures_per_day, MOST_EVENTS)?,
-            restarts_per_day: figure(&file.events.restarts_per_day, MOST_EVENTS)?,
-            control_machines: count(&file.control.machines, MOST_MACHINES)?,
-            control_core_percent: figure(&file.control.gateway_core_percent, CORES)?,
-            control_memory_mb: figure(&file.control.gateway_memory_mb, AMOUNTS)?,
-            control_bytes_per_s: figure(&file.control.gateway_bytes_per_s, AMOUNTS)?,
-            gateway_cores: figure(&file.gateway.cores, CORES)?,
-            gateway_memory_mb: figure(&file.gateway.memory_mb, AMOUNTS)?,
-            gateway_descriptors: count(&file.gateway.descriptors, AMOUNTS)?,
+            gateways: count(&file.fleet.gateways, COUNT_RANGE)?,
+            databases: count(&file.fleet.databases, COUNT_RANGE)?,
+            regions: count(&file.fleet.regions, COUNT_RANGE)?,
+            zones: count(&file.fleet.zones, COUNT_RANGE)?,
+            classes: count(&file.fleet.classes, COUNT_RANGE)?,
+            tenants: count(&file.fleet.tenants, COUNT_RANGE)?,
+            connections: count(&file.load.connections, RATE_RANGE)?,
+            statements_per_s: figure(&file.load.statements_per_s, RATE_RANGE)?,
+            open_per_gateway: count(&file.load.open_per_gateway, COUNT_RANGE)?,
+            primary_per_day: figure(&file.changes.primary_per_day, RATE_RANGE)?,
+            primary_within_s: figure(&file.changes.primary_within_s, SECONDS_RANGE)?,
+            configuration_per_day: figure(&file.changes.configuration_per_day, RATE_RANGE)?,
+            configuration_within_s: figure(&file.changes.configuration_within_s, SECONDS_RANGE)?,
+            failures_per_day: figure(&file.events.failures_per_day, RATE_RANGE)?,
+            restarts_per_day: figure(&file.events.restarts_per_day, RATE_RANGE)?,
+            control_machines: count(&file.control.machines, COUNT_RANGE)?,
+            control_core_percent: figure(&file.control.gateway_core_percent, CORE_RANGE)?,
+            control_memory_mb: figure(&file.control.gateway_memory_mb, AMOUNT_RANGE)?,
+            control_bytes_per_s: figure(&file.control.gateway_bytes_per_s, AMOUNT_RANGE)?,
+            gateway_cores: figure(&file.gateway.cores, CORE_RANGE)?,
+            gateway_memory_mb: figure(&file.gateway.memory_mb, AMOUNT_RANGE)?,
+            gateway_descriptors: count(&file.gateway.descriptors, AMOUNT_RANGE)?,
         };
-        target.check_together(&toml, &file)?;
+        target.check_consistency(&toml, &file)?;
         Ok(target)
     }
 
     /// Checks the values that depend on each other.
-    fn check_together(&self, toml: &TomlFile<'_>, file: &File) -> Result<(), TomlError> {
+    fn check_consistency(&self, toml: &TomlFile<'_>, file: &File) -> Result<(), TomlError> {
         if self.zones < self.regions {
             let message = format!("{} zones are fewer than {} regions", self.zones, self.regions);
             return Err(toml.error_at(file.fleet.zones.span().start, message));
--- a/lab/tests/recorded_files.rs
+++ b/lab/tests/recorded_files.rs
@@ -6,8 +6,8 @@
 use std::path::{Path, PathBuf};
 
 use wrenhatch_lab::capacity::experiment::{Experiment, Quantity};
-use wrenhatch_lab::capacity::hollow::Hollow;
-use wrenhatch_lab::capacity::page::page;
+use wrenhatch_lab::capacity::hollow::HollowFile;
+use wrenhatch_lab::capacity::page::generate_page;
 use wrenhatch_lab::capacity::slopes::Slopes;
 use wrenhatch_lab::capacity::target::Target;
 use wrenhatch_lab::hollow::compare::{self, Comparison};
@@ -41,7 +41,7 @@
 #[test]
 fn figures_of_hollow_runs_are_read_and_written_as_recorded() {
     let file = FigureFile::read(&recorded("hollow.json")).unwrap();
-    let read_for_the_page = Hollow::read(&recorded("hollow.json")).unwrap();
+    let read_for_the_page = HollowFile::read(&recorded("hollow.json")).unwrap();
     assert_eq!(file.figures.len(), read_for_the_page.figures.len());
     assert_eq!(written("hollow.json", |path| file.write(path).unwrap()), text("hollow.json"));
 }
@@ -57,7 +57,7 @@
 
 #[test]
 fn figures_of_configuration_in_service_are_read_as_recorded() {
-    let hollow = Hollow::default().with_configuration(&recorded("configuration.json")).unwrap();
+    let hollow = HollowFile::default().with_configuration(&recorded("configuration.json")).unwrap();
     let (first, last) = (hollow.figures.first().unwrap(), hollow.figures.last().unwrap());
     assert_eq!(hollow.figures.len(), 30);
     assert_eq!((first.event.as_str(), first.value), ("configuration, ordinary", 487.935));
@@ -86,12 +86,12 @@
 }
 
 #[test]
-fn the_page_of_the_recorded_files_is_the_recorded_one() {
+fn the_page_matches_the_recorded_one() {
     let target = Target::read(&recorded("target.toml")).unwrap();
     let slopes = Slopes::read(&recorded("slopes.json")).unwrap();
-    let hollow = Hollow::read(&recorded("hollow.json")).unwrap();
+    let hollow = HollowFile::read(&recorded("hollow.json")).unwrap();
     let hollow = hollow.with_configuration(&recorded("configuration.json")).unwrap();
-    let (made, page) = (page(&target, &slopes, &hollow), text("page.md"));
-    let differs = page.lines().zip(made.lines()).find(|(a, b)| a != b);
-    assert!(page == made, "first difference: {differs:?}");
+    let (generated, page) = (generate_page(&target, &slopes, &hollow), text("page.md"));
+    let differs = page.lines().zip(generated.lines()).find(|(a, b)| a != b);
+    assert!(page == generated, "first difference: {differs:?}");
 }
