--- a/lab/src/capacity/estimate/database.rs
+++ b/lab/src/capacity/estimate/database.rs
@@ -20,19 +20,23 @@
 }
 
 /// Adds connections and handshakes, from the connections that a gateway holds to one database.
-fn add_connections(estimate: &mut CapacityEstimate<'_>, each: &Figure) {
+fn add_connections(estimate: &mut CapacityEstimate<'_>, per_gateway: &Figure) {
     let t = estimate.target;
     let files = "gateway/src/net/pools.rs";
     let held = entry(Resource::State, Case::Ordinary, "connections of all gateways", "");
-    estimate.add(Role::Database, held.met_by(files), each.times(t.gateways));
+    estimate.add(Role::Database, held.met_by(files), per_gateway.times(t.gateways));
     let per_pair = t.statements_per_s / t.pairs();
     let reopened = t.gateways * per_pair * (-IDLE_TIMEOUT_S * per_pair).exp() * DAY_S;
     let restarts = t.gateway_restarts_per_day() + t.gateways * t.database_restarts_per_day() / t.databases;
     let handshakes = entry(Resource::Messages, Case::Ordinary, "handshakes", "a day").met_by(files);
-    estimate.add(Role::Database, handshakes, each.times(restarts).plus(&Figure::from_target(reopened)));
+    estimate.add(
+        Role::Database,
+        handshakes,
+        per_gateway.times(restarts).plus(&Figure::from_target(reopened)),
+    );
     let reconnects =
         entry(Resource::Messages, Case::Worst, "handshakes when it comes back", "at once").met_by(files);
-    estimate.add(Role::Database, reconnects, each.times(t.gateways));
+    estimate.add(Role::Database, reconnects, per_gateway.times(t.gateways));
     let zone = entry(
         Resource::Messages,
         Case::Worst,
@@ -40,12 +44,15 @@
         "at once",
     );
     // A gateway prefers the databases of its zone, so that its connections go to them first.
-    let share = each.amount.value.max((each.amount.value * t.databases / t.databases_per_zone()).min(1.0));
-    let in_zone = each.times(share / each.amount.value.max(f64::MIN_POSITIVE));
+    let share = per_gateway
+        .amount
+        .value
+        .max((per_gateway.amount.value * t.databases / t.databases_per_zone()).min(1.0));
+    let in_zone = per_gateway.times(share / per_gateway.amount.value.max(f64::MIN_POSITIVE));
     estimate.add(Role::Database, zone.met_by(files), in_zone.times(t.gateways_per_zone()));
     let per_s = t.configuration_per_day * t.gateways / DAY_S;
     let description = "handshakes, were each change of configuration a restart";
     let restarts = entry(Resource::Messages, Case::Ordinary, description, "a second")
         .met_by("gateway/src/net/reload.rs");
-    estimate.add(Role::Database, restarts, each.times(per_s));
+    estimate.add(Role::Database, restarts, per_gateway.times(per_s));
 }
--- a/lab/src/capacity/estimate/gateway.rs
+++ b/lab/src/capacity/estimate/gateway.rs
@@ -95,10 +95,10 @@
             more.times(rate),
         );
     }
-    if let Some(together) = estimate.at(E::StatementTogether, Q::Cpu, t.databases) {
+    if let Some(combined) = estimate.at(E::StatementTogether, Q::Cpu, t.databases) {
         let description = "to hold against it: 64 open and 3,455 idle, played together";
         let need = processor_entry(Case::Ordinary, description).limit(cores).met_by(files);
-        estimate.add(Role::Gateway, need, together.times(rate));
+        estimate.add(Role::Gateway, need, combined.times(rate));
     }
     let all = processor_entry(Case::Ordinary, "statements, all of it").limit(cores).met_by(files);
     estimate.add(Role::Gateway, all, total.times(rate));
@@ -151,8 +151,8 @@
     if let Some(list) = estimate.at(E::ListEngines, Q::StreamBytes, t.databases) {
         let description = format!("a whole list, over {within_s} s");
         estimate.add(Role::Gateway, bytes(Case::Worst, description), list.times(1.0 / within_s));
-        let room = t.gateway_memory_mb * MEGABYTE * EVENT_MEMORY_RATIO;
-        let text = entry(Resource::Memory, Case::Worst, "the text of a whole list", "bytes").limit(room);
+        let max_bytes = t.gateway_memory_mb * MEGABYTE * EVENT_MEMORY_RATIO;
+        let text = entry(Resource::Memory, Case::Worst, "the text of a whole list", "bytes").limit(max_bytes);
         estimate.add(Role::Gateway, text.met_by("gateway/src/discovery/"), list);
     }
     for (experiment, description) in
@@ -298,16 +298,16 @@
         descriptors.met_by("gateway/src/net/pools.rs, gateway/src/net/sessions/"),
         all,
     );
-    let places = held("sessions, of a third of the descriptors").limit(t.gateway_descriptors / 3.0);
-    estimate.add(Role::Gateway, places.met_by("gateway/src/net/sessions/"), Figure::from_target(clients));
+    let sessions = held("sessions, of a third of the descriptors").limit(t.gateway_descriptors / 3.0);
+    estimate.add(Role::Gateway, sessions.met_by("gateway/src/net/sessions/"), Figure::from_target(clients));
     add_call_rate(estimate, &engines);
-    let elsewhere = t.databases - t.databases_per_zone();
+    let outside_zone = t.databases - t.databases_per_zone();
     let moved =
         entry(Resource::State, Case::Worst, "descriptors, its zone's databases gone, one to each other", "");
     estimate.add(
         Role::Gateway,
         moved.limit(t.gateway_descriptors).met_by("gateway/src/net/pools.rs, src/decisions/"),
-        Figure::from_target(elsewhere + clients + OWN_DESCRIPTORS),
+        Figure::from_target(outside_zone + clients + OWN_DESCRIPTORS),
     );
     let share = engines.amount.value / t.databases;
     let description = "a stable, even subset of databases by zone that a gateway works with";
@@ -343,17 +343,17 @@
         entry(Resource::Memory, case, description, "MB").limit(limit).met_by(files)
     };
     let to_mb = 1.0 / MEGABYTE;
-    if let Some(kept) = estimate.at(E::StartEngines, Q::Resident, t.databases) {
+    if let Some(resident) = estimate.at(E::StartEngines, Q::Resident, t.databases) {
         let description = "resident with the list and no client";
         let files = "gateway/src/net/pools.rs, src/decisions/";
         estimate.add(
             Role::Gateway,
             mb(Case::Ordinary, description, t.control_memory_mb, files),
-            kept.in_unit(to_mb),
+            resident.in_unit(to_mb),
         );
     }
-    let Some(worked) = estimate.at(E::StatementEngines, Q::Resident, t.databases) else { return };
-    let mut total = worked.clone();
+    let Some(active) = estimate.at(E::StatementEngines, Q::Resident, t.databases) else { return };
+    let mut total = active.clone();
     let parts = [
         (E::IdleSessions, t.connections_per_gateway()),
         (E::StartClasses, t.classes),
--- a/lab/src/capacity/estimate/mod.rs
+++ b/lab/src/capacity/estimate/mod.rs
@@ -138,7 +138,7 @@
 pub struct Fallback {
     /// Description, as printed on the page.
     pub text: String,
-    /// Need of the workaround relative to its limit or ordinary amount, if known.
+    /// Need of the fallback relative to its limit or ordinary amount, if known.
     pub ratio: Option<f64>,
 }
 
@@ -251,7 +251,7 @@
     mechanism: Mechanism,
 }
 
-/// Creates an entry without a limit and with an empty list of source files.
+/// Creates an entry without a limit. `met_by` or `without_mechanism` sets its mechanism.
 fn entry(resource: Resource, case: Case, description: impl Into<String>, unit: &'static str) -> Entry {
     Entry {
         resource,
