--- a/gateway/src/net/listeners.rs
+++ b/gateway/src/net/listeners.rs
@@ -189,7 +189,7 @@
     /// Accepts connections up to the read scheduler's limit for this turn. The poller reports the remaining ones again.
     /// Returns false once no connection can be accepted.
     pub(super) fn accept(&mut self, front_end: FrontEnd) -> bool {
-        for _ in 0..self.sessions.scheduler.accepts() {
+        for _ in 0..self.sessions.scheduler.accept_limit() {
             let Some(listener) = self.listeners.listener(front_end) else { return false };
             match listener.accept() {
                 Ok((stream, from)) => {
--- a/gateway/src/net/pools.rs
+++ b/gateway/src/net/pools.rs
@@ -13,7 +13,7 @@
 use super::engines::{Attempt, AttemptId, Engine, Link, LostAttempt};
 use super::poll::Poll;
 use super::poll_key::PollKey;
-use crate::front::Payload;
+use crate::front::QueryResult;
 
 /// A connection to an engine in its slot.
 pub struct EngineConnection {
@@ -46,7 +46,7 @@
     /// Lost attempts whose end is not confirmed yet.
     pub unconfirmed: BTreeMap<AttemptId, LostAttempt>,
     /// Results of attempts that ended in this turn.
-    pub results: BTreeMap<AttemptId, Payload>,
+    pub results: BTreeMap<AttemptId, QueryResult>,
 }
 
 impl Pools {
