--- a/lab/src/capacity/decisions.rs
+++ b/lab/src/capacity/decisions.rs
@@ -1,4 +1,5 @@
-//! Decisions alone: the gateway's core in memory, on simulated time, with engines that answer after a fixed time.
+//! Measures the gateway's core without a process: in memory, on simulated time, with engines that answer after a fixed
+//! time.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -10,82 +11,82 @@
 use super::error::CapacityError;
 use super::site::Site;
 
-/// Statements a second that the loop in memory makes: about what a gateway gets at the operators' size.
+/// Rate of the simulated clients, close to one gateway's share at the target size.
 const STATEMENTS_PER_SECOND: f64 = 2_364.0;
-/// How long clients wait, in microseconds.
+/// Deadline of a request after its arrival, in microseconds.
 const CLIENT_TIMEOUT_US: u64 = 3_000_000;
-/// Zones of the site.
+/// Number of zones that the engines are distributed over.
 const ZONES: usize = 5;
-/// Seed of the core's random numbers.
+/// Seed of the core's random number generator.
 const SEED: u64 = 0x8c1f_30d2_7a5b_e964;
-/// Simulated time between two changes of the list, in microseconds.
+/// Simulated time between two events of the endpoint list, in microseconds.
 const CHANGE_INTERVAL_US: u64 = 10_000;
 
-/// An attempt that its engine answers at a time.
-struct Running {
-    done_us: u64,
+/// An attempt in flight and the time of its response.
+struct InFlight {
+    response_us: u64,
     attempt: AttemptId,
 }
 
-/// A core with a closed loop of requests.
-pub struct Decisions {
+/// A core driven by a closed loop of simulated clients.
+pub struct CoreSimulation {
     core: Core,
     now_us: u64,
     engines: usize,
     service_us: u64,
-    running: VecDeque<Running>,
-    requests: u64,
-    /// Requests that were answered with all rows.
+    in_flight: VecDeque<InFlight>,
+    request_count: u64,
+    /// Requests answered with all rows.
     pub served: u64,
-    /// Requests that were not.
-    pub unserved: u64,
+    /// Requests rejected or failed.
+    pub failed: u64,
     commands: Vec<Command>,
 }
 
-/// Processor time of this thread, in microseconds.
+/// Returns the processor time of this thread in microseconds.
 pub fn thread_cpu_us() -> f64 {
     let time = clock_gettime(ClockId::ThreadCPUTime);
     time.tv_sec as f64 * 1e6 + time.tv_nsec as f64 / 1e3
 }
 
-/// The settings that a gateway at this site reads from its file.
+/// Returns the settings of a site as the gateway reads them from its configuration file.
 fn settings(site: &Site) -> Result<Settings, CapacityError> {
     let name = format!("wrenhatch-decisions-{}.json", std::process::id());
     let path = std::env::temp_dir().join(name);
-    std::fs::write(&path, site.configuration()).map_err(CapacityError::file(&path))?;
-    let read = wrenhatch::config::from_file(&path.to_string_lossy());
+    std::fs::write(&path, site.config_json()).map_err(CapacityError::file(&path))?;
+    let config = wrenhatch::config::from_file(&path.to_string_lossy());
     std::fs::remove_file(&path).map_err(CapacityError::file(&path))?;
-    Ok(read?.settings)
+    Ok(config?.settings)
 }
 
-impl Decisions {
-    /// A core that knows so many engines and has as many requests open as it is to have at once.
+impl CoreSimulation {
+    /// Creates a core with `engines` engines and `open` requests in flight.
     ///
     /// # Errors
-    /// The settings do not hold.
+    /// The settings are rejected, or their temporary file can't be written.
     pub fn new(engines: usize, open: usize) -> Result<Self, CapacityError> {
         let site = Site::new(vec![SocketAddr::from(([127, 0, 0, 1], 1)); 1]);
         let core = Core::new(settings(&site)?, SEED)?;
         let service_us = (open as f64 / STATEMENTS_PER_SECOND * 1e6) as u64;
-        let mut decisions = Self {
+        let mut simulation = Self {
             core,
             now_us: 0,
             engines,
             service_us,
-            running: VecDeque::new(),
-            requests: 0,
+            in_flight: VecDeque::new(),
+            request_count: 0,
             served: 0,
-            unserved: 0,
+            failed: 0,
             commands: Vec::new(),
         };
-        decisions.whole_list();
+        simulation.apply_full_list();
         let gap_us = (service_us / open.max(1) as u64).max(1);
         for _ in 0..open {
-            decisions.now_us += gap_us;
-            let request = decisions.new_request();
-            decisions.turn(vec![request]);
+            simulation.now_us += gap_us;
+            let request = simulation.new_request();
+            simulation.turn(vec![request]);
         }
-        Ok(decisions)
+        Ok(simulation)
     }
 
     fn entry(&self, engine: usize, state: EndpointState) -> EndpointEntry {
@@ -100,7 +101,7 @@
     }
 
     fn new_request(&mut self) -> Input {
-        self.requests += 1;
+        self.request_count += 1;
         let request = NewRequest {
             class: ClassId(0),
             tenant: Some(TenantId(0)),
@@ -111,21 +112,21 @@
             key: None,
             is_retry: false,
         };
-        Input::RequestArrived { id: RequestId(self.requests), request }
+        Input::RequestArrived { id: RequestId(self.request_count), request }
     }
 
-    /// One turn of the core; attempts that start are answered later.
+    /// Runs one turn of the core and schedules the responses of the attempts that it starts.
     fn turn(&mut self, mut inputs: Vec<Input>) {
         let mut commands = std::mem::take(&mut self.commands);
         self.core.turn(self.now_us, &mut inputs, &mut commands);
         for command in commands.drain(..) {
             match command {
                 Command::StartAttempt { attempt, .. } => {
-                    let done_us = self.now_us + self.service_us;
-                    self.running.push_back(Running { done_us, attempt });
+                    let response_us = self.now_us + self.service_us;
+                    self.in_flight.push_back(InFlight { response_us, attempt });
                 }
                 Command::Serve(..) => self.served += 1,
-                Command::Reject { .. } | Command::Fail(_) => self.unserved += 1,
+                Command::Reject { .. } | Command::Fail(_) => self.failed += 1,
                 Command::SetPriority { .. }
                 | Command::CancelAttempt(..)
                 | Command::ClaimLease { .. }
@@ -135,7 +136,7 @@
         self.commands = commands;
     }
 
-    /// Turns for the core's own timers up to a time; how many.
+    /// Runs the core's timers that are due before `until_us` and returns their number.
     fn run_timers_until(&mut self, until_us: u64) -> u64 {
         let mut ticks = 0;
         while let Some(due_us) = self.core.next_timer_us().filter(|due_us| *due_us < until_us) {
@@ -147,10 +148,10 @@
         ticks
     }
 
-    /// The oldest attempt ends, and its client sends the next request.
-    fn statement(&mut self) {
-        let Some(next) = self.running.pop_front() else { return };
-        self.run_timers_until(next.done_us);
+    /// Ends the oldest attempt and sends the next request of its client.
+    fn run_statement(&mut self) {
+        let Some(next) = self.in_flight.pop_front() else { return };
+        self.run_timers_until(next.response_us);
         let report = LoadReport { queued: Some(0.0), ..LoadReport::default() };
         let ended = Input::AttemptEnded {
             attempt: next.attempt,
@@ -161,35 +162,37 @@
         self.turn(vec![ended, request]);
     }
 
-    /// So many statements; processor time of each, control ticks between them included.
-    pub fn statements(&mut self, count: u64) -> f64 {
+    /// Runs statements and returns the mean processor time of one in microseconds, including the control ticks between
+    /// them.
+    pub fn run_statements(&mut self, count: u64) -> f64 {
         let began_us = thread_cpu_us();
-        (0..count).for_each(|_| self.statement());
+        (0..count).for_each(|_| self.run_statement());
         (thread_cpu_us() - began_us) / count as f64
     }
 
-    /// So many control ticks with all requests in flight and nothing else; processor time of each.
-    pub fn control_ticks(&mut self, count: u64) -> f64 {
-        let (mut seen, mut cpu_us) = (0, 0.0);
-        while seen < count {
+    /// Runs control ticks with all requests in flight and returns the mean processor time of one in microseconds.
+    pub fn run_control_ticks(&mut self, count: u64) -> f64 {
+        let (mut ticks, mut cpu_us) = (0, 0.0);
+        while ticks < count {
             let Some(next) = self.core.next_timer_us() else { break };
-            let due = self.running.front().map_or(u64::MAX, |r| r.done_us);
+            let due = self.in_flight.front().map_or(u64::MAX, |r| r.response_us);
             if due <= next {
-                self.statement();
+                self.run_statement();
                 continue;
             }
             let began_us = thread_cpu_us();
-            seen += self.run_timers_until(next + 1);
+            ticks += self.run_timers_until(next + 1);
             cpu_us += thread_cpu_us() - began_us;
         }
-        cpu_us / seen.max(1) as f64
+        cpu_us / ticks.max(1) as f64
     }
 
-    /// So many changes of one engine, each beside the requests that are open; processor time of each.
-    pub fn changes(&mut self, count: u64) -> f64 {
+    /// Applies changes of one engine each, with requests in flight, and returns the mean processor time of one in
+    /// microseconds.
+    pub fn run_changes(&mut self, count: u64) -> f64 {
         let mut cpu_us = 0.0;
         for change in 0..count {
-            self.pass(CHANGE_INTERVAL_US);
+            self.advance(CHANGE_INTERVAL_US);
             let engine = (change / 2) as usize % self.engines;
             let state = if change % 2 == 0 { EndpointState::Draining } else { EndpointState::Ready };
             let list = Input::EndpointList {
@@ -203,17 +206,17 @@
         cpu_us / count as f64
     }
 
-    /// So many whole lists; processor time of each.
-    pub fn lists(&mut self, count: u64) -> f64 {
+    /// Applies full endpoint lists and returns the mean processor time of one in microseconds.
+    pub fn run_lists(&mut self, count: u64) -> f64 {
         let mut cpu_us = 0.0;
         for _ in 0..count {
-            self.pass(CHANGE_INTERVAL_US);
-            cpu_us += self.whole_list();
+            self.advance(CHANGE_INTERVAL_US);
+            cpu_us += self.apply_full_list();
         }
         cpu_us / count as f64
     }
 
-    fn whole_list(&mut self) -> f64 {
+    fn apply_full_list(&mut self) -> f64 {
         let entries = (0..self.engines).map(|engine| self.entry(engine, EndpointState::Ready)).collect();
         let list = vec![Input::EndpointList { mode: EndpointListMode::Full, entries }];
         let began_us = thread_cpu_us();
@@ -221,11 +224,11 @@
         thread_cpu_us() - began_us
     }
 
-    /// Time passes, with the statements that end in it.
-    fn pass(&mut self, span_us: u64) {
+    /// Advances the simulated time and runs the statements that end meanwhile.
+    fn advance(&mut self, span_us: u64) {
         let until_us = self.now_us + span_us;
-        while self.running.front().is_some_and(|r| r.done_us <= until_us) {
-            self.statement();
+        while self.in_flight.front().is_some_and(|r| r.response_us <= until_us) {
+            self.run_statement();
         }
         self.run_timers_until(until_us);
     }
