--- a/lab/src/hollow/bounds.rs
+++ b/lab/src/hollow/bounds.rs
@@ -1,17 +1,17 @@
-//! What a run may use: memory, processes and time. A run that outgrows a bound stops and says so.
+//! Resource bounds of a run: memory, time, processes and descriptors. A run that exceeds a bound ends with an error.
 
 use std::time::{Duration, Instant};
 
 use super::error::HollowError;
 
-/// Memory of all processes of a run together, in MB.
+/// Maximum memory of all processes of a run together, in MB.
 pub const MOST_MEMORY_MB: u64 = 12_288;
-/// Processes of a run.
+/// Maximum number of processes of a run.
 pub const MOST_PROCESSES: u64 = 300;
-/// Descriptors of a process.
+/// Maximum number of descriptors of a process.
 pub const MOST_DESCRIPTORS: u64 = 20_000;
 
-/// The bounds of one run.
+/// Memory and time bounds of one run.
 #[derive(Clone, Debug)]
 pub struct Bounds {
     memory_mb: u64,
@@ -20,15 +20,15 @@
 }
 
 impl Bounds {
-    /// Bounds of a run that begins now.
+    /// Creates the bounds of a run that starts now.
     pub fn new(memory_mb: u64, time: Duration) -> Self {
         Self { memory_mb, time, began: Instant::now() }
     }
 
-    /// Checks time, and the memory of these processes together.
+    /// Checks the elapsed time and the total memory of these processes.
     ///
     /// # Errors
-    /// A bound is passed.
+    /// A bound is exceeded.
     pub fn check(&self, processes: &[u32]) -> Result<(), HollowError> {
         let elapsed = self.began.elapsed();
         if elapsed > self.time {
@@ -43,10 +43,10 @@
         Ok(())
     }
 
-    /// Checks a number of processes.
+    /// Checks the number of processes of a run.
     ///
     /// # Errors
-    /// There are too many.
+    /// The number exceeds the bound.
     pub fn check_processes(processes: u64) -> Result<(), HollowError> {
         if processes <= MOST_PROCESSES {
             return Ok(());
@@ -59,10 +59,10 @@
         })
     }
 
-    /// Checks a number of descriptors in one process.
+    /// Checks the number of descriptors of one process.
     ///
     /// # Errors
-    /// There are too many.
+    /// The number exceeds the bound.
     pub fn check_descriptors(descriptors: u64) -> Result<(), HollowError> {
         if descriptors <= MOST_DESCRIPTORS {
             return Ok(());
@@ -72,7 +72,7 @@
     }
 }
 
-/// Bytes of anonymous memory that a process has resident (`RssAnon` of proc(5)).
+/// Resident anonymous memory of a process, in bytes (`RssAnon` of proc(5)).
 pub fn resident_bytes(process: u32) -> Option<u64> {
     let text = std::fs::read_to_string(format!("/proc/{process}/status")).ok()?;
     let line = text.lines().find_map(|line| line.strip_prefix("RssAnon:"))?;
@@ -80,7 +80,7 @@
     Some(kilobytes * 1024)
 }
 
-/// Processor time of a thread so far, in nanoseconds (`schedstat` of proc(5)).
+/// Processor time used by a thread, in nanoseconds (`schedstat` of proc(5)).
 pub fn processor_ns(process: u32, thread: u32) -> Option<u64> {
     let text = std::fs::read_to_string(format!("/proc/{process}/task/{thread}/schedstat")).ok()?;
     text.split_whitespace().next()?.parse().ok()
--- a/lab/src/hollow/control_state.rs
+++ b/lab/src/hollow/control_state.rs
@@ -1,12 +1,12 @@
-//! Whether a control machine can be reached, as scripts set it and fleets carry it out.
+//! Reachability of a control machine, set by scripts and applied by the simulation.
 
-/// Whether a control machine can be reached.
+/// Reachability of a control machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ControlState {
-    /// It serves.
+    /// Accepts connections and streams the list.
     Serves,
-    /// Its machine is up, its process is not: calls are refused.
+    /// The machine is up without its process: connections are refused.
     Ended,
-    /// It is silent.
+    /// The machine sends no packets: connection attempts time out.
     Vanished,
 }
--- a/lab/src/hollow/error.rs
+++ b/lab/src/hollow/error.rs
@@ -1,57 +1,57 @@
-//! Why a hollow run ends without figures.
+//! Errors that end a hollow run without figures.
 
 use std::io;
 use std::path::PathBuf;
 
-/// Why a hollow run ends without figures.
+/// Errors that end a hollow run without figures.
 #[derive(Debug, thiserror::Error)]
 pub enum HollowError {
-    /// An option is out of range.
+    /// The value of an option is out of range.
     #[error("--{option}: {value} is not from {least} to {most}")]
     Option {
-        /// Its name.
+        /// Long name of the option, without dashes.
         option: &'static str,
-        /// What was given.
+        /// Value on the command line.
         value: u64,
-        /// The least that is allowed.
+        /// Smallest allowed value.
         least: u64,
-        /// The most that is allowed.
+        /// Largest allowed value.
         most: u64,
     },
-    /// No event has this name.
+    /// Name of an unknown event, and the list of known ones.
     #[error("--event: no event is named {0}; there are: {1}")]
     Event(String, String),
-    /// The run has outgrown one of its bounds.
+    /// The run exceeded one of its resource bounds.
     #[error("stopped at the bound of {bound}: {reached} {unit} of {most}")]
     Bound {
-        /// Which bound.
+        /// Resource: memory, time, processes or descriptors.
         bound: &'static str,
-        /// What was reached.
+        /// Observed value.
         reached: u64,
-        /// The bound.
+        /// Largest allowed value.
         most: u64,
-        /// What both are counted in.
+        /// Unit of both values.
         unit: &'static str,
     },
-    /// Figures are to be written, and nothing says that hollow gateways count what real ones do.
+    /// Figures can't be stored because no comparison shows equal counts for hollow and real gateways.
     #[error("{0}: no comparison with the same counts; run `wrenhatch-lab hollow compare --json` first")]
     NoComparison(PathBuf),
-    /// A gateway did not do what was waited for.
+    /// A gateway failed or did not reach the expected state in time.
     #[error("{0}")]
     Peer(String),
-    /// The gateway's configuration does not hold.
+    /// The gateway rejected its configuration.
     #[error("configuration: {0}")]
     Config(#[from] wrenhatch::config::ConfigError),
-    /// The settings make no sense.
+    /// The core rejected the settings.
     #[error("settings: {0}")]
     Settings(#[from] workload_manager::SettingsError),
-    /// A file can't be read or written.
+    /// A file can't be read or written, or a program can't be started.
     #[error("{0}: {1}")]
     File(PathBuf, io::Error),
-    /// The system refuses.
+    /// A system call failed.
     #[error("{0}")]
     Io(#[from] io::Error),
-    /// A file of figures is not of its form.
+    /// A file does not contain the expected JSON.
     #[error("{0}: {1}")]
     Form(PathBuf, serde_json::Error),
 }
--- a/lab/src/hollow/figures.rs
+++ b/lab/src/hollow/figures.rs
@@ -1,4 +1,4 @@
-//! Figures of hollow runs and the file that holds them.
+//! Figures of hollow runs and the JSON file that stores them.
 
 use std::path::{Path, PathBuf};
 
@@ -6,59 +6,59 @@
 
 use super::error::HollowError;
 
-/// The role of a machine.
+/// Role of a machine.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Role {
-    /// It takes clients.
+    /// Accepts client sessions.
     Gateway,
-    /// It runs statements.
+    /// Executes statements.
     Database,
-    /// It holds the list of databases.
+    /// Streams the list of databases to gateways.
     Control,
 }
 
-/// How a figure was got.
+/// Source of a figure.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Mark {
-    /// The gateway's whole program without client traffic, over loopback.
+    /// Complete gateways without client traffic, over loopback.
     Hollow,
     /// The gateway's control-side code in simulated time.
     Simulated,
 }
 
-/// One figure.
+/// A measured or simulated value.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Figure {
-    /// Of which machines.
+    /// Role of the machines that the value describes.
     pub role: Role,
-    /// What it is.
+    /// Description of the quantity.
     pub quantity: String,
-    /// In which event.
+    /// Event or phase that produced the value.
     pub event: String,
-    /// Its value.
+    /// Value, in `unit`.
     pub value: f64,
-    /// What it is counted in.
+    /// Unit, as printed on the page.
     pub unit: String,
-    /// How it was got.
+    /// Source of the value.
     pub mark: Mark,
-    /// The command that gives it.
+    /// Command that reproduces the value.
     pub command: String,
 }
 
-/// The file of figures.
+/// Content of the figure file.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct FigureFile {
-    /// The figures.
+    /// Figures in file order.
     pub figures: Vec<Figure>,
 }
 
 impl FigureFile {
-    /// Reads a file; one that is not there is empty.
+    /// Reads a figure file. A missing file counts as empty.
     ///
     /// # Errors
-    /// It can't be read, or is not of its form.
+    /// The file can't be read or does not contain the expected JSON.
     pub fn read(path: &Path) -> Result<Self, HollowError> {
         if !path.exists() {
             return Ok(Self::default());
@@ -67,23 +67,23 @@
         serde_json::from_str(&text).map_err(|e| HollowError::Form(path.to_owned(), e))
     }
 
-    /// Puts these figures in the place of those that the same commands gave.
+    /// Adds figures and removes older ones of the same commands.
     pub fn replace(&mut self, fresh: Vec<Figure>) {
         let same = |old: &Figure, new: &Figure| old.command == new.command;
         self.figures.retain(|old| !fresh.iter().any(|new| same(old, new)));
         self.figures.extend(fresh);
     }
 
-    /// Writes the file.
+    /// Writes the figure file.
     ///
     /// # Errors
-    /// It can't be written.
+    /// The file can't be written.
     pub fn write(&self, path: &Path) -> Result<(), HollowError> {
         write_json(path, self)
     }
 }
 
-/// Writes a value as JSON.
+/// Writes a value as indented JSON with a final newline.
 ///
 /// # Errors
 /// The file can't be written.
@@ -92,15 +92,15 @@
     std::fs::write(path, text + "\n").map_err(|e| HollowError::File(path.to_owned(), e))
 }
 
-/// The comparison of hollow gateways with real ones stands beside the file of figures.
+/// Path of the comparison file, in the folder of the figure file.
 pub fn comparison_path(figures: &Path) -> PathBuf {
     figures.with_file_name("hollow-comparison.json")
 }
 
-/// Adds figures to a file, if the comparison beside it found the same counts.
+/// Adds figures to a file if the comparison in the same folder found equal counts.
 ///
 /// # Errors
-/// There is no such comparison, or a file can't be read or written.
+/// No comparison with equal counts exists, or a file can't be read or written.
 pub fn add_to_file(path: &Path, fresh: Vec<Figure>) -> Result<(), HollowError> {
     let comparison = comparison_path(path);
     if !super::compare::has_same_counts(&comparison)? {
--- a/lab/src/hollow/fleet.rs
+++ b/lab/src/hollow/fleet.rs
@@ -1,30 +1,30 @@
-//! The size of a fleet and where its machines stand.
+//! The size of a fleet and the placement of its machines in zones, regions and racks.
 
 use super::error::HollowError;
 
-/// Zones of the fleet.
+/// Number of zones of the fleet.
 pub const ZONES: usize = 5;
-/// Zones of the first region; the others are the second's.
+/// Number of zones in the first region. The remaining zones form the second region.
 pub const FIRST_REGION_ZONES: usize = 3;
-/// Machines of a zone stand in so many racks. The operators name no size of a rack: this is an assumption.
+/// Number of racks in each zone.
 pub const RACKS_PER_ZONE: usize = 8;
 
-/// How many machines of each role there are.
+/// Number of machines of each role.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FleetSize {
-    /// Gateways.
+    /// Number of gateways, from 1 to 2000.
     pub gateways: usize,
-    /// Databases.
+    /// Number of databases, from 1 to 5000.
     pub databases: usize,
-    /// Control machines.
+    /// Number of control machines, from 1 to 50.
     pub control: usize,
 }
 
 impl FleetSize {
-    /// The size that the operators name for two years from now.
+    /// The fleet size that the operators plan for in two years.
     pub const NAMED: Self = Self { gateways: 550, databases: 810, control: 7 };
 
-    /// Checks that the size is one that can be run.
+    /// Checks that each number is within its range.
     ///
     /// # Errors
     /// A number is out of range.
@@ -44,17 +44,17 @@
     }
 }
 
-/// The zone of the machine of this number in its role.
+/// Zone of a machine, given its number within its role.
 pub fn zone(machine: usize) -> usize {
     machine % ZONES
 }
 
-/// The region of a zone, 0 or 1.
+/// Region of a zone, 0 or 1.
 pub fn region(zone: usize) -> usize {
     usize::from(zone >= FIRST_REGION_ZONES)
 }
 
-/// The rack of the machine of this number in its role, within its zone.
+/// Rack of a machine within its zone, given its number within its role.
 pub fn rack(machine: usize) -> usize {
     machine / ZONES % RACKS_PER_ZONE
 }
--- a/lab/src/hollow/list.rs
+++ b/lab/src/hollow/list.rs
@@ -1,4 +1,4 @@
-//! The list of databases as control machines hold it: numbered events, and the text in which they are streamed.
+//! The endpoint list of a control machine: numbered events and their encoding as server-sent events.
 
 use std::collections::VecDeque;
 use std::fmt::Write;
@@ -7,23 +7,24 @@
 
 use super::fleet;
 
-/// Events that a control machine keeps for gateways that reconnect; one that requests older ones gets the whole list.
+/// Number of events that a control machine retains for gateways that reconnect. A request for older events is answered
+/// with a snapshot.
 pub const KEPT_EVENTS: usize = 1024;
-/// The head of the answer that a stream begins with.
+/// HTTP response head at the start of a stream.
 pub const STREAM_HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n";
-/// A comment, which shows that the stream lives.
+/// Server-sent-events comment that serves as the heartbeat of a stream.
 pub const COMMENT: &[u8] = b": here\n\n";
-/// Time between two comments, in microseconds.
+/// Heartbeat interval of a stream, in microseconds.
 pub const COMMENT_PERIOD_US: u64 = 1_000_000;
 
-/// The state of a database in the list.
+/// State of a database in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DatabaseState {
-    /// It may be sent to.
+    /// Accepts requests.
     Ready,
-    /// It drains.
+    /// Draining: accepts no new requests.
     Terminating,
-    /// It has gone.
+    /// Absent from snapshots.
     Gone,
 }
 
@@ -37,14 +38,14 @@
     }
 }
 
-/// A database in the list.
+/// Entry of a database in the list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Database {
-    /// Its number, which gives its name, zone and address.
+    /// Number of the database, from which its name, zone and address derive.
     pub number: usize,
-    /// Its state.
+    /// State that the list reports.
     pub state: DatabaseState,
-    /// Unix milliseconds of its last start, or 0.
+    /// Unix time of the last start in milliseconds, or 0 if unknown.
     pub since_ms: u64,
 }
 
@@ -62,13 +63,13 @@
     }
 }
 
-/// Where a database is said to listen. Nothing is there in a run without client traffic.
+/// Address of a database in the list. No process listens there, as a run has no client traffic.
 fn address(number: usize) -> SocketAddr {
     let [high, low] = (number as u16).to_be_bytes();
     (Ipv4Addr::new(127, 1, high, low), 10_080).into()
 }
 
-/// The list, and its last events.
+/// The list with its most recent events.
 #[derive(Clone, Debug)]
 pub struct DatabaseList {
     databases: Vec<Database>,
@@ -77,18 +78,18 @@
 }
 
 impl DatabaseList {
-    /// So many databases, all ready, as event 1.
+    /// Creates a list of ready databases as event 1.
     pub fn new(databases: usize) -> Self {
         let ready = |number| Database { number, state: DatabaseState::Ready, since_ms: 0 };
         Self { databases: (0..databases).map(ready).collect(), last: 1, kept: VecDeque::new() }
     }
 
-    /// The number of the last event.
+    /// Index of the last event.
     pub fn last(&self) -> u64 {
         self.last
     }
 
-    /// Changes databases in one event; its number.
+    /// Applies changes as one event and returns its index.
     pub fn change(&mut self, changed: &[Database]) -> u64 {
         for database in changed {
             if let Some(entry) = self.databases.get_mut(database.number) {
@@ -103,7 +104,7 @@
         self.last
     }
 
-    /// The events behind event `after` as a stream gets them: number and text of each.
+    /// Returns index and text of each event that a stream sends after event `after`.
     pub fn events(&self, after: u64) -> Vec<(u64, Arc<[u8]>)> {
         let oldest = self.kept.front().map_or(self.last + 1, |(number, _)| *number);
         if after == 0 || after + 1 < oldest && after < self.last {
@@ -132,7 +133,7 @@
     text.into_bytes().into()
 }
 
-/// The number of the last event that a gateway has, from the head of its call.
+/// Parses `Last-Event-ID` from the head of a gateway's request. Returns `None` if the head is incomplete.
 pub fn last_event_id(call: &[u8]) -> Option<u64> {
     let mut headers = [httparse::EMPTY_HEADER; 16];
     let mut request = httparse::Request::new(&mut headers);
--- a/lab/src/hollow/load.rs
+++ b/lab/src/hollow/load.rs
@@ -1,15 +1,15 @@
-//! Load over time: its total, and the most that fell into any window of a given length.
+//! Load over time: the total, and the maximum within any sliding window of a given length.
 
 use std::collections::VecDeque;
 
-/// A tenth of a second, in microseconds: what falls into it is in step.
+/// A tenth of a second, in microseconds.
 pub const TENTH_US: u64 = 100_000;
 /// A second, in microseconds.
 pub const SECOND_US: u64 = 1_000_000;
 /// Ten seconds, in microseconds.
 pub const TEN_SECONDS_US: u64 = 10 * SECOND_US;
 
-/// The most that fell into a sliding window.
+/// Maximum amount within a sliding window.
 #[derive(Clone, Debug)]
 pub struct SlidingMaximum {
     window_us: u64,
@@ -19,12 +19,12 @@
 }
 
 impl SlidingMaximum {
-    /// Nothing yet, for a window of this length.
+    /// Creates an empty window of this length.
     pub fn new(window_us: u64) -> Self {
         Self { window_us, samples: VecDeque::new(), sum: 0, most: 0 }
     }
 
-    /// Adds an amount at a time that is not before that of the last.
+    /// Adds an amount. Times must not decrease from call to call.
     pub fn add(&mut self, now_us: u64, amount: u64) {
         while self.samples.front().is_some_and(|(at, _)| at + self.window_us <= now_us) {
             self.sum -= self.samples.pop_front().map_or(0, |(_, amount)| amount);
@@ -37,13 +37,13 @@
         self.most = self.most.max(self.sum);
     }
 
-    /// The most so far.
+    /// Largest sum within any window so far.
     pub fn most(&self) -> u64 {
         self.most
     }
 }
 
-/// A quantity of one machine over a run.
+/// Load of one machine over a run.
 #[derive(Clone, Debug)]
 pub struct Load {
     second: SlidingMaximum,
@@ -62,24 +62,24 @@
 }
 
 impl Load {
-    /// Adds an amount at a time that is not before that of the last.
+    /// Adds an amount. Times must not decrease from call to call.
     pub fn add(&mut self, now_us: u64, amount: u64) {
         self.second.add(now_us, amount);
         self.ten_seconds.add(now_us, amount);
         self.total += amount;
     }
 
-    /// The amount in the worst second.
+    /// Maximum amount within any second.
     pub fn worst_second(&self) -> u64 {
         self.second.most()
     }
 
-    /// The amount in the worst ten seconds, all together.
+    /// Maximum amount within any ten seconds.
     pub fn worst_ten_seconds(&self) -> u64 {
         self.ten_seconds.most()
     }
 
-    /// All of it.
+    /// Sum of all amounts.
     pub fn total(&self) -> u64 {
         self.total
     }
--- a/lab/src/hollow/mod.rs
+++ b/lab/src/hollow/mod.rs
@@ -1,9 +1,9 @@
-//! `wrenhatch-lab hollow`: what control costs a fleet, without its clients' traffic.
+//! `wrenhatch-lab hollow`: measures the cost of the control plane in a fleet without client traffic.
 //!
-//! `simulate` runs events in simulated time on the gateway's own control-side code, `sockets` runs whole gateways
-//! without clients over loopback, and `compare` runs the same small fleet hollow, as real processes and in simulated
-//! time, and compares counts, processor time and memory. How they work, and what they leave out, stands in
-//! `docs/design/capacity-hollow.md`.
+//! `simulate` runs the gateway's control-side code in simulated time. `sockets` runs complete gateways without
+//! clients over loopback. `compare` runs one small fleet with hollow gateways, with real processes and in simulated
+//! time, and compares event counts, processor time and memory. `docs/design/capacity-hollow.md` describes the method
+//! and its limits.
 
 pub mod bounds;
 pub mod compare;
@@ -22,7 +22,7 @@
 
 use clap::{Args, Subcommand};
 
-/// Runs of a fleet without its clients' traffic.
+/// Runs a fleet without client traffic.
 #[derive(Args)]
 pub struct Options {
     #[command(subcommand)]
@@ -31,21 +31,21 @@
 
 #[derive(Subcommand)]
 enum Run {
-    /// Events in simulated time on the gateway's control-side code.
+    /// Simulates events with the gateway's control-side code.
     Simulate(simulate::Options),
-    /// Whole gateways without clients in few processes, over loopback.
+    /// Runs complete gateways without clients over loopback, many to a process.
     Sockets(sockets::Options),
-    /// A small fleet hollow, as real processes and in simulated time.
+    /// Compares a small fleet of hollow gateways with real processes and with the simulation.
     Compare(compare::Options),
-    /// Holds gateways for `sockets` and `compare` until SIGTERM.
+    /// Hosts gateways for `sockets` and `compare` until SIGTERM.
     #[command(hide = true)]
     Host(sockets::host::Options),
 }
 
-/// Runs the chosen command.
+/// Runs the selected subcommand.
 ///
 /// # Errors
-/// An option is wrong, a bound is passed, or figures are not usable.
+/// An option is invalid, a bound is exceeded, or the run fails.
 pub fn run(options: &Options) -> Result<(), error::HollowError> {
     match &options.run {
         Run::Simulate(options) => simulate::run(options),
--- a/lab/src/hollow/options.rs
+++ b/lab/src/hollow/options.rs
@@ -1,4 +1,4 @@
-//! Options that several kinds of runs share: the size of the fleet, and the bounds of a run.
+//! Command-line options that several subcommands share: the fleet size and the bounds of a run.
 
 use std::time::Duration;
 
@@ -8,47 +8,47 @@
 use super::error::HollowError;
 use super::fleet::FleetSize;
 
-/// The size of a fleet on the command line.
+/// Options for the fleet size.
 #[derive(Args, Clone, Copy, Debug)]
 pub struct SizeOptions {
-    /// Gateways.
+    /// Number of gateways.
     #[arg(long, default_value_t = FleetSize::NAMED.gateways)]
     pub gateways: usize,
-    /// Databases.
+    /// Number of databases.
     #[arg(long, default_value_t = FleetSize::NAMED.databases)]
     pub databases: usize,
-    /// Control machines.
+    /// Number of control machines.
     #[arg(long, default_value_t = FleetSize::NAMED.control)]
     pub control: usize,
 }
 
 impl SizeOptions {
-    /// The size, checked.
+    /// Returns the fleet size after range checks.
     ///
     /// # Errors
-    /// A number is out of range.
+    /// An option is out of range.
     pub fn size(&self) -> Result<FleetSize, HollowError> {
         let Self { gateways, databases, control } = *self;
         FleetSize { gateways, databases, control }.check()
     }
 }
 
-/// The bounds of a run on the command line.
+/// Options for the bounds of a run.
 #[derive(Args, Clone, Copy, Debug)]
 pub struct BoundOptions {
-    /// Stops at so much memory of all processes together, in MB.
+    /// Maximum memory of all processes together, in MB; the run stops above it.
     #[arg(long, default_value_t = MOST_MEMORY_MB)]
     pub memory_mb: u64,
-    /// Stops after so many seconds.
+    /// Maximum duration of the run, in seconds.
     #[arg(long, default_value_t = 900)]
     pub limit_s: u64,
 }
 
 impl BoundOptions {
-    /// The bounds, checked.
+    /// Returns the bounds after range checks; the time limit starts now.
     ///
     /// # Errors
-    /// A number is out of range.
+    /// An option is out of range.
     pub fn bounds(&self) -> Result<Bounds, HollowError> {
         let ranges = [("memory-mb", self.memory_mb, MOST_MEMORY_MB), ("limit-s", self.limit_s, 3600)];
         for (option, value, most) in ranges {
--- a/lab/src/hollow/settings.rs
+++ b/lab/src/hollow/settings.rs
@@ -1,4 +1,4 @@
-//! The configuration of a gateway of a hollow fleet, the same for real processes and hollow gateways.
+//! Configuration of the gateways of a run, identical for real processes and hollow gateways.
 
 use std::net::SocketAddr;
 
@@ -6,12 +6,12 @@
 
 use super::fleet::{self, FleetSize};
 
-/// Memory of a gateway, in MB.
+/// Memory limit of a gateway, in MB.
 const MEMORY_MB: u64 = 192;
-/// Descriptors of a gateway.
+/// Descriptor limit of a gateway.
 const DESCRIPTORS: u64 = 256;
 
-/// The configuration of gateway `number`, which knows nothing of the list yet.
+/// Returns the configuration of gateway `number`, which starts without any endpoint list.
 pub fn configuration(
     size: FleetSize,
     number: usize,
