--- a/lab/src/hollow/compare.rs
+++ b/lab/src/hollow/compare.rs
@@ -1,5 +1,5 @@
-//! `wrenhatch-lab hollow compare`: the same small fleet with real processes, with hollow gateways and in simulated
-//! time. No hollow figure counts while the counts differ.
+//! `wrenhatch-lab hollow compare`: runs one small fleet with real processes, with hollow gateways and in simulated
+//! time. Figures of hollow runs are valid only if all three have equal counts.
 
 use std::path::{Path, PathBuf};
 
@@ -21,89 +21,90 @@
 
 /// A second, in microseconds.
 const SECOND_US: u64 = 1_000_000;
-/// Phases in simulated time begin at this second: all gateways have started by then.
+/// Second of simulated time at which the first phase begins. All gateways have started by then.
 const FIRST_PHASE_S: u64 = 20;
 
-/// What to compare.
+/// Options of `hollow compare`.
 #[derive(Args)]
 pub struct Options {
-    /// Gateways.
+    /// Number of gateways.
     #[arg(long, default_value_t = 20)]
     gateways: usize,
-    /// Databases.
+    /// Number of databases.
     #[arg(long, default_value_t = 60)]
     databases: usize,
-    /// Control machines.
+    /// Number of control machines.
     #[arg(long, default_value_t = 2)]
     control: usize,
     #[command(flatten)]
     bounds: BoundOptions,
-    /// Seed of the gateways.
+    /// Seed from which the seeds of the gateways derive.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// The file of figures that the comparison is to stand beside.
+    /// Figure file; the comparison is written to the same folder.
     #[arg(long)]
     json: Option<PathBuf>,
 }
 
-/// Counts of a run that don't depend on chance.
+/// Counts of a run that do not depend on random numbers.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq, Serialize)]
 pub struct Counts {
-    /// Calls for the list, less those that follow a stream which control has ended: chance decides where those were.
+    /// List requests, less one for each stream that control ended. The number of those depends on the random assignment
+    /// of gateways to control machines.
     pub list_calls: u64,
-    /// List events taken in by gateways.
+    /// List events applied by gateways.
     pub list_events: u64,
-    /// Bytes of list events.
+    /// Bytes of list events written by control machines.
     pub event_bytes: u64,
-    /// Connections to databases.
+    /// Connections opened to databases.
     pub engine_connects: u64,
 }
 
-/// A run and its counts.
+/// Results of one of the compared runs.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Side {
-    /// Its counts.
+    /// Counts that must be equal in all runs.
     pub counts: Counts,
-    /// What it cost; nothing in simulated time.
+    /// Processor time and memory; `None` for the simulation.
     pub run: Option<RunFigures>,
 }
 
-/// The three runs.
+/// Results of the three runs.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Comparison {
-    /// Gateways.
+    /// Number of gateways.
     pub gateways: usize,
-    /// Databases.
+    /// Number of databases.
     pub databases: usize,
-    /// Control machines.
+    /// Number of control machines.
     pub control: usize,
-    /// The command that gives it.
+    /// Command that reproduces the comparison.
     pub command: String,
-    /// Each gateway a process.
+    /// Run with a process for each gateway.
     pub real: Side,
-    /// Gateways on threads of one process.
+    /// Run with all gateways on threads of one process.
     pub hollow: Side,
-    /// The control-side code in simulated time.
+    /// Simulation with the gateway's control-side code.
     pub simulated: Side,
-    /// Processor time of a hollow gateway over that of a real one, at the start. A real one's program is started too.
+    /// Ratio of processor time, hollow to real gateway, at the start. The time of a real gateway includes process startup.
     pub processor_ratio_start: f64,
-    /// The same over all phases behind the start that kept to their schedule.
+    /// Ratio of processor time, hollow to real gateway, over all later phases that are usable in both runs.
     pub processor_ratio: f64,
-    /// Memory of a hollow gateway over that of a real one.
+    /// Ratio of anonymous memory, hollow to real gateway.
     pub memory_ratio: f64,
 }
 
 impl Comparison {
-    /// Whether all three have the same counts.
+    /// Returns whether all three runs have equal counts.
     pub fn has_same_counts(&self) -> bool {
         self.real.counts == self.hollow.counts && self.real.counts == self.simulated.counts
     }
 }
 
-/// Whether the comparison in this file found the same counts; no file, no.
+/// Returns whether the comparison in this file has equal counts. A missing file gives `false`.
 ///
 /// # Errors
-/// The file is not of its form.
+/// The file can't be read or does not contain a comparison.
 pub fn has_same_counts(path: &Path) -> Result<bool, HollowError> {
     if !path.exists() {
         return Ok(false);
@@ -114,10 +115,10 @@
     Ok(comparison.has_same_counts())
 }
 
-/// Runs the three and prints what they came to.
+/// Runs the fleet in all three ways and prints the comparison.
 ///
 /// # Errors
-/// An option is wrong, a bound is passed, or a peer did not do its part.
+/// An option is invalid, a bound is exceeded, or a gateway fails.
 pub fn run(options: &Options) -> Result<(), HollowError> {
     let Options { gateways, databases, control, .. } = *options;
     let size = SizeOptions { gateways, databases, control }.size()?;
@@ -174,30 +175,30 @@
     Side { counts, run: Some(run) }
 }
 
-/// Processor time of a gateway over the phases behind the start that both runs kept to their schedule in.
+/// Mean processor time of a gateway in `run`, over the phases after the start that are usable in both other arguments.
 fn processor_ms(of: &RunFigures, one: &RunFigures, other: &RunFigures) -> f64 {
     let usable = |place: usize| one.phases[place].is_usable() && other.phases[place].is_usable();
     let phases = of.phases.iter().enumerate().filter(|(place, _)| *place > 0 && usable(*place));
     phases.map(|(_, phase)| phase.gateway_mean_ms).sum()
 }
 
-/// The counts of the same phases in simulated time. As over loopback, where the kernel leads to listeners that are
-/// there, the router notices at once who is gone.
+/// Simulates the phases and returns the counts. The router detects failures without delay, since over loopback the
+/// kernel passes connections to open listeners only.
 ///
 /// # Errors
-/// A bound is passed.
+/// A bound is exceeded.
 pub fn simulated_counts(size: FleetSize, seed: u64, bounds: &Bounds) -> Result<Counts, HollowError> {
     let measured = Model::new(size, seed).with_router_detection(0).run(&script(size), bounds)?;
     Ok(Counts {
         list_calls: measured.calls.saturating_sub(measured.ended),
         list_events: measured.events,
         event_bytes: measured.event_bytes,
-        // Without requests no connection is opened; the core of a hollow gateway sends nothing.
+        // Gateways open connections to databases only for client requests, and the simulation has none.
         engine_connects: 0,
     })
 }
 
-/// The phases of a run over loopback as a script in simulated time, the start included.
+/// Script with the phases of a run over loopback. Its measurement includes the start.
 fn script(size: FleetSize) -> Script {
     let mut actions = Vec::new();
     let Plan { phases, phase_s } = Plan::COMPARED;
--- a/lab/src/hollow/events.rs
+++ b/lab/src/hollow/events.rs
@@ -1,4 +1,4 @@
-//! The events that a fleet is put through, as scripts: what happens when, from a fixed seed.
+//! Scripts of the simulated events: timed actions on machines and network, deterministic for a seed.
 
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
@@ -8,64 +8,64 @@
 use super::fleet::{self, FleetSize};
 use super::list::{Database, DatabaseState};
 
-/// Microseconds of a second.
+/// A second, in microseconds.
 const SECOND_US: u64 = 1_000_000;
-/// When an event begins: all streams are up and quiet by then.
+/// Time at which an event begins. All streams are established and idle by then.
 const BEGIN_US: u64 = 20 * SECOND_US;
-/// From a database's failure to its entry in the list: an assumption about control.
+/// Delay between a database failure and the change of its list entry.
 const FAILURE_DETECTION_US: u64 = 3 * SECOND_US;
-/// Time within which many restarts, or the restarts of a release, are spread.
+/// Period over which a release or a batch of restarts is spread.
 const RESTART_WINDOW_US: u64 = 60 * SECOND_US;
-/// How long a single machine, a rack or a zone is down.
+/// Duration of an outage of a machine, rack or zone.
 const OUTAGE_US: u64 = 60 * SECOND_US;
-/// For how long the regions are cut off from each other.
+/// Duration of a network partition between the regions.
 const PARTITION_US: u64 = 180 * SECOND_US;
-/// How long a database is away for a restart.
+/// Duration of a restart of a database or control machine.
 const DATABASE_RESTART_US: u64 = 10 * SECOND_US;
-/// Time without actions at the end.
+/// Period without actions at the end of a script.
 const QUIET_END_US: u64 = 30 * SECOND_US;
-/// Restarts and replacements of a day.
+/// Planned restarts and replacements per day.
 const RESTARTS_PER_DAY: usize = 110;
-/// Failures of a day.
+/// Machine failures per day.
 const FAILURES_PER_DAY: usize = 2;
 
-/// What happens.
+/// An action of a script.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// The list changes, in one event.
+    /// Changes databases in the list by one event.
     Change(Vec<Database>),
-    /// A control machine ends or vanishes, or serves again.
+    /// Sets the reachability of a control machine.
     Control(usize, ControlState),
-    /// A gateway vanishes without notice.
+    /// Stops a gateway without closing its connection.
     GatewayVanishes(usize),
-    /// A gateway starts; if it ran before, it ends first.
+    /// Starts a gateway. A running one is stopped first and closes its connection.
     GatewayStarts(usize),
-    /// Nothing passes between the regions any more, or all does again.
+    /// Starts (`true`) or ends (`false`) a network partition between the regions.
     Cut(bool),
-    /// All control machines but these many are away, in the same moment.
+    /// Keeps the first control machines, up to this number, serving and stops the processes of all others.
     ControlLeft(usize),
-    /// All control machines end all streams, and take calls as before.
+    /// Closes all streams while the control machines continue to accept requests.
     EndStreams,
-    /// No control machine writes comments any more, or all do again, at once.
+    /// Suspends (`true`) or resumes (`false`) the heartbeat comments of all control machines.
     Silent(bool),
 }
 
-/// What happens when.
+/// Timed actions of one event.
 #[derive(Clone, Debug)]
 pub struct Script {
-    /// The event's name.
+    /// Name of the event in options and figures.
     pub name: &'static str,
-    /// Actions with their times in microseconds, in order.
+    /// Actions with their times in microseconds, sorted by time.
     pub actions: Vec<(u64, Action)>,
-    /// When the event begins; what was before is not measured.
+    /// Time at which the event and its measurement begin, in microseconds.
     pub begins_us: u64,
-    /// When the run ends.
+    /// Time at which the run ends, in microseconds.
     pub ends_us: u64,
 }
 
 type Build = fn(FleetSize, &mut Pcg32) -> Vec<(u64, Action)>;
 
-/// All events by name.
+/// Script builders by event name.
 const EVENTS: [(&str, Build); 14] = [
     ("ordinary hour", ordinary_hour),
     ("one gateway fails", gateway_fails),
@@ -83,15 +83,15 @@
     ("all watchers reconnect", all_reconnect),
 ];
 
-/// The names of all events.
+/// Names of all events.
 pub fn names() -> impl Iterator<Item = &'static str> {
     EVENTS.iter().map(|(name, _)| *name)
 }
 
-/// The script of an event.
+/// Builds the script of an event.
 ///
 /// # Errors
-/// No event has this name.
+/// The event is unknown.
 pub fn script(name: &str, size: FleetSize, seed: u64) -> Result<Script, HollowError> {
     let found = EVENTS.iter().find(|(known, _)| *known == name);
     let Some((name, build)) = found else {
@@ -119,7 +119,7 @@
     (at_us, Action::Change(vec![Database { number, state, since_ms }]))
 }
 
-/// Three events: it drains, has gone, and is back as one that has just started.
+/// List changes of a database restart: draining, removed, and ready with a new start time.
 fn database_restart(number: usize, at_us: u64) -> [(u64, Action); 3] {
     [
         state(number, DatabaseState::Terminating, at_us),
@@ -143,7 +143,7 @@
     [(from_us, Action::Control(number, state)), (until_us, Action::Control(number, ControlState::Serves))]
 }
 
-/// Restarts over all roles, in proportion to their machines.
+/// Restarts of randomly selected machines of all roles.
 fn restarts(size: FleetSize, random: &mut Pcg32, count: usize, window_us: u64) -> Vec<(u64, Action)> {
     let all = size.gateways + size.databases + size.control;
     let mut machines: Vec<usize> = (0..all).collect();
@@ -203,7 +203,7 @@
         .collect()
 }
 
-/// What stands in one place is away for a while, and returns in the same moment.
+/// An outage of all affected machines, which return at the same time.
 fn place_away(size: FleetSize, is_there: impl Fn(usize) -> bool) -> Vec<(u64, Action)> {
     let until_us = BEGIN_US + OUTAGE_US;
     let mut actions = Vec::new();
@@ -231,7 +231,7 @@
 
 fn regions_cut(size: FleetSize, random: &mut Pcg32) -> Vec<(u64, Action)> {
     let mut actions = vec![(BEGIN_US, Action::Cut(true)), (BEGIN_US + PARTITION_US, Action::Cut(false))];
-    // Databases are restarted meanwhile, as on any day.
+    // Database restarts during the partition produce list changes that one region misses.
     for restart in 0..10 {
         actions.extend(database_restart(
             below(random, size.databases),
@@ -255,7 +255,7 @@
     actions
 }
 
-/// Two of seven control machines stay, or as much of any other number.
+/// Stops all but two sevenths of the control machines.
 fn all_reconnect(size: FleetSize, _: &mut Pcg32) -> Vec<(u64, Action)> {
     let left = (size.control * 2 / 7).max(1);
     vec![(BEGIN_US, Action::ControlLeft(left)), (BEGIN_US + OUTAGE_US, Action::ControlLeft(size.control))]
--- a/lab/src/hollow/model/actions.rs
+++ b/lab/src/hollow/model/actions.rs
@@ -1,4 +1,4 @@
-//! The scripted actions: changes of the list, and what happens to machines and to the network.
+//! Execution of scripted actions: list changes, machine failures and restarts, and network partitions.
 
 use super::event::Event;
 use super::measure::ListChange;
@@ -9,7 +9,7 @@
 use crate::hollow::list::{COMMENT, Database};
 
 impl Model {
-    /// Carries out an action of the script.
+    /// Executes an action of the script.
     pub(super) fn perform(&mut self, action: &Action) {
         match action {
             Action::Change(changed) => self.change(changed),
@@ -35,8 +35,8 @@
         }
     }
 
-    /// A control machine gets all changes so far, unless it is cut off from the first region, where changes are
-    /// decided.
+    /// Replicates all changes to a control machine, unless a partition separates it from the first region, where changes
+    /// originate.
     fn replicate(&mut self, machine: usize) {
         let region = fleet::region(self.machines[machine].zone);
         if self.is_apart(0, region) {
@@ -83,7 +83,7 @@
         }
     }
 
-    /// The routers of both regions will notice the state of a machine.
+    /// Schedules the detection of a control machine's state by the routers of both regions.
     fn reroute(&mut self, machine: usize) {
         for region in 0..2 {
             self.schedule(self.now_us + self.router_detection_us, Event::RouterUpdated { region, machine });
--- a/lab/src/hollow/model/control.rs
+++ b/lab/src/hollow/model/control.rs
@@ -1,5 +1,4 @@
-//! A hollow control machine in simulated time: its copy of the list, its streams, and one worker that serves them in
-//! order of arrival.
+//! A modelled control machine: its replica of the list, its streams, and a single worker with a FIFO queue.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,57 +8,57 @@
 use crate::hollow::list::DatabaseList;
 use crate::hollow::load::Load;
 
-/// Time that a call takes until its stream has begun, in microseconds: an assumption.
+/// Service time of a list request until its stream starts, in microseconds.
 pub const CALL_COST_US: u64 = 200;
-/// Time that one write to one stream takes, in microseconds: an assumption.
+/// Fixed service time of a write to a stream, in microseconds.
 pub const WRITE_COST_US: u64 = 10;
-/// Time that each 1,000 bytes of it take, in microseconds: an assumption.
+/// Service time of each 1,000 bytes of a write, in microseconds.
 pub const KILOBYTE_COST_US: u64 = 2;
-/// A stream that takes no bytes for so long is closed, in microseconds: an assumption.
+/// Time after which a control machine closes a stalled stream, in microseconds.
 pub const STALL_TIMEOUT_US: u64 = 10_000_000;
 
-/// A stream as its control machine has it.
+/// State of a stream at its control machine.
 #[derive(Clone, Debug, Default)]
 pub struct ControlStream {
-    /// The number of the last event that was written.
+    /// Index of the last event written.
     pub last_sent: u64,
-    /// What was written while the network took nothing, oldest first.
+    /// Writes that could not be delivered, oldest first.
     pub unsent: Vec<Arc<[u8]>>,
-    /// Since when the network has taken nothing.
+    /// Time at which the stream stalled, in microseconds.
     pub stalled_since_us: Option<u64>,
 }
 
-/// A control machine.
+/// A control machine and its counts since the start of the measurement.
 pub struct ControlMachine {
-    /// Its zone.
+    /// Zone of the machine, from 0.
     pub zone: usize,
-    /// Whether it can be reached.
+    /// Reachability, set by scripted actions.
     pub state: ControlState,
-    /// Its copy of the list.
+    /// Replica of the list.
     pub list: DatabaseList,
-    /// Its streams.
+    /// Open streams by connection.
     pub streams: BTreeMap<ConnectionId, ControlStream>,
-    /// Calls.
+    /// List requests answered with a stream.
     pub calls: Load,
-    /// List events written, once for each stream.
+    /// List events written, counted for each stream.
     pub events: Load,
-    /// Bytes of these events.
+    /// Bytes of list events written.
     pub event_bytes: u64,
-    /// All bytes written.
+    /// Bytes written in total.
     pub bytes: Load,
-    /// Streams that it has ended.
+    /// Streams closed by scripted actions.
     pub ended: u64,
-    /// Most streams at once.
+    /// Maximum number of concurrent streams.
     pub most_streams: usize,
-    /// The longest time that work waited for the worker, in microseconds.
+    /// Maximum queueing delay of the worker, in microseconds.
     pub longest_wait_us: u64,
-    /// The most bytes that waited for a network that took nothing.
+    /// Maximum number of undelivered bytes over all streams.
     pub most_unsent_bytes: u64,
     busy_until_us: u64,
 }
 
 impl ControlMachine {
-    /// A control machine that has served with this list for long.
+    /// Creates a control machine that serves this list.
     pub fn new(zone: usize, list: DatabaseList) -> Self {
         Self {
             zone,
@@ -78,7 +77,7 @@
         }
     }
 
-    /// Has the worker do so much behind all that waits; when it is done.
+    /// Queues work for the worker and returns the time at which it completes, in microseconds.
     pub fn work(&mut self, now_us: u64, cost_us: u64) -> u64 {
         let begins_us = self.busy_until_us.max(now_us);
         self.longest_wait_us = self.longest_wait_us.max(begins_us - now_us);
@@ -86,14 +85,14 @@
         self.busy_until_us
     }
 
-    /// A stream begins behind this event.
+    /// Opens a stream that continues after event `after`.
     pub fn accept(&mut self, now_us: u64, connection: ConnectionId, after: u64) {
         self.calls.add(now_us, 1);
         self.streams.insert(connection, ControlStream { last_sent: after, ..ControlStream::default() });
         self.most_streams = self.most_streams.max(self.streams.len());
     }
 
-    /// The process ends: its streams, which are to be closed.
+    /// Sets the state, clears the worker's queue, and returns the streams for the caller to close.
     pub fn end(&mut self, state: ControlState) -> Vec<ConnectionId> {
         self.state = state;
         self.busy_until_us = 0;
@@ -101,7 +100,7 @@
         std::mem::take(&mut self.streams).into_keys().collect()
     }
 
-    /// What was before does not count, but for the streams that are open.
+    /// Resets the counts, except that open streams count towards the maximum.
     pub fn begin_measurement(&mut self) {
         (self.calls, self.events, self.bytes) = Default::default();
         (self.event_bytes, self.ended) = (0, 0);
@@ -109,7 +108,7 @@
         (self.longest_wait_us, self.most_unsent_bytes) = (0, 0);
     }
 
-    /// Bytes that wait for a network that takes nothing.
+    /// Updates the maximum number of undelivered bytes.
     pub fn note_unsent(&mut self) {
         let bytes = |stream: &ControlStream| stream.unsent.iter().map(|text| text.len() as u64).sum::<u64>();
         let unsent: u64 = self.streams.values().map(bytes).sum();
@@ -117,7 +116,7 @@
     }
 }
 
-/// What one write of so many bytes costs, in microseconds.
+/// Service time of a write, in microseconds.
 pub fn write_cost_us(bytes: usize) -> u64 {
     WRITE_COST_US + bytes as u64 * KILOBYTE_COST_US / 1000
 }
--- a/lab/src/hollow/model/control_side.rs
+++ b/lab/src/hollow/model/control_side.rs
@@ -1,4 +1,4 @@
-//! The control machines' side: calls, streams of the list, and changes that reach a machine.
+//! Event handlers of the control machines: connections, list requests, streams and replicated changes.
 
 use super::control::{CALL_COST_US, STALL_TIMEOUT_US};
 use super::event::Event;
@@ -41,7 +41,7 @@
         self.schedule(now_us + COMMENT_PERIOD_US, Event::CommentDue(connection));
     }
 
-    /// Writes all events that the stream has not been sent.
+    /// Writes all events that the stream has not sent yet.
     fn send_events(&mut self, connection: ConnectionId) {
         let now_us = self.now_us;
         let machine = self.machine_of(connection);
--- a/lab/src/hollow/model/event.rs
+++ b/lab/src/hollow/model/event.rs
@@ -1,48 +1,48 @@
-//! What happens in a simulated fleet at a time, and the order in which it happens.
+//! Events of the simulation and their order.
 
 use std::cmp::Ordering;
 use std::sync::Arc;
 
 use super::ConnectionId;
 
-/// Something that happens at a time.
+/// An event of the simulation.
 #[derive(Clone, Debug)]
 pub(super) enum Event {
-    /// The action at this place of the script.
+    /// The script's action with this index is due.
     ScriptedAction(usize),
-    /// Loads are counted from now on.
+    /// Measurement starts.
     MeasurementBegins,
-    /// A gateway starts.
+    /// A gateway process starts.
     GatewayStarts(usize),
-    /// A gateway's watch has something due, if it still runs in this incarnation.
+    /// The timer of a gateway's watch expires. Ignored if the gateway has restarted since.
     WatchTimer { gateway: usize, incarnation: u32 },
-    /// A SYN has come to its control machine.
+    /// A SYN arrives at the control machine.
     ConnectArrived(ConnectionId),
-    /// The answer to a SYN has come to its gateway.
+    /// A SYN-ACK arrives at the gateway.
     ConnectAccepted(ConnectionId),
-    /// A refusal has come to its gateway.
+    /// A reset in response to a SYN arrives at the gateway.
     ConnectRefused(ConnectionId),
-    /// A call for the events behind `after` has come to its control machine.
+    /// A request for the list events after `after` arrives at the control machine.
     CallArrived { connection: ConnectionId, after: u64 },
-    /// A control machine has worked on a call, and begins its stream.
+    /// A control machine has processed a request and starts the stream.
     StreamBegins { connection: ConnectionId, after: u64 },
-    /// A stream is due a comment.
+    /// The heartbeat comment of a stream is due.
     CommentDue(ConnectionId),
-    /// Bytes of the list have come to a gateway.
+    /// Bytes of a stream arrive at the gateway.
     BytesArrived { connection: ConnectionId, text: Arc<[u8]> },
-    /// The end of a stream has come to its gateway.
+    /// The end of a stream arrives at the gateway.
     StreamEndedAtGateway(ConnectionId),
-    /// The end of a stream has come to its control machine.
+    /// The end of a stream arrives at the control machine.
     StreamEndedAtControl(ConnectionId),
-    /// A control machine gets the first so many changes of the list.
+    /// The changes of the list before index `changes` have been replicated to a control machine.
     ChangesReplicated { machine: usize, changes: usize },
-    /// A region's router notices the state of a control machine.
+    /// The router of a region detects the state of a control machine.
     RouterUpdated { region: usize, machine: usize },
-    /// What a cut held back is sent again.
+    /// Bytes that a network partition held back are retransmitted.
     Retransmission(ConnectionId),
 }
 
-/// An event with its time; `order` counts events as they are scheduled.
+/// An event with its time. `sequence` is unique and orders events of the same time.
 pub(super) struct ScheduledEvent {
     pub(super) at_us: u64,
     pub(super) order: u64,
--- a/lab/src/hollow/model/gateway.rs
+++ b/lab/src/hollow/model/gateway.rs
@@ -1,4 +1,4 @@
-//! A hollow gateway in simulated time: the gateway's list reader, registry and core, without sockets and clients.
+//! A simulated gateway: the production list reader, registry and core, without sockets and clients.
 
 use std::collections::HashMap;
 
@@ -12,11 +12,11 @@
 use super::watch::{Watch, WatchRequest};
 use crate::hollow::error::HollowError;
 
-/// A hollow gateway, from one start to its end.
+/// One incarnation of a simulated gateway.
 pub struct HollowGateway {
-    /// Its watch of the list.
+    /// Watch of the endpoint list.
     pub watch: Watch,
-    /// List events taken in, as the gateway's `list_events` counts them.
+    /// List events applied, counted like `list_events` of the gateway's counters.
     pub list_events: u64,
     registry: EngineRegistry,
     core: Core,
@@ -26,10 +26,10 @@
 }
 
 impl HollowGateway {
-    /// A gateway that starts now.
+    /// Creates a gateway with an empty endpoint list.
     ///
     /// # Errors
-    /// The settings make no sense.
+    /// The core rejected the settings.
     pub fn new(config: Config, random_seed: u64) -> Result<Self, HollowError> {
         let chance = f64::from(config.seed as u32) / f64::from(u32::MAX);
         let random = Pcg32::seed_from_u64(config.seed ^ random_seed);
@@ -44,19 +44,19 @@
         })
     }
 
-    /// A timer of the watch has rung.
+    /// Handles the expiry of the watch's timer.
     pub fn check(&mut self, now_us: u64, requests: &mut Vec<WatchRequest>) {
         let events = self.watch.check(now_us, requests);
         self.listed(now_us, &events);
     }
 
-    /// Bytes of the list have come.
+    /// Handles bytes received on the stream.
     pub fn received(&mut self, now_us: u64, bytes: &[u8], requests: &mut Vec<WatchRequest>) {
         let events = self.watch.received(now_us, bytes, requests);
         self.listed(now_us, &events);
     }
 
-    /// The stream has ended.
+    /// Handles the end or refusal of the connection.
     pub fn lost(&mut self, now_us: u64, requests: &mut Vec<WatchRequest>) {
         let events = self.watch.lost(now_us, requests);
         self.listed(now_us, &events);
@@ -97,7 +97,7 @@
             )),
             cell: listed.cell,
             state: listed.state,
-            // The clock of a run begins at the Unix epoch.
+            // Simulated time starts at the Unix epoch.
             started_at: (listed.started_ms > 0).then_some(listed.started_ms as f64 / 1e3),
         }
     }
--- a/lab/src/hollow/model/gateway_side.rs
+++ b/lab/src/hollow/model/gateway_side.rs
@@ -1,4 +1,4 @@
-//! The gateways' side: starts, timers of the watch, and its requests.
+//! Event handlers of the gateways: starts, timers, connections and received bytes.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,13 +17,13 @@
 use crate::hollow::fleet::{self, FleetSize};
 use crate::hollow::settings;
 
-/// A gateway, over all its incarnations.
+/// A gateway and its counts across restarts.
 pub(super) struct GatewaySlot {
-    /// None while it is down.
+    /// `None` while the gateway is down.
     pub(super) running: Option<HollowGateway>,
     pub(super) incarnation: u32,
     pub(super) started_us: u64,
-    /// When its timer is due.
+    /// Time of the scheduled watch timer, in microseconds.
     pub(super) armed_us: Option<u64>,
     pub(super) loads: GatewayLoads,
 }
@@ -43,7 +43,7 @@
         Ok(())
     }
 
-    /// Schedules the timer of the watch, if it is due earlier than what is scheduled.
+    /// Schedules the timer of the watch, unless one is scheduled for the same time or earlier.
     fn arm(&mut self, gateway: usize) {
         let slot = &mut self.gateways[gateway];
         let Some(running) = &slot.running else { return };
@@ -64,7 +64,7 @@
         self.with_gateway(gateway, |running, now_us, requests| running.check(now_us, requests));
     }
 
-    /// Hands an input to a gateway, measures its effect, and carries out what the watch requests.
+    /// Lets `handle` pass an input to a gateway, records the effect, and executes the requests of the watch.
     fn with_gateway(
         &mut self,
         gateway: usize,
@@ -93,7 +93,7 @@
             (0..self.size.control).filter(|machine| self.routed[region][*machine]).collect();
         let chosen = self.random.next_u32() as usize % reachable.len().max(1);
         let connection = self.connections.len();
-        // A router without a reachable machine drops packets, as a machine that has vanished does.
+        // A router without a reachable control machine drops packets.
         let machine = reachable.get(chosen).copied();
         self.connections.push(Connection { gateway, machine: machine.unwrap_or(0), arrives_us: 0 });
         let slot = &mut self.gateways[gateway];
@@ -134,7 +134,7 @@
             return self.hold(connection, text);
         }
         if !self.is_current(connection) {
-            // The gateway has closed this connection: it answers with a reset.
+            // The gateway answers bytes on a closed connection with a reset.
             return self.end_to_control(connection);
         }
         let gateway = self.connections[connection].gateway;
@@ -143,7 +143,7 @@
     }
 }
 
-/// The configuration of a hollow gateway, read by the gateway's own parser.
+/// Configuration of a gateway, parsed by the production parser.
 fn hollow_configuration(size: FleetSize, number: usize, seed: u64) -> Result<Config, HollowError> {
     let nowhere = SocketAddr::from(([127, 0, 0, 1], 1));
     let text = settings::configuration(size, number, seed, nowhere).to_string();
--- a/lab/src/hollow/model/measure.rs
+++ b/lab/src/hollow/model/measure.rs
@@ -1,4 +1,4 @@
-//! What a run in simulated time is measured by.
+//! Measurements of a simulation: loads of machines and propagation delays of the list.
 
 use hdrhistogram::Histogram;
 use serde::Serialize;
@@ -8,29 +8,29 @@
 use crate::hollow::list::Database;
 use crate::hollow::load::{Load, SlidingMaximum, TENTH_US};
 
-/// Longer than this counts as this, in microseconds.
+/// Largest recorded delay, in microseconds. Longer delays are recorded as this value.
 const LONGEST_US: u64 = 3_600_000_000;
 
-/// The loads of one gateway.
+/// Loads of one gateway.
 #[derive(Clone, Debug, Default)]
 pub struct GatewayLoads {
-    /// Calls for the list, refused and silent ones included.
+    /// Connection attempts for the list, including those that fail.
     pub calls: Load,
-    /// List events taken in.
+    /// List events applied.
     pub events: Load,
-    /// Bytes of the list read.
+    /// Bytes received on list streams.
     pub bytes: Load,
 }
 
-/// A change of the list, at its time.
+/// A change of the list.
 pub struct ListChange {
-    /// When it was decided.
+    /// Time of the change, in microseconds.
     pub at_us: u64,
-    /// The databases that changed.
+    /// New entries of the changed databases.
     pub databases: Vec<Database>,
 }
 
-/// How long changes of the list took until they were in force.
+/// Delays until changes of the list have reached each gateway.
 pub struct InForce {
     changes: Histogram<u64>,
     first_lists: Histogram<u64>,
@@ -44,7 +44,7 @@
 }
 
 impl InForce {
-    /// A gateway that started at `started_us` has got from event `last` to event `now_last`.
+    /// Records that a gateway that started at `started_us` advanced from event `last` to event `now_last`.
     pub fn reached(
         &mut self,
         now_us: u64,
@@ -56,7 +56,7 @@
         if last == 0 && now_last > 0 {
             self.first_lists.saturating_record(now_us - started_us);
         }
-        // The change at place 0 is event 2.
+        // The change at index 0 is event 2, since event 1 is the initial list.
         for ListChange { at_us, .. } in
             changes.iter().take(now_last as usize - now_last.min(1) as usize).skip(last.max(1) as usize - 1)
         {
@@ -67,19 +67,19 @@
     }
 }
 
-/// The load of a role's machine that had the most of it.
+/// Peak loads over all machines of a role.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Worst {
-    /// In its worst second.
+    /// Maximum within any second.
     pub second: u64,
-    /// In its worst ten seconds, in all.
+    /// Maximum within any ten seconds.
     pub ten_seconds: u64,
-    /// Over the whole event.
+    /// Maximum total over the measurement.
     pub total: u64,
 }
 
 impl Worst {
-    /// Of these, each figure by itself.
+    /// Returns the maxima over these loads.
     pub fn of<'a>(loads: impl Iterator<Item = &'a Load>) -> Self {
         loads.fold(Self::default(), |worst, load| {
             worst.max(Self {
@@ -90,7 +90,7 @@
         })
     }
 
-    /// The larger of both, each figure by itself.
+    /// Returns the field-wise maximum.
     pub fn max(self, other: Self) -> Self {
         Self {
             second: self.second.max(other.second),
@@ -100,53 +100,53 @@
     }
 }
 
-/// What an event did to a fleet.
+/// Measurements of one simulated event.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Measured {
-    /// Calls of one gateway for the list.
+    /// Peak list requests of a gateway.
     pub gateway_calls: Worst,
-    /// List events taken in by one gateway.
+    /// Peak list events applied by a gateway.
     pub gateway_events: Worst,
-    /// Bytes of the list read by one gateway.
+    /// Peak bytes of list streams received by a gateway.
     pub gateway_bytes: Worst,
-    /// Calls to one control machine.
+    /// Peak list requests to a control machine.
     pub control_calls: Worst,
-    /// List events that one control machine wrote, once for each stream.
+    /// Peak list events written by a control machine, counted for each stream.
     pub control_events: Worst,
-    /// Bytes that one control machine wrote.
+    /// Peak bytes written by a control machine.
     pub control_bytes: Worst,
-    /// Most streams at one control machine.
+    /// Maximum number of concurrent streams at a control machine.
     pub control_streams: u64,
-    /// Streams at the control machine that has most at the end.
+    /// Largest number of streams at a control machine at the end.
     pub control_streams_at_end: u64,
-    /// The longest that work waited at one control machine, in microseconds.
+    /// Maximum queueing delay at a control machine, in microseconds.
     pub control_wait_us: u64,
-    /// Most bytes at one control machine that waited for a network which took nothing.
+    /// Maximum number of undelivered bytes at a control machine.
     pub control_unsent_bytes: u64,
-    /// Calls of all gateways.
+    /// List requests of all gateways.
     pub calls: u64,
-    /// List events taken in by all gateways.
+    /// List events applied by all gateways.
     pub events: u64,
-    /// Bytes of list events that all control machines wrote.
+    /// Bytes of list events written by all control machines.
     pub event_bytes: u64,
-    /// Streams that control machines ended, or lost as they vanished.
+    /// Streams that ended because a control machine closed them, stopped or became unreachable.
     pub ended: u64,
-    /// Most calls of all gateways within a tenth of a second.
+    /// Maximum number of list requests of all gateways within a tenth of a second.
     pub calls_in_step: u64,
-    /// From a change until a gateway had it: the median, in microseconds; 0 without a change.
+    /// Median delay from a change to a gateway, in microseconds, or 0 without a change.
     pub in_force_median_us: u64,
-    /// From a change until the last gateway had it, in microseconds; 0 without a change.
+    /// Maximum delay from a change to a gateway, in microseconds, or 0 without a change.
     pub in_force_last_us: u64,
-    /// From a gateway's start until it had the list: the longest, in microseconds; 0 if none started.
+    /// Maximum delay from a gateway's start to its first list, in microseconds, or 0 if no gateway started.
     pub first_list_us: u64,
-    /// Gateways that ran at the end and had not all changes.
+    /// Number of running gateways that lack a change at the end.
     pub behind: u64,
-    /// Gateways that ran at the end and had no stream.
+    /// Number of running gateways without a stream at the end.
     pub without_stream: u64,
 }
 
 impl Measured {
-    /// The worse of two runs, each figure by itself.
+    /// Returns the field-wise maximum of two runs.
     pub fn worse(self, other: Self) -> Self {
         Self {
             gateway_calls: self.gateway_calls.max(other.gateway_calls),
@@ -174,7 +174,7 @@
 }
 
 impl Model {
-    /// What was before does not count.
+    /// Resets all measurements.
     pub(super) fn begin_measurement(&mut self) {
         for slot in &mut self.gateways {
             slot.loads = GatewayLoads::default();
--- a/lab/src/hollow/model/mod.rs
+++ b/lab/src/hollow/model/mod.rs
@@ -1,15 +1,13 @@
-//! A fleet in simulated time: hollow gateways with the gateway's own list reader, registry and core, hollow control
-//! machines, and a network between them. Databases exist as entries of the list only, as they get no requests
-//! without client traffic.
+//! Discrete-event simulation of a fleet: gateways with the production list reader, registry and core, modelled control
+//! machines, and the network between them. Databases exist only as list entries, as there is no client traffic.
 //!
-//! [`Model`] owns the clock, the queue of events and all state. Each event is handled at the side where it happens:
-//! `gateway_side`, `control_side` or `network`; `actions` carries out what the script says. Events of the same microsecond
-//! happen in the order in which they were scheduled, and random numbers are drawn in the order of events: a run is the
-//! same each time for the same seed.
+//! [`Model`] owns the clock, the event queue and all state. `gateway_side`, `control_side` and `network` handle the
+//! events at the respective machines, and `actions` executes the script. Events of the same microsecond are handled in
+//! the order in which they were scheduled, and random numbers are drawn in the order of events, so that a run is
+//! deterministic for a seed.
 //!
-//! One address leads to all control machines; a router that notices a failure after a while chooses among those that
-//! it takes to be up. The gateway knows a single address, so that some such router has to exist for more than one
-//! control machine to be of use.
+//! Gateways know a single address for all control machines. The router of each region forwards a connection to a random
+//! control machine that it considers reachable, and detects failures after a delay.
 
 mod actions;
 pub mod control;
@@ -40,15 +38,15 @@
 pub use measure::{Measured, Worst};
 use network::{Connection, ROUTER_DETECTION_US};
 
-/// The number of a connection, never used twice.
+/// Index of a connection in [`Model`]. Indices are not reused.
 pub type ConnectionId = usize;
 
-/// Gateways of a fleet that is brought up start within this, in microseconds.
+/// Period over which the gateways of a new fleet start, in microseconds.
 const MAX_FIRST_START_US: u64 = 10_000_000;
-/// Events between two checks of the bounds.
+/// Number of events between checks of the bounds.
 const EVENTS_PER_BOUNDS_CHECK: u64 = 50_000;
 
-/// A fleet in simulated time.
+/// Simulation of a fleet.
 pub struct Model {
     size: FleetSize,
     seed: u64,
@@ -59,7 +57,7 @@
     gateways: Vec<GatewaySlot>,
     machines: Vec<ControlMachine>,
     connections: Vec<Connection>,
-    /// Which control machines the router of each region takes to be up.
+    /// Control machines that the router of each region considers reachable.
     routed: [Vec<bool>; 2],
     router_detection_us: u64,
     is_cut: bool,
@@ -70,7 +68,7 @@
 }
 
 impl Model {
-    /// A fleet whose gateways start in its first ten seconds.
+    /// Creates a fleet whose gateways start at random times within the first ten seconds.
     pub fn new(size: FleetSize, seed: u64) -> Self {
         let slot = |_| GatewaySlot {
             running: None,
@@ -106,16 +104,16 @@
         model
     }
 
-    /// The same with a router that notices what happens so many microseconds later.
+    /// Sets the delay after which routers detect failures and recoveries, in microseconds.
     pub fn with_router_detection(mut self, router_detection_us: u64) -> Self {
         self.router_detection_us = router_detection_us;
         self
     }
 
-    /// Runs a script to its end.
+    /// Runs a script to its end and returns the measurements.
     ///
     /// # Errors
-    /// A bound is passed, or the gateways' settings make no sense.
+    /// A bound is exceeded, or the settings of the gateways are invalid.
     pub fn run(mut self, script: &Script, bounds: &Bounds) -> Result<Measured, HollowError> {
         self.schedule(script.begins_us.saturating_sub(1), Event::MeasurementBegins);
         for (place, (at_us, _)) in script.actions.iter().enumerate() {
--- a/lab/src/hollow/model/network.rs
+++ b/lab/src/hollow/model/network.rs
@@ -1,4 +1,4 @@
-//! The network between gateways and control machines: routers, latencies, and what a cut holds back.
+//! The network between gateways and control machines: routers, latencies, and bytes held back by partitions.
 
 use std::sync::Arc;
 
@@ -8,25 +8,25 @@
 use crate::hollow::control_state::ControlState;
 use crate::hollow::fleet;
 
-/// Least one-way latency within a zone, between zones of a region and between regions, in microseconds: assumptions.
+/// Minimum one-way latency within a zone, between zones of a region and between regions, in microseconds.
 const ONE_WAY_US: [u64; 3] = [150, 500, 15_000];
-/// By up to this part a one-way trip takes longer at random.
+/// Maximum random addition to a one-way latency, as a fraction of the minimum.
 const JITTER_RATIO: f64 = 0.2;
-/// From a change of what can be reached until the router uses it, in microseconds: an assumption.
+/// Delay until a router detects that a control machine became reachable or unreachable, in microseconds.
 pub(super) const ROUTER_DETECTION_US: u64 = 2_000_000;
-/// Within this, bytes that a cut held back are sent again once it is over, in microseconds: an assumption.
+/// Maximum delay between the end of a partition and a retransmission, in microseconds.
 pub(super) const MAX_RETRANSMISSION_DELAY_US: u64 = 1_000_000;
 
-/// A connection of a gateway to a control machine.
+/// A connection from a gateway to a control machine.
 pub(super) struct Connection {
     pub(super) gateway: usize,
     pub(super) machine: usize,
-    /// When the last bytes reach the gateway: later ones don't overtake them.
+    /// Arrival time of the last bytes at the gateway. Later bytes arrive no earlier.
     pub(super) arrives_us: u64,
 }
 
 impl Model {
-    /// A control machine writes on a stream.
+    /// Writes on a stream, at the cost of the control machine's worker.
     pub(super) fn write(&mut self, connection: ConnectionId, text: Arc<[u8]>) {
         let now_us = self.now_us;
         let machine = self.machine_of(connection);
@@ -38,7 +38,7 @@
         self.deliver(connection, done_us, text);
     }
 
-    /// Has bytes arrive at the gateway, behind those that were sent before.
+    /// Schedules the arrival of bytes at the gateway, after bytes that were sent earlier.
     fn deliver(&mut self, connection: ConnectionId, sent_us: u64, text: Arc<[u8]>) {
         let arrives_us = sent_us + self.connection_latency_us(connection);
         let arrives_us = arrives_us.max(self.connections[connection].arrives_us);
@@ -46,7 +46,7 @@
         self.schedule(arrives_us, Event::BytesArrived { connection, text });
     }
 
-    /// Keeps bytes that the network does not take now, until the stream is retransmitted or has stalled for too long.
+    /// Buffers bytes that can't be delivered, until they are retransmitted or the stall timeout closes the stream.
     pub(super) fn hold(&mut self, connection: ConnectionId, text: Arc<[u8]>) {
         let now_us = self.now_us;
         let machine = self.machine_of(connection);
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Sends again what was kept.
+    /// Sends the buffered bytes of a stream if its path is open.
     pub(super) fn on_retransmission(&mut self, connection: ConnectionId) {
         if !self.is_path_open(connection) {
             return;
@@ -89,13 +89,13 @@
         &mut self.machines[self.connections[connection].machine]
     }
 
-    /// Whether the gateway still uses this connection.
+    /// Returns whether the gateway still uses this connection.
     pub(super) fn is_current(&self, connection: ConnectionId) -> bool {
         let running = &self.gateways[self.connections[connection].gateway].running;
         running.as_ref().is_some_and(|gateway| gateway.watch.connection() == Some(connection))
     }
 
-    /// Whether two regions are cut off from each other.
+    /// Returns whether a partition separates two regions.
     pub(super) fn is_apart(&self, one: usize, other: usize) -> bool {
         self.is_cut && one != other
     }
@@ -108,7 +108,7 @@
             && !self.is_apart(fleet::region(from), fleet::region(to))
     }
 
-    /// Draws the one-way latency of a message on this connection, in either direction, in microseconds.
+    /// Draws the one-way latency of a message on this connection, in microseconds.
     pub(super) fn connection_latency_us(&mut self, connection: ConnectionId) -> u64 {
         let Connection { gateway, machine, .. } = &self.connections[connection];
         let (from, to) = (fleet::zone(*gateway), self.machines[*machine].zone);
@@ -122,7 +122,7 @@
         least_us + self.within((least_us as f64 * JITTER_RATIO) as u64)
     }
 
-    /// The router of a region notices whether a control machine can be reached.
+    /// Updates the router's view of a control machine to the current state.
     pub(super) fn on_router_updated(&mut self, region: usize, machine: usize) {
         let serves = self.machines[machine].state == ControlState::Serves;
         self.routed[region][machine] =
--- a/lab/src/hollow/model/watch.rs
+++ b/lab/src/hollow/model/watch.rs
@@ -1,5 +1,5 @@
-//! The gateway's watch of the endpoint list in simulated time: the gateway's own [`EndpointWatch`] with a simulated
-//! connection. `wrenhatch-lab hollow compare` checks its counts against real processes.
+//! A gateway's watch of the endpoint list: the production [`EndpointWatch`] on a simulated connection.
+//! `wrenhatch-lab hollow compare` checks its counts against real processes.
 
 use rand_core::RngCore;
 use rand_pcg::Pcg32;
@@ -7,16 +7,16 @@
 
 use super::ConnectionId;
 
-/// What the watch wants done with connections.
+/// A connection request of the watch to the simulation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WatchRequest {
-    /// Open a connection, and request there the events behind [`Watch::last`].
+    /// Open a connection and request the events after [`Watch::last_index`].
     Connect,
-    /// Close the connection.
+    /// Close the connection from the gateway's side.
     Close(ConnectionId),
 }
 
-/// The watch of one gateway.
+/// Watch of one gateway.
 pub struct Watch {
     state: EndpointWatch,
     connection: Option<ConnectionId>,
@@ -25,33 +25,33 @@
 }
 
 impl Watch {
-    /// A watch that knows nothing of the list; `chance`, from 0 to 1, is this gateway's own.
+    /// Creates a watch without a list. `fraction`, from 0 to 1, spreads the timers of gateways.
     pub fn new(memory_bytes: usize, chance: f64, random: Pcg32) -> Self {
         let state = EndpointWatch::new(0, memory_bytes, chance);
         Self { state, connection: None, input: Vec::new(), random }
     }
 
-    /// The number of the last event that was taken.
+    /// Index of the last event received.
     pub fn last(&self) -> u64 {
         self.state.last_index()
     }
 
-    /// The connection to a control machine, if there is one.
+    /// Current connection, established or in progress.
     pub fn connection(&self) -> Option<ConnectionId> {
         self.connection
     }
 
-    /// Whether the connection is up.
+    /// Returns whether the connection is established.
     pub fn is_up(&self) -> bool {
         self.state.is_up()
     }
 
-    /// When [`Watch::check`] is due.
+    /// Time at which [`Watch::on_timer`] is due, in microseconds.
     pub fn due_us(&self) -> u64 {
         self.state.deadline_us()
     }
 
-    /// Closes a silent stream, and requests a connection where there is none.
+    /// Closes a connection that was not established or received nothing in time, and requests one if there is none.
     pub fn check(&mut self, now_us: u64, requests: &mut Vec<WatchRequest>) -> Vec<EndpointListEvent> {
         let mut events = Vec::new();
         let due = self.state.on_deadline(now_us, || chance(&mut self.random), &mut events);
@@ -64,19 +64,19 @@
         events
     }
 
-    /// The requested connection is being opened.
+    /// Sets the connection that is being opened.
     pub fn connecting(&mut self, now_us: u64, id: ConnectionId) {
         self.state.on_connecting(now_us);
         self.connection = Some(id);
         self.input.clear();
     }
 
-    /// The connection has come up.
+    /// Marks the connection as established.
     pub fn connected(&mut self, now_us: u64) {
         self.state.on_connected(now_us);
     }
 
-    /// Bytes have come; the events that are to be taken in now, in order.
+    /// Handles received bytes and returns the events to apply, in order.
     pub fn received(
         &mut self,
         now_us: u64,
@@ -92,7 +92,7 @@
         events
     }
 
-    /// The connection has ended, or was refused.
+    /// Handles the end or refusal of the connection.
     pub fn lost(&mut self, now_us: u64, requests: &mut Vec<WatchRequest>) -> Vec<EndpointListEvent> {
         let mut events = Vec::new();
         self.state.on_connection_lost(now_us, || chance(&mut self.random), &mut events);
--- a/lab/src/hollow/simulate.rs
+++ b/lab/src/hollow/simulate.rs
@@ -1,4 +1,4 @@
-//! `wrenhatch-lab hollow simulate`: events in simulated time, each with several seeds, and their figures.
+//! `wrenhatch-lab hollow simulate`: simulates each event with several seeds and reports the highest loads.
 
 use std::path::PathBuf;
 use std::sync::Mutex;
@@ -14,33 +14,33 @@
 use super::model::{Measured, Model, Worst};
 use super::options::{BoundOptions, SizeOptions};
 
-/// Fleets that are played at once.
+/// Number of simulations that run in parallel.
 const SIMULATION_THREADS: usize = 4;
-/// Seeds of a run.
+/// Maximum number of seeds for each event.
 const MOST_SEEDS: u64 = 100;
 
-/// What to simulate.
+/// Options of `hollow simulate`.
 #[derive(Args)]
 pub struct Options {
     #[command(flatten)]
     size: SizeOptions,
     #[command(flatten)]
     bounds: BoundOptions,
-    /// The event to simulate; all without it.
+    /// Event to simulate; the default is all events.
     #[arg(long)]
     event: Option<String>,
-    /// Each event is played with the seeds from 1 to this; figures are the worst of them.
+    /// Number of seeds: each event runs with seeds 1 to N, and figures show the worst run.
     #[arg(long, default_value_t = 2)]
     seeds: u64,
-    /// Adds the figures to this file. A comparison with the same counts must stand beside it.
+    /// File to add the figures to; its folder must contain a comparison with equal counts.
     #[arg(long)]
     json: Option<PathBuf>,
 }
 
-/// Simulates events and prints their loads.
+/// Simulates the selected events and prints their loads.
 ///
 /// # Errors
-/// An option is wrong, or a bound is passed.
+/// An option is invalid, a bound is exceeded, or figures can't be stored.
 pub fn run(options: &Options) -> Result<(), HollowError> {
     let (size, bounds) = (options.size.size()?, options.bounds.bounds()?);
     if !(1..=MOST_SEEDS).contains(&options.seeds) {
@@ -65,16 +65,16 @@
     }
 }
 
-/// Simulates an event with one seed.
+/// Simulates one event with one seed.
 ///
 /// # Errors
-/// No event has this name, or a bound is passed.
+/// The event is unknown, or a bound is exceeded.
 pub fn simulate(name: &str, size: FleetSize, seed: u64, bounds: &Bounds) -> Result<Measured, HollowError> {
     let script = events::script(name, size, seed)?;
     Model::new(size, seed).run(&script, bounds)
 }
 
-/// Simulates all events with all seeds, some in parallel; the worst of each event.
+/// Simulates all events with all seeds in parallel and returns the maximum of each measurement by event.
 fn simulate_all(
     names: &[&'static str],
     size: FleetSize,
@@ -111,12 +111,12 @@
     )
 }
 
-/// The figures of an event.
+/// Converts the measurements of an event to figures.
 pub fn event_figures(event: &str, measured: &Measured, command: &str) -> Vec<Figure> {
     let make = FigureMaker { event, command };
     let mut all = worst_loads(&make, measured);
     all.extend(control_totals(&make, measured));
-    // A load that there was none of is no line of the page.
+    // Loads of zero are left out of the page.
     all.retain(|figure| figure.value > 0.0);
     all.extend(delays(&make, measured));
     let behind = "gateways behind the list at the end";
@@ -126,7 +126,7 @@
     all
 }
 
-/// Makes figures of one event and one command.
+/// Builds figures that share an event and a command.
 struct FigureMaker<'a> {
     event: &'a str,
     command: &'a str,
@@ -155,7 +155,7 @@
     }
 }
 
-/// The heaviest loads of one gateway and of one control machine.
+/// Peak loads of a single gateway and of a single control machine.
 fn worst_loads(make: &FigureMaker<'_>, measured: &Measured) -> Vec<Figure> {
     let (gateway, control) = (Role::Gateway, Role::Control);
     [
@@ -171,7 +171,7 @@
     .collect()
 }
 
-/// Streams, waits and totals on the control machines' side.
+/// Streams, queueing delays and totals of the control machines.
 fn control_totals(make: &FigureMaker<'_>, measured: &Measured) -> Vec<Figure> {
     let control = |quantity: &str, value: f64, unit: &str| make.figure(Role::Control, quantity, value, unit);
     let events = measured.events as f64;
@@ -198,7 +198,7 @@
     ]
 }
 
-/// How long gateways took to have what the list said; one that did not happen has no figure.
+/// Propagation delays of the list. A delay that was never observed gives no figure.
 fn delays(make: &FigureMaker<'_>, measured: &Measured) -> Vec<Figure> {
     let delays = [
         ("from a change of the list until a gateway has it, median", measured.in_force_median_us),
--- a/lab/src/hollow/sockets/control.rs
+++ b/lab/src/hollow/sockets/control.rs
@@ -1,5 +1,5 @@
-//! A stand-in for a control machine over loopback: it streams the list as server-sent events, written from the public
-//! protocol alone. All stand-ins of a fleet listen at one port, among which the kernel spreads new connections.
+//! A minimal control machine over loopback that streams the list as server-sent events. All machines of a fleet listen
+//! on one port with `SO_REUSEPORT`, so that the kernel distributes new connections among them.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
@@ -19,54 +19,54 @@
 const LISTENER: u64 = 0;
 const COMMANDS: u64 = 1;
 const FIRST_STREAM: u64 = 2;
-/// Connections that the kernel keeps until they are accepted.
+/// Listen backlog, in connections.
 const BACKLOG: i32 = 1024;
-/// The longest call that is read.
+/// Maximum size of a request, in bytes.
 const LONGEST_CALL: usize = 8192;
-/// How long a stand-in sleeps at most.
+/// Maximum duration of a poll.
 const LONGEST_WAIT: Duration = Duration::from_millis(500);
 
-/// What a control machine is to do.
+/// A command to a control machine.
 #[derive(Clone, Debug)]
 pub enum Command {
-    /// Change the list, in one event.
+    /// Changes databases in the list by one event.
     Change(Vec<Database>),
-    /// End all streams, and take calls as before.
+    /// Closes all streams while accepting new ones.
     EndStreams,
-    /// End all streams and listen no more.
+    /// Closes all streams and the listener.
     Leave,
-    /// Listen again.
+    /// Opens the listener again.
     Return,
-    /// Write no comments any more; or do again, the first at once.
+    /// Suspends (`true`) or resumes (`false`) heartbeat comments. After a change, the next comment is due at once.
     Silent(bool),
-    /// What was counted before does not count.
+    /// Resets all counts.
     Measure,
-    /// End.
+    /// Ends the thread of the machine.
     Stop,
 }
 
-/// What a control machine has counted.
+/// Counts of a control machine since the last reset.
 #[derive(Clone, Debug, Default)]
 pub struct Counts {
-    /// Calls that were answered with a stream.
+    /// Requests that were answered with a stream.
     pub calls: Load,
-    /// List events written, once for each stream.
+    /// List events written, counted for each stream.
     pub events: Load,
-    /// Bytes of these events.
+    /// Bytes of list events written.
     pub event_bytes: Load,
-    /// All bytes written.
+    /// Bytes written in total.
     pub bytes: Load,
-    /// Streams that this machine has ended.
+    /// Streams that the machine closed by command.
     pub ended: u64,
-    /// Streams that it has now.
+    /// Open streams at present.
     pub streams: u64,
-    /// Streams that have been written the last event, to its last byte.
+    /// Streams on which the last event is completely written.
     pub up_to_date: u64,
-    /// How late a comment was at the worst, in microseconds.
+    /// Maximum delay of a comment behind its schedule, in microseconds.
     pub late_us: u64,
 }
 
-/// A running control machine.
+/// Handle of a running control machine. Dropping it stops the machine.
 pub struct ControlStandIn {
     commands: Sender<Command>,
     wake: UnixStream,
@@ -79,10 +79,10 @@
 }
 
 impl ControlStandIn {
-    /// Starts so many control machines at one address.
+    /// Starts control machines that share one address, and returns the address.
     ///
     /// # Errors
-    /// The system has no socket or thread for them.
+    /// A socket or thread can't be created.
     pub fn start_all(machines: usize, list: &DatabaseList) -> Result<(SocketAddr, Vec<Self>), HollowError> {
         let first = listen((Ipv4Addr::LOCALHOST, 0).into())?;
         let address = first.local_addr()?;
@@ -120,20 +120,20 @@
         machine.take_listener(listener)?;
         machine.poll.add(&machine.woken, COMMANDS, READ, Trigger::Level)?;
         let thread = std::thread::Builder::new().name("control".to_owned()).spawn(move || {
-            // A poller that fails leaves the machine silent, which the run then reports.
+            // After a poll error the machine stops answering, and the run fails with a timeout.
             let _ = machine.run();
         })?;
         Ok(Self { commands, wake, counts, thread: Some(thread) })
     }
 
-    /// Has it do something; it does so at once.
+    /// Sends a command and wakes the machine.
     pub fn send(&self, command: Command) {
-        // Both fail only once it has ended.
+        // Both fail only after the machine's thread has ended.
         let _ = self.commands.send(command);
         let _ = (&self.wake).write(&[0]);
     }
 
-    /// What it has counted.
+    /// Returns a snapshot of the counts.
     pub fn counts(&self) -> Counts {
         counted(&self.counts).clone()
     }
@@ -164,7 +164,7 @@
     socket: TcpStream,
     input: Vec<u8>,
     output: Vec<u8>,
-    /// The last event that was put into the output; none before the call has come.
+    /// Index of the last event in the output, `None` until the request has arrived.
     last_sent: Option<u64>,
     comment_due_us: u64,
 }
@@ -210,7 +210,7 @@
         }
     }
 
-    /// Until the next comment is due.
+    /// Time until the next comment is due, at most `LONGEST_WAIT`.
     fn wait(&self) -> Duration {
         let due = self.streams.iter().flatten().filter(|stream| stream.last_sent.is_some());
         let next_us = due.map(|stream| stream.comment_due_us).min().unwrap_or(u64::MAX);
@@ -294,7 +294,7 @@
         Ok(())
     }
 
-    /// Reads a call, or the other side's end; writes what had to wait.
+    /// Reads the request or the end of the connection, and continues a pending write.
     fn ready(&mut self, place: usize) {
         let Some(Some(stream)) = self.streams.get_mut(place) else { return };
         let mut bytes = [0; 2048];
@@ -328,7 +328,7 @@
         self.send_events(place);
     }
 
-    /// Writes all events that the stream has not been sent.
+    /// Writes all events that the stream has not sent yet.
     fn send_events(&mut self, place: usize) {
         let now_us = self.now_us();
         let Some(Some(stream)) = self.streams.get_mut(place) else { return };
--- a/lab/src/hollow/sockets/gateways.rs
+++ b/lab/src/hollow/sockets/gateways.rs
@@ -1,4 +1,4 @@
-//! The gateways of a run over loopback: real processes, or hollow ones on threads of few processes.
+//! The gateways of a run over loopback, as processes of their own or as threads of host processes.
 
 use std::collections::BTreeMap;
 use std::fs::File;
@@ -13,57 +13,57 @@
 use crate::hollow::fleet::FleetSize;
 use crate::hollow::settings;
 
-/// How long gateways may take to end after SIGTERM.
+/// Maximum duration of the shutdown after SIGTERM.
 const END_TIMEOUT: Duration = Duration::from_secs(20);
-/// Between two checks whether they have.
+/// Interval between checks for the end of a process.
 const END_LOOK: Duration = Duration::from_millis(20);
 
-/// How gateways are run.
+/// Process layout of the gateways.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Manner {
-    /// Each is a process of its own, `wrenhatch serve`.
+    /// A `wrenhatch serve` process for each gateway.
     Real,
-    /// Each is a thread, in so many processes.
+    /// A thread for each gateway.
     Hollow {
-        /// How many processes.
+        /// Number of processes that host the threads.
         processes: usize,
     },
 }
 
-/// The programs that a run starts.
+/// Paths of the programs that a run starts.
 #[derive(Clone, Debug)]
 pub struct Programs {
-    /// `wrenhatch`.
+    /// The `wrenhatch` program.
     pub gateway: PathBuf,
-    /// `wrenhatch-lab`.
+    /// The `wrenhatch-lab` program.
     pub lab: PathBuf,
 }
 
 impl Programs {
-    /// This program, and the gateway beside it.
+    /// Returns the current program and the gateway in the same folder.
     ///
     /// # Errors
-    /// The path of this program is not known.
+    /// The path of the current program is unknown.
     pub fn beside_this() -> Result<Self, HollowError> {
         let lab = std::env::current_exe()?;
         Ok(Self { gateway: lab.with_file_name("wrenhatch"), lab })
     }
 }
 
-/// Running gateways. They are ended when this is dropped.
+/// Running gateways. Dropping kills their processes and removes their folder.
 pub struct Gateways {
     manner: Manner,
     folder: PathBuf,
     children: Vec<Child>,
-    /// Process and thread of each gateway.
+    /// Process id and thread id of each gateway.
     threads: Vec<(u32, u32)>,
 }
 
 impl Gateways {
-    /// Starts the gateways of a fleet.
+    /// Writes the configurations and starts the gateways of a fleet.
     ///
     /// # Errors
-    /// A bound is passed, or a program can't be started.
+    /// A bound is exceeded, or a program can't be started.
     pub fn start(
         programs: &Programs,
         manner: Manner,
@@ -122,15 +122,15 @@
         Ok(())
     }
 
-    /// All processes.
+    /// Process ids of all gateways or hosts.
     pub fn processes(&self) -> Vec<u32> {
         self.children.iter().map(Child::id).collect()
     }
 
-    /// Checks that all processes run.
+    /// Checks that all processes are running.
     ///
     /// # Errors
-    /// One has ended.
+    /// A process has ended.
     pub fn check(&mut self) -> Result<(), HollowError> {
         for child in &mut self.children {
             if let Some(status) = child.try_wait()? {
@@ -143,10 +143,10 @@
         Ok(())
     }
 
-    /// Finds the thread of each gateway; to be called once all run.
+    /// Finds the thread of each gateway. All gateways must be running.
     ///
     /// # Errors
-    /// One is not there.
+    /// A gateway has no thread.
     pub fn find_threads(&mut self, count: usize) -> Result<(), HollowError> {
         self.threads = match self.manner {
             Manner::Real => self.processes().into_iter().map(|process| (process, process)).collect(),
@@ -162,20 +162,20 @@
         Ok(())
     }
 
-    /// Processor time of each gateway so far, in nanoseconds.
+    /// Processor time used by each gateway, in nanoseconds.
     pub fn processor_ns(&self) -> Vec<u64> {
         self.threads.iter().map(|(process, thread)| processor_ns(*process, *thread).unwrap_or(0)).collect()
     }
 
-    /// Anonymous memory of all processes together, in bytes.
+    /// Resident anonymous memory of all processes together, in bytes.
     pub fn resident_bytes(&self) -> u64 {
         self.processes().into_iter().filter_map(resident_bytes).sum()
     }
 
-    /// Ends all gateways with SIGTERM; what they have counted, all together.
+    /// Stops all gateways with SIGTERM and returns the sum of their counters.
     ///
     /// # Errors
-    /// They don't end, or don't say what they have counted.
+    /// A gateway does not end in time or prints no counters.
     pub fn end(mut self) -> Result<GatewayCounts, HollowError> {
         for process in self.processes() {
             Command::new("kill").args(["-TERM", &process.to_string()]).status()?;
@@ -228,7 +228,7 @@
     HollowError::Peer(format!("{}: no counts at the gateway's end", path.display()))
 }
 
-/// The counters that a gateway prints at its end.
+/// Parses the counters that a gateway logs at shutdown.
 fn counts_in_log(log: &str) -> Option<GatewayCounts> {
     let line = log.lines().rfind(|line| line.contains("counters=") && line.contains("ended"))?;
     let number = |key: &str| {
@@ -242,7 +242,7 @@
     })
 }
 
-/// The threads of a process by name.
+/// Names of the threads of a process, with process id and thread id.
 fn named_threads(process: u32) -> Vec<(String, (u32, u32))> {
     let Ok(tasks) = std::fs::read_dir(format!("/proc/{process}/task")) else { return Vec::new() };
     let named = |task: std::fs::DirEntry| {
--- a/lab/src/hollow/sockets/host.rs
+++ b/lab/src/hollow/sockets/host.rs
@@ -1,4 +1,4 @@
-//! A process that holds gateways without clients: each is the gateway's whole program on a thread of its own.
+//! A process that hosts gateways without clients. Each gateway runs as a complete server on its own thread.
 
 use std::io::Write;
 use std::path::PathBuf;
@@ -12,38 +12,38 @@
 use crate::hollow::bounds::Bounds;
 use crate::hollow::error::HollowError;
 
-/// Descriptors of one gateway without clients: its poller, its listeners, its signals' pipes, its stream.
+/// Upper bound on the descriptors of a gateway without clients: poller, listeners, signal pipes and list stream.
 pub const GATEWAY_DESCRIPTORS: u64 = 24;
-/// Memory for the stack of a gateway's thread.
+/// Stack size of a gateway's thread, in bytes.
 const STACK: usize = 1 << 20;
 
-/// Which gateways to hold.
+/// Options of `hollow host`.
 #[derive(Args)]
 pub struct Options {
-    /// The folder that has their configurations.
+    /// Folder with the configurations of the gateways.
     #[arg(long)]
     folder: PathBuf,
-    /// The number of the first.
+    /// Number of the first gateway.
     #[arg(long)]
     first: usize,
-    /// How many.
+    /// Number of gateways to host.
     #[arg(long)]
     count: usize,
 }
 
-/// What a gateway has counted at its end.
+/// Counters of a gateway at shutdown.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq, Serialize)]
 pub struct GatewayCounts {
-    /// Calls for the list.
+    /// Requests for the list.
     pub list_connects: u64,
-    /// List events taken in.
+    /// List events applied.
     pub list_events: u64,
     /// Connections opened to databases.
     pub engine_connects: u64,
 }
 
 impl GatewayCounts {
-    /// Those of both.
+    /// Returns the field-wise sum.
     pub fn with(self, other: Self) -> Self {
         Self {
             list_connects: self.list_connects + other.list_connects,
@@ -53,20 +53,20 @@
     }
 }
 
-/// The name of a gateway's thread.
+/// Thread name of a gateway, by which its processor time is found.
 pub fn thread_name(gateway: usize) -> String {
     format!("gateway-{gateway}")
 }
 
-/// The file that holds a gateway's configuration.
+/// File name of a gateway's configuration.
 pub fn configuration_file(gateway: usize) -> String {
     format!("gateway-{gateway}.json")
 }
 
-/// Holds gateways until SIGTERM, then prints what each has counted, a line of JSON each.
+/// Hosts gateways until SIGTERM, then prints the counters of each as a line of JSON.
 ///
 /// # Errors
-/// A gateway can't start or ends by itself.
+/// A gateway fails to start or to run.
 pub fn run(options: &Options) -> Result<(), HollowError> {
     Bounds::check_descriptors(options.count as u64 * GATEWAY_DESCRIPTORS)?;
     let gateways = (options.first..options.first + options.count).map(|gateway| start(options, gateway));
--- a/lab/src/hollow/sockets/mod.rs
+++ b/lab/src/hollow/sockets/mod.rs
@@ -1,4 +1,4 @@
-//! `wrenhatch-lab hollow sockets`: whole gateways without clients, over loopback.
+//! `wrenhatch-lab hollow sockets`: runs complete gateways without clients over loopback.
 
 pub mod control;
 pub mod gateways;
@@ -16,31 +16,31 @@
 use gateways::{Manner, Programs};
 use run::{PhaseFigures, Plan, RunFigures};
 
-/// Processes that hold hollow gateways, at most.
+/// Maximum number of processes that host gateways.
 const MOST_HOSTS: usize = 100;
 
-/// What to run.
+/// Options of `hollow sockets`.
 #[derive(Args)]
 pub struct Options {
     #[command(flatten)]
     size: SizeOptions,
     #[command(flatten)]
     bounds: BoundOptions,
-    /// Processes that hold the gateways.
+    /// Number of processes that host the gateways.
     #[arg(long, default_value_t = 6)]
     processes: usize,
-    /// Seed of the gateways.
+    /// Seed from which the seeds of the gateways derive.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Adds the figures to this file. A comparison with the same counts must stand beside it.
+    /// File to add the figures to; its folder must contain a comparison with equal counts.
     #[arg(long)]
     json: Option<PathBuf>,
 }
 
-/// Runs a fleet and prints what it cost.
+/// Runs a fleet and prints its processor time, memory and counts.
 ///
 /// # Errors
-/// An option is wrong, a bound is passed, or the run fell behind its schedule.
+/// An option is invalid, a bound is exceeded, a gateway fails, or figures can't be stored.
 pub fn run(options: &Options) -> Result<(), HollowError> {
     let (size, bounds) = (options.size.size()?, options.bounds.bounds()?);
     let processes = options.processes;
@@ -64,7 +64,7 @@
     }
 }
 
-/// Prints what a run cost.
+/// Prints a row for each phase, then counts and memory.
 pub fn print(figures: &RunFigures) {
     println!("phase; gateway ms: mean, worst second, whole phase; calls; events; bytes a gateway; late ms");
     for phase in &figures.phases {
@@ -124,7 +124,7 @@
         |quantity: &str, value: f64, unit: &str| figure(Role::Gateway, &phase.phase, quantity, value, unit);
     let control =
         |quantity: &str, value: f64, unit: &str| figure(Role::Control, &phase.phase, quantity, value, unit);
-    // A share of a core over a second is a tenth of the milliseconds in it, in percent.
+    // 10 ms of processor time within a second are 1 % of a core.
     let second = phase.gateway_worst_second_ms / 10.0;
     let whole = phase.gateway_worst_phase_ms / 10.0 / phase.seconds.max(1.0);
     let mean = phase.gateway_mean_ms / 10.0 / phase.seconds.max(1.0);
--- a/lab/src/hollow/sockets/run.rs
+++ b/lab/src/hollow/sockets/run.rs
@@ -1,4 +1,4 @@
-//! A run over loopback: control machines, gateways, and phases in which control does one thing each.
+//! A run over loopback: starts control machines and gateways, and measures phases with one control-plane action each.
 
 use std::thread::sleep;
 use std::time::{Duration, Instant};
@@ -13,56 +13,55 @@
 use crate::hollow::fleet::{self, FleetSize};
 use crate::hollow::list::{Database, DatabaseList, DatabaseState};
 
-/// Time between two readings of the gateways' processor time.
+/// Sampling interval of the gateways' processor time.
 const SAMPLE: Duration = Duration::from_secs(1);
-/// How late a step or a comment may be in a phase whose figures are used.
+/// Maximum delay of a step or comment in a usable phase.
 const MOST_LATE: Duration = Duration::from_millis(250);
-/// Between having been written the list and the end of the start: gateways take it in meanwhile.
+/// Time for gateways to apply the list after control has written it.
 const SETTLE: Duration = Duration::from_secs(2);
-/// How long all gateways may take to have the list.
+/// Maximum time until all gateways have the list.
 const START_TIMEOUT: Duration = Duration::from_secs(60);
-/// Between two checks whether they have.
+/// Interval between checks for the list at all gateways.
 const START_LOOK: Duration = Duration::from_millis(50);
-/// Control machines write no comments for so long in the phase `silence`: gateways take a stream for dead after
-/// 2.5 to 3 s without one.
+/// Duration of [`Phase::Silence`]. Gateways close a stream after 2.5 to 3 s without a comment.
 pub const SILENCE: Duration = Duration::from_millis(3500);
-/// A control machine that ended listens again after this.
+/// Time until a stopped control machine listens again.
 pub const AWAY: Duration = Duration::from_secs(3);
-/// Unix milliseconds of a database's start where it comes back.
+/// Start time of the databases that return, in Unix milliseconds.
 pub const RETURN_MS: u64 = 1_700_000_000_000;
 
-/// What control does in a phase.
+/// Action of the control machines in a phase.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// All gateways start and get the whole list.
+    /// All gateways start and receive a snapshot of the list.
     Start,
-    /// Nothing but comments.
+    /// Control machines write heartbeat comments only.
     Quiet,
-    /// One database drains.
+    /// One database starts to drain.
     OneChange,
-    /// The databases of a zone go, each by an event of its own.
+    /// The databases of a zone are removed from the list, one per event.
     ZoneGoes,
-    /// They are back, each by an event of its own.
+    /// The databases of the zone return to the list, one per event.
     ZoneReturns,
-    /// One control machine ends, and listens again after a while.
+    /// One control machine stops and listens again later.
     ControlEnds,
-    /// All control machines end all streams.
+    /// All control machines close all streams.
     StreamsEnd,
-    /// No control machine writes comments.
+    /// No control machine writes heartbeat comments.
     Silence,
 }
 
-/// The phases behind the start, and how long each lasts.
+/// Phases after the start, and their duration.
 #[derive(Clone, Copy, Debug)]
 pub struct Plan {
-    /// The phases, in order.
+    /// Phases in order.
     pub phases: &'static [Phase],
-    /// Seconds of each; more than [`SILENCE`] and [`AWAY`] by one.
+    /// Duration of each phase in seconds, at least one second longer than [`SILENCE`] and [`AWAY`].
     pub phase_s: u64,
 }
 
 impl Plan {
-    /// What is compared: all phases, short ones.
+    /// All phases, short; used by `hollow compare`.
     pub const COMPARED: Self = Self {
         phases: &[
             Phase::Quiet,
@@ -75,7 +74,7 @@
         ],
         phase_s: 5,
     };
-    /// What is measured: phases of ten seconds, so that the worst ten seconds are all of one.
+    /// Phases of ten seconds, so that the load of a phase is also its load in ten seconds; used by `hollow sockets`.
     pub const MEASURED: Self = Self {
         phases: &[Phase::Quiet, Phase::OneChange, Phase::ZoneGoes, Phase::ZoneReturns, Phase::StreamsEnd],
         phase_s: 10,
@@ -83,7 +82,7 @@
 }
 
 impl Phase {
-    /// Its name in figures.
+    /// Name of the phase in figures.
     pub fn name(self) -> &'static str {
         match self {
             Self::Start => "start of all gateways with an empty list",
@@ -98,74 +97,74 @@
     }
 }
 
-/// What a phase cost.
+/// Measurements of a phase.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct PhaseFigures {
-    /// The phase's name.
+    /// Name as given by [`Phase::name`].
     pub phase: String,
-    /// Processor time of a gateway over the phase, in the mean over gateways, in ms.
+    /// Mean processor time of a gateway over the phase, in ms.
     pub gateway_mean_ms: f64,
-    /// Processor time of the gateway that used most in any second, in ms.
+    /// Maximum processor time of any gateway in any second, in ms.
     pub gateway_worst_second_ms: f64,
-    /// Processor time of the gateway that used most over the phase, in ms.
+    /// Maximum processor time of any gateway over the phase, in ms.
     pub gateway_worst_phase_ms: f64,
-    /// Seconds of the phase.
+    /// Duration of the phase, in seconds.
     pub seconds: f64,
-    /// Calls that control answered.
+    /// Requests that the control machines answered.
     pub calls: u64,
-    /// Calls to one control machine in its worst second.
+    /// Maximum number of requests to one control machine in any second.
     pub machine_calls_worst_second: u64,
-    /// List events written, once for each stream.
+    /// List events written, counted for each stream.
     pub events: u64,
-    /// Events by one control machine in its worst second.
+    /// Maximum number of events written by one control machine in any second.
     pub machine_events_worst_second: u64,
-    /// Bytes of list events written.
+    /// Bytes of list events written by all control machines.
     pub event_bytes: u64,
-    /// Bytes that one control machine wrote in its worst second.
+    /// Maximum number of bytes written by one control machine in any second.
     pub machine_bytes_worst_second: u64,
-    /// All bytes written for one gateway, in the mean.
+    /// Mean number of bytes written per gateway.
     pub bytes_a_gateway: f64,
-    /// Streams that control ended.
+    /// Streams that the control machines closed by command.
     pub ended: u64,
-    /// How late a step or a comment was at the worst, in ms.
+    /// Maximum delay of a step or comment behind its schedule, in ms.
     pub late_ms: f64,
 }
 
 impl PhaseFigures {
-    /// Whether the phase kept to its schedule. The figures of one that did not say nothing about gateways.
+    /// Returns whether the phase kept its schedule. The figures of a late phase are not stored.
     pub fn is_usable(&self) -> bool {
         self.late_ms <= MOST_LATE.as_secs_f64() * 1e3
     }
 }
 
-/// What a run came to.
+/// Results of a run.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct RunFigures {
-    /// Its phases, in order.
+    /// Measurements by phase, starting with [`Phase::Start`].
     pub phases: Vec<PhaseFigures>,
-    /// What gateways have counted, all together.
+    /// Sum of the gateways' counters.
     pub counts: GatewayCounts,
-    /// Anonymous memory of a gateway at the end, in the mean, in bytes.
+    /// Mean anonymous memory per gateway at the end, in bytes.
     pub bytes_a_gateway: f64,
-    /// Gateways of one process share its anonymous memory: how many processes there were.
+    /// Number of processes that ran the gateways.
     pub processes: usize,
 }
 
-/// A fleet over loopback.
+/// A running fleet over loopback.
 pub struct Run<'a> {
     size: FleetSize,
     bounds: &'a Bounds,
     control: Vec<ControlStandIn>,
     gateways: Gateways,
     last_sample_ns: Vec<u64>,
-    /// How late a step of the phase was at the worst.
+    /// Maximum delay of a step of the current phase.
     late: Duration,
 }
 
-/// Runs a fleet through all phases.
+/// Runs a fleet through the start and all phases of the plan.
 ///
 /// # Errors
-/// A bound is passed, the run fell behind its schedule, or a peer did not do its part.
+/// A bound is exceeded, or a gateway fails or does not get the list in time.
 pub fn run(
     programs: &Programs,
     manner: Manner,
@@ -200,7 +199,7 @@
         Ok(self.figures(Phase::Start, began.elapsed(), &[sample]))
     }
 
-    /// Waits until every gateway has a stream and has been written the whole list.
+    /// Waits until the current list is completely written to a stream of every gateway.
     fn await_all(&mut self) -> Result<(), HollowError> {
         let began = Instant::now();
         loop {
@@ -280,7 +279,7 @@
         }
     }
 
-    /// Processor time of each gateway since the last reading, in nanoseconds.
+    /// Processor time of each gateway since the last sample, in nanoseconds.
     fn sample(&mut self) -> Vec<u64> {
         let now_ns = self.gateways.processor_ns();
         let last_ns = std::mem::replace(&mut self.last_sample_ns, now_ns.clone());
@@ -317,7 +316,7 @@
     }
 }
 
-/// For how long control does what the phase is named for; zero if it does it at once.
+/// Duration of the fault that a phase injects, or zero if its action is instantaneous.
 fn acts_for(phase: Phase) -> Duration {
     match phase {
         Phase::ControlEnds => AWAY,
