--- a/lab/src/hollow/bounds.rs
+++ b/lab/src/hollow/bounds.rs
@@ -5,24 +5,24 @@
 use super::error::HollowError;
 
 /// Maximum memory of all processes of a run together, in MB.
-pub const MOST_MEMORY_MB: u64 = 12_288;
+pub const MAX_MEMORY_MB: u64 = 12_288;
 /// Maximum number of processes of a run.
-pub const MOST_PROCESSES: u64 = 300;
+pub const MAX_PROCESSES: u64 = 300;
 /// Maximum number of descriptors of a process.
-pub const MOST_DESCRIPTORS: u64 = 20_000;
+pub const MAX_DESCRIPTORS: u64 = 20_000;
 
 /// Memory and time bounds of one run.
 #[derive(Clone, Debug)]
 pub struct Bounds {
     memory_mb: u64,
-    time: Duration,
-    began: Instant,
+    time_limit: Duration,
+    started: Instant,
 }
 
 impl Bounds {
     /// Creates the bounds of a run that starts now.
-    pub fn new(memory_mb: u64, time: Duration) -> Self {
-        Self { memory_mb, time, began: Instant::now() }
+    pub fn new(memory_mb: u64, time_limit: Duration) -> Self {
+        Self { memory_mb, time_limit, started: Instant::now() }
     }
 
     /// Checks the elapsed time and the total memory of these processes.
@@ -30,15 +30,20 @@
     /// # Errors
     /// A bound is exceeded.
     pub fn check(&self, processes: &[u32]) -> Result<(), HollowError> {
-        let elapsed = self.began.elapsed();
-        if elapsed > self.time {
-            let (reached, most) = (elapsed.as_secs(), self.time.as_secs());
-            return Err(HollowError::Bound { bound: "time", reached, most, unit: "s" });
+        let elapsed = self.started.elapsed();
+        if elapsed > self.time_limit {
+            let (reached, max) = (elapsed.as_secs(), self.time_limit.as_secs());
+            return Err(HollowError::BoundExceeded { bound: "time", reached, max, unit: "s" });
         }
         let bytes: u64 = processes.iter().map(|process| resident_bytes(*process).unwrap_or(0)).sum();
         let reached = bytes >> 20;
         if reached > self.memory_mb {
-            return Err(HollowError::Bound { bound: "memory", reached, most: self.memory_mb, unit: "MB" });
+            return Err(HollowError::BoundExceeded {
+                bound: "memory",
+                reached,
+                max: self.memory_mb,
+                unit: "MB",
+            });
         }
         Ok(())
     }
@@ -48,13 +53,13 @@
     /// # Errors
     /// The number exceeds the bound.
     pub fn check_processes(processes: u64) -> Result<(), HollowError> {
-        if processes <= MOST_PROCESSES {
+        if processes <= MAX_PROCESSES {
             return Ok(());
         }
-        Err(HollowError::Bound {
+        Err(HollowError::BoundExceeded {
             bound: "processes",
             reached: processes,
-            most: MOST_PROCESSES,
+            max: MAX_PROCESSES,
             unit: "processes",
         })
     }
@@ -64,11 +69,16 @@
     /// # Errors
     /// The number exceeds the bound.
     pub fn check_descriptors(descriptors: u64) -> Result<(), HollowError> {
-        if descriptors <= MOST_DESCRIPTORS {
+        if descriptors <= MAX_DESCRIPTORS {
             return Ok(());
         }
-        let (reached, most) = (descriptors, MOST_DESCRIPTORS);
-        Err(HollowError::Bound { bound: "descriptors", reached, most, unit: "descriptors in a process" })
+        let (reached, max) = (descriptors, MAX_DESCRIPTORS);
+        Err(HollowError::BoundExceeded {
+            bound: "descriptors",
+            reached,
+            max,
+            unit: "descriptors in a process",
+        })
     }
 }
 
--- a/lab/src/hollow/compare.rs
+++ b/lab/src/hollow/compare.rs
@@ -15,9 +15,9 @@
 use super::list::{Database, DatabaseState};
 use super::model::Model;
 use super::options::{BoundOptions, SizeOptions};
-use super::sockets::gateways::{Manner, Programs};
+use super::sockets::gateways::{GatewayMode, Programs};
 use super::sockets::print;
-use super::sockets::run::{self, AWAY, Phase, Plan, RETURN_MS, RunFigures, SILENCE};
+use super::sockets::run::{self, COMMENT_PAUSE, CONTROL_DOWNTIME, Phase, Plan, RESTARTED_AT_MS, RunFigures};
 
 /// A second, in microseconds.
 const SECOND_US: u64 = 1_000_000;
@@ -49,8 +49,8 @@
 /// Counts of a run that do not depend on random numbers.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq, Serialize)]
 pub struct Counts {
-    /// List requests, less one for each stream that control ended. The number of those depends on the random assignment
-    /// of gateways to control machines.
+    /// List requests, less one for each stream that control ended. The number of those depends on the random
+    /// assignment of gateways to control machines.
     pub list_calls: u64,
     /// List events applied by gateways.
     pub list_events: u64,
@@ -86,7 +86,8 @@
     pub hollow: Side,
     /// Simulation with the gateway's control-side code.
     pub simulated: Side,
-    /// Ratio of processor time, hollow to real gateway, at the start. The time of a real gateway includes process startup.
+    /// Ratio of processor time, hollow to real gateway, at the start. The time of a real gateway includes process
+    /// startup.
     pub processor_ratio_start: f64,
     /// Ratio of processor time, hollow to real gateway, over all later phases that are usable in both runs.
     pub processor_ratio: f64,
@@ -111,7 +112,7 @@
     }
     let text = std::fs::read_to_string(path).map_err(|e| HollowError::File(path.to_owned(), e))?;
     let comparison: Comparison =
-        serde_json::from_str(&text).map_err(|e| HollowError::Form(path.to_owned(), e))?;
+        serde_json::from_str(&text).map_err(|e| HollowError::Json(path.to_owned(), e))?;
     Ok(comparison.has_same_counts())
 }
 
@@ -123,12 +124,18 @@
     let Options { gateways, databases, control, .. } = *options;
     let size = SizeOptions { gateways, databases, control }.size()?;
     let bounds = options.bounds.bounds()?;
-    let programs = Programs::beside_this()?;
-    let real = run::run(&programs, Manner::Real, Plan::COMPARED, size, options.seed, &bounds)?;
+    let programs = Programs::next_to_current_exe()?;
+    let real = run::run(&programs, GatewayMode::Real, Plan::COMPARISON, size, options.seed, &bounds)?;
     println!("real processes");
     print(&real);
-    let hollow =
-        run::run(&programs, Manner::Hollow { processes: 1 }, Plan::COMPARED, size, options.seed, &bounds)?;
+    let hollow = run::run(
+        &programs,
+        GatewayMode::Hollow { processes: 1 },
+        Plan::COMPARISON,
+        size,
+        options.seed,
+        &bounds,
+    )?;
     println!("hollow gateways");
     print(&hollow);
     let simulated = Side { counts: simulated_counts(size, options.seed, &bounds)?, run: None };
@@ -175,10 +182,11 @@
     Side { counts, run: Some(run) }
 }
 
-/// Mean processor time of a gateway in `run`, over the phases after the start that are usable in both other arguments.
-fn processor_ms(of: &RunFigures, one: &RunFigures, other: &RunFigures) -> f64 {
-    let usable = |place: usize| one.phases[place].is_usable() && other.phases[place].is_usable();
-    let phases = of.phases.iter().enumerate().filter(|(place, _)| *place > 0 && usable(*place));
+/// Mean processor time of a gateway in `run`, over the phases after the start that are usable in both other
+/// arguments.
+fn processor_ms(run: &RunFigures, one: &RunFigures, other: &RunFigures) -> f64 {
+    let usable = |index: usize| one.phases[index].is_usable() && other.phases[index].is_usable();
+    let phases = run.phases.iter().enumerate().filter(|(index, _)| *index > 0 && usable(*index));
     phases.map(|(_, phase)| phase.gateway_mean_ms).sum()
 }
 
@@ -188,11 +196,11 @@
 /// # Errors
 /// A bound is exceeded.
 pub fn simulated_counts(size: FleetSize, seed: u64, bounds: &Bounds) -> Result<Counts, HollowError> {
-    let measured = Model::new(size, seed).with_router_detection(0).run(&script(size), bounds)?;
+    let measurements = Model::new(size, seed).with_router_detection_delay(0).run(&script(size), bounds)?;
     Ok(Counts {
-        list_calls: measured.calls.saturating_sub(measured.ended),
-        list_events: measured.events,
-        event_bytes: measured.event_bytes,
+        list_calls: measurements.calls.saturating_sub(measurements.ended),
+        list_events: measurements.events,
+        event_bytes: measurements.event_bytes,
         // Gateways open connections to databases only for client requests, and the simulation has none.
         engine_connects: 0,
     })
@@ -201,9 +209,9 @@
 /// Script with the phases of a run over loopback. Its measurement includes the start.
 fn script(size: FleetSize) -> Script {
     let mut actions = Vec::new();
-    let Plan { phases, phase_s } = Plan::COMPARED;
-    for (place, phase) in phases.iter().enumerate() {
-        let at_us = (FIRST_PHASE_S + place as u64 * phase_s) * SECOND_US;
+    let Plan { phases, phase_s } = Plan::COMPARISON;
+    for (index, phase) in phases.iter().enumerate() {
+        let at_us = (FIRST_PHASE_S + index as u64 * phase_s) * SECOND_US;
         actions.extend(phase_actions(*phase, size, at_us));
     }
     let ends_us = (FIRST_PHASE_S + (phases.len() as u64 + 1) * phase_s) * SECOND_US;
@@ -217,15 +225,20 @@
     match phase {
         Phase::Start | Phase::Quiet => Vec::new(),
         Phase::OneChange => vec![change(0, DatabaseState::Terminating, 0)],
-        Phase::ZoneGoes => zone().map(|number| change(number, DatabaseState::Gone, 0)).collect(),
-        Phase::ZoneReturns => zone().map(|number| change(number, DatabaseState::Ready, RETURN_MS)).collect(),
-        Phase::ControlEnds => vec![
-            (at_us, Action::Control(0, ControlState::Ended)),
-            (at_us + AWAY.as_micros() as u64, Action::Control(0, ControlState::Serves)),
+        Phase::ZoneRemoved => zone().map(|number| change(number, DatabaseState::Removed, 0)).collect(),
+        Phase::ZoneRestored => {
+            zone().map(|number| change(number, DatabaseState::Ready, RESTARTED_AT_MS)).collect()
+        }
+        Phase::ControlRestarts => vec![
+            (at_us, Action::Control(0, ControlState::Stopped)),
+            (at_us + CONTROL_DOWNTIME.as_micros() as u64, Action::Control(0, ControlState::Serving)),
         ],
-        Phase::StreamsEnd => vec![(at_us, Action::EndStreams)],
-        Phase::Silence => {
-            vec![(at_us, Action::Silent(true)), (at_us + SILENCE.as_micros() as u64, Action::Silent(false))]
+        Phase::StreamsClosed => vec![(at_us, Action::EndStreams)],
+        Phase::CommentPause => {
+            vec![
+                (at_us, Action::SuspendComments(true)),
+                (at_us + COMMENT_PAUSE.as_micros() as u64, Action::SuspendComments(false)),
+            ]
         }
     }
 }
--- a/lab/src/hollow/control_state.rs
+++ b/lab/src/hollow/control_state.rs
@@ -4,9 +4,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ControlState {
     /// Accepts connections and streams the list.
-    Serves,
+    Serving,
     /// The machine is up without its process: connections are refused.
-    Ended,
+    Stopped,
     /// The machine sends no packets: connection attempts time out.
-    Vanished,
+    Unreachable,
 }
--- a/lab/src/hollow/error.rs
+++ b/lab/src/hollow/error.rs
@@ -7,29 +7,29 @@
 #[derive(Debug, thiserror::Error)]
 pub enum HollowError {
     /// The value of an option is out of range.
-    #[error("--{option}: {value} is not from {least} to {most}")]
-    Option {
+    #[error("--{option}: {value} is not from {min} to {max}")]
+    OptionOutOfRange {
         /// Long name of the option, without dashes.
         option: &'static str,
         /// Value on the command line.
         value: u64,
         /// Smallest allowed value.
-        least: u64,
+        min: u64,
         /// Largest allowed value.
-        most: u64,
+        max: u64,
     },
     /// Name of an unknown event, and the list of known ones.
-    #[error("--event: no event is named {0}; there are: {1}")]
-    Event(String, String),
+    #[error("--event: no event is named {0}; known events: {1}")]
+    UnknownEvent(String, String),
     /// The run exceeded one of its resource bounds.
-    #[error("stopped at the bound of {bound}: {reached} {unit} of {most}")]
-    Bound {
+    #[error("{bound} bound exceeded: {reached} of at most {max} {unit}")]
+    BoundExceeded {
         /// Resource: memory, time, processes or descriptors.
         bound: &'static str,
         /// Observed value.
         reached: u64,
         /// Largest allowed value.
-        most: u64,
+        max: u64,
         /// Unit of both values.
         unit: &'static str,
     },
@@ -38,7 +38,7 @@
     NoComparison(PathBuf),
     /// A gateway failed or did not reach the expected state in time.
     #[error("{0}")]
-    Peer(String),
+    GatewayFailure(String),
     /// The gateway rejected its configuration.
     #[error("configuration: {0}")]
     Config(#[from] wrenhatch::config::ConfigError),
@@ -53,5 +53,5 @@
     Io(#[from] io::Error),
     /// A file does not contain the expected JSON.
     #[error("{0}: {1}")]
-    Form(PathBuf, serde_json::Error),
+    Json(PathBuf, serde_json::Error),
 }
--- a/lab/src/hollow/events.rs
+++ b/lab/src/hollow/events.rs
@@ -37,17 +37,17 @@
     /// Sets the reachability of a control machine.
     Control(usize, ControlState),
     /// Stops a gateway without closing its connection.
-    GatewayVanishes(usize),
+    GatewayCrashes(usize),
     /// Starts a gateway. A running one is stopped first and closes its connection.
     GatewayStarts(usize),
     /// Starts (`true`) or ends (`false`) a network partition between the regions.
-    Cut(bool),
+    Partition(bool),
     /// Keeps the first control machines, up to this number, serving and stops the processes of all others.
-    ControlLeft(usize),
+    KeepControl(usize),
     /// Closes all streams while the control machines continue to accept requests.
     EndStreams,
     /// Suspends (`true`) or resumes (`false`) the heartbeat comments of all control machines.
-    Silent(bool),
+    SuspendComments(bool),
 }
 
 /// Timed actions of one event.
@@ -63,10 +63,10 @@
     pub ends_us: u64,
 }
 
-type Build = fn(FleetSize, &mut Pcg32) -> Vec<(u64, Action)>;
+type ScriptBuilder = fn(FleetSize, &mut Pcg32) -> Vec<(u64, Action)>;
 
 /// Script builders by event name.
-const EVENTS: [(&str, Build); 14] = [
+const EVENTS: [(&str, ScriptBuilder); 14] = [
     ("ordinary hour", ordinary_hour),
     ("one gateway fails", gateway_fails),
     ("one database fails", database_fails),
@@ -77,7 +77,7 @@
     ("release of all gateways", release),
     ("rack", rack_fails),
     ("zone", zone_fails),
-    ("regions cut off", regions_cut),
+    ("regions cut off", regions_partitioned),
     ("one change of the list", one_change),
     ("change of the list while a zone fails", change_in_zone),
     ("all watchers reconnect", all_reconnect),
@@ -96,7 +96,7 @@
     let found = EVENTS.iter().find(|(known, _)| *known == name);
     let Some((name, build)) = found else {
         let all: Vec<_> = names().collect();
-        return Err(HollowError::Event(name.to_owned(), all.join(", ")));
+        return Err(HollowError::UnknownEvent(name.to_owned(), all.join(", ")));
     };
     let mut random = Pcg32::seed_from_u64(seed);
     let mut actions = build(size, &mut random);
@@ -106,15 +106,15 @@
     Ok(Script { name, actions, begins_us: BEGIN_US, ends_us })
 }
 
-fn below(random: &mut Pcg32, most: usize) -> usize {
-    random.next_u32() as usize % most.max(1)
+fn random_index(random: &mut Pcg32, count: usize) -> usize {
+    random.next_u32() as usize % count.max(1)
 }
 
-fn within(random: &mut Pcg32, span_us: u64) -> u64 {
+fn random_offset_us(random: &mut Pcg32, span_us: u64) -> u64 {
     u64::from(random.next_u32()) * span_us / u64::from(u32::MAX)
 }
 
-fn state(number: usize, state: DatabaseState, at_us: u64) -> (u64, Action) {
+fn state_change(number: usize, state: DatabaseState, at_us: u64) -> (u64, Action) {
     let since_ms = if state == DatabaseState::Ready { at_us / 1000 } else { 0 };
     (at_us, Action::Change(vec![Database { number, state, since_ms }]))
 }
@@ -122,25 +122,25 @@
 /// List changes of a database restart: draining, removed, and ready with a new start time.
 fn database_restart(number: usize, at_us: u64) -> [(u64, Action); 3] {
     [
-        state(number, DatabaseState::Terminating, at_us),
-        state(number, DatabaseState::Gone, at_us + 2 * SECOND_US),
-        state(number, DatabaseState::Ready, at_us + DATABASE_RESTART_US),
+        state_change(number, DatabaseState::Terminating, at_us),
+        state_change(number, DatabaseState::Removed, at_us + 2 * SECOND_US),
+        state_change(number, DatabaseState::Ready, at_us + DATABASE_RESTART_US),
     ]
 }
 
-fn database_away(number: usize, from_us: u64, until_us: u64) -> [(u64, Action); 2] {
+fn database_outage(number: usize, from_us: u64, until_us: u64) -> [(u64, Action); 2] {
     [
-        state(number, DatabaseState::Gone, from_us + FAILURE_DETECTION_US),
-        state(number, DatabaseState::Ready, until_us),
+        state_change(number, DatabaseState::Removed, from_us + FAILURE_DETECTION_US),
+        state_change(number, DatabaseState::Ready, until_us),
     ]
 }
 
-fn gateway_away(number: usize, from_us: u64, until_us: u64) -> [(u64, Action); 2] {
-    [(from_us, Action::GatewayVanishes(number)), (until_us, Action::GatewayStarts(number))]
+fn gateway_outage(number: usize, from_us: u64, until_us: u64) -> [(u64, Action); 2] {
+    [(from_us, Action::GatewayCrashes(number)), (until_us, Action::GatewayStarts(number))]
 }
 
-fn control_away(number: usize, state: ControlState, from_us: u64, until_us: u64) -> [(u64, Action); 2] {
-    [(from_us, Action::Control(number, state)), (until_us, Action::Control(number, ControlState::Serves))]
+fn control_outage(number: usize, state: ControlState, from_us: u64, until_us: u64) -> [(u64, Action); 2] {
+    [(from_us, Action::Control(number, state)), (until_us, Action::Control(number, ControlState::Serving))]
 }
 
 /// Restarts of randomly selected machines of all roles.
@@ -149,15 +149,20 @@
     let mut machines: Vec<usize> = (0..all).collect();
     let mut actions = Vec::new();
     for _ in 0..count.min(all) {
-        let machine = machines.swap_remove(below(random, machines.len()));
-        let at_us = BEGIN_US + within(random, window_us);
+        let machine = machines.swap_remove(random_index(random, machines.len()));
+        let at_us = BEGIN_US + random_offset_us(random, window_us);
         if machine < size.gateways {
             actions.push((at_us, Action::GatewayStarts(machine)));
         } else if machine < size.gateways + size.databases {
             actions.extend(database_restart(machine - size.gateways, at_us));
         } else {
             let control = machine - size.gateways - size.databases;
-            actions.extend(control_away(control, ControlState::Ended, at_us, at_us + DATABASE_RESTART_US));
+            actions.extend(control_outage(
+                control,
+                ControlState::Stopped,
+                at_us,
+                at_us + DATABASE_RESTART_US,
+            ));
         }
     }
     actions
@@ -167,26 +172,33 @@
     let hour_us = 3600 * SECOND_US;
     let mut actions = restarts(size, random, RESTARTS_PER_DAY.div_ceil(24), hour_us - 120 * SECOND_US);
     for _ in 0..FAILURES_PER_DAY.div_ceil(24) {
-        let at_us = BEGIN_US + within(random, hour_us - 120 * SECOND_US);
-        actions.extend(database_away(below(random, size.databases), at_us, at_us + OUTAGE_US));
+        let at_us = BEGIN_US + random_offset_us(random, hour_us - 120 * SECOND_US);
+        actions.extend(database_outage(random_index(random, size.databases), at_us, at_us + OUTAGE_US));
     }
     actions
 }
 
 fn gateway_fails(size: FleetSize, random: &mut Pcg32) -> Vec<(u64, Action)> {
-    gateway_away(below(random, size.gateways), BEGIN_US, BEGIN_US + OUTAGE_US).into()
+    gateway_outage(random_index(random, size.gateways), BEGIN_US, BEGIN_US + OUTAGE_US).into()
 }
 
 fn database_fails(size: FleetSize, random: &mut Pcg32) -> Vec<(u64, Action)> {
-    database_away(below(random, size.databases), BEGIN_US, BEGIN_US + OUTAGE_US).into()
+    database_outage(random_index(random, size.databases), BEGIN_US, BEGIN_US + OUTAGE_US).into()
 }
 
 fn control_fails(size: FleetSize, random: &mut Pcg32) -> Vec<(u64, Action)> {
-    control_away(below(random, size.control), ControlState::Vanished, BEGIN_US, BEGIN_US + OUTAGE_US).into()
+    control_outage(
+        random_index(random, size.control),
+        ControlState::Unreachable,
+        BEGIN_US,
+        BEGIN_US + OUTAGE_US,
+    )
+    .into()
 }
 
 fn control_ends(size: FleetSize, random: &mut Pcg32) -> Vec<(u64, Action)> {
-    control_away(below(random, size.control), ControlState::Ended, BEGIN_US, BEGIN_US + OUTAGE_US).into()
+    control_outage(random_index(random, size.control), ControlState::Stopped, BEGIN_US, BEGIN_US + OUTAGE_US)
+        .into()
 }
 
 fn restarts_in_one_window(size: FleetSize, random: &mut Pcg32) -> Vec<(u64, Action)> {
@@ -199,42 +211,45 @@
 
 fn release(size: FleetSize, random: &mut Pcg32) -> Vec<(u64, Action)> {
     (0..size.gateways)
-        .map(|gateway| (BEGIN_US + within(random, RESTART_WINDOW_US), Action::GatewayStarts(gateway)))
+        .map(|gateway| {
+            (BEGIN_US + random_offset_us(random, RESTART_WINDOW_US), Action::GatewayStarts(gateway))
+        })
         .collect()
 }
 
 /// An outage of all affected machines, which return at the same time.
-fn place_away(size: FleetSize, is_there: impl Fn(usize) -> bool) -> Vec<(u64, Action)> {
+fn site_outage(size: FleetSize, is_affected: impl Fn(usize) -> bool) -> Vec<(u64, Action)> {
     let until_us = BEGIN_US + OUTAGE_US;
     let mut actions = Vec::new();
-    for control in (0..size.control).filter(|machine| is_there(*machine)) {
-        actions.extend(control_away(control, ControlState::Vanished, BEGIN_US, until_us));
+    for control in (0..size.control).filter(|machine| is_affected(*machine)) {
+        actions.extend(control_outage(control, ControlState::Unreachable, BEGIN_US, until_us));
     }
-    for gateway in (0..size.gateways).filter(|machine| is_there(*machine)) {
-        actions.extend(gateway_away(gateway, BEGIN_US, until_us));
+    for gateway in (0..size.gateways).filter(|machine| is_affected(*machine)) {
+        actions.extend(gateway_outage(gateway, BEGIN_US, until_us));
     }
-    for database in (0..size.databases).filter(|machine| is_there(*machine)) {
-        actions.extend(database_away(database, BEGIN_US, until_us));
+    for database in (0..size.databases).filter(|machine| is_affected(*machine)) {
+        actions.extend(database_outage(database, BEGIN_US, until_us));
     }
     actions
 }
 
 fn rack_fails(size: FleetSize, random: &mut Pcg32) -> Vec<(u64, Action)> {
-    let (zone, rack) = (below(random, fleet::ZONES), below(random, fleet::RACKS_PER_ZONE));
-    place_away(size, |machine| fleet::zone(machine) == zone && fleet::rack(machine) == rack)
+    let (zone, rack) = (random_index(random, fleet::ZONES), random_index(random, fleet::RACKS_PER_ZONE));
+    site_outage(size, |machine| fleet::zone(machine) == zone && fleet::rack(machine) == rack)
 }
 
 fn zone_fails(size: FleetSize, random: &mut Pcg32) -> Vec<(u64, Action)> {
-    let zone = below(random, fleet::ZONES);
-    place_away(size, |machine| fleet::zone(machine) == zone)
+    let zone = random_index(random, fleet::ZONES);
+    site_outage(size, |machine| fleet::zone(machine) == zone)
 }
 
-fn regions_cut(size: FleetSize, random: &mut Pcg32) -> Vec<(u64, Action)> {
-    let mut actions = vec![(BEGIN_US, Action::Cut(true)), (BEGIN_US + PARTITION_US, Action::Cut(false))];
+fn regions_partitioned(size: FleetSize, random: &mut Pcg32) -> Vec<(u64, Action)> {
+    let mut actions =
+        vec![(BEGIN_US, Action::Partition(true)), (BEGIN_US + PARTITION_US, Action::Partition(false))];
     // Database restarts during the partition produce list changes that one region misses.
     for restart in 0..10 {
         actions.extend(database_restart(
-            below(random, size.databases),
+            random_index(random, size.databases),
             BEGIN_US + (restart + 1) * 15 * SECOND_US,
         ));
     }
@@ -242,21 +257,24 @@
 }
 
 fn one_change(size: FleetSize, random: &mut Pcg32) -> Vec<(u64, Action)> {
-    vec![state(below(random, size.databases), DatabaseState::Terminating, BEGIN_US)]
+    vec![state_change(random_index(random, size.databases), DatabaseState::Terminating, BEGIN_US)]
 }
 
 fn change_in_zone(size: FleetSize, random: &mut Pcg32) -> Vec<(u64, Action)> {
     let mut actions = zone_fails(size, random);
-    let database = below(random, size.databases);
+    let database = random_index(random, size.databases);
     for tenths in [1, 10, 25, 30, 35, 605, 620] {
         let changed = if tenths % 2 == 0 { DatabaseState::Ready } else { DatabaseState::Terminating };
-        actions.push(state(database, changed, BEGIN_US + tenths * SECOND_US / 10));
+        actions.push(state_change(database, changed, BEGIN_US + tenths * SECOND_US / 10));
     }
     actions
 }
 
 /// Stops all but two sevenths of the control machines.
 fn all_reconnect(size: FleetSize, _: &mut Pcg32) -> Vec<(u64, Action)> {
-    let left = (size.control * 2 / 7).max(1);
-    vec![(BEGIN_US, Action::ControlLeft(left)), (BEGIN_US + OUTAGE_US, Action::ControlLeft(size.control))]
+    let remaining = (size.control * 2 / 7).max(1);
+    vec![
+        (BEGIN_US, Action::KeepControl(remaining)),
+        (BEGIN_US + OUTAGE_US, Action::KeepControl(size.control)),
+    ]
 }
--- a/lab/src/hollow/figures.rs
+++ b/lab/src/hollow/figures.rs
@@ -64,14 +64,14 @@
             return Ok(Self::default());
         }
         let text = std::fs::read_to_string(path).map_err(|e| HollowError::File(path.to_owned(), e))?;
-        serde_json::from_str(&text).map_err(|e| HollowError::Form(path.to_owned(), e))
+        serde_json::from_str(&text).map_err(|e| HollowError::Json(path.to_owned(), e))
     }
 
     /// Adds figures and removes older ones of the same commands.
-    pub fn replace(&mut self, fresh: Vec<Figure>) {
+    pub fn replace(&mut self, added: Vec<Figure>) {
         let same = |old: &Figure, new: &Figure| old.command == new.command;
-        self.figures.retain(|old| !fresh.iter().any(|new| same(old, new)));
-        self.figures.extend(fresh);
+        self.figures.retain(|old| !added.iter().any(|new| same(old, new)));
+        self.figures.extend(added);
     }
 
     /// Writes the figure file.
@@ -88,7 +88,7 @@
 /// # Errors
 /// The file can't be written.
 pub fn write_json(path: &Path, value: &impl Serialize) -> Result<(), HollowError> {
-    let text = serde_json::to_string_pretty(value).map_err(|e| HollowError::Form(path.to_owned(), e))?;
+    let text = serde_json::to_string_pretty(value).map_err(|e| HollowError::Json(path.to_owned(), e))?;
     std::fs::write(path, text + "\n").map_err(|e| HollowError::File(path.to_owned(), e))
 }
 
@@ -101,12 +101,12 @@
 ///
 /// # Errors
 /// No comparison with equal counts exists, or a file can't be read or written.
-pub fn add_to_file(path: &Path, fresh: Vec<Figure>) -> Result<(), HollowError> {
+pub fn add_to_file(path: &Path, added: Vec<Figure>) -> Result<(), HollowError> {
     let comparison = comparison_path(path);
     if !super::compare::has_same_counts(&comparison)? {
         return Err(HollowError::NoComparison(comparison));
     }
     let mut file = FigureFile::read(path)?;
-    file.replace(fresh);
+    file.replace(added);
     file.write(path)
 }
--- a/lab/src/hollow/fleet.rs
+++ b/lab/src/hollow/fleet.rs
@@ -22,7 +22,7 @@
 
 impl FleetSize {
     /// The fleet size that the operators plan for in two years.
-    pub const NAMED: Self = Self { gateways: 550, databases: 810, control: 7 };
+    pub const PLANNED: Self = Self { gateways: 550, databases: 810, control: 7 };
 
     /// Checks that each number is within its range.
     ///
@@ -34,10 +34,10 @@
             ("databases", self.databases, 5000),
             ("control", self.control, 50),
         ];
-        for (option, value, most) in numbers {
-            if !(1..=most).contains(&value) {
-                let (value, most) = (value as u64, most as u64);
-                return Err(HollowError::Option { option, value, least: 1, most });
+        for (option, value, max) in numbers {
+            if !(1..=max).contains(&value) {
+                let (value, max) = (value as u64, max as u64);
+                return Err(HollowError::OptionOutOfRange { option, value, min: 1, max });
             }
         }
         Ok(self)
--- a/lab/src/hollow/list.rs
+++ b/lab/src/hollow/list.rs
@@ -7,9 +7,9 @@
 
 use super::fleet;
 
-/// Number of events that a control machine retains for gateways that reconnect. A request for older events is answered
-/// with a snapshot.
-pub const KEPT_EVENTS: usize = 1024;
+/// Number of events that a control machine retains for gateways that reconnect. A request for older events is
+/// answered with a snapshot.
+pub const RETAINED_EVENTS: usize = 1024;
 /// HTTP response head at the start of a stream.
 pub const STREAM_HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n";
 /// Server-sent-events comment that serves as the heartbeat of a stream.
@@ -25,7 +25,7 @@
     /// Draining: accepts no new requests.
     Terminating,
     /// Absent from snapshots.
-    Gone,
+    Removed,
 }
 
 impl DatabaseState {
@@ -33,7 +33,7 @@
         match self {
             Self::Ready => "Ready",
             Self::Terminating => "Terminating",
-            Self::Gone => "Gone",
+            Self::Removed => "Gone",
         }
     }
 }
@@ -73,20 +73,20 @@
 #[derive(Clone, Debug)]
 pub struct DatabaseList {
     databases: Vec<Database>,
-    last: u64,
-    kept: VecDeque<(u64, Arc<[u8]>)>,
+    last_index: u64,
+    retained: VecDeque<(u64, Arc<[u8]>)>,
 }
 
 impl DatabaseList {
     /// Creates a list of ready databases as event 1.
     pub fn new(databases: usize) -> Self {
         let ready = |number| Database { number, state: DatabaseState::Ready, since_ms: 0 };
-        Self { databases: (0..databases).map(ready).collect(), last: 1, kept: VecDeque::new() }
+        Self { databases: (0..databases).map(ready).collect(), last_index: 1, retained: VecDeque::new() }
     }
 
     /// Index of the last event.
-    pub fn last(&self) -> u64 {
-        self.last
+    pub fn last_index(&self) -> u64 {
+        self.last_index
     }
 
     /// Applies changes as one event and returns its index.
@@ -96,35 +96,35 @@
                 *entry = database.clone();
             }
         }
-        self.last += 1;
-        self.kept.push_back((self.last, event(self.last, false, changed.iter())));
-        if self.kept.len() > KEPT_EVENTS {
-            self.kept.pop_front();
+        self.last_index += 1;
+        self.retained.push_back((self.last_index, event(self.last_index, false, changed.iter())));
+        if self.retained.len() > RETAINED_EVENTS {
+            self.retained.pop_front();
         }
-        self.last
+        self.last_index
     }
 
     /// Returns index and text of each event that a stream sends after event `after`.
-    pub fn events(&self, after: u64) -> Vec<(u64, Arc<[u8]>)> {
-        let oldest = self.kept.front().map_or(self.last + 1, |(number, _)| *number);
-        if after == 0 || after + 1 < oldest && after < self.last {
-            return vec![(self.last, self.whole())];
+    pub fn events_after(&self, after: u64) -> Vec<(u64, Arc<[u8]>)> {
+        let oldest = self.retained.front().map_or(self.last_index + 1, |(number, _)| *number);
+        if after == 0 || after + 1 < oldest && after < self.last_index {
+            return vec![(self.last_index, self.snapshot())];
         }
-        self.kept.iter().filter(|(number, _)| *number > after).cloned().collect()
+        self.retained.iter().filter(|(number, _)| *number > after).cloned().collect()
     }
 
-    fn whole(&self) -> Arc<[u8]> {
-        let there = self.databases.iter().filter(|database| database.state != DatabaseState::Gone);
-        event(self.last, true, there)
+    fn snapshot(&self) -> Arc<[u8]> {
+        let present = self.databases.iter().filter(|database| database.state != DatabaseState::Removed);
+        event(self.last_index, true, present)
     }
 }
 
-fn event<'a>(number: u64, whole: bool, databases: impl Iterator<Item = &'a Database>) -> Arc<[u8]> {
+fn event<'a>(number: u64, snapshot: bool, databases: impl Iterator<Item = &'a Database>) -> Arc<[u8]> {
     let mut text = format!(
-        "id: {number}\ndata: {{\"index\":{number},\"endpoints\":{{\"index\":{number},\"snapshot\":{whole},\"endpoints\":["
+        "id: {number}\ndata: {{\"index\":{number},\"endpoints\":{{\"index\":{number},\"snapshot\":{snapshot},\"endpoints\":["
     );
-    for (place, database) in databases.enumerate() {
-        if place > 0 {
+    for (index, database) in databases.enumerate() {
+        if index > 0 {
             text.push(',');
         }
         database.write(&mut text);
@@ -134,10 +134,10 @@
 }
 
 /// Parses `Last-Event-ID` from the head of a gateway's request. Returns `None` if the head is incomplete.
-pub fn last_event_id(call: &[u8]) -> Option<u64> {
+pub fn last_event_id(head: &[u8]) -> Option<u64> {
     let mut headers = [httparse::EMPTY_HEADER; 16];
     let mut request = httparse::Request::new(&mut headers);
-    request.parse(call).ok()?.is_complete().then_some(())?;
+    request.parse(head).ok()?.is_complete().then_some(())?;
     let header = request.headers.iter().find(|header| header.name.eq_ignore_ascii_case("last-event-id"))?;
     std::str::from_utf8(header.value).ok()?.trim().parse().ok()
 }
--- a/lab/src/hollow/load.rs
+++ b/lab/src/hollow/load.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 
 /// A tenth of a second, in microseconds.
-pub const TENTH_US: u64 = 100_000;
+pub const TENTH_SECOND_US: u64 = 100_000;
 /// A second, in microseconds.
 pub const SECOND_US: u64 = 1_000_000;
 /// Ten seconds, in microseconds.
@@ -15,13 +15,13 @@
     window_us: u64,
     samples: VecDeque<(u64, u64)>,
     sum: u64,
-    most: u64,
+    peak: u64,
 }
 
 impl SlidingMaximum {
     /// Creates an empty window of this length.
     pub fn new(window_us: u64) -> Self {
-        Self { window_us, samples: VecDeque::new(), sum: 0, most: 0 }
+        Self { window_us, samples: VecDeque::new(), sum: 0, peak: 0 }
     }
 
     /// Adds an amount. Times must not decrease from call to call.
@@ -34,12 +34,12 @@
             _ => self.samples.push_back((now_us, amount)),
         }
         self.sum += amount;
-        self.most = self.most.max(self.sum);
+        self.peak = self.peak.max(self.sum);
     }
 
     /// Largest sum within any window so far.
-    pub fn most(&self) -> u64 {
-        self.most
+    pub fn peak(&self) -> u64 {
+        self.peak
     }
 }
 
@@ -71,12 +71,12 @@
 
     /// Maximum amount within any second.
     pub fn worst_second(&self) -> u64 {
-        self.second.most()
+        self.second.peak()
     }
 
     /// Maximum amount within any ten seconds.
     pub fn worst_ten_seconds(&self) -> u64 {
-        self.ten_seconds.most()
+        self.ten_seconds.peak()
     }
 
     /// Sum of all amounts.
--- a/lab/src/hollow/model/actions.rs
+++ b/lab/src/hollow/model/actions.rs
@@ -14,17 +14,18 @@
         match action {
             Action::Change(changed) => self.change(changed),
             Action::Control(machine, state) => self.set_control(*machine, *state),
-            Action::GatewayVanishes(gateway) => self.gateways[*gateway].running = None,
+            Action::GatewayCrashes(gateway) => self.gateways[*gateway].running = None,
             Action::GatewayStarts(gateway) => self.schedule(self.now_us, Event::GatewayStarts(*gateway)),
-            Action::Cut(is_cut) => self.cut(*is_cut),
-            Action::ControlLeft(left) => {
+            Action::Partition(is_partitioned) => self.set_partitioned(*is_partitioned),
+            Action::KeepControl(remaining) => {
                 for machine in 0..self.size.control {
-                    let state = if machine < *left { ControlState::Serves } else { ControlState::Ended };
+                    let state =
+                        if machine < *remaining { ControlState::Serving } else { ControlState::Stopped };
                     self.set_control(machine, state);
                 }
             }
             Action::EndStreams => self.end_streams(),
-            Action::Silent(is_silent) => self.silence(*is_silent),
+            Action::SuspendComments(comments_suspended) => self.set_comments_suspended(*comments_suspended),
         }
     }
 
@@ -35,11 +36,11 @@
         }
     }
 
-    /// Replicates all changes to a control machine, unless a partition separates it from the first region, where changes
-    /// originate.
+    /// Replicates all changes to a control machine, unless a partition separates it from the first region, where
+    /// changes originate.
     fn replicate(&mut self, machine: usize) {
         let region = fleet::region(self.machines[machine].zone);
-        if self.is_apart(0, region) {
+        if self.are_partitioned(0, region) {
             return;
         }
         let latency_us = self.latency_us(0, self.machines[machine].zone);
@@ -51,29 +52,29 @@
         if self.machines[machine].state == state {
             return;
         }
-        let streams = self.machines[machine].end(state);
-        if state == ControlState::Ended {
+        let streams = self.machines[machine].reset(state);
+        if state == ControlState::Stopped {
             for connection in streams {
-                self.end_to_gateway(connection);
+                self.send_end_to_gateway(connection);
             }
         }
-        if state == ControlState::Serves {
+        if state == ControlState::Serving {
             self.replicate(machine);
         }
-        self.reroute(machine);
+        self.schedule_router_updates(machine);
     }
 
     fn end_streams(&mut self) {
         for machine in 0..self.size.control {
-            for connection in self.machines[machine].end(ControlState::Serves) {
-                self.end_to_gateway(connection);
+            for connection in self.machines[machine].reset(ControlState::Serving) {
+                self.send_end_to_gateway(connection);
             }
         }
     }
 
-    fn silence(&mut self, is_silent: bool) {
-        self.is_silent = is_silent;
-        if is_silent {
+    fn set_comments_suspended(&mut self, comments_suspended: bool) {
+        self.comments_suspended = comments_suspended;
+        if comments_suspended {
             return;
         }
         let streams: Vec<_> =
@@ -84,22 +85,25 @@
     }
 
     /// Schedules the detection of a control machine's state by the routers of both regions.
-    fn reroute(&mut self, machine: usize) {
+    fn schedule_router_updates(&mut self, machine: usize) {
         for region in 0..2 {
-            self.schedule(self.now_us + self.router_detection_us, Event::RouterUpdated { region, machine });
+            self.schedule(
+                self.now_us + self.router_detection_delay_us,
+                Event::RouterUpdated { region, machine },
+            );
         }
     }
 
-    fn cut(&mut self, is_cut: bool) {
-        self.is_cut = is_cut;
+    fn set_partitioned(&mut self, is_partitioned: bool) {
+        self.is_partitioned = is_partitioned;
         for machine in 0..self.size.control {
-            self.reroute(machine);
-            if !is_cut {
+            self.schedule_router_updates(machine);
+            if !is_partitioned {
                 self.replicate(machine);
-                let held: Vec<_> = self.machines[machine].streams.keys().copied().collect();
-                for connection in held {
-                    let after_us = self.within(MAX_RETRANSMISSION_DELAY_US);
-                    self.schedule(self.now_us + after_us, Event::Retransmission(connection));
+                let streams: Vec<_> = self.machines[machine].streams.keys().copied().collect();
+                for connection in streams {
+                    let delay_us = self.random_delay_us(MAX_RETRANSMISSION_DELAY_US);
+                    self.schedule(self.now_us + delay_us, Event::Retransmission(connection));
                 }
             }
         }
--- a/lab/src/hollow/model/control.rs
+++ b/lab/src/hollow/model/control.rs
@@ -49,11 +49,11 @@
     /// Streams closed by scripted actions.
     pub ended: u64,
     /// Maximum number of concurrent streams.
-    pub most_streams: usize,
+    pub max_streams: usize,
     /// Maximum queueing delay of the worker, in microseconds.
-    pub longest_wait_us: u64,
+    pub max_wait_us: u64,
     /// Maximum number of undelivered bytes over all streams.
-    pub most_unsent_bytes: u64,
+    pub max_unsent_bytes: u64,
     busy_until_us: u64,
 }
 
@@ -62,7 +62,7 @@
     pub fn new(zone: usize, list: DatabaseList) -> Self {
         Self {
             zone,
-            state: ControlState::Serves,
+            state: ControlState::Serving,
             list,
             streams: BTreeMap::new(),
             calls: Load::default(),
@@ -70,30 +70,30 @@
             event_bytes: 0,
             bytes: Load::default(),
             ended: 0,
-            most_streams: 0,
-            longest_wait_us: 0,
-            most_unsent_bytes: 0,
+            max_streams: 0,
+            max_wait_us: 0,
+            max_unsent_bytes: 0,
             busy_until_us: 0,
         }
     }
 
     /// Queues work for the worker and returns the time at which it completes, in microseconds.
-    pub fn work(&mut self, now_us: u64, cost_us: u64) -> u64 {
+    pub fn enqueue_work(&mut self, now_us: u64, cost_us: u64) -> u64 {
         let begins_us = self.busy_until_us.max(now_us);
-        self.longest_wait_us = self.longest_wait_us.max(begins_us - now_us);
+        self.max_wait_us = self.max_wait_us.max(begins_us - now_us);
         self.busy_until_us = begins_us + cost_us;
         self.busy_until_us
     }
 
     /// Opens a stream that continues after event `after`.
-    pub fn accept(&mut self, now_us: u64, connection: ConnectionId, after: u64) {
+    pub fn open_stream(&mut self, now_us: u64, connection: ConnectionId, after: u64) {
         self.calls.add(now_us, 1);
         self.streams.insert(connection, ControlStream { last_sent: after, ..ControlStream::default() });
-        self.most_streams = self.most_streams.max(self.streams.len());
+        self.max_streams = self.max_streams.max(self.streams.len());
     }
 
     /// Sets the state, clears the worker's queue, and returns the streams for the caller to close.
-    pub fn end(&mut self, state: ControlState) -> Vec<ConnectionId> {
+    pub fn reset(&mut self, state: ControlState) -> Vec<ConnectionId> {
         self.state = state;
         self.busy_until_us = 0;
         self.ended += self.streams.len() as u64;
@@ -104,15 +104,15 @@
     pub fn begin_measurement(&mut self) {
         (self.calls, self.events, self.bytes) = Default::default();
         (self.event_bytes, self.ended) = (0, 0);
-        self.most_streams = self.streams.len();
-        (self.longest_wait_us, self.most_unsent_bytes) = (0, 0);
+        self.max_streams = self.streams.len();
+        (self.max_wait_us, self.max_unsent_bytes) = (0, 0);
     }
 
     /// Updates the maximum number of undelivered bytes.
-    pub fn note_unsent(&mut self) {
+    pub fn record_unsent(&mut self) {
         let bytes = |stream: &ControlStream| stream.unsent.iter().map(|text| text.len() as u64).sum::<u64>();
         let unsent: u64 = self.streams.values().map(bytes).sum();
-        self.most_unsent_bytes = self.most_unsent_bytes.max(unsent);
+        self.max_unsent_bytes = self.max_unsent_bytes.max(unsent);
     }
 }
 
--- a/lab/src/hollow/model/control_side.rs
+++ b/lab/src/hollow/model/control_side.rs
@@ -10,32 +10,34 @@
     pub(super) fn on_connect_arrived(&mut self, connection: ConnectionId) {
         let latency_us = self.connection_latency_us(connection);
         match self.machine_of(connection).state {
-            ControlState::Serves => {
+            ControlState::Serving => {
                 self.schedule(self.now_us + latency_us, Event::ConnectAccepted(connection))
             }
-            ControlState::Ended => self.schedule(self.now_us + latency_us, Event::ConnectRefused(connection)),
-            ControlState::Vanished => {}
+            ControlState::Stopped => {
+                self.schedule(self.now_us + latency_us, Event::ConnectRefused(connection))
+            }
+            ControlState::Unreachable => {}
         }
     }
 
     pub(super) fn on_call_arrived(&mut self, connection: ConnectionId, after: u64) {
         let now_us = self.now_us;
         match self.machine_of(connection).state {
-            ControlState::Serves => {
-                let done_us = self.machine_of(connection).work(now_us, CALL_COST_US);
-                self.schedule(done_us, Event::StreamBegins { connection, after });
+            ControlState::Serving => {
+                let completed_us = self.machine_of(connection).enqueue_work(now_us, CALL_COST_US);
+                self.schedule(completed_us, Event::StreamBegins { connection, after });
             }
-            ControlState::Ended => self.end_to_gateway(connection),
-            ControlState::Vanished => {}
+            ControlState::Stopped => self.send_end_to_gateway(connection),
+            ControlState::Unreachable => {}
         }
     }
 
     pub(super) fn on_stream_begins(&mut self, connection: ConnectionId, after: u64) {
-        if self.machine_of(connection).state != ControlState::Serves {
+        if self.machine_of(connection).state != ControlState::Serving {
             return;
         }
         let now_us = self.now_us;
-        self.machine_of(connection).accept(now_us, connection, after);
+        self.machine_of(connection).open_stream(now_us, connection, after);
         self.write(connection, STREAM_HEAD.into());
         self.send_events(connection);
         self.schedule(now_us + COMMENT_PERIOD_US, Event::CommentDue(connection));
@@ -46,7 +48,7 @@
         let now_us = self.now_us;
         let machine = self.machine_of(connection);
         let Some(stream) = machine.streams.get_mut(&connection) else { return };
-        let events = machine.list.events(stream.last_sent);
+        let events = machine.list.events_after(stream.last_sent);
         if let Some((number, _)) = events.last() {
             stream.last_sent = *number;
         }
@@ -65,17 +67,17 @@
             machine.streams.remove(&connection);
             return;
         }
-        if !self.is_silent {
+        if !self.comments_suspended {
             self.write(connection, COMMENT.into());
         }
         self.schedule(now_us + COMMENT_PERIOD_US, Event::CommentDue(connection));
     }
 
     pub(super) fn on_changes_replicated(&mut self, machine: usize, changes: usize) {
-        if self.machines[machine].state != ControlState::Serves {
+        if self.machines[machine].state != ControlState::Serving {
             return;
         }
-        let known = self.machines[machine].list.last() as usize - 1;
+        let known = self.machines[machine].list.last_index() as usize - 1;
         for change in self.changes.iter().take(changes).skip(known) {
             self.machines[machine].list.change(&change.databases);
         }
--- a/lab/src/hollow/model/event.rs
+++ b/lab/src/hollow/model/event.rs
@@ -45,13 +45,13 @@
 /// An event with its time. `sequence` is unique and orders events of the same time.
 pub(super) struct ScheduledEvent {
     pub(super) at_us: u64,
-    pub(super) order: u64,
+    pub(super) sequence: u64,
     pub(super) event: Event,
 }
 
 impl PartialEq for ScheduledEvent {
     fn eq(&self, other: &Self) -> bool {
-        (self.at_us, self.order) == (other.at_us, other.order)
+        (self.at_us, self.sequence) == (other.at_us, other.sequence)
     }
 }
 
@@ -65,6 +65,6 @@
 
 impl Ord for ScheduledEvent {
     fn cmp(&self, other: &Self) -> Ordering {
-        (self.at_us, self.order).cmp(&(other.at_us, other.order))
+        (self.at_us, self.sequence).cmp(&(other.at_us, other.sequence))
     }
 }
--- a/lab/src/hollow/model/gateway.rs
+++ b/lab/src/hollow/model/gateway.rs
@@ -21,8 +21,8 @@
     registry: EngineRegistry,
     core: Core,
     names: SettingsNames,
-    ids: HashMap<String, EngineId>,
-    next_id: u32,
+    engine_ids: HashMap<String, EngineId>,
+    next_engine_id: u32,
 }
 
 impl HollowGateway {
@@ -31,51 +31,51 @@
     /// # Errors
     /// The core rejected the settings.
     pub fn new(config: Config, random_seed: u64) -> Result<Self, HollowError> {
-        let chance = f64::from(config.seed as u32) / f64::from(u32::MAX);
+        let fraction = f64::from(config.seed as u32) / f64::from(u32::MAX);
         let random = Pcg32::seed_from_u64(config.seed ^ random_seed);
         Ok(Self {
-            watch: Watch::new(config.memory_bytes, chance, random),
+            watch: Watch::new(config.memory_bytes, fraction, random),
             list_events: 0,
             registry: EngineRegistry::new(config.memory_bytes),
             core: Core::new(config.settings, config.seed)?,
             names: config.names,
-            ids: HashMap::new(),
-            next_id: 0,
+            engine_ids: HashMap::new(),
+            next_engine_id: 0,
         })
     }
 
     /// Handles the expiry of the watch's timer.
-    pub fn check(&mut self, now_us: u64, requests: &mut Vec<WatchRequest>) {
-        let events = self.watch.check(now_us, requests);
-        self.listed(now_us, &events);
+    pub fn on_timer(&mut self, now_us: u64, requests: &mut Vec<WatchRequest>) {
+        let events = self.watch.on_timer(now_us, requests);
+        self.apply_events(now_us, &events);
     }
 
     /// Handles bytes received on the stream.
-    pub fn received(&mut self, now_us: u64, bytes: &[u8], requests: &mut Vec<WatchRequest>) {
-        let events = self.watch.received(now_us, bytes, requests);
-        self.listed(now_us, &events);
+    pub fn on_bytes(&mut self, now_us: u64, bytes: &[u8], requests: &mut Vec<WatchRequest>) {
+        let events = self.watch.on_bytes(now_us, bytes, requests);
+        self.apply_events(now_us, &events);
     }
 
     /// Handles the end or refusal of the connection.
-    pub fn lost(&mut self, now_us: u64, requests: &mut Vec<WatchRequest>) {
-        let events = self.watch.lost(now_us, requests);
-        self.listed(now_us, &events);
+    pub fn on_connection_lost(&mut self, now_us: u64, requests: &mut Vec<WatchRequest>) {
+        let events = self.watch.on_connection_lost(now_us, requests);
+        self.apply_events(now_us, &events);
     }
 
-    fn listed(&mut self, now_us: u64, events: &[EndpointListEvent]) {
+    fn apply_events(&mut self, now_us: u64, events: &[EndpointListEvent]) {
         if events.is_empty() {
             return;
         }
-        let mut inputs: Vec<Input> = events.iter().map(|event| self.input(event)).collect();
+        let mut inputs: Vec<Input> = events.iter().map(|event| self.core_input(event)).collect();
         self.core.turn(now_us, &mut inputs, &mut Vec::new());
     }
 
-    fn input(&mut self, event: &EndpointListEvent) -> Input {
+    fn core_input(&mut self, event: &EndpointListEvent) -> Input {
         self.list_events += 1;
         let event = self.registry.apply(event);
-        let entries = event.entries.iter().map(|listed| self.entry(listed)).collect();
-        for gone in event.entries.iter().filter(|listed| listed.state == EndpointState::Removed) {
-            self.ids.remove(&gone.name);
+        let entries = event.entries.iter().map(|endpoint| self.endpoint_entry(endpoint)).collect();
+        for removed in event.entries.iter().filter(|endpoint| endpoint.state == EndpointState::Removed) {
+            self.engine_ids.remove(&removed.name);
         }
         Input::EndpointList {
             mode: if event.is_full { EndpointListMode::Full } else { EndpointListMode::Delta },
@@ -83,22 +83,22 @@
         }
     }
 
-    fn entry(&mut self, listed: &Endpoint) -> EndpointEntry {
-        let engine = *self.ids.entry(listed.name.clone()).or_insert_with(|| {
-            self.next_id += 1;
-            EngineId(self.next_id - 1)
+    fn endpoint_entry(&mut self, endpoint: &Endpoint) -> EndpointEntry {
+        let engine = *self.engine_ids.entry(endpoint.name.clone()).or_insert_with(|| {
+            self.next_engine_id += 1;
+            EngineId(self.next_engine_id - 1)
         });
         EndpointEntry {
             engine,
-            zone: ZoneId(SettingsNames::find_or_add(&mut self.names.zones, &listed.zone)),
+            zone: ZoneId(SettingsNames::find_or_add(&mut self.names.zones, &endpoint.zone)),
             machine_type: MachineTypeId(SettingsNames::find_or_add(
                 &mut self.names.machine_types,
-                &listed.machine_type,
+                &endpoint.machine_type,
             )),
-            cell: listed.cell,
-            state: listed.state,
+            cell: endpoint.cell,
+            state: endpoint.state,
             // Simulated time starts at the Unix epoch.
-            started_at: (listed.started_ms > 0).then_some(listed.started_ms as f64 / 1e3),
+            started_at: (endpoint.started_ms > 0).then_some(endpoint.started_ms as f64 / 1e3),
         }
     }
 }
--- a/lab/src/hollow/model/measure.rs
+++ b/lab/src/hollow/model/measure.rs
@@ -6,10 +6,10 @@
 use super::Model;
 use super::control::ControlMachine;
 use crate::hollow::list::Database;
-use crate::hollow::load::{Load, SlidingMaximum, TENTH_US};
+use crate::hollow::load::{Load, SlidingMaximum, TENTH_SECOND_US};
 
 /// Largest recorded delay, in microseconds. Longer delays are recorded as this value.
-const LONGEST_US: u64 = 3_600_000_000;
+const MAX_DELAY_US: u64 = 3_600_000_000;
 
 /// Loads of one gateway.
 #[derive(Clone, Debug, Default)]
@@ -31,34 +31,34 @@
 }
 
 /// Delays until changes of the list have reached each gateway.
-pub struct InForce {
+pub struct PropagationDelays {
     changes: Histogram<u64>,
     first_lists: Histogram<u64>,
 }
 
-impl Default for InForce {
+impl Default for PropagationDelays {
     fn default() -> Self {
-        let empty = || Histogram::new_with_bounds(1, LONGEST_US, 3).expect("the bounds are sound");
+        let empty = || Histogram::new_with_bounds(1, MAX_DELAY_US, 3).expect("histogram bounds are valid");
         Self { changes: empty(), first_lists: empty() }
     }
 }
 
-impl InForce {
-    /// Records that a gateway that started at `started_us` advanced from event `last` to event `now_last`.
-    pub fn reached(
+impl PropagationDelays {
+    /// Records that a gateway that started at `started_us` advanced from event `previous` to event `current`.
+    pub fn record(
         &mut self,
         now_us: u64,
         started_us: u64,
-        last: u64,
-        now_last: u64,
+        previous: u64,
+        current: u64,
         changes: &[ListChange],
     ) {
-        if last == 0 && now_last > 0 {
+        if previous == 0 && current > 0 {
             self.first_lists.saturating_record(now_us - started_us);
         }
         // The change at index 0 is event 2, since event 1 is the initial list.
         for ListChange { at_us, .. } in
-            changes.iter().take(now_last as usize - now_last.min(1) as usize).skip(last.max(1) as usize - 1)
+            changes.iter().take(current as usize - current.min(1) as usize).skip(previous.max(1) as usize - 1)
         {
             if *at_us >= started_us {
                 self.changes.saturating_record(now_us - at_us);
@@ -69,7 +69,7 @@
 
 /// Peak loads over all machines of a role.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
-pub struct Worst {
+pub struct PeakLoad {
     /// Maximum within any second.
     pub second: u64,
     /// Maximum within any ten seconds.
@@ -78,9 +78,9 @@
     pub total: u64,
 }
 
-impl Worst {
+impl PeakLoad {
     /// Returns the maxima over these loads.
-    pub fn of<'a>(loads: impl Iterator<Item = &'a Load>) -> Self {
+    pub fn over<'a>(loads: impl Iterator<Item = &'a Load>) -> Self {
         loads.fold(Self::default(), |worst, load| {
             worst.max(Self {
                 second: load.worst_second(),
@@ -102,19 +102,19 @@
 
 /// Measurements of one simulated event.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
-pub struct Measured {
+pub struct Measurements {
     /// Peak list requests of a gateway.
-    pub gateway_calls: Worst,
+    pub gateway_calls: PeakLoad,
     /// Peak list events applied by a gateway.
-    pub gateway_events: Worst,
+    pub gateway_events: PeakLoad,
     /// Peak bytes of list streams received by a gateway.
-    pub gateway_bytes: Worst,
+    pub gateway_bytes: PeakLoad,
     /// Peak list requests to a control machine.
-    pub control_calls: Worst,
+    pub control_calls: PeakLoad,
     /// Peak list events written by a control machine, counted for each stream.
-    pub control_events: Worst,
+    pub control_events: PeakLoad,
     /// Peak bytes written by a control machine.
-    pub control_bytes: Worst,
+    pub control_bytes: PeakLoad,
     /// Maximum number of concurrent streams at a control machine.
     pub control_streams: u64,
     /// Largest number of streams at a control machine at the end.
@@ -132,22 +132,22 @@
     /// Streams that ended because a control machine closed them, stopped or became unreachable.
     pub ended: u64,
     /// Maximum number of list requests of all gateways within a tenth of a second.
-    pub calls_in_step: u64,
+    pub calls_per_tenth: u64,
     /// Median delay from a change to a gateway, in microseconds, or 0 without a change.
-    pub in_force_median_us: u64,
+    pub propagation_median_us: u64,
     /// Maximum delay from a change to a gateway, in microseconds, or 0 without a change.
-    pub in_force_last_us: u64,
+    pub propagation_max_us: u64,
     /// Maximum delay from a gateway's start to its first list, in microseconds, or 0 if no gateway started.
-    pub first_list_us: u64,
+    pub first_list_max_us: u64,
     /// Number of running gateways that lack a change at the end.
-    pub behind: u64,
+    pub outdated: u64,
     /// Number of running gateways without a stream at the end.
     pub without_stream: u64,
 }
 
-impl Measured {
+impl Measurements {
     /// Returns the field-wise maximum of two runs.
-    pub fn worse(self, other: Self) -> Self {
+    pub fn max(self, other: Self) -> Self {
         Self {
             gateway_calls: self.gateway_calls.max(other.gateway_calls),
             gateway_events: self.gateway_events.max(other.gateway_events),
@@ -163,11 +163,11 @@
             events: self.events.max(other.events),
             event_bytes: self.event_bytes.max(other.event_bytes),
             ended: self.ended.max(other.ended),
-            calls_in_step: self.calls_in_step.max(other.calls_in_step),
-            in_force_median_us: self.in_force_median_us.max(other.in_force_median_us),
-            in_force_last_us: self.in_force_last_us.max(other.in_force_last_us),
-            first_list_us: self.first_list_us.max(other.first_list_us),
-            behind: self.behind.max(other.behind),
+            calls_per_tenth: self.calls_per_tenth.max(other.calls_per_tenth),
+            propagation_median_us: self.propagation_median_us.max(other.propagation_median_us),
+            propagation_max_us: self.propagation_max_us.max(other.propagation_max_us),
+            first_list_max_us: self.first_list_max_us.max(other.first_list_max_us),
+            outdated: self.outdated.max(other.outdated),
             without_stream: self.without_stream.max(other.without_stream),
         }
     }
@@ -182,39 +182,41 @@
         for machine in &mut self.machines {
             machine.begin_measurement();
         }
-        self.in_force = InForce::default();
-        self.calls_in_step = SlidingMaximum::new(TENTH_US);
+        self.propagation = PropagationDelays::default();
+        self.calls_per_tenth = SlidingMaximum::new(TENTH_SECOND_US);
     }
 
-    pub(super) fn measured(&self) -> Measured {
-        let gateways =
-            |of: fn(&GatewayLoads) -> &Load| Worst::of(self.gateways.iter().map(|slot| of(&slot.loads)));
-        let control = |of: fn(&ControlMachine) -> &Load| Worst::of(self.machines.iter().map(of));
-        let most = |of: fn(&ControlMachine) -> u64| self.machines.iter().map(of).max().unwrap_or(0);
-        let sum =
-            |of: fn(&GatewayLoads) -> &Load| self.gateways.iter().map(|slot| of(&slot.loads).total()).sum();
+    pub(super) fn measurements(&self) -> Measurements {
+        let gateways = |field: fn(&GatewayLoads) -> &Load| {
+            PeakLoad::over(self.gateways.iter().map(|slot| field(&slot.loads)))
+        };
+        let control = |field: fn(&ControlMachine) -> &Load| PeakLoad::over(self.machines.iter().map(field));
+        let max = |field: fn(&ControlMachine) -> u64| self.machines.iter().map(field).max().unwrap_or(0);
+        let sum = |field: fn(&GatewayLoads) -> &Load| {
+            self.gateways.iter().map(|slot| field(&slot.loads).total()).sum()
+        };
         let last = self.changes.len() as u64 + 1;
         let running = || self.gateways.iter().filter_map(|slot| slot.running.as_ref());
-        Measured {
+        Measurements {
             gateway_calls: gateways(|loads| &loads.calls),
             gateway_events: gateways(|loads| &loads.events),
             gateway_bytes: gateways(|loads| &loads.bytes),
             control_calls: control(|machine| &machine.calls),
             control_events: control(|machine| &machine.events),
             control_bytes: control(|machine| &machine.bytes),
-            control_streams: most(|machine| machine.most_streams as u64),
-            control_streams_at_end: most(|machine| machine.streams.len() as u64),
-            control_wait_us: most(|machine| machine.longest_wait_us),
-            control_unsent_bytes: most(|machine| machine.most_unsent_bytes),
+            control_streams: max(|machine| machine.max_streams as u64),
+            control_streams_at_end: max(|machine| machine.streams.len() as u64),
+            control_wait_us: max(|machine| machine.max_wait_us),
+            control_unsent_bytes: max(|machine| machine.max_unsent_bytes),
             calls: sum(|loads| &loads.calls),
             events: sum(|loads| &loads.events),
             event_bytes: self.machines.iter().map(|machine| machine.event_bytes).sum(),
             ended: self.machines.iter().map(|machine| machine.ended).sum(),
-            calls_in_step: self.calls_in_step.most(),
-            in_force_median_us: self.in_force.changes.value_at_quantile(0.5),
-            in_force_last_us: self.in_force.changes.max(),
-            first_list_us: self.in_force.first_lists.max(),
-            behind: running().filter(|gateway| gateway.watch.last() < last).count() as u64,
+            calls_per_tenth: self.calls_per_tenth.peak(),
+            propagation_median_us: self.propagation.changes.value_at_quantile(0.5),
+            propagation_max_us: self.propagation.changes.max(),
+            first_list_max_us: self.propagation.first_lists.max(),
+            outdated: running().filter(|gateway| gateway.watch.last_index() < last).count() as u64,
             without_stream: running().filter(|gateway| !gateway.watch.is_up()).count() as u64,
         }
     }
--- a/lab/src/hollow/model/mod.rs
+++ b/lab/src/hollow/model/mod.rs
@@ -1,13 +1,14 @@
-//! Discrete-event simulation of a fleet: gateways with the production list reader, registry and core, modelled control
-//! machines, and the network between them. Databases exist only as list entries, as there is no client traffic.
+//! Discrete-event simulation of a fleet: gateways with the production list reader, registry and core, modelled
+//! control machines, and the network between them. Databases exist only as list entries, as there is no client
+//! traffic.
 //!
 //! [`Model`] owns the clock, the event queue and all state. `gateway_side`, `control_side` and `network` handle the
-//! events at the respective machines, and `actions` executes the script. Events of the same microsecond are handled in
-//! the order in which they were scheduled, and random numbers are drawn in the order of events, so that a run is
+//! events at the respective machines, and `actions` executes the script. Events of the same microsecond are handled
+//! in the order in which they were scheduled, and random numbers are drawn in the order of events, so that a run is
 //! deterministic for a seed.
 //!
-//! Gateways know a single address for all control machines. The router of each region forwards a connection to a random
-//! control machine that it considers reachable, and detects failures after a delay.
+//! Gateways know a single address for all control machines. The router of each region forwards a connection to a
+//! random control machine that it considers reachable, and detects failures after a delay.
 
 mod actions;
 pub mod control;
@@ -30,13 +31,13 @@
 use super::events::Script;
 use super::fleet::{self, FleetSize};
 use super::list::DatabaseList;
-use super::load::{SlidingMaximum, TENTH_US};
+use super::load::{SlidingMaximum, TENTH_SECOND_US};
 use control::ControlMachine;
 use event::{Event, ScheduledEvent};
 use gateway_side::GatewaySlot;
-use measure::{GatewayLoads, InForce, ListChange};
-pub use measure::{Measured, Worst};
-use network::{Connection, ROUTER_DETECTION_US};
+use measure::{GatewayLoads, ListChange, PropagationDelays};
+pub use measure::{Measurements, PeakLoad};
+use network::{Connection, ROUTER_DETECTION_DELAY_US};
 
 /// Index of a connection in [`Model`]. Indices are not reused.
 pub type ConnectionId = usize;
@@ -51,20 +52,20 @@
     size: FleetSize,
     seed: u64,
     now_us: u64,
-    order: u64,
+    sequence: u64,
     scheduled: BinaryHeap<Reverse<ScheduledEvent>>,
     random: Pcg32,
     gateways: Vec<GatewaySlot>,
     machines: Vec<ControlMachine>,
     connections: Vec<Connection>,
     /// Control machines that the router of each region considers reachable.
-    routed: [Vec<bool>; 2],
-    router_detection_us: u64,
-    is_cut: bool,
-    is_silent: bool,
+    routable: [Vec<bool>; 2],
+    router_detection_delay_us: u64,
+    is_partitioned: bool,
+    comments_suspended: bool,
     changes: Vec<ListChange>,
-    in_force: InForce,
-    calls_in_step: SlidingMaximum,
+    propagation: PropagationDelays,
+    calls_per_tenth: SlidingMaximum,
 }
 
 impl Model {
@@ -74,7 +75,7 @@
             running: None,
             incarnation: 0,
             started_us: 0,
-            armed_us: None,
+            timer_us: None,
             loads: GatewayLoads::default(),
         };
         let list = DatabaseList::new(size.databases);
@@ -83,30 +84,30 @@
             size,
             seed,
             now_us: 0,
-            order: 0,
+            sequence: 0,
             scheduled: BinaryHeap::new(),
             random: Pcg32::seed_from_u64(seed),
             gateways: (0..size.gateways).map(slot).collect(),
             machines: (0..size.control).map(machine).collect(),
             connections: Vec::new(),
-            routed: [vec![true; size.control], vec![true; size.control]],
-            router_detection_us: ROUTER_DETECTION_US,
-            is_cut: false,
-            is_silent: false,
+            routable: [vec![true; size.control], vec![true; size.control]],
+            router_detection_delay_us: ROUTER_DETECTION_DELAY_US,
+            is_partitioned: false,
+            comments_suspended: false,
             changes: Vec::new(),
-            in_force: InForce::default(),
-            calls_in_step: SlidingMaximum::new(TENTH_US),
+            propagation: PropagationDelays::default(),
+            calls_per_tenth: SlidingMaximum::new(TENTH_SECOND_US),
         };
         for gateway in 0..size.gateways {
-            let at_us = model.within(MAX_FIRST_START_US);
+            let at_us = model.random_delay_us(MAX_FIRST_START_US);
             model.schedule(at_us, Event::GatewayStarts(gateway));
         }
         model
     }
 
     /// Sets the delay after which routers detect failures and recoveries, in microseconds.
-    pub fn with_router_detection(mut self, router_detection_us: u64) -> Self {
-        self.router_detection_us = router_detection_us;
+    pub fn with_router_detection_delay(mut self, router_detection_delay_us: u64) -> Self {
+        self.router_detection_delay_us = router_detection_delay_us;
         self
     }
 
@@ -114,10 +115,10 @@
     ///
     /// # Errors
     /// A bound is exceeded, or the settings of the gateways are invalid.
-    pub fn run(mut self, script: &Script, bounds: &Bounds) -> Result<Measured, HollowError> {
+    pub fn run(mut self, script: &Script, bounds: &Bounds) -> Result<Measurements, HollowError> {
         self.schedule(script.begins_us.saturating_sub(1), Event::MeasurementBegins);
-        for (place, (at_us, _)) in script.actions.iter().enumerate() {
-            self.schedule(*at_us, Event::ScriptedAction(place));
+        for (index, (at_us, _)) in script.actions.iter().enumerate() {
+            self.schedule(*at_us, Event::ScriptedAction(index));
         }
         let mut count = 0_u64;
         while let Some(Reverse(next)) = self.scheduled.pop() {
@@ -131,21 +132,21 @@
             self.now_us = next.at_us;
             self.dispatch(next.event, script)?;
         }
-        Ok(self.measured())
+        Ok(self.measurements())
     }
 
     fn schedule(&mut self, at_us: u64, event: Event) {
-        self.order += 1;
-        self.scheduled.push(Reverse(ScheduledEvent { at_us, order: self.order, event }));
+        self.sequence += 1;
+        self.scheduled.push(Reverse(ScheduledEvent { at_us, sequence: self.sequence, event }));
     }
 
-    fn within(&mut self, span_us: u64) -> u64 {
+    fn random_delay_us(&mut self, span_us: u64) -> u64 {
         u64::from(self.random.next_u32()) * span_us / u64::from(u32::MAX)
     }
 
     fn dispatch(&mut self, event: Event, script: &Script) -> Result<(), HollowError> {
         match event {
-            Event::ScriptedAction(place) => self.perform(&script.actions[place].1),
+            Event::ScriptedAction(index) => self.perform(&script.actions[index].1),
             Event::MeasurementBegins => self.begin_measurement(),
             Event::GatewayStarts(gateway) => self.start_gateway(gateway)?,
             Event::WatchTimer { gateway, incarnation } => self.on_watch_timer(gateway, incarnation),
--- a/lab/src/hollow/model/network.rs
+++ b/lab/src/hollow/model/network.rs
@@ -13,7 +13,7 @@
 /// Maximum random addition to a one-way latency, as a fraction of the minimum.
 const JITTER_RATIO: f64 = 0.2;
 /// Delay until a router detects that a control machine became reachable or unreachable, in microseconds.
-pub(super) const ROUTER_DETECTION_US: u64 = 2_000_000;
+pub(super) const ROUTER_DETECTION_DELAY_US: u64 = 2_000_000;
 /// Maximum delay between the end of a partition and a retransmission, in microseconds.
 pub(super) const MAX_RETRANSMISSION_DELAY_US: u64 = 1_000_000;
 
@@ -31,11 +31,11 @@
         let now_us = self.now_us;
         let machine = self.machine_of(connection);
         machine.bytes.add(now_us, text.len() as u64);
-        let done_us = machine.work(now_us, write_cost_us(text.len()));
+        let completed_us = machine.enqueue_work(now_us, write_cost_us(text.len()));
         if !self.is_path_open(connection) {
-            return self.hold(connection, text);
+            return self.buffer(connection, text);
         }
-        self.deliver(connection, done_us, text);
+        self.deliver(connection, completed_us, text);
     }
 
     /// Schedules the arrival of bytes at the gateway, after bytes that were sent earlier.
@@ -47,13 +47,13 @@
     }
 
     /// Buffers bytes that can't be delivered, until they are retransmitted or the stall timeout closes the stream.
-    pub(super) fn hold(&mut self, connection: ConnectionId, text: Arc<[u8]>) {
+    pub(super) fn buffer(&mut self, connection: ConnectionId, text: Arc<[u8]>) {
         let now_us = self.now_us;
         let machine = self.machine_of(connection);
         if let Some(stream) = machine.streams.get_mut(&connection) {
             stream.stalled_since_us.get_or_insert(now_us);
             stream.unsent.push(text);
-            machine.note_unsent();
+            machine.record_unsent();
         }
     }
 
@@ -70,7 +70,7 @@
         }
     }
 
-    pub(super) fn end_to_gateway(&mut self, connection: ConnectionId) {
+    pub(super) fn send_end_to_gateway(&mut self, connection: ConnectionId) {
         if self.is_path_open(connection) {
             let arrives_us = self.now_us + self.connection_latency_us(connection);
             let arrives_us = arrives_us.max(self.connections[connection].arrives_us);
@@ -78,7 +78,7 @@
         }
     }
 
-    pub(super) fn end_to_control(&mut self, connection: ConnectionId) {
+    pub(super) fn send_end_to_control(&mut self, connection: ConnectionId) {
         if self.is_path_open(connection) {
             let latency_us = self.connection_latency_us(connection);
             self.schedule(self.now_us + latency_us, Event::StreamEndedAtControl(connection));
@@ -96,16 +96,16 @@
     }
 
     /// Returns whether a partition separates two regions.
-    pub(super) fn is_apart(&self, one: usize, other: usize) -> bool {
-        self.is_cut && one != other
+    pub(super) fn are_partitioned(&self, one: usize, other: usize) -> bool {
+        self.is_partitioned && one != other
     }
 
     pub(super) fn is_path_open(&self, connection: ConnectionId) -> bool {
         let Connection { gateway, machine, .. } = &self.connections[connection];
         let (from, to) = (fleet::zone(*gateway), self.machines[*machine].zone);
         self.gateways[*gateway].running.is_some()
-            && self.machines[*machine].state != ControlState::Vanished
-            && !self.is_apart(fleet::region(from), fleet::region(to))
+            && self.machines[*machine].state != ControlState::Unreachable
+            && !self.are_partitioned(fleet::region(from), fleet::region(to))
     }
 
     /// Draws the one-way latency of a message on this connection, in microseconds.
@@ -117,15 +117,15 @@
 
     /// Draws the one-way latency between two zones, in microseconds.
     pub(super) fn latency_us(&mut self, from: usize, to: usize) -> u64 {
-        let apart = usize::from(from != to) + usize::from(fleet::region(from) != fleet::region(to));
-        let least_us = ONE_WAY_US[apart];
-        least_us + self.within((least_us as f64 * JITTER_RATIO) as u64)
+        let distance = usize::from(from != to) + usize::from(fleet::region(from) != fleet::region(to));
+        let min_us = ONE_WAY_US[distance];
+        min_us + self.random_delay_us((min_us as f64 * JITTER_RATIO) as u64)
     }
 
     /// Updates the router's view of a control machine to the current state.
     pub(super) fn on_router_updated(&mut self, region: usize, machine: usize) {
-        let serves = self.machines[machine].state == ControlState::Serves;
-        self.routed[region][machine] =
-            serves && !self.is_apart(region, fleet::region(self.machines[machine].zone));
+        let serves = self.machines[machine].state == ControlState::Serving;
+        self.routable[region][machine] =
+            serves && !self.are_partitioned(region, fleet::region(self.machines[machine].zone));
     }
 }
--- a/lab/src/hollow/model/watch.rs
+++ b/lab/src/hollow/model/watch.rs
@@ -32,7 +32,7 @@
     }
 
     /// Index of the last event received.
-    pub fn last(&self) -> u64 {
+    pub fn last_index(&self) -> u64 {
         self.state.last_index()
     }
 
@@ -47,12 +47,12 @@
     }
 
     /// Time at which [`Watch::on_timer`] is due, in microseconds.
-    pub fn due_us(&self) -> u64 {
+    pub fn deadline_us(&self) -> u64 {
         self.state.deadline_us()
     }
 
     /// Closes a connection that was not established or received nothing in time, and requests one if there is none.
-    pub fn check(&mut self, now_us: u64, requests: &mut Vec<WatchRequest>) -> Vec<EndpointListEvent> {
+    pub fn on_timer(&mut self, now_us: u64, requests: &mut Vec<WatchRequest>) -> Vec<EndpointListEvent> {
         let mut events = Vec::new();
         let due = self.state.on_deadline(now_us, || chance(&mut self.random), &mut events);
         if due.close_silent {
@@ -65,19 +65,19 @@
     }
 
     /// Sets the connection that is being opened.
-    pub fn connecting(&mut self, now_us: u64, id: ConnectionId) {
+    pub fn on_connecting(&mut self, now_us: u64, id: ConnectionId) {
         self.state.on_connecting(now_us);
         self.connection = Some(id);
         self.input.clear();
     }
 
     /// Marks the connection as established.
-    pub fn connected(&mut self, now_us: u64) {
+    pub fn on_connected(&mut self, now_us: u64) {
         self.state.on_connected(now_us);
     }
 
     /// Handles received bytes and returns the events to apply, in order.
-    pub fn received(
+    pub fn on_bytes(
         &mut self,
         now_us: u64,
         bytes: &[u8],
@@ -93,7 +93,11 @@
     }
 
     /// Handles the end or refusal of the connection.
-    pub fn lost(&mut self, now_us: u64, requests: &mut Vec<WatchRequest>) -> Vec<EndpointListEvent> {
+    pub fn on_connection_lost(
+        &mut self,
+        now_us: u64,
+        requests: &mut Vec<WatchRequest>,
+    ) -> Vec<EndpointListEvent> {
         let mut events = Vec::new();
         self.state.on_connection_lost(now_us, || chance(&mut self.random), &mut events);
         self.close(requests);
--- a/lab/src/hollow/options.rs
+++ b/lab/src/hollow/options.rs
@@ -4,7 +4,7 @@
 
 use clap::Args;
 
-use super::bounds::{Bounds, MOST_MEMORY_MB};
+use super::bounds::{Bounds, MAX_MEMORY_MB};
 use super::error::HollowError;
 use super::fleet::FleetSize;
 
@@ -12,13 +12,13 @@
 #[derive(Args, Clone, Copy, Debug)]
 pub struct SizeOptions {
     /// Number of gateways.
-    #[arg(long, default_value_t = FleetSize::NAMED.gateways)]
+    #[arg(long, default_value_t = FleetSize::PLANNED.gateways)]
     pub gateways: usize,
     /// Number of databases.
-    #[arg(long, default_value_t = FleetSize::NAMED.databases)]
+    #[arg(long, default_value_t = FleetSize::PLANNED.databases)]
     pub databases: usize,
     /// Number of control machines.
-    #[arg(long, default_value_t = FleetSize::NAMED.control)]
+    #[arg(long, default_value_t = FleetSize::PLANNED.control)]
     pub control: usize,
 }
 
@@ -37,7 +37,7 @@
 #[derive(Args, Clone, Copy, Debug)]
 pub struct BoundOptions {
     /// Maximum memory of all processes together, in MB; the run stops above it.
-    #[arg(long, default_value_t = MOST_MEMORY_MB)]
+    #[arg(long, default_value_t = MAX_MEMORY_MB)]
     pub memory_mb: u64,
     /// Maximum duration of the run, in seconds.
     #[arg(long, default_value_t = 900)]
@@ -50,10 +50,10 @@
     /// # Errors
     /// An option is out of range.
     pub fn bounds(&self) -> Result<Bounds, HollowError> {
-        let ranges = [("memory-mb", self.memory_mb, MOST_MEMORY_MB), ("limit-s", self.limit_s, 3600)];
-        for (option, value, most) in ranges {
-            if !(1..=most).contains(&value) {
-                return Err(HollowError::Option { option, value, least: 1, most });
+        let ranges = [("memory-mb", self.memory_mb, MAX_MEMORY_MB), ("limit-s", self.limit_s, 3600)];
+        for (option, value, max) in ranges {
+            if !(1..=max).contains(&value) {
+                return Err(HollowError::OptionOutOfRange { option, value, min: 1, max });
             }
         }
         Ok(Bounds::new(self.memory_mb, Duration::from_secs(self.limit_s)))
--- a/lab/src/hollow/simulate.rs
+++ b/lab/src/hollow/simulate.rs
@@ -11,13 +11,13 @@
 use super::events;
 use super::figures::{Figure, Mark, Role, add_to_file};
 use super::fleet::FleetSize;
-use super::model::{Measured, Model, Worst};
+use super::model::{Measurements, Model, PeakLoad};
 use super::options::{BoundOptions, SizeOptions};
 
 /// Number of simulations that run in parallel.
 const SIMULATION_THREADS: usize = 4;
 /// Maximum number of seeds for each event.
-const MOST_SEEDS: u64 = 100;
+const MAX_SEEDS: u64 = 100;
 
 /// Options of `hollow simulate`.
 #[derive(Args)]
@@ -43,21 +43,21 @@
 /// An option is invalid, a bound is exceeded, or figures can't be stored.
 pub fn run(options: &Options) -> Result<(), HollowError> {
     let (size, bounds) = (options.size.size()?, options.bounds.bounds()?);
-    if !(1..=MOST_SEEDS).contains(&options.seeds) {
-        let (value, most) = (options.seeds, MOST_SEEDS);
-        return Err(HollowError::Option { option: "seeds", value, least: 1, most });
+    if !(1..=MAX_SEEDS).contains(&options.seeds) {
+        let (value, max) = (options.seeds, MAX_SEEDS);
+        return Err(HollowError::OptionOutOfRange { option: "seeds", value, min: 1, max });
     }
     let names: Vec<&str> = match &options.event {
         Some(name) => vec![events::script(name, size, 1)?.name],
         None => events::names().collect(),
     };
-    let measured = simulate_all(&names, size, options.seeds, &bounds)?;
+    let measurements = simulate_all(&names, size, options.seeds, &bounds)?;
     let mut figures = Vec::new();
-    for (name, measured) in names.iter().zip(&measured) {
+    for (name, measurements) in names.iter().zip(&measurements) {
         let command = command(size, options.seeds, name);
-        let fresh = event_figures(name, measured, &command);
-        print(name, &fresh);
-        figures.extend(fresh);
+        let new_figures = event_figures(name, measurements, &command);
+        print(name, &new_figures);
+        figures.extend(new_figures);
     }
     match &options.json {
         Some(path) => add_to_file(path, figures),
@@ -69,7 +69,12 @@
 ///
 /// # Errors
 /// The event is unknown, or a bound is exceeded.
-pub fn simulate(name: &str, size: FleetSize, seed: u64, bounds: &Bounds) -> Result<Measured, HollowError> {
+pub fn simulate(
+    name: &str,
+    size: FleetSize,
+    seed: u64,
+    bounds: &Bounds,
+) -> Result<Measurements, HollowError> {
     let script = events::script(name, size, seed)?;
     Model::new(size, seed).run(&script, bounds)
 }
@@ -80,15 +85,15 @@
     size: FleetSize,
     seeds: u64,
     bounds: &Bounds,
-) -> Result<Vec<Measured>, HollowError> {
+) -> Result<Vec<Measurements>, HollowError> {
     let runs: Vec<(usize, u64)> =
         (0..names.len()).flat_map(|event| (1..=seeds).map(move |seed| (event, seed))).collect();
-    let (next, results) = (AtomicUsize::new(0), Mutex::new(vec![Measured::default(); names.len()]));
+    let (next, results) = (AtomicUsize::new(0), Mutex::new(vec![Measurements::default(); names.len()]));
     let worker = || -> Result<(), HollowError> {
         while let Some((event, seed)) = runs.get(next.fetch_add(1, Ordering::Relaxed)) {
-            let measured = simulate(names[*event], size, *seed, bounds)?;
+            let measurements = simulate(names[*event], size, *seed, bounds)?;
             if let Ok(mut results) = results.lock() {
-                results[*event] = results[*event].worse(measured);
+                results[*event] = results[*event].max(measurements);
             }
         }
         Ok(())
@@ -112,27 +117,27 @@
 }
 
 /// Converts the measurements of an event to figures.
-pub fn event_figures(event: &str, measured: &Measured, command: &str) -> Vec<Figure> {
-    let make = FigureMaker { event, command };
-    let mut all = worst_loads(&make, measured);
-    all.extend(control_totals(&make, measured));
+pub fn event_figures(event: &str, measurements: &Measurements, command: &str) -> Vec<Figure> {
+    let builder = FigureBuilder { event, command };
+    let mut all = peak_loads(&builder, measurements);
+    all.extend(control_totals(&builder, measurements));
     // Loads of zero are left out of the page.
     all.retain(|figure| figure.value > 0.0);
-    all.extend(delays(&make, measured));
-    let behind = "gateways behind the list at the end";
-    all.push(make.figure(Role::Gateway, behind, measured.behind as f64, "gateways"));
-    let unserved = "gateways without a stream at the end";
-    all.push(make.figure(Role::Gateway, unserved, measured.without_stream as f64, "gateways"));
+    all.extend(delays(&builder, measurements));
+    let outdated = "gateways behind the list at the end";
+    all.push(builder.figure(Role::Gateway, outdated, measurements.outdated as f64, "gateways"));
+    let disconnected = "gateways without a stream at the end";
+    all.push(builder.figure(Role::Gateway, disconnected, measurements.without_stream as f64, "gateways"));
     all
 }
 
 /// Builds figures that share an event and a command.
-struct FigureMaker<'a> {
+struct FigureBuilder<'a> {
     event: &'a str,
     command: &'a str,
 }
 
-impl FigureMaker<'_> {
+impl FigureBuilder<'_> {
     fn figure(&self, role: Role, quantity: &str, value: f64, unit: &str) -> Figure {
         Figure {
             role,
@@ -145,9 +150,9 @@
         }
     }
 
-    fn worst(&self, role: Role, quantity: &str, worst: &Worst, unit: &str, scale: f64) -> [Figure; 2] {
-        let second = worst.second as f64 / scale;
-        let ten_seconds = worst.ten_seconds as f64 / scale;
+    fn peak(&self, role: Role, quantity: &str, peak: &PeakLoad, unit: &str, scale: f64) -> [Figure; 2] {
+        let second = peak.second as f64 / scale;
+        let ten_seconds = peak.ten_seconds as f64 / scale;
         [
             self.figure(role, &format!("{quantity}, worst second"), second, unit),
             self.figure(role, &format!("{quantity}, worst 10 s"), ten_seconds, unit),
@@ -156,15 +161,33 @@
 }
 
 /// Peak loads of a single gateway and of a single control machine.
-fn worst_loads(make: &FigureMaker<'_>, measured: &Measured) -> Vec<Figure> {
+fn peak_loads(builder: &FigureBuilder<'_>, measurements: &Measurements) -> Vec<Figure> {
     let (gateway, control) = (Role::Gateway, Role::Control);
     [
-        make.worst(gateway, "list calls of one gateway", &measured.gateway_calls, "calls", 1.0),
-        make.worst(gateway, "list events taken by one gateway", &measured.gateway_events, "events", 1.0),
-        make.worst(gateway, "bytes of the list read by one gateway", &measured.gateway_bytes, "KB", 1e3),
-        make.worst(control, "calls to one control machine", &measured.control_calls, "calls", 1.0),
-        make.worst(control, "list events written by one machine", &measured.control_events, "events", 1.0),
-        make.worst(control, "bytes written by one control machine", &measured.control_bytes, "KB", 1e3),
+        builder.peak(gateway, "list calls of one gateway", &measurements.gateway_calls, "calls", 1.0),
+        builder.peak(
+            gateway,
+            "list events taken by one gateway",
+            &measurements.gateway_events,
+            "events",
+            1.0,
+        ),
+        builder.peak(
+            gateway,
+            "bytes of the list read by one gateway",
+            &measurements.gateway_bytes,
+            "KB",
+            1e3,
+        ),
+        builder.peak(control, "calls to one control machine", &measurements.control_calls, "calls", 1.0),
+        builder.peak(
+            control,
+            "list events written by one machine",
+            &measurements.control_events,
+            "events",
+            1.0,
+        ),
+        builder.peak(control, "bytes written by one control machine", &measurements.control_bytes, "KB", 1e3),
     ]
     .into_iter()
     .flatten()
@@ -172,41 +195,46 @@
 }
 
 /// Streams, queueing delays and totals of the control machines.
-fn control_totals(make: &FigureMaker<'_>, measured: &Measured) -> Vec<Figure> {
-    let control = |quantity: &str, value: f64, unit: &str| make.figure(Role::Control, quantity, value, unit);
-    let events = measured.events as f64;
+fn control_totals(builder: &FigureBuilder<'_>, measurements: &Measurements) -> Vec<Figure> {
+    let control =
+        |quantity: &str, value: f64, unit: &str| builder.figure(Role::Control, quantity, value, unit);
+    let events = measurements.events as f64;
     vec![
-        control("most streams at one machine", measured.control_streams as f64, "streams"),
-        control("streams at the end, machine with most", measured.control_streams_at_end as f64, "streams"),
+        control("most streams at one machine", measurements.control_streams as f64, "streams"),
+        control(
+            "streams at the end, machine with most",
+            measurements.control_streams_at_end as f64,
+            "streams",
+        ),
         control(
             "longest wait in one machine's queue, at assumed 0.2 ms a call and 10 us a write",
-            milliseconds(measured.control_wait_us),
+            milliseconds(measurements.control_wait_us),
             "ms",
         ),
         control(
             "most bytes held by one machine for a silent network",
-            measured.control_unsent_bytes as f64 / 1e3,
+            measurements.control_unsent_bytes as f64 / 1e3,
             "KB",
         ),
-        control("list calls of all gateways, total", measured.calls as f64, "calls"),
+        control("list calls of all gateways, total", measurements.calls as f64, "calls"),
         control(
             "list calls of all gateways in one tenth of a second",
-            measured.calls_in_step as f64,
+            measurements.calls_per_tenth as f64,
             "calls",
         ),
-        make.figure(Role::Gateway, "list events taken by all gateways, total", events, "events"),
+        builder.figure(Role::Gateway, "list events taken by all gateways, total", events, "events"),
     ]
 }
 
 /// Propagation delays of the list. A delay that was never observed gives no figure.
-fn delays(make: &FigureMaker<'_>, measured: &Measured) -> Vec<Figure> {
+fn delays(builder: &FigureBuilder<'_>, measurements: &Measurements) -> Vec<Figure> {
     let delays = [
-        ("from a change of the list until a gateway has it, median", measured.in_force_median_us),
-        ("from a change of the list until the last gateway has it", measured.in_force_last_us),
-        ("from a gateway's start until it has the list, longest", measured.first_list_us),
+        ("from a change of the list until a gateway has it, median", measurements.propagation_median_us),
+        ("from a change of the list until the last gateway has it", measurements.propagation_max_us),
+        ("from a gateway's start until it has the list, longest", measurements.first_list_max_us),
     ];
     let happened = delays.into_iter().filter(|(_, us)| *us > 0);
-    happened.map(|(quantity, us)| make.figure(Role::Gateway, quantity, milliseconds(us), "ms")).collect()
+    happened.map(|(quantity, us)| builder.figure(Role::Gateway, quantity, milliseconds(us), "ms")).collect()
 }
 
 fn milliseconds(us: u64) -> f64 {
--- a/lab/src/hollow/sockets/control.rs
+++ b/lab/src/hollow/sockets/control.rs
@@ -1,5 +1,5 @@
-//! A minimal control machine over loopback that streams the list as server-sent events. All machines of a fleet listen
-//! on one port with `SO_REUSEPORT`, so that the kernel distributes new connections among them.
+//! A minimal control machine over loopback that streams the list as server-sent events. All machines of a fleet
+//! listen on one port with `SO_REUSEPORT`, so that the kernel distributes new connections among them.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
@@ -22,9 +22,9 @@
 /// Listen backlog, in connections.
 const BACKLOG: i32 = 1024;
 /// Maximum size of a request, in bytes.
-const LONGEST_CALL: usize = 8192;
+const MAX_REQUEST_BYTES: usize = 8192;
 /// Maximum duration of a poll.
-const LONGEST_WAIT: Duration = Duration::from_millis(500);
+const MAX_POLL_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// A command to a control machine.
 #[derive(Clone, Debug)]
@@ -34,13 +34,13 @@
     /// Closes all streams while accepting new ones.
     EndStreams,
     /// Closes all streams and the listener.
-    Leave,
+    GoOffline,
     /// Opens the listener again.
-    Return,
+    GoOnline,
     /// Suspends (`true`) or resumes (`false`) heartbeat comments. After a change, the next comment is due at once.
-    Silent(bool),
+    SuspendComments(bool),
     /// Resets all counts.
-    Measure,
+    ResetCounts,
     /// Ends the thread of the machine.
     Stop,
 }
@@ -67,18 +67,18 @@
 }
 
 /// Handle of a running control machine. Dropping it stops the machine.
-pub struct ControlStandIn {
-    commands: Sender<Command>,
-    wake: UnixStream,
+pub struct ControlServer {
+    command_sender: Sender<Command>,
+    wake_sender: UnixStream,
     counts: Arc<Mutex<Counts>>,
     thread: Option<JoinHandle<()>>,
 }
 
-fn counted(counts: &Mutex<Counts>) -> MutexGuard<'_, Counts> {
+fn lock_counts(counts: &Mutex<Counts>) -> MutexGuard<'_, Counts> {
     counts.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-impl ControlStandIn {
+impl ControlServer {
     /// Starts control machines that share one address, and returns the address.
     ///
     /// # Errors
@@ -90,8 +90,8 @@
         for _ in 1..machines {
             listeners.push(listen(address)?);
         }
-        let began = Instant::now();
-        let start = |listener| Self::start(listener, address, list.clone(), began);
+        let started = Instant::now();
+        let start = |listener| Self::start(listener, address, list.clone(), started);
         Ok((address, listeners.into_iter().map(start).collect::<Result<_, _>>()?))
     }
 
@@ -99,47 +99,47 @@
         listener: TcpListener,
         address: SocketAddr,
         list: DatabaseList,
-        began: Instant,
+        started: Instant,
     ) -> Result<Self, HollowError> {
-        let (commands, received) = channel();
-        let (wake, woken) = UnixStream::pair()?;
-        woken.set_nonblocking(true)?;
+        let (command_sender, command_receiver) = channel();
+        let (wake_sender, wake_receiver) = UnixStream::pair()?;
+        wake_receiver.set_nonblocking(true)?;
         let counts = Arc::<Mutex<Counts>>::default();
         let mut machine = Machine {
             poll: Poll::new()?,
             listener: None,
             address,
             list,
-            began,
+            started,
             streams: Vec::new(),
-            is_silent: false,
-            received,
-            woken,
+            comments_suspended: false,
+            command_receiver,
+            wake_receiver,
             counts: counts.clone(),
         };
-        machine.take_listener(listener)?;
-        machine.poll.add(&machine.woken, COMMANDS, READ, Trigger::Level)?;
+        machine.register_listener(listener)?;
+        machine.poll.add(&machine.wake_receiver, COMMANDS, READ, Trigger::Level)?;
         let thread = std::thread::Builder::new().name("control".to_owned()).spawn(move || {
             // After a poll error the machine stops answering, and the run fails with a timeout.
             let _ = machine.run();
         })?;
-        Ok(Self { commands, wake, counts, thread: Some(thread) })
+        Ok(Self { command_sender, wake_sender, counts, thread: Some(thread) })
     }
 
     /// Sends a command and wakes the machine.
     pub fn send(&self, command: Command) {
         // Both fail only after the machine's thread has ended.
-        let _ = self.commands.send(command);
-        let _ = (&self.wake).write(&[0]);
+        let _ = self.command_sender.send(command);
+        let _ = (&self.wake_sender).write(&[0]);
     }
 
     /// Returns a snapshot of the counts.
     pub fn counts(&self) -> Counts {
-        counted(&self.counts).clone()
+        lock_counts(&self.counts).clone()
     }
 }
 
-impl Drop for ControlStandIn {
+impl Drop for ControlServer {
     fn drop(&mut self) {
         self.send(Command::Stop);
         if let Some(thread) = self.thread.take() {
@@ -174,99 +174,99 @@
     listener: Option<TcpListener>,
     address: SocketAddr,
     list: DatabaseList,
-    began: Instant,
+    started: Instant,
     streams: Vec<Option<Stream>>,
-    is_silent: bool,
-    received: Receiver<Command>,
-    woken: UnixStream,
+    comments_suspended: bool,
+    command_receiver: Receiver<Command>,
+    wake_receiver: UnixStream,
     counts: Arc<Mutex<Counts>>,
 }
 
 impl Machine {
     fn now_us(&self) -> u64 {
-        self.began.elapsed().as_micros() as u64
+        self.started.elapsed().as_micros() as u64
     }
 
     fn run(&mut self) -> std::io::Result<()> {
         let mut ready = Vec::new();
         loop {
-            let wait = self.wait();
-            self.poll.wait(Some(wait), &mut ready)?;
+            let timeout = self.poll_timeout();
+            self.poll.wait(Some(timeout), &mut ready)?;
             for (key, _) in &ready {
                 match *key {
                     LISTENER => self.accept()?,
-                    COMMANDS => self.drain_wake(),
-                    key => self.ready((key - FIRST_STREAM) as usize),
+                    COMMANDS => self.drain_wake_ups(),
+                    key => self.on_stream_ready((key - FIRST_STREAM) as usize),
                 }
             }
-            while let Ok(command) = self.received.try_recv() {
+            while let Ok(command) = self.command_receiver.try_recv() {
                 if matches!(command, Command::Stop) {
                     return Ok(());
                 }
-                self.carry_out(command)?;
+                self.execute(command)?;
             }
             self.write_comments();
             self.count_streams();
         }
     }
 
-    /// Time until the next comment is due, at most `LONGEST_WAIT`.
-    fn wait(&self) -> Duration {
+    /// Time until the next comment is due, at most `MAX_POLL_TIMEOUT`.
+    fn poll_timeout(&self) -> Duration {
         let due = self.streams.iter().flatten().filter(|stream| stream.last_sent.is_some());
         let next_us = due.map(|stream| stream.comment_due_us).min().unwrap_or(u64::MAX);
-        Duration::from_micros(next_us.saturating_sub(self.now_us())).min(LONGEST_WAIT)
+        Duration::from_micros(next_us.saturating_sub(self.now_us())).min(MAX_POLL_TIMEOUT)
     }
 
-    fn drain_wake(&mut self) {
+    fn drain_wake_ups(&mut self) {
         let mut bytes = [0; 64];
-        while (&self.woken).read(&mut bytes).is_ok_and(|count| count > 0) {}
+        while (&self.wake_receiver).read(&mut bytes).is_ok_and(|count| count > 0) {}
     }
 
-    fn carry_out(&mut self, command: Command) -> std::io::Result<()> {
+    fn execute(&mut self, command: Command) -> std::io::Result<()> {
         match command {
             Command::Change(changed) => {
                 self.list.change(&changed);
-                (0..self.streams.len()).for_each(|place| self.send_events(place));
+                (0..self.streams.len()).for_each(|index| self.send_events(index));
             }
             Command::EndStreams => self.end_streams(),
-            Command::Leave => {
+            Command::GoOffline => {
                 if let Some(listener) = self.listener.take() {
                     self.poll.remove(&listener);
                 }
                 self.end_streams();
             }
-            Command::Return => {
+            Command::GoOnline => {
                 let listener = listen(self.address)?;
-                self.take_listener(listener)?;
+                self.register_listener(listener)?;
             }
-            Command::Silent(is_silent) => {
-                self.is_silent = is_silent;
+            Command::SuspendComments(comments_suspended) => {
+                self.comments_suspended = comments_suspended;
                 let now_us = self.now_us();
                 self.streams.iter_mut().flatten().for_each(|stream| stream.comment_due_us = now_us);
             }
-            Command::Measure => *counted(&self.counts) = Counts::default(),
+            Command::ResetCounts => *lock_counts(&self.counts) = Counts::default(),
             Command::Stop => {}
         }
         Ok(())
     }
 
-    fn take_listener(&mut self, listener: TcpListener) -> std::io::Result<()> {
+    fn register_listener(&mut self, listener: TcpListener) -> std::io::Result<()> {
         self.poll.add(&listener, LISTENER, READ, Trigger::Level)?;
         self.listener = Some(listener);
         Ok(())
     }
 
     fn end_streams(&mut self) {
-        for place in 0..self.streams.len() {
-            if self.streams[place].is_some() {
-                counted(&self.counts).ended += 1;
-                self.close(place);
+        for index in 0..self.streams.len() {
+            if self.streams[index].is_some() {
+                lock_counts(&self.counts).ended += 1;
+                self.close(index);
             }
         }
     }
 
-    fn close(&mut self, place: usize) {
-        if let Some(stream) = self.streams[place].take() {
+    fn close(&mut self, index: usize) {
+        if let Some(stream) = self.streams[index].take() {
             self.poll.remove(&stream.socket);
         }
     }
@@ -283,58 +283,58 @@
             };
             socket.set_nonblocking(true)?;
             socket.set_nodelay(true)?;
-            let place = self.streams.iter().position(Option::is_none).unwrap_or_else(|| {
+            let index = self.streams.iter().position(Option::is_none).unwrap_or_else(|| {
                 self.streams.push(None);
                 self.streams.len() - 1
             });
-            self.poll.add(&socket, FIRST_STREAM + place as u64, READ, Trigger::Level)?;
+            self.poll.add(&socket, FIRST_STREAM + index as u64, READ, Trigger::Level)?;
             let (input, output) = (Vec::new(), Vec::new());
-            self.streams[place] = Some(Stream { socket, input, output, last_sent: None, comment_due_us: 0 });
+            self.streams[index] = Some(Stream { socket, input, output, last_sent: None, comment_due_us: 0 });
         }
         Ok(())
     }
 
     /// Reads the request or the end of the connection, and continues a pending write.
-    fn ready(&mut self, place: usize) {
-        let Some(Some(stream)) = self.streams.get_mut(place) else { return };
+    fn on_stream_ready(&mut self, index: usize) {
+        let Some(Some(stream)) = self.streams.get_mut(index) else { return };
         let mut bytes = [0; 2048];
         loop {
             match stream.socket.read(&mut bytes) {
-                Ok(0) => return self.close(place),
+                Ok(0) => return self.close(index),
                 Ok(count) => stream.input.extend(&bytes[..count]),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => break,
-                Err(_) => return self.close(place),
+                Err(_) => return self.close(index),
             }
         }
-        if stream.input.len() > LONGEST_CALL {
-            return self.close(place);
+        if stream.input.len() > MAX_REQUEST_BYTES {
+            return self.close(index);
         }
         if let (None, Some(after)) = (stream.last_sent, last_event_id(&stream.input)) {
-            self.begin(place, after);
+            self.begin_stream(index, after);
         }
-        self.flush(place);
+        self.flush(index);
     }
 
-    fn begin(&mut self, place: usize, after: u64) {
+    fn begin_stream(&mut self, index: usize, after: u64) {
         let now_us = self.now_us();
-        let Some(Some(stream)) = self.streams.get_mut(place) else { return };
+        let Some(Some(stream)) = self.streams.get_mut(index) else { return };
         stream.last_sent = Some(after);
         stream.comment_due_us = now_us + COMMENT_PERIOD_US;
         stream.output.extend(STREAM_HEAD);
-        let mut counts = counted(&self.counts);
+        let mut counts = lock_counts(&self.counts);
         counts.calls.add(now_us, 1);
         counts.bytes.add(now_us, STREAM_HEAD.len() as u64);
         drop(counts);
-        self.send_events(place);
+        self.send_events(index);
     }
 
     /// Writes all events that the stream has not sent yet.
-    fn send_events(&mut self, place: usize) {
+    fn send_events(&mut self, index: usize) {
         let now_us = self.now_us();
-        let Some(Some(stream)) = self.streams.get_mut(place) else { return };
+        let Some(Some(stream)) = self.streams.get_mut(index) else { return };
         let Some(last_sent) = stream.last_sent else { return };
-        let mut counts = counted(&self.counts);
-        for (number, text) in self.list.events(last_sent) {
+        let mut counts = lock_counts(&self.counts);
+        for (number, text) in self.list.events_after(last_sent) {
             stream.output.extend(&text[..]);
             stream.last_sent = Some(number);
             counts.events.add(now_us, 1);
@@ -342,51 +342,51 @@
             counts.bytes.add(now_us, text.len() as u64);
         }
         drop(counts);
-        self.flush(place);
+        self.flush(index);
     }
 
     fn write_comments(&mut self) {
         let now_us = self.now_us();
-        for place in 0..self.streams.len() {
-            let Some(stream) = &mut self.streams[place] else { continue };
+        for index in 0..self.streams.len() {
+            let Some(stream) = &mut self.streams[index] else { continue };
             if stream.last_sent.is_none() || stream.comment_due_us > now_us {
                 continue;
             }
             let late_us = now_us - stream.comment_due_us;
             stream.comment_due_us = now_us - late_us % COMMENT_PERIOD_US + COMMENT_PERIOD_US;
-            if self.is_silent {
+            if self.comments_suspended {
                 continue;
             }
             stream.output.extend(COMMENT);
-            let mut counts = counted(&self.counts);
+            let mut counts = lock_counts(&self.counts);
             counts.late_us = counts.late_us.max(late_us);
             counts.bytes.add(now_us, COMMENT.len() as u64);
             drop(counts);
-            self.flush(place);
+            self.flush(index);
         }
     }
 
-    fn flush(&mut self, place: usize) {
-        let Some(Some(stream)) = self.streams.get_mut(place) else { return };
+    fn flush(&mut self, index: usize) {
+        let Some(Some(stream)) = self.streams.get_mut(index) else { return };
         while !stream.output.is_empty() {
             match stream.socket.write(&stream.output) {
                 Ok(count) => drop(stream.output.drain(..count)),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => break,
-                Err(_) => return self.close(place),
+                Err(_) => return self.close(index),
             }
         }
         let interest = Interest { read: true, write: !stream.output.is_empty() };
-        if self.poll.change(&stream.socket, FIRST_STREAM + place as u64, interest, Trigger::Level).is_err() {
-            self.close(place);
+        if self.poll.change(&stream.socket, FIRST_STREAM + index as u64, interest, Trigger::Level).is_err() {
+            self.close(index);
         }
     }
 
     fn count_streams(&mut self) {
-        let last = self.list.last();
-        let begun = || self.streams.iter().flatten().filter(|stream| stream.last_sent.is_some());
+        let last = self.list.last_index();
+        let active = || self.streams.iter().flatten().filter(|stream| stream.last_sent.is_some());
         let up_to_date =
-            begun().filter(|stream| stream.last_sent == Some(last) && stream.output.is_empty()).count();
-        let mut counts = counted(&self.counts);
-        (counts.streams, counts.up_to_date) = (begun().count() as u64, up_to_date as u64);
+            active().filter(|stream| stream.last_sent == Some(last) && stream.output.is_empty()).count();
+        let mut counts = lock_counts(&self.counts);
+        (counts.streams, counts.up_to_date) = (active().count() as u64, up_to_date as u64);
     }
 }
--- a/lab/src/hollow/sockets/gateways.rs
+++ b/lab/src/hollow/sockets/gateways.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use super::host::{GATEWAY_DESCRIPTORS, GatewayCounts, configuration_file, thread_name};
-use crate::hollow::bounds::{Bounds, MOST_DESCRIPTORS, processor_ns, resident_bytes};
+use crate::hollow::bounds::{Bounds, MAX_DESCRIPTORS, processor_ns, resident_bytes};
 use crate::hollow::error::HollowError;
 use crate::hollow::fleet::FleetSize;
 use crate::hollow::settings;
@@ -16,11 +16,11 @@
 /// Maximum duration of the shutdown after SIGTERM.
 const END_TIMEOUT: Duration = Duration::from_secs(20);
 /// Interval between checks for the end of a process.
-const END_LOOK: Duration = Duration::from_millis(20);
+const END_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Process layout of the gateways.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Manner {
+pub enum GatewayMode {
     /// A `wrenhatch serve` process for each gateway.
     Real,
     /// A thread for each gateway.
@@ -44,7 +44,7 @@
     ///
     /// # Errors
     /// The path of the current program is unknown.
-    pub fn beside_this() -> Result<Self, HollowError> {
+    pub fn next_to_current_exe() -> Result<Self, HollowError> {
         let lab = std::env::current_exe()?;
         Ok(Self { gateway: lab.with_file_name("wrenhatch"), lab })
     }
@@ -52,7 +52,7 @@
 
 /// Running gateways. Dropping kills their processes and removes their folder.
 pub struct Gateways {
-    manner: Manner,
+    mode: GatewayMode,
     folder: PathBuf,
     children: Vec<Child>,
     /// Process id and thread id of each gateway.
@@ -66,23 +66,23 @@
     /// A bound is exceeded, or a program can't be started.
     pub fn start(
         programs: &Programs,
-        manner: Manner,
+        mode: GatewayMode,
         size: FleetSize,
         seed: u64,
         coordinator: SocketAddr,
     ) -> Result<Self, HollowError> {
-        let kind = if manner == Manner::Real { "real" } else { "hollow" };
+        let kind = if mode == GatewayMode::Real { "real" } else { "hollow" };
         let folder = std::env::temp_dir().join(format!("wrenhatch-{kind}-{}", std::process::id()));
         std::fs::create_dir_all(&folder).map_err(|e| HollowError::File(folder.clone(), e))?;
-        let mut gateways = Self { manner, folder, children: Vec::new(), threads: Vec::new() };
+        let mut gateways = Self { mode, folder, children: Vec::new(), threads: Vec::new() };
         for gateway in 0..size.gateways {
             let path = gateways.folder.join(configuration_file(gateway));
             let text = settings::configuration(size, gateway, seed, coordinator).to_string();
             std::fs::write(&path, text).map_err(|e| HollowError::File(path, e))?;
         }
-        match manner {
-            Manner::Real => gateways.start_real(programs, size.gateways)?,
-            Manner::Hollow { processes } => gateways.start_hollow(programs, size.gateways, processes)?,
+        match mode {
+            GatewayMode::Real => gateways.start_real(programs, size.gateways)?,
+            GatewayMode::Hollow { processes } => gateways.start_hollow(programs, size.gateways, processes)?,
         }
         Ok(gateways)
     }
@@ -107,15 +107,20 @@
         processes: usize,
     ) -> Result<(), HollowError> {
         Bounds::check_processes(processes as u64 + 1)?;
-        let each = count.div_ceil(processes.max(1));
-        if each as u64 * GATEWAY_DESCRIPTORS > MOST_DESCRIPTORS {
-            return Bounds::check_descriptors(each as u64 * GATEWAY_DESCRIPTORS);
+        let per_process = count.div_ceil(processes.max(1));
+        if per_process as u64 * GATEWAY_DESCRIPTORS > MAX_DESCRIPTORS {
+            return Bounds::check_descriptors(per_process as u64 * GATEWAY_DESCRIPTORS);
         }
-        for (process, first) in (0..count).step_by(each.max(1)).enumerate() {
+        for (process, first) in (0..count).step_by(per_process.max(1)).enumerate() {
             let log = self.folder.join(output_file(process));
             let mut command = Command::new(&programs.lab);
             command.args(["hollow", "host", "--folder"]).arg(&self.folder);
-            command.args(["--first", &first.to_string(), "--count", &each.min(count - first).to_string()]);
+            command.args([
+                "--first",
+                &first.to_string(),
+                "--count",
+                &per_process.min(count - first).to_string(),
+            ]);
             command.stdout(create(&log)?).stdin(Stdio::null());
             self.children.push(command.spawn().map_err(|e| HollowError::File(programs.lab.clone(), e))?);
         }
@@ -134,8 +139,8 @@
     pub fn check(&mut self) -> Result<(), HollowError> {
         for child in &mut self.children {
             if let Some(status) = child.try_wait()? {
-                return Err(HollowError::Peer(format!(
-                    "process {} of gateways has ended: {status}",
+                return Err(HollowError::GatewayFailure(format!(
+                    "gateway process {} exited: {status}",
                     child.id()
                 )));
             }
@@ -148,16 +153,19 @@
     /// # Errors
     /// A gateway has no thread.
     pub fn find_threads(&mut self, count: usize) -> Result<(), HollowError> {
-        self.threads = match self.manner {
-            Manner::Real => self.processes().into_iter().map(|process| (process, process)).collect(),
-            Manner::Hollow { .. } => {
+        self.threads = match self.mode {
+            GatewayMode::Real => self.processes().into_iter().map(|process| (process, process)).collect(),
+            GatewayMode::Hollow { .. } => {
                 let names: BTreeMap<String, (u32, u32)> =
                     self.processes().into_iter().flat_map(named_threads).collect();
                 (0..count).filter_map(|gateway| names.get(&thread_name(gateway)).copied()).collect()
             }
         };
         if self.threads.len() != count {
-            return Err(HollowError::Peer(format!("{} of {count} gateways run", self.threads.len())));
+            return Err(HollowError::GatewayFailure(format!(
+                "{} of {count} gateways are running",
+                self.threads.len()
+            )));
         }
         Ok(())
     }
@@ -180,25 +188,28 @@
         for process in self.processes() {
             Command::new("kill").args(["-TERM", &process.to_string()]).status()?;
         }
-        let began = Instant::now();
+        let started = Instant::now();
         for child in &mut self.children {
             while child.try_wait()?.is_none() {
-                if began.elapsed() > END_TIMEOUT {
-                    return Err(HollowError::Peer(format!("process {} does not end", child.id())));
+                if started.elapsed() > END_TIMEOUT {
+                    return Err(HollowError::GatewayFailure(format!(
+                        "gateway process {} did not end after SIGTERM",
+                        child.id()
+                    )));
                 }
-                std::thread::sleep(END_LOOK);
+                std::thread::sleep(END_POLL_INTERVAL);
             }
         }
         let mut sum = GatewayCounts::default();
-        for place in 0..self.children.len() {
-            let path = self.folder.join(output_file(place));
+        for index in 0..self.children.len() {
+            let path = self.folder.join(output_file(index));
             let text = std::fs::read_to_string(&path).map_err(|e| HollowError::File(path.clone(), e))?;
-            sum = match self.manner {
-                Manner::Real => sum.with(counts_in_log(&text).ok_or_else(|| no_counts(&path))?),
-                Manner::Hollow { .. } => text.lines().try_fold(sum, |sum, line| {
+            sum = match self.mode {
+                GatewayMode::Real => sum.plus(parse_counters(&text).ok_or_else(|| missing_counters(&path))?),
+                GatewayMode::Hollow { .. } => text.lines().try_fold(sum, |sum, line| {
                     let counts =
-                        serde_json::from_str(line).map_err(|e| HollowError::Form(path.clone(), e))?;
-                    Ok::<_, HollowError>(sum.with(counts))
+                        serde_json::from_str(line).map_err(|e| HollowError::Json(path.clone(), e))?;
+                    Ok::<_, HollowError>(sum.plus(counts))
                 })?,
             };
         }
@@ -216,20 +227,20 @@
     }
 }
 
-fn output_file(place: usize) -> String {
-    format!("output-{place}")
+fn output_file(index: usize) -> String {
+    format!("output-{index}")
 }
 
 fn create(path: &Path) -> Result<File, HollowError> {
     File::create(path).map_err(|e| HollowError::File(path.to_owned(), e))
 }
 
-fn no_counts(path: &Path) -> HollowError {
-    HollowError::Peer(format!("{}: no counts at the gateway's end", path.display()))
+fn missing_counters(path: &Path) -> HollowError {
+    HollowError::GatewayFailure(format!("{}: no counters in the gateway's log", path.display()))
 }
 
 /// Parses the counters that a gateway logs at shutdown.
-fn counts_in_log(log: &str) -> Option<GatewayCounts> {
+fn parse_counters(log: &str) -> Option<GatewayCounts> {
     let line = log.lines().rfind(|line| line.contains("counters=") && line.contains("ended"))?;
     let number = |key: &str| {
         let value = line.split_whitespace().find_map(|part| part.strip_prefix(key)?.strip_prefix('='))?;
--- a/lab/src/hollow/sockets/host.rs
+++ b/lab/src/hollow/sockets/host.rs
@@ -15,7 +15,7 @@
 /// Upper bound on the descriptors of a gateway without clients: poller, listeners, signal pipes and list stream.
 pub const GATEWAY_DESCRIPTORS: u64 = 24;
 /// Stack size of a gateway's thread, in bytes.
-const STACK: usize = 1 << 20;
+const STACK_BYTES: usize = 1 << 20;
 
 /// Options of `hollow host`.
 #[derive(Args)]
@@ -44,7 +44,7 @@
 
 impl GatewayCounts {
     /// Returns the field-wise sum.
-    pub fn with(self, other: Self) -> Self {
+    pub fn plus(self, other: Self) -> Self {
         Self {
             list_connects: self.list_connects + other.list_connects,
             list_events: self.list_events + other.list_events,
@@ -88,14 +88,17 @@
     gateway: usize,
 ) -> Result<JoinHandle<Result<GatewayCounts, HollowError>>, HollowError> {
     let path = options.folder.join(configuration_file(gateway)).display().to_string();
-    let thread = std::thread::Builder::new().name(thread_name(gateway)).stack_size(STACK);
+    let thread = std::thread::Builder::new().name(thread_name(gateway)).stack_size(STACK_BYTES);
     Ok(thread.spawn(move || serve(&path))?)
 }
 
 fn serve(path: &str) -> Result<GatewayCounts, HollowError> {
     let signals = Signals::catch()?;
-    let peer = |e: wrenhatch::net::ServeError| HollowError::Peer(e.to_string());
-    let counters = Server::new(config::from_file(path)?, signals).map_err(peer)?.run().map_err(peer)?;
+    let gateway_failure = |e: wrenhatch::net::ServeError| HollowError::GatewayFailure(e.to_string());
+    let counters = Server::new(config::from_file(path)?, signals)
+        .map_err(gateway_failure)?
+        .run()
+        .map_err(gateway_failure)?;
     Ok(GatewayCounts {
         list_connects: counters.list_connects,
         list_events: counters.list_events,
--- a/lab/src/hollow/sockets/mod.rs
+++ b/lab/src/hollow/sockets/mod.rs
@@ -13,11 +13,11 @@
 use super::figures::{Figure, Mark, Role, add_to_file};
 use super::fleet::FleetSize;
 use super::options::{BoundOptions, SizeOptions};
-use gateways::{Manner, Programs};
+use gateways::{GatewayMode, Programs};
 use run::{PhaseFigures, Plan, RunFigures};
 
 /// Maximum number of processes that host gateways.
-const MOST_HOSTS: usize = 100;
+const MAX_HOST_PROCESSES: usize = 100;
 
 /// Options of `hollow sockets`.
 #[derive(Args)]
@@ -44,13 +44,19 @@
 pub fn run(options: &Options) -> Result<(), HollowError> {
     let (size, bounds) = (options.size.size()?, options.bounds.bounds()?);
     let processes = options.processes;
-    if !(1..=MOST_HOSTS).contains(&processes) {
-        let (value, most) = (processes as u64, MOST_HOSTS as u64);
-        return Err(HollowError::Option { option: "processes", value, least: 1, most });
+    if !(1..=MAX_HOST_PROCESSES).contains(&processes) {
+        let (value, max) = (processes as u64, MAX_HOST_PROCESSES as u64);
+        return Err(HollowError::OptionOutOfRange { option: "processes", value, min: 1, max });
     }
-    let programs = Programs::beside_this()?;
-    let figures =
-        run::run(&programs, Manner::Hollow { processes }, Plan::MEASURED, size, options.seed, &bounds)?;
+    let programs = Programs::next_to_current_exe()?;
+    let figures = run::run(
+        &programs,
+        GatewayMode::Hollow { processes },
+        Plan::MEASUREMENT,
+        size,
+        options.seed,
+        &bounds,
+    )?;
     print(&figures);
     let FleetSize { gateways, databases, control } = size;
     let command = format!(
@@ -126,12 +132,13 @@
         |quantity: &str, value: f64, unit: &str| figure(Role::Control, &phase.phase, quantity, value, unit);
     // 10 ms of processor time within a second are 1 % of a core.
     let second = phase.gateway_worst_second_ms / 10.0;
-    let whole = phase.gateway_worst_phase_ms / 10.0 / phase.seconds.max(1.0);
+    let total = phase.gateway_worst_phase_ms / 10.0 / phase.seconds.max(1.0);
     let mean = phase.gateway_mean_ms / 10.0 / phase.seconds.max(1.0);
-    let window = if phase.seconds >= Plan::MEASURED.phase_s as f64 { "worst 10 s" } else { "over the start" };
+    let window =
+        if phase.seconds >= Plan::MEASUREMENT.phase_s as f64 { "worst 10 s" } else { "over the start" };
     vec![
         gateway("processor time of one gateway, worst second", second, "% of a core"),
-        gateway(&format!("processor time of one gateway, {window}"), whole, "% of a core"),
+        gateway(&format!("processor time of one gateway, {window}"), total, "% of a core"),
         gateway("processor time of a gateway, mean", mean, "% of a core"),
         gateway("bytes of the list to a gateway, mean", phase.bytes_a_gateway / 1e3, "KB"),
         control("calls answered by all control machines", phase.calls as f64, "calls"),
--- a/lab/src/hollow/sockets/run.rs
+++ b/lab/src/hollow/sockets/run.rs
@@ -5,8 +5,8 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::control::{Command, ControlStandIn, Counts};
-use super::gateways::{Gateways, Manner, Programs};
+use super::control::{Command, ControlServer, Counts};
+use super::gateways::{GatewayMode, Gateways, Programs};
 use super::host::GatewayCounts;
 use crate::hollow::bounds::Bounds;
 use crate::hollow::error::HollowError;
@@ -14,21 +14,21 @@
 use crate::hollow::list::{Database, DatabaseList, DatabaseState};
 
 /// Sampling interval of the gateways' processor time.
-const SAMPLE: Duration = Duration::from_secs(1);
+const SAMPLE_INTERVAL: Duration = Duration::from_secs(1);
 /// Maximum delay of a step or comment in a usable phase.
-const MOST_LATE: Duration = Duration::from_millis(250);
+const MAX_LATENESS: Duration = Duration::from_millis(250);
 /// Time for gateways to apply the list after control has written it.
-const SETTLE: Duration = Duration::from_secs(2);
+const SETTLE_TIME: Duration = Duration::from_secs(2);
 /// Maximum time until all gateways have the list.
 const START_TIMEOUT: Duration = Duration::from_secs(60);
 /// Interval between checks for the list at all gateways.
-const START_LOOK: Duration = Duration::from_millis(50);
-/// Duration of [`Phase::Silence`]. Gateways close a stream after 2.5 to 3 s without a comment.
-pub const SILENCE: Duration = Duration::from_millis(3500);
+const START_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Duration of [`Phase::CommentPause`]. Gateways close a stream after 2.5 to 3 s without a comment.
+pub const COMMENT_PAUSE: Duration = Duration::from_millis(3500);
 /// Time until a stopped control machine listens again.
-pub const AWAY: Duration = Duration::from_secs(3);
+pub const CONTROL_DOWNTIME: Duration = Duration::from_secs(3);
 /// Start time of the databases that return, in Unix milliseconds.
-pub const RETURN_MS: u64 = 1_700_000_000_000;
+pub const RESTARTED_AT_MS: u64 = 1_700_000_000_000;
 
 /// Action of the control machines in a phase.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -40,15 +40,15 @@
     /// One database starts to drain.
     OneChange,
     /// The databases of a zone are removed from the list, one per event.
-    ZoneGoes,
+    ZoneRemoved,
     /// The databases of the zone return to the list, one per event.
-    ZoneReturns,
+    ZoneRestored,
     /// One control machine stops and listens again later.
-    ControlEnds,
+    ControlRestarts,
     /// All control machines close all streams.
-    StreamsEnd,
+    StreamsClosed,
     /// No control machine writes heartbeat comments.
-    Silence,
+    CommentPause,
 }
 
 /// Phases after the start, and their duration.
@@ -56,27 +56,33 @@
 pub struct Plan {
     /// Phases in order.
     pub phases: &'static [Phase],
-    /// Duration of each phase in seconds, at least one second longer than [`SILENCE`] and [`AWAY`].
+    /// Duration of each phase in seconds, at least one second longer than [`COMMENT_PAUSE`] and [`CONTROL_DOWNTIME`].
     pub phase_s: u64,
 }
 
 impl Plan {
     /// All phases, short; used by `hollow compare`.
-    pub const COMPARED: Self = Self {
+    pub const COMPARISON: Self = Self {
         phases: &[
             Phase::Quiet,
             Phase::OneChange,
-            Phase::ZoneGoes,
-            Phase::ZoneReturns,
-            Phase::ControlEnds,
-            Phase::StreamsEnd,
-            Phase::Silence,
+            Phase::ZoneRemoved,
+            Phase::ZoneRestored,
+            Phase::ControlRestarts,
+            Phase::StreamsClosed,
+            Phase::CommentPause,
         ],
         phase_s: 5,
     };
     /// Phases of ten seconds, so that the load of a phase is also its load in ten seconds; used by `hollow sockets`.
-    pub const MEASURED: Self = Self {
-        phases: &[Phase::Quiet, Phase::OneChange, Phase::ZoneGoes, Phase::ZoneReturns, Phase::StreamsEnd],
+    pub const MEASUREMENT: Self = Self {
+        phases: &[
+            Phase::Quiet,
+            Phase::OneChange,
+            Phase::ZoneRemoved,
+            Phase::ZoneRestored,
+            Phase::StreamsClosed,
+        ],
         phase_s: 10,
     };
 }
@@ -88,11 +94,11 @@
             Self::Start => "start of all gateways with an empty list",
             Self::Quiet => "quiet",
             Self::OneChange => "one change of the list",
-            Self::ZoneGoes => "zone: its databases go",
-            Self::ZoneReturns => "zone: its databases return",
-            Self::ControlEnds => "one control process ends",
-            Self::StreamsEnd => "all watchers reconnect",
-            Self::Silence => "all control machines silent for 3.5 s",
+            Self::ZoneRemoved => "zone: its databases go",
+            Self::ZoneRestored => "zone: its databases return",
+            Self::ControlRestarts => "one control process ends",
+            Self::StreamsClosed => "all watchers reconnect",
+            Self::CommentPause => "all control machines silent for 3.5 s",
         }
     }
 }
@@ -133,7 +139,7 @@
 impl PhaseFigures {
     /// Returns whether the phase kept its schedule. The figures of a late phase are not stored.
     pub fn is_usable(&self) -> bool {
-        self.late_ms <= MOST_LATE.as_secs_f64() * 1e3
+        self.late_ms <= MAX_LATENESS.as_secs_f64() * 1e3
     }
 }
 
@@ -154,7 +160,7 @@
 pub struct Run<'a> {
     size: FleetSize,
     bounds: &'a Bounds,
-    control: Vec<ControlStandIn>,
+    control: Vec<ControlServer>,
     gateways: Gateways,
     last_sample_ns: Vec<u64>,
     /// Maximum delay of a step of the current phase.
@@ -167,21 +173,21 @@
 /// A bound is exceeded, or a gateway fails or does not get the list in time.
 pub fn run(
     programs: &Programs,
-    manner: Manner,
+    mode: GatewayMode,
     plan: Plan,
     size: FleetSize,
     seed: u64,
     bounds: &Bounds,
 ) -> Result<RunFigures, HollowError> {
-    let (address, control) = ControlStandIn::start_all(size.control, &DatabaseList::new(size.databases))?;
-    let gateways = Gateways::start(programs, manner, size, seed, address)?;
+    let (address, control) = ControlServer::start_all(size.control, &DatabaseList::new(size.databases))?;
+    let gateways = Gateways::start(programs, mode, size, seed, address)?;
     let mut run = Run { size, bounds, control, gateways, last_sample_ns: Vec::new(), late: Duration::ZERO };
     let mut phases = vec![run.start()?];
     for phase in plan.phases {
-        run.await_all()?;
+        run.await_up_to_date()?;
         phases.push(run.phase(*phase, plan.phase_s)?);
     }
-    run.await_all()?;
+    run.await_up_to_date()?;
     let processes = run.gateways.processes().len();
     let bytes_a_gateway = run.gateways.resident_bytes() as f64 / size.gateways as f64;
     let counts = run.gateways.end()?;
@@ -190,18 +196,18 @@
 
 impl Run<'_> {
     fn start(&mut self) -> Result<PhaseFigures, HollowError> {
-        let began = Instant::now();
-        self.await_all()?;
+        let started = Instant::now();
+        self.await_up_to_date()?;
         self.gateways.find_threads(self.size.gateways)?;
-        sleep(SETTLE);
+        sleep(SETTLE_TIME);
         self.last_sample_ns = vec![0; self.size.gateways];
         let sample = self.sample();
-        Ok(self.figures(Phase::Start, began.elapsed(), &[sample]))
+        Ok(self.figures(Phase::Start, started.elapsed(), &[sample]))
     }
 
     /// Waits until the current list is completely written to a stream of every gateway.
-    fn await_all(&mut self) -> Result<(), HollowError> {
-        let began = Instant::now();
+    fn await_up_to_date(&mut self) -> Result<(), HollowError> {
+        let started = Instant::now();
         loop {
             self.bounds.check(&self.gateways.processes())?;
             self.gateways.check()?;
@@ -209,38 +215,40 @@
             if up_to_date == self.size.gateways as u64 {
                 return Ok(());
             }
-            if began.elapsed() > START_TIMEOUT {
-                let of = self.size.gateways;
-                return Err(HollowError::Peer(format!("{up_to_date} of {of} gateways have the list")));
+            if started.elapsed() > START_TIMEOUT {
+                let total = self.size.gateways;
+                return Err(HollowError::GatewayFailure(format!(
+                    "{up_to_date} of {total} gateways received the list in time"
+                )));
             }
-            sleep(START_LOOK);
+            sleep(START_POLL_INTERVAL);
         }
     }
 
     fn phase(&mut self, phase: Phase, phase_s: u64) -> Result<PhaseFigures, HollowError> {
-        self.control.iter().for_each(|machine| machine.send(Command::Measure));
+        self.control.iter().for_each(|machine| machine.send(Command::ResetCounts));
         self.sample();
         self.late = Duration::ZERO;
-        let began = Instant::now();
-        self.act(phase);
+        let started = Instant::now();
+        self.begin_phase(phase);
         let mut samples = Vec::new();
-        let mut is_over = false;
+        let mut fault_ended = false;
         for second in 1..=phase_s {
-            if !is_over && self.ends_within(phase, second) {
-                self.sleep_until(began + acts_for(phase));
-                self.act_at_end(phase);
-                is_over = true;
+            if !fault_ended && self.fault_ends_before(phase, second) {
+                self.sleep_until(started + fault_duration(phase));
+                self.end_fault(phase);
+                fault_ended = true;
             }
-            self.sleep_until(began + SAMPLE * second as u32);
+            self.sleep_until(started + SAMPLE_INTERVAL * second as u32);
             samples.push(self.sample());
             self.bounds.check(&self.gateways.processes())?;
             self.gateways.check()?;
         }
-        Ok(self.figures(phase, began.elapsed(), &samples))
+        Ok(self.figures(phase, started.elapsed(), &samples))
     }
 
-    fn ends_within(&self, phase: Phase, second: u64) -> bool {
-        acts_for(phase) < SAMPLE * second as u32 && !acts_for(phase).is_zero()
+    fn fault_ends_before(&self, phase: Phase, second: u64) -> bool {
+        fault_duration(phase) < SAMPLE_INTERVAL * second as u32 && !fault_duration(phase).is_zero()
     }
 
     fn sleep_until(&mut self, due: Instant) {
@@ -256,25 +264,25 @@
         self.send_to_all(&Command::Change(vec![Database { number, state, since_ms }]));
     }
 
-    fn act(&self, phase: Phase) {
+    fn begin_phase(&self, phase: Phase) {
         let zone = || (0..self.size.databases).filter(|number| fleet::zone(*number) == 0);
         match phase {
             Phase::Start | Phase::Quiet => {}
             Phase::OneChange => self.change(0, DatabaseState::Terminating, 0),
-            Phase::ZoneGoes => zone().for_each(|number| self.change(number, DatabaseState::Gone, 0)),
-            Phase::ZoneReturns => {
-                zone().for_each(|number| self.change(number, DatabaseState::Ready, RETURN_MS));
+            Phase::ZoneRemoved => zone().for_each(|number| self.change(number, DatabaseState::Removed, 0)),
+            Phase::ZoneRestored => {
+                zone().for_each(|number| self.change(number, DatabaseState::Ready, RESTARTED_AT_MS));
             }
-            Phase::ControlEnds => self.control[0].send(Command::Leave),
-            Phase::StreamsEnd => self.send_to_all(&Command::EndStreams),
-            Phase::Silence => self.send_to_all(&Command::Silent(true)),
+            Phase::ControlRestarts => self.control[0].send(Command::GoOffline),
+            Phase::StreamsClosed => self.send_to_all(&Command::EndStreams),
+            Phase::CommentPause => self.send_to_all(&Command::SuspendComments(true)),
         }
     }
 
-    fn act_at_end(&self, phase: Phase) {
+    fn end_fault(&self, phase: Phase) {
         match phase {
-            Phase::ControlEnds => self.control[0].send(Command::Return),
-            Phase::Silence => self.send_to_all(&Command::Silent(false)),
+            Phase::ControlRestarts => self.control[0].send(Command::GoOnline),
+            Phase::CommentPause => self.send_to_all(&Command::SuspendComments(false)),
             _ => {}
         }
     }
@@ -287,28 +295,28 @@
     }
 
     fn figures(&self, phase: Phase, elapsed: Duration, samples: &[Vec<u64>]) -> PhaseFigures {
-        let counts: Vec<Counts> = self.control.iter().map(ControlStandIn::counts).collect();
+        let counts: Vec<Counts> = self.control.iter().map(ControlServer::counts).collect();
         let late_us = counts.iter().map(|machine| machine.late_us).max().unwrap_or(0);
         let late = self.late.max(Duration::from_micros(late_us));
         let ms = |ns: u64| ns as f64 / 1e6;
-        let whole: Vec<u64> = (0..self.size.gateways)
+        let totals: Vec<u64> = (0..self.size.gateways)
             .map(|gateway| samples.iter().map(|sample| sample[gateway]).sum())
             .collect();
-        let sum = |of: fn(&Counts) -> u64| counts.iter().map(of).sum::<u64>();
-        let most = |of: fn(&Counts) -> u64| counts.iter().map(of).max().unwrap_or(0);
+        let sum = |field: fn(&Counts) -> u64| counts.iter().map(field).sum::<u64>();
+        let max = |field: fn(&Counts) -> u64| counts.iter().map(field).max().unwrap_or(0);
         let gateways = self.size.gateways as f64;
         PhaseFigures {
             phase: phase.name().to_owned(),
-            gateway_mean_ms: ms(whole.iter().sum()) / gateways,
+            gateway_mean_ms: ms(totals.iter().sum()) / gateways,
             gateway_worst_second_ms: ms(samples.iter().flatten().copied().max().unwrap_or(0)),
-            gateway_worst_phase_ms: ms(whole.iter().copied().max().unwrap_or(0)),
+            gateway_worst_phase_ms: ms(totals.iter().copied().max().unwrap_or(0)),
             seconds: elapsed.as_secs_f64(),
             calls: sum(|machine| machine.calls.total()),
-            machine_calls_worst_second: most(|machine| machine.calls.worst_second()),
+            machine_calls_worst_second: max(|machine| machine.calls.worst_second()),
             events: sum(|machine| machine.events.total()),
-            machine_events_worst_second: most(|machine| machine.events.worst_second()),
+            machine_events_worst_second: max(|machine| machine.events.worst_second()),
             event_bytes: sum(|machine| machine.event_bytes.total()),
-            machine_bytes_worst_second: most(|machine| machine.bytes.worst_second()),
+            machine_bytes_worst_second: max(|machine| machine.bytes.worst_second()),
             bytes_a_gateway: sum(|machine| machine.bytes.total()) as f64 / gateways,
             ended: sum(|machine| machine.ended),
             late_ms: late.as_secs_f64() * 1e3,
@@ -317,10 +325,10 @@
 }
 
 /// Duration of the fault that a phase injects, or zero if its action is instantaneous.
-fn acts_for(phase: Phase) -> Duration {
+fn fault_duration(phase: Phase) -> Duration {
     match phase {
-        Phase::ControlEnds => AWAY,
-        Phase::Silence => SILENCE,
+        Phase::ControlRestarts => CONTROL_DOWNTIME,
+        Phase::CommentPause => COMMENT_PAUSE,
         _ => Duration::ZERO,
     }
 }
