--- a/lab/src/hollow/compare.rs
+++ b/lab/src/hollow/compare.rs
@@ -17,7 +17,7 @@
 use super::options::{BoundOptions, SizeOptions};
 use super::sockets::gateways::{GatewayMode, Programs};
 use super::sockets::print;
-use super::sockets::run::{self, COMMENT_PAUSE, CONTROL_DOWNTIME, Phase, Plan, RESTARTED_AT_MS, RunFigures};
+use super::sockets::run::{self, COMMENT_PAUSE, CONTROL_DOWNTIME, Phase, Plan, RESTART_MS, RunFigures};
 
 /// A second, in microseconds.
 const SECOND_US: u64 = 1_000_000;
@@ -62,7 +62,7 @@
 
 /// Results of one of the compared runs.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Side {
+pub struct RunResult {
     /// Counts that must be equal in all runs.
     pub counts: Counts,
     /// Processor time and memory; `None` for the simulation.
@@ -81,11 +81,11 @@
     /// Command that reproduces the comparison.
     pub command: String,
     /// Run with a process for each gateway.
-    pub real: Side,
+    pub real: RunResult,
     /// Run with all gateways on threads of one process.
-    pub hollow: Side,
+    pub hollow: RunResult,
     /// Simulation with the gateway's control-side code.
-    pub simulated: Side,
+    pub simulated: RunResult,
     /// Ratio of processor time, hollow to real gateway, at the start. The time of a real gateway includes process
     /// startup.
     pub processor_ratio_start: f64,
@@ -138,7 +138,7 @@
     )?;
     println!("hollow gateways");
     print(&hollow);
-    let simulated = Side { counts: simulated_counts(size, options.seed, &bounds)?, run: None };
+    let simulated = RunResult { counts: simulated_counts(size, options.seed, &bounds)?, run: None };
     let seed = options.seed;
     let comparison = Comparison {
         gateways,
@@ -151,8 +151,8 @@
         processor_ratio_start: hollow.phases[0].gateway_mean_ms / real.phases[0].gateway_mean_ms,
         processor_ratio: processor_ms(&hollow, &real, &hollow) / processor_ms(&real, &real, &hollow),
         memory_ratio: hollow.bytes_a_gateway / real.bytes_a_gateway,
-        real: side(real),
-        hollow: side(hollow),
+        real: run_result(real),
+        hollow: run_result(hollow),
         simulated,
     };
     println!("counts: real {:?}", comparison.real.counts);
@@ -171,7 +171,7 @@
     }
 }
 
-fn side(run: RunFigures) -> Side {
+fn run_result(run: RunFigures) -> RunResult {
     let ended: u64 = run.phases.iter().map(|phase| phase.ended).sum();
     let counts = Counts {
         list_calls: run.counts.list_connects.saturating_sub(ended),
@@ -179,7 +179,7 @@
         event_bytes: run.phases.iter().map(|phase| phase.event_bytes).sum(),
         engine_connects: run.counts.engine_connects,
     };
-    Side { counts, run: Some(run) }
+    RunResult { counts, run: Some(run) }
 }
 
 /// Mean processor time of a gateway in `run`, over the phases after the start that are usable in both other
@@ -227,13 +227,13 @@
         Phase::OneChange => vec![change(0, DatabaseState::Terminating, 0)],
         Phase::ZoneRemoved => zone().map(|number| change(number, DatabaseState::Removed, 0)).collect(),
         Phase::ZoneRestored => {
-            zone().map(|number| change(number, DatabaseState::Ready, RESTARTED_AT_MS)).collect()
+            zone().map(|number| change(number, DatabaseState::Ready, RESTART_MS)).collect()
         }
         Phase::ControlRestarts => vec![
-            (at_us, Action::Control(0, ControlState::Stopped)),
-            (at_us + CONTROL_DOWNTIME.as_micros() as u64, Action::Control(0, ControlState::Serving)),
+            (at_us, Action::SetControl(0, ControlState::Down)),
+            (at_us + CONTROL_DOWNTIME.as_micros() as u64, Action::SetControl(0, ControlState::Serving)),
         ],
-        Phase::StreamsClosed => vec![(at_us, Action::EndStreams)],
+        Phase::StreamsClosed => vec![(at_us, Action::CloseStreams)],
         Phase::CommentPause => {
             vec![
                 (at_us, Action::SuspendComments(true)),
--- a/lab/src/hollow/control_state.rs
+++ b/lab/src/hollow/control_state.rs
@@ -6,7 +6,7 @@
     /// Accepts connections and streams the list.
     Serving,
     /// The machine is up without its process: connections are refused.
-    Stopped,
+    Down,
     /// The machine sends no packets: connection attempts time out.
     Unreachable,
 }
--- a/lab/src/hollow/events.rs
+++ b/lab/src/hollow/events.rs
@@ -35,7 +35,7 @@
     /// Changes databases in the list by one event.
     Change(Vec<Database>),
     /// Sets the reachability of a control machine.
-    Control(usize, ControlState),
+    SetControl(usize, ControlState),
     /// Stops a gateway without closing its connection.
     GatewayCrashes(usize),
     /// Starts a gateway. A running one is stopped first and closes its connection.
@@ -45,7 +45,7 @@
     /// Keeps the first control machines, up to this number, serving and stops the processes of all others.
     KeepControl(usize),
     /// Closes all streams while the control machines continue to accept requests.
-    EndStreams,
+    CloseStreams,
     /// Suspends (`true`) or resumes (`false`) the heartbeat comments of all control machines.
     SuspendComments(bool),
 }
@@ -110,7 +110,7 @@
     random.next_u32() as usize % count.max(1)
 }
 
-fn random_offset_us(random: &mut Pcg32, span_us: u64) -> u64 {
+fn offset_us(random: &mut Pcg32, span_us: u64) -> u64 {
     u64::from(random.next_u32()) * span_us / u64::from(u32::MAX)
 }
 
@@ -140,7 +140,10 @@
 }
 
 fn control_outage(number: usize, state: ControlState, from_us: u64, until_us: u64) -> [(u64, Action); 2] {
-    [(from_us, Action::Control(number, state)), (until_us, Action::Control(number, ControlState::Serving))]
+    [
+        (from_us, Action::SetControl(number, state)),
+        (until_us, Action::SetControl(number, ControlState::Serving)),
+    ]
 }
 
 /// Restarts of randomly selected machines of all roles.
@@ -150,19 +153,14 @@
     let mut actions = Vec::new();
     for _ in 0..count.min(all) {
         let machine = machines.swap_remove(random_index(random, machines.len()));
-        let at_us = BEGIN_US + random_offset_us(random, window_us);
+        let at_us = BEGIN_US + offset_us(random, window_us);
         if machine < size.gateways {
             actions.push((at_us, Action::GatewayStarts(machine)));
         } else if machine < size.gateways + size.databases {
             actions.extend(database_restart(machine - size.gateways, at_us));
         } else {
             let control = machine - size.gateways - size.databases;
-            actions.extend(control_outage(
-                control,
-                ControlState::Stopped,
-                at_us,
-                at_us + DATABASE_RESTART_US,
-            ));
+            actions.extend(control_outage(control, ControlState::Down, at_us, at_us + DATABASE_RESTART_US));
         }
     }
     actions
@@ -172,7 +170,7 @@
     let hour_us = 3600 * SECOND_US;
     let mut actions = restarts(size, random, RESTARTS_PER_DAY.div_ceil(24), hour_us - 120 * SECOND_US);
     for _ in 0..FAILURES_PER_DAY.div_ceil(24) {
-        let at_us = BEGIN_US + random_offset_us(random, hour_us - 120 * SECOND_US);
+        let at_us = BEGIN_US + offset_us(random, hour_us - 120 * SECOND_US);
         actions.extend(database_outage(random_index(random, size.databases), at_us, at_us + OUTAGE_US));
     }
     actions
@@ -197,7 +195,7 @@
 }
 
 fn control_ends(size: FleetSize, random: &mut Pcg32) -> Vec<(u64, Action)> {
-    control_outage(random_index(random, size.control), ControlState::Stopped, BEGIN_US, BEGIN_US + OUTAGE_US)
+    control_outage(random_index(random, size.control), ControlState::Down, BEGIN_US, BEGIN_US + OUTAGE_US)
         .into()
 }
 
@@ -211,9 +209,7 @@
 
 fn release(size: FleetSize, random: &mut Pcg32) -> Vec<(u64, Action)> {
     (0..size.gateways)
-        .map(|gateway| {
-            (BEGIN_US + random_offset_us(random, RESTART_WINDOW_US), Action::GatewayStarts(gateway))
-        })
+        .map(|gateway| (BEGIN_US + offset_us(random, RESTART_WINDOW_US), Action::GatewayStarts(gateway)))
         .collect()
 }
 
--- a/lab/src/hollow/model/actions.rs
+++ b/lab/src/hollow/model/actions.rs
@@ -13,18 +13,17 @@
     pub(super) fn perform(&mut self, action: &Action) {
         match action {
             Action::Change(changed) => self.change(changed),
-            Action::Control(machine, state) => self.set_control(*machine, *state),
+            Action::SetControl(machine, state) => self.set_control(*machine, *state),
             Action::GatewayCrashes(gateway) => self.gateways[*gateway].running = None,
             Action::GatewayStarts(gateway) => self.schedule(self.now_us, Event::GatewayStarts(*gateway)),
             Action::Partition(is_partitioned) => self.set_partitioned(*is_partitioned),
             Action::KeepControl(remaining) => {
                 for machine in 0..self.size.control {
-                    let state =
-                        if machine < *remaining { ControlState::Serving } else { ControlState::Stopped };
+                    let state = if machine < *remaining { ControlState::Serving } else { ControlState::Down };
                     self.set_control(machine, state);
                 }
             }
-            Action::EndStreams => self.end_streams(),
+            Action::CloseStreams => self.close_streams(),
             Action::SuspendComments(comments_suspended) => self.set_comments_suspended(*comments_suspended),
         }
     }
@@ -53,7 +52,7 @@
             return;
         }
         let streams = self.machines[machine].reset(state);
-        if state == ControlState::Stopped {
+        if state == ControlState::Down {
             for connection in streams {
                 self.send_end_to_gateway(connection);
             }
@@ -64,7 +63,7 @@
         self.schedule_router_updates(machine);
     }
 
-    fn end_streams(&mut self) {
+    fn close_streams(&mut self) {
         for machine in 0..self.size.control {
             for connection in self.machines[machine].reset(ControlState::Serving) {
                 self.send_end_to_gateway(connection);
--- a/lab/src/hollow/model/control.rs
+++ b/lab/src/hollow/model/control.rs
@@ -9,7 +9,7 @@
 use crate::hollow::load::Load;
 
 /// Service time of a list request until its stream starts, in microseconds.
-pub const CALL_COST_US: u64 = 200;
+pub const REQUEST_COST_US: u64 = 200;
 /// Fixed service time of a write to a stream, in microseconds.
 pub const WRITE_COST_US: u64 = 10;
 /// Service time of each 1,000 bytes of a write, in microseconds.
--- a/lab/src/hollow/model/control_side.rs
+++ b/lab/src/hollow/model/control_side.rs
@@ -1,6 +1,6 @@
 //! Event handlers of the control machines: connections, list requests, streams and replicated changes.
 
-use super::control::{CALL_COST_US, STALL_TIMEOUT_US};
+use super::control::{REQUEST_COST_US, STALL_TIMEOUT_US};
 use super::event::Event;
 use super::{ConnectionId, Model};
 use crate::hollow::control_state::ControlState;
@@ -13,21 +13,19 @@
             ControlState::Serving => {
                 self.schedule(self.now_us + latency_us, Event::ConnectAccepted(connection))
             }
-            ControlState::Stopped => {
-                self.schedule(self.now_us + latency_us, Event::ConnectRefused(connection))
-            }
+            ControlState::Down => self.schedule(self.now_us + latency_us, Event::ConnectRefused(connection)),
             ControlState::Unreachable => {}
         }
     }
 
-    pub(super) fn on_call_arrived(&mut self, connection: ConnectionId, after: u64) {
+    pub(super) fn on_request_arrived(&mut self, connection: ConnectionId, after: u64) {
         let now_us = self.now_us;
         match self.machine_of(connection).state {
             ControlState::Serving => {
-                let completed_us = self.machine_of(connection).enqueue_work(now_us, CALL_COST_US);
+                let completed_us = self.machine_of(connection).enqueue_work(now_us, REQUEST_COST_US);
                 self.schedule(completed_us, Event::StreamBegins { connection, after });
             }
-            ControlState::Stopped => self.send_end_to_gateway(connection),
+            ControlState::Down => self.send_end_to_gateway(connection),
             ControlState::Unreachable => {}
         }
     }
--- a/lab/src/hollow/model/event.rs
+++ b/lab/src/hollow/model/event.rs
@@ -23,7 +23,7 @@
     /// A reset in response to a SYN arrives at the gateway.
     ConnectRefused(ConnectionId),
     /// A request for the list events after `after` arrives at the control machine.
-    CallArrived { connection: ConnectionId, after: u64 },
+    RequestArrived { connection: ConnectionId, after: u64 },
     /// A control machine has processed a request and starts the stream.
     StreamBegins { connection: ConnectionId, after: u64 },
     /// The heartbeat comment of a stream is due.
--- a/lab/src/hollow/model/gateway.rs
+++ b/lab/src/hollow/model/gateway.rs
@@ -13,7 +13,7 @@
 use crate::hollow::error::HollowError;
 
 /// One incarnation of a simulated gateway.
-pub struct HollowGateway {
+pub struct SimulatedGateway {
     /// Watch of the endpoint list.
     pub watch: Watch,
     /// List events applied, counted like `list_events` of the gateway's counters.
@@ -25,7 +25,7 @@
     next_engine_id: u32,
 }
 
-impl HollowGateway {
+impl SimulatedGateway {
     /// Creates a gateway with an empty endpoint list.
     ///
     /// # Errors
@@ -57,8 +57,8 @@
     }
 
     /// Handles the end or refusal of the connection.
-    pub fn on_connection_lost(&mut self, now_us: u64, requests: &mut Vec<WatchRequest>) {
-        let events = self.watch.on_connection_lost(now_us, requests);
+    pub fn on_disconnected(&mut self, now_us: u64, requests: &mut Vec<WatchRequest>) {
+        let events = self.watch.on_disconnected(now_us, requests);
         self.apply_events(now_us, &events);
     }
 
--- a/lab/src/hollow/model/gateway_side.rs
+++ b/lab/src/hollow/model/gateway_side.rs
@@ -8,7 +8,7 @@
 use wrenhatch::json::{self, JsonField};
 
 use super::event::Event;
-use super::gateway::HollowGateway;
+use super::gateway::SimulatedGateway;
 use super::measure::GatewayLoads;
 use super::network::Connection;
 use super::watch::WatchRequest;
@@ -20,7 +20,7 @@
 /// A gateway and its counts across restarts.
 pub(super) struct GatewaySlot {
     /// `None` while the gateway is down.
-    pub(super) running: Option<HollowGateway>,
+    pub(super) running: Option<SimulatedGateway>,
     pub(super) incarnation: u32,
     pub(super) started_us: u64,
     /// Time of the scheduled watch timer, in microseconds.
@@ -36,7 +36,7 @@
         let config = gateway_configuration(self.size, gateway, self.seed)?;
         let random_seed = u64::from(self.random.next_u32());
         let slot = &mut self.gateways[gateway];
-        slot.running = Some(HollowGateway::new(config, random_seed)?);
+        slot.running = Some(SimulatedGateway::new(config, random_seed)?);
         slot.incarnation += 1;
         (slot.started_us, slot.timer_us) = (self.now_us, None);
         self.arm_timer(gateway);
@@ -68,7 +68,7 @@
     fn with_gateway(
         &mut self,
         gateway: usize,
-        handle: impl FnOnce(&mut HollowGateway, u64, &mut Vec<WatchRequest>),
+        handle: impl FnOnce(&mut SimulatedGateway, u64, &mut Vec<WatchRequest>),
     ) {
         let slot = &mut self.gateways[gateway];
         let Some(running) = &mut slot.running else { return };
@@ -119,15 +119,13 @@
             after = running.watch.last_index();
         });
         let latency_us = self.connection_latency_us(connection);
-        self.schedule(self.now_us + latency_us, Event::CallArrived { connection, after });
+        self.schedule(self.now_us + latency_us, Event::RequestArrived { connection, after });
     }
 
     pub(super) fn on_connection_lost(&mut self, connection: ConnectionId) {
         if self.is_current(connection) {
             let gateway = self.connections[connection].gateway;
-            self.with_gateway(gateway, |running, now_us, requests| {
-                running.on_connection_lost(now_us, requests)
-            });
+            self.with_gateway(gateway, |running, now_us, requests| running.on_disconnected(now_us, requests));
         }
     }
 
--- a/lab/src/hollow/model/measure.rs
+++ b/lab/src/hollow/model/measure.rs
@@ -69,7 +69,7 @@
 
 /// Peak loads over all machines of a role.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
-pub struct PeakLoad {
+pub struct Peak {
     /// Maximum within any second.
     pub second: u64,
     /// Maximum within any ten seconds.
@@ -78,9 +78,9 @@
     pub total: u64,
 }
 
-impl PeakLoad {
+impl Peak {
     /// Returns the maxima over these loads.
-    pub fn over<'a>(loads: impl Iterator<Item = &'a Load>) -> Self {
+    pub fn of<'a>(loads: impl Iterator<Item = &'a Load>) -> Self {
         loads.fold(Self::default(), |worst, load| {
             worst.max(Self {
                 second: load.worst_second(),
@@ -104,17 +104,17 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Measurements {
     /// Peak list requests of a gateway.
-    pub gateway_calls: PeakLoad,
+    pub gateway_calls: Peak,
     /// Peak list events applied by a gateway.
-    pub gateway_events: PeakLoad,
+    pub gateway_events: Peak,
     /// Peak bytes of list streams received by a gateway.
-    pub gateway_bytes: PeakLoad,
+    pub gateway_bytes: Peak,
     /// Peak list requests to a control machine.
-    pub control_calls: PeakLoad,
+    pub control_calls: Peak,
     /// Peak list events written by a control machine, counted for each stream.
-    pub control_events: PeakLoad,
+    pub control_events: Peak,
     /// Peak bytes written by a control machine.
-    pub control_bytes: PeakLoad,
+    pub control_bytes: Peak,
     /// Maximum number of concurrent streams at a control machine.
     pub control_streams: u64,
     /// Largest number of streams at a control machine at the end.
@@ -187,14 +187,12 @@
     }
 
     pub(super) fn measurements(&self) -> Measurements {
-        let gateways = |field: fn(&GatewayLoads) -> &Load| {
-            PeakLoad::over(self.gateways.iter().map(|slot| field(&slot.loads)))
-        };
-        let control = |field: fn(&ControlMachine) -> &Load| PeakLoad::over(self.machines.iter().map(field));
-        let max = |field: fn(&ControlMachine) -> u64| self.machines.iter().map(field).max().unwrap_or(0);
-        let sum = |field: fn(&GatewayLoads) -> &Load| {
-            self.gateways.iter().map(|slot| field(&slot.loads).total()).sum()
-        };
+        let gateways =
+            |get: fn(&GatewayLoads) -> &Load| Peak::of(self.gateways.iter().map(|slot| get(&slot.loads)));
+        let control = |get: fn(&ControlMachine) -> &Load| Peak::of(self.machines.iter().map(get));
+        let max = |get: fn(&ControlMachine) -> u64| self.machines.iter().map(get).max().unwrap_or(0);
+        let sum =
+            |get: fn(&GatewayLoads) -> &Load| self.gateways.iter().map(|slot| get(&slot.loads).total()).sum();
         let last = self.changes.len() as u64 + 1;
         let running = || self.gateways.iter().filter_map(|slot| slot.running.as_ref());
         Measurements {
--- a/lab/src/hollow/model/mod.rs
+++ b/lab/src/hollow/model/mod.rs
@@ -36,7 +36,7 @@
 use event::{Event, ScheduledEvent};
 use gateway_side::GatewaySlot;
 use measure::{GatewayLoads, ListChange, PropagationDelays};
-pub use measure::{Measurements, PeakLoad};
+pub use measure::{Measurements, Peak};
 use network::{Connection, ROUTER_DETECTION_DELAY_US};
 
 /// Index of a connection in [`Model`]. Indices are not reused.
@@ -155,7 +155,7 @@
             Event::ConnectRefused(connection) | Event::StreamEndedAtGateway(connection) => {
                 self.on_connection_lost(connection)
             }
-            Event::CallArrived { connection, after } => self.on_call_arrived(connection, after),
+            Event::RequestArrived { connection, after } => self.on_request_arrived(connection, after),
             Event::StreamBegins { connection, after } => self.on_stream_begins(connection, after),
             Event::CommentDue(connection) => self.on_comment_due(connection),
             Event::BytesArrived { connection, text } => self.on_bytes_arrived(connection, text),
--- a/lab/src/hollow/model/watch.rs
+++ b/lab/src/hollow/model/watch.rs
@@ -93,7 +93,7 @@
     }
 
     /// Handles the end or refusal of the connection.
-    pub fn on_connection_lost(
+    pub fn on_disconnected(
         &mut self,
         now_us: u64,
         requests: &mut Vec<WatchRequest>,
--- a/lab/src/hollow/simulate.rs
+++ b/lab/src/hollow/simulate.rs
@@ -11,7 +11,7 @@
 use super::events;
 use super::figures::{Figure, Mark, Role, add_to_file};
 use super::fleet::FleetSize;
-use super::model::{Measurements, Model, PeakLoad};
+use super::model::{Measurements, Model, Peak};
 use super::options::{BoundOptions, SizeOptions};
 
 /// Number of simulations that run in parallel.
@@ -150,7 +150,7 @@
         }
     }
 
-    fn peak(&self, role: Role, quantity: &str, peak: &PeakLoad, unit: &str, scale: f64) -> [Figure; 2] {
+    fn peak(&self, role: Role, quantity: &str, peak: &Peak, unit: &str, scale: f64) -> [Figure; 2] {
         let second = peak.second as f64 / scale;
         let ten_seconds = peak.ten_seconds as f64 / scale;
         [
--- a/lab/src/hollow/sockets/control.rs
+++ b/lab/src/hollow/sockets/control.rs
@@ -32,7 +32,7 @@
     /// Changes databases in the list by one event.
     Change(Vec<Database>),
     /// Closes all streams while accepting new ones.
-    EndStreams,
+    CloseStreams,
     /// Closes all streams and the listener.
     GoOffline,
     /// Opens the listener again.
@@ -228,12 +228,12 @@
                 self.list.change(&changed);
                 (0..self.streams.len()).for_each(|index| self.send_events(index));
             }
-            Command::EndStreams => self.end_streams(),
+            Command::CloseStreams => self.close_streams(),
             Command::GoOffline => {
                 if let Some(listener) = self.listener.take() {
                     self.poll.remove(&listener);
                 }
-                self.end_streams();
+                self.close_streams();
             }
             Command::GoOnline => {
                 let listener = listen(self.address)?;
@@ -256,7 +256,7 @@
         Ok(())
     }
 
-    fn end_streams(&mut self) {
+    fn close_streams(&mut self) {
         for index in 0..self.streams.len() {
             if self.streams[index].is_some() {
                 lock_counts(&self.counts).ended += 1;
--- a/lab/src/hollow/sockets/run.rs
+++ b/lab/src/hollow/sockets/run.rs
@@ -28,7 +28,7 @@
 /// Time until a stopped control machine listens again.
 pub const CONTROL_DOWNTIME: Duration = Duration::from_secs(3);
 /// Start time of the databases that return, in Unix milliseconds.
-pub const RESTARTED_AT_MS: u64 = 1_700_000_000_000;
+pub const RESTART_MS: u64 = 1_700_000_000_000;
 
 /// Action of the control machines in a phase.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -271,10 +271,10 @@
             Phase::OneChange => self.change(0, DatabaseState::Terminating, 0),
             Phase::ZoneRemoved => zone().for_each(|number| self.change(number, DatabaseState::Removed, 0)),
             Phase::ZoneRestored => {
-                zone().for_each(|number| self.change(number, DatabaseState::Ready, RESTARTED_AT_MS));
+                zone().for_each(|number| self.change(number, DatabaseState::Ready, RESTART_MS));
             }
             Phase::ControlRestarts => self.control[0].send(Command::GoOffline),
-            Phase::StreamsClosed => self.send_to_all(&Command::EndStreams),
+            Phase::StreamsClosed => self.send_to_all(&Command::CloseStreams),
             Phase::CommentPause => self.send_to_all(&Command::SuspendComments(true)),
         }
     }
@@ -302,8 +302,8 @@
         let totals: Vec<u64> = (0..self.size.gateways)
             .map(|gateway| samples.iter().map(|sample| sample[gateway]).sum())
             .collect();
-        let sum = |field: fn(&Counts) -> u64| counts.iter().map(field).sum::<u64>();
-        let max = |field: fn(&Counts) -> u64| counts.iter().map(field).max().unwrap_or(0);
+        let sum = |get: fn(&Counts) -> u64| counts.iter().map(get).sum::<u64>();
+        let max = |get: fn(&Counts) -> u64| counts.iter().map(get).max().unwrap_or(0);
         let gateways = self.size.gateways as f64;
         PhaseFigures {
             phase: phase.name().to_owned(),
--- a/lab/tests/hollow.rs
+++ b/lab/tests/hollow.rs
@@ -199,13 +199,13 @@
     assert!(matches!(add_to_file(&path, figures.clone()), Err(HollowError::NoComparison(_))));
     std::fs::write(comparison_path(&path), "{}").unwrap();
     assert!(matches!(add_to_file(&path, figures.clone()), Err(HollowError::Json(..))));
-    let side = |calls: u64| {
+    let run_result = |calls: u64| {
         format!(
             "{{\"counts\":{{\"list_calls\":{calls},\"list_events\":1,\"event_bytes\":1,\"engine_connects\":0}},\"run\":null}}"
         )
     };
     let comparison = |simulated: u64| {
-        let (same, other) = (side(1), side(simulated));
+        let (same, other) = (run_result(1), run_result(simulated));
         format!(
             "{{\"gateways\":1,\"databases\":1,\"control\":1,\"command\":\"\",\"real\":{same},\"hollow\":{same},\
              \"simulated\":{other},\"processor_ratio_start\":1.0,\"processor_ratio\":1.0,\"memory_ratio\":1.0}}"
