--- a/lab/src/hollow/compare.rs
+++ b/lab/src/hollow/compare.rs
@@ -226,9 +226,7 @@
         Phase::Start | Phase::Quiet => Vec::new(),
         Phase::OneChange => vec![change(0, DatabaseState::Terminating, 0)],
         Phase::ZoneRemoved => zone().map(|number| change(number, DatabaseState::Removed, 0)).collect(),
-        Phase::ZoneRestored => {
-            zone().map(|number| change(number, DatabaseState::Ready, RESTART_MS)).collect()
-        }
+        Phase::ZoneAdded => zone().map(|number| change(number, DatabaseState::Ready, RESTART_MS)).collect(),
         Phase::ControlRestarts => vec![
             (at_us, Action::SetControl(0, ControlState::Down)),
             (at_us + CONTROL_DOWNTIME.as_micros() as u64, Action::SetControl(0, ControlState::Serving)),
--- a/lab/src/hollow/sockets/run.rs
+++ b/lab/src/hollow/sockets/run.rs
@@ -42,7 +42,7 @@
     /// The databases of a zone are removed from the list, one per event.
     ZoneRemoved,
     /// The databases of the zone return to the list, one per event.
-    ZoneRestored,
+    ZoneAdded,
     /// One control machine stops and listens again later.
     ControlRestarts,
     /// All control machines close all streams.
@@ -67,7 +67,7 @@
             Phase::Quiet,
             Phase::OneChange,
             Phase::ZoneRemoved,
-            Phase::ZoneRestored,
+            Phase::ZoneAdded,
             Phase::ControlRestarts,
             Phase::StreamsClosed,
             Phase::CommentPause,
@@ -76,13 +76,7 @@
     };
     /// Phases of ten seconds, so that the load of a phase is also its load in ten seconds; used by `hollow sockets`.
     pub const MEASUREMENT: Self = Self {
-        phases: &[
-            Phase::Quiet,
-            Phase::OneChange,
-            Phase::ZoneRemoved,
-            Phase::ZoneRestored,
-            Phase::StreamsClosed,
-        ],
+        phases: &[Phase::Quiet, Phase::OneChange, Phase::ZoneRemoved, Phase::ZoneAdded, Phase::StreamsClosed],
         phase_s: 10,
     };
 }
@@ -95,7 +89,7 @@
             Self::Quiet => "quiet",
             Self::OneChange => "one change of the list",
             Self::ZoneRemoved => "zone: its databases go",
-            Self::ZoneRestored => "zone: its databases return",
+            Self::ZoneAdded => "zone: its databases return",
             Self::ControlRestarts => "one control process ends",
             Self::StreamsClosed => "all watchers reconnect",
             Self::CommentPause => "all control machines silent for 3.5 s",
@@ -270,7 +264,7 @@
             Phase::Start | Phase::Quiet => {}
             Phase::OneChange => self.change(0, DatabaseState::Terminating, 0),
             Phase::ZoneRemoved => zone().for_each(|number| self.change(number, DatabaseState::Removed, 0)),
-            Phase::ZoneRestored => {
+            Phase::ZoneAdded => {
                 zone().for_each(|number| self.change(number, DatabaseState::Ready, RESTART_MS));
             }
             Phase::ControlRestarts => self.control[0].send(Command::GoOffline),
