--- a/lab/src/hollow/compare.rs
+++ b/lab/src/hollow/compare.rs
@@ -182,8 +182,8 @@
     RunResult { counts, run: Some(run) }
 }
 
-/// Mean processor time of a gateway in `run`, over the phases after the start that are usable in both other
-/// arguments.
+/// Sum of the mean processor time of a gateway in `run`, over the phases after the start that are usable in both
+/// `one` and `other`, in ms.
 fn processor_ms(run: &RunFigures, one: &RunFigures, other: &RunFigures) -> f64 {
     let usable = |index: usize| one.phases[index].is_usable() && other.phases[index].is_usable();
     let phases = run.phases.iter().enumerate().filter(|(index, _)| *index > 0 && usable(*index));
--- a/lab/src/hollow/model/watch.rs
+++ b/lab/src/hollow/model/watch.rs
@@ -26,8 +26,8 @@
 
 impl Watch {
     /// Creates a watch without a list. `fraction`, from 0 to 1, spreads the timers of gateways.
-    pub fn new(memory_bytes: usize, chance: f64, random: Pcg32) -> Self {
-        let state = EndpointWatch::new(0, memory_bytes, chance);
+    pub fn new(memory_bytes: usize, fraction: f64, random: Pcg32) -> Self {
+        let state = EndpointWatch::new(0, memory_bytes, fraction);
         Self { state, connection: None, input: Vec::new(), random }
     }
 
@@ -54,7 +54,7 @@
     /// Closes a connection that was not established or received nothing in time, and requests one if there is none.
     pub fn on_timer(&mut self, now_us: u64, requests: &mut Vec<WatchRequest>) -> Vec<EndpointListEvent> {
         let mut events = Vec::new();
-        let due = self.state.on_deadline(now_us, || chance(&mut self.random), &mut events);
+        let due = self.state.on_deadline(now_us, || random_fraction(&mut self.random), &mut events);
         if due.close_silent {
             self.close(requests);
         }
@@ -85,7 +85,8 @@
     ) -> Vec<EndpointListEvent> {
         let mut events = Vec::new();
         self.input.extend_from_slice(bytes);
-        let read = self.state.on_bytes(now_us, &mut self.input, || chance(&mut self.random), &mut events);
+        let read =
+            self.state.on_bytes(now_us, &mut self.input, || random_fraction(&mut self.random), &mut events);
         if read.is_err() {
             self.close(requests);
         }
@@ -99,7 +100,7 @@
         requests: &mut Vec<WatchRequest>,
     ) -> Vec<EndpointListEvent> {
         let mut events = Vec::new();
-        self.state.on_connection_lost(now_us, || chance(&mut self.random), &mut events);
+        self.state.on_connection_lost(now_us, || random_fraction(&mut self.random), &mut events);
         self.close(requests);
         events
     }
@@ -111,6 +112,6 @@
     }
 }
 
-fn chance(random: &mut Pcg32) -> f64 {
+fn random_fraction(random: &mut Pcg32) -> f64 {
     f64::from(random.next_u32()) / f64::from(u32::MAX)
 }
