--- a/gateway/src/net/clients/read.rs
+++ b/gateway/src/net/clients/read.rs
@@ -139,7 +139,7 @@
     /// Answers a request to prepare a statement. Preparing fails if the settings do not contain a name in the
     /// statement's fields, or if memory is short.
     fn prepare_statement(&mut self, handle: Handle, fields: &RequestFields) {
-        let invalid = admission::subject(&self.names, fields).err();
+        let invalid = admission::resolve_names(&self.names, fields).err();
         let Some(session) = self.sessions.table.active_mut(handle) else { return };
         let ProtocolSession::MySql(mysql) = &mut session.protocol else { return };
         let output = &mut session.connection.output;
--- a/gateway/src/net/clients/requests.rs
+++ b/gateway/src/net/clients/requests.rs
@@ -5,12 +5,12 @@
 use wrenhatch_sessions::read_scheduler::Work;
 use wrenhatch_sessions::session_table::{Activity, Handle};
 
-use crate::admin::metrics::RequestEnd;
-use crate::admission::{self, AdmissionInput, Admitted, Rejection, Subject};
+use crate::admin::metrics::RequestOutcome;
+use crate::admission::{self, AdmissionInput, Admitted, Rejection, ResolvedNames};
 use crate::core::{Command, Input, NewRequest};
 use crate::front::fields::{self, RequestFields};
 use crate::front::table_group;
-use crate::front::{ClientRequest, FinalAnswer, Payload};
+use crate::front::{ClientRequest, FinalAnswer, QueryResult};
 use crate::mysql_protocol::ResultSet;
 use crate::net::{OpenClientRequest, Server};
 
@@ -21,7 +21,7 @@
         let id_in_use = fields.id.as_ref().is_some_and(|id| self.requests.is_query_id_in_use(id));
         let query_id = fields.id.take().unwrap_or_else(|| self.sessions.new_query_id());
         let Some(session) = self.sessions.table.active_mut(handle) else { return };
-        let Subject { class, tenant } = match admission::validate(&self.names, &fields, id_in_use) {
+        let ResolvedNames { class, tenant } = match admission::validate(&self.names, &fields, id_in_use) {
             Ok(subject) => subject,
             Err(invalid) => {
                 self.counters.invalid += 1;
@@ -53,9 +53,9 @@
 
     fn reject_request(&mut self, handle: Handle, request: &OpenClientRequest, rejection: &Rejection) {
         self.counters.refused += 1;
-        self.metrics.ended(request.class, RequestEnd::Rejected);
+        self.metrics.count_outcome(request.class, RequestOutcome::Rejected);
         for counter in rejection.counters() {
-            *self.counters.rejected_for(counter) += 1;
+            *self.counters.rejection_counter(counter) += 1;
         }
         let retry_after = self.config.settings.capabilities.retry_after && rejection.sends_retry_after();
         let retry_after_ms = retry_after.then(|| self.sessions.scheduler.retry_after_ms(self.time.now_us));
@@ -165,17 +165,17 @@
             "request answered"
         );
         let (counter, end) = match answer {
-            FinalAnswer::Served(Payload::MySql(ResultSet::StatementError(_))) => {
-                (&mut self.counters.failed, RequestEnd::Failed)
+            FinalAnswer::Served(QueryResult::MySql(ResultSet::StatementError(_))) => {
+                (&mut self.counters.failed, RequestOutcome::Failed)
             }
-            FinalAnswer::Served(_) => (&mut self.counters.served, RequestEnd::Served),
-            FinalAnswer::Rejected(_) => (&mut self.counters.refused, RequestEnd::Rejected),
+            FinalAnswer::Served(_) => (&mut self.counters.served, RequestOutcome::Served),
+            FinalAnswer::Rejected(_) => (&mut self.counters.refused, RequestOutcome::Rejected),
             FinalAnswer::Failed(_) | FinalAnswer::Cancelled => {
-                (&mut self.counters.failed, RequestEnd::Failed)
+                (&mut self.counters.failed, RequestOutcome::Failed)
             }
         };
         *counter += 1;
-        self.metrics.ended(request.class, end);
+        self.metrics.count_outcome(request.class, end);
         let Some(session) = self.sessions.table.active_mut(request.client) else { return };
         if session.open_request == Some(id) {
             session.take_open_request();
--- a/gateway/src/net/engines.rs
+++ b/gateway/src/net/engines.rs
@@ -169,7 +169,7 @@
     },
     MySql {
         /// The statement, until it is passed to the protocol session of the connection.
-        work: Option<mysql::Work>,
+        work: Option<mysql::Statement>,
     },
 }
 
@@ -181,11 +181,11 @@
     execution: Execution,
     query_id: String,
     /// Deadline for writing the first byte.
-    begin_by_us: u64,
+    send_deadline_us: u64,
     /// Deadline of the attempt, which the engine has received as a time limit.
-    until_us: u64,
+    deadline_us: u64,
     /// Other requests of the same order key wait for the end of this attempt.
-    in_order: bool,
+    has_order_key: bool,
     /// The engine's id of the attempt's MySQL connection. It is recorded when the attempt is cancelled, as the slot may
     /// have been reused by the time the KILL statement is written.
     mysql_connection_id: u32,
@@ -207,7 +207,7 @@
     fn may_run_until_us(&self, now_us: u64) -> u64 {
         match self.execution {
             Execution::Http { .. } => now_us.max(self.last_call_us + http::MAX_RUN_AFTER_LAST_CALL_US),
-            Execution::MySql { .. } => now_us.max(self.until_us),
+            Execution::MySql { .. } => now_us.max(self.deadline_us),
         }
     }
 
