--- a/lab/src/hollow/simulate.rs
+++ b/lab/src/hollow/simulate.rs
@@ -1,4 +1,4 @@
-//! `wrenhatch-lab hollow simulate`: events in simulated time, each with several seeds, and their figures.
+//! `wrenhatch-lab hollow simulate`: simulates each event with several seeds and reports the highest loads.
 
 use std::path::PathBuf;
 use std::sync::Mutex;
@@ -11,53 +11,53 @@
 use super::events;
 use super::figures::{Figure, Mark, Role, add_to_file};
 use super::fleet::FleetSize;
-use super::model::{Measured, Model, Worst};
+use super::model::{Measurements, Model, Peak};
 use super::options::{BoundOptions, SizeOptions};
 
-/// Fleets that are played at once.
+/// Number of simulations that run in parallel.
 const SIMULATION_THREADS: usize = 4;
-/// Seeds of a run.
-const MOST_SEEDS: u64 = 100;
+/// Maximum number of seeds for each event.
+const MAX_SEEDS: u64 = 100;
 
-/// What to simulate.
+/// Options of `hollow simulate`.
 #[derive(Args)]
 pub struct Options {
     #[command(flatten)]
     size: SizeOptions,
     #[command(flatten)]
     bounds: BoundOptions,
-    /// The event to simulate; all without it.
+    /// Event to simulate; the default is all events.
     #[arg(long)]
     event: Option<String>,
-    /// Each event is played with the seeds from 1 to this; figures are the worst of them.
+    /// Number of seeds: each event runs with seeds 1 to N, and figures show the worst run.
     #[arg(long, default_value_t = 2)]
     seeds: u64,
-    /// Adds the figures to this file. A comparison with the same counts must stand beside it.
+    /// File to add the figures to; its folder must contain a comparison with equal counts.
     #[arg(long)]
     json: Option<PathBuf>,
 }
 
-/// Simulates events and prints their loads.
+/// Simulates the selected events and prints their loads.
 ///
 /// # Errors
-/// An option is wrong, or a bound is passed.
+/// An option is invalid, a bound is exceeded, or figures can't be stored.
 pub fn run(options: &Options) -> Result<(), HollowError> {
     let (size, bounds) = (options.size.size()?, options.bounds.bounds()?);
-    if !(1..=MOST_SEEDS).contains(&options.seeds) {
-        let (value, most) = (options.seeds, MOST_SEEDS);
-        return Err(HollowError::Option { option: "seeds", value, least: 1, most });
+    if !(1..=MAX_SEEDS).contains(&options.seeds) {
+        let (value, max) = (options.seeds, MAX_SEEDS);
+        return Err(HollowError::OptionOutOfRange { option: "seeds", value, min: 1, max });
     }
     let names: Vec<&str> = match &options.event {
         Some(name) => vec![events::script(name, size, 1)?.name],
         None => events::names().collect(),
     };
-    let measured = simulate_all(&names, size, options.seeds, &bounds)?;
+    let measurements = simulate_all(&names, size, options.seeds, &bounds)?;
     let mut figures = Vec::new();
-    for (name, measured) in names.iter().zip(&measured) {
+    for (name, measurements) in names.iter().zip(&measurements) {
         let command = command(size, options.seeds, name);
-        let fresh = event_figures(name, measured, &command);
-        print(name, &fresh);
-        figures.extend(fresh);
+        let new_figures = event_figures(name, measurements, &command);
+        print(name, &new_figures);
+        figures.extend(new_figures);
     }
     match &options.json {
         Some(path) => add_to_file(path, figures),
@@ -65,30 +65,35 @@
     }
 }
 
-/// Simulates an event with one seed.
+/// Simulates one event with one seed.
 ///
 /// # Errors
-/// No event has this name, or a bound is passed.
-pub fn simulate(name: &str, size: FleetSize, seed: u64, bounds: &Bounds) -> Result<Measured, HollowError> {
+/// The event is unknown, or a bound is exceeded.
+pub fn simulate(
+    name: &str,
+    size: FleetSize,
+    seed: u64,
+    bounds: &Bounds,
+) -> Result<Measurements, HollowError> {
     let script = events::script(name, size, seed)?;
     Model::new(size, seed).run(&script, bounds)
 }
 
-/// Simulates all events with all seeds, some in parallel; the worst of each event.
+/// Simulates all events with all seeds in parallel and returns the maximum of each measurement by event.
 fn simulate_all(
     names: &[&'static str],
     size: FleetSize,
     seeds: u64,
     bounds: &Bounds,
-) -> Result<Vec<Measured>, HollowError> {
+) -> Result<Vec<Measurements>, HollowError> {
     let runs: Vec<(usize, u64)> =
         (0..names.len()).flat_map(|event| (1..=seeds).map(move |seed| (event, seed))).collect();
-    let (next, results) = (AtomicUsize::new(0), Mutex::new(vec![Measured::default(); names.len()]));
+    let (next, results) = (AtomicUsize::new(0), Mutex::new(vec![Measurements::default(); names.len()]));
     let worker = || -> Result<(), HollowError> {
         while let Some((event, seed)) = runs.get(next.fetch_add(1, Ordering::Relaxed)) {
-            let measured = simulate(names[*event], size, *seed, bounds)?;
+            let measurements = simulate(names[*event], size, *seed, bounds)?;
             if let Ok(mut results) = results.lock() {
-                results[*event] = results[*event].worse(measured);
+                results[*event] = results[*event].max(measurements);
             }
         }
         Ok(())
@@ -111,28 +116,28 @@
     )
 }
 
-/// The figures of an event.
-pub fn event_figures(event: &str, measured: &Measured, command: &str) -> Vec<Figure> {
-    let make = FigureMaker { event, command };
-    let mut all = worst_loads(&make, measured);
-    all.extend(control_totals(&make, measured));
-    // A load that there was none of is no line of the page.
+/// Converts the measurements of an event to figures.
+pub fn event_figures(event: &str, measurements: &Measurements, command: &str) -> Vec<Figure> {
+    let builder = FigureBuilder { event, command };
+    let mut all = peak_loads(&builder, measurements);
+    all.extend(control_totals(&builder, measurements));
+    // Loads of zero are left out of the page.
     all.retain(|figure| figure.value > 0.0);
-    all.extend(delays(&make, measured));
-    let behind = "gateways behind the list at the end";
-    all.push(make.figure(Role::Gateway, behind, measured.behind as f64, "gateways"));
-    let unserved = "gateways without a stream at the end";
-    all.push(make.figure(Role::Gateway, unserved, measured.without_stream as f64, "gateways"));
+    all.extend(delays(&builder, measurements));
+    let outdated = "gateways behind the list at the end";
+    all.push(builder.figure(Role::Gateway, outdated, measurements.outdated as f64, "gateways"));
+    let disconnected = "gateways without a stream at the end";
+    all.push(builder.figure(Role::Gateway, disconnected, measurements.without_stream as f64, "gateways"));
     all
 }
 
-/// Makes figures of one event and one command.
-struct FigureMaker<'a> {
+/// Builds figures that share an event and a command.
+struct FigureBuilder<'a> {
     event: &'a str,
     command: &'a str,
 }
 
-impl FigureMaker<'_> {
+impl FigureBuilder<'_> {
     fn figure(&self, role: Role, quantity: &str, value: f64, unit: &str) -> Figure {
         Figure {
             role,
@@ -145,9 +150,9 @@
         }
     }
 
-    fn worst(&self, role: Role, quantity: &str, worst: &Worst, unit: &str, scale: f64) -> [Figure; 2] {
-        let second = worst.second as f64 / scale;
-        let ten_seconds = worst.ten_seconds as f64 / scale;
+    fn peak(&self, role: Role, quantity: &str, peak: &Peak, unit: &str, scale: f64) -> [Figure; 2] {
+        let second = peak.second as f64 / scale;
+        let ten_seconds = peak.ten_seconds as f64 / scale;
         [
             self.figure(role, &format!("{quantity}, worst second"), second, unit),
             self.figure(role, &format!("{quantity}, worst 10 s"), ten_seconds, unit),
@@ -155,58 +160,81 @@
     }
 }
 
-/// The heaviest loads of one gateway and of one control machine.
-fn worst_loads(make: &FigureMaker<'_>, measured: &Measured) -> Vec<Figure> {
+/// Peak loads of a single gateway and of a single control machine.
+fn peak_loads(builder: &FigureBuilder<'_>, measurements: &Measurements) -> Vec<Figure> {
     let (gateway, control) = (Role::Gateway, Role::Control);
     [
-        make.worst(gateway, "list calls of one gateway", &measured.gateway_calls, "calls", 1.0),
-        make.worst(gateway, "list events taken by one gateway", &measured.gateway_events, "events", 1.0),
-        make.worst(gateway, "bytes of the list read by one gateway", &measured.gateway_bytes, "KB", 1e3),
-        make.worst(control, "calls to one control machine", &measured.control_calls, "calls", 1.0),
-        make.worst(control, "list events written by one machine", &measured.control_events, "events", 1.0),
-        make.worst(control, "bytes written by one control machine", &measured.control_bytes, "KB", 1e3),
+        builder.peak(gateway, "list calls of one gateway", &measurements.gateway_calls, "calls", 1.0),
+        builder.peak(
+            gateway,
+            "list events taken by one gateway",
+            &measurements.gateway_events,
+            "events",
+            1.0,
+        ),
+        builder.peak(
+            gateway,
+            "bytes of the list read by one gateway",
+            &measurements.gateway_bytes,
+            "KB",
+            1e3,
+        ),
+        builder.peak(control, "calls to one control machine", &measurements.control_calls, "calls", 1.0),
+        builder.peak(
+            control,
+            "list events written by one machine",
+            &measurements.control_events,
+            "events",
+            1.0,
+        ),
+        builder.peak(control, "bytes written by one control machine", &measurements.control_bytes, "KB", 1e3),
     ]
     .into_iter()
     .flatten()
     .collect()
 }
 
-/// Streams, waits and totals on the control machines' side.
-fn control_totals(make: &FigureMaker<'_>, measured: &Measured) -> Vec<Figure> {
-    let control = |quantity: &str, value: f64, unit: &str| make.figure(Role::Control, quantity, value, unit);
-    let events = measured.events as f64;
+/// Streams, queueing delays and totals of the control machines.
+fn control_totals(builder: &FigureBuilder<'_>, measurements: &Measurements) -> Vec<Figure> {
+    let control =
+        |quantity: &str, value: f64, unit: &str| builder.figure(Role::Control, quantity, value, unit);
+    let events = measurements.events as f64;
     vec![
-        control("most streams at one machine", measured.control_streams as f64, "streams"),
-        control("streams at the end, machine with most", measured.control_streams_at_end as f64, "streams"),
+        control("most streams at one machine", measurements.control_streams as f64, "streams"),
+        control(
+            "streams at the end, machine with most",
+            measurements.control_streams_at_end as f64,
+            "streams",
+        ),
         control(
             "longest wait in one machine's queue, at assumed 0.2 ms a call and 10 us a write",
-            milliseconds(measured.control_wait_us),
+            milliseconds(measurements.control_wait_us),
             "ms",
         ),
         control(
             "most bytes held by one machine for a silent network",
-            measured.control_unsent_bytes as f64 / 1e3,
+            measurements.control_unsent_bytes as f64 / 1e3,
             "KB",
         ),
-        control("list calls of all gateways, total", measured.calls as f64, "calls"),
+        control("list calls of all gateways, total", measurements.calls as f64, "calls"),
         control(
             "list calls of all gateways in one tenth of a second",
-            measured.calls_in_step as f64,
+            measurements.calls_per_tenth as f64,
             "calls",
         ),
-        make.figure(Role::Gateway, "list events taken by all gateways, total", events, "events"),
+        builder.figure(Role::Gateway, "list events taken by all gateways, total", events, "events"),
     ]
 }
 
-/// How long gateways took to have what the list said; one that did not happen has no figure.
-fn delays(make: &FigureMaker<'_>, measured: &Measured) -> Vec<Figure> {
+/// Propagation delays of the list. A delay that was never observed gives no figure.
+fn delays(builder: &FigureBuilder<'_>, measurements: &Measurements) -> Vec<Figure> {
     let delays = [
-        ("from a change of the list until a gateway has it, median", measured.in_force_median_us),
-        ("from a change of the list until the last gateway has it", measured.in_force_last_us),
-        ("from a gateway's start until it has the list, longest", measured.first_list_us),
+        ("from a change of the list until a gateway has it, median", measurements.propagation_median_us),
+        ("from a change of the list until the last gateway has it", measurements.propagation_max_us),
+        ("from a gateway's start until it has the list, longest", measurements.first_list_max_us),
     ];
     let happened = delays.into_iter().filter(|(_, us)| *us > 0);
-    happened.map(|(quantity, us)| make.figure(Role::Gateway, quantity, milliseconds(us), "ms")).collect()
+    happened.map(|(quantity, us)| builder.figure(Role::Gateway, quantity, milliseconds(us), "ms")).collect()
 }
 
 fn milliseconds(us: u64) -> f64 {
--- a/lab/src/hollow/sockets/run.rs
+++ b/lab/src/hollow/sockets/run.rs
@@ -1,188 +1,187 @@
-//! A run over loopback: control machines, gateways, and phases in which control does one thing each.
+//! A run over loopback: starts control machines and gateways, and measures phases with one control-plane action each.
 
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
 use serde::{Deserialize, Serialize};
 
-use super::control::{Command, ControlStandIn, Counts};
-use super::gateways::{Gateways, Manner, Programs};
+use super::control::{Command, ControlServer, Counts};
+use super::gateways::{GatewayMode, Gateways, Programs};
 use super::host::GatewayCounts;
 use crate::hollow::bounds::Bounds;
 use crate::hollow::error::HollowError;
 use crate::hollow::fleet::{self, FleetSize};
 use crate::hollow::list::{Database, DatabaseList, DatabaseState};
 
-/// Time between two readings of the gateways' processor time.
-const SAMPLE: Duration = Duration::from_secs(1);
-/// How late a step or a comment may be in a phase whose figures are used.
-const MOST_LATE: Duration = Duration::from_millis(250);
-/// Between having been written the list and the end of the start: gateways take it in meanwhile.
-const SETTLE: Duration = Duration::from_secs(2);
-/// How long all gateways may take to have the list.
+/// Sampling interval of the gateways' processor time.
+const SAMPLE_INTERVAL: Duration = Duration::from_secs(1);
+/// Maximum delay of a step or comment in a usable phase.
+const MAX_LATENESS: Duration = Duration::from_millis(250);
+/// Time for gateways to apply the list after control has written it.
+const SETTLE_TIME: Duration = Duration::from_secs(2);
+/// Maximum time until all gateways have the list.
 const START_TIMEOUT: Duration = Duration::from_secs(60);
-/// Between two checks whether they have.
-const START_LOOK: Duration = Duration::from_millis(50);
-/// Control machines write no comments for so long in the phase `silence`: gateways take a stream for dead after
-/// 2.5 to 3 s without one.
-pub const SILENCE: Duration = Duration::from_millis(3500);
-/// A control machine that ended listens again after this.
-pub const AWAY: Duration = Duration::from_secs(3);
-/// Unix milliseconds of a database's start where it comes back.
-pub const RETURN_MS: u64 = 1_700_000_000_000;
+/// Interval between checks for the list at all gateways.
+const START_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Duration of [`Phase::CommentPause`]. Gateways close a stream after 2.5 to 3 s without a comment.
+pub const COMMENT_PAUSE: Duration = Duration::from_millis(3500);
+/// Time until a stopped control machine listens again.
+pub const CONTROL_DOWNTIME: Duration = Duration::from_secs(3);
+/// Start time of the databases that return, in Unix milliseconds.
+pub const RESTART_MS: u64 = 1_700_000_000_000;
 
-/// What control does in a phase.
+/// Action of the control machines in a phase.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// All gateways start and get the whole list.
+    /// All gateways start and receive a snapshot of the list.
     Start,
-    /// Nothing but comments.
+    /// Control machines write heartbeat comments only.
     Quiet,
-    /// One database drains.
+    /// One database starts to drain.
     OneChange,
-    /// The databases of a zone go, each by an event of its own.
-    ZoneGoes,
-    /// They are back, each by an event of its own.
-    ZoneReturns,
-    /// One control machine ends, and listens again after a while.
-    ControlEnds,
-    /// All control machines end all streams.
-    StreamsEnd,
-    /// No control machine writes comments.
-    Silence,
+    /// The databases of a zone are removed from the list, one per event.
+    ZoneRemoved,
+    /// The databases of the zone return to the list, one per event.
+    ZoneAdded,
+    /// One control machine stops and listens again later.
+    ControlRestarts,
+    /// All control machines close all streams.
+    StreamsClosed,
+    /// No control machine writes heartbeat comments.
+    CommentPause,
 }
 
-/// The phases behind the start, and how long each lasts.
+/// Phases after the start, and their duration.
 #[derive(Clone, Copy, Debug)]
 pub struct Plan {
-    /// The phases, in order.
+    /// Phases in order.
     pub phases: &'static [Phase],
-    /// Seconds of each; more than [`SILENCE`] and [`AWAY`] by one.
+    /// Duration of each phase in seconds, at least one second longer than [`COMMENT_PAUSE`] and [`CONTROL_DOWNTIME`].
     pub phase_s: u64,
 }
 
 impl Plan {
-    /// What is compared: all phases, short ones.
-    pub const COMPARED: Self = Self {
+    /// All phases, short; used by `hollow compare`.
+    pub const COMPARISON: Self = Self {
         phases: &[
             Phase::Quiet,
             Phase::OneChange,
-            Phase::ZoneGoes,
-            Phase::ZoneReturns,
-            Phase::ControlEnds,
-            Phase::StreamsEnd,
-            Phase::Silence,
+            Phase::ZoneRemoved,
+            Phase::ZoneAdded,
+            Phase::ControlRestarts,
+            Phase::StreamsClosed,
+            Phase::CommentPause,
         ],
         phase_s: 5,
     };
-    /// What is measured: phases of ten seconds, so that the worst ten seconds are all of one.
-    pub const MEASURED: Self = Self {
-        phases: &[Phase::Quiet, Phase::OneChange, Phase::ZoneGoes, Phase::ZoneReturns, Phase::StreamsEnd],
+    /// Phases of ten seconds, so that the load of a phase is also its load in ten seconds; used by `hollow sockets`.
+    pub const MEASUREMENT: Self = Self {
+        phases: &[Phase::Quiet, Phase::OneChange, Phase::ZoneRemoved, Phase::ZoneAdded, Phase::StreamsClosed],
         phase_s: 10,
     };
 }
 
 impl Phase {
-    /// Its name in figures.
+    /// Name of the phase in figures.
     pub fn name(self) -> &'static str {
         match self {
             Self::Start => "start of all gateways with an empty list",
             Self::Quiet => "quiet",
             Self::OneChange => "one change of the list",
-            Self::ZoneGoes => "zone: its databases go",
-            Self::ZoneReturns => "zone: its databases return",
-            Self::ControlEnds => "one control process ends",
-            Self::StreamsEnd => "all watchers reconnect",
-            Self::Silence => "all control machines silent for 3.5 s",
+            Self::ZoneRemoved => "zone: its databases go",
+            Self::ZoneAdded => "zone: its databases return",
+            Self::ControlRestarts => "one control process ends",
+            Self::StreamsClosed => "all watchers reconnect",
+            Self::CommentPause => "all control machines silent for 3.5 s",
         }
     }
 }
 
-/// What a phase cost.
+/// Measurements of a phase.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct PhaseFigures {
-    /// The phase's name.
+    /// Name as given by [`Phase::name`].
     pub phase: String,
-    /// Processor time of a gateway over the phase, in the mean over gateways, in ms.
+    /// Mean processor time of a gateway over the phase, in ms.
     pub gateway_mean_ms: f64,
-    /// Processor time of the gateway that used most in any second, in ms.
+    /// Maximum processor time of any gateway in any second, in ms.
     pub gateway_worst_second_ms: f64,
-    /// Processor time of the gateway that used most over the phase, in ms.
+    /// Maximum processor time of any gateway over the phase, in ms.
     pub gateway_worst_phase_ms: f64,
-    /// Seconds of the phase.
+    /// Duration of the phase, in seconds.
     pub seconds: f64,
-    /// Calls that control answered.
+    /// Requests that the control machines answered.
     pub calls: u64,
-    /// Calls to one control machine in its worst second.
+    /// Maximum number of requests to one control machine in any second.
     pub machine_calls_worst_second: u64,
-    /// List events written, once for each stream.
+    /// List events written, counted for each stream.
     pub events: u64,
-    /// Events by one control machine in its worst second.
+    /// Maximum number of events written by one control machine in any second.
     pub machine_events_worst_second: u64,
-    /// Bytes of list events written.
+    /// Bytes of list events written by all control machines.
     pub event_bytes: u64,
-    /// Bytes that one control machine wrote in its worst second.
+    /// Maximum number of bytes written by one control machine in any second.
     pub machine_bytes_worst_second: u64,
-    /// All bytes written for one gateway, in the mean.
+    /// Mean number of bytes written per gateway.
     pub bytes_a_gateway: f64,
-    /// Streams that control ended.
+    /// Streams that the control machines closed by command.
     pub ended: u64,
-    /// How late a step or a comment was at the worst, in ms.
+    /// Maximum delay of a step or comment behind its schedule, in ms.
     pub late_ms: f64,
 }
 
 impl PhaseFigures {
-    /// Whether the phase kept to its schedule. The figures of one that did not say nothing about gateways.
+    /// Returns whether the phase kept its schedule. The figures of a late phase are not stored.
     pub fn is_usable(&self) -> bool {
-        self.late_ms <= MOST_LATE.as_secs_f64() * 1e3
+        self.late_ms <= MAX_LATENESS.as_secs_f64() * 1e3
     }
 }
 
-/// What a run came to.
+/// Results of a run.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct RunFigures {
-    /// Its phases, in order.
+    /// Measurements by phase, starting with [`Phase::Start`].
     pub phases: Vec<PhaseFigures>,
-    /// What gateways have counted, all together.
+    /// Sum of the gateways' counters.
     pub counts: GatewayCounts,
-    /// Anonymous memory of a gateway at the end, in the mean, in bytes.
+    /// Mean anonymous memory per gateway at the end, in bytes.
     pub bytes_a_gateway: f64,
-    /// Gateways of one process share its anonymous memory: how many processes there were.
+    /// Number of processes that ran the gateways.
     pub processes: usize,
 }
 
-/// A fleet over loopback.
+/// A running fleet over loopback.
 pub struct Run<'a> {
     size: FleetSize,
     bounds: &'a Bounds,
-    control: Vec<ControlStandIn>,
+    control: Vec<ControlServer>,
     gateways: Gateways,
     last_sample_ns: Vec<u64>,
-    /// How late a step of the phase was at the worst.
+    /// Maximum delay of a step of the current phase.
     late: Duration,
 }
 
-/// Runs a fleet through all phases.
+/// Runs a fleet through the start and all phases of the plan.
 ///
 /// # Errors
-/// A bound is passed, the run fell behind its schedule, or a peer did not do its part.
+/// A bound is exceeded, or a gateway fails or does not get the list in time.
 pub fn run(
     programs: &Programs,
-    manner: Manner,
+    mode: GatewayMode,
     plan: Plan,
     size: FleetSize,
     seed: u64,
     bounds: &Bounds,
 ) -> Result<RunFigures, HollowError> {
-    let (address, control) = ControlStandIn::start_all(size.control, &DatabaseList::new(size.databases))?;
-    let gateways = Gateways::start(programs, manner, size, seed, address)?;
+    let (address, control) = ControlServer::start_all(size.control, &DatabaseList::new(size.databases))?;
+    let gateways = Gateways::start(programs, mode, size, seed, address)?;
     let mut run = Run { size, bounds, control, gateways, last_sample_ns: Vec::new(), late: Duration::ZERO };
     let mut phases = vec![run.start()?];
     for phase in plan.phases {
-        run.await_all()?;
+        run.await_up_to_date()?;
         phases.push(run.phase(*phase, plan.phase_s)?);
     }
-    run.await_all()?;
+    run.await_up_to_date()?;
     let processes = run.gateways.processes().len();
     let bytes_a_gateway = run.gateways.resident_bytes() as f64 / size.gateways as f64;
     let counts = run.gateways.end()?;
@@ -191,18 +190,18 @@
 
 impl Run<'_> {
     fn start(&mut self) -> Result<PhaseFigures, HollowError> {
-        let began = Instant::now();
-        self.await_all()?;
+        let started = Instant::now();
+        self.await_up_to_date()?;
         self.gateways.find_threads(self.size.gateways)?;
-        sleep(SETTLE);
+        sleep(SETTLE_TIME);
         self.last_sample_ns = vec![0; self.size.gateways];
         let sample = self.sample();
-        Ok(self.figures(Phase::Start, began.elapsed(), &[sample]))
+        Ok(self.figures(Phase::Start, started.elapsed(), &[sample]))
     }
 
-    /// Waits until every gateway has a stream and has been written the whole list.
-    fn await_all(&mut self) -> Result<(), HollowError> {
-        let began = Instant::now();
+    /// Waits until the current list is completely written to a stream of every gateway.
+    fn await_up_to_date(&mut self) -> Result<(), HollowError> {
+        let started = Instant::now();
         loop {
             self.bounds.check(&self.gateways.processes())?;
             self.gateways.check()?;
@@ -210,38 +209,40 @@
             if up_to_date == self.size.gateways as u64 {
                 return Ok(());
             }
-            if began.elapsed() > START_TIMEOUT {
-                let of = self.size.gateways;
-                return Err(HollowError::Peer(format!("{up_to_date} of {of} gateways have the list")));
+            if started.elapsed() > START_TIMEOUT {
+                let total = self.size.gateways;
+                return Err(HollowError::GatewayFailure(format!(
+                    "{up_to_date} of {total} gateways received the list in time"
+                )));
             }
-            sleep(START_LOOK);
+            sleep(START_POLL_INTERVAL);
         }
     }
 
     fn phase(&mut self, phase: Phase, phase_s: u64) -> Result<PhaseFigures, HollowError> {
-        self.control.iter().for_each(|machine| machine.send(Command::Measure));
+        self.control.iter().for_each(|machine| machine.send(Command::ResetCounts));
         self.sample();
         self.late = Duration::ZERO;
-        let began = Instant::now();
-        self.act(phase);
+        let started = Instant::now();
+        self.begin_phase(phase);
         let mut samples = Vec::new();
-        let mut is_over = false;
+        let mut fault_ended = false;
         for second in 1..=phase_s {
-            if !is_over && self.ends_within(phase, second) {
-                self.sleep_until(began + acts_for(phase));
-                self.act_at_end(phase);
-                is_over = true;
+            if !fault_ended && self.fault_ends_before(phase, second) {
+                self.sleep_until(started + fault_duration(phase));
+                self.end_fault(phase);
+                fault_ended = true;
             }
-            self.sleep_until(began + SAMPLE * second as u32);
+            self.sleep_until(started + SAMPLE_INTERVAL * second as u32);
             samples.push(self.sample());
             self.bounds.check(&self.gateways.processes())?;
             self.gateways.check()?;
         }
-        Ok(self.figures(phase, began.elapsed(), &samples))
+        Ok(self.figures(phase, started.elapsed(), &samples))
     }
 
-    fn ends_within(&self, phase: Phase, second: u64) -> bool {
-        acts_for(phase) < SAMPLE * second as u32 && !acts_for(phase).is_zero()
+    fn fault_ends_before(&self, phase: Phase, second: u64) -> bool {
+        fault_duration(phase) < SAMPLE_INTERVAL * second as u32 && !fault_duration(phase).is_zero()
     }
 
     fn sleep_until(&mut self, due: Instant) {
@@ -257,30 +258,30 @@
         self.send_to_all(&Command::Change(vec![Database { number, state, since_ms }]));
     }
 
-    fn act(&self, phase: Phase) {
+    fn begin_phase(&self, phase: Phase) {
         let zone = || (0..self.size.databases).filter(|number| fleet::zone(*number) == 0);
         match phase {
             Phase::Start | Phase::Quiet => {}
             Phase::OneChange => self.change(0, DatabaseState::Terminating, 0),
-            Phase::ZoneGoes => zone().for_each(|number| self.change(number, DatabaseState::Gone, 0)),
-            Phase::ZoneReturns => {
-                zone().for_each(|number| self.change(number, DatabaseState::Ready, RETURN_MS));
+            Phase::ZoneRemoved => zone().for_each(|number| self.change(number, DatabaseState::Removed, 0)),
+            Phase::ZoneAdded => {
+                zone().for_each(|number| self.change(number, DatabaseState::Ready, RESTART_MS));
             }
-            Phase::ControlEnds => self.control[0].send(Command::Leave),
-            Phase::StreamsEnd => self.send_to_all(&Command::EndStreams),
-            Phase::Silence => self.send_to_all(&Command::Silent(true)),
+            Phase::ControlRestarts => self.control[0].send(Command::GoOffline),
+            Phase::StreamsClosed => self.send_to_all(&Command::CloseStreams),
+            Phase::CommentPause => self.send_to_all(&Command::SuspendComments(true)),
         }
     }
 
-    fn act_at_end(&self, phase: Phase) {
+    fn end_fault(&self, phase: Phase) {
         match phase {
-            Phase::ControlEnds => self.control[0].send(Command::Return),
-            Phase::Silence => self.send_to_all(&Command::Silent(false)),
+            Phase::ControlRestarts => self.control[0].send(Command::GoOnline),
+            Phase::CommentPause => self.send_to_all(&Command::SuspendComments(false)),
             _ => {}
         }
     }
 
-    /// Processor time of each gateway since the last reading, in nanoseconds.
+    /// Processor time of each gateway since the last sample, in nanoseconds.
     fn sample(&mut self) -> Vec<u64> {
         let now_ns = self.gateways.processor_ns();
         let last_ns = std::mem::replace(&mut self.last_sample_ns, now_ns.clone());
@@ -288,28 +289,28 @@
     }
 
     fn figures(&self, phase: Phase, elapsed: Duration, samples: &[Vec<u64>]) -> PhaseFigures {
-        let counts: Vec<Counts> = self.control.iter().map(ControlStandIn::counts).collect();
+        let counts: Vec<Counts> = self.control.iter().map(ControlServer::counts).collect();
         let late_us = counts.iter().map(|machine| machine.late_us).max().unwrap_or(0);
         let late = self.late.max(Duration::from_micros(late_us));
         let ms = |ns: u64| ns as f64 / 1e6;
-        let whole: Vec<u64> = (0..self.size.gateways)
+        let totals: Vec<u64> = (0..self.size.gateways)
             .map(|gateway| samples.iter().map(|sample| sample[gateway]).sum())
             .collect();
-        let sum = |of: fn(&Counts) -> u64| counts.iter().map(of).sum::<u64>();
-        let most = |of: fn(&Counts) -> u64| counts.iter().map(of).max().unwrap_or(0);
+        let sum = |get: fn(&Counts) -> u64| counts.iter().map(get).sum::<u64>();
+        let max = |get: fn(&Counts) -> u64| counts.iter().map(get).max().unwrap_or(0);
         let gateways = self.size.gateways as f64;
         PhaseFigures {
             phase: phase.name().to_owned(),
-            gateway_mean_ms: ms(whole.iter().sum()) / gateways,
+            gateway_mean_ms: ms(totals.iter().sum()) / gateways,
             gateway_worst_second_ms: ms(samples.iter().flatten().copied().max().unwrap_or(0)),
-            gateway_worst_phase_ms: ms(whole.iter().copied().max().unwrap_or(0)),
+            gateway_worst_phase_ms: ms(totals.iter().copied().max().unwrap_or(0)),
             seconds: elapsed.as_secs_f64(),
             calls: sum(|machine| machine.calls.total()),
-            machine_calls_worst_second: most(|machine| machine.calls.worst_second()),
+            machine_calls_worst_second: max(|machine| machine.calls.worst_second()),
             events: sum(|machine| machine.events.total()),
-            machine_events_worst_second: most(|machine| machine.events.worst_second()),
+            machine_events_worst_second: max(|machine| machine.events.worst_second()),
             event_bytes: sum(|machine| machine.event_bytes.total()),
-            machine_bytes_worst_second: most(|machine| machine.bytes.worst_second()),
+            machine_bytes_worst_second: max(|machine| machine.bytes.worst_second()),
             bytes_a_gateway: sum(|machine| machine.bytes.total()) as f64 / gateways,
             ended: sum(|machine| machine.ended),
             late_ms: late.as_secs_f64() * 1e3,
@@ -317,11 +318,11 @@
     }
 }
 
-/// For how long control does what the phase is named for; zero if it does it at once.
-fn acts_for(phase: Phase) -> Duration {
+/// Duration of the fault that a phase injects, or zero if its action is instantaneous.
+fn fault_duration(phase: Phase) -> Duration {
     match phase {
-        Phase::ControlEnds => AWAY,
-        Phase::Silence => SILENCE,
+        Phase::ControlRestarts => CONTROL_DOWNTIME,
+        Phase::CommentPause => COMMENT_PAUSE,
         _ => Duration::ZERO,
     }
 }
