--- a/lab/src/classes.rs
+++ b/lab/src/classes.rs
@@ -1,4 +1,5 @@
-//! What became of each class of requests over a fleet, second by second, from the gateways' logs at debug.
+//! The `classes` command: counts the outcomes of each class of requests over a fleet, second by second, from the
+//! gateways' debug logs.
 
 use std::collections::{BTreeMap, HashMap};
 use std::io::BufRead;
@@ -6,45 +7,45 @@
 
 use serde::Serialize;
 
-use super::log::{at, each, field};
+use super::log::{field, read_all, timestamp_s};
 
 #[cfg(test)]
 mod tests;
 
-/// Counts by class what gateways logged with `--log debug`.
+/// Counts outcomes by class in logs that gateways wrote with `--log debug`.
 #[derive(clap::Args)]
 pub struct Options {
-    /// A folder with one log for each gateway, named `*.log`.
+    /// Folder with one log per gateway, named `*.log`.
     logs: PathBuf,
-    /// Only sums over the whole time, not second by second.
+    /// Prints only the sums over the whole time, not each second.
     #[arg(long)]
     sums: bool,
     #[command(flatten)]
     output: super::Output,
 }
 
-/// What was seen of one class.
+/// Counts for one class.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Count {
     /// Requests admitted.
     pub taken: u64,
     /// Attempts forwarded.
     pub attempts: u64,
-    /// Attempts that were cancelled.
+    /// Attempts cancelled.
     pub given_up: u64,
-    /// Final answers.
+    /// Requests answered with a result.
     pub served: u64,
-    /// Final answers.
+    /// Requests answered with a rejection.
     pub refused: u64,
-    /// Final answers.
+    /// Requests answered with another error.
     pub failed: u64,
-    /// Shed while queued, by the guard that kept it from most engines.
+    /// Requests shed while queued, by the rule that excluded most engines.
     pub guards: BTreeMap<String, u64>,
-    /// Seconds from admission to first sent, of those that were sent.
+    /// Sum of the seconds from admission to the first attempt, over the requests counted by `sent`.
     pub held_s: f64,
-    /// Seconds from admission to answered, of those that were served.
+    /// Sum of the seconds from admission to the answer, over the requests counted by `served`.
     pub took_s: f64,
-    /// How many were sent at least once.
+    /// Requests with at least one attempt.
     pub sent: u64,
 }
 
@@ -66,20 +67,20 @@
 }
 
 /// Counts by class and second.
-pub type Seconds = BTreeMap<(usize, u64), Count>;
+pub type ClassSeconds = BTreeMap<(usize, u64), Count>;
 
-/// Counts one gateway's log.
-pub fn count(log: impl BufRead) -> std::io::Result<Seconds> {
-    let mut seconds = Seconds::new();
-    // By query id: class, when it was admitted, whether it was sent.
-    let mut open: HashMap<String, (usize, f64, bool)> = HashMap::new();
+/// Reads one gateway's log.
+pub fn read(log: impl BufRead) -> std::io::Result<ClassSeconds> {
+    let mut seconds = ClassSeconds::new();
+    // By query id: class, time of admission, whether an attempt was forwarded.
+    let mut admitted: HashMap<String, (usize, f64, bool)> = HashMap::new();
     for line in log.lines() {
         let line = line?;
-        let Some(now) = at(&line) else { continue };
+        let Some(now_s) = timestamp_s(&line) else { continue };
         if line.contains("queued request shed") {
             let class = field(&line, "class").and_then(|c| c.parse().ok());
             if let (Some(class), Some(guard)) = (class, field(&line, "why")) {
-                let count = seconds.entry((class, now as u64)).or_default();
+                let count = seconds.entry((class, now_s as u64)).or_default();
                 *count.guards.entry(guard.to_owned()).or_default() += 1;
             }
             continue;
@@ -87,17 +88,17 @@
         let Some(query_id) = field(&line, "query_id") else { continue };
         if line.contains(" request admitted ") {
             let Some(class) = field(&line, "class").and_then(|c| c.parse().ok()) else { continue };
-            open.insert(query_id.to_owned(), (class, now, false));
-            seconds.entry((class, now as u64)).or_default().taken += 1;
+            admitted.insert(query_id.to_owned(), (class, now_s, false));
+            seconds.entry((class, now_s as u64)).or_default().taken += 1;
             continue;
         }
-        let Some((class, taken, sent)) = open.get_mut(query_id) else { continue };
-        let count = seconds.entry((*class, now as u64)).or_default();
+        let Some((class, admitted_s, sent)) = admitted.get_mut(query_id) else { continue };
+        let count = seconds.entry((*class, now_s as u64)).or_default();
         if line.contains(" attempt forwarded ") {
             count.attempts += 1;
             if !std::mem::replace(sent, true) {
                 count.sent += 1;
-                count.held_s += now - *taken;
+                count.held_s += now_s - *admitted_s;
             }
         } else if line.contains(" attempt cancelled ") {
             count.given_up += 1;
@@ -105,28 +106,28 @@
             match field(&line, "outcome") {
                 Some("served") => {
                     count.served += 1;
-                    count.took_s += now - *taken;
+                    count.took_s += now_s - *admitted_s;
                 }
                 Some("rejected") => count.refused += 1,
                 _ => count.failed += 1,
             }
-            // Its last attempt may still be cancelled after the answer.
+            // The entry stays, because the last attempt may be cancelled after the answer.
         }
     }
     Ok(seconds)
 }
 
-fn sums(seconds: &Seconds) -> BTreeMap<usize, Count> {
+fn sums(seconds: &ClassSeconds) -> BTreeMap<usize, Count> {
     let mut sums = BTreeMap::<usize, Count>::new();
     seconds.iter().for_each(|((class, _), count)| sums.entry(*class).or_default().add(count));
     sums
 }
 
-fn print(what: &str, count: &Count) {
+fn print_row(label: &str, count: &Count) {
     let mean = |sum: f64, n: u64| if n > 0 { sum / n as f64 } else { 0.0 };
     let guards: Vec<String> = count.guards.iter().map(|(guard, n)| format!("{guard} {n}")).collect();
     println!(
-        "{what:<16} {:>7} {:>7} {:>7} {:>7} {:>7} {:>8} {:>7.2} {:>7.2}  {}",
+        "{label:<16} {:>7} {:>7} {:>7} {:>7} {:>7} {:>8} {:>7.2} {:>7.2}  {}",
         count.taken,
         count.served,
         count.refused,
@@ -139,7 +140,7 @@
     );
 }
 
-/// What is written as JSON.
+/// Content of the JSON file.
 #[derive(Serialize)]
 struct Figures {
     classes: BTreeMap<usize, Count>,
@@ -147,10 +148,10 @@
     busiest_tenth: BTreeMap<usize, Count>,
 }
 
-/// Counts all logs of a folder and prints the table.
+/// Reads all logs of a folder and prints the table.
 pub fn run(options: &Options) -> anyhow::Result<()> {
-    let mut gateways = each(&options.logs, count)?;
-    let mut all = Seconds::new();
+    let mut gateways = read_all(&options.logs, read)?;
+    let mut all = ClassSeconds::new();
     for gateway in &gateways {
         gateway.iter().for_each(|(key, count)| all.entry(*key).or_default().add(count));
     }
@@ -158,23 +159,23 @@
         "class, second      taken  served refused  failed attempts given up  held s  took s  shed by guard"
     );
     for ((class, second), count) in all.iter().filter(|_| !options.sums) {
-        print(&format!("{class}, {second}"), count);
+        print_row(&format!("{class}, {second}"), count);
     }
     let classes = sums(&all);
-    classes.iter().for_each(|(class, count)| print(&format!("{class}, all"), count));
-    // A gateway's own traffic decides what its shares are worth to it.
+    classes.iter().for_each(|(class, count)| print_row(&format!("{class}, all"), count));
+    // Separate sums of the tenth of the gateways with the least traffic and of the tenth with the most.
     gateways.sort_by_key(|g| g.values().map(|c| c.taken).sum::<u64>());
     let tenth = gateways.len().div_ceil(10);
-    let part = |gateways: &[Seconds]| {
-        let mut part = BTreeMap::<usize, Count>::new();
+    let sums_of = |gateways: &[ClassSeconds]| {
+        let mut sums_by_class = BTreeMap::<usize, Count>::new();
         for (class, count) in gateways.iter().flat_map(sums) {
-            part.entry(class).or_default().add(&count);
+            sums_by_class.entry(class).or_default().add(&count);
         }
-        part
+        sums_by_class
     };
     let (quietest_tenth, busiest_tenth) =
-        (part(&gateways[..tenth]), part(&gateways[gateways.len() - tenth..]));
-    quietest_tenth.iter().for_each(|(class, count)| print(&format!("{class}, quietest"), count));
-    busiest_tenth.iter().for_each(|(class, count)| print(&format!("{class}, busiest"), count));
+        (sums_of(&gateways[..tenth]), sums_of(&gateways[gateways.len() - tenth..]));
+    quietest_tenth.iter().for_each(|(class, count)| print_row(&format!("{class}, quietest"), count));
+    busiest_tenth.iter().for_each(|(class, count)| print_row(&format!("{class}, busiest"), count));
     options.output.write(&Figures { classes, quietest_tenth, busiest_tenth })
 }
--- a/lab/src/classes/tests.rs
+++ b/lab/src/classes/tests.rs
@@ -15,8 +15,8 @@
 "#;
 
 #[test]
-fn a_log_is_counted_by_class_and_second() {
-    let seconds = count(LOG.as_bytes()).unwrap();
+fn outcomes_are_counted_by_class_and_second() {
+    let seconds = read(LOG.as_bytes()).unwrap();
     let first = &seconds[&(0, 0)];
     assert_eq!((first.taken, first.served, first.attempts, first.sent), (1, 1, 1, 1));
     assert!((first.held_s - 0.05).abs() < 1e-9 && (first.took_s - 0.2).abs() < 1e-9, "{first:?}");
--- a/lab/src/engines.rs
+++ b/lab/src/engines.rs
@@ -1,5 +1,5 @@
-//! What a fleet does to its engines, summed over the gateways' logs at debug: connections, attempts, and when each
-//! gateway was notified of a change.
+//! The `engines` command: counts connections and attempts of a fleet to its engines, and the times at which gateways
+//! were notified of engine changes, from the gateways' debug logs.
 
 use std::collections::{BTreeMap, HashMap};
 use std::io::BufRead;
@@ -7,54 +7,54 @@
 
 use serde::Serialize;
 
-use super::log::{at, each, field};
+use super::log::{field, read_all, timestamp_s};
 
 #[cfg(test)]
 mod tests;
 
-/// Counts what gateways logged of their engines with `--log debug`.
+/// Counts connections and attempts to engines in logs that gateways wrote with `--log debug`.
 #[derive(clap::Args)]
 pub struct Options {
-    /// A folder with one log for each gateway, named `*.log`.
+    /// Folder with one log per gateway, named `*.log`.
     logs: PathBuf,
-    /// Each engine by itself too.
+    /// Also prints a row for each engine.
     #[arg(long)]
     each: bool,
     #[command(flatten)]
     output: super::Output,
 }
 
-/// What was seen of one engine, or of all, in one second.
+/// Counts for one engine or all engines, over one second or the whole time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Count {
-    /// Connections opened by a gateway that had none to it before.
+    /// Connections opened by a gateway that had never opened one to the engine.
     pub first: u64,
-    /// By one whose earlier ones had all been closed.
+    /// Connections opened by a gateway whose earlier connections to the engine were all closed.
     pub again: u64,
-    /// By one whose others were all in use.
+    /// Connections opened by a gateway that had others open to the engine.
     pub more: u64,
-    /// Of all these, for giving an attempt up.
+    /// Connections opened to cancel an attempt; they are also counted above.
     pub to_give_up: u64,
     /// Connections closed.
     pub closed: u64,
-    /// Attempts sent.
+    /// Attempts forwarded.
     pub sent: u64,
-    /// Attempts served.
+    /// Attempts that ended in success.
     pub served: u64,
-    /// Attempts that ended otherwise.
+    /// Attempts that ended without success.
     pub other: u64,
 }
 
 impl Count {
-    fn add(&mut self, o: &Self) {
-        self.first += o.first;
-        self.again += o.again;
-        self.more += o.more;
-        self.to_give_up += o.to_give_up;
-        self.closed += o.closed;
-        self.sent += o.sent;
-        self.served += o.served;
-        self.other += o.other;
+    fn add(&mut self, other: &Self) {
+        self.first += other.first;
+        self.again += other.again;
+        self.more += other.more;
+        self.to_give_up += other.to_give_up;
+        self.closed += other.closed;
+        self.sent += other.sent;
+        self.served += other.served;
+        self.other += other.other;
     }
 
     fn opened(&self) -> u64 {
@@ -62,7 +62,7 @@
     }
 }
 
-/// A change of an engine, as the endpoint list has it.
+/// A state change of an engine in the endpoint list.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct EngineChange {
     name: String,
@@ -70,35 +70,35 @@
     since_ms: u64,
 }
 
-/// What one gateway's log holds.
+/// Figures of one gateway's log.
 #[derive(Debug, Default)]
-pub struct Log {
-    /// By engine and second.
+pub struct GatewayLog {
+    /// By name of the engine and second.
     counts: BTreeMap<(String, u64), Count>,
-    /// When it was first notified of a state of an engine.
+    /// Time at which the gateway was first notified of each change.
     first_notified_s: BTreeMap<EngineChange, f64>,
 }
 
-/// Reads one gateway's log. Engines whose names the log does not hold are left out.
-pub fn read(log: impl BufRead) -> std::io::Result<Log> {
-    let mut out = Log::default();
-    // Numbers are this gateway's own; names are the fleet's.
+/// Reads one gateway's log. Engines without a name in the log are skipped.
+pub fn read(log: impl BufRead) -> std::io::Result<GatewayLog> {
+    let mut figures = GatewayLog::default();
+    // Engine numbers differ between gateways; names are the same in the whole fleet.
     let mut names: HashMap<String, String> = HashMap::new();
-    // Connections open to each engine that there has been one to.
+    // Number of open connections by engine. Engines that were never connected to have no entry.
     let mut open: HashMap<String, u64> = HashMap::new();
     for line in log.lines() {
         let line = line?;
-        let (Some(now), Some(number)) = (at(&line), field(&line, "engine")) else { continue };
+        let (Some(now_s), Some(number)) = (timestamp_s(&line), field(&line, "engine")) else { continue };
         if line.contains("engine listed") {
             let text = |key| field(&line, key).unwrap_or_default().to_owned();
             names.insert(number.to_owned(), text("name"));
             let since_ms = text("since_ms").parse().unwrap_or(0);
             let change = EngineChange { name: text("name"), state: text("state"), since_ms };
-            out.first_notified_s.entry(change).or_insert(now);
+            figures.first_notified_s.entry(change).or_insert(now_s);
             continue;
         }
         let Some(name) = names.get(number) else { continue };
-        let count = out.counts.entry((name.clone(), now as u64)).or_default();
+        let count = figures.counts.entry((name.clone(), now_s as u64)).or_default();
         if line.contains("connection opened") {
             match open.get(name) {
                 None => count.first += 1,
@@ -117,12 +117,12 @@
             *(if served { &mut count.served } else { &mut count.other }) += 1;
         }
     }
-    Ok(out)
+    Ok(figures)
 }
 
-/// When the first and the last gateway were notified of a change, and how many were.
+/// A change of an engine, with the number of gateways that were notified and the first and the last time of that.
 #[derive(Debug, PartialEq, Serialize)]
-pub struct Learned {
+pub struct ChangeNotifications {
     name: String,
     state: String,
     since_ms: u64,
@@ -131,60 +131,60 @@
     last_s: f64,
 }
 
-fn learned(logs: &[Log]) -> Vec<Learned> {
+fn change_notifications(logs: &[GatewayLog]) -> Vec<ChangeNotifications> {
     let mut times: BTreeMap<&EngineChange, Vec<f64>> = BTreeMap::new();
     logs.iter()
-        .flat_map(|l| &l.first_notified_s)
-        .for_each(|(change, at)| times.entry(change).or_default().push(*at));
-    let learned = times.into_iter().map(|(change, at)| Learned {
+        .flat_map(|log| &log.first_notified_s)
+        .for_each(|(change, at_s)| times.entry(change).or_default().push(*at_s));
+    let notifications = times.into_iter().map(|(change, times_s)| ChangeNotifications {
         name: change.name.clone(),
         state: change.state.clone(),
         since_ms: change.since_ms,
-        gateways: at.len(),
-        first_s: at.iter().copied().fold(f64::INFINITY, f64::min),
-        last_s: at.iter().copied().fold(0.0, f64::max),
+        gateways: times_s.len(),
+        first_s: times_s.iter().copied().fold(f64::INFINITY, f64::min),
+        last_s: times_s.iter().copied().fold(0.0, f64::max),
     });
-    learned.collect()
+    notifications.collect()
 }
 
-/// What is written as JSON.
+/// Content of the JSON file.
 #[derive(Serialize)]
 struct Figures {
     seconds: BTreeMap<u64, Count>,
     engines: BTreeMap<String, Count>,
-    learned: Vec<Learned>,
+    learned: Vec<ChangeNotifications>,
 }
 
-fn figures(logs: &[Log]) -> Figures {
+fn figures(logs: &[GatewayLog]) -> Figures {
     let (mut seconds, mut engines) = (BTreeMap::<u64, Count>::new(), BTreeMap::<String, Count>::new());
-    for ((name, second), count) in logs.iter().flat_map(|l| &l.counts) {
+    for ((name, second), count) in logs.iter().flat_map(|log| &log.counts) {
         seconds.entry(*second).or_default().add(count);
         engines.entry(name.clone()).or_default().add(count);
     }
-    Figures { seconds, engines, learned: learned(logs) }
+    Figures { seconds, engines, learned: change_notifications(logs) }
 }
 
-fn print(what: &str, c: &Count, held: i64) {
-    let each = if c.sent > 0 { c.opened() as f64 / c.sent as f64 } else { 0.0 };
+fn print_row(label: &str, c: &Count, held: i64) {
+    let opened_per_sent = if c.sent > 0 { c.opened() as f64 / c.sent as f64 } else { 0.0 };
     println!(
-        "{what:<24} {:>6} {:>6} {:>6} {:>7} {:>6} {held:>6} {:>7} {:>7} {:>6} {each:>9.2}",
+        "{label:<24} {:>6} {:>6} {:>6} {:>7} {:>6} {held:>6} {:>7} {:>7} {:>6} {opened_per_sent:>9.2}",
         c.first, c.again, c.more, c.to_give_up, c.closed, c.sent, c.served, c.other
     );
 }
 
-/// Counts all logs of a folder and prints the tables.
+/// Reads all logs of a folder and prints the tables.
 pub fn run(options: &Options) -> anyhow::Result<()> {
-    let figures = figures(&each(&options.logs, read)?);
+    let figures = figures(&read_all(&options.logs, read)?);
     println!(
         "second, engine            first  again   more give up closed   held    sent  served  other each sent"
     );
     let mut held = 0;
     for (second, count) in &figures.seconds {
         held += count.opened() as i64 - count.closed as i64;
-        print(&second.to_string(), count, held);
+        print_row(&second.to_string(), count, held);
     }
     for (name, count) in figures.engines.iter().filter(|_| options.each) {
-        print(name, count, count.opened() as i64 - count.closed as i64);
+        print_row(name, count, count.opened() as i64 - count.closed as i64);
     }
     println!("engine, state, start in ms: gateways notified, first and last at s");
     for l in &figures.learned {
