--- a/lab/src/configuration/cost.rs
+++ b/lab/src/configuration/cost.rs
@@ -12,7 +12,7 @@
 
 use super::settings::{Author, Size};
 use super::{CHANGES_PER_DAY, MACHINES, SECOND_US};
-use crate::fleet::{resident_bytes, spent};
+use crate::fleet::{cpu_usage, resident_bytes};
 
 /// Changes that are measured: the kernel counts processor time by ticks of some milliseconds.
 const CHANGES: usize = 2_000;
@@ -124,7 +124,7 @@
 
 /// Processor time of this thread so far. Microseconds.
 fn cpu_us() -> anyhow::Result<f64> {
-    Ok(spent(std::process::id())?.cpu_s * SECOND_US as f64)
+    Ok(cpu_usage(std::process::id())?.cpu_s * SECOND_US as f64)
 }
 
 fn take(subscriber: &mut Subscriber, text: &str) -> anyhow::Result<()> {
--- a/lab/src/configuration/report.rs
+++ b/lab/src/configuration/report.rs
@@ -9,7 +9,7 @@
 use super::scenario::Scenario;
 use super::settings::Size;
 use super::{LIMIT_BYTES_PER_S, LIMIT_CORE_PERCENT, LIMIT_MEMORY_BYTES, LIMIT_MS, MACHINES};
-use crate::spread::{Spread, histogram};
+use crate::spread::{Summary, histogram};
 
 /// All figures.
 #[derive(Debug, Serialize)]
@@ -38,9 +38,9 @@
     pub gateways: usize,
     plays: usize,
     /// From publication until a gateway has the version.
-    each: Spread,
+    each: Summary,
     /// From publication until all gateways have it.
-    pub all: Spread,
+    pub all: Summary,
     /// Versions that not all gateways had a minute later.
     pub missed: u64,
     refused: u64,
@@ -60,8 +60,8 @@
             scenario,
             gateways,
             plays: 0,
-            each: Spread::default(),
-            all: Spread::default(),
+            each: Summary::default(),
+            all: Summary::default(),
             missed: 0,
             refused: 0,
             gateway_bytes_per_s: 0.0,
@@ -81,7 +81,7 @@
             row.machine_bytes_per_s = row.machine_bytes_per_s.max(run.machine_bytes_per_s);
             row.machine_peak_bytes = row.machine_peak_bytes.max(run.machine_peak_bytes);
         }
-        (row.each, row.all) = (Spread::from(&each), Spread::from(&all));
+        (row.each, row.all) = (Summary::from(&each), Summary::from(&all));
         row
     }
 
--- a/lab/src/fleet.rs
+++ b/lab/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The gateway as a process, an engine for it, and what the system tells of a process.
+//! Starts a gateway process and a stand-in engine for it, and reads resource usage of processes from `/proc`.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -11,56 +11,62 @@
 use anyhow::{Context, anyhow};
 use serde_json::json;
 
-/// Bytes of anonymous memory that a process has resident.
+/// Resident anonymous memory of a process, in bytes.
 pub fn resident_bytes(process: u32) -> anyhow::Result<u64> {
-    let kb = status(process, "RssAnon:")?;
+    let kb = status_value(process, "RssAnon:")?;
     Ok(kb * 1024)
 }
 
-fn status(process: u32, key: &str) -> anyhow::Result<u64> {
+/// A number from `/proc/PID/status`.
+fn status_value(process: u32, key: &str) -> anyhow::Result<u64> {
     let text = std::fs::read_to_string(format!("/proc/{process}/status"))?;
-    let line = text.lines().find_map(|l| l.strip_prefix(key)).ok_or_else(|| anyhow!("no {key}"))?;
+    let line = text
+        .lines()
+        .find_map(|l| l.strip_prefix(key))
+        .ok_or_else(|| anyhow!("{key} is missing in the status of the process"))?;
     Ok(line.split_whitespace().next().unwrap_or_default().parse()?)
 }
 
-/// What a process has used so far.
+/// Cumulative processor usage of the main thread of a process.
 #[derive(Clone, Copy, Debug)]
-pub struct Spent {
+pub struct CpuUsage {
     /// Processor time, in seconds.
     pub cpu_s: f64,
-    /// Times that it has gone to sleep, and so been woken.
+    /// Voluntary context switches: each time the thread blocks, it is woken once.
     pub wakeups: u64,
 }
 
-/// What a process has used so far.
-pub fn spent(process: u32) -> anyhow::Result<Spent> {
+/// Reads the processor usage of the main thread of a process.
+pub fn cpu_usage(process: u32) -> anyhow::Result<CpuUsage> {
     let text = std::fs::read_to_string(format!("/proc/{process}/schedstat"))?;
     let ns: f64 = text.split_whitespace().next().unwrap_or_default().parse()?;
-    Ok(Spent { cpu_s: ns / 1e9, wakeups: status(process, "voluntary_ctxt_switches:")? })
+    Ok(CpuUsage { cpu_s: ns / 1e9, wakeups: status_value(process, "voluntary_ctxt_switches:")? })
 }
 
-/// Seconds in user mode and in the kernel, to hundredths.
+/// Processor time of a process in user mode and in the kernel, in seconds with a resolution of 10 ms.
 pub fn user_and_system(process: u32) -> anyhow::Result<(f64, f64)> {
     let text = std::fs::read_to_string(format!("/proc/{process}/stat"))?;
     let fields: Vec<&str> = text.rsplit(')').next().unwrap_or_default().split_whitespace().collect();
-    let ticks =
-        |at: usize| -> anyhow::Result<f64> { Ok(fields.get(at).context("stat")?.parse::<f64>()? / 100.0) };
+    let ticks = |i: usize| -> anyhow::Result<f64> {
+        Ok(fields.get(i).context("missing field in /proc/PID/stat")?.parse::<f64>()? / 100.0)
+    };
     Ok((ticks(11)?, ticks(12)?))
 }
 
-/// An engine that answers each query with one row after a while, but for those whose text says `never`.
-pub fn engine(work: Duration) -> anyhow::Result<SocketAddr> {
+/// Starts a stand-in engine. It answers each query with one row after `service_time`, except that a query whose text
+/// contains `never` does not end.
+pub fn start_engine(service_time: Duration) -> anyhow::Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0")?;
     let address = listener.local_addr()?;
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
-            thread::spawn(move || serve(stream, work));
+            thread::spawn(move || serve(stream, service_time));
         }
     });
     Ok(address)
 }
 
-fn serve(stream: TcpStream, work: Duration) -> std::io::Result<()> {
+fn serve(stream: TcpStream, service_time: Duration) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let mut reader = BufReader::new(stream.try_clone()?);
     let mut stream = stream;
@@ -79,11 +85,11 @@
         let answer: &[u8] = if head.starts_with("DELETE") {
             b"HTTP/1.1 204 No Content\r\n\r\n"
         } else if never || head.starts_with("GET") {
-            // Only a statement that never ends is polled.
+            // The gateway polls only queries that do not end.
             thread::sleep(Duration::from_millis(200));
             b"HTTP/1.1 202 later\r\nContent-Length: 0\r\n\r\n"
         } else {
-            thread::sleep(work);
+            thread::sleep(service_time);
             b"HTTP/1.1 200 OK\r\nPage-Count: 1\r\nX-Meter: queue:0\r\nContent-Length: 2\r\n\r\n1\n"
         };
         stream.write_all(answer)?;
@@ -95,29 +101,29 @@
     child: Child,
     folder: PathBuf,
     log: Receiver<String>,
-    /// Where it speaks PostgreSQL.
+    /// Address of the PostgreSQL listener.
     pub pg: SocketAddr,
-    /// Where it speaks MySQL, if it does.
+    /// Address of the MySQL listener, if the gateway has opened one.
     pub mysql: Option<SocketAddr>,
 }
 
-/// Builds the gateway and says where it is.
-pub fn build() -> anyhow::Result<PathBuf> {
+/// Builds the gateway and returns the path of the executable.
+pub fn build_gateway() -> anyhow::Result<PathBuf> {
     let cargo = std::env::var_os("CARGO").unwrap_or_else(|| "cargo".into());
     let built = Command::new(cargo).args(["build", "--release", "--locked", "-p", "wrenhatch"]).status()?;
-    anyhow::ensure!(built.success(), "the gateway could not be built");
+    anyhow::ensure!(built.success(), "building the gateway failed");
     let own = std::env::current_exe()?;
-    Ok(own.parent().context("no folder")?.join("../release/wrenhatch"))
+    Ok(own.parent().context("the executable has no parent directory")?.join("../release/wrenhatch"))
 }
 
 impl Gateway {
-    /// Starts it in front of an engine, with places for so many clients. The MySQL front is opened where
-    /// `operators_file` says that this build reads one.
+    /// Starts a gateway for `engine` that admits up to `clients` clients. With `reads_operator_file`, the gateway gets
+    /// an operator's file that opens the MySQL front end; earlier builds read no such file.
     pub fn start(
         program: &Path,
         engine: SocketAddr,
         clients: usize,
-        operators_file: bool,
+        reads_operator_file: bool,
     ) -> anyhow::Result<Self> {
         let folder = std::env::temp_dir().join(format!("wrenhatch-lab-{}", std::process::id()));
         std::fs::create_dir_all(&folder)?;
@@ -125,7 +131,7 @@
         std::fs::write(&config, settings(engine, clients).to_string())?;
         let mut command = Command::new(program);
         command.arg("serve").env("LB_CONFIG", &config).env("LB_NAME", "lab").env("LB_LISTEN", "127.0.0.1:0");
-        if operators_file {
+        if reads_operator_file {
             let file = folder.join("operator.toml");
             let text = "[mysql]\nlisten = \"127.0.0.1:0\"\nlogin = { user = \"gateway\" }\n\
                 [mysql.users]\nunit = { tenant = \"acme\" }\n";
@@ -133,29 +139,35 @@
             command.arg("--config").arg(file);
         }
         let mut child = command.stderr(Stdio::piped()).stdout(Stdio::null()).spawn()?;
-        let mut lines = BufReader::new(child.stderr.take().context("no log")?).lines();
+        let mut lines =
+            BufReader::new(child.stderr.take().context("the gateway has no standard error")?).lines();
         let serving = lines.by_ref().map_while(Result::ok).find(|l| l.contains("serving"));
-        let serving = serving.ok_or_else(|| anyhow!("the gateway did not start"))?;
+        let serving =
+            serving.ok_or_else(|| anyhow!("the gateway ended before it logged that it is serving"))?;
         let address = |key: &str| {
             let value = serving.split_whitespace().find_map(|w| w.strip_prefix(key))?;
             value.parse::<SocketAddr>().ok()
         };
-        let (pg, mysql) = (address("listen=").context("no address")?, address("mysql="));
+        let (pg, mysql) =
+            (address("listen=").context("the gateway logged no listen address")?, address("mysql="));
         let (lines_sender, log) = channel();
         thread::spawn(move || lines.map_while(Result::ok).for_each(|l| drop(lines_sender.send(l))));
         Ok(Self { child, folder, log, pg, mysql })
     }
 
-    /// Its process.
+    /// Process id.
     pub fn process(&self) -> u32 {
         self.child.id()
     }
 
-    /// Has it print its counters, and reads them.
+    /// Makes the gateway log its counters (SIGUSR1) and returns that line.
     pub fn counters(&self) -> anyhow::Result<String> {
         while self.log.try_recv().is_ok() {}
         let id = self.process().to_string();
-        anyhow::ensure!(Command::new("kill").args(["-USR1", &id]).status()?.success(), "no such process");
+        anyhow::ensure!(
+            Command::new("kill").args(["-USR1", &id]).status()?.success(),
+            "sending SIGUSR1 to the gateway failed"
+        );
         loop {
             let line = self.log.recv_timeout(Duration::from_secs(5))?;
             if line.contains("counters=") {
@@ -180,7 +192,7 @@
     };
     json!({
         "name": "lab", "listen": "127.0.0.1:0", "seed": "8c1f30d27a5be964",
-        // A third of the descriptors are clients'.
+        // The gateway assigns a third of its descriptors to clients.
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 3 * clients},
         "known": {"index": 1, "updates": [{"index": 1, "endpoints": {"index": 1, "snapshot": true, "endpoints": [
             {"name": "e1", "address": engine, "zone": "z", "type": "k", "group": 0, "status": "Ready",
--- a/lab/src/idle/in_memory.rs
+++ b/lab/src/idle/in_memory.rs
@@ -1,4 +1,5 @@
-//! The session table, the wheel and the scheduler without sockets, at sizes that sockets don't reach.
+//! Measures the session table, the timer wheel and the read scheduler without sockets, at numbers of sessions beyond
+//! the limits of sockets.
 
 use std::hint::black_box;
 use std::time::{Duration, Instant};
@@ -10,23 +11,24 @@
 use wrenhatch_sessions::timer_wheel::TimerWheel;
 
 use crate::fleet::resident_bytes;
-use crate::spread::{Spread, histogram};
+use crate::spread::{Summary, histogram};
 
-/// As large as the gateway's own parts.
+/// A session table whose entries have the sizes of the gateway's entries.
 type Sessions = SessionTable<[u64; SUSPENDED_SESSION_BYTES / 8], [u64; ACTIVE_SESSION_BYTES / 8]>;
 
-/// What was found.
+/// Figures of the in-memory measurement.
 #[derive(Debug, Serialize)]
 pub struct Figures {
     sessions: usize,
     resident_bytes_per_session: f64,
     slot_bytes: usize,
-    /// After all have been resumed, suspended, removed and inserted again; no growth means no more than before.
+    /// Resident bytes per session after all sessions were resumed, suspended, removed and inserted again. The table
+    /// reuses its memory if this does not exceed `resident_bytes_per_session`.
     resident_bytes_after_reuse: f64,
     wake_half_ms: f64,
     yield_ns: f64,
     timers: usize,
-    timer_drift: Spread,
+    timer_drift: Summary,
     timer_wakeups: u64,
     timer_cpu_percent: f64,
 }
@@ -46,11 +48,11 @@
         .collect()
 }
 
-/// Wakes half of all sessions at once, as the scheduler lets them; how long that takes.
-fn wake_half(table: &mut Sessions, all: &[Handle], now_us: u64) -> Duration {
+/// Wakes half of the sessions through the read scheduler and returns the time that it takes.
+fn wake_half(table: &mut Sessions, handles: &[Handle], now_us: u64) -> Duration {
     let mut scheduler = ReadScheduler::new(ReadLimits::default());
     let began = Instant::now();
-    for handle in all.iter().step_by(2) {
+    for handle in handles.iter().step_by(2) {
         if table.set_queued(*handle) {
             scheduler.enqueue(*handle, ReadPriority::LongIdle, handle.index % 1000, now_us);
         }
@@ -70,17 +72,18 @@
     began.elapsed()
 }
 
-/// Time-outs of 3 s and 20 s for all, armed over one second, in real time. Each tells how late it was.
-fn drift(n: usize) -> (Spread, u64, f64) {
+/// Arms `n` timers over one second, alternately for 3 s and 20 s, and waits until all have expired. Returns their lag,
+/// the number of wake-ups and the processor usage in percent of a core.
+fn timer_drift(n: usize) -> (Summary, u64, f64) {
     let mut wheel = TimerWheel::new();
     let clock = Instant::now();
     let now = || clock.elapsed().as_micros() as u64;
     let span_us = if n > 0 { 1e6 / n as f64 } else { 0.0 };
     for i in 0..n {
-        let spread_us = (i as f64 * span_us) as u64;
-        wheel.arm(spread_us + if i % 2 == 0 { 3_000_000 } else { 20_000_000 }, i);
+        let armed_us = (i as f64 * span_us) as u64;
+        wheel.arm(armed_us + if i % 2 == 0 { 3_000_000 } else { 20_000_000 }, i);
     }
-    let mut late = histogram();
+    let mut lag = histogram();
     let (mut wakeups, mut busy) = (0, Duration::ZERO);
     while let Some(at_us) = wheel.next_us() {
         let now_us = now();
@@ -91,41 +94,42 @@
         wakeups += 1;
         while let Some((due_us, value)) = wheel.pop(now_us) {
             black_box(value);
-            late.saturating_record(now_us - due_us);
+            lag.saturating_record(now_us - due_us);
         }
         busy += began.elapsed();
     }
-    (Spread::from(&late), wakeups, 100.0 * busy.as_secs_f64() / clock.elapsed().as_secs_f64())
+    (Summary::from(&lag), wakeups, 100.0 * busy.as_secs_f64() / clock.elapsed().as_secs_f64())
 }
 
-/// Measures all of it for `n` sessions.
+/// Runs all measurements for `n` sessions.
 pub fn measure(n: usize) -> anyhow::Result<Figures> {
-    let before = resident_bytes(std::process::id())?;
+    let bytes_before = resident_bytes(std::process::id())?;
     let mut table = Sessions::new();
-    let mut all = Vec::with_capacity(n);
-    // The list of handles is the experiment's, not the table's.
-    let list_bytes = n * size_of::<Handle>();
-    all.extend(insert_all(&mut table, n));
-    let per_session = |bytes: u64| (bytes.saturating_sub(before) as f64 - list_bytes as f64) / n as f64;
-    let first = per_session(resident_bytes(std::process::id())?);
-    let wake = wake_half(&mut table, &all, n as u64);
+    let mut handles = Vec::with_capacity(n);
+    // The list of handles is not part of the table, so its size is subtracted.
+    let handles_bytes = n * size_of::<Handle>();
+    handles.extend(insert_all(&mut table, n));
+    let per_session =
+        |bytes: u64| (bytes.saturating_sub(bytes_before) as f64 - handles_bytes as f64) / n as f64;
+    let bytes_first = per_session(resident_bytes(std::process::id())?);
+    let wake = wake_half(&mut table, &handles, n as u64);
     let began = Instant::now();
     let rounds = 100_000;
     for _ in 0..rounds {
         black_box(table.eviction_candidate(black_box(n as u64), n / 4));
     }
     let yield_ns = began.elapsed().as_nanos() as f64 / f64::from(rounds);
-    for handle in all.drain(..) {
+    for handle in handles.drain(..) {
         table.remove(handle);
     }
-    all.extend(insert_all(&mut table, n));
-    let again = per_session(resident_bytes(std::process::id())?);
-    let (timer_drift, timer_wakeups, timer_cpu_percent) = drift(n);
+    handles.extend(insert_all(&mut table, n));
+    let bytes_reused = per_session(resident_bytes(std::process::id())?);
+    let (timer_drift, timer_wakeups, timer_cpu_percent) = timer_drift(n);
     Ok(Figures {
         sessions: table.len(),
-        resident_bytes_per_session: first,
+        resident_bytes_per_session: bytes_first,
         slot_bytes: Sessions::slot_bytes(),
-        resident_bytes_after_reuse: again,
+        resident_bytes_after_reuse: bytes_reused,
         wake_half_ms: wake.as_secs_f64() * 1e3,
         yield_ns,
         timers: n,
--- a/lab/src/idle/mod.rs
+++ b/lab/src/idle/mod.rs
@@ -1,4 +1,5 @@
-//! What idle sessions cost, how punctual timers are, and what a wake-up of half of all sessions does.
+//! The `idle` command: measures the cost of idle sessions, the lag of timers, and a simultaneous wake-up of half of
+//! the sessions.
 
 mod active_clients;
 mod helpers;
@@ -11,36 +12,36 @@
 
 use clap::Args;
 
-use crate::{Front, Output, fleet};
+use crate::{FrontEnd, Output, fleet};
 
-/// Settings of the experiment.
+/// Size, duration and gateway builds of the experiment.
 #[derive(Args)]
 pub struct Options {
-    /// Idle sessions.
+    /// Number of idle sessions.
     #[arg(long, default_value_t = 15_000)]
     connections: usize,
-    /// The session table, the timer wheel and the read scheduler alone, without sockets.
+    /// Measures the session table, the timer wheel and the read scheduler alone, without sockets.
     #[arg(long)]
     in_memory: bool,
-    /// What idle sessions speak.
-    #[arg(long, value_enum, default_value_t = Front::Pg)]
-    front: Front,
-    /// A gateway that is built already; without it the workspace's is built.
+    /// Client protocol of the idle sessions.
+    #[arg(long, value_enum, default_value_t = FrontEnd::Pg)]
+    front: FrontEnd,
+    /// Gateway executable; by default the gateway of the workspace is built.
     #[arg(long)]
     gateway: Option<PathBuf>,
-    /// An earlier build, measured in turn with the gateway; PostgreSQL only.
+    /// Executable of an earlier build, measured alternately with the gateway; PostgreSQL only.
     #[arg(long)]
     against: Option<PathBuf>,
-    /// How often all is measured.
+    /// Number of rounds, each with all measurements.
     #[arg(long, default_value_t = 3)]
     rounds: usize,
-    /// How often in a round half of the sessions wake up.
+    /// Number of wake-ups of half of the sessions in a round.
     #[arg(long, default_value_t = 5)]
     wakes: usize,
-    /// Also measures time-outs of 3 s and 20 s.
+    /// Also measures how late requests time out after 3 s and 20 s.
     #[arg(long)]
     time_outs: bool,
-    /// How long each steady state is watched, in seconds.
+    /// Duration of each steady-state measurement, in seconds.
     #[arg(long, default_value_t = 10)]
     seconds: u64,
     #[command(flatten)]
@@ -56,16 +57,16 @@
     }
     let program = match &options.gateway {
         Some(path) => path.clone(),
-        None => fleet::build()?,
+        None => fleet::build_gateway()?,
     };
     let mut rounds = Vec::new();
     for n in 1..=options.rounds {
         let builds = [(Some(&program), "this build"), (options.against.as_ref(), "the build before")];
-        for (at, (path, name)) in builds.into_iter().enumerate() {
+        for (index, (path, name)) in builds.into_iter().enumerate() {
             let Some(path) = path else { continue };
-            let found = round::run(options, path, name, at == 0)?;
-            println!("{found}   (round {n} of {})\n", options.rounds);
-            rounds.push(found);
+            let figures = round::run(options, path, name, index == 0)?;
+            println!("{figures}   (round {n} of {})\n", options.rounds);
+            rounds.push(figures);
         }
     }
     options.output.write(&rounds)
--- a/lab/src/idle/report.rs
+++ b/lab/src/idle/report.rs
@@ -1,12 +1,12 @@
-//! What a round has measured, and how it is printed.
+//! Figures of a round, as the JSON file and the terminal present them.
 
 use serde::Serialize;
 
-use super::time_outs::TimeOut;
-use crate::helper::Done;
-use crate::spread::Spread;
+use super::time_outs::TimeoutLag;
+use crate::helper::CommandResult;
+use crate::spread::Summary;
 
-/// What one round found.
+/// Figures of one round.
 #[derive(Clone, Debug, Serialize)]
 pub struct Round {
     pub build: String,
@@ -14,17 +14,17 @@
     pub open_ms_each: f64,
     pub idle_wakeups_per_s: f64,
     pub idle_cpu_percent: f64,
-    pub latency_alone: Spread,
-    pub latency_beside_parked: Spread,
-    pub wake_half: Done,
+    pub latency_alone: Summary,
+    pub latency_beside_parked: Summary,
+    pub wake_half: CommandResult,
     pub wake_half_least_ms: f64,
     pub wake_half_most_ms: f64,
     pub wake_cpu_ms: f64,
-    pub active_during_wake: Spread,
-    pub wake_half_and_reconnect: Done,
-    pub reconnected: Done,
-    pub active_during_both: Spread,
-    pub time_outs: Vec<TimeOut>,
+    pub active_during_wake: Summary,
+    pub wake_half_and_reconnect: CommandResult,
+    pub reconnected: CommandResult,
+    pub active_during_both: Summary,
+    pub time_outs: Vec<TimeoutLag>,
     pub churn_per_s: f64,
     pub churn_cpu_percent: f64,
     pub churn_system_part: f64,
@@ -49,31 +49,31 @@
         )?;
         writeln!(f, "lookups, nobody parked       {}", self.latency_alone)?;
         writeln!(f, "lookups beside the parked    {}", self.latency_beside_parked)?;
-        let ratio = |of: fn(&Spread) -> f64| of(&self.latency_beside_parked) / of(&self.latency_alone);
+        let ratio = |get: fn(&Summary) -> f64| get(&self.latency_beside_parked) / get(&self.latency_alone);
         writeln!(
             f,
             "  ratio                      p50 {:.3}, p99 {:.3}",
             ratio(|s| s.p50_ms),
             ratio(|s| s.p99_ms)
         )?;
-        let wake = |d: &Done| {
+        let format_result = |d: &CommandResult| {
             format!(
                 "{} in {:.1} ms (single: p99 {:.1}, max {:.1}), lost {}",
                 d.done, d.ms, d.p99_ms, d.max_ms, d.lost
             )
         };
-        writeln!(f, "half wake up                 {}", wake(&self.wake_half))?;
+        writeln!(f, "half wake up                 {}", format_result(&self.wake_half))?;
         writeln!(
             f,
             "  least and most             {:.1} and {:.1} ms, {:.1} ms of the core each with what is between",
             self.wake_half_least_ms, self.wake_half_most_ms, self.wake_cpu_ms
         )?;
         writeln!(f, "  active lookups             {}", self.active_during_wake)?;
-        writeln!(f, "half wake up, a tenth anew   {}", wake(&self.wake_half_and_reconnect))?;
-        writeln!(f, "  those that connect anew    {}", wake(&self.reconnected))?;
+        writeln!(f, "half wake up, a tenth anew   {}", format_result(&self.wake_half_and_reconnect))?;
+        writeln!(f, "  those that connect anew    {}", format_result(&self.reconnected))?;
         writeln!(f, "  active lookups             {}", self.active_during_both)?;
         for t in &self.time_outs {
-            let TimeOut { class, wait_ms, count, apart_ms, late_ms } = t;
+            let TimeoutLag { class, wait_ms, count, apart_ms, late_ms } = t;
             writeln!(
                 f,
                 "{count} of {class}, {wait_ms} ms           ended {late_ms:.1} ms late at most, {apart_ms:.1} ms apart"
--- a/lab/src/idle/round.rs
+++ b/lab/src/idle/round.rs
@@ -1,4 +1,4 @@
-//! One round of measurements, on a gateway of its own.
+//! Runs one round of measurements on a newly started gateway process.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -9,90 +9,97 @@
 
 use super::Options;
 use super::active_clients::ActiveClients;
-use super::helpers::{Helper, all};
+use super::helpers::{Helper, run_all};
 use super::report::Round;
-use super::time_outs::{self, TimeOut};
-use crate::Front;
-use crate::fleet::{self, Gateway, resident_bytes, spent, user_and_system};
-use crate::helper::Done;
-use crate::spread::Spread;
+use super::time_outs::{self, TimeoutLag};
+use crate::FrontEnd;
+use crate::fleet::{self, Gateway, cpu_usage, resident_bytes, user_and_system};
+use crate::helper::CommandResult;
+use crate::spread::Summary;
 
-/// Sessions of one helper process; the limit is about 20,000 descriptors.
+/// Keeps a helper process well below its limit of about 20,000 descriptors.
 const MAX_SESSIONS_PER_HELPER: usize = 3_750;
-/// What the engine takes for a lookup.
-const WORK: Duration = Duration::from_millis(2);
-/// Time until what follows a wave of connections is over, on any build.
-const SETTLE: Duration = Duration::from_secs(4);
-/// A session counts as recently active for 2 s; a surge is of sessions that were silent for longer.
-const SILENCE: Duration = Duration::from_millis(2_500);
-/// How long active clients run before a surge, and after it.
-const PAUSE: Duration = Duration::from_millis(500);
+/// Time that the engine takes for a lookup.
+const SERVICE_TIME: Duration = Duration::from_millis(2);
+/// Time that the gateway is given to finish the work that follows many new or closed connections.
+const SETTLE_TIME: Duration = Duration::from_secs(4);
+/// Pause before a wake-up: the gateway treats a session as recently active for 2 s.
+const IDLE_TIME: Duration = Duration::from_millis(2_500);
+/// Time that active clients run before a wake-up, and after a wake-up with new connections.
+const LEAD_TIME: Duration = Duration::from_millis(500);
 
 /// A gateway under measurement, with the helpers that hold its idle sessions.
-struct Stand<'a> {
+struct Setup<'a> {
     options: &'a Options,
     gateway: Gateway,
-    /// Where idle sessions connect.
+    /// Address to which the idle sessions connect.
     address: SocketAddr,
     helpers: Vec<Helper>,
-    /// Sessions of each helper.
+    /// Number of sessions per helper.
     sessions_each: usize,
 }
 
-/// The cost of idle sessions while nothing happens.
+/// Processor usage of the gateway while all sessions are idle.
 struct IdleCost {
     wakeups_per_s: f64,
     cpu_percent: f64,
 }
 
-/// Half of all sessions woken at once, several times.
+/// Result of waking half of the sessions at once, several times.
 struct WakeUps {
-    median: Done,
+    median: CommandResult,
     least_ms: f64,
     most_ms: f64,
     cpu_ms: f64,
-    active: Spread,
+    active: Summary,
 }
 
-/// Half of all sessions woken while others connect.
+/// Result of waking half of the sessions while other clients reconnect.
 struct WakeUpAndReconnect {
-    woken: Done,
-    reconnected: Done,
-    active: Spread,
+    woken: CommandResult,
+    reconnected: CommandResult,
+    active: Summary,
 }
 
-/// Sessions opened and closed as fast as it goes.
+/// Result of opening and closing sessions as fast as possible.
 struct Churn {
     per_s: f64,
     cpu_percent: f64,
+    /// Fraction of the processor time that was spent in the kernel.
     system_part: f64,
 }
 
-/// Measures all of it once.
-pub fn run(options: &Options, program: &Path, build: &str, new: bool) -> anyhow::Result<Round> {
+/// Runs all measurements once. `reads_operator_file` tells whether the program reads the operator's file.
+pub fn run(
+    options: &Options,
+    program: &Path,
+    build: &str,
+    reads_operator_file: bool,
+) -> anyhow::Result<Round> {
     let n = options.connections;
-    let span = Duration::from_secs(options.seconds);
-    let gateway = Gateway::start(program, fleet::engine(WORK)?, n + n / 5 + 100, new)?;
-    let latency_alone = ActiveClients::run(gateway.pg, span)?;
-    let before = resident_bytes(gateway.process())?;
-    let mut stand = Stand::start(options, gateway)?;
-    let opened = stand.open()?;
-    let bytes_per_session = |bytes: u64| (bytes as f64 - before as f64) / opened.done as f64;
-    let bytes_idle = bytes_per_session(resident_bytes(stand.process())?);
-    let idle = stand.idle_cost(span)?;
-    let latency_beside_parked = ActiveClients::run(stand.gateway.pg, span)?;
-    let wake_ups = stand.wake_ups()?;
-    thread::sleep(SILENCE);
-    let both = stand.wake_up_and_reconnect()?;
-    let time_outs = stand.time_outs()?;
-    let churn = stand.churn()?;
-    thread::sleep(SETTLE);
-    let bytes_after = bytes_per_session(resident_bytes(stand.process())?);
-    let counters = stand.gateway.counters()?;
+    let duration = Duration::from_secs(options.seconds);
+    let gateway =
+        Gateway::start(program, fleet::start_engine(SERVICE_TIME)?, n + n / 5 + 100, reads_operator_file)?;
+    let latency_alone = ActiveClients::run(gateway.pg, duration)?;
+    let bytes_before = resident_bytes(gateway.process())?;
+    let mut setup = Setup::start(options, gateway)?;
+    let opened = setup.open()?;
+    let bytes_per_session = |bytes: u64| (bytes as f64 - bytes_before as f64) / opened.done as f64;
+    let bytes_idle = bytes_per_session(resident_bytes(setup.process())?);
+    let idle = setup.idle_cost(duration)?;
+    let latency_beside_parked = ActiveClients::run(setup.gateway.pg, duration)?;
+    let wake_ups = setup.wake_ups()?;
+    thread::sleep(IDLE_TIME);
+    let wake_up_and_reconnect = setup.wake_up_and_reconnect()?;
+    let time_outs = setup.time_outs()?;
+    let churn = setup.churn()?;
+    thread::sleep(SETTLE_TIME);
+    let bytes_after = bytes_per_session(resident_bytes(setup.process())?);
+    let counters = setup.gateway.counters()?;
     Ok(Round {
         build: build.to_owned(),
         bytes_per_session: bytes_idle,
-        open_ms_each: opened.ms / stand.sessions_each as f64,
+        open_ms_each: opened.ms / setup.sessions_each as f64,
         idle_wakeups_per_s: idle.wakeups_per_s,
         idle_cpu_percent: idle.cpu_percent,
         latency_alone,
@@ -102,9 +109,9 @@
         wake_half_most_ms: wake_ups.most_ms,
         wake_cpu_ms: wake_ups.cpu_ms,
         active_during_wake: wake_ups.active,
-        wake_half_and_reconnect: both.woken,
-        reconnected: both.reconnected,
-        active_during_both: both.active,
+        wake_half_and_reconnect: wake_up_and_reconnect.woken,
+        reconnected: wake_up_and_reconnect.reconnected,
+        active_during_both: wake_up_and_reconnect.active,
         time_outs,
         churn_per_s: churn.per_s,
         churn_cpu_percent: churn.cpu_percent,
@@ -115,16 +122,16 @@
     })
 }
 
-impl<'a> Stand<'a> {
+impl<'a> Setup<'a> {
     fn start(options: &'a Options, gateway: Gateway) -> anyhow::Result<Self> {
         let address = match options.front {
-            Front::Pg => gateway.pg,
-            Front::Mysql => gateway.mysql.context("this build has no MySQL front here")?,
+            FrontEnd::Pg => gateway.pg,
+            FrontEnd::Mysql => gateway.mysql.context("this build opened no MySQL front end")?,
         };
         let count = options.connections.div_ceil(MAX_SESSIONS_PER_HELPER).max(2);
         let sessions_each = options.connections / count;
         let helpers = (0..count)
-            .map(|i| Helper::start(address, i, options.front, sessions_each))
+            .map(|number| Helper::start(address, number, options.front, sessions_each))
             .collect::<Result<_, _>>()?;
         Ok(Self { options, gateway, address, helpers, sessions_each })
     }
@@ -133,65 +140,65 @@
         self.gateway.process()
     }
 
-    fn open(&mut self) -> anyhow::Result<Done> {
-        let opened = all(&mut self.helpers, |_| "open".to_owned())?;
-        thread::sleep(SETTLE);
+    fn open(&mut self) -> anyhow::Result<CommandResult> {
+        let opened = run_all(&mut self.helpers, |_| "open".to_owned())?;
+        thread::sleep(SETTLE_TIME);
         Ok(opened)
     }
 
-    fn idle_cost(&self, span: Duration) -> anyhow::Result<IdleCost> {
-        let start = spent(self.process())?;
-        thread::sleep(span);
-        let end = spent(self.process())?;
-        let seconds = span.as_secs_f64();
+    fn idle_cost(&self, duration: Duration) -> anyhow::Result<IdleCost> {
+        let start = cpu_usage(self.process())?;
+        thread::sleep(duration);
+        let end = cpu_usage(self.process())?;
+        let seconds = duration.as_secs_f64();
         Ok(IdleCost {
             wakeups_per_s: (end.wakeups - start.wakeups) as f64 / seconds,
             cpu_percent: 100.0 * (end.cpu_s - start.cpu_s) / seconds,
         })
     }
 
-    fn wake_half(&mut self) -> anyhow::Result<Done> {
+    fn wake_half(&mut self) -> anyhow::Result<CommandResult> {
         let half = self.sessions_each / 2;
-        all(&mut self.helpers, |_| format!("wake {half}"))
+        run_all(&mut self.helpers, |_| format!("wake {half}"))
     }
 
     fn wake_ups(&mut self) -> anyhow::Result<WakeUps> {
         let active = ActiveClients::start(self.gateway.pg);
-        thread::sleep(PAUSE);
-        let start = spent(self.process())?;
+        thread::sleep(LEAD_TIME);
+        let start = cpu_usage(self.process())?;
         let mut wakes = Vec::new();
         for _ in 0..self.options.wakes.max(1) {
             wakes.push(self.wake_half()?);
-            thread::sleep(SILENCE);
+            thread::sleep(IDLE_TIME);
         }
-        let cpu_ms = 1e3 * (spent(self.process())?.cpu_s - start.cpu_s) / wakes.len() as f64;
+        let cpu_ms = 1e3 * (cpu_usage(self.process())?.cpu_s - start.cpu_s) / wakes.len() as f64;
         wakes.sort_by(|a, b| a.ms.total_cmp(&b.ms));
         let lost = wakes.iter().map(|w| w.lost).sum();
         Ok(WakeUps {
-            median: Done { lost, ..wakes[wakes.len() / 2] },
+            median: CommandResult { lost, ..wakes[wakes.len() / 2] },
             least_ms: wakes[0].ms,
             most_ms: wakes[wakes.len() - 1].ms,
             cpu_ms,
-            active: active.end()?,
+            active: active.stop()?,
         })
     }
 
     fn wake_up_and_reconnect(&mut self) -> anyhow::Result<WakeUpAndReconnect> {
         let tenth = self.options.connections / 10;
         let mut other = Helper::start(self.address, self.helpers.len(), self.options.front, tenth)?;
-        other.ask("open")?;
-        other.answer()?;
-        thread::sleep(SILENCE);
+        other.send("open")?;
+        other.receive()?;
+        thread::sleep(IDLE_TIME);
         let active = ActiveClients::start(self.gateway.pg);
-        thread::sleep(PAUSE);
-        other.ask(&format!("reconnect {tenth}"))?;
+        thread::sleep(LEAD_TIME);
+        other.send(&format!("reconnect {tenth}"))?;
         let woken = self.wake_half()?;
-        let reconnected = other.answer()?;
-        thread::sleep(PAUSE);
-        Ok(WakeUpAndReconnect { woken, reconnected, active: active.end()? })
+        let reconnected = other.receive()?;
+        thread::sleep(LEAD_TIME);
+        Ok(WakeUpAndReconnect { woken, reconnected, active: active.stop()? })
     }
 
-    fn time_outs(&self) -> anyhow::Result<Vec<TimeOut>> {
+    fn time_outs(&self) -> anyhow::Result<Vec<TimeoutLag>> {
         if !self.options.time_outs {
             return Ok(Vec::new());
         }
@@ -202,10 +209,10 @@
     fn churn(&mut self) -> anyhow::Result<Churn> {
         let process = self.process();
         let (user_before, system_before) = user_and_system(process)?;
-        let start = spent(process)?;
-        let churned = all(&mut self.helpers, |_| "churn 3000".to_owned())?;
+        let start = cpu_usage(process)?;
+        let churned = run_all(&mut self.helpers, |_| "churn 3000".to_owned())?;
         let seconds = churned.ms / 1e3;
-        let cpu_percent = 100.0 * (spent(process)?.cpu_s - start.cpu_s) / seconds;
+        let cpu_percent = 100.0 * (cpu_usage(process)?.cpu_s - start.cpu_s) / seconds;
         let (user_after, system_after) = user_and_system(process)?;
         let system = system_after - system_before;
         Ok(Churn {
@@ -216,12 +223,12 @@
     }
 }
 
-/// The number of timers that fired, as the log line of the counters names it; the second name is that of
-/// earlier builds, which `--against` measures.
+/// Keys of the number of expired timers in the log line of the counters. Earlier builds, which `--against` measures,
+/// write the second key.
 const TIMERS_FIRED_KEYS: [&str; 2] = ["timer_lag=timers_rung=", "lateness=timers_rung="];
 
-/// The value of the first of these keys in the log line of the counters, or `-`.
-fn figure_of(counters: &str, keys: &[&str]) -> String {
+/// The value of the first word with one of `keys` in the log line of the counters, or `-`.
+fn value_of_any(counters: &str, keys: &[&str]) -> String {
     let value =
         |word: &str| keys.iter().find_map(|key| word.trim_matches('"').strip_prefix(key).map(str::to_owned));
     let found = counters.split_whitespace().find_map(value);
@@ -229,27 +236,27 @@
 }
 
 /// The value of a key in the log line of the counters, or `-`.
-fn figure(counters: &str, key: &str) -> String {
-    figure_of(counters, &[key])
+fn value_of(counters: &str, key: &str) -> String {
+    value_of_any(counters, &[key])
 }
 
 fn timers_late(counters: &str) -> String {
     format!(
         "n={} p50={} p99={} max={} us",
-        figure_of(counters, &TIMERS_FIRED_KEYS),
-        figure(counters, "late_p50_us="),
-        figure(counters, "late_p99_us="),
-        figure(counters, "late_max_us=")
+        value_of_any(counters, &TIMERS_FIRED_KEYS),
+        value_of(counters, "late_p50_us="),
+        value_of(counters, "late_p99_us="),
+        value_of(counters, "late_max_us=")
     )
 }
 
 fn longest_waits(counters: &str) -> String {
     format!(
         "active {} us, woken {} us, new {} us; longest turn {} us",
-        figure(counters, "longest_active_us="),
-        figure(counters, "longest_woken_us="),
-        figure(counters, "longest_new_us="),
-        figure(counters, "longest_turn_us=")
+        value_of(counters, "longest_active_us="),
+        value_of(counters, "longest_woken_us="),
+        value_of(counters, "longest_new_us="),
+        value_of(counters, "longest_turn_us=")
     )
 }
 
--- a/lab/src/idle/round/tests.rs
+++ b/lab/src/idle/round/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn timers_are_counted_in_the_counters_of_this_and_of_earlier_builds() {
+fn timer_lag_is_read_from_counters_of_this_and_of_earlier_builds() {
     for key in ["timer_lag", "lateness"] {
         let counters = format!(
             "counters=\"turns=9\" {key}=timers_rung=57 late_p50_us=46 late_p99_us=899 late_max_us=5631"
--- a/lab/src/idle/time_outs.rs
+++ b/lab/src/idle/time_outs.rs
@@ -1,4 +1,4 @@
-//! How punctually requests that no engine answers are ended, beside suspended sessions.
+//! Measures how late the gateway times out requests that never complete, while other sessions are suspended.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::thread;
@@ -6,36 +6,38 @@
 
 use serde::Serialize;
 
-use crate::Front;
+use crate::FrontEnd;
 use crate::helper;
 
-/// How punctually requests that nobody answers are ended, as their clients see it.
+/// Times at which clients received the time-out errors of their requests.
 #[derive(Clone, Debug, Serialize)]
-pub struct TimeOut {
+pub struct TimeoutLag {
     pub class: String,
     pub wait_ms: u64,
     pub count: usize,
-    /// From the first to the last, in milliseconds.
+    /// Difference between the longest and the shortest time to the error, in milliseconds.
     pub apart_ms: f64,
-    /// The latest against what was told, less the gateway's own margin, in milliseconds.
+    /// Longest time to the error beyond the expected time, in milliseconds. The expected time is `wait_ms` less
+    /// `MARGIN_MS`.
     pub late_ms: f64,
 }
 
-/// What the gateway keeps of a client's time for the way, and the resolution of the settings.
+/// Time before the end of a client's wait at which the gateway times out a request: its allowance for the network,
+/// and the resolution in its settings.
 const MARGIN_MS: f64 = 30.0;
 
-/// Has clients send requests that never end, beside all that are suspended.
-pub fn measure(address: SocketAddr, class: &str, wait_ms: u64, count: usize) -> anyhow::Result<TimeOut> {
-    let ask = |n: usize| {
+/// Sends `count` requests that never complete, each on a session of its own, and waits for their time-outs.
+pub fn measure(address: SocketAddr, class: &str, wait_ms: u64, count: usize) -> anyhow::Result<TimeoutLag> {
+    let client = |n: usize| {
         let class = class.to_owned();
         thread::spawn(move || -> anyhow::Result<f64> {
-            let mut stream = helper::open(address, Ipv4Addr::LOCALHOST.into(), Front::Pg)?;
+            let mut stream = helper::open_session(address, Ipv4Addr::LOCALHOST.into(), FrontEnd::Pg)?;
             stream.set_read_timeout(Some(Duration::from_secs(30)))?;
-            // Not all in one turn, so that each has a time of its own.
+            // Staggers the requests, so that the gateway does not arm all timers in one turn.
             thread::sleep(Duration::from_millis(7 * n as u64));
             let id = format!("{wait_ms:08x}{n:08x}");
             let began = Instant::now();
-            helper::ask(
+            helper::send_query(
                 &mut stream,
                 &format!("/* c={class},i={id},d={wait_ms},h=50 */ SELECT never FROM a_1.b"),
             )?;
@@ -43,18 +45,18 @@
             Ok(began.elapsed().as_secs_f64() * 1e3)
         })
     };
-    let threads: Vec<_> = (0..count).map(ask).collect();
-    let mut took = Vec::new();
+    let threads: Vec<_> = (0..count).map(client).collect();
+    let mut times_ms = Vec::new();
     for thread in threads {
-        took.push(thread.join().map_err(|_| anyhow::anyhow!("a client panicked"))??);
+        times_ms.push(thread.join().map_err(|_| anyhow::anyhow!("a client panicked"))??);
     }
-    took.sort_by(f64::total_cmp);
-    let (first, last) = (took[0], took[took.len() - 1]);
-    Ok(TimeOut {
+    times_ms.sort_by(f64::total_cmp);
+    let (shortest, longest) = (times_ms[0], times_ms[times_ms.len() - 1]);
+    Ok(TimeoutLag {
         class: class.to_owned(),
         wait_ms,
         count,
-        apart_ms: last - first,
-        late_ms: last - (wait_ms as f64 - MARGIN_MS),
+        apart_ms: longest - shortest,
+        late_ms: longest - (wait_ms as f64 - MARGIN_MS),
     })
 }
--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -1,4 +1,4 @@
-//! Experiments on the gateway, as a library for their tests.
+//! The `capacity` and `hollow` commands as a library, so that integration tests can call them.
 
 pub mod capacity;
 pub mod hollow;
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -1,4 +1,5 @@
-//! Experiments on the gateway. Everything binds to loopback and stops by itself.
+//! Command line of the experiments on the gateway. All sockets are bound to loopback addresses, and each command
+//! ends without being stopped.
 
 mod classes;
 mod configuration;
@@ -22,10 +23,10 @@
     command: Command,
 }
 
-/// Which protocol idle sessions speak.
+/// Client protocol of the idle sessions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum, serde::Serialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Front {
+pub enum FrontEnd {
     /// PostgreSQL.
     Pg,
     /// MySQL.
@@ -34,36 +35,36 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// What idle sessions cost, how punctual timers are, and what a wake-up of half of them does.
+    /// Measures the cost of idle sessions, the lag of timers, and a simultaneous wake-up of half of the sessions.
     Idle(idle::Options),
-    /// What became of each class over a fleet, from its gateways' logs at debug.
+    /// Summarizes the outcome of each class over a fleet from debug logs of its gateways.
     Classes(classes::Options),
-    /// How long changes of the configuration take to reach a fleet, and what they cost.
+    /// Simulates how fast configuration changes reach a fleet, and measures their cost.
     Configuration(configuration::Options),
-    /// What a fleet does to its engines, from its gateways' logs at debug.
+    /// Summarizes connections and attempts of a fleet to its engines from debug logs of its gateways.
     Engines(engines::Options),
-    /// What the gateway costs by size, and the page that holds it against a target.
+    /// Measures the cost of the gateway by size, and writes the page that compares it with a target.
     Capacity(wrenhatch_lab::capacity::Options),
-    /// What control costs a fleet, without its clients' traffic.
+    /// Measures the cost of the control plane over a fleet without client traffic.
     Hollow(wrenhatch_lab::hollow::Options),
-    /// Opens and holds sessions for `idle`, by commands on its standard input.
+    /// Holds sessions for `idle`; reads commands from standard input.
     #[command(hide = true)]
     Helper {
-        /// Where the gateway listens.
+        /// Address of the gateway.
         address: SocketAddr,
-        /// The address to connect from.
+        /// Local address of the connections.
         source: IpAddr,
-        /// What to speak.
-        front: Front,
-        /// How many sessions to hold.
+        /// Client protocol.
+        front: FrontEnd,
+        /// Number of sessions to hold.
         connections: usize,
     },
 }
 
-/// Where results go, beside the terminal.
+/// Output of figures in addition to the printed table.
 #[derive(clap::Args)]
 pub struct Output {
-    /// Writes the figures here as JSON.
+    /// File to write the figures to, as JSON.
     #[arg(long)]
     json: Option<PathBuf>,
 }
--- a/lab/src/spread.rs
+++ b/lab/src/spread.rs
@@ -1,27 +1,27 @@
-//! Figures of many samples.
+//! Summary statistics of durations.
 
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-/// How samples in microseconds spread.
+/// Count, median, 99th percentile and maximum of samples.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
-pub struct Spread {
-    /// How many there are.
+pub struct Summary {
+    /// Number of samples.
     pub count: u64,
     /// Median, in milliseconds.
     pub p50_ms: f64,
-    /// 99th percentile, in milliseconds.
+    /// In milliseconds.
     pub p99_ms: f64,
-    /// The largest, in milliseconds.
+    /// In milliseconds.
     pub max_ms: f64,
 }
 
-/// A histogram of microseconds up to ten minutes, with three digits.
+/// A histogram of microseconds up to ten minutes with three significant digits.
 pub fn histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, 600_000_000, 3).expect("the bounds are sound")
+    Histogram::new_with_bounds(1, 600_000_000, 3).expect("valid histogram bounds")
 }
 
-impl From<&Histogram<u64>> for Spread {
+impl From<&Histogram<u64>> for Summary {
     fn from(h: &Histogram<u64>) -> Self {
         let ms = |us: u64| us as f64 / 1e3;
         Self {
@@ -33,7 +33,7 @@
     }
 }
 
-impl std::fmt::Display for Spread {
+impl std::fmt::Display for Summary {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let Self { count, p50_ms, p99_ms, max_ms } = self;
         write!(f, "median {p50_ms:.3} ms, p99 {p99_ms:.3} ms, max {max_ms:.3} ms of {count}")
