--- a/lab/src/configuration/cost.rs
+++ b/lab/src/configuration/cost.rs
@@ -1,5 +1,5 @@
-//! What a change costs a gateway and a control machine, without the network: processor time of this process, its
-//! memory, and bytes.
+//! Measures the cost of configuration changes at a gateway and at a control machine, without a network: processor time
+//! and memory of this process, and bytes of messages.
 
 use std::hint::black_box;
 
@@ -10,82 +10,82 @@
     Snapshot, Subscriber, SubscriberAction, Version,
 };
 
-use super::settings::{Author, Size};
+use super::settings::{Operator, Size};
 use super::{CHANGES_PER_DAY, MACHINES, SECOND_US};
 use crate::fleet::{cpu_usage, resident_bytes};
 
-/// Changes that are measured: the kernel counts processor time by ticks of some milliseconds.
+/// Number of changes per measurement.
 const CHANGES: usize = 2_000;
 
-/// Heartbeats to each gateway that are measured.
+/// Number of heartbeats to each gateway when the publisher is measured.
 const HEARTBEAT_ROUNDS: u64 = 2_000;
 
-/// Heartbeats that are measured.
+/// Number of heartbeats when the subscriber is measured.
 const HEARTBEATS: usize = 1_000_000;
 
-/// Subscribers whose memory is measured together.
-const COPIES: usize = 64;
+/// Number of subscribers whose memory is measured together.
+const SUBSCRIBERS: usize = 64;
 
 const DAY_S: f64 = 24.0 * 3_600.0;
 
-/// What the parts cost.
+/// Cost of changes at a subscriber (in a gateway) and at a publisher (in a control machine).
 #[derive(Debug, Serialize)]
 pub struct Cost {
-    /// Gateways of the fleet.
+    /// Number of gateways in the fleet.
     pub gateways: usize,
-    /// Bytes of the settings.
+    /// Size of a snapshot message of the settings.
     pub snapshot_bytes: usize,
-    /// Mean bytes of a difference of one change.
+    /// Mean size of a delta message with one change.
     pub delta_bytes: f64,
-    /// A gateway's processor time to read, apply and check a difference.
+    /// A gateway's processor time to parse and apply a delta.
     pub subscriber_delta_us: f64,
-    /// The same for a snapshot.
+    /// A gateway's processor time to parse and apply a snapshot.
     pub subscriber_snapshot_us: f64,
-    /// The same for a heartbeat.
+    /// A gateway's processor time for a heartbeat.
     pub subscriber_heartbeat_us: f64,
-    /// A gateway's share of a core on an ordinary day, heartbeats included.
+    /// A gateway's processor usage on an ordinary day, including heartbeats.
     pub subscriber_core_percent: f64,
-    /// The same, were the whole sent for each change.
+    /// A gateway's processor usage on an ordinary day if each change were sent as a snapshot.
     pub subscriber_whole_core_percent: f64,
-    /// Gateways of a machine, evenly spread.
+    /// Number of gateways of a control machine, if they are distributed evenly.
     pub machine_gateways: usize,
-    /// A machine's processor time for one change to all its gateways, reports included.
+    /// A control machine's processor time to send one change to all its gateways and to process their reports.
     pub publisher_change_us: f64,
-    /// A machine's share of a core on an ordinary day, heartbeats included.
+    /// A control machine's processor usage on an ordinary day, including heartbeats.
     pub publisher_core_percent: f64,
 }
 
-/// What the parts hold, resident.
+/// Resident memory of a subscriber and of a publisher.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Memory {
-    /// A subscriber with one version in force and another on offer.
+    /// Bytes of a subscriber with one version in force and another that is not applied yet.
     pub subscriber_bytes: u64,
-    /// A publisher with a full history.
+    /// Bytes of a publisher with a full history.
     pub publisher_bytes: u64,
 }
 
-/// Measures memory.
+/// Measures the memory of subscribers and of a publisher, by the growth of this process.
 pub fn measure_memory(size: Size) -> anyhow::Result<Memory> {
-    let mut author = Author::new(size, 1);
-    let versions: Vec<_> = (0..HISTORY_VERSIONS).map(|_| author.next()).collect();
+    let mut operator = Operator::new(size, 1);
+    let versions: Vec<_> = (0..HISTORY_VERSIONS).map(|_| operator.next_version()).collect();
     let texts: Vec<String> = versions.iter().map(|(_, document)| document.canonical()).collect();
     let (snapshot, delta) = (snapshot(&versions[0]), delta(&versions[0], &versions[1]));
-    let before = resident_bytes(std::process::id())?;
-    let subscribers = subscribers(&snapshot, &delta)?;
-    let between = resident_bytes(std::process::id())?;
-    let publisher = publisher_with(&texts)?;
-    let after = resident_bytes(std::process::id())?;
+    let bytes_before = resident_bytes(std::process::id())?;
+    let subscribers = start_subscribers(&snapshot, &delta)?;
+    let bytes_between = resident_bytes(std::process::id())?;
+    let publisher = start_publisher(&texts)?;
+    let bytes_after = resident_bytes(std::process::id())?;
     black_box((&subscribers, &publisher));
     Ok(Memory {
-        subscriber_bytes: between.saturating_sub(before) / COPIES as u64,
-        publisher_bytes: after.saturating_sub(between),
+        subscriber_bytes: bytes_between.saturating_sub(bytes_before) / SUBSCRIBERS as u64,
+        publisher_bytes: bytes_after.saturating_sub(bytes_between),
     })
 }
 
-/// Measures processor time and bytes.
+/// Measures processor time and sizes of messages.
 pub fn measure(size: Size, gateways: usize) -> anyhow::Result<Cost> {
-    let mut author = Author::new(size, 1);
-    let versions: Vec<_> = (0..=CHANGES).map(|_| author.next()).collect();
+    let mut operator = Operator::new(size, 1);
+    let versions: Vec<_> = (0..=CHANGES).map(|_| operator.next_version()).collect();
     let deltas: Vec<String> = versions.windows(2).map(|pair| delta(&pair[0], &pair[1])).collect();
     let snapshots: Vec<String> = versions.iter().map(snapshot).collect();
     let subscriber_delta_us = subscriber_us(&versions[0], &deltas)?;
@@ -98,7 +98,7 @@
         per_s_us / SECOND_US as f64 * 100.0
     };
     let machine_gateways = gateways.div_ceil(MACHINES);
-    let publisher = publisher(&versions, machine_gateways)?;
+    let publisher = publisher_cost(&versions, machine_gateways)?;
     Ok(Cost {
         gateways,
         snapshot_bytes: snapshots[0].len(),
@@ -122,14 +122,16 @@
     Message::Snapshot(Snapshot::of(version.0, &version.1)).encode()
 }
 
-/// Processor time of this thread so far. Microseconds.
+/// Processor time of the main thread so far, in microseconds.
 fn cpu_us() -> anyhow::Result<f64> {
     Ok(cpu_usage(std::process::id())?.cpu_s * SECOND_US as f64)
 }
 
-fn take(subscriber: &mut Subscriber, text: &str) -> anyhow::Result<()> {
-    let step = subscriber.on_message(0, text);
-    let SubscriberAction::Apply { version, .. } = step else { anyhow::bail!("nothing to take: {step:?}") };
+fn apply(subscriber: &mut Subscriber, text: &str) -> anyhow::Result<()> {
+    let action = subscriber.on_message(0, text);
+    let SubscriberAction::Apply { version, .. } = action else {
+        anyhow::bail!("no version to apply: {action:?}")
+    };
     black_box(subscriber.on_applied(version));
     Ok(())
 }
@@ -139,7 +141,7 @@
     subscriber.on_connected(0);
     let began_us = cpu_us()?;
     for text in texts {
-        take(&mut subscriber, text)?;
+        apply(&mut subscriber, text)?;
     }
     Ok((cpu_us()? - began_us) / texts.len() as f64)
 }
@@ -155,12 +157,12 @@
     Ok((cpu_us()? - began_us) / HEARTBEATS as f64)
 }
 
-/// Each has read its own, so that they share nothing.
-fn subscribers(snapshot: &str, delta: &str) -> anyhow::Result<Vec<Subscriber>> {
+/// Each subscriber parses the messages itself, so that their documents share no memory.
+fn start_subscribers(snapshot: &str, delta: &str) -> anyhow::Result<Vec<Subscriber>> {
     let mut subscribers = Vec::new();
-    for seed in 0..COPIES {
+    for seed in 0..SUBSCRIBERS {
         let mut subscriber = Subscriber::new(MACHINES, seed as u64, Version::NONE, Document::default());
-        take(&mut subscriber, snapshot)?;
+        apply(&mut subscriber, snapshot)?;
         black_box(subscriber.on_message(0, delta));
         subscribers.push(subscriber);
     }
@@ -172,37 +174,37 @@
     core_percent: f64,
 }
 
-/// A machine that publishes, sends to its gateways within its pacing, and receives their reports.
-fn publisher(versions: &[(Version, Document)], gateways: usize) -> anyhow::Result<PublisherCost> {
+/// Measures a publisher that sends changes to its gateways, limited by its pacing, and receives their reports.
+fn publisher_cost(versions: &[(Version, Document)], gateways: usize) -> anyhow::Result<PublisherCost> {
     let mut publisher = Publisher::new(Pacing::default());
     let (first, document) = &versions[0];
     publisher.publish(*first, document.clone())?;
     for number in 0..gateways {
-        // Spread, so that heartbeats don't fall together.
-        let joins_us = HEARTBEAT_INTERVAL_US * number as u64 / gateways as u64;
-        publisher.connect(joins_us, GatewayId(format!("gateway-{number:04}")), *first, document.digest());
+        // Staggers the gateways, so that their heartbeats are not due at the same time.
+        let connects_us = HEARTBEAT_INTERVAL_US * number as u64 / gateways as u64;
+        publisher.connect(connects_us, GatewayId(format!("gateway-{number:04}")), *first, document.digest());
     }
     let heartbeats_us = HEARTBEAT_INTERVAL_US * HEARTBEAT_ROUNDS;
     let mut now_us = 0;
-    let before_us = cpu_us()?;
+    let cpu_before_us = cpu_us()?;
     run_until(&mut publisher, &mut now_us, heartbeats_us)?;
-    let idle_us_per_s = (cpu_us()? - before_us) * SECOND_US as f64 / heartbeats_us as f64;
-    let began_us = cpu_us()?;
-    let began_at_us = now_us;
+    let idle_us_per_s = (cpu_us()? - cpu_before_us) * SECOND_US as f64 / heartbeats_us as f64;
+    let cpu_before_changes_us = cpu_us()?;
+    let began_us = now_us;
     for (version, document) in &versions[1..] {
         publisher.publish(*version, document.clone())?;
         let until_us = now_us + SECOND_US;
         run_until(&mut publisher, &mut now_us, until_us)?;
     }
-    let seconds = (now_us - began_at_us) as f64 / SECOND_US as f64;
-    let change_us = (cpu_us()? - began_us - idle_us_per_s * seconds) / CHANGES as f64;
+    let seconds = (now_us - began_us) as f64 / SECOND_US as f64;
+    let change_us = (cpu_us()? - cpu_before_changes_us - idle_us_per_s * seconds) / CHANGES as f64;
     let per_s_us = change_us * CHANGES_PER_DAY as f64 / DAY_S + idle_us_per_s;
     Ok(PublisherCost { change_us, core_percent: per_s_us / SECOND_US as f64 * 100.0 })
 }
 
 fn run_until(publisher: &mut Publisher, now_us: &mut u64, until_us: u64) -> anyhow::Result<()> {
     loop {
-        let next_us = publisher.next_due_us().context("no gateway is connected")?.max(*now_us);
+        let next_us = publisher.next_due_us().context("the publisher has no connected gateway")?.max(*now_us);
         if next_us > until_us {
             *now_us = until_us;
             return Ok(());
@@ -214,8 +216,8 @@
     }
 }
 
-/// Each version is read from its text, so that it shares nothing with others.
-fn publisher_with(texts: &[String]) -> anyhow::Result<Publisher> {
+/// Each version is parsed from its text, so that the documents share no memory.
+fn start_publisher(texts: &[String]) -> anyhow::Result<Publisher> {
     let mut publisher = Publisher::new(Pacing::default());
     for (text, version) in texts.iter().zip(1..) {
         publisher.publish(Version(version), text.parse()?)?;
--- a/lab/src/configuration/fleet/control_machines.rs
+++ b/lab/src/configuration/fleet/control_machines.rs
@@ -1,4 +1,5 @@
-//! The control machines' side: each publishes versions on its streams, takes reports, and merges what others have.
+//! Event handlers of control machines: each machine publishes versions on its streams, receives reports, and merges
+//! newer versions of other machines.
 
 use std::collections::HashMap;
 
@@ -9,18 +10,19 @@
 use super::event::{Event, StreamId};
 use super::transmission::REQUEST_BYTES;
 
-/// The shortest time between two turns of a control machine's event loop.
+/// Minimum time between two turns of a control machine's event loop.
 const MIN_TURN_INTERVAL_US: u64 = 1_000;
 
-/// Time between two comparisons of the newest versions of all control machines.
+/// Interval at which control machines compare their newest versions.
 pub(super) const MERGE_INTERVAL_US: u64 = SECOND_US;
 
-/// A control machine; without a publisher its process is down.
+/// A control machine. `publisher` is `None` while its process is down.
 pub(super) struct ControlMachine {
     pub(super) publisher: Option<Publisher>,
     pub(super) streams: HashMap<GatewayId, (ConnectionId, usize, StreamId)>,
-    pub(super) is_cut: bool,
-    pub(super) turn_at_us: u64,
+    pub(super) is_isolated: bool,
+    /// Time of the scheduled turn of the event loop; `u64::MAX` if none is scheduled.
+    pub(super) next_turn_us: u64,
 }
 
 impl Fleet {
@@ -32,24 +34,24 @@
         self.schedule_turn(machine);
     }
 
-    /// Schedules the next turn of a machine's event loop, if something is due.
+    /// Schedules a turn of a machine's event loop for the time at which the publisher has messages due.
     pub(super) fn schedule_turn(&mut self, machine: usize) {
         let earliest_us = self.now_us + MIN_TURN_INTERVAL_US;
         let control_machine = &mut self.machines[machine];
         let due_us = control_machine.publisher.as_ref().and_then(Publisher::next_due_us);
         let Some(at_us) = due_us.map(|due_us| due_us.max(earliest_us)) else { return };
-        if at_us < control_machine.turn_at_us {
-            control_machine.turn_at_us = at_us;
+        if at_us < control_machine.next_turn_us {
+            control_machine.next_turn_us = at_us;
             self.schedule_at(at_us, Event::ControlMachineTurn { machine });
         }
     }
 
     pub(super) fn on_control_machine_turn(&mut self, machine: usize) {
         let now_us = self.now_us;
-        if self.machines[machine].turn_at_us > now_us {
+        if self.machines[machine].next_turn_us > now_us {
             return;
         }
-        self.machines[machine].turn_at_us = u64::MAX;
+        self.machines[machine].next_turn_us = u64::MAX;
         let Some(publisher) = &mut self.machines[machine].publisher else { return };
         for (id, outgoing) in publisher.due(now_us) {
             if let Some((_, gateway, stream)) = self.machines[machine].streams.get(&id).copied() {
@@ -59,23 +61,23 @@
         self.schedule_turn(machine);
     }
 
-    /// Each machine that is behind another gets the newest version from it.
+    /// Sends the newest version of all machines to each machine that has an older one.
     pub(super) fn on_version_exchange(&mut self) {
         let newest = |machine: &ControlMachine| {
-            let publisher = machine.publisher.as_ref().filter(|_| !machine.is_cut)?;
+            let publisher = machine.publisher.as_ref().filter(|_| !machine.is_isolated)?;
             publisher.newest().map(|(version, document)| (version, document.clone()))
         };
-        let best = self.machines.iter().filter_map(newest).max_by_key(|(version, _)| *version);
-        if let Some((version, document)) = best {
+        let latest = self.machines.iter().filter_map(newest).max_by_key(|(version, _)| *version);
+        if let Some((version, document)) = latest {
             for machine in 0..MACHINES {
-                let has = newest(&self.machines[machine]).map(|(version, _)| version);
-                if !self.machines[machine].is_cut && has < Some(version) {
-                    // A request and its answer.
-                    let trips_us = 2 * self.network.one_way_us(0, machine);
+                let current = newest(&self.machines[machine]).map(|(version, _)| version);
+                if !self.machines[machine].is_isolated && current < Some(version) {
+                    // A request and its response.
+                    let round_trip_us = 2 * self.network.one_way_us(0, machine);
                     let bytes = document.canonical().len() as u64 + REQUEST_BYTES;
                     self.machine_traffic[machine].add(self.now_us, bytes);
                     self.schedule_after(
-                        trips_us,
+                        round_trip_us,
                         Event::VersionReceived { machine, version, document: document.clone() },
                     );
                 }
@@ -92,12 +94,12 @@
     }
 
     pub(super) fn on_version_published(&mut self, machine: usize, version: Version, document: Document) {
-        if self.machines[machine].is_cut {
+        if self.machines[machine].is_isolated {
             return;
         }
         self.machine_traffic[machine].add(self.now_us, document.canonical().len() as u64 + REQUEST_BYTES);
         let Some(publisher) = &mut self.machines[machine].publisher else { return };
-        // A version older than the newest that the machine knows is refused.
+        // The publisher refuses a version that is older than its newest.
         if publisher.publish(version, document).is_ok() {
             self.schedule_turn(machine);
         }
--- a/lab/src/configuration/fleet/event.rs
+++ b/lab/src/configuration/fleet/event.rs
@@ -1,39 +1,39 @@
-//! What happens in a simulated fleet at a time.
+//! Events of the simulation.
 
 use std::sync::Arc;
 
 use wrenhatch_configuration::{Document, Report, Version};
 
-/// The number of a stream, never used twice.
+/// Number of a stream. Numbers are not reused.
 pub(super) type StreamId = u64;
 
-/// Something that happens at a time.
+/// An event that [`Fleet`](super::Fleet) handles at its scheduled time.
 #[derive(Debug)]
 pub(super) enum Event {
-    /// A stream's request has come to a machine.
+    /// The request that opens a stream arrives at a control machine.
     StreamOpened { gateway: usize, machine: usize, stream: StreamId },
-    /// An attempt has failed, by a refusal or in time.
+    /// An attempt to connect fails because it was refused or timed out.
     ConnectFailed { gateway: usize, stream: StreamId },
-    /// A message has come to a gateway.
+    /// A message arrives at a gateway.
     MessageArrived { gateway: usize, machine: usize, stream: StreamId, text: Arc<str> },
-    /// A gateway is up again.
+    /// A gateway has restarted.
     GatewayStarted { gateway: usize, incarnation: u64 },
-    /// A gateway has checked a version.
-    VersionApplied { gateway: usize, incarnation: u64, version: Version, is_good: bool },
-    /// A report has come to a machine.
+    /// A gateway has finished the check of a version.
+    VersionApplied { gateway: usize, incarnation: u64, version: Version, is_valid: bool },
+    /// A report arrives at a control machine.
     ReportArrived { gateway: usize, machine: usize, report: Report },
-    /// The answer to a report has come to its gateway.
+    /// The acknowledgement of a report arrives at its gateway.
     ReportAcknowledged { gateway: usize, report: Report },
-    /// A gateway learns that its stream was reset.
+    /// The reset of a stream arrives at its gateway.
     StreamReset { gateway: usize, stream: StreamId },
-    /// A control machine sends what is due.
+    /// A control machine sends the messages that are due.
     ControlMachineTurn { machine: usize },
     /// A gateway checks its stream and its report.
     GatewayCheck { gateway: usize },
     /// Control machines compare their newest versions.
     VersionExchange,
-    /// A control machine gets another's version.
+    /// A control machine receives a version from another one.
     VersionReceived { machine: usize, version: Version, document: Document },
-    /// An operator's version has come to a control machine.
+    /// A version from the operator arrives at a control machine.
     VersionPublished { machine: usize, version: Version, document: Document },
 }
--- a/lab/src/configuration/fleet/faults.rs
+++ b/lab/src/configuration/fleet/faults.rs
@@ -1,4 +1,4 @@
-//! Faults: machines and gateways that end, come back or can't be reached.
+//! Fault injection: crashes, restarts and unreachable control machines and gateways.
 
 use wrenhatch_configuration::{Document, Pacing, Publisher, Subscriber, Version};
 
@@ -7,13 +7,13 @@
 use super::event::Event;
 
 impl Fleet {
-    /// A machine's process ends; its streams are reset.
-    pub fn lose_machine(&mut self, machine: usize) {
+    /// Ends the process of a control machine. Its streams are reset.
+    pub fn crash_machine(&mut self, machine: usize) {
         self.machines[machine].publisher = None;
         self.machines[machine].streams.clear();
         for gateway in 0..self.gateways.len() {
-            if let Some((at, stream)) = self.gateways[gateway].stream
-                && at == machine
+            if let Some((other, stream)) = self.gateways[gateway].stream
+                && other == machine
             {
                 let delay_us = self.network.one_way_us(machine, gateway);
                 self.schedule_after(delay_us, Event::StreamReset { gateway, stream });
@@ -21,26 +21,27 @@
         }
     }
 
-    /// A machine's process comes back with the state of so many versions ago.
-    pub fn bring_machine_back(&mut self, machine: usize, versions_ago: usize) {
+    /// Restarts the process of a control machine without its last `versions_lost` versions.
+    pub fn restart_machine(&mut self, machine: usize, versions_lost: usize) {
         let mut publisher = Publisher::new(Pacing::default());
-        if let Some((version, document)) = self.published.iter().rev().nth(versions_ago) {
+        if let Some((version, document)) = self.published.iter().rev().nth(versions_lost) {
             publisher.merge(*version, document.clone());
         }
         self.machines[machine].publisher = Some(publisher);
     }
 
-    /// Nothing passes from or to a machine any more; its peers are not notified.
-    pub fn cut_machine(&mut self, machine: usize) {
-        self.machines[machine].is_cut = true;
+    /// Drops all messages from and to a control machine from now on. Connections are not closed.
+    pub fn isolate_machine(&mut self, machine: usize) {
+        self.machines[machine].is_isolated = true;
     }
 
-    /// Nothing passes from or to a gateway while it is cut off; its peers are not notified.
-    pub fn cut_gateway(&mut self, gateway: usize, is_cut: bool) {
-        self.gateways[gateway].is_cut = is_cut;
+    /// Starts or ends the isolation of a gateway, during which all messages from and to it are dropped. Connections are
+    /// not closed.
+    pub fn set_isolated(&mut self, gateway: usize, is_isolated: bool) {
+        self.gateways[gateway].is_isolated = is_isolated;
     }
 
-    /// A gateway ends, and starts again after a while from its own file.
+    /// Ends the process of a gateway and restarts it after `pause_us` without a version.
     pub fn restart_gateway(&mut self, number: usize, pause_us: u64) {
         self.disconnect(number, true);
         let seed = self.random.next();
@@ -52,11 +53,11 @@
         gateway.is_up = false;
         let incarnation = gateway.incarnation;
         self.schedule_after(pause_us, Event::GatewayStarted { gateway: number, incarnation });
-        for awaited in
-            self.awaited.iter_mut().filter(|awaited| awaited.has_version[number] && awaited.missing > 0)
+        for measured in
+            self.measured.iter_mut().filter(|measured| measured.has_version[number] && measured.missing > 0)
         {
-            awaited.has_version[number] = false;
-            awaited.missing += 1;
+            measured.has_version[number] = false;
+            measured.missing += 1;
         }
     }
 }
--- a/lab/src/configuration/fleet/gateways.rs
+++ b/lab/src/configuration/fleet/gateways.rs
@@ -1,44 +1,43 @@
-//! The gateways' side: each keeps a stream to one control machine, applies versions and reports them.
+//! Event handlers of gateways: each gateway keeps a stream to one control machine, applies versions and reports them.
 
 use wrenhatch_configuration::{GatewayId, Report, Subscriber, SubscriberAction, Version};
 
 use super::super::SECOND_US;
-use super::super::settings::is_good;
+use super::super::settings::is_valid;
 use super::Fleet;
 use super::event::{Event, StreamId};
 use super::transmission::{FRAME_BYTES, ONE_WAY_TRIPS_TO_CONNECT, REQUEST_BYTES};
 
-/// A connection that is not answered within this fails.
 const CONNECT_TIMEOUT_US: u64 = SECOND_US;
 
-/// Time between two checks of a gateway's stream.
+/// Maximum interval at which a gateway checks its stream.
 const CHECK_INTERVAL_US: u64 = SECOND_US / 4;
 
-/// A report that was not answered is sent again after this.
+/// Time after which a report without an acknowledgement is sent again.
 const REPORT_RETRY_US: u64 = SECOND_US;
 
-/// Time that a gateway takes to check a version and to wait for the end of its turn.
+/// Time that a gateway takes to check a version and to reach the end of its event loop's turn.
 const APPLY_TIME_US: u64 = 10_000;
 
-/// A gateway, over all its incarnations.
+/// A gateway through all its restarts.
 pub(super) struct Gateway {
     pub(super) id: GatewayId,
     pub(super) subscriber: Subscriber,
-    /// Counts starts: what belongs to an earlier incarnation is gone.
+    /// Number of restarts. Events of an earlier incarnation are ignored.
     pub(super) incarnation: u64,
-    /// The control machine and the number of its stream.
+    /// Control machine and number of the stream.
     pub(super) stream: Option<(usize, StreamId)>,
     pub(super) is_connecting: bool,
-    /// A report that was not acknowledged, and when it is due to be sent.
+    /// The unacknowledged report and the time at which to send it.
     pub(super) report: Option<(Report, u64)>,
-    pub(super) is_cut: bool,
+    pub(super) is_isolated: bool,
     pub(super) is_up: bool,
-    /// Streams keep order: what is sent arrives after what was sent before.
+    /// Arrival time of the last message on the stream. Later messages on it arrive after this time.
     pub(super) last_arrival_us: u64,
 }
 
 impl Fleet {
-    /// A gateway connects when it is due, closes a silent stream, and retries its report.
+    /// Closes a silent stream, sends the report if it is due, and connects if an attempt is due.
     pub(super) fn on_gateway_check(&mut self, number: usize) {
         let now_us = self.now_us;
         let gateway = &mut self.gateways[number];
@@ -67,8 +66,8 @@
 
     pub(super) fn connect(&mut self, number: usize) {
         let machine = self.gateways[number].subscriber.server();
-        self.streams += 1;
-        let stream = self.streams;
+        self.last_stream += 1;
+        let stream = self.last_stream;
         let gateway = &mut self.gateways[number];
         gateway.is_connecting = true;
         gateway.stream = Some((machine, stream));
@@ -112,7 +111,7 @@
         self.schedule_turn(machine);
     }
 
-    /// Ends the stream of a gateway; with `notify`, a machine that can be reached is notified.
+    /// Closes the stream of a gateway. With `notify`, the control machine is notified if it is reachable.
     pub(super) fn disconnect(&mut self, number: usize, notify: bool) {
         let now_us = self.now_us;
         let gateway = &mut self.gateways[number];
@@ -124,9 +123,9 @@
             return;
         }
         let at_machine = self.machines[machine].streams.get(&id).copied();
-        if let (Some(publisher), Some((connection, _, there))) =
+        if let (Some(publisher), Some((connection, _, open))) =
             (&mut self.machines[machine].publisher, at_machine)
-            && there == stream
+            && open == stream
         {
             publisher.disconnect(&id, connection);
         }
@@ -143,10 +142,10 @@
             SubscriberAction::Nothing => {}
             SubscriberAction::Apply { version, document } => {
                 let incarnation = gateway.incarnation;
-                let is_good = is_good(&document);
+                let is_valid = is_valid(&document);
                 self.schedule_after(
                     APPLY_TIME_US,
-                    Event::VersionApplied { gateway: number, incarnation, version, is_good },
+                    Event::VersionApplied { gateway: number, incarnation, version, is_valid },
                 );
             }
             SubscriberAction::Refused { version, reason } => {
@@ -157,8 +156,8 @@
         }
     }
 
-    /// A version has been checked: it comes into force, or is refused.
-    pub(super) fn on_applied(&mut self, number: usize, incarnation: u64, version: Version, is_good: bool) {
+    /// Puts a checked version into force, or refuses it if it is invalid.
+    pub(super) fn on_applied(&mut self, number: usize, incarnation: u64, version: Version, is_valid: bool) {
         let now_us = self.now_us;
         let gateway = &mut self.gateways[number];
         if gateway.incarnation != incarnation {
@@ -169,7 +168,7 @@
             self.restart_gateway(number, pause_us);
             return;
         }
-        let report = if is_good {
+        let report = if is_valid {
             gateway.subscriber.on_applied(version)
         } else {
             self.refused += 1;
@@ -180,7 +179,7 @@
         self.send_report(number);
     }
 
-    /// Sends the report if there is one, it is due, and there is a stream.
+    /// Sends the report if there is one, it is due, and a stream is open.
     pub(super) fn send_report(&mut self, number: usize) {
         let now_us = self.now_us;
         let gateway = &mut self.gateways[number];
--- a/lab/src/configuration/fleet/measure.rs
+++ b/lab/src/configuration/fleet/measure.rs
@@ -1,4 +1,4 @@
-//! What is measured while a fleet runs: bytes by second, and how long versions take to reach all gateways.
+//! Measurements during a simulation: traffic by second, and the time until gateways have applied a version.
 
 use hdrhistogram::Histogram;
 use wrenhatch_configuration::Version;
@@ -6,12 +6,13 @@
 use super::super::SECOND_US;
 use super::Fleet;
 
-/// Bytes by second.
+/// Traffic of a gateway or control machine.
 #[derive(Default)]
 pub(super) struct Traffic {
     pub(super) total_bytes: u64,
     pub(super) second: u64,
     pub(super) bytes_in_second: u64,
+    /// Largest number of bytes in one second.
     pub(super) peak_bytes: u64,
 }
 
@@ -27,61 +28,63 @@
     }
 }
 
-/// A version whose spread is measured.
-pub(super) struct AwaitedVersion {
+/// A version whose delay is measured.
+pub(super) struct MeasuredVersion {
     pub(super) version: Version,
     pub(super) since_us: u64,
+    /// For each gateway, whether this or a newer version is in force.
     pub(super) has_version: Vec<bool>,
+    /// Number of gateways with an older version.
     pub(super) missing: usize,
 }
 
-/// What one run has measured.
+/// Figures of one run.
 pub struct SimulationResult {
-    /// From publication until a gateway has it in force. Microseconds.
+    /// Time from publication until a version is in force at a gateway.
     pub gateway_delays_us: Histogram<u64>,
-    /// From publication until all gateways have it. Microseconds.
+    /// Time from publication until a version is in force at all gateways.
     pub fleet_delays_us: Histogram<u64>,
-    /// Versions that not all gateways had at the end.
+    /// Number of measured versions that some gateway had not applied at the end.
     pub missed: u64,
-    /// Versions that gateways refused.
+    /// Number of refusals, over all versions and gateways.
     pub refused: u64,
-    /// Mean bytes a second, of the gateway with the most.
+    /// Mean traffic of the gateway with the most traffic.
     pub gateway_bytes_per_s: f64,
-    /// Bytes in the worst second of the worst gateway.
+    /// Largest traffic of any gateway in one second.
     pub gateway_peak_bytes: u64,
-    /// Mean bytes a second, of the machine with the most.
+    /// Mean traffic of the control machine with the most traffic.
     pub machine_bytes_per_s: f64,
-    /// Bytes in the worst second of the worst machine.
+    /// Largest traffic of any control machine in one second.
     pub machine_peak_bytes: u64,
 }
 
 impl Fleet {
-    /// Measures from now on how long each gateway takes to have this version or a newer one in force.
-    pub fn await_version(&mut self, version: Version) {
+    /// Starts to measure the time until this version or a newer one is in force at each gateway.
+    pub fn measure_version(&mut self, version: Version) {
         let has_version: Vec<bool> =
             self.gateways.iter().map(|gateway| gateway.subscriber.in_force() >= version).collect();
         let missing = has_version.iter().filter(|has| !**has).count();
-        self.awaited.push(AwaitedVersion { version, since_us: self.now_us, has_version, missing });
+        self.measured.push(MeasuredVersion { version, since_us: self.now_us, has_version, missing });
     }
 
-    /// Records a version that a gateway now has in force.
+    /// Records the version that is now in force at a gateway.
     pub(super) fn record_version(&mut self, number: usize) {
         let in_force = self.gateways[number].subscriber.in_force();
-        for awaited in &mut self.awaited {
-            if awaited.missing == 0 || awaited.has_version[number] || awaited.version > in_force {
+        for measured in &mut self.measured {
+            if measured.missing == 0 || measured.has_version[number] || measured.version > in_force {
                 continue;
             }
-            awaited.has_version[number] = true;
-            awaited.missing -= 1;
-            let delay_us = self.now_us - awaited.since_us;
+            measured.has_version[number] = true;
+            measured.missing -= 1;
+            let delay_us = self.now_us - measured.since_us;
             self.gateway_delays_us.saturating_record(delay_us);
-            if awaited.missing == 0 {
+            if measured.missing == 0 {
                 self.fleet_delays_us.saturating_record(delay_us);
             }
         }
     }
 
-    /// Ends the run; means of bytes are over its whole time.
+    /// Ends the run. Mean traffic is over the whole simulated time.
     pub fn finish(self) -> SimulationResult {
         let seconds = self.now_us as f64 / SECOND_US as f64;
         let mean = |traffic: &[Traffic]| {
@@ -92,7 +95,7 @@
         SimulationResult {
             gateway_delays_us: self.gateway_delays_us,
             fleet_delays_us: self.fleet_delays_us,
-            missed: self.awaited.iter().filter(|awaited| awaited.missing > 0).count() as u64,
+            missed: self.measured.iter().filter(|measured| measured.missing > 0).count() as u64,
             refused: self.refused,
             gateway_bytes_per_s: mean(&self.gateway_traffic),
             gateway_peak_bytes: peak(&self.gateway_traffic),
--- a/lab/src/configuration/fleet/mod.rs
+++ b/lab/src/configuration/fleet/mod.rs
@@ -1,9 +1,9 @@
-//! A fleet of gateways and control machines in simulated time. [`Fleet`] owns the clock, the queue of events and all
-//! state, and hands each event to the module of the side at which it happens: `gateways`, `control_machines`.
-//! `transmission` delays what is sent, `faults` is called by scenarios, `measure` keeps what is measured.
+//! Discrete-event simulation of a fleet of gateways and control machines. [`Fleet`] owns the clock, the event queue and
+//! all state, and dispatches each event to its handler in `gateways` or `control_machines`. `transmission` computes
+//! delays of messages, `faults` has the faults that scenarios inject, and `measure` records traffic and delays.
 //!
-//! Events of the same microsecond happen in the order in which they were scheduled; random numbers are drawn in the
-//! order of events. So a run is the same each time for the same seed.
+//! Events with the same time are handled in the order in which they were scheduled, and random numbers are drawn in the
+//! order of events, so a run depends on its seed only.
 
 mod control_machines;
 mod event;
@@ -26,53 +26,56 @@
 use event::{Event, StreamId};
 use gateways::Gateway;
 pub use measure::SimulationResult;
-use measure::{AwaitedVersion, Traffic};
+use measure::{MeasuredVersion, Traffic};
 
 /// A simulated fleet.
 pub struct Fleet {
     now_us: u64,
-    events: BinaryHeap<Reverse<(u64, u64)>>,
-    contents: HashMap<u64, Event>,
-    scheduled: u64,
-    streams: StreamId,
+    /// Time and sequence number of each scheduled event.
+    queue: BinaryHeap<Reverse<(u64, u64)>>,
+    /// Scheduled events by sequence number.
+    events: HashMap<u64, Event>,
+    last_sequence: u64,
+    last_stream: StreamId,
     gateways: Vec<Gateway>,
     machines: Vec<ControlMachine>,
-    /// The network between all; gateways and machines are spread evenly over its zones.
+    /// The network between gateways and control machines, which are distributed evenly over its zones.
     pub network: Network,
-    /// For faults.
+    /// Source of the random numbers that do not concern the network.
     pub random: Random,
     published: BTreeMap<Version, Document>,
-    awaited: Vec<AwaitedVersion>,
+    measured: Vec<MeasuredVersion>,
     gateway_traffic: Vec<Traffic>,
     machine_traffic: Vec<Traffic>,
     gateway_delays_us: Histogram<u64>,
     fleet_delays_us: Histogram<u64>,
     refused: u64,
-    /// A gateway starts again with this chance, of a thousand, when it has checked a version and before it is in force.
+    /// Probability that a gateway restarts after it has checked a version and before the version is in force, per
+    /// thousand.
     pub restarts_while_applying_per_mille: u64,
 }
 
 impl Fleet {
-    /// A fleet whose gateways start at any time in the first second, without a version.
+    /// Creates a fleet whose gateways start without a version, at random times within the first second.
     pub fn new(gateways: usize, seed: u64) -> Self {
         let machine = |_| ControlMachine {
             publisher: Some(Publisher::new(Pacing::default())),
             streams: HashMap::new(),
-            is_cut: false,
-            turn_at_us: u64::MAX,
+            is_isolated: false,
+            next_turn_us: u64::MAX,
         };
         let mut fleet = Self {
             now_us: 0,
-            events: BinaryHeap::new(),
-            contents: HashMap::new(),
-            scheduled: 0,
-            streams: 0,
+            queue: BinaryHeap::new(),
+            events: HashMap::new(),
+            last_sequence: 0,
+            last_stream: 0,
             gateways: Vec::new(),
             machines: (0..MACHINES).map(machine).collect(),
             network: Network::new(seed),
             random: Random::new(seed ^ 0xfa17),
             published: BTreeMap::new(),
-            awaited: Vec::new(),
+            measured: Vec::new(),
             gateway_traffic: (0..gateways).map(|_| Traffic::default()).collect(),
             machine_traffic: (0..MACHINES).map(|_| Traffic::default()).collect(),
             gateway_delays_us: histogram(),
@@ -96,7 +99,7 @@
             stream: None,
             is_connecting: false,
             report: None,
-            is_cut: false,
+            is_isolated: false,
             is_up: true,
             last_arrival_us: 0,
         });
@@ -107,20 +110,20 @@
     /// Handles all events of the next `duration_us` microseconds.
     pub fn run_for(&mut self, duration_us: u64) {
         let until_us = self.now_us + duration_us;
-        while let Some(Reverse((at_us, number))) = self.events.peek().copied() {
+        while let Some(Reverse((at_us, sequence))) = self.queue.peek().copied() {
             if at_us > until_us {
                 break;
             }
-            self.events.pop();
+            self.queue.pop();
             self.now_us = at_us;
-            if let Some(event) = self.contents.remove(&number) {
+            if let Some(event) = self.events.remove(&sequence) {
                 self.dispatch(event);
             }
         }
         self.now_us = until_us;
     }
 
-    /// An operator sends a version to all machines, from the place of the first.
+    /// An operator sends a version to all control machines, from the zone of the first one.
     pub fn publish(&mut self, version: Version, document: &Document) {
         self.published.insert(version, document.clone());
         for machine in 0..MACHINES {
@@ -132,16 +135,16 @@
         }
     }
 
-    /// How many gateways a machine has.
-    pub fn streams_of(&self, machine: usize) -> usize {
-        let is_there = |gateway: &&Gateway| gateway.stream.is_some_and(|(at, _)| at == machine);
-        self.gateways.iter().filter(is_there).count()
+    /// Number of gateways whose stream goes to a control machine.
+    pub fn stream_count(&self, machine: usize) -> usize {
+        let is_here = |gateway: &&Gateway| gateway.stream.is_some_and(|(other, _)| other == machine);
+        self.gateways.iter().filter(is_here).count()
     }
 
     fn schedule_at(&mut self, at_us: u64, event: Event) {
-        self.scheduled += 1;
-        self.events.push(Reverse((at_us, self.scheduled)));
-        self.contents.insert(self.scheduled, event);
+        self.last_sequence += 1;
+        self.queue.push(Reverse((at_us, self.last_sequence)));
+        self.events.insert(self.last_sequence, event);
     }
 
     fn schedule_after(&mut self, delay_us: u64, event: Event) {
@@ -160,8 +163,8 @@
                 }
             }
             Event::GatewayStarted { gateway, incarnation } => self.on_gateway_started(gateway, incarnation),
-            Event::VersionApplied { gateway, incarnation, version, is_good } => {
-                self.on_applied(gateway, incarnation, version, is_good);
+            Event::VersionApplied { gateway, incarnation, version, is_valid } => {
+                self.on_applied(gateway, incarnation, version, is_valid);
             }
             Event::ReportArrived { gateway, machine, report } => {
                 if self.is_reachable(gateway, machine) {
--- a/lab/src/configuration/fleet/transmission.rs
+++ b/lab/src/configuration/fleet/transmission.rs
@@ -1,21 +1,25 @@
-//! The way between gateways and control machines: what can pass, how long it takes, and what is counted.
+//! Transmission between gateways and control machines: reachability, delays, and counting of bytes.
 
 use std::sync::Arc;
 
 use super::Fleet;
 use super::event::{Event, StreamId};
 
-/// One-way trips until a request has arrived on a new connection: SYN, its answer, and the request.
+/// Number of one-way trips until a request arrives on a new connection: SYN, SYN-ACK, and the request.
 pub(super) const ONE_WAY_TRIPS_TO_CONNECT: usize = 3;
 
-/// Bytes of the headers of a request and its answer, and of the frame of an event; assumed.
+/// Size of the headers of a request and its response.
 pub(super) const REQUEST_BYTES: u64 = 300;
+
+/// Size of the framing of a message on a stream.
 pub(super) const FRAME_BYTES: u64 = 20;
 
 impl Fleet {
-    /// Whether messages pass between a gateway and a machine.
+    /// Whether messages between a gateway and a control machine are delivered.
     pub(super) fn is_reachable(&self, gateway: usize, machine: usize) -> bool {
-        !self.gateways[gateway].is_cut && !self.machines[machine].is_cut && self.gateways[gateway].is_up
+        !self.gateways[gateway].is_isolated
+            && !self.machines[machine].is_isolated
+            && self.gateways[gateway].is_up
     }
 
     pub(super) fn add_traffic(&mut self, gateway: usize, machine: usize, bytes: u64) {
@@ -23,12 +27,12 @@
         self.machine_traffic[machine].add(self.now_us, bytes);
     }
 
-    /// The time that so many one-way trips take in a row.
+    /// Time of `trips` consecutive one-way trips, in microseconds.
     pub(super) fn trips_us(&mut self, gateway: usize, machine: usize, trips: usize) -> u64 {
         (0..trips).map(|_| self.network.one_way_us(gateway, machine)).sum()
     }
 
-    /// Sends a message on a stream, behind what was sent on it before.
+    /// Sends a message on a stream. It arrives after the messages sent on the stream before.
     pub(super) fn send(&mut self, machine: usize, gateway: usize, stream: StreamId, text: &Arc<str>) {
         if !self.is_reachable(gateway, machine) {
             return;
--- a/lab/src/configuration/mod.rs
+++ b/lab/src/configuration/mod.rs
@@ -1,5 +1,5 @@
-//! Changes of the configuration over a fleet in simulated time: how long until all gateways have them, on an
-//! ordinary day and with faults at the worst moment, and what they cost.
+//! The `configuration` command: simulates how configuration changes spread over a fleet, on an ordinary day and with
+//! faults during the distribution of a version, and measures their cost in processor time, memory and bytes.
 
 mod cost;
 mod fleet;
@@ -17,63 +17,63 @@
 use report::Figures;
 use scenario::Scenario;
 
-/// Control machines.
+/// Number of control machines.
 const MACHINES: usize = 7;
 
 /// Changes on an ordinary day.
 const CHANGES_PER_DAY: u64 = 3_100;
 
-/// Within this a change has to be in force everywhere. Milliseconds.
+/// Upper limit of the time until a change is in force at all gateways, in milliseconds.
 const LIMIT_MS: f64 = 11_000.0;
 
-/// What a gateway may spend on control: percent of a core.
+/// Upper limit of a gateway's processor time for control, in percent of a core.
 const LIMIT_CORE_PERCENT: f64 = 2.3;
 
-/// What a gateway may spend on control: bytes of memory.
+/// Upper limit of a gateway's memory for control.
 const LIMIT_MEMORY_BYTES: u64 = 64 << 20;
 
-/// What a gateway may spend on control: bytes a second.
+/// Upper limit of a gateway's control traffic.
 const LIMIT_BYTES_PER_S: f64 = 18_000.0;
 
 const SECOND_US: u64 = 1_000_000;
 
-/// Which fleets to simulate, and with what settings.
+/// Sizes of the fleets and of their settings, and number of runs.
 #[derive(clap::Args)]
 pub struct Options {
-    /// Gateways, one run for each number.
+    /// Numbers of gateways; each is simulated separately.
     #[arg(long, value_delimiter = ',', default_values_t = [1, 16, 80, 550])]
     gateways: Vec<usize>,
-    /// Classes of the settings.
+    /// Number of classes in the settings.
     #[arg(long, default_value_t = 10)]
     classes: usize,
-    /// Tenants of the settings.
+    /// Number of tenants in the settings.
     #[arg(long, default_value_t = 100)]
     tenants: usize,
-    /// How often each fault is simulated, with a seed for each.
+    /// Number of runs of each fault scenario, each with its own seed.
     #[arg(long, default_value_t = 20)]
     repeats: u64,
-    /// Changes that are simulated of an ordinary day.
+    /// Number of changes in the scenario of an ordinary day.
     #[arg(long, default_value_t = 60)]
     changes: u64,
-    /// The seed of the first run.
+    /// Seed of the first run; each further run adds 1.
     #[arg(long, default_value_t = 1)]
     seed: u64,
     #[command(flatten)]
     output: Output,
 }
 
-/// Simulates all scenarios on all fleets, measures the costs, and prints both.
+/// Simulates all scenarios on all fleets, measures the cost, and prints the figures of both.
 pub fn run(options: &Options) -> anyhow::Result<()> {
     let size = settings::Size { classes: options.classes, tenants: options.tenants };
-    // First, while nothing was freed that could be used again.
+    // Measured first: later allocations could reuse memory that was freed before, and so would not be counted.
     let mut figures = Figures::new(size, cost::measure_memory(size)?);
     for gateways in &options.gateways {
         figures.costs.push(cost::measure(size, *gateways)?);
         for scenario in Scenario::ALL {
-            let times = if scenario == Scenario::Ordinary { 1 } else { options.repeats };
-            let seeds = (options.seed..).take(times as usize);
-            let runs = seeds.map(|seed| scenario.simulate(*gateways, size, seed, options.changes));
-            figures.rows.push(report::Row::new(scenario, *gateways, runs));
+            let runs = if scenario == Scenario::Ordinary { 1 } else { options.repeats };
+            let seeds = (options.seed..).take(runs as usize);
+            let results = seeds.map(|seed| scenario.simulate(*gateways, size, seed, options.changes));
+            figures.rows.push(report::Row::new(scenario, *gateways, results));
         }
     }
     print!("{figures}");
--- a/lab/src/configuration/network.rs
+++ b/lab/src/configuration/network.rs
@@ -1,8 +1,7 @@
 //! The simulated network between gateways and control plane servers: delays, loss, duplication and reordering.
 //!
-//! The figures are assumptions: two regions of three and two zones; one way takes 0.25 ms within a zone, 0.75 ms
-//! within a region and 35 ms between regions, and 20% more on average by queueing; one message of a hundred waits for a
-//! retransmission.
+//! There are two regions, with three and two zones. A one-way trip has a base delay that depends on the zones, a
+//! queueing delay with an exponential distribution, and in some cases the delay of a retransmission.
 
 use super::SECOND_US;
 use super::random::Random;
@@ -12,38 +11,40 @@
 const WITHIN_ZONE_US: u64 = 250;
 const WITHIN_REGION_US: u64 = 750;
 const BETWEEN_REGIONS_US: u64 = 35_000;
+/// Mean queueing delay as a fraction of the base delay.
 const QUEUEING_DELAY_RATIO: f64 = 0.2;
 const RETRANSMITTED_PER_MILLE: u64 = 10;
 const RETRANSMISSION_US: u64 = 200_000;
 
-/// Longest additional delay of a late message, in microseconds.
+/// Upper bound of the additional delay of a late message.
 const MAX_LATE_US: u64 = 2 * SECOND_US;
 
-/// Faults of a network that TCP would hide.
+/// Faults on the level of messages, which a TCP connection would not pass on.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct NetworkFaults {
-    /// Messages of a thousand that are lost.
+    /// Lost messages of each thousand.
     pub lost_per_mille: u64,
-    /// Messages of a thousand that are duplicated.
+    /// Duplicated messages of each thousand.
     pub duplicated_per_mille: u64,
-    /// Messages of a thousand that are late, and so out of order.
+    /// Messages of each thousand that are delayed further and so can arrive out of order.
     pub late_per_mille: u64,
 }
 
-/// The network.
+/// Delays and faults of all connections, drawn from one sequence of random numbers.
 pub struct Network {
     random: Random,
-    /// Faults beyond delays.
+    /// Faults in addition to delays. None by default.
     pub faults: NetworkFaults,
 }
 
 impl Network {
-    /// A network that only delays.
+    /// A network without faults other than delays.
     pub fn new(seed: u64) -> Self {
         Self { random: Random::new(seed), faults: NetworkFaults::default() }
     }
 
-    /// Duration of one way between two places, which are numbered over the zones, in microseconds.
+    /// Time of a one-way trip, in microseconds. `from` and `to` are numbers of gateways or machines, which are assigned
+    /// to the zones in turn.
     pub fn one_way_us(&mut self, from: usize, to: usize) -> u64 {
         let base_us = base_us(from % ZONES, to % ZONES);
         let queueing_us = self.random.exponential(base_us as f64 * QUEUEING_DELAY_RATIO) as u64;
@@ -51,7 +52,7 @@
         base_us + queueing_us + if is_retransmitted { RETRANSMISSION_US } else { 0 }
     }
 
-    /// Additional delay of each copy of a message, in microseconds; none if it is lost.
+    /// Additional delay of each copy of a message, in microseconds. The list is empty if the message is lost.
     pub fn copies(&mut self) -> Vec<u64> {
         let NetworkFaults { lost_per_mille, duplicated_per_mille, late_per_mille } = self.faults;
         if self.random.per_mille(lost_per_mille) {
--- a/lab/src/configuration/report.rs
+++ b/lab/src/configuration/report.rs
@@ -1,4 +1,4 @@
-//! The figures of all runs, as a table and as JSON.
+//! Figures of all runs and cost measurements, as tables and as JSON.
 
 use std::fmt;
 
@@ -11,49 +11,49 @@
 use super::{LIMIT_BYTES_PER_S, LIMIT_CORE_PERCENT, LIMIT_MEMORY_BYTES, LIMIT_MS, MACHINES};
 use crate::spread::{Summary, histogram};
 
-/// All figures.
+/// Content of the JSON file. Its `Display` output is the printed tables.
 #[derive(Debug, Serialize)]
 pub struct Figures {
-    /// The settings that changed.
+    /// Size of the simulated settings.
     size: Size,
-    /// Control machines.
+    /// Number of control machines.
     machines: usize,
     limit_ms: f64,
     limit_core_percent: f64,
     limit_memory_bytes: u64,
     limit_bytes_per_s: f64,
-    /// In simulated time.
+    /// Figures of the simulated scenarios.
     pub rows: Vec<Row>,
-    /// Measured.
     memory: Memory,
-    /// Measured.
+    /// Cost by number of gateways, measured on this machine.
     pub costs: Vec<Cost>,
 }
 
-/// A scenario on a fleet, over all its runs.
+/// Figures of a scenario on one fleet, over all runs.
 #[derive(Debug, Serialize)]
 pub struct Row {
     scenario: Scenario,
-    /// Gateways of the fleet.
+    /// Number of gateways in the fleet.
     pub gateways: usize,
+    /// Number of runs.
     plays: usize,
-    /// From publication until a gateway has the version.
+    /// Time from publication until a version is in force at a gateway, over all gateways.
     each: Summary,
-    /// From publication until all gateways have it.
+    /// Time from publication until a version is in force at all gateways.
     pub all: Summary,
-    /// Versions that not all gateways had a minute later.
+    /// Number of measured versions that some gateway had not applied at the end of the run.
     pub missed: u64,
     refused: u64,
-    /// Of the gateway with the most, mean of a run; of the worst run.
+    /// Mean traffic of the gateway with the most traffic, in the run where it is highest.
     pub gateway_bytes_per_s: f64,
     gateway_peak_bytes: u64,
-    /// Of the machine with the most, as above.
+    /// Mean traffic of the control machine with the most traffic, in the run where it is highest.
     machine_bytes_per_s: f64,
     machine_peak_bytes: u64,
 }
 
 impl Row {
-    /// Sums up the runs.
+    /// Summarizes the results of all runs.
     pub fn new(scenario: Scenario, gateways: usize, runs: impl Iterator<Item = SimulationResult>) -> Self {
         let (mut each, mut all) = (histogram(), histogram());
         let mut row = Self {
@@ -94,7 +94,7 @@
 }
 
 impl Figures {
-    /// No figures yet.
+    /// Figures without rows and costs, which the caller adds.
     pub fn new(size: Size, memory: Memory) -> Self {
         Self {
             size,
--- a/lab/src/configuration/scenario.rs
+++ b/lab/src/configuration/scenario.rs
@@ -1,76 +1,77 @@
-//! What is simulated: ordinary days, and faults at the worst moment, when a version has got to some gateways and not to
-//! others.
+//! Simulation scenarios: an ordinary day, and faults that begin when a version has reached only some of the gateways.
 
 use serde::Serialize;
 
 use super::fleet::{Fleet, SimulationResult};
 use super::network::NetworkFaults;
 use super::random::Random;
-use super::settings::{Author, Size};
+use super::settings::{Operator, Size};
 use super::{CHANGES_PER_DAY, MACHINES, SECOND_US};
 
-/// All gateways are there and have the first version by then.
+/// Time until all gateways are connected and have applied a version.
 const WARM_UP_US: u64 = 20 * SECOND_US;
 
-/// Versions before the one that is measured.
-const VERSIONS_BEFORE: usize = 12;
+/// Number of versions published before the one that is measured.
+const WARM_UP_VERSIONS: usize = 12;
 
-/// A fault comes so long after publication: some gateways have the version, some have not.
-const WORST_MOMENT_US: u64 = 30_000;
+/// Time from publication to a fault: only some of the gateways have received the version.
+const FAULT_DELAY_US: u64 = 30_000;
 
-/// How long a run goes on after its fault.
-const AFTERWARDS_US: u64 = 60 * SECOND_US;
+/// Duration of the run after the fault.
+const RECOVERY_TIME_US: u64 = 60 * SECOND_US;
 
-/// How long gateways are cut off.
+/// Duration of the partition.
 const PARTITION_US: u64 = 60 * SECOND_US;
 
-/// How long a machine is gone.
-const MACHINE_GONE_US: u64 = 5 * SECOND_US;
+/// Time until a crashed control machine restarts.
+const MACHINE_DOWN_US: u64 = 5 * SECOND_US;
 
-/// A machine comes back with what it had so many versions ago.
+/// Number of versions that a control machine has lost when it restarts.
 const VERSIONS_LOST: usize = 10;
 
-/// Changes of a burst, and how far apart.
+/// Number of changes in a burst.
 const BURST: usize = 40;
-const BURST_GAP_US: u64 = 50_000;
 
-/// From a bad version to the next good one.
-const BAD_FOR_US: u64 = 300_000;
+/// Time between two changes of a burst.
+const BURST_INTERVAL_US: u64 = 50_000;
 
-/// Of a thousand messages, so many are lost, so many doubled and so many late.
-const TAMPERED_PER_MILLE: u64 = 50;
+/// Time from an invalid version to the next valid one.
+const INVALID_VERSION_US: u64 = 300_000;
 
-/// One of these restarts while it applies.
+/// Probability of each network fault (loss, duplication, delay) per thousand messages.
+const FAULTS_PER_MILLE: u64 = 50;
+
+/// Probability that a gateway restarts while it applies a version, per thousand.
 const RESTARTS_WHILE_APPLYING_PER_MILLE: u64 = 333;
 
-/// What is simulated.
+/// A load or fault to simulate. The names appear in the report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Scenario {
-    /// Changes at random times, as many as on an ordinary day.
+    /// Changes at random times, at the rate of an ordinary day.
     Ordinary,
-    /// Forty changes within two seconds; the last one counts.
+    /// Many changes in quick succession. The last one is measured.
     Burst,
-    /// A machine's process ends, and comes back after 5 s with a version that is ten older.
+    /// A control machine crashes and restarts with an older version.
     MachineLost,
-    /// A machine can't be reached any more, without notice to its peers.
+    /// A control machine becomes unreachable without closing its connections.
     MachineSilent,
-    /// Three of seven machines can't be reached any more, without notice to their peers.
+    /// Three control machines become unreachable without closing their connections.
     ThreeMachinesSilent,
-    /// Half of all gateways are cut off for a minute; counted from the end of it.
+    /// Half of the gateways are partitioned from all control machines. Measurement starts when the partition ends.
     Partition,
-    /// All gateways restart within a second, from their files.
+    /// All gateways restart within a second, without a version.
     AllRestart,
-    /// A third of all gateways restart while they apply the version, over and over.
+    /// Each time that a gateway applies a version, it may restart instead.
     RestartWhileApplying,
-    /// 5% of all messages and reports are lost, 5% doubled, 5% up to 2 s late; TCP would not do so.
+    /// Messages and reports are lost, duplicated and delayed at random, which a TCP connection would not pass on.
     Tampered,
-    /// A bad version 0.3 s before the good one that counts.
+    /// An invalid version is published shortly before the valid one that is measured.
     BadBetween,
 }
 
 impl Scenario {
-    /// All, in the order of the report.
+    /// All scenarios in the order of the report.
     pub const ALL: [Self; 10] = [
         Self::Ordinary,
         Self::Burst,
@@ -84,7 +85,7 @@
         Self::BadBetween,
     ];
 
-    /// Simulates it once.
+    /// Runs the scenario once. Only `Ordinary` uses `changes`, the number of changes.
     pub fn simulate(self, gateways: usize, size: Size, seed: u64, changes: u64) -> SimulationResult {
         let mut simulation = Simulation::new(gateways, size, seed);
         match self {
@@ -97,31 +98,31 @@
             Self::AllRestart => simulation.all_restart(),
             Self::RestartWhileApplying => {
                 simulation.fleet.restarts_while_applying_per_mille = RESTARTS_WHILE_APPLYING_PER_MILLE;
-                simulation.publish_awaited();
+                simulation.publish_measured();
             }
-            Self::Tampered => simulation.tampered(),
-            Self::BadBetween => simulation.bad_between(),
+            Self::Tampered => simulation.faulty_network(),
+            Self::BadBetween => simulation.invalid_version_before_valid(),
         }
         if self != Self::Ordinary {
-            simulation.fleet.run_for(AFTERWARDS_US);
+            simulation.fleet.run_for(RECOVERY_TIME_US);
         }
         simulation.fleet.finish()
     }
 }
 
-/// A fleet and the operator that publishes versions.
+/// A simulated fleet and the operator that publishes versions to it.
 struct Simulation {
     fleet: Fleet,
-    author: Author,
+    operator: Operator,
     gateways: usize,
 }
 
 impl Simulation {
-    /// All gateways have a version that was not the first.
+    /// Publishes several versions and runs the fleet until all gateways have applied the last one.
     fn new(gateways: usize, size: Size, seed: u64) -> Self {
         let mut simulation =
-            Self { fleet: Fleet::new(gateways, seed), author: Author::new(size, seed), gateways };
-        for _ in 0..VERSIONS_BEFORE {
+            Self { fleet: Fleet::new(gateways, seed), operator: Operator::new(size, seed), gateways };
+        for _ in 0..WARM_UP_VERSIONS {
             simulation.publish();
         }
         simulation.fleet.run_for(WARM_UP_US);
@@ -129,22 +130,22 @@
     }
 
     fn publish(&mut self) {
-        let (version, document) = self.author.next();
+        let (version, document) = self.operator.next_version();
         self.fleet.publish(version, &document);
     }
 
-    /// Publishes a version and measures how it spreads.
-    fn publish_awaited(&mut self) {
-        let (version, document) = self.author.next();
+    /// Publishes a version and measures the time until gateways apply it.
+    fn publish_measured(&mut self) {
+        let (version, document) = self.operator.next_version();
         self.fleet.publish(version, &document);
-        self.fleet.await_version(version);
+        self.fleet.measure_version(version);
     }
 
     fn ordinary(&mut self, seed: u64, changes: u64) {
         let mut random = Random::new(seed);
         let mean_us = (24 * 3_600 * SECOND_US / CHANGES_PER_DAY) as f64;
         for _ in 0..changes {
-            self.publish_awaited();
+            self.publish_measured();
             self.fleet.run_for(random.exponential(mean_us) as u64);
         }
         self.fleet.run_for(mean_us as u64);
@@ -153,69 +154,69 @@
     fn burst(&mut self) {
         for _ in 1..BURST {
             self.publish();
-            self.fleet.run_for(BURST_GAP_US);
+            self.fleet.run_for(BURST_INTERVAL_US);
         }
-        self.publish_awaited();
+        self.publish_measured();
     }
 
-    /// The machine with the most gateways.
-    fn busiest(&self, rank: usize) -> usize {
+    /// The control machine with the most gateways (rank 0), the second most (rank 1), and so on.
+    fn busiest_machine(&self, rank: usize) -> usize {
         let mut machines: Vec<usize> = (0..MACHINES).collect();
-        machines.sort_by_key(|machine| std::cmp::Reverse(self.fleet.streams_of(*machine)));
+        machines.sort_by_key(|machine| std::cmp::Reverse(self.fleet.stream_count(*machine)));
         machines[rank]
     }
 
     fn machine_lost(&mut self) {
-        let machine = self.busiest(0);
-        self.publish_awaited();
-        self.fleet.run_for(WORST_MOMENT_US);
-        self.fleet.lose_machine(machine);
-        self.fleet.run_for(MACHINE_GONE_US);
-        self.fleet.bring_machine_back(machine, VERSIONS_LOST);
+        let machine = self.busiest_machine(0);
+        self.publish_measured();
+        self.fleet.run_for(FAULT_DELAY_US);
+        self.fleet.crash_machine(machine);
+        self.fleet.run_for(MACHINE_DOWN_US);
+        self.fleet.restart_machine(machine, VERSIONS_LOST);
     }
 
     fn machines_silent(&mut self, count: usize) {
-        let machines: Vec<usize> = (0..count).map(|rank| self.busiest(rank)).collect();
-        self.publish_awaited();
-        self.fleet.run_for(WORST_MOMENT_US);
-        machines.into_iter().for_each(|machine| self.fleet.cut_machine(machine));
+        let machines: Vec<usize> = (0..count).map(|rank| self.busiest_machine(rank)).collect();
+        self.publish_measured();
+        self.fleet.run_for(FAULT_DELAY_US);
+        machines.into_iter().for_each(|machine| self.fleet.isolate_machine(machine));
     }
 
     fn partition(&mut self) {
         self.publish();
-        self.fleet.run_for(WORST_MOMENT_US);
+        self.fleet.run_for(FAULT_DELAY_US);
         let half: Vec<usize> = (0..self.gateways).step_by(2).collect();
-        half.iter().for_each(|gateway| self.fleet.cut_gateway(*gateway, true));
+        half.iter().for_each(|gateway| self.fleet.set_isolated(*gateway, true));
         self.fleet.run_for(PARTITION_US / 2);
-        let (version, document) = self.author.next();
+        let (version, document) = self.operator.next_version();
         self.fleet.publish(version, &document);
         self.fleet.run_for(PARTITION_US / 2);
-        half.iter().for_each(|gateway| self.fleet.cut_gateway(*gateway, false));
-        self.fleet.await_version(version);
+        half.iter().for_each(|gateway| self.fleet.set_isolated(*gateway, false));
+        self.fleet.measure_version(version);
     }
 
     fn all_restart(&mut self) {
-        self.publish_awaited();
-        self.fleet.run_for(WORST_MOMENT_US);
+        self.publish_measured();
+        self.fleet.run_for(FAULT_DELAY_US);
         for gateway in 0..self.gateways {
             let pause_us = self.fleet.random.below(SECOND_US);
             self.fleet.restart_gateway(gateway, pause_us);
         }
     }
 
-    fn tampered(&mut self) {
+    fn faulty_network(&mut self) {
         self.fleet.network.faults = NetworkFaults {
-            lost_per_mille: TAMPERED_PER_MILLE,
-            duplicated_per_mille: TAMPERED_PER_MILLE,
-            late_per_mille: TAMPERED_PER_MILLE,
+            lost_per_mille: FAULTS_PER_MILLE,
+            duplicated_per_mille: FAULTS_PER_MILLE,
+            late_per_mille: FAULTS_PER_MILLE,
         };
-        self.publish_awaited();
+        self.publish_measured();
     }
 
-    fn bad_between(&mut self) {
-        let (version, document) = self.author.next_bad();
+    fn invalid_version_before_valid(&mut self) {
+        let (version, document) = self.operator.next_invalid_version();
         self.fleet.publish(version, &document);
-        self.fleet.run_for(BAD_FOR_US);
-        self.publish_awaited();
+        self.fleet.run_for(INVALID_VERSION_US);
+        self.publish_measured();
     }
 }
--- a/lab/src/configuration/settings.rs
+++ b/lab/src/configuration/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a given size, and one change after the other.
+//! Generates settings of a given size and versions that each change one value.
 
 use serde::Serialize;
 use serde_json::{Value, json};
@@ -6,48 +6,49 @@
 
 use super::random::Random;
 
-/// How large settings are.
+/// Size of the settings.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Size {
-    /// Classes of requests.
+    /// Number of classes.
     pub classes: usize,
-    /// Tenants.
+    /// Number of tenants.
     pub tenants: usize,
 }
 
-/// The operator that publishes: settings of a size, of which each version changes one figure.
-pub struct Author {
+/// Simulated operator: edits settings and numbers their versions from 1.
+pub struct Operator {
     value: Value,
     size: Size,
     version: u64,
     random: Random,
 }
 
-impl Author {
-    /// Settings without a change yet.
+impl Operator {
+    /// Starts with unchanged settings of the given size.
     pub fn new(size: Size, seed: u64) -> Self {
         Self { value: settings(size), size, version: 0, random: Random::new(seed) }
     }
 
-    /// The next version: a share or quota of a tenant, a worth or deadline of a class, or a limit.
-    pub fn next(&mut self) -> (Version, Document) {
+    /// Changes a share or quota of a tenant, a worth or deadline of a class, or the limit of connections, and returns
+    /// the new version.
+    pub fn next_version(&mut self) -> (Version, Document) {
         self.version += 1;
-        let figure = json!(self.random.below(100_000) as f64 / 100.0 + self.version as f64);
+        let number = json!(self.random.below(100_000) as f64 / 100.0 + self.version as f64);
         let tenant = self.random.below(self.size.tenants as u64) as usize;
         let class = self.random.below(self.size.classes as u64) as usize;
-        let place = match self.random.below(5) {
+        let value = match self.random.below(5) {
             0 => &mut self.value["projects"][tenant]["share"],
             1 => &mut self.value["projects"][tenant]["quota-per-s"],
             2 => &mut self.value["classes"][class]["worth"],
             3 => &mut self.value["classes"][class]["deadline-s"],
             _ => &mut self.value["allowed"]["max-open"],
         };
-        *place = figure;
+        *value = number;
         (Version(self.version), document(self.value.clone()))
     }
 
-    /// The next version, one that gateways refuse. What follows does not build on it.
-    pub fn next_bad(&mut self) -> (Version, Document) {
+    /// Returns a new version that gateways refuse. Later versions do not contain its change.
+    pub fn next_invalid_version(&mut self) -> (Version, Document) {
         self.version += 1;
         let mut value = self.value.clone();
         value["classes"][0]["aim-s"] = json!(-1.0);
@@ -55,13 +56,13 @@
     }
 }
 
-/// Whether a gateway would take the settings over.
-pub fn is_good(document: &Document) -> bool {
+/// Whether gateways accept the settings.
+pub fn is_valid(document: &Document) -> bool {
     document.value()["classes"][0]["aim-s"].as_f64() >= Some(0.0)
 }
 
 fn document(value: Value) -> Document {
-    Document::new(value).expect("an object without reserved members")
+    Document::new(value).expect("settings are an object without reserved members")
 }
 
 fn settings(size: Size) -> Value {
--- a/lab/src/configuration/tests.rs
+++ b/lab/src/configuration/tests.rs
@@ -1,6 +1,6 @@
 use super::report::Row;
 use super::scenario::Scenario;
-use super::settings::{Author, Size, is_good};
+use super::settings::{Operator, Size, is_valid};
 use super::*;
 
 const SIZE: Size = Size { classes: 3, tenants: 20 };
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn all_gateways_have_a_version_within_the_limit_whatever_happens() {
+fn all_gateways_apply_a_version_within_the_limit_in_each_scenario() {
     for scenario in Scenario::ALL {
         for gateways in [1, 30] {
             let row = row(scenario, gateways, 1..4);
@@ -23,21 +23,21 @@
 }
 
 #[test]
-fn a_run_is_the_same_each_time() {
+fn runs_with_the_same_seeds_give_the_same_figures() {
     let run = || serde_json::to_string(&row(Scenario::Tampered, 20, 5..7)).unwrap();
     assert_eq!(run(), run());
 }
 
 #[test]
-fn bad_versions_are_bad_and_what_follows_is_good() {
-    let mut author = Author::new(SIZE, 1);
-    assert!(is_good(&author.next().1));
-    assert!(!is_good(&author.next_bad().1));
-    assert!(is_good(&author.next().1));
+fn a_valid_version_follows_an_invalid_one() {
+    let mut operator = Operator::new(SIZE, 1);
+    assert!(is_valid(&operator.next_version().1));
+    assert!(!is_valid(&operator.next_invalid_version().1));
+    assert!(is_valid(&operator.next_version().1));
 }
 
 #[test]
-fn a_difference_is_far_shorter_than_the_whole() {
+fn a_delta_is_less_than_a_fifth_of_a_snapshot() {
     let cost = cost::measure(SIZE, 20).unwrap();
     assert!(cost.delta_bytes * 5.0 < cost.snapshot_bytes as f64, "{cost:?}");
 }
