--- a/configuration/src/backoff/tests.rs
+++ b/configuration/src/backoff/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn each_server_is_first_for_its_share_of_gateways() {
+fn each_server_is_first_for_an_equal_share_of_gateways() {
     let mut first = [0; 7];
     for seed in 0..5_500 {
         first[Backoff::new(7, seed).server()] += 1;
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn all_servers_are_tried_in_turn_and_the_gateways_of_one_spread_over_the_others() {
+fn gateways_try_all_servers_and_spread_over_the_others_when_one_fails() {
     let mut second = [0; 7];
     for seed in 0..5_500 {
         let mut backoff = Backoff::new(7, seed);
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn waits_grow_up_to_a_limit_and_start_over_after_a_success() {
+fn delays_grow_up_to_a_limit_and_reset_after_a_success() {
     let mut longest = [0; 9];
     for seed in 0..1_000 {
         let mut backoff = Backoff::new(7, seed);
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn waits_of_a_thousand_gateways_are_spread_evenly() {
+fn first_delays_of_many_gateways_are_spread_evenly() {
     let mut slots = [0; 10];
     for seed in 0..1_000 {
         slots[(Backoff::new(7, seed).on_failure() / 25_000) as usize] += 1;
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn no_server_at_all_does_not_panic() {
+fn an_empty_server_list_does_not_panic() {
     let mut backoff = Backoff::new(0, 1);
     backoff.on_failure();
     assert_eq!(backoff.server(), 0);
--- a/configuration/src/document.rs
+++ b/configuration/src/document.rs
@@ -1,4 +1,4 @@
-//! The document that is versioned: the `settings` object of a gateway's configuration.
+//! The versioned document: the `settings` object of a gateway's configuration, normalised and with its digest.
 
 use std::fmt;
 use std::str::FromStr;
@@ -10,23 +10,23 @@
 use crate::patch::LIST_MEMBER;
 use crate::version::Digest;
 
-/// Why a JSON value is not a document.
+/// A text or JSON value is not a valid document.
 #[derive(Debug, thiserror::Error)]
 pub enum DocumentError {
-    /// The text is not JSON.
+    /// The text is not valid JSON.
     #[error("not JSON: {0}")]
     Json(#[from] serde_json::Error),
-    /// It is JSON, but not an object.
+    /// The JSON value is not an object.
     #[error("a JSON object expected")]
-    NoObject,
-    /// A member has the name that is reserved for patches.
+    NotAnObject,
+    /// An object has a member called [`LIST_MEMBER`], which is reserved for patches.
     #[error("a member is called {LIST_MEMBER}, which is reserved")]
-    Reserved,
+    ReservedMember,
 }
 
-/// The settings of a gateway: a JSON object without null members, which mean the same as absent ones.
+/// The settings of a gateway: a JSON object without null members.
 ///
-/// A copy shares the contents.
+/// Clones share the JSON value.
 #[derive(Clone, PartialEq)]
 pub struct Document {
     value: Arc<Value>,
@@ -34,31 +34,31 @@
 }
 
 impl Document {
-    /// Takes a JSON value. Null members of objects are left out at any depth: a merge patch (RFC 7396) can't carry
-    /// them, and the gateway reads them as absent.
+    /// Normalises a JSON value. Null members of objects are removed at any depth, because a merge patch (RFC 7396)
+    /// cannot express them and the gateway treats them as absent.
     ///
     /// # Errors
-    /// It is no object, or holds the reserved member.
+    /// The value is not an object, or an object in it has a member called [`LIST_MEMBER`].
     pub fn new(mut value: Value) -> Result<Self, DocumentError> {
         if !value.is_object() {
-            return Err(DocumentError::NoObject);
+            return Err(DocumentError::NotAnObject);
         }
         normalise(&mut value)?;
         let digest = digest(&value);
         Ok(Self { value: Arc::new(value), digest })
     }
 
-    /// The 64-bit FNV-1a over the canonical JSON.
+    /// 64-bit FNV-1a hash of the canonical JSON.
     pub fn digest(&self) -> Digest {
         self.digest
     }
 
-    /// The JSON value.
+    /// The settings as JSON, without null members.
     pub fn value(&self) -> &Value {
         &self.value
     }
 
-    /// Canonical JSON: keys sorted, no blanks.
+    /// Canonical JSON: sorted keys, no white space.
     pub fn canonical(&self) -> String {
         self.value.to_string()
     }
@@ -85,10 +85,10 @@
     }
 }
 
-/// Keys are sorted because `serde_json` keeps objects as sorted maps.
+/// Hashes the canonical JSON. `serde_json` stores objects as sorted maps, so that the keys are written in order.
 fn digest(value: &Value) -> Digest {
     let mut hash = Fnv1a::new();
-    // Neither the hash nor a JSON value can fail to be written.
+    // Writing to the hash cannot fail, and every `Value` can be serialised.
     let written = serde_json::to_writer(&mut hash, value);
     debug_assert!(written.is_ok());
     Digest(hash.finish())
@@ -98,7 +98,7 @@
     match value {
         Value::Object(members) => {
             if members.contains_key(LIST_MEMBER) {
-                return Err(DocumentError::Reserved);
+                return Err(DocumentError::ReservedMember);
             }
             members.retain(|_, member| !member.is_null());
             members.values_mut().try_for_each(normalise)
--- a/configuration/src/hash.rs
+++ b/configuration/src/hash.rs
@@ -1,11 +1,11 @@
-//! 64-bit FNV-1a, over a serialisation as it is written and over whole numbers.
+//! Hash functions: streaming 64-bit FNV-1a, and an integer mixer.
 
 use std::io;
 
 const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
 const PRIME: u64 = 0x0000_0100_0000_01b3;
 
-/// A 64-bit FNV-1a state that takes bytes as a writer, so that no text has to be built.
+/// 64-bit FNV-1a. Implements [`io::Write`], so that a serialiser can write to the hash without a buffer.
 pub(crate) struct Fnv1a(u64);
 
 impl Fnv1a {
@@ -35,7 +35,7 @@
     }
 }
 
-/// Spreads a number over all 64 bits (the finaliser of SplitMix64).
+/// Mixes a number over all 64 bits by the finaliser of SplitMix64.
 pub(crate) fn mix(number: u64) -> u64 {
     let mut mixed = number.wrapping_add(0x9e37_79b9_7f4a_7c15);
     mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/configuration/src/lib.rs
+++ b/configuration/src/lib.rs
@@ -1,10 +1,11 @@
-//! Live reconfiguration: versions of the gateways' settings, without sockets and without a clock of its own.
+//! Live reconfiguration of gateways: versioned settings, their distribution, and the state of both ends.
 //!
-//! Versions rise strictly; they are assigned by the publisher. A control plane server holds a [`Publisher`], a gateway
-//! a [`Subscriber`]; [`Message`]s go from the one to the other on a stream, and [`Report`]s go back. Input from the wire
-//! is checked before it counts, and none makes the crate panic.
+//! A control plane server holds a [`Publisher`] and a gateway holds a [`Subscriber`]. The publisher sends
+//! [`Message`]s over a stream, and the subscriber answers with [`Report`]s. The caller that publishes assigns version
+//! numbers, which increase strictly. All input from the wire is validated before use, and no input makes the crate
+//! panic.
 //!
-//! All times are whole microseconds of the caller's monotonic clock, passed in.
+//! The crate does no I/O and reads no clock. All times are microseconds of the caller's monotonic clock.
 
 mod backoff;
 mod document;
--- a/configuration/src/message.rs
+++ b/configuration/src/message.rs
@@ -1,4 +1,4 @@
-//! Messages between control plane servers and gateways, each one JSON text.
+//! Messages from control plane servers to gateways, and reports from gateways. Each is one JSON text.
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -7,71 +7,71 @@
 use crate::patch::{self, PatchError};
 use crate::version::{Digest, GatewayId, Version};
 
-/// Longer messages are rejected, in bytes.
+/// Longest accepted message or report, in bytes.
 pub const MAX_MESSAGE_BYTES: usize = 4 << 20;
 
-/// Reasons of refused versions are cut to this, in characters.
+/// Longest reason of a refused version, in characters. Longer reasons are truncated.
 pub const MAX_REASON_CHARS: usize = 400;
 
-/// Why a text is not a message.
+/// A text is not a valid message or report.
 #[derive(Debug, thiserror::Error)]
 pub enum MessageError {
-    /// It is too long.
+    /// The text has this number of bytes, more than [`MAX_MESSAGE_BYTES`].
     #[error("{0} bytes, {MAX_MESSAGE_BYTES} at most")]
     TooLong(usize),
-    /// It can't be read.
+    /// The text is not JSON, or the JSON does not have the form of a message.
     #[error("not a message: {0}")]
     Json(#[from] serde_json::Error),
-    /// A delta does not lead to a newer version.
+    /// The target version of a delta is not newer than its base version.
     #[error("a difference from version {from} to {to}")]
-    Backwards {
-        /// The version it starts from.
+    NotNewer {
+        /// Base version of the delta.
         from: Version,
-        /// The version it would lead to.
+        /// Target version of the delta.
         to: Version,
     },
 }
 
-/// Why the contents of a message are not usable.
+/// The contents of a message are invalid. The text becomes the reason of a refused version.
 #[derive(Debug, thiserror::Error)]
 pub enum VerifyError {
-    /// It holds no document.
+    /// The document of the message, or the result of the delta, is not valid.
     #[error(transparent)]
     Document(#[from] DocumentError),
-    /// The delta does not fit the document that it is applied to.
+    /// The delta cannot be applied to the base document.
     #[error(transparent)]
     Patch(#[from] PatchError),
-    /// The document has another digest than the message says.
+    /// The digest of the document differs from the digest in the message.
     #[error("digest {stated} stated, {found} found")]
-    Digest {
-        /// The digest in the message.
+    DigestMismatch {
+        /// Digest in the message.
         stated: Digest,
-        /// The digest of the document.
+        /// Digest computed from the document.
         found: Digest,
     },
 }
 
-/// A whole document.
+/// A complete document.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// Its version.
+    /// Version of the document.
     pub version: Version,
-    /// The settings, not checked yet.
+    /// The settings, before validation.
     pub document: Value,
-    /// Their digest, as the sender says.
+    /// Digest of the settings as stated by the sender.
     pub digest: Digest,
 }
 
 impl Snapshot {
-    /// The snapshot of a document.
+    /// Creates the snapshot of a document.
     pub fn of(version: Version, document: &Document) -> Self {
         Self { version, document: document.value().clone(), digest: document.digest() }
     }
 
-    /// The document, checked against the digest.
+    /// Validates the document and its digest.
     ///
     /// # Errors
-    /// It is no document, or has another digest.
+    /// The settings are not a valid document, or their digest differs from the stated digest.
     pub fn verify(self) -> Result<Document, VerifyError> {
         verify_digest(Document::new(self.document)?, self.digest)
     }
@@ -80,27 +80,27 @@
 /// The difference between two documents.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Delta {
-    /// The version it starts from.
+    /// Base version, to which the patch is applied.
     pub from: Version,
-    /// The version it leads to.
+    /// Target version, which results from the patch.
     pub to: Version,
-    /// The changes: by RFC 7396, and by name where [`LIST_MEMBER`](crate::LIST_MEMBER) marks a list.
+    /// Merge patch of RFC 7396, in which [`LIST_MEMBER`](crate::LIST_MEMBER) marks patches of lists by element name.
     pub patch: Value,
-    /// The digest of the result, as the sender says.
+    /// Digest of the resulting document as stated by the sender.
     pub digest: Digest,
 }
 
 impl Delta {
-    /// The difference between two versions.
+    /// Computes the difference between two versions.
     pub fn between(from: (Version, &Document), to: (Version, &Document)) -> Self {
         let patch = patch::difference(from.1.value(), to.1.value());
         Self { from: from.0, to: to.0, patch, digest: to.1.digest() }
     }
 
-    /// The document that results from a base, checked against the digest.
+    /// Applies the delta to a base document and verifies the digest of the result.
     ///
     /// # Errors
-    /// The delta does not fit the base, or the result has another digest.
+    /// The patch cannot be applied to the base, or the digest of the result differs from the stated digest.
     pub fn apply(self, base: &Document) -> Result<Document, VerifyError> {
         let mut value = base.value().clone();
         patch::apply(&mut value, self.patch)?;
@@ -110,26 +110,26 @@
 
 fn verify_digest(document: Document, stated: Digest) -> Result<Document, VerifyError> {
     let found = document.digest();
-    if found == stated { Ok(document) } else { Err(VerifyError::Digest { stated, found }) }
+    if found == stated { Ok(document) } else { Err(VerifyError::DigestMismatch { stated, found }) }
 }
 
 /// A message from a control plane server to a gateway.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Message {
-    /// The whole configuration.
+    /// A complete document.
     Snapshot(Snapshot),
-    /// The difference from an earlier version.
+    /// The difference between an earlier version and a newer one.
     Delta(Delta),
-    /// Heartbeat: the newest version that the server has.
+    /// Heartbeat with the newest version of the server.
     Current(Version),
 }
 
 impl Message {
-    /// Reads a message.
+    /// Parses a message. The document of a snapshot and the patch of a delta are not validated.
     ///
     /// # Errors
-    /// The text is too long or no message.
+    /// The text is too long or not a valid message.
     pub fn parse(text: &str) -> Result<Self, MessageError> {
         if text.len() > MAX_MESSAGE_BYTES {
             return Err(MessageError::TooLong(text.len()));
@@ -137,19 +137,19 @@
         let message = serde_json::from_str(text)?;
         if let Self::Delta(Delta { from, to, .. }) = &message {
             if to <= from {
-                return Err(MessageError::Backwards { from: *from, to: *to });
+                return Err(MessageError::NotNewer { from: *from, to: *to });
             }
         }
         Ok(message)
     }
 
-    /// The message as one JSON text without line breaks.
+    /// Encodes the message as JSON on a single line.
     pub fn encode(&self) -> String {
-        // A message holds nothing that JSON can't: all keys are texts.
+        // Serialisation cannot fail: all keys are strings.
         serde_json::to_string(self).unwrap_or_default()
     }
 
-    /// Its version.
+    /// Version of a snapshot or heartbeat, target version of a delta.
     pub fn version(&self) -> Version {
         match self {
             Self::Snapshot(snapshot) => snapshot.version,
@@ -159,22 +159,22 @@
     }
 }
 
-/// What became of a version at a gateway.
+/// The result of a version at a gateway.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "state", rename_all = "lowercase")]
 pub enum Report {
-    /// It is in force.
+    /// The version is in force.
     Applied {
-        /// The version.
+        /// Version in force.
         version: Version,
     },
-    /// It was refused as a whole.
+    /// The version was refused as a whole.
     Refused {
-        /// The version.
+        /// Refused version.
         version: Version,
-        /// Why, for people.
+        /// Error text for operators.
         reason: String,
-        /// The version in force.
+        /// Version in force, which the refused version did not replace.
         in_force: Version,
     },
 }
@@ -187,15 +187,15 @@
 }
 
 impl Report {
-    /// A refused version; the reason is cut to [`MAX_REASON_CHARS`].
+    /// Creates the report of a refused version. The reason is truncated to [`MAX_REASON_CHARS`].
     pub fn refused(version: Version, reason: &str, in_force: Version) -> Self {
         Self::Refused { version, reason: reason.chars().take(MAX_REASON_CHARS).collect(), in_force }
     }
 
-    /// Reads a report and the gateway that sent it.
+    /// Parses a report. Returns the gateway that sent it and the report.
     ///
     /// # Errors
-    /// The text is too long or no report.
+    /// The text is too long or not a valid report.
     pub fn parse(text: &str) -> Result<(GatewayId, Self), MessageError> {
         if text.len() > MAX_MESSAGE_BYTES {
             return Err(MessageError::TooLong(text.len()));
@@ -204,13 +204,13 @@
         Ok((envelope.gateway, envelope.report))
     }
 
-    /// The report of a gateway as one JSON text.
+    /// Encodes the report of a gateway as JSON on a single line.
     pub fn encode(&self, gateway: &GatewayId) -> String {
         let envelope = Envelope { gateway: gateway.clone(), report: self };
         serde_json::to_string(&envelope).unwrap_or_default()
     }
 
-    /// Its version.
+    /// Version whose result is reported.
     pub fn version(&self) -> Version {
         match self {
             Self::Applied { version } | Self::Refused { version, .. } => *version,
--- a/configuration/src/message/tests.rs
+++ b/configuration/src/message/tests.rs
@@ -47,16 +47,16 @@
 }
 
 #[test]
-fn reasons_are_cut() {
+fn long_reasons_are_truncated() {
     let Report::Refused { reason, .. } = Report::refused(Version(1), &"\u{e9}".repeat(9_999), Version(0))
     else {
-        panic!("no refusal");
+        panic!("the report is not a refusal");
     };
     assert_eq!(reason.chars().count(), MAX_REASON_CHARS);
 }
 
 #[test]
-fn other_texts_are_errors() {
+fn invalid_messages_and_reports_are_errors() {
     for text in [
         "",
         "{}",
@@ -68,8 +68,8 @@
     ] {
         assert!(matches!(Message::parse(text), Err(MessageError::Json(_))), "{text}");
     }
-    let backwards = "{\"delta\":{\"from\":5,\"to\":5,\"patch\":{},\"digest\":\"0000000000000000\"}}";
-    assert!(matches!(Message::parse(backwards), Err(MessageError::Backwards { .. })));
+    let not_newer = "{\"delta\":{\"from\":5,\"to\":5,\"patch\":{},\"digest\":\"0000000000000000\"}}";
+    assert!(matches!(Message::parse(not_newer), Err(MessageError::NotNewer { .. })));
     let digest = "{\"delta\":{\"from\":5,\"to\":6,\"patch\":{},\"digest\":\"+000000000000000\"}}";
     assert!(matches!(Message::parse(digest), Err(MessageError::Json(_))));
     let long = " ".repeat(MAX_MESSAGE_BYTES + 1);
@@ -79,12 +79,12 @@
 }
 
 #[test]
-fn a_wrong_digest_is_an_error() {
+fn a_digest_mismatch_is_an_error() {
     let (old, new) = (document("{\"a\":1}"), document("{\"a\":2}"));
     let mut snapshot = Snapshot::of(Version(1), &new);
     snapshot.digest = old.digest();
-    assert!(matches!(snapshot.verify(), Err(VerifyError::Digest { .. })));
+    assert!(matches!(snapshot.verify(), Err(VerifyError::DigestMismatch { .. })));
     let mut delta = Delta::between((Version(1), &old), (Version(2), &new));
     delta.digest = old.digest();
-    assert!(matches!(delta.apply(&old), Err(VerifyError::Digest { .. })));
+    assert!(matches!(delta.apply(&old), Err(VerifyError::DigestMismatch { .. })));
 }
--- a/configuration/src/pacing.rs
+++ b/configuration/src/pacing.rs
@@ -1,27 +1,27 @@
-//! Rate limits of a control plane server, over all gateways.
+//! Limits on the rate at which a control plane server sends configuration, shared by all gateways.
 
 /// The rate limits of a control plane server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Pacing {
-    /// Bytes of configuration a second.
+    /// Bytes per second of messages with configuration. Heartbeats do not count.
     pub bytes_per_second: u64,
-    /// Messages with configuration a second.
+    /// Messages with configuration per second.
     pub messages_per_second: u64,
-    /// Minimum time between two messages with configuration to one gateway, in microseconds.
-    pub gap_us: u64,
+    /// Minimum interval between two messages with configuration to the same gateway, in microseconds.
+    pub min_interval_us: u64,
 }
 
 impl Default for Pacing {
     fn default() -> Self {
-        Self { bytes_per_second: 2_000_000, messages_per_second: 2_000, gap_us: 250_000 }
+        Self { bytes_per_second: 2_000_000, messages_per_second: 2_000, min_interval_us: 250_000 }
     }
 }
 
-/// Messages may go out ahead of the rate by this, in microseconds.
+/// Time by which messages may be sent ahead of the rate, in microseconds.
 const BURST_US: u64 = 10_000;
 
-/// A rate limit, kept as the time at which all that was sent is paid for. A message larger than the burst goes out and
-/// delays those behind it.
+/// A virtual-scheduling rate limit: stores the time at which everything sent so far conforms to the rate. A message
+/// larger than the burst is sent whole and delays the messages after it.
 #[derive(Debug)]
 struct Rate {
     per_second: u64,
@@ -35,7 +35,7 @@
     }
 }
 
-/// The state of the rate limits.
+/// Current state of both rate limits.
 #[derive(Debug)]
 pub(crate) struct Pacer {
     bytes: Rate,
@@ -48,12 +48,12 @@
         Self { bytes: rate(pacing.bytes_per_second), messages: rate(pacing.messages_per_second) }
     }
 
-    /// When the next message may go out.
+    /// Time at which the next message may be sent.
     pub(crate) fn free_at_us(&self) -> u64 {
         self.bytes.free_at_us.max(self.messages.free_at_us).saturating_sub(BURST_US)
     }
 
-    /// A message of so many bytes was sent.
+    /// Charges a sent message to both rates.
     pub(crate) fn spend(&mut self, now_us: u64, bytes: usize) {
         self.bytes.spend(now_us, bytes as u64);
         self.messages.spend(now_us, 1);
--- a/configuration/src/patch.rs
+++ b/configuration/src/patch.rs
@@ -1,38 +1,38 @@
-//! Differences between JSON values: RFC 7396 merge patches for objects, patches by name for lists whose elements are
-//! objects with a `name`, and the new value for everything else.
+//! Computes and applies patches of JSON values: RFC 7396 merge patches for objects, patches by element name for lists
+//! of objects with a `name`, and replacement of all other values.
 //!
-//! The patch of a list by name is an object with the single member [`LIST_MEMBER`], which no document may have.
+//! A patch by element name is an object with the single member [`LIST_MEMBER`], which documents must not contain.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 use serde::{Deserialize, Serialize};
 use serde_json::{Map, Value};
 
-/// The member that marks the patch of a list by name.
+/// Name of the member that marks a patch of a list by element name.
 pub const LIST_MEMBER: &str = "$list";
 
-/// The member that identifies an element of a list.
+/// Name of the member that identifies an element of a list.
 const NAME_MEMBER: &str = "name";
 
-/// Why a patch can't be applied.
+/// A patch cannot be applied.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum PatchError {
-    /// The patch of a list has a wrong form.
+    /// The patch of a list is malformed.
     #[error("the patch of a list can't be read: {0}")]
-    Form(String),
-    /// A patch by name is applied to something other than a list of named objects.
+    Malformed(String),
+    /// The target or the result of a patch by element name is not a list of objects with distinct names.
     #[error("a list of named objects expected")]
-    NoNamedList,
-    /// An element that is changed or removed is not in the list.
+    NotANamedList,
+    /// The list has no element of this name to change or remove.
     #[error("no element {0} in the list")]
     UnknownElement(String),
-    /// The order names other elements than the list has.
+    /// The elements of the order differ from the elements of the list.
     #[error("the order names other elements than the list has")]
-    Order,
+    OrderMismatch,
 }
 
-/// How a list of named objects changes: elements are removed, then changed in place, then added at the end; at
-/// last they are put in order, where one is given.
+/// Changes to a list of named objects, applied in the order of the fields. New elements are appended, and the list is
+/// reordered only if `order` is not empty.
 #[derive(Debug, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct ListPatch {
@@ -46,7 +46,7 @@
     order: Vec<String>,
 }
 
-/// The patch from `old` to `new`, both without null members; an empty object where they are equal.
+/// Computes the patch from `old` to `new`, neither of which has null members. Equal values give an empty object.
 pub(crate) fn difference(old: &Value, new: &Value) -> Value {
     changes(old, new).unwrap_or_else(|| Value::Object(Map::new()))
 }
@@ -81,11 +81,11 @@
     patch
 }
 
-/// None where one of the lists is not one of named objects.
+/// Computes a patch by element name, or `None` if one of the lists is not a list of objects with distinct names.
 fn list_changes(old: &[Value], new: &[Value]) -> Option<Value> {
     let (old_by_name, new_by_name) = (by_name(old)?, by_name(new)?);
     let mut patch = ListPatch::default();
-    let mut result_order = Vec::new();
+    let mut patched_order = Vec::new();
     for element in old {
         let name = name(element)?;
         match new_by_name.get(name) {
@@ -93,7 +93,7 @@
                 patch.removed.insert(name.to_owned());
             }
             Some(after) => {
-                result_order.push(name);
+                patched_order.push(name);
                 if let Some(change) = changes(element, after) {
                     patch.changed.insert(name.to_owned(), change);
                 }
@@ -103,19 +103,20 @@
     for element in new {
         let name = name(element)?;
         if !old_by_name.contains_key(name) {
-            result_order.push(name);
+            patched_order.push(name);
             patch.added.push(element.clone());
         }
     }
     let wanted_order: Vec<&str> = new.iter().filter_map(name).collect();
-    if result_order != wanted_order {
+    if patched_order != wanted_order {
         patch.order = wanted_order.into_iter().map(str::to_owned).collect();
     }
     let patch = serde_json::to_value(patch).ok()?;
     Some(Value::Object(Map::from_iter([(LIST_MEMBER.to_owned(), patch)])))
 }
 
-/// The elements by name; none where the list is empty, an element has no name or two have the same.
+/// Indexes the elements by name. Returns `None` if the list is empty, an element has no name, or a name is not
+/// unique.
 fn by_name(list: &[Value]) -> Option<HashMap<&str, &Value>> {
     let mut elements = HashMap::new();
     for element in list {
@@ -130,7 +131,7 @@
     element.as_object()?.get(NAME_MEMBER)?.as_str()
 }
 
-/// Applies a patch to a value. After an error the value is unusable, so callers work on a copy.
+/// Applies a patch to a value. After an error the value is partially patched and must be discarded.
 pub(crate) fn apply(target: &mut Value, patch: Value) -> Result<(), PatchError> {
     let Value::Object(mut members) = patch else {
         *target = patch;
@@ -154,8 +155,8 @@
 }
 
 fn apply_list(target: &mut Value, patch: Value) -> Result<(), PatchError> {
-    let patch: ListPatch = serde_json::from_value(patch).map_err(|e| PatchError::Form(e.to_string()))?;
-    let Value::Array(list) = target else { return Err(PatchError::NoNamedList) };
+    let patch: ListPatch = serde_json::from_value(patch).map_err(|e| PatchError::Malformed(e.to_string()))?;
+    let Value::Array(list) = target else { return Err(PatchError::NotANamedList) };
     let mut elements = take_named(std::mem::take(list))?;
     for name in patch.removed {
         let position = position(&elements, &name)?;
@@ -170,14 +171,14 @@
         elements = reorder(elements, patch.order)?;
     }
     let result: Vec<Value> = elements.into_iter().map(|(_, element)| element).collect();
-    by_name(&result).ok_or(PatchError::NoNamedList)?;
+    by_name(&result).ok_or(PatchError::NotANamedList)?;
     *list = result;
     Ok(())
 }
 
 fn take_named(list: Vec<Value>) -> Result<Vec<(String, Value)>, PatchError> {
     let named = |element: Value| {
-        let name = name(&element).ok_or(PatchError::NoNamedList)?.to_owned();
+        let name = name(&element).ok_or(PatchError::NotANamedList)?.to_owned();
         Ok((name, element))
     };
     list.into_iter().map(named).collect()
@@ -192,10 +193,10 @@
     let count = elements.len();
     let mut by_name: HashMap<String, Value> = elements.into_iter().collect();
     if by_name.len() != count || order.len() != count {
-        return Err(PatchError::Order);
+        return Err(PatchError::OrderMismatch);
     }
     let take_element = |name: String| {
-        let element = by_name.remove(&name).ok_or(PatchError::Order)?;
+        let element = by_name.remove(&name).ok_or(PatchError::OrderMismatch)?;
         Ok((name, element))
     };
     order.into_iter().map(take_element).collect()
--- a/configuration/src/patch/tests.rs
+++ b/configuration/src/patch/tests.rs
@@ -8,12 +8,12 @@
     result
 }
 
-fn refused(mut target: Value, patch: Value) -> PatchError {
+fn apply_error(mut target: Value, patch: Value) -> PatchError {
     apply(&mut target, patch).unwrap_err()
 }
 
 #[test]
-fn objects_are_patched_by_merge_patches() {
+fn differences_of_objects_are_merge_patches() {
     let old = json!({ "a": "b", "c": { "d": "e", "f": "g" }, "same": 1 });
     let new = json!({ "a": "z", "c": { "d": "e" }, "new": [], "same": 1 });
     assert_eq!(difference(&old, &new), json!({ "a": "z", "c": { "f": null }, "new": [] }));
@@ -21,7 +21,7 @@
     assert_eq!(difference(&new, &new), json!({}));
 }
 
-/// The examples of RFC 7396, appendix A, whose target is an object.
+/// Examples of RFC 7396, appendix A.
 #[test]
 fn merge_patches_follow_rfc_7396() {
     let examples = [
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn named_lists_send_only_the_elements_that_change() {
+fn differences_of_named_lists_hold_only_changed_elements() {
     let old = json!({ "classes": [{ "name": "a", "aim": 1, "x": 1 }, { "name": "b" }, { "name": "c" }] });
     let new = json!({ "classes": [{ "name": "a", "aim": 2, "x": 1 }, { "name": "c" }, { "name": "d" }] });
     let patch = json!({ "classes": { LIST_MEMBER: {
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn the_order_is_sent_where_it_changes() {
+fn a_changed_order_is_part_of_the_difference() {
     let old = json!([{ "name": "a" }, { "name": "b" }]);
     let new = json!([{ "name": "c" }, { "name": "b" }, { "name": "a" }]);
     let patch = json!({ LIST_MEMBER: { "added": [{ "name": "c" }], "order": ["c", "b", "a"] } });
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn other_lists_are_replaced() {
+fn lists_without_distinct_names_are_replaced() {
     for (old, new) in [
         (json!([1, 2]), json!([1, 3])),
         (json!([]), json!([{ "name": "a" }])),
@@ -81,26 +81,26 @@
 }
 
 #[test]
-fn patches_that_do_not_fit_are_refused() {
+fn patches_that_do_not_match_the_list_are_errors() {
     let list = || json!([{ "name": "a" }, { "name": "b" }]);
     let patch = |patch: Value| json!({ LIST_MEMBER: patch });
     assert_eq!(
-        refused(list(), patch(json!({ "removed": ["z"] }))),
+        apply_error(list(), patch(json!({ "removed": ["z"] }))),
         PatchError::UnknownElement("z".to_owned())
     );
     assert_eq!(
-        refused(list(), patch(json!({ "changed": { "z": {} } }))),
+        apply_error(list(), patch(json!({ "changed": { "z": {} } }))),
         PatchError::UnknownElement("z".to_owned())
     );
-    assert_eq!(refused(list(), patch(json!({ "added": [{ "name": "a" }] }))), PatchError::NoNamedList);
-    assert_eq!(refused(list(), patch(json!({ "added": [7] }))), PatchError::NoNamedList);
+    assert_eq!(apply_error(list(), patch(json!({ "added": [{ "name": "a" }] }))), PatchError::NotANamedList);
+    assert_eq!(apply_error(list(), patch(json!({ "added": [7] }))), PatchError::NotANamedList);
     assert_eq!(
-        refused(list(), patch(json!({ "changed": { "a": { "name": null } } }))),
-        PatchError::NoNamedList
+        apply_error(list(), patch(json!({ "changed": { "a": { "name": null } } }))),
+        PatchError::NotANamedList
     );
-    assert_eq!(refused(list(), patch(json!({ "order": ["a"] }))), PatchError::Order);
-    assert_eq!(refused(list(), patch(json!({ "order": ["a", "a"] }))), PatchError::Order);
-    assert_eq!(refused(json!({}), patch(json!({ "removed": [] }))), PatchError::NoNamedList);
-    assert!(matches!(refused(list(), patch(json!({ "moved": [] }))), PatchError::Form(_)));
-    assert!(matches!(refused(list(), patch(json!(7))), PatchError::Form(_)));
+    assert_eq!(apply_error(list(), patch(json!({ "order": ["a"] }))), PatchError::OrderMismatch);
+    assert_eq!(apply_error(list(), patch(json!({ "order": ["a", "a"] }))), PatchError::OrderMismatch);
+    assert_eq!(apply_error(json!({}), patch(json!({ "removed": [] }))), PatchError::NotANamedList);
+    assert!(matches!(apply_error(list(), patch(json!({ "moved": [] }))), PatchError::Malformed(_)));
+    assert!(matches!(apply_error(list(), patch(json!(7))), PatchError::Malformed(_)));
 }
--- a/configuration/src/publisher.rs
+++ b/configuration/src/publisher.rs
@@ -1,8 +1,8 @@
-//! The control plane server's side: which gateway is sent which version, and when.
+//! The publisher of a control plane server: stores the newest versions and schedules messages to the gateways.
 //!
-//! A gateway has at most one message with configuration unreported. Versions that are published meanwhile are merged:
-//! the next message leads from the version that the gateway has to the newest. A gateway that refuses the newest
-//! version gets the newest that it has not refused.
+//! Each gateway has at most one message with configuration without a report. Versions published in the meantime are
+//! coalesced: the next message leads from the version of the gateway to the newest. A gateway that refuses the newest
+//! version is sent the newest version that it has not refused.
 
 mod gateway_state;
 mod history;
@@ -23,60 +23,61 @@
 use gateway_state::GatewayState;
 use history::History;
 
-/// Gateways that are known at once; beyond that, those without a stream are forgotten.
+/// Number of tracked gateways at which gateways without a stream are removed.
 pub const MAX_KNOWN_GATEWAYS: usize = 4_096;
 
-/// A gateway that claims a version this far ahead of the newest is not believed.
+/// Reported versions that are further ahead of the newest version than this are ignored.
 const MAX_VERSIONS_AHEAD: u64 = 1 << 32;
 
-/// Identifies a stream of a gateway, to tell the late end of an old stream from the end of the current one.
+/// Identifies a stream of a gateway. The late end of an old stream must not disconnect the current one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionId(u64);
 
-/// An encoded message. A copy shares the text.
+/// An encoded message. Clones share the text.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OutgoingMessage {
-    /// Its version.
+    /// Version of the message, see [`Message::version`].
     pub version: Version,
-    /// The JSON text, without line breaks.
+    /// JSON on a single line.
     pub text: Arc<str>,
 }
 
-/// Why a version can't be published.
+/// A version cannot be published.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum PublishError {
-    /// It is not newer than the newest version here.
-    #[error("version {version} is not newer than {newest}, which is here")]
+    /// The version is not newer than the newest version of this server.
+    #[error("version {version} is not newer than {newest}, the newest version of this server")]
     NotNewer {
-        /// The version.
+        /// Rejected version.
         version: Version,
-        /// The newest version here.
+        /// Newest version of this server.
         newest: Version,
     },
-    /// A gateway has that version or a newer one, which this server has not got from another server yet.
+    /// A gateway has this version or a newer one from another server, which this server has not received yet.
     #[error("version {version} is not newer than {reported}, which a gateway has")]
     AlreadyReported {
-        /// The version.
+        /// Rejected version.
         version: Version,
-        /// The newest version that a gateway has.
+        /// Newest version that a gateway has reported.
         reported: Version,
     },
 }
 
-/// What became of a version from another control plane server.
+/// Result of merging a version from another control plane server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MergeResult {
-    /// It is newer, and the newest here from now on.
+    /// The version is newer and was added as the newest version.
     Added,
-    /// It is the newest here already.
+    /// The version and its document equal the newest version of this server.
     Same,
-    /// It is older than the newest here.
+    /// The version is older than the newest version of this server.
     Older,
-    /// The newest here has the same number and other contents; it stays. A newer version has to be published.
+    /// The newest version of this server has the same number and a different document, which is kept. Publishing a
+    /// newer version resolves the conflict.
     Conflict,
 }
 
-/// A control plane server's versions of the configuration, and its gateways.
+/// State of a control plane server: versions of the configuration, and the gateways that receive them.
 #[derive(Debug)]
 pub struct Publisher {
     pacing: Pacing,
@@ -90,7 +91,7 @@
 }
 
 impl Publisher {
-    /// A server without any version.
+    /// Creates a publisher without versions.
     pub fn new(pacing: Pacing) -> Self {
         Self {
             pacing,
@@ -104,10 +105,10 @@
         }
     }
 
-    /// Publishes a version. Publishing the newest version once more changes nothing.
+    /// Publishes a version. Publishing the newest version again has no effect.
     ///
     /// # Errors
-    /// It is not newer than every version known of.
+    /// The version is not newer than every version of this server and every reported version.
     pub fn publish(&mut self, version: Version, document: Document) -> Result<(), PublishError> {
         let newest = self.history.newest();
         let is_newest = version == newest && version > Version::NONE;
@@ -124,12 +125,12 @@
         Ok(())
     }
 
-    /// The lowest version that may be published.
+    /// Lowest version number that can be published.
     pub fn next_version(&self) -> Version {
         Version(self.history.newest().max(self.newest_reported).0.saturating_add(1))
     }
 
-    /// Takes the newest version of another control plane server.
+    /// Merges the newest version of another control plane server.
     pub fn merge(&mut self, version: Version, document: Document) -> MergeResult {
         let newest = self.history.newest();
         if version < newest || version == Version::NONE {
@@ -146,12 +147,13 @@
         MergeResult::Conflict
     }
 
-    /// The newest version and its document; none while nothing was published.
+    /// Newest version and its document, or `None` before the first version.
     pub fn newest(&self) -> Option<(Version, &Document)> {
         Some((self.history.newest(), self.history.newest_document()?))
     }
 
-    /// A gateway has opened a stream and says which version it has. An earlier stream of it no longer counts.
+    /// Registers a stream that a gateway has opened, with the version and digest in force there. The new stream
+    /// replaces an earlier stream of the same gateway.
     pub fn connect(
         &mut self,
         now_us: u64,
@@ -159,8 +161,8 @@
         version: Version,
         digest: Digest,
     ) -> ConnectionId {
-        self.note_reported_version(version);
-        self.forget_disconnected();
+        self.record_reported_version(version);
+        self.remove_disconnected();
         self.connections += 1;
         let connection = ConnectionId(self.connections);
         let gateway_state = GatewayState::new(now_us, connection, self.messages_sent, version, digest);
@@ -168,7 +170,7 @@
         connection
     }
 
-    /// A stream of a gateway has ended.
+    /// Unregisters a stream of a gateway. Has no effect if a newer stream of the gateway is registered.
     pub fn disconnect(&mut self, gateway: &GatewayId, connection: ConnectionId) {
         let gateway_state =
             self.gateways.get_mut(gateway).filter(|gateway_state| gateway_state.connection == connection);
@@ -177,7 +179,7 @@
         }
     }
 
-    /// A gateway reports what became of a version.
+    /// Processes a report of a gateway.
     pub fn report(&mut self, gateway: &GatewayId, report: Report) {
         let history = &self.history;
         let gateway_state = self.gateways.get_mut(gateway).filter(|gateway_state| gateway_state.is_connected);
@@ -186,8 +188,8 @@
         }
     }
 
-    /// The messages to send now: configuration as far as the rate limits allow, first to gateways served longest ago,
-    /// and heartbeats.
+    /// Returns the messages to send now: configuration within the rate limits, starting with the least recently
+    /// served gateway, and heartbeats.
     pub fn due(&mut self, now_us: u64) -> Vec<(GatewayId, OutgoingMessage)> {
         let mut outgoing = Vec::new();
         self.add_configuration(now_us, &mut outgoing);
@@ -195,7 +197,8 @@
         outgoing
     }
 
-    /// When to call [`Publisher::due`] again if nothing else happens, in microseconds; none while no gateway is connected.
+    /// Time of the next message if no other method is called before, in microseconds. `None` while no gateway is
+    /// connected.
     pub fn next_due_us(&self) -> Option<u64> {
         let free_us = self.pacer.free_at_us();
         let next = |gateway_state: &GatewayState| {
@@ -206,7 +209,7 @@
         self.gateways.values().filter_map(next).min()
     }
 
-    /// The state of all gateways.
+    /// Status of this server and its gateways, for operators.
     pub fn status(&self) -> Status {
         let row = |(gateway, gateway_state): (&GatewayId, &GatewayState)| GatewayStatus {
             gateway: gateway.clone(),
@@ -234,7 +237,8 @@
         }
     }
 
-    /// Gateways that may be sent a version now, each with its version; served longest ago first.
+    /// Gateways that can be sent a version now, each with the version to send, in order of the time since the last
+    /// message.
     fn ready(&self, now_us: u64) -> Vec<(GatewayId, Version)> {
         let mut ready = Vec::new();
         for (gateway, gateway_state) in &self.gateways {
@@ -243,7 +247,7 @@
                 ready.push((gateway_state.last_served, gateway, version));
             }
         }
-        ready.sort_by_key(|(served, ..)| *served);
+        ready.sort_by_key(|(last_served, ..)| *last_served);
         ready.into_iter().map(|(_, gateway, version)| (gateway.clone(), version)).collect()
     }
 
@@ -257,7 +261,7 @@
         let text = self.history.text_for(gateway_state.version, gateway_state.digest, version)?;
         self.pacer.spend(now_us, text.len());
         self.messages_sent += 1;
-        gateway_state.on_sent(now_us, self.pacing.gap_us, self.messages_sent, version);
+        gateway_state.on_sent(now_us, self.pacing.min_interval_us, self.messages_sent, version);
         Some((gateway, OutgoingMessage { version, text }))
     }
 
@@ -272,13 +276,13 @@
         }
     }
 
-    fn note_reported_version(&mut self, version: Version) {
+    fn record_reported_version(&mut self, version: Version) {
         if version.0 <= self.history.newest().0.saturating_add(MAX_VERSIONS_AHEAD) {
             self.newest_reported = self.newest_reported.max(version);
         }
     }
 
-    fn forget_disconnected(&mut self) {
+    fn remove_disconnected(&mut self) {
         if self.gateways.len() >= MAX_KNOWN_GATEWAYS {
             self.gateways.retain(|_, gateway_state| gateway_state.is_connected);
         }
--- a/configuration/src/publisher/gateway_state.rs
+++ b/configuration/src/publisher/gateway_state.rs
@@ -1,32 +1,33 @@
-//! What a control plane server knows of one gateway.
+//! State of one gateway at a control plane server: version in force, refusals, and times of the next messages.
 
 use crate::message::Report;
 use crate::version::{Digest, Version};
 
 use super::{ConnectionId, HISTORY_VERSIONS};
 
-/// A message without a report is sent again after this, in microseconds; from the fourth time on the wait doubles.
+/// Time after which a message without a report is sent again, in microseconds. Doubles with each further attempt
+/// after the first three.
 pub const REPORT_TIMEOUT_US: u64 = 3_000_000;
 
-/// Attempts before the wait grows.
+/// Number of attempts before the report timeout grows.
 const ATTEMPTS_WITHOUT_BACKOFF: u32 = 3;
 
-/// The longest wait for a report, in microseconds.
+/// Upper bound of the growing report timeout, in microseconds.
 pub const MAX_REPORT_TIMEOUT_US: u64 = 48_000_000;
 
-/// A stream gets a heartbeat after this long without a message, in microseconds.
+/// Time without a message after which a heartbeat is sent on a stream, in microseconds.
 pub const HEARTBEAT_INTERVAL_US: u64 = 1_500_000;
 
 /// A version that a gateway has refused.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RefusedVersion {
-    /// Which.
+    /// Version that is not in force because of the refusal.
     pub version: Version,
-    /// Why, as the gateway says.
+    /// Error text reported by the gateway.
     pub reason: String,
 }
 
-/// A message with configuration that was sent and not reported on yet.
+/// A sent message with configuration whose report has not been received.
 #[derive(Debug)]
 struct UnreportedMessage {
     version: Version,
@@ -35,7 +36,8 @@
 }
 
 impl UnreportedMessage {
-    /// When the next message may be sent. Another version does not wait for the backoff of this one.
+    /// Earliest time of the next message with configuration. The backoff applies only if `target` is the version of
+    /// this message.
     fn retry_at_us(&self, target: Version) -> u64 {
         let doublings = if self.version == target {
             self.attempts.saturating_sub(ATTEMPTS_WITHOUT_BACKOFF).min(16)
@@ -47,17 +49,17 @@
     }
 }
 
-/// What a control plane server knows of one gateway.
+/// State of one gateway.
 #[derive(Debug)]
 pub(super) struct GatewayState {
     pub(super) connection: ConnectionId,
     pub(super) is_connected: bool,
     pub(super) version: Version,
     pub(super) digest: Option<Digest>,
-    /// Versions that it refused on this stream, the last one at the end; at most [`HISTORY_VERSIONS`].
+    /// Versions refused on this stream, in order of their reports. At most [`HISTORY_VERSIONS`].
     pub(super) refused: Vec<RefusedVersion>,
-    /// Number of the last message with configuration to this gateway, counted over all gateways; the lowest is served
-    /// first.
+    /// Sequence number, over all gateways, of the last message with configuration to this gateway. The gateway with
+    /// the lowest number is served first.
     pub(super) last_served: u64,
     unreported: Option<UnreportedMessage>,
     next_message_us: u64,
@@ -81,23 +83,23 @@
             last_served,
             unreported: None,
             next_message_us: now_us,
-            // At once, so that the gateway learns of the newest version while it waits for its turn.
+            // The first heartbeat announces the newest version before the rate limits allow a message with it.
             next_heartbeat_us: now_us,
         }
     }
 
-    /// The version that it should be sent, of `versions` from the newest down: the newest that it has not refused, unless
-    /// it has that.
+    /// Selects the version to send from `versions`, which are in descending order: the newest version that the
+    /// gateway has not refused, or `None` if the gateway already has that version.
     pub(super) fn target(&self, mut versions: impl Iterator<Item = (Version, Digest)>) -> Option<Version> {
         if !self.is_connected {
             return None;
         }
         let (version, digest) = versions.find(|(version, _)| !self.has_refused(*version))?;
-        let has_it = self.version == version && self.digest == Some(digest);
-        (!has_it && version >= self.version).then_some(version)
+        let is_up_to_date = self.version == version && self.digest == Some(digest);
+        (!is_up_to_date && version >= self.version).then_some(version)
     }
 
-    /// When a version may be sent to it, in microseconds.
+    /// Earliest time at which a version can be sent to the gateway, in microseconds.
     pub(super) fn ready_at_us(&self, target: Version) -> u64 {
         let retry_at_us = self.unreported.as_ref().map_or(0, |unreported| unreported.retry_at_us(target));
         self.next_message_us.max(retry_at_us)
@@ -111,12 +113,12 @@
         self.is_connected.then_some(self.next_heartbeat_us)
     }
 
-    pub(super) fn on_sent(&mut self, now_us: u64, gap_us: u64, last_served: u64, version: Version) {
+    pub(super) fn on_sent(&mut self, now_us: u64, min_interval_us: u64, last_served: u64, version: Version) {
         let before = self.unreported.take_if(|unreported| unreported.version == version);
         let attempts = before.map_or(0, |unreported| unreported.attempts).saturating_add(1);
         self.unreported = Some(UnreportedMessage { version, sent_us: now_us, attempts });
         self.last_served = last_served;
-        self.next_message_us = now_us.saturating_add(gap_us);
+        self.next_message_us = now_us.saturating_add(min_interval_us);
         self.on_heartbeat_sent(now_us);
     }
 
@@ -124,7 +126,8 @@
         self.next_heartbeat_us = now_us.saturating_add(HEARTBEAT_INTERVAL_US);
     }
 
-    /// Takes a report. Only versions sent on this stream count: other reports are late, duplicated or wrong.
+    /// Processes a report. Late, duplicate and invalid reports are ignored: the version must have been sent on this
+    /// stream or be in the recorded state of the gateway.
     pub(super) fn on_report(&mut self, report: Report, digest_of: impl Fn(Version) -> Option<Digest>) {
         let version = report.version();
         let was_sent = self.unreported.take_if(|unreported| unreported.version == version).is_some();
--- a/configuration/src/publisher/history.rs
+++ b/configuration/src/publisher/history.rs
@@ -1,4 +1,4 @@
-//! The newest versions, and the encoded messages that lead to them.
+//! Bounded history of versions, and a cache of the encoded messages between them.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -7,17 +7,17 @@
 use crate::message::{Delta, Message, Snapshot};
 use crate::version::{Digest, Version};
 
-/// Versions that are kept. A gateway that has an older one gets a snapshot.
+/// Number of retained versions. Gateways with an older version are sent a snapshot.
 pub const HISTORY_VERSIONS: usize = 32;
 
-/// The versions that a message leads from and to; a snapshot leads from [`Version::NONE`].
+/// Base and target version of a message. The base of a snapshot is [`Version::NONE`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Transition {
     from: Version,
     to: Version,
 }
 
-/// A bounded number of versions, ascending, and the messages encoded since the newest was added.
+/// The newest versions in ascending order, and the messages encoded since the last version was added.
 #[derive(Debug, Default)]
 pub(super) struct History {
     versions: Vec<(Version, Document)>,
@@ -25,22 +25,22 @@
 }
 
 impl History {
-    /// The newest version; [`Version::NONE`] while there is none.
+    /// Newest version, or [`Version::NONE`] before the first version.
     pub(super) fn newest(&self) -> Version {
         self.versions.last().map_or(Version::NONE, |(version, _)| *version)
     }
 
-    /// The newest document; none while there is none.
+    /// Document of the newest version.
     pub(super) fn newest_document(&self) -> Option<&Document> {
         self.versions.last().map(|(_, document)| document)
     }
 
-    /// The digest of a version that is kept.
+    /// Digest of a retained version.
     pub(super) fn digest(&self, version: Version) -> Option<Digest> {
         self.document(version).map(Document::digest)
     }
 
-    /// Adds a version, which has to be newer than all others.
+    /// Adds a version, which must be newer than all retained versions.
     pub(super) fn push(&mut self, version: Version, document: Document) {
         debug_assert!(version > self.newest());
         self.texts.clear();
@@ -50,17 +50,17 @@
         }
     }
 
-    /// All versions that are kept, the newest first.
+    /// All retained versions in descending order.
     pub(super) fn descending(&self) -> impl Iterator<Item = (Version, Digest)> {
         self.versions.iter().rev().map(|(version, document)| (*version, document.digest()))
     }
 
-    /// The message that brings a gateway from the version that it has to another: a delta where the former is kept with
-    /// the same digest and the delta is shorter, else a snapshot. None if the other version is not kept.
+    /// Encodes the message that updates a gateway from version `has` to version `to`: a delta if `has` is retained
+    /// with the same digest and the delta is shorter, otherwise a snapshot. `None` if `to` is not retained.
     pub(super) fn text_for(&mut self, has: Version, digest: Option<Digest>, to: Version) -> Option<Arc<str>> {
         let snapshot = self.text(Transition { from: Version::NONE, to })?;
-        let is_known = digest.is_some() && self.digest(has) == digest && has < to;
-        if !is_known {
+        let has_base = digest.is_some() && self.digest(has) == digest && has < to;
+        if !has_base {
             return Some(snapshot);
         }
         let delta = self.text(Transition { from: has, to })?;
--- a/configuration/src/publisher/history/tests.rs
+++ b/configuration/src/publisher/history/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn messages_are_shared_and_kept_until_the_next_version_only() {
+fn encoded_messages_are_shared_and_dropped_when_a_version_is_added() {
     let mut history = History::default();
     for version in 1..=1_000 {
         let document = Document::new(json!({ "classes": "x".repeat(100), "worth": version })).unwrap();
--- a/configuration/src/publisher/status.rs
+++ b/configuration/src/publisher/status.rs
@@ -1,4 +1,4 @@
-//! The state of all gateways, for operators.
+//! Status of a control plane server and its gateways, for operators.
 
 use std::collections::BTreeMap;
 
@@ -6,34 +6,36 @@
 
 use super::gateway_state::RefusedVersion;
 
-/// One gateway, as a control plane server knows it.
+/// Status of one gateway at a control plane server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GatewayStatus {
-    /// Its name.
+    /// Name that the gateway has sent when it opened the stream.
     pub gateway: GatewayId,
-    /// Whether its stream is open here.
+    /// Whether the gateway has an open stream to this server.
     pub is_connected: bool,
-    /// The version that is in force there, by its last report or when it joined.
+    /// Version in force at the gateway, as of its last report or the start of its stream.
     pub version: Version,
-    /// The newest version that it refused on this stream, until it has applied that one or a newer one.
+    /// Newest version that the gateway refused on its stream. Cleared when the gateway applies that version or a
+    /// newer one.
     pub refused: Option<RefusedVersion>,
 }
 
-/// All gateways that a control plane server knows of.
+/// Status of a control plane server and all gateways that it tracks.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Status {
-    /// The newest version here.
+    /// Newest version of this server.
     pub newest: Version,
-    /// The newest version that a gateway has, which may be newer.
+    /// Newest version that a gateway had when it opened a stream. Can be newer than the newest version of this
+    /// server.
     pub newest_reported: Version,
-    /// A version that another control plane server has with other contents.
+    /// Newest version, if another control plane server has it with a different document.
     pub conflict: Option<Version>,
-    /// By name.
+    /// Sorted by name.
     pub gateways: Vec<GatewayStatus>,
 }
 
 impl Status {
-    /// The number of connected gateways by version in force.
+    /// Number of connected gateways per version in force.
     pub fn counts(&self) -> BTreeMap<Version, usize> {
         let mut counts = BTreeMap::new();
         for gateway in self.gateways.iter().filter(|gateway| gateway.is_connected) {
@@ -42,12 +44,12 @@
         counts
     }
 
-    /// The gateways that do not have the newest version.
+    /// Gateways whose version in force is older than the newest version of this server.
     pub fn behind(&self) -> impl Iterator<Item = &GatewayStatus> {
         self.gateways.iter().filter(|gateway| gateway.version < self.newest)
     }
 
-    /// The gateways that refused a version and have not applied that one or a newer one since.
+    /// Gateways with a refused version, as in [`GatewayStatus::refused`].
     pub fn refusals(&self) -> impl Iterator<Item = (&GatewayId, &RefusedVersion)> {
         self.gateways.iter().filter_map(|gateway| Some((&gateway.gateway, gateway.refused.as_ref()?)))
     }
--- a/configuration/src/publisher/tests.rs
+++ b/configuration/src/publisher/tests.rs
@@ -9,7 +9,7 @@
     Document::new(json!({ "classes": classes, "over-share-worth": version })).unwrap()
 }
 
-/// A publisher with the versions 1 to `newest`.
+/// Creates a publisher with the versions 1 to `newest`.
 fn publisher(newest: u64) -> Publisher {
     let mut publisher = Publisher::new(Pacing::default());
     for version in 1..=newest {
@@ -22,11 +22,11 @@
     GatewayId::from("gw-0")
 }
 
-fn join(publisher: &mut Publisher, now_us: u64, version: u64) -> ConnectionId {
+fn connect(publisher: &mut Publisher, now_us: u64, version: u64) -> ConnectionId {
     publisher.connect(now_us, gateway(), Version(version), settings(version).digest())
 }
 
-/// What goes out apart from heartbeats.
+/// Messages due now, without heartbeats.
 fn configuration(publisher: &mut Publisher, now_us: u64) -> Vec<Message> {
     let messages =
         publisher.due(now_us).into_iter().map(|(_, outgoing)| Message::parse(&outgoing.text).unwrap());
@@ -50,30 +50,34 @@
 }
 
 #[test]
-fn versions_rise() {
+fn versions_must_increase() {
     let mut publisher = publisher(3);
     let not_newer = |version| Err(PublishError::NotNewer { version: Version(version), newest: Version(3) });
     assert_eq!(publisher.publish(Version(2), settings(2)), not_newer(2));
     assert_eq!(publisher.publish(Version(3), settings(4)), not_newer(3));
-    assert_eq!(publisher.publish(Version(3), settings(3)), Ok(()), "once more the same");
+    assert_eq!(
+        publisher.publish(Version(3), settings(3)),
+        Ok(()),
+        "publishing the same version again has no effect"
+    );
     assert!(Publisher::new(Pacing::default()).publish(Version(0), settings(0)).is_err());
     assert_eq!(publisher.newest(), Some((Version(3), &settings(3))));
 }
 
 #[test]
-fn a_version_that_a_gateway_has_is_not_published_again() {
+fn a_version_that_a_gateway_has_reported_cannot_be_published() {
     let mut publisher = publisher(3);
-    join(&mut publisher, 0, 7);
-    let heard = Err(PublishError::AlreadyReported { version: Version(7), reported: Version(7) });
-    assert_eq!(publisher.publish(Version(7), settings(7)), heard);
+    connect(&mut publisher, 0, 7);
+    let already_reported = Err(PublishError::AlreadyReported { version: Version(7), reported: Version(7) });
+    assert_eq!(publisher.publish(Version(7), settings(7)), already_reported);
     assert_eq!(publisher.next_version(), Version(8));
     publisher.connect(0, gateway(), Version(u64::MAX), Digest(0));
-    assert_eq!(publisher.next_version(), Version(8), "a version absurdly far ahead is not believed");
+    assert_eq!(publisher.next_version(), Version(8), "a version too far ahead is ignored");
     assert_eq!(publisher.publish(Version(8), settings(8)), Ok(()));
 }
 
 #[test]
-fn the_newest_version_of_another_server_counts_and_an_older_does_not() {
+fn merging_accepts_newer_versions_and_records_conflicts() {
     let mut publisher = publisher(3);
     assert_eq!(publisher.merge(Version(2), settings(9)), MergeResult::Older);
     assert_eq!(publisher.merge(Version(0), settings(9)), MergeResult::Older);
@@ -84,7 +88,7 @@
     assert_eq!(publisher.newest(), Some((Version(3), &settings(3))));
     assert_eq!(publisher.merge(Version(9), settings(9)), MergeResult::Added);
     assert_eq!(publisher.newest(), Some((Version(9), &settings(9))));
-    assert_eq!(publisher.status().conflict, None, "a newer one has settled it");
+    assert_eq!(publisher.status().conflict, None, "a newer version resolves the conflict");
 }
 
 #[test]
@@ -104,7 +108,7 @@
 }
 
 #[test]
-fn a_delta_that_is_not_shorter_is_not_sent() {
+fn a_delta_longer_than_the_snapshot_is_not_sent() {
     let mut publisher = Publisher::new(Pacing::default());
     publisher.publish(Version(1), json!({ "old": 1, "older": 1 }).to_string().parse().unwrap()).unwrap();
     publisher.publish(Version(2), "{\"new\":1}".parse().unwrap()).unwrap();
@@ -117,16 +121,16 @@
 fn history_is_bounded_and_older_versions_get_a_snapshot() {
     let versions = HISTORY_VERSIONS as u64 + 10;
     let mut publisher = publisher(versions);
-    join(&mut publisher, 0, 10);
+    connect(&mut publisher, 0, 10);
     assert_eq!(transitions(&configuration(&mut publisher, 0)), [(0, versions)]);
-    join(&mut publisher, SECOND_US, 11);
+    connect(&mut publisher, SECOND_US, 11);
     assert_eq!(transitions(&configuration(&mut publisher, SECOND_US)), [(11, versions)]);
 }
 
 #[test]
-fn one_message_is_unreported_and_versions_published_meanwhile_are_merged() {
+fn one_message_is_unreported_and_versions_published_meanwhile_are_coalesced() {
     let mut publisher = publisher(1);
-    join(&mut publisher, 0, 1);
+    connect(&mut publisher, 0, 1);
     publisher.publish(Version(2), settings(2)).unwrap();
     assert_eq!(transitions(&configuration(&mut publisher, 0)), [(1, 2)]);
     for version in 3..9 {
@@ -141,23 +145,23 @@
 }
 
 #[test]
-fn messages_to_a_gateway_keep_a_minimum_gap() {
+fn messages_to_a_gateway_keep_a_minimum_interval() {
     let mut publisher = publisher(1);
-    join(&mut publisher, 0, 1);
+    connect(&mut publisher, 0, 1);
     publisher.publish(Version(2), settings(2)).unwrap();
     assert_eq!(transitions(&configuration(&mut publisher, 0)), [(1, 2)]);
     applied(&mut publisher, 2);
     publisher.publish(Version(3), settings(3)).unwrap();
-    let gap_us = Pacing::default().gap_us;
-    assert_eq!(transitions(&configuration(&mut publisher, gap_us - 1)), []);
-    assert_eq!(publisher.next_due_us(), Some(gap_us));
-    assert_eq!(transitions(&configuration(&mut publisher, gap_us)), [(2, 3)]);
+    let min_interval_us = Pacing::default().min_interval_us;
+    assert_eq!(transitions(&configuration(&mut publisher, min_interval_us - 1)), []);
+    assert_eq!(publisher.next_due_us(), Some(min_interval_us));
+    assert_eq!(transitions(&configuration(&mut publisher, min_interval_us)), [(2, 3)]);
 }
 
 #[test]
 fn a_message_without_a_report_is_sent_again_with_backoff() {
     let mut publisher = publisher(2);
-    join(&mut publisher, 0, 1);
+    connect(&mut publisher, 0, 1);
     let mut sent_s = Vec::new();
     for second in 0..200 {
         if !configuration(&mut publisher, second * SECOND_US).is_empty() {
@@ -169,14 +173,14 @@
     assert_eq!(
         transitions(&configuration(&mut publisher, 200 * SECOND_US)),
         [(1, 3)],
-        "a new one does not wait so long"
+        "the backoff does not apply to a new version"
     );
 }
 
 #[test]
-fn a_refused_version_is_not_sent_again_and_the_newest_good_one_is_sent() {
+fn after_a_refusal_the_newest_version_that_was_not_refused_is_sent() {
     let mut publisher = publisher(6);
-    join(&mut publisher, 0, 3);
+    connect(&mut publisher, 0, 3);
     assert_eq!(transitions(&configuration(&mut publisher, 0)), [(3, 6)]);
     refused(&mut publisher, 6, 3);
     assert_eq!(transitions(&configuration(&mut publisher, SECOND_US)), [(3, 5)]);
@@ -195,10 +199,10 @@
 }
 
 #[test]
-fn reports_on_versions_not_sent_on_this_stream_do_not_count() {
+fn reports_on_versions_not_sent_on_this_stream_are_ignored() {
     let mut publisher = publisher(3);
     applied(&mut publisher, 3);
-    join(&mut publisher, 0, 1);
+    connect(&mut publisher, 0, 1);
     applied(&mut publisher, 3);
     refused(&mut publisher, 3, 2);
     assert_eq!(publisher.status().gateways[0].version, Version(1));
@@ -212,7 +216,7 @@
 #[test]
 fn a_late_report_of_an_earlier_process_is_corrected_by_the_next_one() {
     let mut publisher = publisher(3);
-    join(&mut publisher, 0, 1);
+    connect(&mut publisher, 0, 1);
     assert_eq!(transitions(&configuration(&mut publisher, 0)), [(1, 3)]);
     applied(&mut publisher, 3);
     refused(&mut publisher, 3, 1);
@@ -225,9 +229,9 @@
 }
 
 #[test]
-fn refusals_are_bounded() {
+fn recorded_refusals_are_bounded() {
     let mut publisher = publisher(1);
-    join(&mut publisher, 0, 1);
+    connect(&mut publisher, 0, 1);
     for version in 2..200 {
         publisher.publish(Version(version), settings(version)).unwrap();
         configuration(&mut publisher, version * SECOND_US);
@@ -241,10 +245,10 @@
 }
 
 #[test]
-fn the_late_end_of_an_old_stream_does_not_end_the_new_one() {
+fn the_late_end_of_an_old_stream_does_not_disconnect_the_new_one() {
     let mut publisher = publisher(1);
-    let old = join(&mut publisher, 0, 0);
-    let new = join(&mut publisher, 0, 0);
+    let old = connect(&mut publisher, 0, 0);
+    let new = connect(&mut publisher, 0, 0);
     publisher.disconnect(&gateway(), old);
     assert_eq!(transitions(&configuration(&mut publisher, 0)), [(0, 1)]);
     publisher.disconnect(&gateway(), new);
@@ -253,9 +257,10 @@
 }
 
 #[test]
-fn gateways_served_longest_ago_are_first_and_the_rate_limit_holds() {
+fn least_recently_served_gateways_are_first_and_the_rate_limit_holds() {
     let messages_per_second = 100;
-    let mut publisher = Publisher::new(Pacing { bytes_per_second: u64::MAX, messages_per_second, gap_us: 0 });
+    let mut publisher =
+        Publisher::new(Pacing { bytes_per_second: u64::MAX, messages_per_second, min_interval_us: 0 });
     for number in 0..50 {
         publisher.connect(0, GatewayId(format!("gw-{number:02}")), Version(0), Digest(0));
     }
@@ -276,15 +281,15 @@
         }
     }
     let total: usize = served.values().sum();
-    assert!((1_000..=1_002).contains(&total), "{total} in ten seconds");
+    assert!((1_000..=1_002).contains(&total), "{total} messages in ten seconds");
     assert!(served.len() == 50 && served.values().all(|count| (20..=21).contains(count)), "{served:?}");
 }
 
 #[test]
-fn heartbeats_announce_the_newest_version_at_once_and_then_regularly() {
+fn heartbeats_announce_the_newest_version_on_connect_and_periodically() {
     let mut publisher = publisher(0);
     assert_eq!(publisher.next_due_us(), None);
-    join(&mut publisher, 5, 0);
+    connect(&mut publisher, 5, 0);
     assert_eq!(publisher.next_due_us(), Some(5));
     let current = |version: u64| OutgoingMessage {
         version: Version(version),
@@ -297,7 +302,7 @@
 }
 
 #[test]
-fn gateways_without_a_stream_are_forgotten_when_there_are_too_many() {
+fn disconnected_gateways_are_removed_when_there_are_too_many() {
     let mut publisher = publisher(1);
     for number in 0..MAX_KNOWN_GATEWAYS + 1 {
         let gateway = GatewayId(number.to_string());
--- a/configuration/src/subscriber.rs
+++ b/configuration/src/subscriber.rs
@@ -1,7 +1,8 @@
-//! The gateway's side: which version is in force, which is applied next, and from which control plane server.
+//! The subscriber of a gateway: tracks the version in force and the version being applied, and the stream to a
+//! control plane server.
 //!
-//! Invariant: a version is in force only after the gateway has reported that it was applied, and an older version never
-//! replaces a newer one.
+//! Invariants: a version is in force only after the gateway has called [`Subscriber::on_applied`], and an older
+//! version never replaces a newer one.
 
 use std::fmt;
 
@@ -10,40 +11,40 @@
 use crate::message::{Delta, Message, Report, Snapshot, VerifyError};
 use crate::version::{Digest, Version};
 
-/// A stream without a sign of life for this long is given up, and so is one whose server has been behind the gateway
-/// for this long. Microseconds.
+/// Time after which a stream is closed, in microseconds, if nothing was received or if the server has had only older
+/// versions than the gateway.
 pub const SILENCE_TIMEOUT_US: u64 = 6_000_000;
 
-/// What the gateway has to do after a message.
+/// Action that the gateway must take after a message.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SubscriberAction {
-    /// Nothing.
+    /// The message requires no action.
     Nothing,
-    /// Apply these settings and call [`Subscriber::on_applied`] or [`Subscriber::on_refused`]. A later version
-    /// replaces them.
+    /// Apply the settings and call [`Subscriber::on_applied`] or [`Subscriber::on_refused`]. A later `Apply` replaces
+    /// an unfinished one.
     Apply {
-        /// The version.
+        /// Version to pass to the callback.
         version: Version,
-        /// The settings.
+        /// Validated settings to apply.
         document: Document,
     },
-    /// A version is refused; [`Subscriber::refusal_report`] has to be sent to the control plane.
+    /// The version of the message is refused. Send [`Subscriber::refusal_report`] to the control plane.
     Refused {
-        /// The version.
+        /// Refused version.
         version: Version,
-        /// Why, for people.
+        /// Error text for operators.
         reason: String,
     },
-    /// Open the stream anew with [`Subscriber::position`].
+    /// Close the stream and open a new one with [`Subscriber::position`].
     Resync,
 }
 
-/// The version that a gateway has when it opens a stream.
+/// Version and digest that a gateway sends when it opens a stream.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Position {
-    /// The version in force; 0 asks for a snapshot.
+    /// Version in force. 0 requests a snapshot.
     pub version: Version,
-    /// The digest of the settings in force.
+    /// Digest of the settings in force.
     pub digest: Digest,
 }
 
@@ -60,15 +61,15 @@
     reason: String,
 }
 
-/// The configuration of one gateway.
+/// Versioned configuration of one gateway.
 #[derive(Debug)]
 pub struct Subscriber {
     in_force: VersionedDocument,
-    /// Given to the gateway, which has not reported its result yet.
+    /// The version being applied, whose result the gateway has not reported yet.
     pending: Option<VersionedDocument>,
     refused: Option<Refusal>,
     newest_seen: Version,
-    /// The last resynchronisation was for contents that did not fit: a snapshot is needed.
+    /// A message was invalid or a delta could not be applied, so that the next stream must start with a snapshot.
     wants_snapshot: bool,
     backoff: Backoff,
     stream: StreamState,
@@ -81,8 +82,8 @@
 }
 
 impl Subscriber {
-    /// A gateway that has this version in force and knows so many control plane servers; version 0 is the gateway's own
-    /// file. The seed should differ between gateways.
+    /// Creates the subscriber of a gateway with `servers` control plane servers and `document` in force. Version 0
+    /// stands for the settings of the gateway's own file. The seed should differ between gateways.
     pub fn new(servers: usize, seed: u64, version: Version, document: Document) -> Self {
         Self {
             in_force: VersionedDocument { version, document },
@@ -95,30 +96,30 @@
         }
     }
 
-    /// Takes a message from the stream.
+    /// Processes a message from the stream.
     pub fn on_message(&mut self, now_us: u64, text: &str) -> SubscriberAction {
         self.on_activity(now_us);
         let Ok(message) = Message::parse(text) else { return self.resync(true) };
         self.newest_seen = self.newest_seen.max(message.version());
-        let step = match message {
+        let action = match message {
             Message::Current(version) => self.on_current(now_us, version),
             Message::Delta(delta) => self.on_delta(delta),
             Message::Snapshot(snapshot) => self.on_snapshot(snapshot),
         };
-        if step != SubscriberAction::Resync {
+        if action != SubscriberAction::Resync {
             self.backoff.on_success();
         }
-        step
+        action
     }
 
-    /// Something other than a message was read, such as a comment: the stream is alive.
+    /// Records that data other than a message, such as a comment, was received on the stream.
     pub fn on_activity(&mut self, now_us: u64) {
         if let StreamState::Up { last_activity_us, .. } = &mut self.stream {
             *last_activity_us = now_us;
         }
     }
 
-    /// The gateway has applied a version. Returns the report that has to reach the control plane.
+    /// Records that the gateway has applied a version. Returns the report to send until the control plane accepts it.
     pub fn on_applied(&mut self, version: Version) -> Report {
         if let Some(applied) = self.take_pending(version) {
             self.in_force = applied;
@@ -126,7 +127,8 @@
         Report::Applied { version: self.in_force.version }
     }
 
-    /// The gateway could not apply a version. Returns the report that has to reach the control plane.
+    /// Records that the gateway could not apply a version. Returns the report to send until the control plane accepts
+    /// it.
     pub fn on_refused(&mut self, version: Version, error: &impl fmt::Display) -> Report {
         let Some(refused) = self.take_pending(version) else {
             return Report::Applied { version: self.in_force.version };
@@ -137,23 +139,23 @@
         report
     }
 
-    /// The report of a refused version.
+    /// Creates the report of a refused version.
     pub fn refusal_report(&self, version: Version, reason: &str) -> Report {
         Report::refused(version, reason, self.in_force.version)
     }
 
-    /// The stream is open.
+    /// Records that the stream is open.
     pub fn on_connected(&mut self, now_us: u64) {
         self.stream = StreamState::Up { last_activity_us: now_us, server_behind_since_us: None };
     }
 
-    /// The stream is closed, or could not be opened.
+    /// Records that the stream is closed or could not be opened, and schedules the next attempt.
     pub fn on_disconnected(&mut self, now_us: u64) {
         let wait_us = self.backoff.on_failure();
         self.stream = StreamState::Down { next_attempt_us: now_us.saturating_add(wait_us) };
     }
 
-    /// When to open the stream, in microseconds; none while it is open.
+    /// Time at which to open the stream, in microseconds. `None` while the stream is open.
     pub fn next_attempt_us(&self) -> Option<u64> {
         match self.stream {
             StreamState::Down { next_attempt_us } => Some(next_attempt_us),
@@ -161,40 +163,39 @@
         }
     }
 
-    /// The number of the control plane server to connect to.
+    /// Index of the control plane server to connect to.
     pub fn server(&self) -> usize {
         self.backoff.server()
     }
 
-    /// The position to open the stream with.
+    /// Position with which to open the stream.
     pub fn position(&self) -> Position {
         let version = if self.wants_snapshot { Version::NONE } else { self.in_force.version };
         Position { version, digest: self.in_force.document.digest() }
     }
 
-    /// Whether the stream has to be closed: there was no sign of life for [`SILENCE_TIMEOUT_US`], or the server has had
-    /// only older versions than the gateway for that long.
+    /// Whether the stream must be closed because of [`SILENCE_TIMEOUT_US`].
     pub fn is_silent(&self, now_us: u64) -> bool {
-        let is_over = |since_us: u64| now_us.saturating_sub(since_us) >= SILENCE_TIMEOUT_US;
+        let has_timed_out = |since_us: u64| now_us.saturating_sub(since_us) >= SILENCE_TIMEOUT_US;
         match self.stream {
             StreamState::Down { .. } => false,
             StreamState::Up { last_activity_us, server_behind_since_us } => {
-                is_over(last_activity_us) || server_behind_since_us.is_some_and(is_over)
+                has_timed_out(last_activity_us) || server_behind_since_us.is_some_and(has_timed_out)
             }
         }
     }
 
-    /// The version in force; 0: none was published.
+    /// Version in force. 0 while the settings of the gateway's own file are in force.
     pub fn in_force(&self) -> Version {
         self.in_force.version
     }
 
-    /// The settings in force.
+    /// Settings in force.
     pub fn document(&self) -> &Document {
         &self.in_force.document
     }
 
-    /// The newest version that a server has announced.
+    /// Newest version in any message received so far.
     pub fn newest_seen(&self) -> Version {
         self.newest_seen
     }
@@ -247,7 +248,7 @@
         self.pending.take_if(|pending| pending.version == version)
     }
 
-    /// Two documents of one version: the one that is here stays.
+    /// Refuses a document whose digest differs from the known document of the same version.
     fn compare_digests(&self, version: Version, known: Digest, received: Digest) -> SubscriberAction {
         if known == received {
             return SubscriberAction::Nothing;
@@ -276,7 +277,7 @@
         SubscriberAction::Resync
     }
 
-    /// The newest version in force or pending.
+    /// The pending version, or the version in force if none is pending.
     fn newest_known(&self) -> Version {
         self.pending.as_ref().map_or(self.in_force.version, |pending| pending.version)
     }
--- a/configuration/src/version.rs
+++ b/configuration/src/version.rs
@@ -1,4 +1,4 @@
-//! Versions, digests and the names of gateways.
+//! Identifiers in messages and reports: version numbers, document digests and gateway names.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,13 +6,13 @@
 use serde::de::Error as _;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-/// The number of a configuration; assigned by whoever publishes, strictly rising. 0: none was published.
+/// Version number of a configuration. Assigned when the configuration is published, and strictly increasing.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Version(pub u64);
 
 impl Version {
-    /// No version: what a gateway has that follows only its own file.
+    /// Version of a gateway that uses the settings of its own file.
     pub const NONE: Self = Self(0);
 }
 
@@ -22,8 +22,8 @@
     }
 }
 
-/// The 64-bit FNV-1a of a document's canonical JSON; written as 16 hex digits. It finds differences by mistake or
-/// damage, and is no protection against forgery.
+/// 64-bit FNV-1a hash of a document's canonical JSON, written as 16 hex digits. Detects mistakes and corruption, but
+/// does not protect against forgery.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Digest(pub u64);
 
@@ -33,7 +33,7 @@
     }
 }
 
-/// A digest is not 16 hex digits.
+/// The text of a digest is not 16 hex digits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("16 hex digits expected")]
 pub struct DigestError;
@@ -62,7 +62,7 @@
     }
 }
 
-/// The name of a gateway, as it gives it.
+/// Name of a gateway, as configured there.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct GatewayId(pub String);
--- a/configuration/tests/common/mod.rs
+++ b/configuration/tests/common/mod.rs
@@ -1,9 +1,9 @@
-//! Random numbers with a fixed seed, and random settings.
+//! Random JSON values and settings from a fixed seed.
 
 use serde_json::{Map, Value, json};
 use wrenhatch_configuration::Document;
 
-/// SplitMix64.
+/// Deterministic random numbers by SplitMix64.
 pub struct Random(u64);
 
 impl Random {
@@ -27,7 +27,7 @@
     }
 }
 
-/// A JSON value of any form, with null members, empty lists and lists of named objects.
+/// Random JSON value, which can hold null members, empty lists and lists of named objects.
 pub fn value(random: &mut Random, depth: usize) -> Value {
     match random.below(if depth == 0 { 5 } else { 9 }) {
         0 => Value::Null,
@@ -62,7 +62,7 @@
     Value::Array(list)
 }
 
-/// Settings of any form.
+/// Random settings.
 pub fn document(random: &mut Random) -> Document {
     let mut members = Map::new();
     for key in ["classes", "projects", "rules"] {
--- a/configuration/tests/documents.rs
+++ b/configuration/tests/documents.rs
@@ -1,4 +1,4 @@
-//! Deltas of random documents, and texts that are not messages.
+//! Guards the delta format on random documents: deltas reproduce the target, and invalid input causes no panic.
 
 mod common;
 
@@ -8,45 +8,49 @@
 const CASES: usize = 5_000;
 
 #[test]
-fn a_delta_leads_from_one_document_to_the_other_over_the_wire() {
+fn a_delta_sent_over_the_wire_reproduces_the_target_document() {
     let mut random = Random::new(1);
     for case in 0..CASES {
         let (old, new) = (document(&mut random), document(&mut random));
         let delta = Delta::between((Version(1), &old), (Version(2), &new));
-        let Ok(Message::Delta(read)) = Message::parse(&Message::Delta(delta).encode()) else {
-            panic!("case {case}: no difference");
+        let Ok(Message::Delta(parsed)) = Message::parse(&Message::Delta(delta).encode()) else {
+            panic!("case {case}: the message is not a delta");
         };
-        let result = read.apply(&old).unwrap();
+        let result = parsed.apply(&old).unwrap();
         assert_eq!(result.canonical(), new.canonical(), "case {case}");
     }
 }
 
 #[test]
-fn a_delta_on_another_base_is_an_error_or_leads_to_the_same() {
+fn a_delta_on_a_wrong_base_is_an_error_or_reproduces_the_target() {
     let mut random = Random::new(2);
-    let mut found_out = 0;
+    let mut detected = 0;
     for case in 0..CASES {
         let (old, new, other) = (document(&mut random), document(&mut random), document(&mut random));
         match Delta::between((Version(1), &old), (Version(2), &new)).apply(&other) {
             Ok(result) => assert_eq!(result.canonical(), new.canonical(), "case {case}"),
-            Err(_) => found_out += 1,
+            Err(_) => detected += 1,
         }
     }
-    assert!(found_out > CASES / 4, "only {found_out} bases differed in what counts");
+    assert!(detected > CASES / 4, "only {detected} wrong bases were detected");
 }
 
 #[test]
-fn a_document_has_the_digest_of_its_canonical_text_when_read_again() {
+fn a_document_parsed_from_its_canonical_json_has_the_same_digest() {
     let mut random = Random::new(3);
     for case in 0..CASES {
         let original = document(&mut random);
-        let again: Document = original.canonical().parse().unwrap();
-        assert_eq!((again.canonical(), again.digest()), (original.canonical(), original.digest()), "{case}");
+        let reparsed: Document = original.canonical().parse().unwrap();
+        assert_eq!(
+            (reparsed.canonical(), reparsed.digest()),
+            (original.canonical(), original.digest()),
+            "{case}"
+        );
     }
 }
 
 #[test]
-fn any_patch_is_applied_or_refused_without_a_panic() {
+fn random_patches_cause_no_panic() {
     let mut random = Random::new(4);
     for _ in 0..CASES {
         let mut patch = value(&mut random, 4);
@@ -61,14 +65,14 @@
 }
 
 #[test]
-fn damaged_messages_are_read_or_refused_without_a_panic() {
+fn corrupt_messages_cause_no_panic_and_no_wrong_document() {
     let mut random = Random::new(5);
     for _ in 0..CASES {
         let (old, new) = (document(&mut random), document(&mut random));
         let message = Message::Delta(Delta::between((Version(1), &old), (Version(2), &new)));
         let mut bytes = message.encode().into_bytes();
-        let place = random.below(bytes.len());
-        bytes[place] = random.next() as u8;
+        let position = random.below(bytes.len());
+        bytes[position] = random.next() as u8;
         let Ok(text) = String::from_utf8(bytes) else { continue };
         let mut subscriber = Subscriber::new(3, 7, Version(1), old);
         if let SubscriberAction::Apply { version, document } = subscriber.on_message(0, &text) {
--- a/configuration/tests/model.rs
+++ b/configuration/tests/model.rs
@@ -1,5 +1,5 @@
-//! Random steps of publishers, gateways and the network between them, against a simple model: what was published, and
-//! what each gateway has in force.
+//! Compares publishers and subscribers on a faulty simulated network with a simple model of the published versions
+//! and the version in force at each gateway. Guards convergence after all faults have ended.
 
 mod common;
 
@@ -14,14 +14,14 @@
 const SEEDS: u64 = 60;
 const STEP_US: u64 = 50_000;
 const FAULTY_STEPS: u64 = 1_600;
-const QUIET_STEPS: u64 = 1_200;
+const FAULT_FREE_STEPS: u64 = 1_200;
 const SECOND_US: u64 = 1_000_000;
-const REPORT_AGAIN_US: u64 = SECOND_US;
-const MERGE_EVERY_US: u64 = SECOND_US / 2;
+const REPORT_RETRY_US: u64 = SECOND_US;
+const MERGE_INTERVAL_US: u64 = SECOND_US / 2;
 
 type Stream = u64;
 
-/// Something on its way.
+/// A message in flight on the simulated network.
 #[derive(Clone)]
 enum Packet {
     Message { gateway: usize, server: usize, stream: Stream, text: String },
@@ -29,7 +29,7 @@
     Merge { from: usize, to: usize, version: Version, document: Document },
 }
 
-/// A version that is being taken over: the gateway does so between two turns.
+/// A version that a gateway is applying. It is in force from `at_us` on.
 struct Applying {
     at_us: u64,
     version: Version,
@@ -41,9 +41,9 @@
     subscriber: Subscriber,
     stream: Option<(usize, Stream)>,
     applying: Option<Applying>,
-    /// Sent again until a control plane server has accepted it.
+    /// Unacknowledged report and the time of its next attempt.
     report: Option<(Report, u64)>,
-    /// The model: what is in force.
+    /// The version in force by the model.
     in_force: Version,
 }
 
@@ -53,44 +53,44 @@
     streams: BTreeMap<usize, (ConnectionId, Stream)>,
 }
 
-/// How often what happened, so that no run passes because nothing did.
+/// Numbers of events, to check that the steps exercise all of them.
 #[derive(Debug, Default)]
-struct Counts {
-    taken: usize,
+struct EventCounts {
+    applied: usize,
     refused: usize,
     resyncs: usize,
     restarts_while_applying: usize,
-    silences: usize,
+    stream_timeouts: usize,
     stale_servers: usize,
-    worst_quiet_us: u64,
+    longest_convergence_us: u64,
 }
 
-struct World {
+struct Simulation {
     random: Random,
     now_us: u64,
     gateways: Vec<Gateway>,
     servers: Vec<Server>,
     network: BTreeMap<(u64, u64), Packet>,
-    packets: u64,
+    packets_sent: u64,
     streams: u64,
     is_faulty: bool,
-    cut: BTreeSet<(usize, usize)>,
-    cut_servers: BTreeSet<(usize, usize)>,
-    /// The model: what was published.
+    partitioned: BTreeSet<(usize, usize)>,
+    partitioned_servers: BTreeSet<(usize, usize)>,
+    /// All published versions, by the model.
     published: BTreeMap<Version, Document>,
     file: Document,
-    counts: Counts,
+    counts: EventCounts,
 }
 
 fn file() -> Document {
     Document::new(json!({ "classes": [{ "name": "lookup" }] })).unwrap()
 }
 
-fn is_bad(document: &Document) -> bool {
+fn is_invalid(document: &Document) -> bool {
     document.value().get("bad").is_some()
 }
 
-impl World {
+impl Simulation {
     fn new(seed: u64) -> Self {
         let gateway = |number: usize| Gateway {
             id: GatewayId(format!("gw-{number}")),
@@ -107,14 +107,14 @@
             gateways: (0..GATEWAYS).map(gateway).collect(),
             servers: (0..SERVERS).map(server).collect(),
             network: BTreeMap::new(),
-            packets: 0,
+            packets_sent: 0,
             streams: 0,
             is_faulty: true,
-            cut: BTreeSet::new(),
-            cut_servers: BTreeSet::new(),
+            partitioned: BTreeSet::new(),
+            partitioned_servers: BTreeSet::new(),
             published: BTreeMap::new(),
             file: file(),
-            counts: Counts::default(),
+            counts: EventCounts::default(),
         }
     }
 
@@ -125,11 +125,11 @@
         }
         self.repair_all();
         self.publish(false);
-        let quiet_since_us = self.now_us;
-        for _ in 0..QUIET_STEPS {
+        let faults_ended_us = self.now_us;
+        for _ in 0..FAULT_FREE_STEPS {
             self.step();
             if !self.all_have_the_newest_version() {
-                self.counts.worst_quiet_us = self.now_us - quiet_since_us;
+                self.counts.longest_convergence_us = self.now_us - faults_ended_us;
             }
         }
         assert!(
@@ -137,14 +137,14 @@
             "{:?}",
             self.servers.iter().map(status).collect::<Vec<_>>()
         );
-        self.check_status_for_operators();
+        self.check_status();
     }
 
     fn step(&mut self) {
         self.now_us += STEP_US;
         self.deliver();
-        (0..GATEWAYS).for_each(|gateway| self.turn_gateway(gateway));
-        (0..SERVERS).for_each(|server| self.turn_server(server));
+        (0..GATEWAYS).for_each(|gateway| self.step_gateway(gateway));
+        (0..SERVERS).for_each(|server| self.step_server(server));
         self.check_against_the_model();
     }
 
@@ -152,9 +152,9 @@
         match self.random.below(400) {
             0..10 => self.publish(false),
             10..14 => self.publish(true),
-            14..18 => self.publish_old(),
-            18..20 => self.lose_server(),
-            20..24 => self.bring_server_back(),
+            14..18 => self.publish_old_number(),
+            18..20 => self.crash_server(),
+            20..24 => self.restart_server(),
             24..30 => self.restart_gateway(),
             30..34 => self.partition(),
             34..38 => self.heal(),
@@ -166,7 +166,7 @@
         self.is_faulty = false;
         self.heal();
         for _ in 0..1_000 {
-            self.bring_server_back();
+            self.restart_server();
         }
         assert!(self.servers.iter().all(|server| server.publisher.is_some()));
     }
@@ -189,8 +189,8 @@
         }
     }
 
-    /// An operator repeats an old number: it must not be taken where it is known to be old.
-    fn publish_old(&mut self) {
+    /// Publishes an old version number on a server that has a newer one, which must be rejected.
+    fn publish_old_number(&mut self) {
         let server = self.random.below(SERVERS);
         let Some(publisher) = &mut self.servers[server].publisher else { return };
         let Some(newest) = publisher.newest().map(|(version, _)| version) else { return };
@@ -198,11 +198,11 @@
         assert!(publisher.publish(old, file()).is_err());
     }
 
-    fn lose_server(&mut self) {
+    fn crash_server(&mut self) {
         let server = self.random.below(SERVERS);
         self.servers[server] = Server::default();
         for gateway in 0..GATEWAYS {
-            // Else the gateway has to find out by the silence.
+            // Without a reset, the gateway must detect the failure by the stream timeout.
             let is_reset = self.random.chance(50);
             if is_reset && self.gateways[gateway].stream.is_some_and(|(at, _)| at == server) {
                 self.close(gateway);
@@ -210,39 +210,39 @@
         }
     }
 
-    /// A server comes back with any version that there was, or with none.
-    fn bring_server_back(&mut self) {
+    /// Restarts a server with a random published version, or without versions.
+    fn restart_server(&mut self) {
         let server = self.random.below(SERVERS);
         if self.servers[server].publisher.is_some() {
             return;
         }
         let mut publisher = Publisher::new(Pacing::default());
-        let older = self.random.below(self.published.len() + 1);
-        if let Some((version, document)) = self.published.iter().nth(older) {
+        let index = self.random.below(self.published.len() + 1);
+        if let Some((version, document)) = self.published.iter().nth(index) {
             assert_eq!(publisher.merge(*version, document.clone()), MergeResult::Added);
             self.counts.stale_servers += 1;
         }
         self.servers[server].publisher = Some(publisher);
     }
 
-    /// A gateway starts again from its file, or from what it had kept on disk.
+    /// Restarts a gateway with the settings of its file or with the stored version in force.
     fn restart_gateway(&mut self) {
         let number = self.random.below(GATEWAYS);
         self.close(number);
-        let keeps = self.random.chance(50);
+        let keeps_version = self.random.chance(50);
         let seed = self.random.next();
         let gateway = &mut self.gateways[number];
         if gateway.applying.take().is_some() {
             self.counts.restarts_while_applying += 1;
         }
         gateway.report = None;
-        gateway.in_force = if keeps { gateway.in_force } else { Version::NONE };
+        gateway.in_force = if keeps_version { gateway.in_force } else { Version::NONE };
         let settings = self.published.get(&gateway.in_force).cloned().unwrap_or_else(file);
         gateway.subscriber = Subscriber::new(SERVERS, seed, gateway.in_force, settings);
         if let Some((server, connection)) = self.stream_at_server(number) {
-            // The server may learn of the end late, after the gateway has come back.
+            // The server may detect the end of the stream only after the gateway has reconnected.
             if self.random.chance(50) {
-                self.leave(server, number, connection);
+                self.disconnect(server, number, connection);
             }
         }
     }
@@ -251,42 +251,42 @@
         for gateway in 0..GATEWAYS {
             for server in 0..SERVERS {
                 if self.random.chance(50) {
-                    self.cut.insert((gateway, server));
+                    self.partitioned.insert((gateway, server));
                 }
             }
         }
         for from in 0..SERVERS {
             for to in 0..SERVERS {
                 if self.random.chance(50) {
-                    self.cut_servers.insert((from, to));
+                    self.partitioned_servers.insert((from, to));
                 }
             }
         }
     }
 
     fn heal(&mut self) {
-        self.cut.clear();
-        self.cut_servers.clear();
+        self.partitioned.clear();
+        self.partitioned_servers.clear();
     }
 
-    fn is_cut(&self, packet: &Packet) -> bool {
+    fn is_partitioned(&self, packet: &Packet) -> bool {
         match packet {
             Packet::Message { gateway, server, .. } | Packet::Report { gateway, server, .. } => {
-                self.cut.contains(&(*gateway, *server))
+                self.partitioned.contains(&(*gateway, *server))
             }
-            Packet::Merge { from, to, .. } => self.cut_servers.contains(&(*from, *to)),
+            Packet::Merge { from, to, .. } => self.partitioned_servers.contains(&(*from, *to)),
         }
     }
 
-    /// Puts something on its way: perhaps never, twice, late, or before what was sent earlier.
+    /// Sends a packet. Faults can drop, duplicate, delay or reorder packets_sent.
     fn send(&mut self, packet: Packet) {
-        let is_lost = self.is_cut(&packet) || self.is_faulty && self.random.chance(8);
+        let is_lost = self.is_partitioned(&packet) || self.is_faulty && self.random.chance(8);
         let copies = if is_lost { 0 } else { 1 + usize::from(self.is_faulty && self.random.chance(10)) };
         for _ in 0..copies {
             let is_late = self.is_faulty && self.random.chance(15);
             let delay_us = self.random.next() % if is_late { 20 * SECOND_US } else { SECOND_US / 10 };
-            self.packets += 1;
-            self.network.insert((self.now_us + delay_us, self.packets), packet.clone());
+            self.packets_sent += 1;
+            self.network.insert((self.now_us + delay_us, self.packets_sent), packet.clone());
         }
     }
 
@@ -296,7 +296,8 @@
         for packet in due.into_values() {
             match packet {
                 Packet::Message { gateway, server, stream, text } => {
-                    // What is late may belong to an older stream; that it arrives all the same is worse than TCP.
+                    // Late messages can belong to an older stream. Delivering them is a stronger fault than TCP
+                    // allows.
                     let is_stray = self.gateways[gateway].stream != Some((server, stream));
                     if !is_stray || self.is_faulty && self.random.chance(30) {
                         self.on_message(gateway, &text);
@@ -318,14 +319,21 @@
         match gateway.subscriber.on_message(now_us, text) {
             SubscriberAction::Nothing => {}
             SubscriberAction::Apply { version, document } => {
-                assert!(version > gateway.in_force, "{version} over {}", gateway.in_force);
+                assert!(version > gateway.in_force, "version {version} replaces {}", gateway.in_force);
                 let published = self.published.get(&version).map(Document::canonical);
-                assert_eq!(Some(document.canonical()), published, "{version} is something else");
+                assert_eq!(
+                    Some(document.canonical()),
+                    published,
+                    "version {version} differs from the published document"
+                );
                 let at_us = now_us + self.random.next() % (SECOND_US / 2);
                 gateway.applying = Some(Applying { at_us, version, document });
             }
             SubscriberAction::Refused { version, reason } => {
-                assert!(is_bad(&self.published[&version]), "{version} is good: {reason}");
+                assert!(
+                    is_invalid(&self.published[&version]),
+                    "valid version {version} was refused: {reason}"
+                );
                 gateway.report = Some((gateway.subscriber.refusal_report(version, &reason), now_us));
             }
             SubscriberAction::Resync => {
@@ -339,19 +347,19 @@
         let Some(publisher) = &mut self.servers[server].publisher else { return };
         let (id, report) = Report::parse(text).unwrap();
         publisher.report(&id, report.clone());
-        // 204: the gateway need not tell it again.
-        if self.gateways[gateway].report.as_ref().is_some_and(|(told, _)| *told == report) {
+        // The server accepts the report with status 204, after which the gateway stops sending it.
+        if self.gateways[gateway].report.as_ref().is_some_and(|(sent, _)| *sent == report) {
             self.gateways[gateway].report = None;
         }
     }
 
-    fn turn_gateway(&mut self, number: usize) {
+    fn step_gateway(&mut self, number: usize) {
         self.finish_applying(number);
         self.send_report(number);
         let now_us = self.now_us;
         let gateway = &mut self.gateways[number];
         if gateway.stream.is_some() && gateway.subscriber.is_silent(now_us) {
-            self.counts.silences += 1;
+            self.counts.stream_timeouts += 1;
             self.close(number);
         }
         let attempt_us = self.gateways[number].subscriber.next_attempt_us();
@@ -364,14 +372,14 @@
         let now_us = self.now_us;
         let gateway = &mut self.gateways[number];
         let Some(applying) = gateway.applying.take_if(|applying| applying.at_us <= now_us) else { return };
-        let result = if is_bad(&applying.document) { Err("bad".to_owned()) } else { Ok(()) };
+        let result = if is_invalid(&applying.document) { Err("bad".to_owned()) } else { Ok(()) };
         let expected = match &result {
             Ok(()) => Report::Applied { version: applying.version },
             Err(reason) => Report::refused(applying.version, reason, gateway.in_force),
         };
         if result.is_ok() {
             gateway.in_force = applying.version;
-            self.counts.taken += 1;
+            self.counts.applied += 1;
         } else {
             self.counts.refused += 1;
         }
@@ -383,7 +391,7 @@
         gateway.report = Some((report, now_us));
     }
 
-    /// Tells a report, and again until it was heard.
+    /// Sends the report of a gateway, and again until a server accepts it.
     fn send_report(&mut self, number: usize) {
         let now_us = self.now_us;
         let gateway = &mut self.gateways[number];
@@ -393,7 +401,7 @@
         if *at_us > now_us {
             return;
         }
-        *at_us = now_us + REPORT_AGAIN_US;
+        *at_us = now_us + REPORT_RETRY_US;
         let text = report.encode(&gateway.id);
         self.send(Packet::Report { gateway: number, server, text });
     }
@@ -403,7 +411,7 @@
         let gateway = &mut self.gateways[number];
         let server = gateway.subscriber.server();
         let publisher = self.servers[server].publisher.as_mut();
-        let Some(publisher) = publisher.filter(|_| !self.cut.contains(&(number, server))) else {
+        let Some(publisher) = publisher.filter(|_| !self.partitioned.contains(&(number, server))) else {
             gateway.subscriber.on_disconnected(now_us);
             return;
         };
@@ -417,7 +425,7 @@
 
     fn close(&mut self, number: usize) {
         if let Some((server, connection)) = self.stream_at_server(number) {
-            self.leave(server, number, connection);
+            self.disconnect(server, number, connection);
         }
         let gateway = &mut self.gateways[number];
         gateway.stream = None;
@@ -430,14 +438,14 @@
         (*at_server == stream).then_some((server, *connection))
     }
 
-    fn leave(&mut self, server: usize, number: usize, connection: ConnectionId) {
+    fn disconnect(&mut self, server: usize, number: usize, connection: ConnectionId) {
         let id = &self.gateways[number].id;
         if let Some(publisher) = &mut self.servers[server].publisher {
             publisher.disconnect(id, connection);
         }
     }
 
-    fn turn_server(&mut self, number: usize) {
+    fn step_server(&mut self, number: usize) {
         let now_us = self.now_us;
         let Some(publisher) = &mut self.servers[number].publisher else { return };
         let newest = publisher.newest().map(|(version, document)| (version, document.clone()));
@@ -448,7 +456,7 @@
                 Packet::Message { gateway, server: number, stream: *stream, text: outgoing.text.to_string() };
             self.send(packet);
         }
-        let Some((version, document)) = newest.filter(|_| now_us % MERGE_EVERY_US == 0) else { return };
+        let Some((version, document)) = newest.filter(|_| now_us % MERGE_INTERVAL_US == 0) else { return };
         for to in (0..SERVERS).filter(|to| *to != number) {
             self.send(Packet::Merge { from: number, to, version, document: document.clone() });
         }
@@ -459,7 +467,7 @@
             assert_eq!(gateway.subscriber.in_force(), gateway.in_force);
             let settings = self.published.get(&gateway.in_force).unwrap_or(&self.file);
             assert_eq!(gateway.subscriber.document().digest(), settings.digest());
-            assert!(!is_bad(settings), "{} is in force", gateway.in_force);
+            assert!(!is_invalid(settings), "invalid version {} is in force", gateway.in_force);
         }
     }
 
@@ -468,15 +476,18 @@
         self.gateways.iter().all(|gateway| gateway.in_force == newest)
     }
 
-    fn check_status_for_operators(&self) {
+    fn check_status(&self) {
         let newest = self.published.keys().last().copied().unwrap_or_default();
-        let mut told = 0;
+        let mut up_to_date = 0;
         for server in &self.servers {
             let status = server.publisher.as_ref().unwrap().status();
             assert_eq!((status.newest, status.conflict), (newest, None));
-            told += status.counts().get(&newest).copied().unwrap_or(0);
+            up_to_date += status.counts().get(&newest).copied().unwrap_or(0);
         }
-        assert_eq!(told, GATEWAYS, "each is connected to one server and known to have the newest");
+        assert_eq!(
+            up_to_date, GATEWAYS,
+            "each gateway must be connected to one server, with the newest version in force"
+        );
     }
 }
 
@@ -485,24 +496,25 @@
 }
 
 #[test]
-fn random_steps_agree_with_the_model_and_all_gateways_get_the_newest_version() {
-    let mut total = Counts::default();
+fn gateways_agree_with_the_model_and_converge_to_the_newest_version() {
+    let mut total = EventCounts::default();
     for seed in 1..=SEEDS {
-        let mut world = World::new(seed);
-        world.run();
-        total.taken += world.counts.taken;
-        total.refused += world.counts.refused;
-        total.resyncs += world.counts.resyncs;
-        total.restarts_while_applying += world.counts.restarts_while_applying;
-        total.silences += world.counts.silences;
-        total.stale_servers += world.counts.stale_servers;
-        total.worst_quiet_us = total.worst_quiet_us.max(world.counts.worst_quiet_us);
+        let mut simulation = Simulation::new(seed);
+        simulation.run();
+        total.applied += simulation.counts.applied;
+        total.refused += simulation.counts.refused;
+        total.resyncs += simulation.counts.resyncs;
+        total.restarts_while_applying += simulation.counts.restarts_while_applying;
+        total.stream_timeouts += simulation.counts.stream_timeouts;
+        total.stale_servers += simulation.counts.stale_servers;
+        total.longest_convergence_us =
+            total.longest_convergence_us.max(simulation.counts.longest_convergence_us);
     }
-    // Else the steps have tried too little.
-    assert!(total.taken > 1_000 && total.refused > 200 && total.resyncs > 10, "{total:?}");
-    assert!(total.restarts_while_applying > 10 && total.silences > 100, "{total:?}");
+    // The steps must exercise all kinds of events.
+    assert!(total.applied > 1_000 && total.refused > 200 && total.resyncs > 10, "{total:?}");
+    assert!(total.restarts_while_applying > 10 && total.stream_timeouts > 100, "{total:?}");
     assert!(total.stale_servers > 50, "{total:?}");
     println!("{total:?}");
-    // From the end of all faults on: silence, one wait of back-off and the snapshot.
-    assert!(total.worst_quiet_us < 20 * SECOND_US, "{total:?}");
+    // Time from the end of all faults to convergence: stream timeout, one backoff delay and the snapshot.
+    assert!(total.longest_convergence_us < 20 * SECOND_US, "{total:?}");
 }
--- a/configuration/tests/recorded_messages.rs
+++ b/configuration/tests/recorded_messages.rs
@@ -1,5 +1,5 @@
-//! Messages and reports as they have been written so far must be read as the same ones and written again byte for
-//! byte: control machines and gateways of two releases talk to each other while one takes the other's place.
+//! Guards the wire format: recorded messages and reports must be parsed and encoded byte for byte as recorded,
+//! because control plane servers and gateways of different releases communicate during an upgrade.
 
 use wrenhatch_configuration::*;
 
@@ -9,7 +9,7 @@
 const DIGESTS: [u64; 4] =
     [0x08f4_4b07_b590_1a25, 0x04ac_7692_6434_9514, 0xb8d6_39b5_aced_6468, 0xb50b_9aff_c7d8_5393];
 
-/// The recorded documents: each on a line, as an operator may write it.
+/// Recorded documents, one per line, in the form in which an operator can write them.
 fn documents() -> Vec<Document> {
     DOCUMENTS.lines().map(|line| line.parse().unwrap()).collect()
 }
@@ -18,7 +18,7 @@
     (Version(number as u64 + 1), &documents[number])
 }
 
-/// The messages of the file, in its order.
+/// Messages in the order of the recorded file.
 fn messages() -> Vec<Message> {
     let documents = documents();
     let snapshot = |number: usize| {
@@ -43,7 +43,7 @@
     ]
 }
 
-/// The reports of the file, in its order, and whose they are.
+/// Reports in the order of the recorded file, each with its gateway.
 fn reports() -> Vec<(GatewayId, Report)> {
     let refused = |reason: &str| Report::refused(Version(4), reason, Version(3));
     vec![
@@ -61,29 +61,29 @@
 }
 
 #[test]
-fn messages_are_read_and_written_as_recorded() {
+fn messages_are_parsed_and_encoded_as_recorded() {
     let lines: Vec<&str> = MESSAGES.lines().collect();
     assert_eq!(lines.len(), messages().len());
     for (line, message) in lines.iter().zip(messages()) {
-        let read = Message::parse(line).unwrap();
-        assert_eq!(read, message, "{line}");
-        assert_eq!(read.encode(), *line);
+        let parsed = Message::parse(line).unwrap();
+        assert_eq!(parsed, message, "{line}");
+        assert_eq!(parsed.encode(), *line);
     }
 }
 
 #[test]
-fn recorded_differences_lead_to_the_recorded_documents() {
+fn recorded_messages_produce_the_recorded_documents() {
     let documents = documents();
     for line in MESSAGES.lines() {
         match Message::parse(line).unwrap() {
             Message::Snapshot(snapshot) => {
-                let wanted = &documents[snapshot.version.0 as usize - 1];
-                assert_eq!(snapshot.verify().unwrap().canonical(), wanted.canonical());
+                let expected = &documents[snapshot.version.0 as usize - 1];
+                assert_eq!(snapshot.verify().unwrap().canonical(), expected.canonical());
             }
             Message::Delta(delta) => {
-                let (base, wanted) =
+                let (base, expected) =
                     (&documents[delta.from.0 as usize - 1], &documents[delta.to.0 as usize - 1]);
-                assert_eq!(delta.apply(base).unwrap().canonical(), wanted.canonical());
+                assert_eq!(delta.apply(base).unwrap().canonical(), expected.canonical());
             }
             Message::Current(_) => {}
         }
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn reports_are_read_and_written_as_recorded() {
+fn reports_are_parsed_and_encoded_as_recorded() {
     let lines: Vec<&str> = REPORTS.lines().collect();
     assert_eq!(lines.len(), reports().len());
     for (line, (gateway, report)) in lines.iter().zip(reports()) {
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn texts_that_were_refused_are_refused() {
+fn invalid_messages_and_reports_are_errors() {
     for text in [
         "",
         "{}",
@@ -129,21 +129,21 @@
 }
 
 #[test]
-fn a_gateway_reads_a_recorded_stream_as_it_did() {
+fn a_subscriber_processes_a_recorded_stream() {
     let documents = documents();
     let lines: Vec<&str> = MESSAGES.lines().collect();
     let mut subscriber = Subscriber::new(1, 7, Version::NONE, Document::default());
-    let taken = |number: usize| SubscriberAction::Apply {
+    let apply = |number: usize| SubscriberAction::Apply {
         version: Version(number as u64 + 1),
         document: documents[number].clone(),
     };
-    // A snapshot, the difference to the next version, and its heartbeat.
-    assert_eq!(subscriber.on_message(0, lines[0]), taken(0));
+    // A snapshot, the delta to the next version, and a heartbeat.
+    assert_eq!(subscriber.on_message(0, lines[0]), apply(0));
     subscriber.on_applied(Version(1));
-    assert_eq!(subscriber.on_message(1, lines[4]), taken(1));
+    assert_eq!(subscriber.on_message(1, lines[4]), apply(1));
     subscriber.on_applied(Version(2));
     assert_eq!(subscriber.on_message(2, lines[8]), SubscriberAction::Nothing);
     assert_eq!(subscriber.position(), Position { version: Version(2), digest: documents[1].digest() });
-    // The difference from version 3 is for another gateway.
+    // The base of this delta is version 3, which the subscriber does not have.
     assert_eq!(subscriber.on_message(3, lines[7]), SubscriberAction::Resync);
 }
