--- a/configuration/src/lib.rs
+++ b/configuration/src/lib.rs
@@ -29,5 +29,5 @@
     MAX_REPORT_TIMEOUT_US, MergeResult, OutgoingMessage, PublishError, Publisher, REPORT_TIMEOUT_US,
     RefusedVersion, Status,
 };
-pub use subscriber::{Position, SILENCE_TIMEOUT_US, Subscriber, SubscriberAction};
+pub use subscriber::{Position, STREAM_TIMEOUT_US, Subscriber, SubscriberAction};
 pub use version::{Digest, GatewayId, Version};
--- a/configuration/src/subscriber.rs
+++ b/configuration/src/subscriber.rs
@@ -13,7 +13,7 @@
 
 /// Time after which a stream is closed, in microseconds, if nothing was received or if the server has had only older
 /// versions than the gateway.
-pub const SILENCE_TIMEOUT_US: u64 = 6_000_000;
+pub const STREAM_TIMEOUT_US: u64 = 6_000_000;
 
 /// Action that the gateway must take after a message.
 #[derive(Clone, Debug, PartialEq)]
@@ -174,9 +174,9 @@
         Position { version, digest: self.in_force.document.digest() }
     }
 
-    /// Whether the stream must be closed because of [`SILENCE_TIMEOUT_US`].
-    pub fn is_silent(&self, now_us: u64) -> bool {
-        let has_timed_out = |since_us: u64| now_us.saturating_sub(since_us) >= SILENCE_TIMEOUT_US;
+    /// Whether the stream must be closed because of [`STREAM_TIMEOUT_US`].
+    pub fn is_timed_out(&self, now_us: u64) -> bool {
+        let has_timed_out = |since_us: u64| now_us.saturating_sub(since_us) >= STREAM_TIMEOUT_US;
         match self.stream {
             StreamState::Down { .. } => false,
             StreamState::Up { last_activity_us, server_behind_since_us } => {
--- a/configuration/src/subscriber/tests.rs
+++ b/configuration/src/subscriber/tests.rs
@@ -162,14 +162,14 @@
 #[test]
 fn a_silent_stream_times_out_and_any_activity_restarts_the_timeout() {
     let mut subscriber = subscriber(5);
-    assert!(!subscriber.is_silent(SILENCE_TIMEOUT_US - 1));
-    assert!(subscriber.is_silent(SILENCE_TIMEOUT_US));
-    subscriber.on_activity(SILENCE_TIMEOUT_US);
-    assert!(!subscriber.is_silent(2 * SILENCE_TIMEOUT_US - 1));
-    subscriber.on_message(2 * SILENCE_TIMEOUT_US, "{\"current\":5}");
-    assert!(!subscriber.is_silent(3 * SILENCE_TIMEOUT_US - 1));
-    subscriber.on_disconnected(3 * SILENCE_TIMEOUT_US);
-    assert!(!subscriber.is_silent(u64::MAX), "a closed stream does not time out");
+    assert!(!subscriber.is_timed_out(STREAM_TIMEOUT_US - 1));
+    assert!(subscriber.is_timed_out(STREAM_TIMEOUT_US));
+    subscriber.on_activity(STREAM_TIMEOUT_US);
+    assert!(!subscriber.is_timed_out(2 * STREAM_TIMEOUT_US - 1));
+    subscriber.on_message(2 * STREAM_TIMEOUT_US, "{\"current\":5}");
+    assert!(!subscriber.is_timed_out(3 * STREAM_TIMEOUT_US - 1));
+    subscriber.on_disconnected(3 * STREAM_TIMEOUT_US);
+    assert!(!subscriber.is_timed_out(u64::MAX), "a closed stream does not time out");
 }
 
 #[test]
@@ -177,11 +177,11 @@
     let mut subscriber = subscriber(5);
     for second in 0..6 {
         assert_eq!(subscriber.on_message(second * 1_000_000, "{\"current\":4}"), SubscriberAction::Nothing);
-        assert!(!subscriber.is_silent(second * 1_000_000));
+        assert!(!subscriber.is_timed_out(second * 1_000_000));
     }
-    assert!(subscriber.is_silent(SILENCE_TIMEOUT_US));
-    subscriber.on_message(SILENCE_TIMEOUT_US, "{\"current\":5}");
-    assert!(!subscriber.is_silent(SILENCE_TIMEOUT_US), "the server has caught up");
+    assert!(subscriber.is_timed_out(STREAM_TIMEOUT_US));
+    subscriber.on_message(STREAM_TIMEOUT_US, "{\"current\":5}");
+    assert!(!subscriber.is_timed_out(STREAM_TIMEOUT_US), "the server has caught up");
 }
 
 #[test]
--- a/configuration/tests/model.rs
+++ b/configuration/tests/model.rs
@@ -358,7 +358,7 @@
         self.send_report(number);
         let now_us = self.now_us;
         let gateway = &mut self.gateways[number];
-        if gateway.stream.is_some() && gateway.subscriber.is_silent(now_us) {
+        if gateway.stream.is_some() && gateway.subscriber.is_timed_out(now_us) {
             self.counts.stream_timeouts += 1;
             self.close(number);
         }
--- a/gateway/src/control_plane/client.rs
+++ b/gateway/src/control_plane/client.rs
@@ -106,7 +106,7 @@
     /// Whether the stream has to be closed: its connection did not come up, or it is silent.
     pub fn is_stream_lost(&self, now_us: u64) -> bool {
         let is_late = |stream: &Stream| !stream.is_up && now_us >= stream.opened_us + CONNECT_TIMEOUT_US;
-        self.stream.as_ref().is_some_and(is_late) || self.subscriber.is_silent(now_us)
+        self.stream.as_ref().is_some_and(is_late) || self.subscriber.is_timed_out(now_us)
     }
 
     /// Whether a stream has to be opened.
--- a/lab/src/configuration/fleet/gateways.rs
+++ b/lab/src/configuration/fleet/gateways.rs
@@ -44,7 +44,7 @@
         let gateway = &mut self.gateways[number];
         let mut next_us = now_us + CHECK_INTERVAL_US;
         if gateway.is_up {
-            if gateway.stream.is_some() && gateway.subscriber.is_silent(now_us) {
+            if gateway.stream.is_some() && gateway.subscriber.is_timed_out(now_us) {
                 self.disconnect(number, true);
             }
             self.send_report(number);
