--- a/gateway/tests/common/control.rs
+++ b/gateway/tests/common/control.rs
@@ -1,4 +1,4 @@
-//! A scripted control plane server: tests write its streams, and read the reports that it accepts.
+//! A scripted control plane server: tests write to its streams and read the reports that it accepts.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -12,18 +12,18 @@
 
 use super::script::{Call, PATIENCE, Peer, Wire};
 
-/// The settings with which gateways of tests start.
+/// Settings in the configuration file of the tested gateways.
 pub fn start_settings() -> String {
     let config: serde_json::Value =
         serde_json::from_str(&include_str!("config.json").replace("LIST", "")).unwrap();
     config["settings"].to_string()
 }
 
-/// The settings of the start, changed as a text.
+/// The initial settings with a change to their JSON text, which must not be without effect.
 pub fn changed(change: impl Fn(String) -> String) -> Document {
     let before = start_settings();
     let after = change(before.clone());
-    assert_ne!(before, after, "the change replaces nothing");
+    assert_ne!(before, after, "the change has no effect");
     after.parse().unwrap()
 }
 
@@ -35,10 +35,10 @@
     Message::Delta(Delta::between((Version(from.0), from.1), (Version(to.0), to.1))).encode()
 }
 
-/// The stream of one gateway.
+/// The configuration stream of one gateway.
 pub struct ControlPlaneStream {
     pub wire: Wire,
-    /// The version that the gateway has in force.
+    /// Version in the request of the stream: the version in force, or 0 to request a snapshot.
     pub version: u64,
 }
 
@@ -56,10 +56,10 @@
 pub struct ControlPlaneServer {
     pub address: SocketAddr,
     streams: Receiver<(Wire, Call)>,
-    /// A stream that is open and that the test has not asked for yet.
-    seen: RefCell<Option<(Wire, Call)>>,
+    /// A stream that was received by [`ControlPlaneServer::is_first_of`] and is returned next.
+    received: RefCell<Option<(Wire, Call)>>,
     reports: Receiver<Report>,
-    /// Reports that are rejected before one is accepted.
+    /// Number of reports to reject before the next one is accepted.
     to_reject: Arc<AtomicUsize>,
 }
 
@@ -77,45 +77,45 @@
                 thread::spawn(move || answer(wire, &streams, &reports, &rejects));
             }
         });
-        Self { address, streams, seen: RefCell::default(), reports, to_reject }
+        Self { address, streams, received: RefCell::default(), reports, to_reject }
     }
 
-    /// The next stream that a gateway opens; its head is answered.
+    /// Waits for the next stream that a gateway opens, and sends the response head.
     pub fn stream(&self) -> ControlPlaneStream {
-        let seen = self.seen.borrow_mut().take();
-        let next = || self.streams.recv_timeout(PATIENCE).expect("a gateway opens a stream");
-        let (mut wire, call) = seen.unwrap_or_else(next);
+        let received = self.received.borrow_mut().take();
+        let next = || self.streams.recv_timeout(PATIENCE).expect("no gateway has opened a stream");
+        let (mut wire, call) = received.unwrap_or_else(next);
         assert_eq!((call.path.as_str(), call.headers["gateway"].as_str()), ("/v1/configuration", "t"));
         wire.stream();
         ControlPlaneStream { wire, version: call.headers["version"].parse().unwrap() }
     }
 
-    /// Rejects so many reports from here on.
+    /// Rejects this number of reports before the next one is accepted.
     pub fn reject(&self, reports: usize) {
         self.to_reject.store(reports, Ordering::SeqCst);
     }
 
-    /// Whether a gateway has opened a stream here and not at the other server.
+    /// Waits until a gateway opens a stream at one of two servers. Returns whether it is this server.
     pub fn is_first_of(&self, other: &Self) -> bool {
         let began = Instant::now();
         while began.elapsed() < PATIENCE {
             for server in [self, other] {
                 if let Ok(stream) = server.streams.try_recv() {
-                    *server.seen.borrow_mut() = Some(stream);
+                    *server.received.borrow_mut() = Some(stream);
                     return std::ptr::eq(server, self);
                 }
             }
             thread::sleep(Duration::from_millis(1));
         }
-        panic!("no gateway opens a stream");
+        panic!("no gateway has opened a stream");
     }
 
-    /// The next report.
+    /// Waits for the next accepted report.
     pub fn report(&self) -> Report {
-        self.reports.recv_timeout(PATIENCE).expect("a gateway reports")
+        self.reports.recv_timeout(PATIENCE).expect("no gateway has sent a report")
     }
 
-    /// The next report, which must say that this version is in force.
+    /// Waits for the next report, which must state that this version is in force.
     pub fn applied(&self, version: u64) {
         assert_eq!(self.report(), Report::Applied { version: Version(version) });
     }
@@ -123,7 +123,7 @@
 
 fn answer(mut wire: Wire, streams: &Sender<(Wire, Call)>, reports: &Sender<Report>, to_reject: &AtomicUsize) {
     let Some(call) = wire.next_call() else { return };
-    // The test may be over.
+    // Sending to the test fails only if the test has ended.
     if call.verb == "GET" {
         let _ = streams.send((wire, call));
         return;
--- a/gateway/tests/common/discovery.rs
+++ b/gateway/tests/common/discovery.rs
@@ -1,4 +1,4 @@
-//! The discovery service, simulated.
+//! A simulated discovery service.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -7,18 +7,18 @@
 use std::time::Duration;
 
 const STREAM_HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n";
-/// How long a stream stays open without a byte, where it falls silent.
+/// Time for which a silent stream stays open.
 const SILENCE: Duration = Duration::from_secs(60);
 
-/// A discovery service, which serves the endpoint list.
+/// A discovery service that serves the endpoint list.
 pub struct DiscoveryService {
     pub address: SocketAddr,
-    /// The `Last-Event-ID` of each stream so far.
+    /// `Last-Event-ID` of each stream request so far.
     pub requested: Arc<Mutex<Vec<String>>>,
 }
 
 impl DiscoveryService {
-    /// One with these events alone, numbered from `first`, as JSON; its streams stay open.
+    /// Starts a service with these JSON events, numbered from `first`. Its streams stay open.
     pub fn steady(first: usize, events: Vec<String>) -> Self {
         Self::serve(move |_, last, mut stream| {
             for (id, event) in (first..).zip(&events).filter(|(id, _)| *id > last) {
@@ -28,8 +28,8 @@
         })
     }
 
-    /// One whose first stream ends after the first event, whose second falls silent after the next, and whose later
-    /// ones have nothing but comments. `events` are numbered from 2.
+    /// Starts a service whose first stream ends after the first event, whose second stream is silent after the second
+    /// event, and whose later streams hold only comments. The events are numbered from 2.
     pub fn unsteady(events: [String; 2]) -> Self {
         Self::serve(move |n, _, mut stream| {
             if let Some(entries) = events.get(n) {
@@ -44,7 +44,8 @@
         })
     }
 
-    /// Serves each stream, after its head, by its number, the event that it continues from, and its connection.
+    /// Sends the head of each stream and calls `stream` with the number of the stream, its last event id and the
+    /// connection.
     fn serve(stream: impl Fn(usize, usize, TcpStream) + Clone + Send + 'static) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
@@ -63,7 +64,7 @@
         Self { address, requested }
     }
 
-    /// An event that changes these entries.
+    /// JSON of an event that changes these entries.
     pub fn change(index: usize, entries: &str) -> String {
         format!(
             "{{\"index\":{index},\"endpoints\":{{\"index\":{index},\"snapshot\":false,\"endpoints\":[{entries}]}}}}"
@@ -71,7 +72,7 @@
     }
 }
 
-/// Reads the head of a call; the event that its stream continues from, 0 for none.
+/// Reads a stream request and returns its last event id, or 0 without one.
 fn read_last_event_id(connection: &TcpStream, requests: &Mutex<Vec<String>>) -> usize {
     let mut last = 0;
     let lines = BufReader::new(connection.try_clone().unwrap()).lines().map_while(Result::ok);
--- a/gateway/tests/common/engine.rs
+++ b/gateway/tests/common/engine.rs
@@ -1,4 +1,4 @@
-//! Engines, simulated: processes that speak both of an engine's protocols.
+//! Simulated engines, which speak both protocols of an engine.
 
 use std::collections::{HashMap, VecDeque};
 use std::io::{BufRead, BufReader, Read, Write};
@@ -10,7 +10,7 @@
 
 use super::mysql;
 
-/// What the engines of a test saw, all together.
+/// Queries, cancellations and connections of all engines of a test.
 #[derive(Clone, Default)]
 pub struct Seen {
     runs: Arc<Mutex<Vec<(String, String)>>>,
@@ -24,17 +24,17 @@
         self.runs.lock().unwrap().push((engine.to_owned(), query_id.to_owned()));
     }
 
-    /// Engines that began to run this query_id, in order.
+    /// Names of the engines that have started this query, in order.
     pub fn engines_of(&self, query_id: &str) -> Vec<String> {
         self.runs.lock().unwrap().iter().filter(|(_, t)| t == query_id).map(|(e, _)| e.clone()).collect()
     }
 
-    /// Query ids that were cancelled over HTTP.
+    /// Ids of the queries that were cancelled over HTTP.
     pub fn deletes(&self) -> Vec<String> {
         self.deletes.lock().unwrap().clone()
     }
 
-    /// Connections that were to be ended.
+    /// Ids of the MySQL connections that a `KILL` named.
     pub fn kills(&self) -> Vec<u32> {
         self.kills.lock().unwrap().clone()
     }
@@ -43,7 +43,7 @@
         self.kills.lock().unwrap().push(connection);
     }
 
-    /// The number of a new MySQL connection, from 1.
+    /// Allocates the id of a MySQL connection, starting at 1.
     pub fn connection(&self) -> u32 {
         self.connections.fetch_add(1, Ordering::SeqCst) as u32 + 1
     }
@@ -53,7 +53,7 @@
     }
 }
 
-/// How a response is spoilt on its way.
+/// A fault in a response of an engine.
 #[derive(Clone, Copy, Debug)]
 pub enum ResponseFault {
     Garbage,
@@ -66,7 +66,7 @@
     Twice,
 }
 
-/// An engine process with both of its protocols; killed, it resets every connection.
+/// A simulated engine process that serves both protocols.
 pub struct Engine {
     pub name: String,
     pub http: SocketAddr,
@@ -80,7 +80,7 @@
     resets: Arc<AtomicU64>,
 }
 
-/// What a connection of an engine is served with.
+/// State of an engine that its connections share.
 #[derive(Clone)]
 pub struct Host {
     pub name: String,
@@ -93,7 +93,7 @@
 }
 
 impl Host {
-    /// Works for as long as a statement takes; false if the engine died meanwhile.
+    /// Sleeps for the duration of a query. Returns false if the engine was killed in the meantime.
     pub fn work(&self) -> bool {
         let done = Instant::now() + Duration::from_millis(self.work_ms.load(Ordering::SeqCst));
         while !self.dead.load(Ordering::SeqCst) && Instant::now() < done {
@@ -162,7 +162,7 @@
         self.work_ms.store(ms, Ordering::SeqCst);
     }
 
-    /// Its entry in the list.
+    /// JSON entry of the engine in the endpoint list.
     pub fn entry(&self, status: &str) -> String {
         format!(
             "{{\"name\":\"{}\",\"address\":\"{}\",\"zone\":\"z\",\"type\":\"k\",\"group\":0,\"status\":\"{status}\",\"weight\":1,\"since_ms\":0}}",
@@ -170,39 +170,40 @@
         )
     }
 
-    /// From now on it hears and runs everything and answers nothing.
+    /// Runs all further queries, but sends no responses.
     pub fn mute(&self) {
         self.mute.store(true, Ordering::SeqCst);
     }
 
-    /// Spoils its next answers to HTTP calls, each in one of these ways.
+    /// Applies one fault to each of the next HTTP responses.
     pub fn spoil(&self, ways: &[ResponseFault]) {
         self.response_faults.lock().unwrap().extend(ways);
     }
 
-    /// Resets so many new connections; the process lives.
+    /// Resets this number of new connections.
     pub fn reset_new(&self, connections: u64) {
         self.resets.store(connections, Ordering::SeqCst);
     }
 
-    /// Breaks every connection; the process and what it runs live on.
+    /// Closes all connections. Running queries continue.
     pub fn cut(&self) {
         for stream in self.streams.lock().unwrap().drain(..) {
             let _ = stream.shutdown(Shutdown::Both);
         }
     }
 
-    /// Refuses new connections, as one that drains does; what it runs and the connections that it has live on.
+    /// Refuses new connections, like a draining engine. Open connections and running queries continue.
     pub fn refuse_new(&self) {
         self.refuses.store(true, Ordering::SeqCst);
         for address in [self.http, self.mysql] {
-            // The listener wakes up, sees that it is to close, and closes.
+            // The connection wakes up the listener thread, which then closes the listener.
             while TcpStream::connect(address).is_ok() {
                 thread::sleep(Duration::from_millis(1));
             }
         }
     }
 
+    /// Closes all connections and ends all queries, like a killed process.
     pub fn kill(&self) {
         self.dead.store(true, Ordering::SeqCst);
         self.refuse_new();
@@ -210,7 +211,7 @@
     }
 }
 
-/// A call over HTTP.
+/// An HTTP request.
 struct HttpCall {
     verb: String,
     path: String,
@@ -219,7 +220,7 @@
 }
 
 impl HttpCall {
-    /// Reads the next call; `None` once the other side has ended.
+    /// Reads the next request. Returns `None` at the end of the connection.
     fn read(reader: &mut impl BufRead) -> Option<Self> {
         let mut line = String::new();
         if reader.read_line(&mut line).unwrap_or(0) == 0 {
@@ -242,7 +243,7 @@
         Some(Self { verb, path, headers, body })
     }
 
-    /// The query id in the path.
+    /// Query id in the path.
     fn query_id(&self) -> &str {
         self.path.split('/').nth(2).unwrap()
     }
@@ -263,7 +264,7 @@
     }
 }
 
-/// `POST /data`, `GET /data/ID/N`, `DELETE /data/ID`: three rows on two pages for every statement.
+/// Serves `POST /data`, `GET /data/ID/N` and `DELETE /data/ID`. Each query has three rows on two pages.
 fn respond(host: &Host, call: &HttpCall) -> String {
     match call.verb.as_str() {
         "POST" => {
@@ -291,7 +292,7 @@
 }
 
 impl ResponseFault {
-    /// What is written in place of a response, and whether the connection ends behind it.
+    /// Returns the text to send instead of a response, and whether the connection is closed after it.
     fn apply(self, response: &str) -> (String, bool) {
         let (head, body) = response.split_once("\r\n\r\n").unwrap();
         match self {
--- a/gateway/tests/common/gateway.rs
+++ b/gateway/tests/common/gateway.rs
@@ -1,4 +1,4 @@
-//! The gateway's program, as a process with a configuration of its own.
+//! Gateway processes, each with its own configuration.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -10,7 +10,7 @@
 
 use super::Engine;
 
-/// A folder that goes with the last process that has it.
+/// A directory that is removed when the last process that uses it is dropped.
 struct Folder(std::path::PathBuf);
 
 impl Drop for Folder {
@@ -27,7 +27,7 @@
     }
 }
 
-/// The real program, started with a configuration of its own.
+/// A running gateway process. Killed when dropped.
 pub struct Gateway {
     child: Child,
     pub pg: SocketAddr,
@@ -37,7 +37,7 @@
     log: Arc<Mutex<String>>,
 }
 
-/// A figure of the log, by the key before it.
+/// Last value of a counter in a log, by its key.
 pub fn figure(log: &str, key: &str) -> usize {
     let word = log.split_whitespace().rev().find_map(|w| w.split_once(key)).expect(key);
     word.1.parse().unwrap()
@@ -46,17 +46,17 @@
 static FOLDERS: AtomicU64 = AtomicU64::new(0);
 
 impl Gateway {
-    /// Starts it in front of these engines, with the MySQL front if `mysql` says so.
+    /// Starts a gateway for these engines, with or without the MySQL front end.
     pub fn start(engines: &[&Engine], mysql: bool) -> Self {
         Self::start_with(engines, mysql, None)
     }
 
-    /// The same, with a coordinator that knows more than the start.
+    /// Starts a gateway that also follows the endpoint list of a coordinator.
     pub fn start_with(engines: &[&Engine], mysql: bool, coordinator: Option<SocketAddr>) -> Self {
         Self::start_as(engines, mysql, coordinator, "", None)
     }
 
-    /// The same, with an operator's file and a limit on the process's descriptors.
+    /// Starts a gateway with the contents of an operator's file and a limit on file descriptors.
     pub fn start_as(
         engines: &[&Engine],
         mysql: bool,
@@ -68,8 +68,7 @@
         Self::launch(folder, ([127, 0, 0, 1], 0).into(), descriptors, false)
     }
 
-    /// In front of whoever these entries of the list name, with a coordinator if there is one, with the configuration
-    /// as `change` makes it and a log that tells each request.
+    /// Starts a gateway for the engines of these JSON entries, with a changed configuration and debug logs.
     pub fn scripted(
         entries: &str,
         coordinator: Option<SocketAddr>,
@@ -81,13 +80,13 @@
         Self::launch(folder, ([127, 0, 0, 1], 0).into(), descriptors, false)
     }
 
-    /// The same without a coordinator, with the admin interface, so that another process may take its place.
+    /// Starts a gateway for the engines of these JSON entries, with the admin interface and without a coordinator.
     pub fn scripted_with_admin(entries: &str, change: impl Fn(String) -> String) -> Self {
         let folder = Self::scripted_folder(entries, None, "", change);
         Self::launch(folder, ([127, 0, 0, 1], 0).into(), None, true)
     }
 
-    /// The same, following these control machines.
+    /// Starts a gateway for the engines of these JSON entries that follows these control plane servers.
     pub fn controlled(entries: &str, machines: &[SocketAddr], change: impl Fn(String) -> String) -> Self {
         let list = machines.iter().map(|machine| format!("\"{machine}\"")).collect::<Vec<_>>().join(", ");
         let operator = format!("[control]\nmachines = [{list}]\n");
@@ -109,12 +108,12 @@
         folder
     }
 
-    /// Its folder.
+    /// Directory of the configuration and the socket.
     pub fn path(&self) -> &std::path::Path {
         &self.folder
     }
 
-    /// A folder with its configuration.
+    /// Creates a directory with a configuration.
     fn folder(
         engines: &[&Engine],
         mysql: bool,
@@ -143,7 +142,7 @@
         Arc::new(Folder(folder))
     }
 
-    /// In front of these engines with the MySQL front, with the configuration as `change` makes it.
+    /// Starts a gateway for these engines with the MySQL front end and a changed configuration.
     pub fn start_changed(engines: &[&Engine], change: impl Fn(String) -> String) -> Self {
         let folder = Self::folder(engines, true, None, "");
         let file = folder.join("config.json");
@@ -151,17 +150,17 @@
         Self::launch(folder, ([127, 0, 0, 1], 0).into(), None, false)
     }
 
-    /// In front of these engines, with the admin interface.
+    /// Starts a gateway for these engines with the admin interface.
     pub fn start_with_admin(engines: &[&Engine]) -> Self {
         Self::launch(Self::folder(engines, false, None, ""), ([127, 0, 0, 1], 0).into(), None, true)
     }
 
-    /// Starts another process that is to take this one's place.
+    /// Starts a process that replaces this one.
     pub fn successor(&self) -> Self {
         Self::launch(self.folder.clone(), self.pg, None, true)
     }
 
-    /// A process that has begun and waits for its configuration, which is to come through a pipe.
+    /// Starts a process that waits for its configuration, which it reads from a pipe.
     pub fn starting(entries: &str) -> Starting {
         let folder = Self::folder(&[], false, None, "");
         let file = folder.join("config.json");
@@ -170,9 +169,9 @@
         std::fs::remove_file(&file).unwrap();
         assert!(Command::new("mkfifo").arg(&file).status().unwrap().success());
         let child = Self::command(&folder, ([127, 0, 0, 1], 0).into(), None, false).spawn().unwrap();
-        // It comes through once the process reads.
+        // Opening the pipe blocks until the process opens it for reading.
         let pipe = std::fs::File::options().write(true).open(&file).unwrap();
-        // Who reads it again finds a file.
+        // A reload reads the configuration from a regular file.
         std::fs::remove_file(&file).unwrap();
         std::fs::write(&file, &config).unwrap();
         Starting { child, pipe, config, folder }
@@ -203,27 +202,30 @@
         command
     }
 
-    /// Waits until it serves.
+    /// Waits until the process is serving.
     fn serving(mut child: Child, folder: Arc<Folder>) -> Self {
         let mut lines = BufReader::new(child.stderr.take().unwrap()).lines();
-        let serving =
-            lines.by_ref().map_while(Result::ok).find(|l| l.contains("serving")).expect("it serves");
+        let serving = lines
+            .by_ref()
+            .map_while(Result::ok)
+            .find(|l| l.contains("serving"))
+            .expect("the gateway has not started to serve");
         let address = |key: &str| {
             let word = serving.split_whitespace().find_map(|w| w.strip_prefix(key)).unwrap();
             word.parse::<SocketAddr>().ok()
         };
         let (pg, mysql, ops) = (address("listen=").unwrap(), address("mysql="), address("ops="));
         let log = Arc::new(Mutex::new(String::new()));
-        let kept = log.clone();
+        let log_writer = log.clone();
         thread::spawn(move || {
             for line in lines.map_while(Result::ok) {
-                kept.lock().unwrap().push_str(&(line + "\n"));
+                log_writer.lock().unwrap().push_str(&(line + "\n"));
             }
         });
         Self { child, pg, mysql, ops, folder, log }
     }
 
-    /// A call to the admin interface, with a method and a path; the answer's status and text.
+    /// Sends a request with this method and path to the admin interface. Returns the status and the body.
     pub fn call(&self, line: &str) -> (u16, String) {
         let mut stream = TcpStream::connect(self.ops.unwrap()).unwrap();
         stream.set_read_timeout(Some(Duration::from_secs(30))).unwrap();
@@ -234,7 +236,7 @@
         (head.split(' ').nth(1).unwrap().parse().unwrap(), body.to_owned())
     }
 
-    /// A figure of the admin interface.
+    /// Value of a metric of the admin interface.
     pub fn metric(&self, name: &str) -> u64 {
         let (status, text) = self.call("GET /status/metrics");
         assert_eq!(status, 200);
@@ -247,31 +249,31 @@
         self.signal("-TERM");
     }
 
-    /// Sends a signal, named as `kill` wants it.
+    /// Sends a signal, given as an option of `kill`.
     pub fn signal(&self, signal: &str) {
         let id = self.child.id().to_string();
         assert!(Command::new("kill").args([signal, &id]).status().unwrap().success());
     }
 
-    /// Kills it.
+    /// Kills the process.
     pub fn kill(mut self) {
         self.child.kill().unwrap();
         self.child.wait().unwrap();
     }
 
-    /// Where it waits for a process that is to take its place.
+    /// Path of the socket for a replacing process.
     pub fn socket(&self) -> std::path::PathBuf {
         self.folder.join("wrenhatch-t.sock")
     }
 
-    /// Replaces its configuration's file by what `change` makes of it, and sends SIGHUP.
+    /// Changes the configuration file and sends SIGHUP.
     pub fn reconfigure(&self, change: impl Fn(String) -> String) {
         let file = self.folder.join("config.json");
         std::fs::write(&file, change(std::fs::read_to_string(&file).unwrap())).unwrap();
         self.signal("-HUP");
     }
 
-    /// Stands still while `during` goes on: all that comes meanwhile is there at its next turn.
+    /// Stops the process while `during` runs, so that the process receives all of its input in its next turn.
     pub fn paused<T>(&self, during: impl FnOnce() -> T) -> T {
         self.signal("-STOP");
         self.await_stopped();
@@ -280,28 +282,28 @@
         result
     }
 
-    /// Waits until the process has stopped: the signal has been sent before, but it goes on until it is delivered.
+    /// Waits until the process has stopped. It runs on until the signal is delivered.
     fn await_stopped(&self) {
         let path = format!("/proc/{}/stat", self.child.id());
         let began = Instant::now();
         loop {
-            // proc(5): the state stands behind the name in parentheses, which may itself hold some.
+            // proc(5): the state follows the name in parentheses, which can itself contain parentheses.
             let stat = std::fs::read_to_string(&path).unwrap();
             let state = stat.rsplit_once(") ").and_then(|(_, rest)| rest.chars().next());
             if state == Some('T') {
                 return;
             }
-            assert!(began.elapsed() < Duration::from_secs(60), "it does not stop: {stat}");
+            assert!(began.elapsed() < Duration::from_secs(60), "the process has not stopped: {stat}");
             thread::sleep(Duration::from_millis(1));
         }
     }
 
-    /// What it has logged so far.
+    /// Log so far.
     pub fn log(&self) -> String {
         self.log.lock().unwrap().clone()
     }
 
-    /// Waits until its log holds this.
+    /// Waits until the log contains this text.
     pub fn logged(&self, text: &str) {
         let began = Instant::now();
         while !self.log.lock().unwrap().contains(text) {
@@ -310,7 +312,7 @@
         }
     }
 
-    /// The turns that its loop has made, by its own word.
+    /// Number of turns of the event loop, from the counters logged on SIGUSR1.
     pub fn turns(&self) -> u64 {
         let before = self.log.lock().unwrap().len();
         self.signal("-USR1");
@@ -320,18 +322,18 @@
             if new.contains("turns=") && new.ends_with('\n') {
                 return figure(&new, "turns=") as u64;
             }
-            assert!(began.elapsed() < Duration::from_secs(60), "it tells no counters");
+            assert!(began.elapsed() < Duration::from_secs(60), "the process has not logged its counters");
             thread::sleep(Duration::from_millis(5));
         }
     }
 
-    /// Asks it to end; its exit code and its last words.
+    /// Sends SIGTERM and waits for the exit. Returns the exit code and the log.
     pub fn end(self) -> (Option<i32>, String) {
         self.terminate();
         self.wait()
     }
 
-    /// Waits for its end; its exit code and its last words.
+    /// Waits for the exit. Returns the exit code and the log.
     pub fn wait(mut self) -> (Option<i32>, String) {
         let code = self.child.wait().unwrap().code();
         thread::sleep(Duration::from_millis(100));
@@ -339,7 +341,7 @@
         (code, log)
     }
 
-    /// The clients that it holds at once with the 256 descriptors of its configuration.
+    /// Maximum number of clients with the 256 sockets of the configuration.
     pub fn most_clients(&self) -> usize {
         256 / 3 + 16
     }
@@ -349,7 +351,7 @@
     }
 }
 
-/// A process that waits for its configuration.
+/// A gateway process that waits for its configuration.
 pub struct Starting {
     child: Child,
     pipe: std::fs::File,
@@ -363,7 +365,7 @@
         assert!(Command::new("kill").args([signal, &id]).status().unwrap().success());
     }
 
-    /// It gets its configuration, and serves.
+    /// Sends the configuration and waits until the process is serving.
     pub fn go_on(mut self) -> Gateway {
         self.pipe.write_all(self.config.as_bytes()).unwrap();
         drop(self.pipe);
--- a/gateway/tests/common/manual.rs
+++ b/gateway/tests/common/manual.rs
@@ -1,4 +1,4 @@
-//! Engines whose queries end when a test says so, whatever connection the calls come over.
+//! Engines whose responses to new queries and cancellations are sent by the test, on any connection.
 
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::thread;
@@ -6,10 +6,10 @@
 
 use super::script::{PATIENCE, Peer, Wire, row};
 
-/// How long an engine takes to say that a query goes on.
-const NEWS: Duration = Duration::from_millis(100);
+/// Delay of the response to a poll of a running query.
+const POLL_DELAY: Duration = Duration::from_millis(100);
 
-/// A call that starts a query or gives one up, and awaits its answer.
+/// A received request that starts or cancels a query, and has no response yet.
 pub struct Pending {
     pub verb: String,
     pub query_id: String,
@@ -18,13 +18,13 @@
 }
 
 impl Pending {
-    /// The end of the query: one row with its own id.
+    /// Finishes the query with one row that holds the query id.
     pub fn row(self) {
         let text = row(&self.query_id);
         self.answer(&text);
     }
 
-    /// The query was given up.
+    /// Acknowledges the cancellation.
     pub fn given_up(self) {
         self.answer("HTTP/1.1 204 No Content\r\n\r\n");
     }
@@ -36,10 +36,10 @@
     }
 }
 
-/// Engines of one test, and the calls that they got.
+/// Engines of a test, and the requests that they have received.
 pub struct Engines {
     calls: Receiver<Pending>,
-    /// Their entries in the list.
+    /// JSON entries of the engines in the endpoint list.
     pub entries: String,
 }
 
@@ -59,12 +59,12 @@
         Self { calls, entries: entries.join(",") }
     }
 
-    /// The next call that starts a query or gives one up.
+    /// Waits for the next request that starts or cancels a query.
     pub fn next(&self) -> Pending {
-        self.calls.recv_timeout(PATIENCE).expect("a call")
+        self.calls.recv_timeout(PATIENCE).expect("no engine has received a request")
     }
 
-    /// The next call, which must start this query.
+    /// Waits for the next request, which must start this query.
     pub fn next_start(&self, query_id: &str) -> Pending {
         let call = self.next();
         assert_eq!((call.verb.as_str(), call.query_id.as_str()), ("POST", query_id));
@@ -72,13 +72,13 @@
     }
 }
 
-/// Reads a connection in a thread of its own up to a call that the test answers. Calls for news are answered here:
-/// the query goes on.
+/// Reads a connection in a thread until a request that the test must respond to. Responds to polls itself that the
+/// query is running.
 fn read(mut wire: Wire, calls: Sender<Pending>) {
     thread::spawn(move || {
         while let Some(call) = wire.next_call() {
             if call.verb == "GET" {
-                thread::sleep(NEWS);
+                thread::sleep(POLL_DELAY);
                 if !wire.try_say("HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n") {
                     return;
                 }
@@ -89,7 +89,7 @@
                 _ => call.path.rsplit('/').next().unwrap_or_default().to_owned(),
             };
             let pending = Pending { verb: call.verb, query_id, wire, calls: calls.clone() };
-            // The test may be over.
+            // Sending to the test fails only if the test has ended.
             let _ = calls.send(pending);
             return;
         }
--- a/gateway/tests/common/mod.rs
+++ b/gateway/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! Simulated engines, discovery services and clients, written from the public protocols alone, and the gateway's program.
-//! Everything is on loopback, with ports that the system chooses.
-// Each test program uses a part of it.
+//! Support for tests of the gateway program: simulated engines, discovery services, control plane servers and
+//! clients, implemented from the public protocols. All sockets are on loopback, with ports chosen by the system.
+// Each test program uses only some of the items.
 #![allow(dead_code, missing_docs, unused_imports)]
 
 pub mod control;
--- a/gateway/tests/common/mysql.rs
+++ b/gateway/tests/common/mysql.rs
@@ -1,4 +1,4 @@
-//! A MySQL client and an engine that speaks MySQL, both as plain as the protocol allows.
+//! A minimal MySQL client, and the MySQL protocol of the simulated engines.
 
 use std::collections::HashMap;
 use std::io::{Read, Write};
@@ -40,7 +40,7 @@
     bytes
 }
 
-/// An answer: rows of text, a count, or an error's number, state and text.
+/// An answer: text rows, an OK packet, or the number, SQLSTATE and text of an error.
 #[derive(Debug, PartialEq)]
 pub enum Answer {
     Rows(Vec<String>),
@@ -112,7 +112,7 @@
         self.answer(false)
     }
 
-    /// Prepares; the handle and the number of parameters.
+    /// Prepares a statement. Returns its handle and number of parameters.
     pub fn prepare(&mut self, text: &str) -> Result<(u32, u16), Answer> {
         self.command(0x16, text.as_bytes());
         let (_, p) = read_packet(&mut self.stream).unwrap();
@@ -159,7 +159,7 @@
             if p[0] == 0xfe {
                 return Answer::Rows(rows);
             }
-            // One column: behind the binary header and its null bits, or at once.
+            // The rows have one column. In the binary protocol, the value follows the header and the null bitmap.
             let cell = if binary { &p[2..] } else { &p[..] };
             rows.push(String::from_utf8(cell[1..=cell[0] as usize].to_vec()).unwrap());
         }
@@ -171,8 +171,8 @@
     Answer::Error(u16::from_le_bytes([p[1], p[2]]), text(&p[4..9]), text(&p[9..]))
 }
 
-/// The engine: every statement gives the engine's name, its parameters, and whether it ran prepared. A
-/// statement with `nonsense` in it is a syntax error, one with `fail` fails.
+/// Serves a connection of an engine. The rows of a statement are the engine name and the parameters. A statement that
+/// contains `nonsense` has a syntax error, and a statement that contains `fail` fails.
 pub fn serve(mut stream: TcpStream, host: Host) {
     let scramble = *b"abcdefghijklmnopqrst";
     let mut g = b"\x0a8.0.0\0".to_vec();
@@ -242,7 +242,7 @@
     c
 }
 
-/// Text parameters with their names, and what follows them.
+/// Parses text parameters. Returns their names and values, and the rest of the packet.
 fn values(p: &[u8], count: usize) -> (Vec<(String, String)>, &[u8]) {
     if count == 0 {
         return (Vec::new(), p);
--- a/gateway/tests/common/pg.rs
+++ b/gateway/tests/common/pg.rs
@@ -1,10 +1,10 @@
-//! A PostgreSQL client of simple queries.
+//! A PostgreSQL client for simple queries.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// An answer: rows of text, or an error's code and text.
+/// An answer: text rows, an empty query response, or the SQLSTATE and text of an error.
 #[derive(Debug, PartialEq)]
 pub enum Answer {
     Rows(Vec<Vec<String>>),
@@ -41,7 +41,7 @@
         }
     }
 
-    /// The code with which a connection is turned away.
+    /// SQLSTATE with which a new connection is rejected.
     pub fn turned_away(address: SocketAddr) -> String {
         let (kind, body) = Self::silent(address).message();
         assert_eq!(kind, b'E');
@@ -52,18 +52,18 @@
         let mut stream = TcpStream::connect(address).unwrap();
         stream.write_all(&[0, 0, 0, 16, 0x04, 0xd2, 0x16, 0x2e]).unwrap();
         stream.write_all(&key).unwrap();
-        // The other side closes once it has read it.
+        // The gateway closes the connection after it has read the request.
         let _ = stream.read(&mut [0]);
     }
 
-    /// The same without waiting for the other side to close.
+    /// Sends a cancel request without waiting until the gateway closes the connection.
     pub fn cancel_unread(address: SocketAddr, key: [u8; 8]) -> TcpStream {
         let mut stream = TcpStream::connect(address).unwrap();
         stream.write_all(&[&[0, 0, 0, 16, 0x04, 0xd2, 0x16, 0x2e], &key[..]].concat()).unwrap();
         stream
     }
 
-    /// A connection with its start and a query behind it, none of which has been answered.
+    /// Connects and sends the startup message and a query without waiting for answers.
     pub fn late(address: SocketAddr, query: &str) -> Self {
         let mut client = Self::silent(address);
         let body = b"\0\x03\0\0user\0app\0database\0warehouse\0\0";
@@ -72,7 +72,7 @@
         client
     }
 
-    /// The code of the error that such a connection gets, behind its start or in place of it.
+    /// Waits for the next error, during or after startup, and returns its SQLSTATE.
     pub fn late_answer(&mut self) -> String {
         loop {
             let (kind, body) = self.message();
@@ -82,19 +82,19 @@
         }
     }
 
-    /// A connection on which nothing has been said.
+    /// Connects without sending a startup message.
     pub fn silent(address: SocketAddr) -> Self {
         let stream = TcpStream::connect(address).unwrap();
         stream.set_read_timeout(Some(Duration::from_secs(30))).unwrap();
         Self { stream, key: [0; 8] }
     }
 
-    /// Another hold on the same connection.
+    /// Returns another handle of the same connection.
     pub fn clone(&self) -> Self {
         Self { stream: self.stream.try_clone().unwrap(), key: self.key }
     }
 
-    /// A connection that has started, if the other side lets it.
+    /// Connects, or returns `None` if the gateway rejects or closes the connection.
     pub fn try_connect(address: SocketAddr) -> Option<Self> {
         let mut client = Self::silent(address);
         let body = b"\0\x03\0\0user\0app\0database\0warehouse\0\0";
@@ -109,7 +109,7 @@
         }
     }
 
-    /// The code with which a connection on which nothing was said is ended; `None` if without a word.
+    /// SQLSTATE with which the gateway results the connection, or `None` if it is closed without an error.
     pub fn refusal(mut self) -> Option<String> {
         let (kind, body) = self.try_message()?;
         (kind == b'E').then(|| error(&body).0)
@@ -124,12 +124,12 @@
         Some((head[0], body))
     }
 
-    /// Whether the other side has ended without a word.
+    /// Waits for input. Returns whether it is the end of the connection.
     pub fn is_ended(&mut self) -> bool {
         self.stream.read(&mut [0]).is_ok_and(|n| n == 0)
     }
 
-    /// Ends this side; the other may still be read.
+    /// Closes the sending direction. Answers can still be read.
     pub fn end_writing(&mut self) {
         self.stream.shutdown(std::net::Shutdown::Write).unwrap();
     }
@@ -139,7 +139,7 @@
         socket2::SockRef::from(&self.stream).set_linger(Some(Duration::ZERO)).unwrap();
     }
 
-    /// Writes as much as the connection takes of bytes that may not be wanted.
+    /// Sends invalid bytes. Returns false if the gateway has closed the connection.
     pub fn flood(&mut self, bytes: usize) -> bool {
         self.stream.write_all(&vec![b'x'; bytes]).is_ok()
     }
@@ -149,7 +149,7 @@
     }
 
     fn message(&mut self) -> (u8, Vec<u8>) {
-        self.try_message().expect("a message")
+        self.try_message().expect("the connection has ended without a message")
     }
 
     pub fn query(&mut self, text: &str) -> Answer {
@@ -165,9 +165,9 @@
         self.raw(&bytes);
     }
 
-    /// Reads one answer; panics unless it holds exactly one outcome before ReadyForQuery.
+    /// Reads one answer. Panics unless it has exactly one result before `ReadyForQuery`.
     pub fn answer(&mut self) -> Answer {
-        let (mut rows, mut ends) = (Vec::new(), Vec::new());
+        let (mut rows, mut results) = (Vec::new(), Vec::new());
         loop {
             let (kind, body) = self.message();
             match kind {
@@ -180,11 +180,11 @@
                     }
                     rows.push(row);
                 }
-                b'C' => ends.push(Answer::Rows(std::mem::take(&mut rows))),
-                b'I' => ends.push(Answer::Empty),
+                b'C' => results.push(Answer::Rows(std::mem::take(&mut rows))),
+                b'I' => results.push(Answer::Empty),
                 b'E' => {
                     let (code, text, severity) = error(&body);
-                    ends.push(Answer::Error(code, text));
+                    results.push(Answer::Error(code, text));
                     if severity == "FATAL" {
                         break;
                     }
@@ -193,12 +193,12 @@
                 _ => {}
             }
         }
-        assert_eq!(ends.len(), 1, "one final answer");
-        ends.pop().unwrap()
+        assert_eq!(results.len(), 1, "the answer must have exactly one result");
+        results.pop().unwrap()
     }
 }
 
-/// Code, text and severity of an error.
+/// SQLSTATE, text and severity of an error.
 fn error(body: &[u8]) -> (String, String, String) {
     let field = |kind: u8| {
         let f = body.split(|b| *b == 0).find(|f| f.first() == Some(&kind)).unwrap();
--- a/gateway/tests/common/requests.rs
+++ b/gateway/tests/common/requests.rs
@@ -1,18 +1,18 @@
-//! Requests whose ids are numbers, and what a test waits for or compares of them.
+//! Helpers for requests with numeric ids: waiting for their log lines and checking their answers.
 
 use super::{Gateway, pg};
 
-/// The id of request `n`, as statements and engine calls carry it.
+/// Id of request `n` in statements and engine requests.
 pub fn id(n: u64) -> String {
     format!("{n:016x}")
 }
 
-/// Waits until the gateway has taken request `n`.
+/// Waits until the gateway has admitted request `n`.
 pub fn wait_taken(gateway: &Gateway, n: u64) {
     gateway.logged(&format!("request admitted query_id=\"{}\"", id(n)));
 }
 
-/// Waits until the gateway has noticed that the client of request `n` left.
+/// Waits until the gateway has detected that the client of request `n` has disconnected.
 pub fn wait_left(gateway: &Gateway, n: u64) {
     gateway.logged(&format!("client left query_id=\"{}\"", id(n)));
 }
@@ -22,12 +22,12 @@
     gateway.logged(&format!("request answered query_id=\"{}\"", id(n)));
 }
 
-/// The answer of a scripted engine to request `n`: one row with its id.
+/// Answer of a scripted engine to request `n`: one row with the request id.
 pub fn row_of(n: u64) -> pg::Answer {
     pg::Answer::Rows(vec![vec![id(n)]])
 }
 
-/// The SQLSTATE of an answer, which must be an error.
+/// SQLSTATE of an answer, which must be an error.
 pub fn error_code(answer: &pg::Answer) -> &str {
     match answer {
         pg::Answer::Error(code, _) => code,
@@ -35,7 +35,7 @@
     }
 }
 
-/// The client's next answer must be that of a scripted engine to request `n`.
+/// Asserts that the next answer of the client is the answer of a scripted engine to request `n`.
 #[track_caller]
 pub fn assert_served(client: &mut pg::Client, n: u64) {
     assert_eq!(client.answer(), row_of(n));
--- a/gateway/tests/common/script.rs
+++ b/gateway/tests/common/script.rs
@@ -1,5 +1,5 @@
-//! Peers that do nothing by themselves: a test says what they send and when, so that the order of two events is the
-//! test's, not the machine's.
+//! Scripted peers of the gateway. The test determines what they send and when, so that the order of events does not
+//! depend on the speed of the machine.
 
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
@@ -9,15 +9,16 @@
 
 use socket2::{Domain, Protocol, SockRef, Socket, Type};
 
-/// Far more than anything here takes.
+/// Time limit of connections, reads and waits in tests.
 pub const PATIENCE: Duration = Duration::from_secs(30);
 
-/// Somebody who listens: an engine, or a coordinator.
+/// A listening socket of a scripted engine or coordinator.
 pub struct Peer {
     pub name: String,
     pub address: SocketAddr,
     listener: TcpListener,
-    crowd: Vec<TcpStream>,
+    /// Connections that fill the backlog of the listener.
+    backlog_fillers: Vec<TcpStream>,
 }
 
 impl Peer {
@@ -25,25 +26,26 @@
         Self::listen(name, 128)
     }
 
-    /// One whose next connection does not come up: its queue is full until [`Peer::let_in`].
+    /// Creates a peer with a full backlog: no connection is established until [`Peer::let_in`].
     pub fn shut(name: &str) -> Self {
         let mut peer = Self::narrow(name);
         peer.cut_off();
         peer
     }
 
-    /// One that can be cut off by [`Peer::cut_off`].
+    /// Creates a peer whose backlog [`Peer::cut_off`] can fill.
     pub fn narrow(name: &str) -> Self {
         Self::listen(name, 0)
     }
 
-    /// Lets no connection come up from here on; those that are up stay up.
+    /// Fills the backlog, so that no further connection is established. Established connections stay open.
     pub fn cut_off(&mut self) {
-        // One waits in a queue of none; the kernel drops what comes behind it, to be sent again a second later.
-        self.crowd.push(TcpStream::connect(self.address).unwrap());
+        // A backlog of 0 holds one connection. The kernel drops further SYN packets, which clients retransmit after 1
+        // s.
+        self.backlog_fillers.push(TcpStream::connect(self.address).unwrap());
     }
 
-    /// One where another has been.
+    /// Creates a peer at the address of a former one.
     pub fn at(name: &str, address: SocketAddr) -> Self {
         Self::listen_at(name, address, 128)
     }
@@ -60,17 +62,17 @@
         let listener: TcpListener = socket.into();
         listener.set_nonblocking(true).unwrap();
         let address = listener.local_addr().unwrap();
-        Self { name: name.to_owned(), address, listener, crowd: Vec::new() }
+        Self { name: name.to_owned(), address, listener, backlog_fillers: Vec::new() }
     }
 
-    /// Lets connections come up from here on.
+    /// Empties the backlog, so that connections are established again.
     pub fn let_in(&mut self) {
-        for _ in self.crowd.drain(..) {
+        for _ in self.backlog_fillers.drain(..) {
             drop(accept(&self.listener));
         }
     }
 
-    /// Its entry in the list.
+    /// JSON entry of the peer in the endpoint list.
     pub fn entry(&self, status: &str) -> String {
         format!(
             "{{\"name\":\"{}\",\"address\":\"{}\",\"zone\":\"z\",\"type\":\"k\",\"group\":0,\"status\":\"{status}\",\"weight\":1,\"since_ms\":0}}",
@@ -78,17 +80,17 @@
         )
     }
 
-    /// The next connection.
+    /// Waits for the next connection.
     pub fn accept(&self) -> Wire {
         Wire::new(accept(&self.listener))
     }
 
-    /// Whether nobody waits to be accepted.
+    /// Whether no connection waits to be accepted.
     pub fn is_left_alone(&self) -> bool {
         matches!(self.listener.accept(), Err(e) if e.kind() == ErrorKind::WouldBlock)
     }
 
-    /// The next stream of the list, as a coordinator, and behind which event it is asked for.
+    /// Accepts the next stream request of a coordinator. Returns the connection and the last event id.
     pub fn watch(&self) -> (Wire, u64) {
         let mut wire = self.accept();
         let call = wire.call();
@@ -108,12 +110,12 @@
             Err(e) if e.kind() == ErrorKind::WouldBlock => {}
             Err(e) => panic!("{e}"),
         }
-        assert!(began.elapsed() < PATIENCE, "nobody connects");
+        assert!(began.elapsed() < PATIENCE, "no connection was opened");
         thread::sleep(Duration::from_millis(1));
     }
 }
 
-/// A call as it came.
+/// A received HTTP request.
 #[derive(Debug)]
 pub struct Call {
     pub verb: String,
@@ -128,7 +130,7 @@
     }
 }
 
-/// A connection whose other end is the gateway's.
+/// A connection of the gateway to a scripted peer.
 pub struct Wire {
     reader: BufReader<TcpStream>,
 }
@@ -140,7 +142,7 @@
         Self { reader: BufReader::new(stream) }
     }
 
-    /// The next call, whole; `None` once the other side has ended.
+    /// Reads the next request. Returns `None` at the end of the connection.
     pub fn next_call(&mut self) -> Option<Call> {
         let mut line = String::new();
         if self.reader.read_line(&mut line).unwrap_or(0) == 0 {
@@ -162,29 +164,29 @@
     }
 
     pub fn call(&mut self) -> Call {
-        self.next_call().expect("a call")
+        self.next_call().expect("the connection has ended without a request")
     }
 
     pub fn say(&mut self, text: &str) {
         self.reader.get_mut().write_all(text.as_bytes()).unwrap();
     }
 
-    /// The same to one that may have ended the connection.
+    /// Sends text. Returns false if the gateway has closed the connection.
     pub fn try_say(&mut self, text: &str) -> bool {
         self.reader.get_mut().write_all(text.as_bytes()).is_ok()
     }
 
-    /// The head of a stream of the list.
+    /// Sends the response head of an event stream.
     pub fn stream(&mut self) {
         self.say("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n");
     }
 
-    /// An event of the list that changes these entries.
+    /// Sends an event that changes these entries of the endpoint list.
     pub fn event(&mut self, id: u64, entries: &str) {
         self.say(&format!("id: {id}\ndata: {}\n\n", super::DiscoveryService::change(id as usize, entries)));
     }
 
-    /// One row on one page, the end of a query.
+    /// Sends the result of a query: one row on one page.
     pub fn row(&mut self, cell: &str) {
         self.say(&row(cell));
     }
@@ -199,20 +201,20 @@
         self.reader.get_mut().shutdown(Shutdown::Write).unwrap();
     }
 
-    /// Waits for the other side's end, whatever comes before.
+    /// Reads up to the end of the connection. Returns false if the gateway has reset it.
     pub fn is_ended(&mut self) -> bool {
         let mut rest = Vec::new();
         self.reader.read_to_end(&mut rest).is_ok()
     }
 }
 
-/// The answer that ends a query with one row on one page.
+/// HTTP response with the result of a query: one row on one page.
 pub fn row(cell: &str) -> String {
     let body = format!("{cell}\n");
     format!("HTTP/1.1 200 OK\r\nPage-Count: 1\r\nContent-Length: {}\r\n\r\n{body}", body.len())
 }
 
-/// An engine that runs each query at once and answers with the query_id that it ran, over any connection.
+/// Serves all queries of an engine: records each query id in `ran` and responds with one row that holds the query id.
 pub fn run_all(peer: Peer, ran: std::sync::Arc<std::sync::Mutex<Vec<String>>>) {
     thread::spawn(move || {
         loop {
