--- a/gateway/tests/common/control.rs
+++ b/gateway/tests/common/control.rs
@@ -10,18 +10,18 @@
 
 use wrenhatch_configuration::{Delta, Document, Message, Report, Snapshot, Version};
 
-use super::script::{Call, PATIENCE, Peer, Wire};
+use super::scripted::{Call, Connection, Peer, TIMEOUT};
 
 /// Settings in the configuration file of the tested gateways.
-pub fn start_settings() -> String {
+pub fn initial_settings() -> String {
     let config: serde_json::Value =
         serde_json::from_str(&include_str!("config.json").replace("LIST", "")).unwrap();
     config["settings"].to_string()
 }
 
 /// The initial settings with a change to their JSON text, which must not be without effect.
-pub fn changed(change: impl Fn(String) -> String) -> Document {
-    let before = start_settings();
+pub fn changed_settings(change: impl Fn(String) -> String) -> Document {
+    let before = initial_settings();
     let after = change(before.clone());
     assert_ne!(before, after, "the change has no effect");
     after.parse().unwrap()
@@ -37,17 +37,17 @@
 
 /// The configuration stream of one gateway.
 pub struct ControlPlaneStream {
-    pub wire: Wire,
+    pub connection: Connection,
     /// Version in the request of the stream: the version in force, or 0 to request a snapshot.
     pub version: u64,
 }
 
 impl ControlPlaneStream {
     pub fn send(&mut self, message: &str) {
-        self.wire.say(&format!("data: {message}\n\n"));
+        self.connection.send(&format!("data: {message}\n\n"));
     }
 
-    pub fn current(&mut self, version: u64) {
+    pub fn send_heartbeat(&mut self, version: u64) {
         self.send(&Message::Current(Version(version)).encode());
     }
 }
@@ -55,9 +55,9 @@
 /// A scripted control plane server.
 pub struct ControlPlaneServer {
     pub address: SocketAddr,
-    streams: Receiver<(Wire, Call)>,
-    /// A stream that was received by [`ControlPlaneServer::is_first_of`] and is returned next.
-    received: RefCell<Option<(Wire, Call)>>,
+    streams: Receiver<(Connection, Call)>,
+    /// A stream that was received by [`ControlPlaneServer::is_contacted_before`] and is returned next.
+    received: RefCell<Option<(Connection, Call)>>,
     reports: Receiver<Report>,
     /// Number of reports to reject before the next one is accepted.
     to_reject: Arc<AtomicUsize>,
@@ -72,33 +72,33 @@
         let rejects = to_reject.clone();
         thread::spawn(move || {
             loop {
-                let (wire, streams, reports) = (peer.accept(), streams_in.clone(), reports_in.clone());
+                let (connection, streams, reports) = (peer.accept(), streams_in.clone(), reports_in.clone());
                 let rejects = rejects.clone();
-                thread::spawn(move || answer(wire, &streams, &reports, &rejects));
+                thread::spawn(move || answer(connection, &streams, &reports, &rejects));
             }
         });
         Self { address, streams, received: RefCell::default(), reports, to_reject }
     }
 
     /// Waits for the next stream that a gateway opens, and sends the response head.
-    pub fn stream(&self) -> ControlPlaneStream {
+    pub fn accept_stream(&self) -> ControlPlaneStream {
         let received = self.received.borrow_mut().take();
-        let next = || self.streams.recv_timeout(PATIENCE).expect("no gateway has opened a stream");
-        let (mut wire, call) = received.unwrap_or_else(next);
+        let next = || self.streams.recv_timeout(TIMEOUT).expect("no gateway has opened a stream");
+        let (mut connection, call) = received.unwrap_or_else(next);
         assert_eq!((call.path.as_str(), call.headers["gateway"].as_str()), ("/v1/configuration", "t"));
-        wire.stream();
-        ControlPlaneStream { wire, version: call.headers["version"].parse().unwrap() }
+        connection.send_stream_head();
+        ControlPlaneStream { connection, version: call.headers["version"].parse().unwrap() }
     }
 
     /// Rejects this number of reports before the next one is accepted.
-    pub fn reject(&self, reports: usize) {
+    pub fn reject_reports(&self, reports: usize) {
         self.to_reject.store(reports, Ordering::SeqCst);
     }
 
     /// Waits until a gateway opens a stream at one of two servers. Returns whether it is this server.
-    pub fn is_first_of(&self, other: &Self) -> bool {
+    pub fn is_contacted_before(&self, other: &Self) -> bool {
         let began = Instant::now();
-        while began.elapsed() < PATIENCE {
+        while began.elapsed() < TIMEOUT {
             for server in [self, other] {
                 if let Ok(stream) = server.streams.try_recv() {
                     *server.received.borrow_mut() = Some(stream);
@@ -111,30 +111,35 @@
     }
 
     /// Waits for the next accepted report.
-    pub fn report(&self) -> Report {
-        self.reports.recv_timeout(PATIENCE).expect("no gateway has sent a report")
+    pub fn next_report(&self) -> Report {
+        self.reports.recv_timeout(TIMEOUT).expect("no gateway has sent a report")
     }
 
     /// Waits for the next report, which must state that this version is in force.
-    pub fn applied(&self, version: u64) {
-        assert_eq!(self.report(), Report::Applied { version: Version(version) });
+    pub fn expect_applied(&self, version: u64) {
+        assert_eq!(self.next_report(), Report::Applied { version: Version(version) });
     }
 }
 
-fn answer(mut wire: Wire, streams: &Sender<(Wire, Call)>, reports: &Sender<Report>, to_reject: &AtomicUsize) {
-    let Some(call) = wire.next_call() else { return };
+fn answer(
+    mut connection: Connection,
+    streams: &Sender<(Connection, Call)>,
+    reports: &Sender<Report>,
+    to_reject: &AtomicUsize,
+) {
+    let Some(call) = connection.next_call() else { return };
     // Sending to the test fails only if the test has ended.
-    if call.verb == "GET" {
-        let _ = streams.send((wire, call));
+    if call.method == "GET" {
+        let _ = streams.send((connection, call));
         return;
     }
     assert_eq!(call.path, "/v1/configuration/report");
     if to_reject.fetch_update(Ordering::SeqCst, Ordering::SeqCst, |n| n.checked_sub(1)).is_ok() {
-        wire.try_say("HTTP/1.1 503 Later\r\nContent-Length: 0\r\n\r\n");
+        connection.try_send("HTTP/1.1 503 Later\r\nContent-Length: 0\r\n\r\n");
         return;
     }
     let (gateway, report) = Report::parse(std::str::from_utf8(&call.body).unwrap()).unwrap();
     assert_eq!(gateway.0, "t");
     let _ = reports.send(report);
-    wire.try_say("HTTP/1.1 204 No Content\r\n\r\n");
+    connection.try_send("HTTP/1.1 204 No Content\r\n\r\n");
 }
--- a/gateway/tests/common/discovery.rs
+++ b/gateway/tests/common/discovery.rs
@@ -14,12 +14,12 @@
 pub struct DiscoveryService {
     pub address: SocketAddr,
     /// `Last-Event-ID` of each stream request so far.
-    pub requested: Arc<Mutex<Vec<String>>>,
+    pub last_event_ids: Arc<Mutex<Vec<String>>>,
 }
 
 impl DiscoveryService {
     /// Starts a service with these JSON events, numbered from `first`. Its streams stay open.
-    pub fn steady(first: usize, events: Vec<String>) -> Self {
+    pub fn with_events(first: usize, events: Vec<String>) -> Self {
         Self::serve(move |_, last, mut stream| {
             for (id, event) in (first..).zip(&events).filter(|(id, _)| *id > last) {
                 write_event(&mut stream, id, event);
@@ -30,11 +30,11 @@
 
     /// Starts a service whose first stream ends after the first event, whose second stream is silent after the second
     /// event, and whose later streams hold only comments. The events are numbered from 2.
-    pub fn unsteady(events: [String; 2]) -> Self {
+    pub fn with_interrupted_streams(events: [String; 2]) -> Self {
         Self::serve(move |n, _, mut stream| {
             if let Some(entries) = events.get(n) {
                 let id = n + 2;
-                write_event(&mut stream, id, &Self::change(id, entries));
+                write_event(&mut stream, id, &Self::delta_event(id, entries));
             }
             match n {
                 0 => {}
@@ -49,8 +49,8 @@
     fn serve(stream: impl Fn(usize, usize, TcpStream) + Clone + Send + 'static) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let requested = Arc::new(Mutex::new(Vec::new()));
-        let requests = requested.clone();
+        let last_event_ids = Arc::new(Mutex::new(Vec::new()));
+        let requests = last_event_ids.clone();
         thread::spawn(move || {
             for (n, mut connection) in listener.incoming().flatten().enumerate() {
                 let (requests, stream) = (requests.clone(), stream.clone());
@@ -61,11 +61,11 @@
                 });
             }
         });
-        Self { address, requested }
+        Self { address, last_event_ids }
     }
 
     /// JSON of an event that changes these entries.
-    pub fn change(index: usize, entries: &str) -> String {
+    pub fn delta_event(index: usize, entries: &str) -> String {
         format!(
             "{{\"index\":{index},\"endpoints\":{{\"index\":{index},\"snapshot\":false,\"endpoints\":[{entries}]}}}}"
         )
--- a/gateway/tests/common/engine.rs
+++ b/gateway/tests/common/engine.rs
@@ -12,15 +12,15 @@
 
 /// Queries, cancellations and connections of all engines of a test.
 #[derive(Clone, Default)]
-pub struct Seen {
+pub struct Recorder {
     runs: Arc<Mutex<Vec<(String, String)>>>,
     kills: Arc<Mutex<Vec<u32>>>,
     deletes: Arc<Mutex<Vec<String>>>,
     connections: Arc<AtomicU64>,
 }
 
-impl Seen {
-    pub fn ran(&self, engine: &str, query_id: &str) {
+impl Recorder {
+    pub fn record_query(&self, engine: &str, query_id: &str) {
         self.runs.lock().unwrap().push((engine.to_owned(), query_id.to_owned()));
     }
 
@@ -39,16 +39,16 @@
         self.kills.lock().unwrap().clone()
     }
 
-    pub fn killed(&self, connection: u32) {
+    pub fn record_kill(&self, connection: u32) {
         self.kills.lock().unwrap().push(connection);
     }
 
     /// Allocates the id of a MySQL connection, starting at 1.
-    pub fn connection(&self) -> u32 {
+    pub fn next_connection_id(&self) -> u32 {
         self.connections.fetch_add(1, Ordering::SeqCst) as u32 + 1
     }
 
-    pub fn count(&self) -> usize {
+    pub fn query_count(&self) -> usize {
         self.runs.lock().unwrap().len()
     }
 }
@@ -58,12 +58,12 @@
 pub enum ResponseFault {
     Garbage,
     BadStatusLine,
-    Endless,
-    Short,
-    CutOff,
-    Silent,
-    Preceded,
-    Twice,
+    HugeContentLength,
+    TruncatedBody,
+    TruncatedHead,
+    NoResponse,
+    InterimResponse,
+    Duplicate,
 }
 
 /// A simulated engine process that serves both protocols.
@@ -75,26 +75,26 @@
     refuses: Arc<AtomicBool>,
     streams: Arc<Mutex<Vec<TcpStream>>>,
     work_ms: Arc<AtomicU64>,
-    mute: Arc<AtomicBool>,
+    is_unresponsive: Arc<AtomicBool>,
     response_faults: Arc<Mutex<VecDeque<ResponseFault>>>,
     resets: Arc<AtomicU64>,
 }
 
 /// State of an engine that its connections share.
 #[derive(Clone)]
-pub struct Host {
+pub struct EngineState {
     pub name: String,
-    pub seen: Seen,
+    pub recorder: Recorder,
     pub dead: Arc<AtomicBool>,
-    mute: Arc<AtomicBool>,
+    is_unresponsive: Arc<AtomicBool>,
     response_faults: Arc<Mutex<VecDeque<ResponseFault>>>,
     work_ms: Arc<AtomicU64>,
     queries: Arc<Mutex<HashMap<String, Instant>>>,
 }
 
-impl Host {
+impl EngineState {
     /// Sleeps for the duration of a query. Returns false if the engine was killed in the meantime.
-    pub fn work(&self) -> bool {
+    pub fn run_query(&self) -> bool {
         let done = Instant::now() + Duration::from_millis(self.work_ms.load(Ordering::SeqCst));
         while !self.dead.load(Ordering::SeqCst) && Instant::now() < done {
             let left = done.saturating_duration_since(Instant::now());
@@ -105,29 +105,29 @@
 }
 
 impl Engine {
-    pub fn start(name: &str, seen: &Seen, work_ms: u64) -> Self {
+    pub fn start(name: &str, recorder: &Recorder, work_ms: u64) -> Self {
         let dead = Arc::new(AtomicBool::new(false));
         let streams = Arc::new(Mutex::new(Vec::new()));
-        let (work_ms, mute) = (Arc::new(AtomicU64::new(work_ms)), Arc::<AtomicBool>::default());
+        let (work_ms, is_unresponsive) = (Arc::new(AtomicU64::new(work_ms)), Arc::<AtomicBool>::default());
         let response_faults = Arc::<Mutex<VecDeque<ResponseFault>>>::default();
-        let host = Host {
+        let state = EngineState {
             name: name.to_owned(),
-            seen: seen.clone(),
+            recorder: recorder.clone(),
             dead: dead.clone(),
-            mute: mute.clone(),
+            is_unresponsive: is_unresponsive.clone(),
             response_faults: response_faults.clone(),
             work_ms: work_ms.clone(),
             queries: Arc::default(),
         };
         let (resets, refuses) = (Arc::<AtomicU64>::default(), Arc::<AtomicBool>::default());
-        let listen = |serve: fn(TcpStream, Host)| {
+        let listen = |serve: fn(TcpStream, EngineState)| {
             let listener = TcpListener::bind("127.0.0.1:0").unwrap();
             let address = listener.local_addr().unwrap();
-            let (host, streams, resets) = (host.clone(), streams.clone(), resets.clone());
+            let (state, streams, resets) = (state.clone(), streams.clone(), resets.clone());
             let refuses = refuses.clone();
             thread::spawn(move || {
                 for stream in listener.incoming().flatten() {
-                    if host.dead.load(Ordering::SeqCst) || refuses.load(Ordering::SeqCst) {
+                    if state.dead.load(Ordering::SeqCst) || refuses.load(Ordering::SeqCst) {
                         return;
                     }
                     let one_less = |n: u64| n.checked_sub(1);
@@ -137,8 +137,8 @@
                     }
                     stream.set_nodelay(true).unwrap();
                     streams.lock().unwrap().push(stream.try_clone().unwrap());
-                    let host = host.clone();
-                    thread::spawn(move || serve(stream, host));
+                    let state = state.clone();
+                    thread::spawn(move || serve(stream, state));
                 }
             });
             address
@@ -152,7 +152,7 @@
             refuses,
             streams,
             work_ms,
-            mute,
+            is_unresponsive,
             response_faults,
             resets,
         }
@@ -171,29 +171,29 @@
     }
 
     /// Runs all further queries, but sends no responses.
-    pub fn mute(&self) {
-        self.mute.store(true, Ordering::SeqCst);
+    pub fn stop_responding(&self) {
+        self.is_unresponsive.store(true, Ordering::SeqCst);
     }
 
     /// Applies one fault to each of the next HTTP responses.
-    pub fn spoil(&self, ways: &[ResponseFault]) {
+    pub fn inject_faults(&self, ways: &[ResponseFault]) {
         self.response_faults.lock().unwrap().extend(ways);
     }
 
     /// Resets this number of new connections.
-    pub fn reset_new(&self, connections: u64) {
+    pub fn reset_new_connections(&self, connections: u64) {
         self.resets.store(connections, Ordering::SeqCst);
     }
 
     /// Closes all connections. Running queries continue.
-    pub fn cut(&self) {
+    pub fn close_connections(&self) {
         for stream in self.streams.lock().unwrap().drain(..) {
             let _ = stream.shutdown(Shutdown::Both);
         }
     }
 
     /// Refuses new connections, like a draining engine. Open connections and running queries continue.
-    pub fn refuse_new(&self) {
+    pub fn refuse_connections(&self) {
         self.refuses.store(true, Ordering::SeqCst);
         for address in [self.http, self.mysql] {
             // The connection wakes up the listener thread, which then closes the listener.
@@ -206,14 +206,14 @@
     /// Closes all connections and ends all queries, like a killed process.
     pub fn kill(&self) {
         self.dead.store(true, Ordering::SeqCst);
-        self.refuse_new();
-        self.cut();
+        self.refuse_connections();
+        self.close_connections();
     }
 }
 
 /// An HTTP request.
 struct HttpCall {
-    verb: String,
+    method: String,
     path: String,
     headers: HashMap<String, String>,
     body: Vec<u8>,
@@ -239,8 +239,8 @@
         let mut body = vec![0; length];
         reader.read_exact(&mut body).ok()?;
         let mut words = line.split(' ').map(str::to_owned);
-        let (verb, path) = (words.next().unwrap(), words.next().unwrap());
-        Some(Self { verb, path, headers, body })
+        let (method, path) = (words.next().unwrap(), words.next().unwrap());
+        Some(Self { method, path, headers, body })
     }
 
     /// Query id in the path.
@@ -249,39 +249,39 @@
     }
 }
 
-fn serve_http(mut stream: TcpStream, host: Host) {
+fn serve_http(mut stream: TcpStream, state: EngineState) {
     let mut reader = BufReader::new(stream.try_clone().unwrap());
     while let Some(call) = HttpCall::read(&mut reader) {
-        let response = respond(&host, &call);
-        if host.mute.load(Ordering::SeqCst) {
+        let response = respond(&state, &call);
+        if state.is_unresponsive.load(Ordering::SeqCst) {
             continue;
         }
-        let fault = host.response_faults.lock().unwrap().pop_front();
+        let fault = state.response_faults.lock().unwrap().pop_front();
         let (bytes, ends) = fault.map_or((response.clone(), false), |fault| fault.apply(&response));
-        if host.dead.load(Ordering::SeqCst) || stream.write_all(bytes.as_bytes()).is_err() || ends {
+        if state.dead.load(Ordering::SeqCst) || stream.write_all(bytes.as_bytes()).is_err() || ends {
             return;
         }
     }
 }
 
 /// Serves `POST /data`, `GET /data/ID/N` and `DELETE /data/ID`. Each query has three rows on two pages.
-fn respond(host: &Host, call: &HttpCall) -> String {
-    match call.verb.as_str() {
+fn respond(state: &EngineState, call: &HttpCall) -> String {
+    match call.method.as_str() {
         "POST" => {
             let query_id = &call.headers["x-ticket"];
-            host.seen.ran(&host.name, query_id);
+            state.recorder.record_query(&state.name, query_id);
             if String::from_utf8_lossy(&call.body).contains("fail") {
                 return "HTTP/1.1 500 no\r\nContent-Length: 0\r\n\r\n".to_owned();
             }
-            let ms = host.work_ms.load(Ordering::SeqCst);
+            let ms = state.work_ms.load(Ordering::SeqCst);
             let done = Instant::now() + Duration::from_millis(ms);
-            host.queries.lock().unwrap().insert(query_id.clone(), done);
-            progress_or_first_page(host, query_id)
+            state.queries.lock().unwrap().insert(query_id.clone(), done);
+            progress_or_first_page(state, query_id)
         }
-        "GET" if call.path.ends_with("/0") => progress_or_first_page(host, call.query_id()),
-        "GET" => page("Page-No: 1", &format!("{}\tc\t\n", host.name)),
+        "GET" if call.path.ends_with("/0") => progress_or_first_page(state, call.query_id()),
+        "GET" => page("Page-No: 1", &format!("{}\tc\t\n", state.name)),
         _ => {
-            host.seen.deletes.lock().unwrap().push(call.query_id().to_owned());
+            state.recorder.deletes.lock().unwrap().push(call.query_id().to_owned());
             "HTTP/1.1 204 No Content\r\n\r\n".to_owned()
         }
     }
@@ -298,20 +298,20 @@
         match self {
             ResponseFault::Garbage => ("\u{1}\u{fe}\r\n\r\n".to_owned(), false),
             ResponseFault::BadStatusLine => (format!("HTTP/1.1 2x0 OK\r\n\r\n{body}"), false),
-            ResponseFault::Endless => {
+            ResponseFault::HugeContentLength => {
                 (format!("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n{body}"), false)
             }
-            ResponseFault::Short => (format!("{head}\r\n\r\n{}", &body[..body.len() / 2]), false),
-            ResponseFault::CutOff => (head[..head.len() / 2].to_owned(), true),
-            ResponseFault::Silent => (String::new(), false),
-            ResponseFault::Preceded => (format!("HTTP/1.1 103 Early Hints\r\n\r\n{response}"), false),
-            ResponseFault::Twice => (response.repeat(2), false),
+            ResponseFault::TruncatedBody => (format!("{head}\r\n\r\n{}", &body[..body.len() / 2]), false),
+            ResponseFault::TruncatedHead => (head[..head.len() / 2].to_owned(), true),
+            ResponseFault::NoResponse => (String::new(), false),
+            ResponseFault::InterimResponse => (format!("HTTP/1.1 103 Early Hints\r\n\r\n{response}"), false),
+            ResponseFault::Duplicate => (response.repeat(2), false),
         }
     }
 }
 
-fn progress_or_first_page(host: &Host, query_id: &str) -> String {
-    let done = host.queries.lock().unwrap().get(query_id).copied();
+fn progress_or_first_page(state: &EngineState, query_id: &str) -> String {
+    let done = state.queries.lock().unwrap().get(query_id).copied();
     let Some(done) = done else { return "HTTP/1.1 500 unknown\r\nContent-Length: 0\r\n\r\n".to_owned() };
     let left = done.saturating_duration_since(Instant::now());
     thread::sleep(left.min(Duration::from_millis(250)));
@@ -319,5 +319,5 @@
         return "HTTP/1.1 202 later\r\nX-Remark: progress\r\nFigure: 0.5\r\nContent-Length: 0\r\n\r\n"
             .to_owned();
     }
-    page("Page-Count: 2\r\nX-Meter: queue:0", &format!("{}\ta\t\n{}\tb\t\n", host.name, host.name))
+    page("Page-Count: 2\r\nX-Meter: queue:0", &format!("{}\ta\t\n{}\tb\t\n", state.name, state.name))
 }
--- a/gateway/tests/common/gateway.rs
+++ b/gateway/tests/common/gateway.rs
@@ -38,7 +38,7 @@
 }
 
 /// Last value of a counter in a log, by its key.
-pub fn figure(log: &str, key: &str) -> usize {
+pub fn last_counter(log: &str, key: &str) -> usize {
     let word = log.split_whitespace().rev().find_map(|w| w.split_once(key)).expect(key);
     word.1.parse().unwrap()
 }
@@ -48,16 +48,16 @@
 impl Gateway {
     /// Starts a gateway for these engines, with or without the MySQL front end.
     pub fn start(engines: &[&Engine], mysql: bool) -> Self {
-        Self::start_with(engines, mysql, None)
+        Self::start_with_coordinator(engines, mysql, None)
     }
 
     /// Starts a gateway that also follows the endpoint list of a coordinator.
-    pub fn start_with(engines: &[&Engine], mysql: bool, coordinator: Option<SocketAddr>) -> Self {
-        Self::start_as(engines, mysql, coordinator, "", None)
+    pub fn start_with_coordinator(engines: &[&Engine], mysql: bool, coordinator: Option<SocketAddr>) -> Self {
+        Self::start_with_options(engines, mysql, coordinator, "", None)
     }
 
     /// Starts a gateway with the contents of an operator's file and a limit on file descriptors.
-    pub fn start_as(
+    pub fn start_with_options(
         engines: &[&Engine],
         mysql: bool,
         coordinator: Option<SocketAddr>,
@@ -69,32 +69,36 @@
     }
 
     /// Starts a gateway for the engines of these JSON entries, with a changed configuration and debug logs.
-    pub fn scripted(
+    pub fn with_endpoints(
         entries: &str,
         coordinator: Option<SocketAddr>,
         operator: &str,
         descriptors: Option<u32>,
         change: impl Fn(String) -> String,
     ) -> Self {
-        let folder = Self::scripted_folder(entries, coordinator, operator, change);
+        let folder = Self::endpoints_folder(entries, coordinator, operator, change);
         Self::launch(folder, ([127, 0, 0, 1], 0).into(), descriptors, false)
     }
 
     /// Starts a gateway for the engines of these JSON entries, with the admin interface and without a coordinator.
-    pub fn scripted_with_admin(entries: &str, change: impl Fn(String) -> String) -> Self {
-        let folder = Self::scripted_folder(entries, None, "", change);
+    pub fn with_endpoints_and_admin(entries: &str, change: impl Fn(String) -> String) -> Self {
+        let folder = Self::endpoints_folder(entries, None, "", change);
         Self::launch(folder, ([127, 0, 0, 1], 0).into(), None, true)
     }
 
     /// Starts a gateway for the engines of these JSON entries that follows these control plane servers.
-    pub fn controlled(entries: &str, machines: &[SocketAddr], change: impl Fn(String) -> String) -> Self {
+    pub fn with_control_plane(
+        entries: &str,
+        machines: &[SocketAddr],
+        change: impl Fn(String) -> String,
+    ) -> Self {
         let list = machines.iter().map(|machine| format!("\"{machine}\"")).collect::<Vec<_>>().join(", ");
         let operator = format!("[control]\nmachines = [{list}]\n");
-        let folder = Self::scripted_folder(entries, None, &operator, change);
+        let folder = Self::endpoints_folder(entries, None, &operator, change);
         Self::launch(folder, ([127, 0, 0, 1], 0).into(), None, true)
     }
 
-    fn scripted_folder(
+    fn endpoints_folder(
         entries: &str,
         coordinator: Option<SocketAddr>,
         operator: &str,
@@ -161,7 +165,7 @@
     }
 
     /// Starts a process that waits for its configuration, which it reads from a pipe.
-    pub fn starting(entries: &str) -> Starting {
+    pub fn spawn_waiting(entries: &str) -> WaitingGateway {
         let folder = Self::folder(&[], false, None, "");
         let file = folder.join("config.json");
         let list = format!("\"endpoints\":[{entries}]");
@@ -174,7 +178,7 @@
         // A reload reads the configuration from a regular file.
         std::fs::remove_file(&file).unwrap();
         std::fs::write(&file, &config).unwrap();
-        Starting { child, pipe, config, folder }
+        WaitingGateway { child, pipe, config, folder }
     }
 
     fn launch(folder: Arc<Folder>, listen: SocketAddr, descriptors: Option<u32>, admin: bool) -> Self {
@@ -274,7 +278,7 @@
     }
 
     /// Stops the process while `during` runs, so that the process receives all of its input in its next turn.
-    pub fn paused<T>(&self, during: impl FnOnce() -> T) -> T {
+    pub fn while_paused<T>(&self, during: impl FnOnce() -> T) -> T {
         self.signal("-STOP");
         self.await_stopped();
         let result = during();
@@ -304,7 +308,7 @@
     }
 
     /// Waits until the log contains this text.
-    pub fn logged(&self, text: &str) {
+    pub fn wait_for_log(&self, text: &str) {
         let began = Instant::now();
         while !self.log.lock().unwrap().contains(text) {
             assert!(began.elapsed() < Duration::from_secs(60), "no {text} in the log");
@@ -320,7 +324,7 @@
         loop {
             let new = self.log.lock().unwrap().get(before..).unwrap_or_default().to_owned();
             if new.contains("turns=") && new.ends_with('\n') {
-                return figure(&new, "turns=") as u64;
+                return last_counter(&new, "turns=") as u64;
             }
             assert!(began.elapsed() < Duration::from_secs(60), "the process has not logged its counters");
             thread::sleep(Duration::from_millis(5));
@@ -342,7 +346,7 @@
     }
 
     /// Maximum number of clients with the 256 sockets of the configuration.
-    pub fn most_clients(&self) -> usize {
+    pub fn max_clients(&self) -> usize {
         256 / 3 + 16
     }
 
@@ -352,21 +356,21 @@
 }
 
 /// A gateway process that waits for its configuration.
-pub struct Starting {
+pub struct WaitingGateway {
     child: Child,
     pipe: std::fs::File,
     config: String,
     folder: Arc<Folder>,
 }
 
-impl Starting {
+impl WaitingGateway {
     pub fn signal(&self, signal: &str) {
         let id = self.child.id().to_string();
         assert!(Command::new("kill").args([signal, &id]).status().unwrap().success());
     }
 
     /// Sends the configuration and waits until the process is serving.
-    pub fn go_on(mut self) -> Gateway {
+    pub fn configure(mut self) -> Gateway {
         self.pipe.write_all(self.config.as_bytes()).unwrap();
         drop(self.pipe);
         Gateway::serving(self.child, self.folder)
--- a/gateway/tests/common/held.rs
+++ b/gateway/tests/common/held.rs
@@ -6,7 +6,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use super::script::{PATIENCE, Peer, Wire, row};
+use super::scripted::{Connection, Peer, TIMEOUT, row_response};
 
 /// Delay of the response to a poll of a running query.
 const POLL_DELAY: Duration = Duration::from_millis(100);
@@ -14,14 +14,14 @@
 type Finished = Arc<Mutex<HashSet<String>>>;
 
 /// A query that runs until the test finishes it.
-pub struct Held {
+pub struct HeldQuery {
     query_id: String,
     finished: Finished,
 }
 
-impl Held {
+impl HeldQuery {
     /// Finishes the query with one row that holds the query id.
-    pub fn row(self) {
+    pub fn finish(self) {
         self.finished.lock().unwrap().insert(self.query_id);
     }
 }
@@ -43,8 +43,8 @@
             let (sender, finished) = (sender.clone(), finished.clone());
             thread::spawn(move || {
                 loop {
-                    let (wire, sender, finished) = (peer.accept(), sender.clone(), finished.clone());
-                    thread::spawn(move || serve(wire, &sender, &finished));
+                    let (connection, sender, finished) = (peer.accept(), sender.clone(), finished.clone());
+                    thread::spawn(move || serve(connection, &sender, &finished));
                 }
             });
         }
@@ -52,9 +52,9 @@
     }
 
     /// Waits for the next query to be started, which must be this one.
-    pub fn next_start(&self, query_id: &str) -> Held {
-        assert_eq!(self.starts.recv_timeout(PATIENCE).expect("no query was started"), query_id);
-        Held { query_id: query_id.to_owned(), finished: self.finished.clone() }
+    pub fn next_start(&self, query_id: &str) -> HeldQuery {
+        assert_eq!(self.starts.recv_timeout(TIMEOUT).expect("no query was started"), query_id);
+        HeldQuery { query_id: query_id.to_owned(), finished: self.finished.clone() }
     }
 
     /// Whether all started queries were returned by [`HeldEngines::next_start`].
@@ -63,19 +63,19 @@
     }
 }
 
-fn serve(mut wire: Wire, starts: &Sender<String>, finished: &Finished) {
-    while let Some(call) = wire.next_call() {
-        let is_written = match call.verb.as_str() {
+fn serve(mut connection: Connection, starts: &Sender<String>, finished: &Finished) {
+    while let Some(call) = connection.next_call() {
+        let is_written = match call.method.as_str() {
             "POST" => {
                 // Sending to the test fails only if the test has finished.
                 let _ = starts.send(call.query_id().to_owned());
-                wire.try_say("HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n")
+                connection.try_send("HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n")
             }
             "GET" => {
                 let query_id = call.path.split('/').nth(2).unwrap_or_default().to_owned();
-                wire.try_say(&poll_response(&query_id, finished))
+                connection.try_send(&poll_response(&query_id, finished))
             }
-            _ => wire.try_say("HTTP/1.1 204 No Content\r\n\r\n"),
+            _ => connection.try_send("HTTP/1.1 204 No Content\r\n\r\n"),
         };
         if !is_written {
             return;
@@ -87,7 +87,7 @@
     let started = Instant::now();
     while started.elapsed() < POLL_DELAY {
         if finished.lock().unwrap().contains(query_id) {
-            return row(query_id);
+            return row_response(query_id);
         }
         thread::sleep(Duration::from_millis(2));
     }
--- a/gateway/tests/common/mod.rs
+++ b/gateway/tests/common/mod.rs
@@ -12,8 +12,8 @@
 pub mod mysql;
 pub mod pg;
 pub mod requests;
-pub mod script;
+pub mod scripted;
 
 pub use discovery::DiscoveryService;
-pub use engine::{Engine, Host, ResponseFault, Seen};
-pub use gateway::{Gateway, Starting, figure};
+pub use engine::{Engine, EngineState, Recorder, ResponseFault};
+pub use gateway::{Gateway, WaitingGateway, last_counter};
--- a/gateway/tests/common/mysql.rs
+++ b/gateway/tests/common/mysql.rs
@@ -7,7 +7,7 @@
 
 use sha1::{Digest, Sha1};
 
-use super::Host;
+use super::EngineState;
 
 const CAPS: u32 = 0x1 | 0x4 | 0x200 | 0x2000 | 0x8000 | 0x8_0000 | 0x100_0000 | 0x800_0000;
 
@@ -173,10 +173,10 @@
 
 /// Serves a connection of an engine. The rows of a statement are the engine name and the parameters. A statement that
 /// contains `nonsense` has a syntax error, and a statement that contains `fail` fails.
-pub fn serve(mut stream: TcpStream, host: Host) {
+pub fn serve(mut stream: TcpStream, state: EngineState) {
     let scramble = *b"abcdefghijklmnopqrst";
     let mut g = b"\x0a8.0.0\0".to_vec();
-    g.extend(host.seen.connection().to_le_bytes());
+    g.extend(state.recorder.next_connection_id().to_le_bytes());
     g.extend(&scramble[..8]);
     g.push(0);
     g.extend((CAPS as u16).to_le_bytes());
@@ -200,7 +200,7 @@
             0x03 => {
                 let (values, rest) = values(&p[3..], p[1] as usize);
                 let sql = String::from_utf8(rest.to_vec()).unwrap();
-                run(&mut stream, &host, &sql, &values, 0);
+                run(&mut stream, &state, &sql, &values, 0);
             }
             0x16 => {
                 let sql = String::from_utf8(p[1..].to_vec()).unwrap();
@@ -221,13 +221,13 @@
                 let id = u32::from_le_bytes([p[1], p[2], p[3], p[4]]);
                 let (values, _) = values(&p[11..], p[10] as usize);
                 match statements.get(&id) {
-                    Some(sql) => run(&mut stream, &host, &sql.clone(), &values, 1),
+                    Some(sql) => run(&mut stream, &state, &sql.clone(), &values, 1),
                     None => drop(write_packet(&mut stream, 1, b"\xff\xdb\x04#HY000Unknown statement")),
                 }
             }
             _ => drop(write_packet(&mut stream, 1, &[0, 0, 0, 2, 0, 0, 0])),
         }
-        if host.dead.load(std::sync::atomic::Ordering::SeqCst) {
+        if state.dead.load(std::sync::atomic::Ordering::SeqCst) {
             return;
         }
     }
@@ -263,15 +263,15 @@
     (values, &p[at..])
 }
 
-fn run(stream: &mut TcpStream, host: &Host, sql: &str, values: &[(String, String)], binary: usize) {
+fn run(stream: &mut TcpStream, state: &EngineState, sql: &str, values: &[(String, String)], binary: usize) {
     if let Some(connection) = sql.strip_prefix("KILL ") {
-        host.seen.killed(connection.parse().unwrap());
+        state.recorder.record_kill(connection.parse().unwrap());
         write_packet(stream, 1, &[0, 0, 0, 2, 0, 0, 0]);
         return;
     }
     let query_id = values.iter().find(|(n, _)| n == "i").map_or("", |(_, v)| v);
-    host.seen.ran(&host.name, query_id);
-    if !host.work() {
+    state.recorder.record_query(&state.name, query_id);
+    if !state.run_query() {
         return;
     }
     if sql.contains("nonsense") {
@@ -289,7 +289,7 @@
     let given: Vec<&str> = values.iter().filter(|(n, _)| n.is_empty()).map(|(_, v)| v.as_str()).collect();
     write_packet(stream, 1, &[1]);
     write_packet(stream, 2, &column());
-    for (n, text) in [host.name.as_str(), &given.join(",")].into_iter().enumerate() {
+    for (n, text) in [state.name.as_str(), &given.join(",")].into_iter().enumerate() {
         let mut row = [&[0u8, 0][..], &short(text)].concat();
         write_packet(stream, 3 + n as u8, &row.split_off(2 - 2 * binary));
     }
--- a/gateway/tests/common/pg.rs
+++ b/gateway/tests/common/pg.rs
@@ -42,8 +42,8 @@
     }
 
     /// SQLSTATE with which a new connection is rejected.
-    pub fn turned_away(address: SocketAddr) -> String {
-        let (kind, body) = Self::silent(address).message();
+    pub fn rejection_code(address: SocketAddr) -> String {
+        let (kind, body) = Self::without_startup(address).message();
         assert_eq!(kind, b'E');
         error(&body).0
     }
@@ -57,23 +57,23 @@
     }
 
     /// Sends a cancel request without waiting until the gateway closes the connection.
-    pub fn cancel_unread(address: SocketAddr, key: [u8; 8]) -> TcpStream {
+    pub fn send_cancel(address: SocketAddr, key: [u8; 8]) -> TcpStream {
         let mut stream = TcpStream::connect(address).unwrap();
         stream.write_all(&[&[0, 0, 0, 16, 0x04, 0xd2, 0x16, 0x2e], &key[..]].concat()).unwrap();
         stream
     }
 
     /// Connects and sends the startup message and a query without waiting for answers.
-    pub fn late(address: SocketAddr, query: &str) -> Self {
-        let mut client = Self::silent(address);
+    pub fn pipelined(address: SocketAddr, query: &str) -> Self {
+        let mut client = Self::without_startup(address);
         let body = b"\0\x03\0\0user\0app\0database\0warehouse\0\0";
-        client.raw(&[&(body.len() as u32 + 4).to_be_bytes(), &body[..]].concat());
+        client.send_raw(&[&(body.len() as u32 + 4).to_be_bytes(), &body[..]].concat());
         client.send(query);
         client
     }
 
     /// Waits for the next error, during or after startup, and returns its SQLSTATE.
-    pub fn late_answer(&mut self) -> String {
+    pub fn wait_error_code(&mut self) -> String {
         loop {
             let (kind, body) = self.message();
             if kind == b'E' {
@@ -83,7 +83,7 @@
     }
 
     /// Connects without sending a startup message.
-    pub fn silent(address: SocketAddr) -> Self {
+    pub fn without_startup(address: SocketAddr) -> Self {
         let stream = TcpStream::connect(address).unwrap();
         stream.set_read_timeout(Some(Duration::from_secs(30))).unwrap();
         Self { stream, key: [0; 8] }
@@ -96,7 +96,7 @@
 
     /// Connects, or returns `None` if the gateway rejects or closes the connection.
     pub fn try_connect(address: SocketAddr) -> Option<Self> {
-        let mut client = Self::silent(address);
+        let mut client = Self::without_startup(address);
         let body = b"\0\x03\0\0user\0app\0database\0warehouse\0\0";
         let start = [&(body.len() as u32 + 4).to_be_bytes(), &body[..]].concat();
         client.stream.write_all(&start).ok()?;
@@ -110,7 +110,7 @@
     }
 
     /// SQLSTATE with which the gateway results the connection, or `None` if it is closed without an error.
-    pub fn refusal(mut self) -> Option<String> {
+    pub fn into_error_code(mut self) -> Option<String> {
         let (kind, body) = self.try_message()?;
         (kind == b'E').then(|| error(&body).0)
     }
@@ -125,12 +125,12 @@
     }
 
     /// Waits for input. Returns whether it is the end of the connection.
-    pub fn is_ended(&mut self) -> bool {
+    pub fn is_closed(&mut self) -> bool {
         self.stream.read(&mut [0]).is_ok_and(|n| n == 0)
     }
 
     /// Closes the sending direction. Answers can still be read.
-    pub fn end_writing(&mut self) {
+    pub fn shutdown_write(&mut self) {
         self.stream.shutdown(std::net::Shutdown::Write).unwrap();
     }
 
@@ -140,11 +140,11 @@
     }
 
     /// Sends invalid bytes. Returns false if the gateway has closed the connection.
-    pub fn flood(&mut self, bytes: usize) -> bool {
+    pub fn try_send_garbage(&mut self, bytes: usize) -> bool {
         self.stream.write_all(&vec![b'x'; bytes]).is_ok()
     }
 
-    pub fn raw(&mut self, bytes: &[u8]) {
+    pub fn send_raw(&mut self, bytes: &[u8]) {
         self.stream.write_all(bytes).unwrap();
     }
 
@@ -162,7 +162,7 @@
         bytes.extend((text.len() as u32 + 5).to_be_bytes());
         bytes.extend(text.as_bytes());
         bytes.push(0);
-        self.raw(&bytes);
+        self.send_raw(&bytes);
     }
 
     /// Reads one answer. Panics unless it has exactly one result before `ReadyForQuery`.
--- a/gateway/tests/common/requests.rs
+++ b/gateway/tests/common/requests.rs
@@ -8,22 +8,22 @@
 }
 
 /// Waits until the gateway has admitted request `n`.
-pub fn wait_taken(gateway: &Gateway, n: u64) {
-    gateway.logged(&format!("request admitted query_id=\"{}\"", id(n)));
+pub fn wait_admitted(gateway: &Gateway, n: u64) {
+    gateway.wait_for_log(&format!("request admitted query_id=\"{}\"", id(n)));
 }
 
 /// Waits until the gateway has detected that the client of request `n` has disconnected.
-pub fn wait_left(gateway: &Gateway, n: u64) {
-    gateway.logged(&format!("client left query_id=\"{}\"", id(n)));
+pub fn wait_client_left(gateway: &Gateway, n: u64) {
+    gateway.wait_for_log(&format!("client left query_id=\"{}\"", id(n)));
 }
 
 /// Waits until the gateway has answered request `n`.
 pub fn wait_answered(gateway: &Gateway, n: u64) {
-    gateway.logged(&format!("request answered query_id=\"{}\"", id(n)));
+    gateway.wait_for_log(&format!("request answered query_id=\"{}\"", id(n)));
 }
 
 /// Answer of a scripted engine to request `n`: one row with the request id.
-pub fn row_of(n: u64) -> pg::Answer {
+pub fn row_answer(n: u64) -> pg::Answer {
     pg::Answer::Rows(vec![vec![id(n)]])
 }
 
@@ -38,5 +38,5 @@
 /// Asserts that the next answer of the client is the answer of a scripted engine to request `n`.
 #[track_caller]
 pub fn assert_served(client: &mut pg::Client, n: u64) {
-    assert_eq!(client.answer(), row_of(n));
+    assert_eq!(client.answer(), row_answer(n));
 }
--- a/gateway/tests/common/script.rs
+++ b/gateway/tests/common/scripted.rs
@@ -10,7 +10,7 @@
 use socket2::{Domain, Protocol, SockRef, Socket, Type};
 
 /// Time limit of connections, reads and waits in tests.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+pub const TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A listening socket of a scripted engine or coordinator.
 pub struct Peer {
@@ -26,27 +26,27 @@
         Self::listen(name, 128)
     }
 
-    /// Creates a peer with a full backlog: no connection is established until [`Peer::let_in`].
-    pub fn shut(name: &str) -> Self {
-        let mut peer = Self::narrow(name);
-        peer.cut_off();
+    /// Creates a peer with a full backlog: no connection is established until [`Peer::drain_backlog`].
+    pub fn with_full_backlog(name: &str) -> Self {
+        let mut peer = Self::with_zero_backlog(name);
+        peer.fill_backlog();
         peer
     }
 
-    /// Creates a peer whose backlog [`Peer::cut_off`] can fill.
-    pub fn narrow(name: &str) -> Self {
+    /// Creates a peer whose backlog [`Peer::fill_backlog`] can fill.
+    pub fn with_zero_backlog(name: &str) -> Self {
         Self::listen(name, 0)
     }
 
     /// Fills the backlog, so that no further connection is established. Established connections stay open.
-    pub fn cut_off(&mut self) {
+    pub fn fill_backlog(&mut self) {
         // A backlog of 0 holds one connection. The kernel drops further SYN packets, which clients retransmit after 1
         // s.
         self.backlog_fillers.push(TcpStream::connect(self.address).unwrap());
     }
 
     /// Creates a peer at the address of a former one.
-    pub fn at(name: &str, address: SocketAddr) -> Self {
+    pub fn bind(name: &str, address: SocketAddr) -> Self {
         Self::listen_at(name, address, 128)
     }
 
@@ -66,7 +66,7 @@
     }
 
     /// Empties the backlog, so that connections are established again.
-    pub fn let_in(&mut self) {
+    pub fn drain_backlog(&mut self) {
         for _ in self.backlog_fillers.drain(..) {
             drop(accept(&self.listener));
         }
@@ -81,21 +81,21 @@
     }
 
     /// Waits for the next connection.
-    pub fn accept(&self) -> Wire {
-        Wire::new(accept(&self.listener))
+    pub fn accept(&self) -> Connection {
+        Connection::new(accept(&self.listener))
     }
 
     /// Whether no connection waits to be accepted.
-    pub fn is_left_alone(&self) -> bool {
+    pub fn has_no_pending_connection(&self) -> bool {
         matches!(self.listener.accept(), Err(e) if e.kind() == ErrorKind::WouldBlock)
     }
 
     /// Accepts the next stream request of a coordinator. Returns the connection and the last event id.
-    pub fn watch(&self) -> (Wire, u64) {
-        let mut wire = self.accept();
-        let call = wire.call();
-        assert_eq!((call.verb.as_str(), call.path.as_str()), ("GET", "/v2/stream"));
-        (wire, call.headers["last-event-id"].parse().unwrap())
+    pub fn accept_watch(&self) -> (Connection, u64) {
+        let mut connection = self.accept();
+        let call = connection.read_call();
+        assert_eq!((call.method.as_str(), call.path.as_str()), ("GET", "/v2/stream"));
+        (connection, call.headers["last-event-id"].parse().unwrap())
     }
 }
 
@@ -110,7 +110,7 @@
             Err(e) if e.kind() == ErrorKind::WouldBlock => {}
             Err(e) => panic!("{e}"),
         }
-        assert!(began.elapsed() < PATIENCE, "no connection was opened");
+        assert!(began.elapsed() < TIMEOUT, "no connection was opened");
         thread::sleep(Duration::from_millis(1));
     }
 }
@@ -118,7 +118,7 @@
 /// A received HTTP request.
 #[derive(Debug)]
 pub struct Call {
-    pub verb: String,
+    pub method: String,
     pub path: String,
     pub headers: HashMap<String, String>,
     pub body: Vec<u8>,
@@ -131,14 +131,14 @@
 }
 
 /// A connection of the gateway to a scripted peer.
-pub struct Wire {
+pub struct Connection {
     reader: BufReader<TcpStream>,
 }
 
-impl Wire {
+impl Connection {
     fn new(stream: TcpStream) -> Self {
         stream.set_nodelay(true).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(TIMEOUT)).unwrap();
         Self { reader: BufReader::new(stream) }
     }
 
@@ -149,7 +149,7 @@
             return None;
         }
         let mut words = line.split(' ').map(str::to_owned);
-        let (verb, path) = (words.next().unwrap(), words.next().unwrap());
+        let (method, path) = (words.next().unwrap(), words.next().unwrap());
         let mut headers = HashMap::new();
         loop {
             let mut header = String::new();
@@ -160,35 +160,38 @@
         let length = headers.get("content-length").map_or(0, |l| l.parse().unwrap());
         let mut body = vec![0; length];
         self.reader.read_exact(&mut body).unwrap();
-        Some(Call { verb, path, headers, body })
+        Some(Call { method, path, headers, body })
     }
 
-    pub fn call(&mut self) -> Call {
+    pub fn read_call(&mut self) -> Call {
         self.next_call().expect("the connection has ended without a request")
     }
 
-    pub fn say(&mut self, text: &str) {
+    pub fn send(&mut self, text: &str) {
         self.reader.get_mut().write_all(text.as_bytes()).unwrap();
     }
 
     /// Sends text. Returns false if the gateway has closed the connection.
-    pub fn try_say(&mut self, text: &str) -> bool {
+    pub fn try_send(&mut self, text: &str) -> bool {
         self.reader.get_mut().write_all(text.as_bytes()).is_ok()
     }
 
     /// Sends the response head of an event stream.
-    pub fn stream(&mut self) {
-        self.say("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n");
+    pub fn send_stream_head(&mut self) {
+        self.send("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n");
     }
 
     /// Sends an event that changes these entries of the endpoint list.
-    pub fn event(&mut self, id: u64, entries: &str) {
-        self.say(&format!("id: {id}\ndata: {}\n\n", super::DiscoveryService::change(id as usize, entries)));
+    pub fn send_event(&mut self, id: u64, entries: &str) {
+        self.send(&format!(
+            "id: {id}\ndata: {}\n\n",
+            super::DiscoveryService::delta_event(id as usize, entries)
+        ));
     }
 
     /// Sends the result of a query: one row on one page.
-    pub fn row(&mut self, cell: &str) {
-        self.say(&row(cell));
+    pub fn send_row(&mut self, cell: &str) {
+        self.send(&row_response(cell));
     }
 
     /// Resets the connection.
@@ -197,38 +200,38 @@
         SockRef::from(&stream).set_linger(Some(Duration::ZERO)).unwrap();
     }
 
-    pub fn end_writing(&mut self) {
+    pub fn shutdown_write(&mut self) {
         self.reader.get_mut().shutdown(Shutdown::Write).unwrap();
     }
 
     /// Reads up to the end of the connection. Returns false if the gateway has reset it.
-    pub fn is_ended(&mut self) -> bool {
+    pub fn is_closed(&mut self) -> bool {
         let mut rest = Vec::new();
         self.reader.read_to_end(&mut rest).is_ok()
     }
 }
 
 /// HTTP response with the result of a query: one row on one page.
-pub fn row(cell: &str) -> String {
+pub fn row_response(cell: &str) -> String {
     let body = format!("{cell}\n");
     format!("HTTP/1.1 200 OK\r\nPage-Count: 1\r\nContent-Length: {}\r\n\r\n{body}", body.len())
 }
 
 /// Serves all queries of an engine: records each query id in `ran` and responds with one row that holds the query id.
-pub fn run_all(peer: Peer, ran: std::sync::Arc<std::sync::Mutex<Vec<String>>>) {
+pub fn serve_all_queries(peer: Peer, ran: std::sync::Arc<std::sync::Mutex<Vec<String>>>) {
     thread::spawn(move || {
         loop {
-            let mut wire = peer.accept();
+            let mut connection = peer.accept();
             let ran = ran.clone();
             thread::spawn(move || {
-                while let Some(call) = wire.next_call() {
-                    match call.verb.as_str() {
+                while let Some(call) = connection.next_call() {
+                    match call.method.as_str() {
                         "POST" => {
                             ran.lock().unwrap().push(call.query_id().to_owned());
-                            wire.row(call.query_id());
+                            connection.send_row(call.query_id());
                         }
-                        "GET" => wire.say("HTTP/1.1 500 no\r\nContent-Length: 0\r\n\r\n"),
-                        _ => wire.say("HTTP/1.1 204 No Content\r\n\r\n"),
+                        "GET" => connection.send("HTTP/1.1 500 no\r\nContent-Length: 0\r\n\r\n"),
+                        _ => connection.send("HTTP/1.1 204 No Content\r\n\r\n"),
                     }
                 }
             });
--- a/gateway/tests/crossings.rs
+++ b/gateway/tests/crossings.rs
@@ -8,8 +8,8 @@
 use std::thread;
 use std::time::Duration;
 
-use common::requests::{error_code, id, row_of, wait_answered, wait_left, wait_taken};
-use common::script::{Peer, Wire, row, run_all};
+use common::requests::{error_code, id, row_answer, wait_admitted, wait_answered, wait_client_left};
+use common::scripted::{Connection, Peer, row_response, serve_all_queries};
 use common::{Gateway, pg};
 
 fn text(class: &str, n: u64) -> String {
@@ -23,7 +23,7 @@
         match client.query(&text(class, n)) {
             pg::Answer::Error(code, _) if code.starts_with("53") => thread::sleep(Duration::from_millis(50)),
             answer => {
-                assert_eq!(answer, row_of(n));
+                assert_eq!(answer, row_answer(n));
                 return n;
             }
         }
@@ -32,16 +32,16 @@
 }
 
 /// One request taken and forwarded: its client, and the engine's end of the connection with the call read off it.
-fn request_in_flight(engine: &Peer, gateway: &Gateway, class: &str) -> (pg::Client, Wire) {
+fn request_in_flight(engine: &Peer, gateway: &Gateway, class: &str) -> (pg::Client, Connection) {
     let mut client = pg::Client::connect(gateway.pg);
     client.send(&text(class, 1));
     let mut wire = engine.accept();
-    let call = wire.call();
-    assert_eq!((call.verb.as_str(), call.query_id()), ("POST", id(1).as_str()));
+    let call = wire.read_call();
+    assert_eq!((call.method.as_str(), call.query_id()), ("POST", id(1).as_str()));
     (client, wire)
 }
 
-/// Ids that engines of [`run_all`] ran.
+/// Ids that engines of [`serve_all_queries`] ran.
 fn ran() -> Arc<Mutex<Vec<String>>> {
     Arc::default()
 }
@@ -58,29 +58,30 @@
 #[test]
 fn a_queued_request_whose_client_leaves_is_never_forwarded() {
     let (engine, discovery) = (Peer::new("e1"), Peer::new("c"));
-    let gateway = Gateway::scripted(&engine.entry("Terminating"), Some(discovery.address), "", None, |t| t);
-    let (mut watch, last) = discovery.watch();
+    let gateway =
+        Gateway::with_endpoints(&engine.entry("Terminating"), Some(discovery.address), "", None, |t| t);
+    let (mut watch, last) = discovery.accept_watch();
     assert_eq!(last, 1);
-    watch.stream();
+    watch.send_stream_head();
     let mut clients: Vec<_> = (0..5).map(|_| pg::Client::connect(gateway.pg)).collect();
     for (n, client) in clients.iter_mut().enumerate() {
         client.send(&text("load", n as u64));
-        wait_taken(&gateway, n as u64);
+        wait_admitted(&gateway, n as u64);
     }
     // One that has more behind its request than anybody reads ahead.
     let mut flooding = clients.pop().unwrap();
-    assert!(flooding.flood(1 << 20), "what can't be kept is read all the same");
+    assert!(flooding.try_send_garbage(1 << 20), "what can't be kept is read all the same");
     drop(flooding);
     let (mut cancels, resets) = (clients.pop().unwrap(), clients.pop().unwrap());
     pg::Client::cancel(gateway.pg, cancels.key);
     assert_eq!(error_code(&cancels.answer()), "57014");
     resets.reset();
-    clients[1].end_writing();
+    clients[1].shutdown_write();
     drop(clients);
-    (0..5).for_each(|n| wait_left(&gateway, n));
+    (0..5).for_each(|n| wait_client_left(&gateway, n));
     let ran_there = ran();
-    watch.event(2, &engine.entry("Ready"));
-    run_all(engine, ran_there.clone());
+    watch.send_event(2, &engine.entry("Ready"));
+    serve_all_queries(engine, ran_there.clone());
     let n = served(&gateway, "load", 100);
     assert_eq!(*ran_there.lock().unwrap(), [id(n)]);
     let (exit, log) = gateway.end();
@@ -92,37 +93,38 @@
 #[test]
 fn a_queued_request_whose_client_leaves_in_the_turn_of_a_new_engine_is_never_forwarded() {
     let (engine, discovery) = (Peer::new("e1"), Peer::new("c"));
-    let gateway = Gateway::scripted(&engine.entry("Terminating"), Some(discovery.address), "", None, |t| t);
-    let (mut watch, _) = discovery.watch();
-    watch.stream();
+    let gateway =
+        Gateway::with_endpoints(&engine.entry("Terminating"), Some(discovery.address), "", None, |t| t);
+    let (mut watch, _) = discovery.accept_watch();
+    watch.send_stream_head();
     let mut clients: Vec<_> = (0..60).map(|_| pg::Client::connect(gateway.pg)).collect();
     for (n, client) in clients.iter_mut().enumerate() {
         client.send(&text("load", n as u64));
-        wait_taken(&gateway, n as u64);
+        wait_admitted(&gateway, n as u64);
     }
-    gateway.paused(|| {
-        watch.event(2, &engine.entry("Ready"));
+    gateway.while_paused(|| {
+        watch.send_event(2, &engine.entry("Ready"));
         drop(clients);
     });
     let ran = ran();
-    run_all(engine, ran.clone());
+    serve_all_queries(engine, ran.clone());
     let n = served(&gateway, "load", 100);
     assert_eq!(*ran.lock().unwrap(), [id(n)]);
-    (0..60).for_each(|n| wait_left(&gateway, n));
+    (0..60).for_each(|n| wait_client_left(&gateway, n));
 }
 
 #[test]
 fn a_request_whose_client_leaves_while_its_connection_is_established_is_never_forwarded() {
     let may_not: fn(String) -> String = |t| no_cancel(patient_connects(t));
     for (change, comes_up) in [(patient_connects as fn(String) -> String, false), (may_not, true)] {
-        let mut engine = Peer::shut("e1");
-        let gateway = Gateway::scripted(&engine.entry("Ready"), None, "", None, change);
+        let mut engine = Peer::with_full_backlog("e1");
+        let gateway = Gateway::with_endpoints(&engine.entry("Ready"), None, "", None, change);
         let mut client = pg::Client::connect(gateway.pg);
         client.send(&text("load", 1));
-        gateway.logged("connection opened");
+        gateway.wait_for_log("connection opened");
         drop(client);
-        wait_left(&gateway, 1);
-        engine.let_in();
+        wait_client_left(&gateway, 1);
+        engine.drain_backlog();
         // Where it was not closed it is up at last, long after its request has gone: it may carry another's.
         let wire = comes_up.then(|| engine.accept());
         let ran = ran();
@@ -132,11 +134,11 @@
                 let Some(mut wire) = wire else { return };
                 while let Some(call) = wire.next_call() {
                     ran.lock().unwrap().push(call.query_id().to_owned());
-                    wire.row(call.query_id());
+                    wire.send_row(call.query_id());
                 }
             }
         });
-        run_all(engine, ran.clone());
+        serve_all_queries(engine, ran.clone());
         let n = served(&gateway, "load", 100);
         drop(gateway);
         late.join().unwrap();
@@ -147,15 +149,15 @@
 #[test]
 fn a_request_whose_client_leaves_between_two_attempts_is_not_retried() {
     let engine = Peer::new("e1");
-    let gateway = Gateway::scripted(&engine.entry("Ready"), None, "", None, |t| t);
+    let gateway = Gateway::with_endpoints(&engine.entry("Ready"), None, "", None, |t| t);
     let (client, mut wire) = request_in_flight(&engine, &gateway, "load");
     // Full, so that it rests before the next attempt.
-    wire.say("HTTP/1.1 503 x\r\nX-Shed: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
-    gateway.logged("attempt ended query_id=\"0000000000000001\"");
+    wire.send("HTTP/1.1 503 x\r\nX-Shed: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
+    gateway.wait_for_log("attempt ended query_id=\"0000000000000001\"");
     drop(client);
-    wait_left(&gateway, 1);
+    wait_client_left(&gateway, 1);
     let ran = ran();
-    run_all(engine, ran.clone());
+    serve_all_queries(engine, ran.clone());
     let n = served(&gateway, "load", 100);
     assert_eq!(*ran.lock().unwrap(), [id(n)]);
 }
@@ -163,30 +165,30 @@
 #[test]
 fn a_running_request_whose_client_leaves_is_cancelled_at_its_engine() {
     let engine = Peer::new("e1");
-    let gateway = Gateway::scripted(&engine.entry("Ready"), None, "", None, |t| t);
+    let gateway = Gateway::with_endpoints(&engine.entry("Ready"), None, "", None, |t| t);
     let (mut client, _wire) = request_in_flight(&engine, &gateway, "load");
-    assert!(client.flood(1 << 20));
+    assert!(client.try_send_garbage(1 << 20));
     drop(client);
-    let call = engine.accept().call();
-    assert_eq!((call.verb.as_str(), call.path), ("DELETE", format!("/data/{}", id(1))));
+    let call = engine.accept().read_call();
+    assert_eq!((call.method.as_str(), call.path), ("DELETE", format!("/data/{}", id(1))));
 }
 
 #[test]
 fn a_flood_behind_a_request_ends_its_session_alone() {
     let engine = Peer::new("e1");
-    let gateway = Gateway::scripted(&engine.entry("Ready"), None, "", None, |t| t);
+    let gateway = Gateway::with_endpoints(&engine.entry("Ready"), None, "", None, |t| t);
     let (mut client, mut other) = (pg::Client::connect(gateway.pg), pg::Client::connect(gateway.pg));
     client.send(&text("load", 1));
     let mut wire = engine.accept();
-    wire.call();
+    wire.read_call();
     for _ in 0..16 {
-        assert!(client.flood(256 << 10));
+        assert!(client.try_send_garbage(256 << 10));
         assert_eq!(other.query(";"), pg::Answer::Empty, "others are read beside it");
     }
-    wire.row(&id(1));
-    assert_eq!(client.answer(), row_of(1), "what it asked for is answered");
+    wire.send_row(&id(1));
+    assert_eq!(client.answer(), row_answer(1), "what it asked for is answered");
     assert_eq!(error_code(&client.answer()), "54000", "and what cannot be understood behind it, once");
-    assert!(client.is_ended());
+    assert!(client.is_closed());
     let (_, log) = gateway.end();
     assert!(log.contains("invalid=1"), "{log}");
 }
@@ -195,18 +197,18 @@
 fn a_cancel_request_may_overtake_the_request_that_it_names() {
     let engine = Peer::new("e1");
     let operator = "[clients]\nmost_sessions = 180\nturn_ms = 1";
-    let gateway = Gateway::scripted(&engine.entry("Ready"), None, operator, None, |t| t);
+    let gateway = Gateway::with_endpoints(&engine.entry("Ready"), None, operator, None, |t| t);
     let ran = ran();
-    run_all(engine, ran.clone());
+    serve_all_queries(engine, ran.clone());
     let mut crowd: Vec<_> = (0..140).map(|_| pg::Client::connect(gateway.pg)).collect();
     let mut client = pg::Client::connect(gateway.pg);
     // All of them wait to be read, the one behind the others; the cancel comes over a new connection.
-    let _cancel = gateway.paused(|| {
+    let _cancel = gateway.while_paused(|| {
         for (n, one) in crowd.iter_mut().enumerate() {
             one.send(&text("lookup", 1000 + n as u64));
         }
         client.send(&text("lookup", 1));
-        pg::Client::cancel_unread(gateway.pg, client.key)
+        pg::Client::send_cancel(gateway.pg, client.key)
     });
     assert_eq!(error_code(&client.answer()), "57014");
     for one in &mut crowd {
@@ -224,16 +226,16 @@
 #[test]
 fn a_late_duplicate_response_is_taken_for_no_other_query() {
     let engine = Peer::new("e1");
-    let gateway = Gateway::scripted(&engine.entry("Ready"), None, "", None, |t| t);
+    let gateway = Gateway::with_endpoints(&engine.entry("Ready"), None, "", None, |t| t);
     thread::spawn(move || {
         loop {
             let mut wire = engine.accept();
             thread::spawn(move || {
                 while let Some(call) = wire.next_call() {
-                    if call.verb == "POST" {
-                        wire.row(call.query_id());
+                    if call.method == "POST" {
+                        wire.send_row(call.query_id());
                         thread::sleep(Duration::from_millis(5));
-                        wire.row(call.query_id());
+                        wire.send_row(call.query_id());
                     }
                 }
             });
@@ -241,7 +243,7 @@
     });
     let mut clients = [pg::Client::connect(gateway.pg), pg::Client::connect(gateway.pg)];
     for n in 1..40 {
-        assert_eq!(clients[n as usize % 2].query(&text("lookup", n)), row_of(n));
+        assert_eq!(clients[n as usize % 2].query(&text("lookup", n)), row_answer(n));
     }
 }
 
@@ -250,24 +252,24 @@
 #[test]
 fn a_connection_with_a_duplicate_response_is_not_reused() {
     let engine = Peer::new("e1");
-    let gateway = Gateway::scripted(&engine.entry("Ready"), None, "", None, |t| t);
+    let gateway = Gateway::with_endpoints(&engine.entry("Ready"), None, "", None, |t| t);
     let (mut client, mut other) = (pg::Client::connect(gateway.pg), pg::Client::connect(gateway.pg));
     client.send(&text("lookup", 1));
     let mut wire = engine.accept();
-    assert_eq!(wire.call().query_id(), id(1));
+    assert_eq!(wire.read_call().query_id(), id(1));
     let later = "HTTP/1.1 202 x\r\nContent-Length: 0\r\n\r\n";
-    wire.say(later);
-    assert_eq!(wire.call().verb, "GET");
-    wire.say(later);
-    assert_eq!(wire.call().verb, "GET");
-    wire.row(&id(1));
-    assert_eq!(client.answer(), row_of(1));
+    wire.send(later);
+    assert_eq!(wire.read_call().method, "GET");
+    wire.send(later);
+    assert_eq!(wire.read_call().method, "GET");
+    wire.send_row(&id(1));
+    assert_eq!(client.answer(), row_answer(1));
     thread::sleep(Duration::from_millis(40));
     other.send(&text("lookup", 2));
     thread::sleep(Duration::from_millis(40));
-    wire.try_say(&row(&id(1)));
-    run_all(engine, ran());
-    assert_eq!(other.answer(), row_of(2), "not what was the first one's");
+    wire.try_send(&row_response(&id(1)));
+    serve_all_queries(engine, ran());
+    assert_eq!(other.answer(), row_answer(2), "not what was the first one's");
 }
 
 /// Settings in which a class may be repeated for so many seconds.
@@ -282,27 +284,28 @@
 #[test]
 fn an_idempotency_key_is_sent_with_every_attempt() {
     let engine = Peer::new("e1");
-    let gateway = Gateway::scripted(&engine.entry("Ready"), None, "", None, |t| keyed(&t, "report", 5.0));
+    let gateway =
+        Gateway::with_endpoints(&engine.entry("Ready"), None, "", None, |t| keyed(&t, "report", 5.0));
     let mut client = pg::Client::connect(gateway.pg);
     let query =
         |token: &str| format!("/* c=report,i={},d=20000,k={token} */ SELECT v FROM sales_17.orders", id(1));
     client.send(&text("report", 2));
     let mut wire = engine.accept();
-    assert!(!wire.call().headers.contains_key("x-nonce"), "none of the gateway's own making");
-    wire.say(&row(&id(2)).replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n"));
-    assert_eq!(client.answer(), row_of(2));
+    assert!(!wire.read_call().headers.contains_key("x-nonce"), "none of the gateway's own making");
+    wire.send(&row_response(&id(2)).replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n"));
+    assert_eq!(client.answer(), row_answer(2));
     client.send(&query("16d2cf6db534bf77e12ba3280ca951ca"));
     let mut wire = engine.accept();
     for attempt in 0..2 {
-        let call = wire.call();
+        let call = wire.read_call();
         assert_eq!(call.headers["x-nonce"], "16d2cf6db534bf77e12ba3280ca951ca", "attempt {attempt}");
         assert_eq!(call.query_id(), id(1));
         if attempt == 0 {
-            wire.say("HTTP/1.1 503 x\r\nX-Shed: 1\r\nContent-Length: 0\r\n\r\n");
+            wire.send("HTTP/1.1 503 x\r\nX-Shed: 1\r\nContent-Length: 0\r\n\r\n");
         }
     }
-    wire.row(&id(1));
-    assert_eq!(client.answer(), row_of(1));
+    wire.send_row(&id(1));
+    assert_eq!(client.answer(), row_answer(1));
     for bad in ["", "a b", "a\tb", "a\u{7f}", &"k".repeat(129)] {
         assert_eq!(error_code(&client.query(&query(bad))), "42601", "{bad:?}");
     }
@@ -310,26 +313,26 @@
 
 #[test]
 fn a_retry_whose_idempotency_window_ends_while_its_connection_is_established_is_not_forwarded() {
-    let (one, mut two, discovery) = (Peer::new("e1"), Peer::shut("e2"), Peer::new("c"));
+    let (one, mut two, discovery) = (Peer::new("e1"), Peer::with_full_backlog("e2"), Peer::new("c"));
     let change = |t: String| keyed(&t, "lookup", 0.5);
-    let gateway = Gateway::scripted(&one.entry("Ready"), Some(discovery.address), "", None, change);
-    let (mut watch, _) = discovery.watch();
-    watch.stream();
+    let gateway = Gateway::with_endpoints(&one.entry("Ready"), Some(discovery.address), "", None, change);
+    let (mut watch, _) = discovery.accept_watch();
+    watch.send_stream_head();
     let mut client = pg::Client::connect(gateway.pg);
     client.send(&text("lookup", 1));
     let mut wire = one.accept();
-    assert_eq!(wire.call().query_id(), id(1));
-    watch.event(2, &format!("{},{}", two.entry("Ready"), one.entry("Terminating")));
-    gateway.logged("name=\"e1\" state=Draining");
-    wire.say("HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n");
-    gateway.logged("attempt ended query_id=\"0000000000000001\"");
+    assert_eq!(wire.read_call().query_id(), id(1));
+    watch.send_event(2, &format!("{},{}", two.entry("Ready"), one.entry("Terminating")));
+    gateway.wait_for_log("name=\"e1\" state=Draining");
+    wire.send("HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n");
+    gateway.wait_for_log("attempt ended query_id=\"0000000000000001\"");
     // Only a connection that was begun before can have been kept out.
-    gateway.logged("connection opened engine=1");
+    gateway.wait_for_log("connection opened engine=1");
     // A connection that was not let in is tried again by the kernel after a second, twice the window.
-    two.let_in();
+    two.drain_backlog();
     assert!(error_code(&client.answer()).starts_with("53"), "repeats are known as such everywhere");
     let ran = ran();
-    run_all(two, ran.clone());
+    serve_all_queries(two, ran.clone());
     let n = served(&gateway, "lookup", 100);
     assert!(!ran.lock().unwrap().contains(&id(1)), "the window was over");
     assert!(ran.lock().unwrap().contains(&id(n)));
@@ -337,20 +340,20 @@
 
 #[test]
 fn nothing_is_forwarded_to_an_engine_that_drains_while_its_connection_is_established() {
-    let (mut one, two, discovery) = (Peer::shut("e1"), Peer::new("e2"), Peer::new("c"));
+    let (mut one, two, discovery) = (Peer::with_full_backlog("e1"), Peer::new("e2"), Peer::new("c"));
     let change = patient_connects;
-    let gateway = Gateway::scripted(&one.entry("Ready"), Some(discovery.address), "", None, change);
-    let (mut watch, _) = discovery.watch();
-    watch.stream();
+    let gateway = Gateway::with_endpoints(&one.entry("Ready"), Some(discovery.address), "", None, change);
+    let (mut watch, _) = discovery.accept_watch();
+    watch.send_stream_head();
     let mut client = pg::Client::connect(gateway.pg);
     client.send(&text("load", 1));
-    gateway.logged("connection opened");
-    watch.event(2, &format!("{},{}", one.entry("Terminating"), two.entry("Ready")));
-    gateway.logged("name=\"e1\" state=Draining");
+    gateway.wait_for_log("connection opened");
+    watch.send_event(2, &format!("{},{}", one.entry("Terminating"), two.entry("Ready")));
+    gateway.wait_for_log("name=\"e1\" state=Draining");
     let elsewhere = ran();
-    run_all(two, elsewhere.clone());
-    one.let_in();
-    assert_eq!(client.answer(), row_of(1), "it never ran, so it may go elsewhere");
+    serve_all_queries(two, elsewhere.clone());
+    one.drain_backlog();
+    assert_eq!(client.answer(), row_answer(1), "it never ran, so it may go elsewhere");
     assert_eq!(*elsewhere.lock().unwrap(), [id(1)]);
     // Its connection is of no use; whatever comes over it is no call.
     let n = served(&gateway, "load", 100);
@@ -363,38 +366,38 @@
 #[test]
 fn a_drain_in_the_turn_of_a_new_request_is_respected() {
     let (one, two, discovery) = (Peer::new("e1"), Peer::new("e2"), Peer::new("c"));
-    let gateway = Gateway::scripted(&one.entry("Ready"), Some(discovery.address), "", None, |t| t);
-    let (mut watch, _) = discovery.watch();
-    watch.stream();
+    let gateway = Gateway::with_endpoints(&one.entry("Ready"), Some(discovery.address), "", None, |t| t);
+    let (mut watch, _) = discovery.accept_watch();
+    watch.send_stream_head();
     let mut client = pg::Client::connect(gateway.pg);
-    gateway.paused(|| {
+    gateway.while_paused(|| {
         client.send(&text("load", 1));
-        watch.event(2, &format!("{},{}", one.entry("Terminating"), two.entry("Ready")));
+        watch.send_event(2, &format!("{},{}", one.entry("Terminating"), two.entry("Ready")));
     });
-    run_all(two, ran());
-    assert_eq!(client.answer(), row_of(1));
-    assert!(one.is_left_alone());
+    serve_all_queries(two, ran());
+    assert_eq!(client.answer(), row_answer(1));
+    assert!(one.has_no_pending_connection());
 }
 
 #[test]
 fn calls_for_a_removed_engine_do_not_reach_another_at_its_address() {
     let (engine, discovery) = (Peer::new("e1"), Peer::new("c"));
-    let gateway = Gateway::scripted(&engine.entry("Ready"), Some(discovery.address), "", None, |t| t);
-    let (mut watch, _) = discovery.watch();
-    watch.stream();
+    let gateway = Gateway::with_endpoints(&engine.entry("Ready"), Some(discovery.address), "", None, |t| t);
+    let (mut watch, _) = discovery.accept_watch();
+    watch.send_stream_head();
     let (mut client, wire) = request_in_flight(&engine, &gateway, "report");
     let heir = engine.entry("Ready").replace("\"e1\"", "\"e2\"");
-    watch.event(2, &format!("{},{heir}", engine.entry("Gone")));
-    gateway.logged("name=\"e2\" state=Ready");
+    watch.send_event(2, &format!("{},{heir}", engine.entry("Gone")));
+    gateway.wait_for_log("name=\"e2\" state=Ready");
     wire.reset();
     // Neither asked for nor given up where nobody knows it.
     assert!(error_code(&client.answer()).starts_with("53"));
     client.send(&text("report", 2));
     let mut wire = engine.accept();
-    let call = wire.call();
-    assert_eq!((call.verb.as_str(), call.query_id()), ("POST", id(2).as_str()));
-    wire.row(&id(2));
-    assert_eq!(client.answer(), row_of(2));
+    let call = wire.read_call();
+    assert_eq!((call.method.as_str(), call.query_id()), ("POST", id(2).as_str()));
+    wire.send_row(&id(2));
+    assert_eq!(client.answer(), row_answer(2));
 }
 
 /// The whole call was written and nothing came: the engine may have closed the connection as idle, or run the query.
@@ -403,23 +406,23 @@
     let unknown = "HTTP/1.1 500 x\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
     for (class, again) in [("report", true), ("load", false)] {
         let engine = Peer::new("e1");
-        let gateway = Gateway::scripted(&engine.entry("Ready"), None, "", None, |t| t);
+        let gateway = Gateway::with_endpoints(&engine.entry("Ready"), None, "", None, |t| t);
         let (mut client, wire) = request_in_flight(&engine, &gateway, class);
         drop(wire);
         // The engine is asked whether it knows the query.
         let mut asked = engine.accept();
-        assert_eq!(asked.call().path, format!("/data/{}/0", id(1)));
-        asked.say(unknown);
+        assert_eq!(asked.read_call().path, format!("/data/{}/0", id(1)));
+        asked.send(unknown);
         if again {
             let mut second = engine.accept();
-            let call = second.call();
-            assert_eq!((call.verb.as_str(), call.query_id()), ("POST", id(1).as_str()));
-            second.row(&id(1));
-            assert_eq!(client.answer(), row_of(1));
+            let call = second.read_call();
+            assert_eq!((call.method.as_str(), call.query_id()), ("POST", id(1).as_str()));
+            second.send_row(&id(1));
+            assert_eq!(client.answer(), row_answer(1));
         } else {
             assert_eq!(error_code(&client.answer()), "58000");
             client.send(&text(class, 2));
-            assert_eq!(engine.accept().call().query_id(), id(2));
+            assert_eq!(engine.accept().read_call().query_id(), id(2));
         }
     }
 }
@@ -428,74 +431,74 @@
 fn skipped_events_of_the_endpoint_list_are_requested_again() {
     let (one, two, discovery) = (Peer::new("e1"), Peer::new("e2"), Peer::new("c"));
     let list = format!("{},{}", one.entry("Ready"), two.entry("Ready"));
-    let gateway = Gateway::scripted(&list, Some(discovery.address), "", None, |t| t);
-    let (mut watch, last) = discovery.watch();
+    let gateway = Gateway::with_endpoints(&list, Some(discovery.address), "", None, |t| t);
+    let (mut watch, last) = discovery.accept_watch();
     assert_eq!(last, 1);
-    watch.stream();
-    watch.event(3, &two.entry("Terminating"));
-    let (mut again, last) = discovery.watch();
+    watch.send_stream_head();
+    watch.send_event(3, &two.entry("Terminating"));
+    let (mut again, last) = discovery.accept_watch();
     assert_eq!(last, 1, "the second has not come");
-    assert!(watch.is_ended(), "one stream at a time");
-    again.stream();
-    again.event(2, &one.entry("Terminating"));
-    again.event(3, &two.entry("Terminating"));
-    gateway.logged("name=\"e2\" state=Draining");
+    assert!(watch.is_closed(), "one stream at a time");
+    again.send_stream_head();
+    again.send_event(2, &one.entry("Terminating"));
+    again.send_event(3, &two.entry("Terminating"));
+    gateway.wait_for_log("name=\"e2\" state=Draining");
     assert!(gateway.log().contains("name=\"e1\" state=Draining"), "in their order");
     // What is not there the second time either is not waited for; an old one changes nothing.
-    again.event(6, &one.entry("Ready"));
-    let (mut last_one, last) = discovery.watch();
+    again.send_event(6, &one.entry("Ready"));
+    let (mut last_one, last) = discovery.accept_watch();
     assert_eq!(last, 3);
-    last_one.stream();
-    last_one.event(6, &one.entry("Ready"));
-    gateway.logged("name=\"e1\" state=Ready since_ms=0 now_us=");
-    last_one.event(5, &one.entry("Gone"));
-    last_one.event(7, &two.entry("Gone"));
-    gateway.logged("name=\"e2\" state=Removed");
+    last_one.send_stream_head();
+    last_one.send_event(6, &one.entry("Ready"));
+    gateway.wait_for_log("name=\"e1\" state=Ready since_ms=0 now_us=");
+    last_one.send_event(5, &one.entry("Gone"));
+    last_one.send_event(7, &two.entry("Gone"));
+    gateway.wait_for_log("name=\"e2\" state=Removed");
     assert!(!gateway.log().contains("name=\"e1\" state=Removed"));
 }
 
 #[test]
 fn events_between_two_gaps_of_the_endpoint_list_are_applied() {
     let (one, discovery) = (Peer::new("e1"), Peer::new("c"));
-    let gateway = Gateway::scripted(&one.entry("Ready"), Some(discovery.address), "", None, |t| t);
-    let (mut watch, _) = discovery.watch();
-    watch.stream();
-    watch.event(4, "");
-    let (mut again, last) = discovery.watch();
+    let gateway = Gateway::with_endpoints(&one.entry("Ready"), Some(discovery.address), "", None, |t| t);
+    let (mut watch, _) = discovery.accept_watch();
+    watch.send_stream_head();
+    watch.send_event(4, "");
+    let (mut again, last) = discovery.accept_watch();
     assert_eq!(last, 1);
-    again.stream();
-    again.event(2, &one.entry("Terminating"));
-    again.event(6, "");
-    let (_third, last) = discovery.watch();
+    again.send_stream_head();
+    again.send_event(2, &one.entry("Terminating"));
+    again.send_event(6, "");
+    let (_third, last) = discovery.accept_watch();
     assert_eq!(last, 2, "the second has come, and is not asked for again");
-    gateway.logged("name=\"e1\" state=Draining");
+    gateway.wait_for_log("name=\"e1\" state=Draining");
 }
 
 #[test]
 fn an_endpoint_stream_without_an_end_of_line_is_given_up_as_silent() {
     let (engine, discovery) = (Peer::new("e1"), Peer::new("c"));
-    let gateway = Gateway::scripted(&engine.entry("Ready"), Some(discovery.address), "", None, |t| t);
-    let (mut watch, _) = discovery.watch();
-    watch.stream();
-    watch.say(": here\n\n");
+    let gateway = Gateway::with_endpoints(&engine.entry("Ready"), Some(discovery.address), "", None, |t| t);
+    let (mut watch, _) = discovery.accept_watch();
+    watch.send_stream_head();
+    watch.send(": here\n\n");
     // Half a character of half a line, byte by byte.
-    watch.say("id: 2\ndata: \u{e9}");
-    while discovery.is_left_alone() {
-        watch.say("x");
+    watch.send("id: 2\ndata: \u{e9}");
+    while discovery.has_no_pending_connection() {
+        watch.send("x");
         thread::sleep(Duration::from_millis(50));
     }
-    gateway.logged("the discovery service is silent");
+    gateway.wait_for_log("the discovery service is silent");
 }
 
 #[test]
 fn a_watch_whose_connection_is_not_established_is_retried() {
-    let (engine, mut discovery) = (Peer::new("e1"), Peer::shut("c"));
-    let gateway = Gateway::scripted(&engine.entry("Ready"), Some(discovery.address), "", None, |t| t);
-    gateway.logged("the discovery service is silent");
-    discovery.let_in();
+    let (engine, mut discovery) = (Peer::new("e1"), Peer::with_full_backlog("c"));
+    let gateway = Gateway::with_endpoints(&engine.entry("Ready"), Some(discovery.address), "", None, |t| t);
+    gateway.wait_for_log("the discovery service is silent");
+    discovery.drain_backlog();
     // The connection that was given up may have come up after all, and ends without a call.
     let mut wire = discovery.accept();
-    let call = wire.next_call().unwrap_or_else(|| discovery.accept().call());
+    let call = wire.next_call().unwrap_or_else(|| discovery.accept().read_call());
     assert_eq!(call.path, "/v2/stream");
 }
 
@@ -504,38 +507,38 @@
     let (one, two) = (Peer::new("e1"), Peer::new("e2"));
     let (old, new) = (Peer::new("c"), Peer::new("d"));
     let list = format!("{},{}", one.entry("Ready"), two.entry("Ready"));
-    let gateway = Gateway::scripted(&list, Some(old.address), "", None, |t| t);
-    let (mut watch, _) = old.watch();
-    watch.say("HTTP/1.1 503 later\r\nContent-Length: 0\r\n\r\n");
+    let gateway = Gateway::with_endpoints(&list, Some(old.address), "", None, |t| t);
+    let (mut watch, _) = old.accept_watch();
+    watch.send("HTTP/1.1 503 later\r\nContent-Length: 0\r\n\r\n");
     // The next one never gets a head; discovery moves meanwhile.
-    let (mut mute, last) = old.watch();
+    let (mut mute, last) = old.accept_watch();
     assert_eq!(last, 1);
     gateway.reconfigure(|t| t.replace(&old.address.to_string(), &new.address.to_string()));
-    let (mut moved, last) = new.watch();
+    let (mut moved, last) = new.accept_watch();
     assert_eq!(last, 1);
-    assert!(mute.is_ended(), "two streams never feed one list");
-    moved.stream();
-    moved.event(2, &two.entry("Terminating"));
-    gateway.logged("name=\"e2\" state=Draining");
+    assert!(mute.is_closed(), "two streams never feed one list");
+    moved.send_stream_head();
+    moved.send_event(2, &two.entry("Terminating"));
+    gateway.wait_for_log("name=\"e2\" state=Draining");
     // Broken in the middle of a line: it is asked for behind the last whole event.
-    moved.say("id: 3\ndata: {\"index\":3,\"endp");
+    moved.send("id: 3\ndata: {\"index\":3,\"endp");
     moved.reset();
-    let (mut whole, last) = new.watch();
+    let (mut whole, last) = new.accept_watch();
     assert_eq!(last, 2);
-    whole.stream();
-    whole.event(3, &one.entry("Terminating"));
-    gateway.logged("name=\"e1\" state=Draining");
+    whole.send_stream_head();
+    whole.send_event(3, &one.entry("Terminating"));
+    gateway.wait_for_log("name=\"e1\" state=Draining");
     drop(old);
 }
 
 #[test]
 fn settings_changed_in_the_file_wait_for_a_restart_and_are_logged_once() {
     let engine = Peer::new("e1");
-    let gateway = Gateway::scripted(&engine.entry("Ready"), None, "", None, |t| t);
+    let gateway = Gateway::with_endpoints(&engine.entry("Ready"), None, "", None, |t| t);
     let mut client = pg::Client::connect(gateway.pg);
     client.send(&text("report", 1));
     let mut wire = engine.accept();
-    assert_eq!(wire.call().headers["x-queue"], "report");
+    assert_eq!(wire.read_call().headers["x-queue"], "report");
     // The class that is out has another name, and the others other places.
     gateway.reconfigure(|t| {
         t.replace("\"report\"", "\"digest\"").replace("\"lookup\"", "\"load\"").replacen(
@@ -544,12 +547,12 @@
             1,
         )
     });
-    gateway.logged("classes_gone=[\"report\"] classes_new=[\"digest\"]");
-    wire.row(&id(1));
-    assert_eq!(client.answer(), row_of(1), "what is out ends as it was taken");
+    gateway.wait_for_log("classes_gone=[\"report\"] classes_new=[\"digest\"]");
+    wire.send_row(&id(1));
+    assert_eq!(client.answer(), row_answer(1), "what is out ends as it was taken");
     assert_eq!(error_code(&client.query(&text("digest", 2))), "42601", "a class of the next start");
     client.send(&text("report", 3));
-    assert_eq!(wire.call().headers["x-queue"], "report");
+    assert_eq!(wire.read_call().headers["x-queue"], "report");
     assert_eq!(gateway.log().matches("settings in the file differ from those in force").count(), 1);
 }
 
@@ -557,13 +560,13 @@
 fn a_signal_to_a_starting_process_neither_ends_it_nor_is_lost() {
     for signal in ["-HUP", "-USR1", "-TERM"] {
         let engine = Peer::new("e1");
-        let starting = Gateway::starting(&engine.entry("Ready"));
+        let starting = Gateway::spawn_waiting(&engine.entry("Ready"));
         // It waits for its configuration.
         starting.signal(signal);
-        let gateway = starting.go_on();
+        let gateway = starting.configure();
         match signal {
-            "-HUP" => gateway.logged("configuration read again"),
-            "-USR1" => gateway.logged("counters="),
+            "-HUP" => gateway.wait_for_log("configuration read again"),
+            "-USR1" => gateway.wait_for_log("counters="),
             _ => assert_eq!(gateway.wait().0, Some(0)),
         }
     }
@@ -574,37 +577,37 @@
     let engine = Peer::new("e1");
     // More come than a turn carries.
     let operator = "[clients]\nmost_sessions = 180\nturn_ms = 1";
-    let gateway = Gateway::scripted(&engine.entry("Ready"), None, operator, None, |t| t);
+    let gateway = Gateway::with_endpoints(&engine.entry("Ready"), None, operator, None, |t| t);
     let ran = ran();
-    run_all(engine, ran.clone());
+    serve_all_queries(engine, ran.clone());
     let mut resting = pg::Client::connect(gateway.pg);
     let mut crossing: Vec<_> = (0..70).map(|_| pg::Client::connect(gateway.pg)).collect();
-    let (mut half, mut starting) = (pg::Client::connect(gateway.pg), pg::Client::silent(gateway.pg));
-    half.raw(b"Q\0\0\0\x40/* c=lookup");
-    starting.raw(&[0, 0, 0, 40, 0, 3]);
+    let (mut half, mut starting) = (pg::Client::connect(gateway.pg), pg::Client::without_startup(gateway.pg));
+    half.send_raw(b"Q\0\0\0\x40/* c=lookup");
+    starting.send_raw(&[0, 0, 0, 40, 0, 3]);
     assert_eq!(half.clone().key, half.key);
     gateway.terminate();
-    gateway.logged("graceful shutdown begins");
+    gateway.wait_for_log("graceful shutdown begins");
     gateway.terminate();
     // All of this is there when the time for taking is over.
-    let late = gateway.paused(|| {
+    let late = gateway.while_paused(|| {
         thread::sleep(Duration::from_millis(900));
         for (n, client) in crossing.iter_mut().enumerate() {
             // Long ones, so that not all of them are read in one turn.
             client.send(&(text("lookup", n as u64) + &" ".repeat(60_000)));
         }
-        (100..190).map(|n| pg::Client::late(gateway.pg, &text("lookup", n))).collect::<Vec<_>>()
+        (100..190).map(|n| pg::Client::pipelined(gateway.pg, &text("lookup", n))).collect::<Vec<_>>()
     });
     for client in &mut crossing {
         assert!(error_code(&client.answer()).starts_with("53"), "refused, as nothing is sent on any more");
     }
     for mut client in late {
-        let answer = client.late_answer();
+        let answer = client.wait_error_code();
         assert!(answer.starts_with("53") || answer == "57P03", "{answer}");
     }
     assert_eq!(error_code(&half.answer()), "57P03");
     assert_eq!(error_code(&starting.answer()), "57P03");
-    assert!(resting.is_ended() && half.is_ended(), "an end, no reset");
+    assert!(resting.is_closed() && half.is_closed(), "an end, no reset");
     assert!(ran.lock().unwrap().is_empty());
     let (exit, log) = gateway.wait();
     assert_eq!(exit, Some(0), "{log}");
@@ -615,32 +618,32 @@
     let (engine, discovery) = (Peer::new("e1"), Peer::new("c"));
     // Deadlines beyond all patience here: whoever waited for them would not be answered.
     let long = |t: String| t.replace("\"deadline-s\":2", "\"deadline-s\":32");
-    let gateway = Gateway::scripted(&engine.entry("Ready"), Some(discovery.address), "", None, long);
+    let gateway = Gateway::with_endpoints(&engine.entry("Ready"), Some(discovery.address), "", None, long);
     // Discovery answers nothing, and moves in the very turn of the signal.
-    let (_mute, _) = discovery.watch();
+    let (_mute, _) = discovery.accept_watch();
     let mut clients: Vec<_> = (0..3).map(|_| pg::Client::connect(gateway.pg)).collect();
     let mut wires = Vec::new();
     for (n, (client, class)) in clients.iter_mut().zip(["report", "load", "report"]).enumerate() {
         client.send(&text(class, n as u64 + 1).replace("d=20000", "d=300000"));
         if n < 2 {
             let mut wire = engine.accept();
-            assert_eq!(wire.call().query_id(), id(n as u64 + 1));
+            assert_eq!(wire.read_call().query_id(), id(n as u64 + 1));
             // It hangs, and says so.
-            wire.say("HTTP/1.1 202 x\r\nContent-Length: 0\r\n\r\n");
+            wire.send("HTTP/1.1 202 x\r\nContent-Length: 0\r\n\r\n");
             wires.push(wire);
         }
-        wait_taken(&gateway, n as u64 + 1);
+        wait_admitted(&gateway, n as u64 + 1);
     }
     let news = wires.into_iter().map(|mut wire| {
         thread::spawn(move || {
             while wire.next_call().is_some() {
                 thread::sleep(Duration::from_millis(100));
-                wire.say("HTTP/1.1 202 x\r\nContent-Length: 0\r\n\r\n");
+                wire.send("HTTP/1.1 202 x\r\nContent-Length: 0\r\n\r\n");
             }
         })
     });
     let news: Vec<_> = news.collect();
-    gateway.paused(|| {
+    gateway.while_paused(|| {
         gateway.signal("-HUP");
         gateway.terminate();
     });
@@ -648,7 +651,7 @@
     assert!(error_code(&clients[0].answer()).starts_with("53"));
     assert_eq!(error_code(&clients[1].answer()), "58000");
     assert!(error_code(&clients[2].answer()).starts_with("53"));
-    assert!(clients.iter_mut().all(pg::Client::is_ended));
+    assert!(clients.iter_mut().all(pg::Client::is_closed));
     let (exit, log) = gateway.wait();
     assert_eq!(exit, Some(0), "{log}");
     drop(engine);
@@ -659,8 +662,9 @@
 fn idle_clients_that_hold_all_descriptors_are_evicted_for_engines_watch_and_new_clients() {
     let (engine, discovery) = (Peer::new("e1"), Peer::new("c"));
     // Fewer descriptors than the configuration says: they run out long before the places do.
-    let gateway = Gateway::scripted(&engine.entry("Ready"), Some(discovery.address), "", Some(64), |t| t);
-    let (watch, _) = discovery.watch();
+    let gateway =
+        Gateway::with_endpoints(&engine.entry("Ready"), Some(discovery.address), "", Some(64), |t| t);
+    let (watch, _) = discovery.accept_watch();
     let address = discovery.address;
     drop((watch, discovery));
     // Discovery is down: what it held may be taken by clients.
@@ -672,23 +676,23 @@
     // All of them are out at once, each over a connection of its own.
     let mut wires: Vec<_> = (0..asking.len()).map(|_| engine.accept()).collect();
     for wire in &mut wires {
-        let query_id = wire.call().query_id().to_owned();
-        wire.row(&query_id);
+        let query_id = wire.read_call().query_id().to_owned();
+        wire.send_row(&query_id);
     }
     for (n, client) in asking.iter_mut().enumerate() {
-        assert_eq!(client.answer(), row_of(n as u64), "an engine is reached");
+        assert_eq!(client.answer(), row_answer(n as u64), "an engine is reached");
     }
     drop(wires);
-    run_all(engine, ran());
+    serve_all_queries(engine, ran());
     served(&gateway, "lookup", 100);
-    let back = Peer::at("c", address);
-    let (mut watch, _) = back.watch();
-    watch.stream();
-    watch.event(2, "");
+    let back = Peer::bind("c", address);
+    let (mut watch, _) = back.accept_watch();
+    watch.send_stream_head();
+    watch.send_event(2, "");
     let turns = gateway.turns();
     thread::sleep(Duration::from_millis(200));
     assert!(gateway.turns() - turns < 100, "it does not spin");
-    assert!(clients[0].is_ended(), "the one idle for longest has yielded");
+    assert!(clients[0].is_closed(), "the one idle for longest has yielded");
     assert_eq!(asking[3].query(";"), pg::Answer::Empty);
 }
 
@@ -704,7 +708,7 @@
     let mute = Peer::new("c");
     let down = Peer::new("d").address;
     for discovery in [mute.address, down] {
-        let gateway = Gateway::scripted(&list, Some(discovery), "", None, |t| t);
+        let gateway = Gateway::with_endpoints(&list, Some(discovery), "", None, |t| t);
         let mut client = pg::Client::connect(gateway.pg);
         assert_eq!(client.query(";"), pg::Answer::Empty);
     }
@@ -714,37 +718,37 @@
 fn a_request_is_served_after_its_engine_connection_was_idle_for_too_long() {
     let engine = Peer::new("e1");
     let operator = "[clients]\nidle_limit_s = 1";
-    let gateway = Gateway::scripted(&engine.entry("Ready"), None, operator, None, |t| t);
-    run_all(engine, ran());
+    let gateway = Gateway::with_endpoints(&engine.entry("Ready"), None, operator, None, |t| t);
+    serve_all_queries(engine, ran());
     let (mut crossing, mut idle) = (pg::Client::connect(gateway.pg), pg::Client::connect(gateway.pg));
-    gateway.paused(|| {
+    gateway.while_paused(|| {
         thread::sleep(Duration::from_millis(1200));
         crossing.send(&text("lookup", 1));
     });
-    assert_eq!(crossing.answer(), row_of(1));
-    assert!(idle.is_ended());
+    assert_eq!(crossing.answer(), row_answer(1));
+    assert!(idle.is_closed());
 }
 
 #[test]
 fn a_response_that_is_cut_off_is_called_for_again_and_a_load_runs_once() {
     let engine = Peer::new("e1");
-    let gateway = Gateway::scripted(&engine.entry("Ready"), None, "", None, |t| t);
+    let gateway = Gateway::with_endpoints(&engine.entry("Ready"), None, "", None, |t| t);
     let mut client = pg::Client::connect(gateway.pg);
-    let whole = row(&id(1));
+    let whole = row_response(&id(1));
     let head = whole.find("\r\n\r\n").unwrap();
     // In the head, between head and body, in the body, a length that lies, one that never ends.
     for cut in [5, head + 4, whole.len() - 3] {
         client.send(&text("load", 1));
         let mut wire = engine.accept();
-        assert_eq!(wire.call().verb, "POST");
-        wire.say(&whole[..cut]);
-        wire.end_writing();
+        assert_eq!(wire.read_call().method, "POST");
+        wire.send(&whole[..cut]);
+        wire.shutdown_write();
         let mut again = engine.accept();
-        let call = again.call();
-        assert_eq!((call.verb.as_str(), call.path), ("GET", format!("/data/{}/0", id(1))));
-        again.say(&whole);
-        assert_eq!(client.answer(), row_of(1));
+        let call = again.read_call();
+        assert_eq!((call.method.as_str(), call.path), ("GET", format!("/data/{}/0", id(1))));
+        again.send(&whole);
+        assert_eq!(client.answer(), row_answer(1));
         again.reset();
-        gateway.logged("connection closed");
+        gateway.wait_for_log("connection closed");
     }
 }
--- a/gateway/tests/deployments/run.rs
+++ b/gateway/tests/deployments/run.rs
@@ -29,7 +29,7 @@
         .collect();
     let coordinator = Coordinator::listen().unwrap();
     let config = config(&deployment, &places, coordinator.address);
-    let gateway = Gateway::scripted("", None, "", None, |_| config.clone());
+    let gateway = Gateway::with_endpoints("", None, "", None, |_| config.clone());
     let change = deployment.change;
     let entry = entry(&deployment, change.engine, &places, state_name(change.state));
     coordinator.tell(&world, change, entry);
--- a/gateway/tests/fronts.rs
+++ b/gateway/tests/fronts.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use common::requests::error_code;
-use common::{DiscoveryService, Engine, Gateway, ResponseFault, Seen, mysql, pg};
+use common::{DiscoveryService, Engine, Gateway, Recorder, ResponseFault, mysql, pg};
 
 const ID: &str = "9b1f03aa5c7e2d41";
 
@@ -36,7 +36,7 @@
 
 #[test]
 fn postgres_clients_get_rows_in_order_and_errors_at_once() {
-    let seen = Seen::default();
+    let seen = Recorder::default();
     let engine = Engine::start("e1", &seen, 5);
     let gateway = Gateway::start(&[&engine], false);
     assert!(gateway.mysql.is_none(), "the MySQL front is off unless it is asked for");
@@ -52,11 +52,11 @@
     assert_eq!(error_code(&client.query("SELECT 1")), "42601");
     assert_eq!(error_code(&client.query(&text("gossip", ID, 2000))), "42601");
     assert_eq!(error_code(&client.query(&text("lookup", "12", 2000))), "42601");
-    assert_eq!(seen.count(), 1, "nothing of these was forwarded");
+    assert_eq!(seen.query_count(), 1, "nothing of these was forwarded");
     assert_eq!(client.query(&text("lookup", ID, 2000)), rows(["a", "b", "c"]));
 
     let mut other = pg::Client::connect(gateway.pg);
-    other.raw(b"Q\x7f\xff\xff\xff");
+    other.send_raw(b"Q\x7f\xff\xff\xff");
     assert_eq!(error_code(&other.answer()), "54000");
     assert_eq!(client.query(&text("lookup", ID, 2000)), rows(["a", "b", "c"]), "others are unhurt");
 
@@ -67,77 +67,78 @@
 
 #[test]
 fn idle_clients_are_evicted_and_clients_with_open_requests_are_not() {
-    let seen = Seen::default();
+    let seen = Recorder::default();
     let engine = Engine::start("e1", &seen, 1);
     let gateway = Gateway::start(&[&engine], false);
-    let silent: Vec<_> = (0..gateway.most_clients()).map(|_| pg::Client::silent(gateway.pg)).collect();
+    let silent: Vec<_> =
+        (0..gateway.max_clients()).map(|_| pg::Client::without_startup(gateway.pg)).collect();
     thread::sleep(Duration::from_millis(200));
     let mut client = pg::Client::connect(gateway.pg);
     assert_eq!(served_by(&mut client), "e1", "who says nothing keeps nobody out");
     drop(silent);
 
     // Idle ones make room too, the one that has been idle for longest first.
-    let held: Vec<_> = (0..gateway.most_clients()).map(|_| pg::Client::connect(gateway.pg)).collect();
-    assert!(client.is_ended());
+    let held: Vec<_> = (0..gateway.max_clients()).map(|_| pg::Client::connect(gateway.pg)).collect();
+    assert!(client.is_closed());
     drop(held);
 
     // Where every place has an open request, one too many is told so, and that trying again is harmless.
     engine.set_work_ms(30_000);
-    let mut busy: Vec<_> = (0..gateway.most_clients()).map(|_| pg::Client::connect(gateway.pg)).collect();
+    let mut busy: Vec<_> = (0..gateway.max_clients()).map(|_| pg::Client::connect(gateway.pg)).collect();
     for (n, client) in busy.iter_mut().enumerate() {
         client.send(&text("report", &format!("{n:016x}"), 20_000));
     }
-    assert_eq!(pg::Client::turned_away(gateway.pg), "53300");
+    assert_eq!(pg::Client::rejection_code(gateway.pg), "53300");
 }
 
 #[test]
 fn unfinished_startups_and_messages_time_out_with_an_error() {
-    let seen = Seen::default();
+    let seen = Recorder::default();
     let engine = Engine::start("e1", &seen, 1);
     let gateway = Gateway::start(&[&engine], false);
     let (mut idle, mut half) = (pg::Client::connect(gateway.pg), pg::Client::connect(gateway.pg));
-    let mut silent = pg::Client::silent(gateway.pg);
-    half.raw(b"Q\0\0\0\x40/* c=lookup");
+    let mut silent = pg::Client::without_startup(gateway.pg);
+    half.send_raw(b"Q\0\0\0\x40/* c=lookup");
     assert_eq!(error_code(&silent.answer()), "57014");
     assert_eq!(error_code(&half.answer()), "57014");
-    assert!(half.is_ended(), "and the connection ends");
+    assert!(half.is_closed(), "and the connection ends");
     assert_eq!(served_by(&mut idle), "e1", "one that owes nothing stays");
 }
 
 #[test]
 fn a_fatal_error_reaches_a_client_that_goes_on_sending() {
-    let seen = Seen::default();
+    let seen = Recorder::default();
     let engine = Engine::start("e1", &seen, 1);
     let gateway = Gateway::start(&[&engine], false);
     let mut client = pg::Client::connect(gateway.pg);
-    client.raw(b"Q\x03\0\0\0");
+    client.send_raw(b"Q\x03\0\0\0");
     for _ in 0..64 {
-        client.raw(&[b'x'; 256 * 1024]);
+        client.send_raw(&[b'x'; 256 * 1024]);
     }
     assert_eq!(error_code(&client.answer()), "54000");
-    assert!(client.is_ended());
+    assert!(client.is_closed());
 }
 
 #[test]
 fn an_id_in_use_is_invalid_for_another_request() {
-    let seen = Seen::default();
+    let seen = Recorder::default();
     let engine = Engine::start("e1", &seen, 700);
     let gateway = Gateway::start(&[&engine], false);
     let (mut client, mut other) = (pg::Client::connect(gateway.pg), pg::Client::connect(gateway.pg));
     client.send(&text("report", "9b1f03aa5c7e2dff", 20_000));
-    while seen.count() == 0 {
+    while seen.query_count() == 0 {
         thread::sleep(Duration::from_millis(1));
     }
     for id in ["9b1f03aa5c7e2dff", "9B1F03AA5C7E2DFF"] {
         assert_eq!(error_code(&other.query(&text("lookup", id, 2000))), "42601");
     }
     assert!(matches!(client.answer(), pg::Answer::Rows(_)), "the open one is unhurt");
-    assert_eq!(seen.count(), 1, "nothing of the others was sent on");
+    assert_eq!(seen.query_count(), 1, "nothing of the others was sent on");
 }
 
 #[test]
 fn postgres_deadlines_and_cancels_end_requests() {
-    let seen = Seen::default();
+    let seen = Recorder::default();
     let engine = Engine::start("e1", &seen, 3000);
     let gateway = Gateway::start(&[&engine], false);
     let mut client = pg::Client::connect(gateway.pg);
@@ -179,19 +180,19 @@
 
 #[test]
 fn the_endpoint_list_is_followed_across_broken_and_silent_streams() {
-    let seen = Seen::default();
+    let seen = Recorder::default();
     let (one, two) = (Engine::start("e1", &seen, 1), Engine::start("e2", &seen, 1));
     let back = format!("{},{}", one.entry("Ready"), two.entry("Gone"));
-    let discovery = DiscoveryService::unsteady([one.entry("Terminating"), back]);
-    let gateway = Gateway::start_with(&[&one, &two], false, Some(discovery.address));
+    let discovery = DiscoveryService::with_interrupted_streams([one.entry("Terminating"), back]);
+    let gateway = Gateway::start_with_coordinator(&[&one, &two], false, Some(discovery.address));
     let mut client = pg::Client::connect(gateway.pg);
     // The third stream is opened for the second's silence, behind the last event.
     let began = Instant::now();
-    while discovery.requested.lock().unwrap().len() < 3 {
-        assert!(began.elapsed() < Duration::from_secs(60), "{:?}", discovery.requested);
+    while discovery.last_event_ids.lock().unwrap().len() < 3 {
+        assert!(began.elapsed() < Duration::from_secs(60), "{:?}", discovery.last_event_ids);
         thread::sleep(Duration::from_millis(20));
     }
-    assert_eq!(*discovery.requested.lock().unwrap(), ["1", "2", "3"]);
+    assert_eq!(*discovery.last_event_ids.lock().unwrap(), ["1", "2", "3"]);
     for _ in 0..10 {
         assert_eq!(served_by(&mut client), "e1", "the other has gone");
     }
@@ -199,13 +200,14 @@
 
 #[test]
 fn nothing_is_forwarded_to_a_draining_engine() {
-    let seen = Seen::default();
+    let seen = Recorder::default();
     let (one, two) = (Engine::start("e1", &seen, 1), Engine::start("e2", &seen, 1));
-    let discovery = DiscoveryService::unsteady([one.entry("Terminating"), one.entry("Terminating")]);
-    let gateway = Gateway::start_with(&[&one, &two], false, Some(discovery.address));
+    let discovery =
+        DiscoveryService::with_interrupted_streams([one.entry("Terminating"), one.entry("Terminating")]);
+    let gateway = Gateway::start_with_coordinator(&[&one, &two], false, Some(discovery.address));
     let mut client = pg::Client::connect(gateway.pg);
     // The second stream is opened behind the first event: it has been read.
-    while discovery.requested.lock().unwrap().len() < 2 {
+    while discovery.last_event_ids.lock().unwrap().len() < 2 {
         thread::sleep(Duration::from_millis(5));
     }
     for _ in 0..20 {
@@ -215,21 +217,21 @@
 
 #[test]
 fn sighup_moves_the_watch_and_an_invalid_file_changes_nothing() {
-    let seen = Seen::default();
+    let seen = Recorder::default();
     let (one, two) = (Engine::start("e1", &seen, 1), Engine::start("e2", &seen, 1));
-    let old = DiscoveryService::steady(2, vec![DiscoveryService::change(2, &one.entry("Ready"))]);
-    let gateway = Gateway::start_with(&[&one, &two], false, Some(old.address));
+    let old = DiscoveryService::with_events(2, vec![DiscoveryService::delta_event(2, &one.entry("Ready"))]);
+    let gateway = Gateway::start_with_coordinator(&[&one, &two], false, Some(old.address));
     let mut client = pg::Client::connect(gateway.pg);
     assert!(matches!(client.query(&text("lookup", ID, 2000)), pg::Answer::Rows(_)));
 
     // Half a file, and one whose values make no sense: the service goes on as it was.
     gateway.reconfigure(|t| t[..t.len() / 2].to_owned());
-    gateway.logged("the old settings are kept");
+    gateway.wait_for_log("the old settings are kept");
     served_by(&mut client);
-    assert_eq!(old.requested.lock().unwrap().len(), 1, "the old stream stays");
+    assert_eq!(old.last_event_ids.lock().unwrap().len(), 1, "the old stream stays");
 
     // Half a file that is written out a little later.
-    let new = DiscoveryService::steady(3, vec![DiscoveryService::change(3, &two.entry("Gone"))]);
+    let new = DiscoveryService::with_events(3, vec![DiscoveryService::delta_event(3, &two.entry("Gone"))]);
     let list = format!("{},{}", one.entry("Ready"), two.entry("Ready"));
     let whole = include_str!("common/config.json").replace("LIST", &list);
     let whole = whole.replace("\"known\":", &format!("\"coordinator\":\"{}\",\"known\":", new.address));
@@ -237,11 +239,11 @@
     thread::sleep(Duration::from_millis(50));
     gateway.reconfigure(|_| whole.clone());
     let began = Instant::now();
-    while new.requested.lock().unwrap().is_empty() {
+    while new.last_event_ids.lock().unwrap().is_empty() {
         assert!(began.elapsed() < Duration::from_secs(60), "the new discovery is asked");
         thread::sleep(Duration::from_millis(5));
     }
-    assert_eq!(*new.requested.lock().unwrap(), ["2"], "the numbers go on");
+    assert_eq!(*new.last_event_ids.lock().unwrap(), ["2"], "the numbers go on");
     only_served_by(&mut client, "e1");
     let (exit, log) = gateway.end();
     assert_eq!(exit, Some(0), "{log}");
@@ -249,41 +251,41 @@
 
 #[test]
 fn an_unreadable_entry_affects_no_other_engine() {
-    let seen = Seen::default();
+    let seen = Recorder::default();
     let engines: Vec<Engine> = ["e1", "e2", "e3"].iter().map(|name| Engine::start(name, &seen, 1)).collect();
     let [one, two, three] = &engines[..] else { unreachable!() };
     // The second is in a state that nobody knows, the third drains.
     let list = format!("{},{}", two.entry("Sick"), three.entry("Terminating"));
-    let discovery = DiscoveryService::steady(2, vec![DiscoveryService::change(2, &list)]);
-    let gateway = Gateway::start_with(&[one, two, three], false, Some(discovery.address));
-    gateway.logged("engine=\"e2\" unread=1");
+    let discovery = DiscoveryService::with_events(2, vec![DiscoveryService::delta_event(2, &list)]);
+    let gateway = Gateway::start_with_coordinator(&[one, two, three], false, Some(discovery.address));
+    gateway.wait_for_log("engine=\"e2\" unread=1");
     let began = Instant::now();
-    while discovery.requested.lock().unwrap().len() < 2 {
+    while discovery.last_event_ids.lock().unwrap().len() < 2 {
         assert!(began.elapsed() < Duration::from_secs(60), "asked for once more");
         thread::sleep(Duration::from_millis(5));
     }
     let mut client = pg::Client::connect(gateway.pg);
     only_served_by(&mut client, "e1");
-    assert_eq!(*discovery.requested.lock().unwrap(), ["1", "1"]);
+    assert_eq!(*discovery.last_event_ids.lock().unwrap(), ["1", "1"]);
 }
 
 #[test]
 fn an_unreadable_event_does_not_block_later_ones() {
-    let seen = Seen::default();
+    let seen = Recorder::default();
     let (one, two) = (Engine::start("e1", &seen, 1), Engine::start("e2", &seen, 1));
     let events = vec![
         "{\"index\":2,\"endpoints\":{\"endpoints\":7}}".to_owned(),
-        DiscoveryService::change(3, &two.entry("Gone")),
+        DiscoveryService::delta_event(3, &two.entry("Gone")),
     ];
-    let discovery = DiscoveryService::steady(2, events);
-    let gateway = Gateway::start_with(&[&one, &two], false, Some(discovery.address));
+    let discovery = DiscoveryService::with_events(2, events);
+    let gateway = Gateway::start_with_coordinator(&[&one, &two], false, Some(discovery.address));
     let began = Instant::now();
-    while discovery.requested.lock().unwrap().len() < 3 {
-        assert!(began.elapsed() < Duration::from_secs(60), "{:?}", discovery.requested);
+    while discovery.last_event_ids.lock().unwrap().len() < 3 {
+        assert!(began.elapsed() < Duration::from_secs(60), "{:?}", discovery.last_event_ids);
         thread::sleep(Duration::from_millis(5));
     }
     assert_eq!(
-        *discovery.requested.lock().unwrap(),
+        *discovery.last_event_ids.lock().unwrap(),
         ["1", "1", "2"],
         "asked for once more, then passed over"
     );
@@ -293,15 +295,15 @@
 
 #[test]
 fn a_query_survives_its_connection_without_a_second_attempt() {
-    let seen = Seen::default();
+    let seen = Recorder::default();
     let engine = Engine::start("e1", &seen, 600);
     let gateway = Gateway::start(&[&engine], false);
     let mut client = pg::Client::connect(gateway.pg);
     client.send(&text("load", ID, 20_000));
-    while seen.count() == 0 {
+    while seen.query_count() == 0 {
         thread::sleep(Duration::from_millis(1));
     }
-    engine.cut();
+    engine.close_connections();
     assert!(matches!(client.answer(), pg::Answer::Rows(_)));
     assert_eq!(seen.engines_of(ID), ["e1"]);
 }
@@ -309,17 +311,17 @@
 /// A reset connection proves nothing of the process: what runs there must still be told.
 #[test]
 fn a_cancellation_is_repeated_over_connections_that_are_reset() {
-    let seen = Seen::default();
+    let seen = Recorder::default();
     let engine = Engine::start("e1", &seen, 2000);
     let gateway = Gateway::start(&[&engine], false);
     let mut client = pg::Client::connect(gateway.pg);
     client.send(&text("load", ID, 20_000));
     let began = Instant::now();
-    while seen.count() == 0 {
+    while seen.query_count() == 0 {
         assert!(began.elapsed() < Duration::from_secs(60), "the load gets there");
         thread::sleep(Duration::from_millis(1));
     }
-    engine.reset_new(2);
+    engine.reset_new_connections(2);
     drop(client);
     while seen.deletes().is_empty() {
         assert!(began.elapsed() < Duration::from_secs(60), "the engine is told that nobody waits");
@@ -332,21 +334,21 @@
 /// The query has run, and its result is kept: it is asked for again, never run again.
 #[test]
 fn unusable_responses_are_called_for_again() {
-    let seen = Seen::default();
+    let seen = Recorder::default();
     let engine = Engine::start("e1", &seen, 1);
     let gateway = Gateway::start(&[&engine], false);
     let mut client = pg::Client::connect(gateway.pg);
     let ways = [
         &[ResponseFault::Garbage][..],
-        &[ResponseFault::BadStatusLine, ResponseFault::CutOff],
-        &[ResponseFault::Endless, ResponseFault::Short],
-        &[ResponseFault::Silent],
-        &[ResponseFault::Preceded, ResponseFault::Preceded],
+        &[ResponseFault::BadStatusLine, ResponseFault::TruncatedHead],
+        &[ResponseFault::HugeContentLength, ResponseFault::TruncatedBody],
+        &[ResponseFault::NoResponse],
+        &[ResponseFault::InterimResponse, ResponseFault::InterimResponse],
         // The first page's second copy must not be taken for the second page, nor that one's for the next result.
-        &[ResponseFault::Twice, ResponseFault::Twice],
+        &[ResponseFault::Duplicate, ResponseFault::Duplicate],
     ];
     for (n, ways) in ways.iter().enumerate() {
-        engine.spoil(ways);
+        engine.inject_faults(ways);
         let id = format!("{n:016x}");
         let answer = client.query(&text("load", &id, 20_000));
         assert!(matches!(&answer, pg::Answer::Rows(rows) if rows.len() == 3), "{ways:?}: {answer:?}");
@@ -356,10 +358,10 @@
 
 #[test]
 fn a_query_at_a_silent_engine_is_not_retried_elsewhere() {
-    let seen = Seen::default();
+    let seen = Recorder::default();
     let engines = ["e1", "e2"].map(|n| Engine::start(n, &seen, 1));
     let gateway = Gateway::start(&[&engines[0], &engines[1]], false);
-    engines.iter().for_each(Engine::mute);
+    engines.iter().for_each(Engine::stop_responding);
     let mut client = pg::Client::connect(gateway.pg);
     let answer = client.query(&text("report", ID, 20_000));
     assert!(pg_rejected(&answer), "the client may ask again, long before its time is up: {answer:?}");
@@ -367,7 +369,7 @@
 }
 
 /// The engine that runs it, once one does.
-fn engine_of<'a>(seen: &Seen, id: &str, engines: &'a [Engine]) -> &'a Engine {
+fn engine_of<'a>(seen: &Recorder, id: &str, engines: &'a [Engine]) -> &'a Engine {
     loop {
         if let Some(name) = seen.engines_of(id).first() {
             return engines.iter().find(|e| e.name == *name).unwrap();
@@ -380,7 +382,7 @@
 /// the connections that it may have, refuses more and runs on what it runs.
 #[test]
 fn a_query_is_not_retried_elsewhere_when_its_engine_refuses_connections() {
-    let seen = Seen::default();
+    let seen = Recorder::default();
     let engines = ["e1", "e2"].map(|n| Engine::start(n, &seen, 10_000));
     let gateway = Gateway::start(&[&engines[0], &engines[1]], false);
     let mut client = pg::Client::connect(gateway.pg);
@@ -388,8 +390,8 @@
         let id = format!("{n:016x}");
         client.send(&text(class, &id, 20_000));
         let engine = engine_of(&seen, &id, &engines);
-        engine.refuse_new();
-        engine.cut();
+        engine.refuse_connections();
+        engine.close_connections();
         let answer = client.answer();
         assert_eq!(pg_rejected(&answer), class == "report", "{answer:?}");
         assert_eq!(seen.engines_of(&id).len(), 1, "it may run on where it was sent");
@@ -399,12 +401,12 @@
 /// The same for the call that gives a query up: where that does not get through, the query may run on.
 #[test]
 fn a_cancelled_query_is_retried_elsewhere_only_after_its_engine_was_notified() {
-    let seen = Seen::default();
+    let seen = Recorder::default();
     let engines = ["e1", "e2"].map(|n| Engine::start(n, &seen, 10_000));
     let gateway = Gateway::start(&[&engines[0], &engines[1]], false);
     let mut client = pg::Client::connect(gateway.pg);
     client.send(&text("lookup", ID, 3_000));
-    engine_of(&seen, ID, &engines).refuse_new();
+    engine_of(&seen, ID, &engines).refuse_connections();
     // Its pace says that it will take far longer than lookups do: a fresh attempt is wanted.
     assert!(!matches!(client.answer(), pg::Answer::Rows(_)));
     let sent = seen.engines_of(ID).len();
@@ -413,12 +415,12 @@
 
 #[test]
 fn sigterm_finishes_open_requests_and_accepts_a_few_more() {
-    let seen = Seen::default();
+    let seen = Recorder::default();
     let engine = Engine::start("e1", &seen, 1500);
     let gateway = Gateway::start(&[&engine], false);
     let mut client = pg::Client::connect(gateway.pg);
     client.send(&text("report", ID, 20_000));
-    while seen.count() == 0 {
+    while seen.query_count() == 0 {
         thread::sleep(Duration::from_millis(1));
     }
     gateway.terminate();
@@ -433,7 +435,7 @@
 
 #[test]
 fn mysql_clients_run_text_and_prepared_statements() {
-    let seen = Seen::default();
+    let seen = Recorder::default();
     let engine = Engine::start("e1", &seen, 2);
     let gateway = Gateway::start(&[&engine], true);
     let denied = mysql::Client::log_in(gateway.mysql(), "unit", "wrong").err().unwrap();
@@ -472,9 +474,9 @@
     assert_eq!(number(client.query("/* c=lookup */ SELECT 1", &[("d", "soon")])), 1210);
     client.command(0x05, b"db");
     assert_eq!(number(client.answer(false)), 1047);
-    let runs = seen.count();
+    let runs = seen.query_count();
     assert_eq!(number(client.query("/* c=lookup */ nonsense", &[])), 1064, "the engine's own word");
-    assert_eq!(seen.count(), runs + 1, "an error of the statement's own is not tried elsewhere");
+    assert_eq!(seen.query_count(), runs + 1, "an error of the statement's own is not tried elsewhere");
     assert_eq!(client.ping(), mysql::Answer::Done);
 
     let (exit, log) = gateway.end();
@@ -484,7 +486,7 @@
 
 #[test]
 fn mysql_deadlines_rejections_and_failures() {
-    let seen = Seen::default();
+    let seen = Recorder::default();
     let engine = Engine::start("e1", &seen, 3000);
     let gateway = Gateway::start(&[&engine], true);
     let mut client = mysql::Client::connect(gateway.mysql());
@@ -505,12 +507,12 @@
 
 #[test]
 fn a_mysql_statement_is_killed_when_its_client_leaves() {
-    let seen = Seen::default();
+    let seen = Recorder::default();
     let engine = Engine::start("e1", &seen, 3000);
     let gateway = Gateway::start(&[&engine], true);
     let mut client = mysql::Client::connect(gateway.mysql());
     client.command(0x03, b"\0\x01/* c=report */ SELECT v FROM a_1.b");
-    while seen.count() == 0 {
+    while seen.query_count() == 0 {
         thread::sleep(Duration::from_millis(1));
     }
     drop(client);
@@ -527,7 +529,7 @@
 
 #[test]
 fn a_prepared_lookup_survives_its_engine_and_a_load_runs_once() {
-    let seen = Seen::default();
+    let seen = Recorder::default();
     let (one, two) = (Engine::start("e1", &seen, 2), Engine::start("e2", &seen, 2));
     let gateway = Gateway::start(&[&one, &two], true);
     let mut client = mysql::Client::connect(gateway.mysql());
@@ -544,11 +546,11 @@
     assert_eq!(seen.engines_of(ID), [alive.name.as_str()]);
     // The engine dies with the load in hand: it may have run, so it fails and goes nowhere else.
     alive.set_work_ms(400);
-    let runs = seen.count();
+    let runs = seen.query_count();
     let killer = thread::spawn({
         let seen = seen.clone();
         move || {
-            while seen.count() == runs {
+            while seen.query_count() == runs {
                 thread::sleep(Duration::from_millis(1));
             }
         }
@@ -563,13 +565,13 @@
 /// A statement may outlive its connection, and MySQL has no way to ask for it over another.
 #[test]
 fn a_mysql_statement_whose_connection_breaks_is_not_retried() {
-    let seen = Seen::default();
+    let seen = Recorder::default();
     let engines = ["e1", "e2"].map(|n| Engine::start(n, &seen, 10_000));
     let gateway = Gateway::start(&[&engines[0], &engines[1]], true);
     let mut client = mysql::Client::connect(gateway.mysql());
     let (lookup, _) = client.prepare("/* c=lookup,h=20 */ SELECT v FROM a_1.b WHERE c = ?").unwrap();
     let asker = thread::spawn(move || client.execute(lookup, &["1"], &[("i", ID)]));
-    engine_of(&seen, ID, &engines).cut();
+    engine_of(&seen, ID, &engines).close_connections();
     assert!(mysql_rejected(&asker.join().unwrap()), "its client may ask again");
     assert_eq!(seen.engines_of(ID).len(), 1, "no second copy beside one that may run on");
 }
@@ -626,14 +628,14 @@
 
 #[test]
 fn mixed_traffic_survives_an_engine_killed_in_mid_batch() {
-    let seen = Seen::default();
+    let seen = Recorder::default();
     let engines: Vec<Engine> = ["e1", "e2", "e3"].map(|n| Engine::start(n, &seen, 5)).into();
     let gateway = Gateway::start(&engines.iter().collect::<Vec<_>>(), true);
     let killer = thread::spawn({
         let seen = seen.clone();
         let dying = engines.into_iter().next().unwrap();
         move || {
-            while seen.count() < 100 {
+            while seen.query_count() < 100 {
                 thread::sleep(Duration::from_millis(1));
             }
             dying.kill();
@@ -659,7 +661,7 @@
 #[ignore = "it measures time"]
 fn lookup_latency_beside_a_postgres_only_run() {
     let measure = |fronts: &[&str]| {
-        let seen = Seen::default();
+        let seen = Recorder::default();
         let engines = ["e1", "e2", "e3"].map(|n| Engine::start(n, &seen, 20));
         let gateway = Gateway::start(&engines.iter().collect::<Vec<_>>(), true);
         let mut latencies = traffic(&gateway, fronts, 300);
--- a/gateway/tests/idle.rs
+++ b/gateway/tests/idle.rs
@@ -8,7 +8,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use common::{Engine, Gateway, Seen, mysql, pg};
+use common::{Engine, Gateway, Recorder, mysql, pg};
 
 fn text(class: &str, id: u64) -> String {
     format!("/* c={class},i={id:016x},d=20000,h=20 */ SELECT v FROM a_1.b")
@@ -29,19 +29,25 @@
 
 /// A gateway with more sessions than its descriptors would have by themselves.
 fn large(engines: &[&Engine], more: &str) -> Gateway {
-    Gateway::start_as(engines, false, None, &format!("[clients]\nmost_sessions = 180\n{more}"), None)
+    Gateway::start_with_options(
+        engines,
+        false,
+        None,
+        &format!("[clients]\nmost_sessions = 180\n{more}"),
+        None,
+    )
 }
 
 #[test]
 fn half_of_all_wake_up_while_a_tenth_reconnects_and_each_is_answered() {
-    let seen = Seen::default();
+    let seen = Recorder::default();
     let engine = Engine::start("e1", &seen, 1500);
     let gateway = large(&[&engine], "");
     let mut parked = idle(&gateway, 120);
     // One request is open all the while.
     let mut open = pg::Client::connect(gateway.pg);
     open.send(&text("report", 1));
-    while seen.count() == 0 {
+    while seen.query_count() == 0 {
         thread::sleep(Duration::from_millis(1));
     }
     engine.set_work_ms(2);
@@ -83,22 +89,22 @@
 
 #[test]
 fn all_reconnect_before_the_ends_of_their_old_connections_are_seen() {
-    let seen = Seen::default();
+    let seen = Recorder::default();
     let engine = Engine::start("e1", &seen, 1);
     let gateway = Gateway::start(&[&engine], false);
-    let mut old = idle(&gateway, gateway.most_clients());
-    let mut new = idle(&gateway, gateway.most_clients());
+    let mut old = idle(&gateway, gateway.max_clients());
+    let mut new = idle(&gateway, gateway.max_clients());
     for (n, client) in new.iter_mut().enumerate() {
         assert!(is_served(&client.query(&text("lookup", n as u64))));
     }
-    assert!(old.iter_mut().all(pg::Client::is_ended), "the old ones have yielded, each by its end");
+    assert!(old.iter_mut().all(pg::Client::is_closed), "the old ones have yielded, each by its end");
     let (_, log) = gateway.end();
     assert!(log.contains(&format!("evicted={} ", old.len())) && log.contains("turned_away=0"), "{log}");
 }
 
 #[test]
 fn a_silent_surge_evicts_no_suspended_session() {
-    let seen = Seen::default();
+    let seen = Recorder::default();
     let engine = Engine::start("e1", &seen, 1);
     let gateway = large(&[&engine], "");
     let mut parked = idle(&gateway, 120);
@@ -106,7 +112,7 @@
     let silent: Vec<_> = (0..500)
         .map(|_| {
             thread::sleep(Duration::from_micros(500));
-            pg::Client::silent(gateway.pg)
+            pg::Client::without_startup(gateway.pg)
         })
         .collect();
     for (n, client) in parked.iter_mut().enumerate() {
@@ -117,7 +123,7 @@
 
 #[test]
 fn a_message_that_trickles_in_times_out_as_one_that_does_not_come() {
-    let seen = Seen::default();
+    let seen = Recorder::default();
     let engine = Engine::start("e1", &seen, 1);
     let gateway = Gateway::start(&[&engine], false);
     let mut client = pg::Client::connect(gateway.pg);
@@ -126,9 +132,9 @@
     let trickler = thread::spawn({
         let told = told.clone();
         move || {
-            trickle.raw(b"Q\0\0\x10\0");
+            trickle.send_raw(b"Q\0\0\x10\0");
             while !told.load(Ordering::SeqCst) {
-                trickle.raw(b" ");
+                trickle.send_raw(b" ");
                 thread::sleep(Duration::from_millis(200));
             }
         }
@@ -141,7 +147,7 @@
 
 #[test]
 fn a_client_that_floods_and_reads_nothing_is_answered_in_full_when_it_does_and_delays_no_other() {
-    let seen = Seen::default();
+    let seen = Recorder::default();
     let engine = Engine::start("e1", &seen, 1);
     let gateway = Gateway::start(&[&engine], false);
     let flood = pg::Client::connect(gateway.pg);
@@ -149,7 +155,7 @@
     let count = 400_000;
     let writing = thread::spawn(move || {
         let some: Vec<u8> = b"Q\0\0\0\x05\0".repeat(1000);
-        (0..count / 1000).for_each(|_| writer.raw(&some));
+        (0..count / 1000).for_each(|_| writer.send_raw(&some));
     });
     let mut client = pg::Client::connect(gateway.pg);
     for n in 0..50 {
@@ -161,13 +167,13 @@
     }
     writing.join().unwrap();
     let (_, log) = gateway.end();
-    let held: usize = common::figure(&log, "most_held=");
+    let held: usize = common::last_counter(&log, "most_held=");
     assert!(held < 4 << 20, "what it did not read was not held here: {held}");
 }
 
 #[test]
 fn hundreds_of_requests_in_one_go_are_answered_each_and_in_order() {
-    let seen = Seen::default();
+    let seen = Recorder::default();
     let engine = Engine::start("e1", &seen, 0);
     let gateway = Gateway::start(&[&engine], false);
     let mut client = pg::Client::connect(gateway.pg);
@@ -186,9 +192,9 @@
 
 #[test]
 fn out_of_descriptors_idle_sessions_are_evicted() {
-    let seen = Seen::default();
+    let seen = Recorder::default();
     let engine = Engine::start("e1", &seen, 1);
-    let gateway = Gateway::start_as(&[&engine], false, None, "", Some(48));
+    let gateway = Gateway::start_with_options(&[&engine], false, None, "", Some(48));
     // Far fewer than its budget says: the system does not keep to that.
     let mut held = Vec::new();
     for n in 0..70 {
@@ -201,15 +207,15 @@
     }
     let (exit, log) = gateway.end();
     assert_eq!(exit, Some(0));
-    assert!(common::figure(&log, "evicted=") >= 22, "{log}");
-    assert!(common::figure(&log, "turned_away=") == 0, "{log}");
+    assert!(common::last_counter(&log, "evicted=") >= 22, "{log}");
+    assert!(common::last_counter(&log, "turned_away=") == 0, "{log}");
 }
 
 #[test]
 fn out_of_descriptors_without_a_session_to_evict_a_new_client_is_rejected_with_an_error() {
-    let seen = Seen::default();
+    let seen = Recorder::default();
     let engine = Engine::start("e1", &seen, 30_000);
-    let gateway = Gateway::start_as(&[&engine], false, None, "", Some(48));
+    let gateway = Gateway::start_with_options(&[&engine], false, None, "", Some(48));
     // Each holds a place with an open request, held or out at the engine.
     let mut busy = Vec::new();
     for n in 0..20 {
@@ -217,7 +223,7 @@
         client.send(&text("report", n));
         busy.push(client);
     }
-    while seen.count() == 0 {
+    while seen.query_count() == 0 {
         thread::sleep(Duration::from_millis(1));
     }
     // And these hold the rest: who has just come is given its time.
@@ -225,8 +231,9 @@
     let mut turned_away = 0;
     while turned_away == 0 {
         assert!(began.elapsed() < Duration::from_secs(60), "nobody was turned away");
-        let silent: Vec<_> = (0..30).map(|_| pg::Client::silent(gateway.pg)).collect();
-        turned_away = silent.into_iter().filter_map(pg::Client::refusal).filter(|c| c == "53300").count();
+        let silent: Vec<_> = (0..30).map(|_| pg::Client::without_startup(gateway.pg)).collect();
+        turned_away =
+            silent.into_iter().filter_map(pg::Client::into_error_code).filter(|c| c == "53300").count();
     }
     engine.set_work_ms(1);
     let mut after = loop {
@@ -241,7 +248,7 @@
 
 #[test]
 fn sessions_idle_beyond_the_operator_s_limit_are_closed_and_active_ones_are_not() {
-    let seen = Seen::default();
+    let seen = Recorder::default();
     let engine = Engine::start("e1", &seen, 1);
     let gateway = large(&[&engine], "idle_limit_s = 1\n");
     let (mut silent, mut active) = (pg::Client::connect(gateway.pg), pg::Client::connect(gateway.pg));
@@ -255,7 +262,7 @@
             }
         }
     });
-    assert!(silent.is_ended());
+    assert!(silent.is_closed());
     thread::sleep(Duration::from_millis(300));
     stop.store(true, Ordering::SeqCst);
     going_on.join().unwrap();
@@ -265,9 +272,10 @@
 
 #[test]
 fn prepared_statements_of_suspended_sessions_stay_within_their_memory_limit() {
-    let seen = Seen::default();
+    let seen = Recorder::default();
     let engine = Engine::start("e1", &seen, 1);
-    let gateway = Gateway::start_as(&[&engine], true, None, "[clients]\nmost_sessions = 180\n", None);
+    let gateway =
+        Gateway::start_with_options(&[&engine], true, None, "[clients]\nmost_sessions = 180\n", None);
     let mut kept = mysql::Client::connect(gateway.mysql());
     let (handle, _) = kept.prepare("/* c=lookup,h=20 */ SELECT v FROM a_1.b WHERE c = ?").unwrap();
     // 192 MB for the process, of which half is for sessions, of that a quarter for statements: fewer than these.
@@ -292,13 +300,13 @@
     assert_eq!(rows[1], "7", "its statement was kept");
     drop(others);
     let (_, log) = gateway.end();
-    let held: usize = common::figure(&log, "most_held=");
+    let held: usize = common::last_counter(&log, "most_held=");
     assert!(held < 30 << 20, "{held}");
 }
 
 #[test]
 fn a_gateway_with_idle_sessions_makes_no_turns() {
-    let seen = Seen::default();
+    let seen = Recorder::default();
     let engine = Engine::start("e1", &seen, 1);
     let gateway = large(&[&engine], "");
     let mut held = idle(&gateway, 100);
@@ -313,9 +321,10 @@
 /// Guards the memory budget: what a session held is released when it is suspended, and when it ends.
 #[test]
 fn memory_reserved_for_requests_is_released_however_they_end() {
-    let seen = Seen::default();
+    let seen = Recorder::default();
     let engine = Engine::start("e1", &seen, 0);
-    let gateway = Gateway::start_as(&[&engine], true, None, "[clients]\nmost_sessions = 100\n", None);
+    let gateway =
+        Gateway::start_with_options(&[&engine], true, None, "[clients]\nmost_sessions = 100\n", None);
     let mut clients = idle(&gateway, 4);
     let mut units: Vec<_> = (0..4).map(|_| mysql::Client::connect(gateway.mysql())).collect();
     for n in 0..200 {
@@ -326,7 +335,7 @@
     // Some leave with a request open, or with half a message.
     engine.set_work_ms(1000);
     clients[0].send(&text("lookup", 1000));
-    clients[1].raw(b"Q\0\0\x10\0half");
+    clients[1].send_raw(b"Q\0\0\x10\0half");
     thread::sleep(Duration::from_millis(100));
     clients.truncate(1);
     is_served(&clients[0].answer());
@@ -334,6 +343,6 @@
     thread::sleep(Duration::from_millis(300));
     let (_, log) = gateway.end();
     for key in ["held_buffers=", "held_requests=", "held_results=", "held_statements="] {
-        assert_eq!(common::figure(&log, key), 0, "{key} of {log}");
+        assert_eq!(common::last_counter(&log, key), 0, "{key} of {log}");
     }
 }
--- a/gateway/tests/operation.rs
+++ b/gateway/tests/operation.rs
@@ -10,7 +10,7 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-use common::{Engine, Gateway, Seen, pg};
+use common::{Engine, Gateway, Recorder, pg};
 
 fn text(class: &str, number: u64) -> String {
     format!("/* c={class},i={number:016x},d=2500,t=acme,h=20.0,mem=96 */ SELECT v FROM sales_17.orders")
@@ -35,7 +35,7 @@
 
 #[test]
 fn calls_are_answered_whoever_stands_in_the_door() {
-    let seen = Seen::default();
+    let seen = Recorder::default();
     let engine = Engine::start("e1", &seen, 1);
     let gateway = Gateway::start_with_admin(&[&engine]);
     // More than there are places, silent or with half a call, and staying.
@@ -70,14 +70,14 @@
 
 #[test]
 fn no_door_is_opened_that_the_configuration_does_not_name() {
-    let engine = Engine::start("e1", &Seen::default(), 1);
+    let engine = Engine::start("e1", &Recorder::default(), 1);
     let gateway = Gateway::start(&[&engine], false);
     assert_eq!(gateway.ops, None);
 }
 
 #[test]
 fn figures_are_what_clients_and_engines_saw() {
-    let seen = Seen::default();
+    let seen = Recorder::default();
     let engines = [Engine::start("e1", &seen, 2), Engine::start("e2", &seen, 2)];
     let gateway = Gateway::start_with_admin(&[&engines[0], &engines[1]]);
     let mut client = pg::Client::connect(gateway.pg);
@@ -86,13 +86,16 @@
     // One that its client leaves, and one that is under way.
     let mut waits = pg::Client::connect(gateway.pg);
     engines.iter().for_each(|e| e.set_work_ms(60_000));
-    let seen_before = seen.count() as u64;
+    let seen_before = seen.query_count() as u64;
     waits.send(&text("report", 9_000));
     let began = Instant::now();
     let attempts =
         || ["lookup", "report", "load"].map(|c| gateway.metric(&format!("attempts.{c}"))).iter().sum::<u64>();
     // The engine may read it a little after it was written.
-    while gateway.metric("in_flight") != 1 || attempts() <= seen_before || attempts() != seen.count() as u64 {
+    while gateway.metric("in_flight") != 1
+        || attempts() <= seen_before
+        || attempts() != seen.query_count() as u64
+    {
         assert!(began.elapsed() < Duration::from_secs(30), "under way, and counted as engines count it");
     }
     assert_eq!(gateway.metric("served.lookup"), 30);
@@ -105,7 +108,7 @@
 
 #[test]
 fn an_engine_out_by_hand_gets_nothing_until_it_is_called_back() {
-    let seen = Seen::default();
+    let seen = Recorder::default();
     let engines = [Engine::start("e1", &seen, 1), Engine::start("e2", &seen, 1)];
     let gateway = Gateway::start_with_admin(&[&engines[0], &engines[1]]);
     let mut client = pg::Client::connect(gateway.pg);
@@ -149,7 +152,7 @@
 
 #[test]
 fn a_successor_replaces_its_predecessor_without_a_lost_request() {
-    let seen = Seen::default();
+    let seen = Recorder::default();
     let engines = ["e1", "e2", "e3"].map(|name| Engine::start(name, &seen, 5));
     let mut gateway = Gateway::start_with_admin(&[&engines[0], &engines[1], &engines[2]]);
     assert_eq!(gateway.call("PUT /maintenance/enter/e1").0, 200);
@@ -205,14 +208,14 @@
 
 #[test]
 fn a_killed_successor_leaves_the_predecessor_serving_and_replaceable() {
-    let seen = Seen::default();
+    let seen = Recorder::default();
     let engines = [Engine::start("e1", &seen, 1), Engine::start("e2", &seen, 1)];
     let gateway = Gateway::start_with_admin(&[&engines[0], &engines[1]]);
     assert_eq!(gateway.call("PUT /maintenance/enter/e2").0, 200);
     let mut client = pg::Client::connect(gateway.pg);
     for round in 0..3 {
         let successor = gateway.successor();
-        gateway.logged("successor accepts clients");
+        gateway.wait_for_log("successor accepts clients");
         successor.kill();
         let mut back = pg::Client::connect(gateway.pg);
         ask(&mut back, "lookup", 1_000 * (round + 1), 5);
@@ -233,16 +236,16 @@
 /// Clients connect to one address, whichever process has their session.
 #[test]
 fn a_cancel_request_reaches_the_process_that_has_the_session() {
-    let seen = Seen::default();
+    let seen = Recorder::default();
     let engine = Engine::start("e1", &seen, 20_000);
     let gateway = Gateway::start_with_admin(&[&engine]);
     let mut client = pg::Client::connect(gateway.pg);
     client.send(&text("report", 1).replace("d=2500", "d=20000"));
-    while seen.count() == 0 {
+    while seen.query_count() == 0 {
         std::thread::sleep(Duration::from_millis(1));
     }
     let successor = gateway.successor();
-    gateway.logged("successor accepts clients");
+    gateway.wait_for_log("successor accepts clients");
     pg::Client::cancel(successor.pg, client.key);
     match client.answer() {
         pg::Answer::Error(code, _) => assert_eq!(code, "57014", "{} {}", gateway.log(), successor.log()),
--- a/gateway/tests/order.rs
+++ b/gateway/tests/order.rs
@@ -6,10 +6,10 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use common::manual::Engines;
-use common::requests::{assert_served, id, wait_left, wait_taken};
-use common::script::{Peer, Wire};
-use common::{Engine, Gateway, Seen, mysql, pg};
+use common::manual::ManualEngines;
+use common::requests::{assert_served, id, wait_admitted, wait_client_left};
+use common::scripted::{Connection, Peer};
+use common::{Engine, Gateway, Recorder, mysql, pg};
 
 /// An engine drops a query that it has not been asked for in this time.
 const ABANDONED: Duration = Duration::from_millis(2_000);
@@ -29,21 +29,21 @@
 fn ask(gateway: &Gateway, n: u64, key: &str) -> pg::Client {
     let mut client = pg::Client::connect(gateway.pg);
     client.send(&load(n, key));
-    wait_taken(gateway, n);
+    wait_admitted(gateway, n);
     client
 }
 
 #[test]
 fn requests_of_one_key_are_forwarded_one_at_a_time_in_order_of_arrival() {
-    let engines = Engines::start(&["e1", "e2"]);
-    let gateway = Gateway::scripted(&engines.entries, None, "", None, keeps_order);
+    let engines = ManualEngines::start(&["e1", "e2"]);
+    let gateway = Gateway::with_endpoints(&engines.entries, None, "", None, keeps_order);
     let mut clients: Vec<_> = (1..=3).map(|n| ask(&gateway, n, "k1")).collect();
     let mut out = engines.next_start(&id(1));
     let mut other = ask(&gateway, 4, "k2");
-    engines.next_start(&id(4)).row();
+    engines.next_start(&id(4)).finish();
     assert_served(&mut other, 4);
     for n in 1..=3 {
-        out.row();
+        out.finish();
         assert_served(&mut clients[n as usize - 1], n);
         if n == 3 {
             break;
@@ -55,41 +55,42 @@
 /// Two requests of a key over one session, the second behind the first, and one of another session between them.
 #[test]
 fn a_pipelined_request_gets_its_place_in_the_order_when_it_is_read() {
-    let engines = Engines::start(&["e1", "e2"]);
-    let gateway = Gateway::scripted(&engines.entries, None, "", None, keeps_order);
+    let engines = ManualEngines::start(&["e1", "e2"]);
+    let gateway = Gateway::with_endpoints(&engines.entries, None, "", None, keeps_order);
     let mut first = pg::Client::connect(gateway.pg);
     first.send(&load(1, "k1"));
     first.send(&load(3, "k1"));
     let out = engines.next_start(&id(1));
     let mut second = ask(&gateway, 2, "k1");
-    out.row();
+    out.finish();
     assert_served(&mut first, 1);
-    engines.next_start(&id(2)).row();
+    engines.next_start(&id(2)).finish();
     assert_served(&mut second, 2);
-    engines.next_start(&id(3)).row();
+    engines.next_start(&id(3)).finish();
     assert_served(&mut first, 3);
 }
 
 #[test]
 fn the_next_request_of_a_key_waits_for_a_lost_attempt_that_may_still_run() {
     let (e1, e2, coordinator) = (Peer::new("e1"), Peer::new("e2"), Peer::new("c"));
-    let gateway = Gateway::scripted(&e1.entry("Ready"), Some(coordinator.address), "", None, keeps_order);
-    let (mut watch, _) = coordinator.watch();
-    watch.stream();
+    let gateway =
+        Gateway::with_endpoints(&e1.entry("Ready"), Some(coordinator.address), "", None, keeps_order);
+    let (mut watch, _) = coordinator.accept_watch();
+    watch.send_stream_head();
     let mut first = ask(&gateway, 1, "k1");
     let mut second = ask(&gateway, 2, "k1");
     let mut wire = e1.accept();
-    assert_eq!(wire.call().query_id(), id(1));
+    assert_eq!(wire.read_call().query_id(), id(1));
     let began = Instant::now();
-    watch.event(2, &e2.entry("Ready"));
+    watch.send_event(2, &e2.entry("Ready"));
     // The first engine accepts no connections any more: whether it still runs the attempt can't be known.
     drop(e1);
     wire.reset();
     assert!(matches!(first.answer(), pg::Answer::Error(code, _) if !code.starts_with("53")));
     let mut wire = e2.accept();
-    assert_eq!(wire.call().query_id(), id(2));
+    assert_eq!(wire.read_call().query_id(), id(2));
     assert!(began.elapsed() >= ABANDONED + KEY_COOLDOWN, "after {:?}", began.elapsed());
-    wire.row(&id(2));
+    wire.send_row(&id(2));
     assert_served(&mut second, 2);
 }
 
@@ -103,26 +104,26 @@
 struct Partition {
     e1: Peer,
     e2: Peer,
-    watch: Wire,
+    watch: Connection,
     gateway: Gateway,
     second: pg::Client,
 }
 
 impl Partition {
     fn new() -> Self {
-        let (mut e1, e2, coordinator) = (Peer::narrow("e1"), Peer::new("e2"), Peer::new("c"));
+        let (mut e1, e2, coordinator) = (Peer::with_zero_backlog("e1"), Peer::new("e2"), Peer::new("c"));
         let address = Some(coordinator.address);
-        let gateway = Gateway::scripted(&e1.entry("Ready"), address, "", None, keeps_order_for_long);
-        let (mut watch, _) = coordinator.watch();
-        watch.stream();
+        let gateway = Gateway::with_endpoints(&e1.entry("Ready"), address, "", None, keeps_order_for_long);
+        let (mut watch, _) = coordinator.accept_watch();
+        watch.send_stream_head();
         let mut first = ask(&gateway, 1, "k1");
         let second = ask(&gateway, 2, "k1");
         let mut wire = e1.accept();
-        assert_eq!(wire.call().query_id(), id(1));
-        e1.cut_off();
-        watch.event(2, &e2.entry("Ready"));
+        assert_eq!(wire.read_call().query_id(), id(1));
+        e1.fill_backlog();
+        watch.send_event(2, &e2.entry("Ready"));
         assert!(matches!(first.answer(), pg::Answer::Error(code, _) if !code.starts_with("53")));
-        assert!(!wire.is_ended(), "it is reset, so that nothing of it arrives once the partition ends");
+        assert!(!wire.is_closed(), "it is reset, so that nothing of it arrives once the partition ends");
         Self { e1, e2, watch, gateway, second }
     }
 }
@@ -135,40 +136,40 @@
     // What another key does meanwhile shows that the gateway has had its turns, and that this engine is open.
     let mut other = ask(&gateway, 3, "k2");
     let mut wire = e2.accept();
-    assert_eq!(wire.call().query_id(), id(3));
-    wire.row(&id(3));
+    assert_eq!(wire.read_call().query_id(), id(3));
+    wire.send_row(&id(3));
     assert_served(&mut other, 3);
-    e1.let_in();
+    e1.drain_backlog();
     let mut healed = e1.accept();
-    let call = healed.call();
-    assert_eq!((call.verb.as_str(), call.path), ("DELETE", format!("/data/{}", id(1))));
+    let call = healed.read_call();
+    assert_eq!((call.method.as_str(), call.path), ("DELETE", format!("/data/{}", id(1))));
     let given_up = Instant::now();
-    healed.say("HTTP/1.1 204 No Content\r\n\r\n");
-    assert_eq!(wire.call().query_id(), id(2));
+    healed.send("HTTP/1.1 204 No Content\r\n\r\n");
+    assert_eq!(wire.read_call().query_id(), id(2));
     assert!(given_up.elapsed() >= KEY_COOLDOWN, "after {:?}", given_up.elapsed());
-    wire.row(&id(2));
+    wire.send_row(&id(2));
     assert_served(&mut second, 2);
 }
 
 #[test]
 fn the_next_request_of_a_key_starts_once_the_list_removes_a_partitioned_engine() {
     let Partition { e1, e2, mut watch, gateway: _gateway, mut second } = Partition::new();
-    watch.event(3, &e1.entry("Gone"));
+    watch.send_event(3, &e1.entry("Gone"));
     let mut wire = e2.accept();
-    assert_eq!(wire.call().query_id(), id(2));
-    wire.row(&id(2));
+    assert_eq!(wire.read_call().query_id(), id(2));
+    wire.send_row(&id(2));
     assert_served(&mut second, 2);
 }
 
 #[test]
 fn the_next_request_of_a_key_starts_once_a_partitioned_engine_is_reached_but_silent() {
     let Partition { mut e1, e2, watch: _watch, gateway: _gateway, mut second } = Partition::new();
-    e1.let_in();
+    e1.drain_backlog();
     let mut healed = e1.accept();
-    assert_eq!(healed.call().verb, "DELETE");
+    assert_eq!(healed.read_call().method, "DELETE");
     let mut wire = e2.accept();
-    assert_eq!(wire.call().query_id(), id(2));
-    wire.row(&id(2));
+    assert_eq!(wire.read_call().query_id(), id(2));
+    wire.send_row(&id(2));
     assert_served(&mut second, 2);
 }
 
@@ -176,46 +177,46 @@
 fn a_key_whose_first_request_was_never_sent_has_no_cooldown() {
     let (engine, coordinator) = (Peer::new("e1"), Peer::new("c"));
     let draining = engine.entry("Terminating");
-    let gateway = Gateway::scripted(&draining, Some(coordinator.address), "", None, keeps_order);
-    let (mut watch, _) = coordinator.watch();
-    watch.stream();
+    let gateway = Gateway::with_endpoints(&draining, Some(coordinator.address), "", None, keeps_order);
+    let (mut watch, _) = coordinator.accept_watch();
+    watch.send_stream_head();
     let first = ask(&gateway, 1, "k1");
     let mut second = ask(&gateway, 2, "k1");
     drop(first);
-    wait_left(&gateway, 1);
-    watch.event(2, &engine.entry("Ready"));
+    wait_client_left(&gateway, 1);
+    watch.send_event(2, &engine.entry("Ready"));
     let mut wire = engine.accept();
-    assert_eq!(wire.call().query_id(), id(2));
-    wire.row(&id(2));
+    assert_eq!(wire.read_call().query_id(), id(2));
+    wire.send_row(&id(2));
     assert_served(&mut second, 2);
 }
 
 #[test]
 fn an_attempt_whose_client_has_left_holds_its_key_until_it_is_cancelled() {
-    let engines = Engines::start(&["e1", "e2"]);
-    let gateway = Gateway::scripted(&engines.entries, None, "", None, keeps_order);
+    let engines = ManualEngines::start(&["e1", "e2"]);
+    let gateway = Gateway::with_endpoints(&engines.entries, None, "", None, keeps_order);
     let first = ask(&gateway, 1, "k1");
     let mut second = ask(&gateway, 2, "k1");
     let _out = engines.next_start(&id(1));
     drop(first);
-    let delete = engines.next();
-    assert_eq!((delete.verb.as_str(), delete.query_id.as_str()), ("DELETE", id(1).as_str()));
+    let delete = engines.next_call();
+    assert_eq!((delete.method.as_str(), delete.query_id.as_str()), ("DELETE", id(1).as_str()));
     // What another key does meanwhile shows that the gateway has had its turns.
     let mut other = ask(&gateway, 4, "k2");
-    engines.next_start(&id(4)).row();
+    engines.next_start(&id(4)).finish();
     assert_served(&mut other, 4);
     let given_up = Instant::now();
-    delete.given_up();
+    delete.acknowledge_cancel();
     let out = engines.next_start(&id(2));
     assert!(given_up.elapsed() >= KEY_COOLDOWN, "after {:?}", given_up.elapsed());
-    out.row();
+    out.finish();
     assert_served(&mut second, 2);
 }
 
 #[test]
 fn requests_without_an_effective_key_are_not_ordered() {
-    let engines = Engines::start(&["e1", "e2"]);
-    let gateway = Gateway::scripted(&engines.entries, None, "", None, keeps_order);
+    let engines = ManualEngines::start(&["e1", "e2"]);
+    let gateway = Gateway::with_endpoints(&engines.entries, None, "", None, keeps_order);
     let send = |text: &str| {
         let mut client = pg::Client::connect(gateway.pg);
         client.send(text);
@@ -227,8 +228,8 @@
     let mut clients =
         [text("lookup", 1, ",o=k1"), text("lookup", 2, ",o=k1"), text("load", 3, ""), text("load", 4, "")]
             .map(|text| send(&text));
-    let out: Vec<_> = (0..4).map(|_| engines.next()).collect();
-    out.into_iter().for_each(|call| call.row());
+    let out: Vec<_> = (0..4).map(|_| engines.next_call()).collect();
+    out.into_iter().for_each(|call| call.finish());
     for (client, n) in clients.iter_mut().zip(1..) {
         assert_served(client, n);
     }
@@ -241,7 +242,7 @@
 #[test]
 fn mysql_clients_have_the_same_keys() {
     const WORK_MS: u64 = 200;
-    let seen = Seen::default();
+    let seen = Recorder::default();
     let engine = Engine::start("e1", &seen, WORK_MS);
     let gateway = Gateway::start_changed(&[&engine], keeps_order);
     let began = Instant::now();
@@ -266,69 +267,69 @@
 /// after both, and what the predecessor gets later comes after that one.
 #[test]
 fn a_key_keeps_its_order_across_both_processes_of_a_replacement() {
-    let engines = Engines::start(&["e1", "e2"]);
-    let predecessor = Gateway::scripted_with_admin(&engines.entries, keeps_order);
+    let engines = ManualEngines::start(&["e1", "e2"]);
+    let predecessor = Gateway::with_endpoints_and_admin(&engines.entries, keeps_order);
     let (mut first, mut second) = (ask(&predecessor, 1, "k1"), ask(&predecessor, 2, "k1"));
     let mut held = pg::Client::connect(predecessor.pg);
     let out = engines.next_start(&id(1));
     let successor = predecessor.successor();
-    predecessor.logged("successor accepts clients");
+    predecessor.wait_for_log("successor accepts clients");
     let mut third = ask(&successor, 3, "k1");
-    predecessor.logged("peer process claims the lease of a key");
+    predecessor.wait_for_log("peer process claims the lease of a key");
     held.send(&load(4, "k1"));
-    wait_taken(&predecessor, 4);
+    wait_admitted(&predecessor, 4);
     // A request of another key is forwarded at once, which shows that the successor has had its turns.
     let mut other = ask(&successor, 9, "k2");
-    engines.next_start(&id(9)).row();
+    engines.next_start(&id(9)).finish();
     assert_served(&mut other, 9);
-    out.row();
+    out.finish();
     assert_served(&mut first, 1);
     for (client, n) in [(&mut second, 2), (&mut third, 3), (&mut held, 4)] {
-        engines.next_start(&id(n)).row();
+        engines.next_start(&id(n)).finish();
         assert_served(client, n);
     }
 }
 
 #[test]
 fn a_key_is_free_once_nothing_of_a_killed_predecessor_can_run() {
-    let engines = Engines::start(&["e1", "e2"]);
-    let predecessor = Gateway::scripted_with_admin(&engines.entries, keeps_order);
+    let engines = ManualEngines::start(&["e1", "e2"]);
+    let predecessor = Gateway::with_endpoints_and_admin(&engines.entries, keeps_order);
     let _first = ask(&predecessor, 1, "k1");
     let _out = engines.next_start(&id(1));
     let successor = predecessor.successor();
-    predecessor.logged("successor accepts clients");
+    predecessor.wait_for_log("successor accepts clients");
     let mut second = ask(&successor, 2, "k1");
-    predecessor.logged("peer process claims the lease of a key");
+    predecessor.wait_for_log("peer process claims the lease of a key");
     let died = Instant::now();
     predecessor.kill();
     let out = engines.next_start(&id(2));
     assert!(died.elapsed() >= ABANDONED + KEY_COOLDOWN, "after {:?}", died.elapsed());
-    out.row();
+    out.finish();
     assert_served(&mut second, 2);
     let mut third = ask(&successor, 3, "k1");
-    engines.next_start(&id(3)).row();
+    engines.next_start(&id(3)).finish();
     assert_served(&mut third, 3);
 }
 
 /// The predecessor exits while the successor waits for a lease that it holds.
 #[test]
 fn a_predecessor_that_exits_grants_its_leases() {
-    let engines = Engines::start(&["e1", "e2"]);
-    let predecessor = Gateway::scripted_with_admin(&engines.entries, keeps_order);
+    let engines = ManualEngines::start(&["e1", "e2"]);
+    let predecessor = Gateway::with_endpoints_and_admin(&engines.entries, keeps_order);
     let mut first = ask(&predecessor, 1, "k1");
     let out = engines.next_start(&id(1));
     let successor = predecessor.successor();
-    predecessor.logged("successor accepts clients");
+    predecessor.wait_for_log("successor accepts clients");
     let mut second = ask(&successor, 2, "k1");
-    predecessor.logged("peer process claims the lease of a key");
+    predecessor.wait_for_log("peer process claims the lease of a key");
     predecessor.terminate();
     predecessor.signal("-HUP");
-    out.row();
+    out.finish();
     assert_served(&mut first, 1);
-    engines.next_start(&id(2)).row();
+    engines.next_start(&id(2)).finish();
     assert_served(&mut second, 2);
     assert_eq!(predecessor.wait().0, Some(0));
     let mut third = ask(&successor, 3, "k1");
-    engines.next_start(&id(3)).row();
+    engines.next_start(&id(3)).finish();
     assert_served(&mut third, 3);
 }
