--- a/gateway/tests/configuration.rs
+++ b/gateway/tests/configuration.rs
@@ -1,5 +1,5 @@
-//! Live reconfiguration by a control plane, with requests queued and in flight. Engines and control plane servers are
-//! scripted; the test gives the order of events, and no result depends on the clock.
+//! Guards live reconfiguration by a control plane while requests are queued and in flight. Engines and control plane
+//! servers are scripted, so that the order of events is fixed.
 
 mod common;
 
@@ -19,18 +19,18 @@
     format!("/* c={class},i={},d=20000{more} */ SELECT v FROM sales_17.orders", id(n))
 }
 
-/// Sends a request and waits until it is taken.
-fn ask(gateway: &Gateway, n: u64, class: &str, more: &str) -> pg::Client {
+/// Sends a request and waits until it is admitted.
+fn send_request(gateway: &Gateway, n: u64, class: &str, more: &str) -> pg::Client {
     let mut client = pg::Client::connect(gateway.pg);
     client.send(&query(n, class, more));
     wait_admitted(gateway, n);
     client
 }
 
-/// The words of an error that a statement is turned down with.
-fn rejection(gateway: &Gateway, text: &str) -> String {
-    match pg::Client::connect(gateway.pg).query(text) {
-        pg::Answer::Error(code, words) => format!("{code} {words}"),
+/// SQLSTATE and text of the error with which a statement is rejected.
+fn rejection(gateway: &Gateway, statement: &str) -> String {
+    match pg::Client::connect(gateway.pg).query(statement) {
+        pg::Answer::Error(code, text) => format!("{code} {text}"),
         other => panic!("{other:?}"),
     }
 }
@@ -45,7 +45,7 @@
     config.replace("\"name\":\"load\",", "\"name\":\"load\",\"keep-order\":true,")
 }
 
-/// A gateway in front of two engines that follows one control server.
+/// Starts a gateway for two engines that follows one control plane server.
 fn controlled_gateway(
     change: impl Fn(String) -> String,
 ) -> (Gateway, HeldEngines, ControlPlaneServer, ControlPlaneStream) {
@@ -57,22 +57,22 @@
 }
 
 #[test]
-fn a_class_ordered_no_longer_orders_only_what_came_before() {
+fn a_class_that_becomes_unordered_keeps_the_order_of_earlier_requests() {
     let (gateway, engines, server, mut stream) = controlled_gateway(keeps_order);
-    let mut first = ask(&gateway, 1, "load", ",o=k");
-    let first_out = engines.next_start(&id(1));
-    let mut second = ask(&gateway, 2, "load", ",o=k");
-    // The document of the start has no order, unlike the gateway's own file.
+    let mut first = send_request(&gateway, 1, "load", ",o=k");
+    let first_attempt = engines.next_start(&id(1));
+    let mut second = send_request(&gateway, 2, "load", ",o=k");
+    // In the initial settings the class is not ordered, unlike in the gateway's own file.
     stream.send(&snapshot(1, &initial_settings().parse().unwrap()));
     server.expect_applied(1);
-    let mut third = ask(&gateway, 3, "load", ",o=k");
+    let mut third = send_request(&gateway, 3, "load", ",o=k");
     engines.next_start(&id(3)).finish();
     assert_served(&mut third, 3);
-    first_out.finish();
+    first_attempt.finish();
     assert_served(&mut first, 1);
     engines.next_start(&id(2)).finish();
     assert_served(&mut second, 2);
-    assert_eq!(gateway.metric("served.load"), 3, "counted by name, whatever the number");
+    assert_eq!(gateway.metric("served.load"), 3, "metrics must be kept by class name");
     assert!(status(&gateway).contains("\nconfiguration.in_force=1\nconfiguration.newest_seen=1\n"));
     gateway.wait_for_log("configuration in force version=1");
 }
@@ -88,7 +88,7 @@
     let (mut watch, _) = coordinator.accept_watch();
     watch.send_stream_head();
     let mut stream = server.accept_stream();
-    let mut client = ask(&gateway, 1, "load", "");
+    let mut client = send_request(&gateway, 1, "load", "");
     let mut wire = e1.accept();
     assert_eq!(wire.read_call().query_id(), id(1));
     let pure = changed_settings(|text| text.replace("\"repeat\":\"side_effect\"", "\"repeat\":\"pure\""));
@@ -99,9 +99,9 @@
     drop(e1);
     wire.reset();
     assert!(matches!(client.answer(), pg::Answer::Error(code, _) if !code.starts_with("53")));
-    assert!(e2.has_no_pending_connection(), "it may have run");
-    // The same of one that came later may be repeated, which shows that the change counts.
-    let mut client = ask(&gateway, 2, "load", "");
+    assert!(e2.has_no_pending_connection(), "an attempt that may have run must not be retried");
+    // A later request can be retried, which shows that the change is in force.
+    let mut client = send_request(&gateway, 2, "load", "");
     let mut wire = e2.accept();
     assert_eq!(wire.read_call().query_id(), id(2));
     wire.send_row(&id(2));
@@ -109,27 +109,27 @@
 }
 
 #[test]
-fn a_shorter_deadline_holds_for_new_requests_alone() {
+fn a_shorter_deadline_applies_only_to_new_requests() {
     let (gateway, engines, server, mut stream) = controlled_gateway(|config| config);
-    let mut before = ask(&gateway, 1, "report", "");
-    let out = engines.next_start(&id(1));
+    let mut before = send_request(&gateway, 1, "report", "");
+    let attempt = engines.next_start(&id(1));
     stream.send(&snapshot(
         1,
         &changed_settings(|text| text.replace("\"deadline-s\":20.0", "\"deadline-s\":0.4")),
     ));
     server.expect_applied(1);
-    let mut after = ask(&gateway, 2, "report", "");
-    assert!(matches!(after.answer(), pg::Answer::Error(..)), "its time is over");
-    out.finish();
+    let mut after = send_request(&gateway, 2, "report", "");
+    assert!(matches!(after.answer(), pg::Answer::Error(..)), "the deadline must have passed");
+    attempt.finish();
     assert_served(&mut before, 1);
     assert_eq!((gateway.metric("served.report"), gateway.metric("attempts.report")), (1, 2));
 }
 
 #[test]
-fn limits_and_tenants_are_in_force_at_once() {
+fn changed_limits_and_tenants_apply_immediately() {
     let (gateway, engines, server, mut stream) = controlled_gateway(|config| config);
-    let mut first = ask(&gateway, 1, "report", ",t=acme");
-    let out = engines.next_start(&id(1));
+    let mut first = send_request(&gateway, 1, "report", ",t=acme");
+    let attempt = engines.next_start(&id(1));
     let change = |text: String| {
         let text = text.replace("\"max-open\":20000", "\"max-open\":1");
         text.replace("\"name\":\"acme\"", "\"name\":\"other\"")
@@ -137,20 +137,23 @@
     let narrow = changed_settings(change);
     stream.send(&snapshot(1, &narrow));
     server.expect_applied(1);
-    assert!(rejection(&gateway, &query(2, "report", ",t=other")).starts_with("53"), "one is open already");
+    assert!(
+        rejection(&gateway, &query(2, "report", ",t=other")).starts_with("53"),
+        "one request is already open"
+    );
     assert!(rejection(&gateway, &query(3, "report", ",t=acme")).contains("unknown tenant"));
     let wide = changed_settings(|text| text.replace("\"name\":\"acme\"", "\"name\":\"other\""));
     stream.send(&delta((1, &narrow), (2, &wide)));
     server.expect_applied(2);
-    let mut second = ask(&gateway, 4, "report", ",t=other");
+    let mut second = send_request(&gateway, 4, "report", ",t=other");
     engines.next_start(&id(4)).finish();
     assert_served(&mut second, 4);
-    out.finish();
+    attempt.finish();
     assert_served(&mut first, 1);
 }
 
-/// A gateway before this engine that was started with short times for its connections, and has long ones in force.
-fn with_longer_times(engine: &Peer) -> (Gateway, ControlPlaneServer, ControlPlaneStream) {
+/// Starts a gateway with short connection timeouts in its file and long timeouts in the version in force.
+fn gateway_with_longer_timeouts(engine: &Peer) -> (Gateway, ControlPlaneServer, ControlPlaneStream) {
     let server = ControlPlaneServer::start();
     let short = |config: String| config.replace("\"keepalive-s\":15.0", "\"keepalive-s\":0.5");
     let gateway = Gateway::with_control_plane(&engine.entry("Ready"), &[server.address], short);
@@ -164,51 +167,55 @@
     (gateway, server, stream)
 }
 
-/// Longer than any connection is kept or waited for by the short times.
-const LONGER: Duration = Duration::from_secs(1);
+/// Longer than the short connection timeouts.
+const LONGER_THAN_TIMEOUTS: Duration = Duration::from_secs(1);
 
 #[test]
-fn a_longer_keepalive_of_connections_to_engines_is_in_force_at_once() {
+fn a_longer_keepalive_of_engine_connections_applies_immediately() {
     let engine = Peer::new("e1");
-    let (gateway, _server, _stream) = with_longer_times(&engine);
-    let mut first = ask(&gateway, 1, "report", "");
+    let (gateway, _server, _stream) = gateway_with_longer_timeouts(&engine);
+    let mut first = send_request(&gateway, 1, "report", "");
     let mut wire = engine.accept();
     assert_eq!(wire.read_call().query_id(), id(1));
     wire.send_row(&id(1));
     assert_served(&mut first, 1);
-    thread::sleep(LONGER);
-    let mut second = ask(&gateway, 2, "report", "");
-    assert_eq!(wire.read_call().query_id(), id(2), "over the same connection");
+    thread::sleep(LONGER_THAN_TIMEOUTS);
+    let mut second = send_request(&gateway, 2, "report", "");
+    assert_eq!(wire.read_call().query_id(), id(2), "the connection must be reused");
     wire.send_row(&id(2));
     assert_served(&mut second, 2);
     assert!(engine.has_no_pending_connection());
 }
 
 #[test]
-fn a_longer_time_for_connections_to_come_up_is_in_force_at_once() {
+fn a_longer_connect_timeout_applies_immediately() {
     let mut engine = Peer::with_full_backlog("e1");
-    let (gateway, _server, _stream) = with_longer_times(&engine);
-    // A load is not taken back for its silence, however often the kernel has to send its first packet again.
-    let mut client = ask(&gateway, 1, "load", "");
-    thread::sleep(LONGER);
+    let (gateway, _server, _stream) = gateway_with_longer_timeouts(&engine);
+    // A load is not withdrawn for a slow response, even if the kernel must retransmit SYN packets.
+    let mut client = send_request(&gateway, 1, "load", "");
+    thread::sleep(LONGER_THAN_TIMEOUTS);
     engine.drain_backlog();
     let mut wire = engine.accept();
     assert_eq!(wire.read_call().query_id(), id(1));
     wire.send_row(&id(1));
     assert_served(&mut client, 1);
     wait_answered(&gateway, 1);
-    assert_eq!(gateway.log().matches("connection opened engine=").count(), 1, "none was given up");
+    assert_eq!(
+        gateway.log().matches("connection opened engine=").count(),
+        1,
+        "the connection must not have timed out"
+    );
 }
 
 #[test]
-fn a_version_in_force_stays_when_the_file_is_read_again() {
+fn a_version_in_force_stays_when_the_file_is_reloaded() {
     let (gateway, engines, server, mut stream) = controlled_gateway(|config| config);
     let document = changed_settings(|text| text.replace("\"name\":\"report\"", "\"name\":\"digest\""));
     stream.send(&snapshot(1, &document));
     server.expect_applied(1);
     gateway.signal("-HUP");
     gateway.wait_for_log("configuration read again");
-    let mut client = ask(&gateway, 1, "digest", "");
+    let mut client = send_request(&gateway, 1, "digest", "");
     engines.next_start(&id(1)).finish();
     assert_served(&mut client, 1);
     assert!(rejection(&gateway, &query(2, "report", "")).contains("unknown class"));
@@ -216,15 +223,15 @@
     wait_answered(&gateway, 1);
     assert!(
         !gateway.log().contains("settings in the file differ from those in force"),
-        "what is in force is not the file's"
+        "the version in force must not be compared with the file"
     );
 }
 
 #[test]
-fn removed_classes_are_unknown_to_new_requests_and_added_ones_known() {
+fn removed_classes_are_rejected_and_added_ones_accepted_for_new_requests() {
     let (gateway, engines, server, mut stream) = controlled_gateway(|config| config);
-    let mut first = ask(&gateway, 1, "report", "");
-    let out = engines.next_start(&id(1));
+    let mut first = send_request(&gateway, 1, "report", "");
+    let attempt = engines.next_start(&id(1));
     assert!(rejection(&gateway, &query(2, "digest", "")).contains("unknown class"));
     stream.send(&snapshot(
         1,
@@ -232,54 +239,57 @@
     ));
     server.expect_applied(1);
     assert!(rejection(&gateway, &query(3, "report", "")).contains("unknown class"));
-    let mut second = ask(&gateway, 4, "digest", "");
+    let mut second = send_request(&gateway, 4, "digest", "");
     engines.next_start(&id(4)).finish();
     assert_served(&mut second, 4);
-    out.finish();
+    attempt.finish();
     assert_served(&mut first, 1);
     assert_eq!((gateway.metric("served.digest"), gateway.metric("served.report")), (1, 1));
 }
 
 #[test]
-fn a_bad_version_is_refused_as_a_whole_with_its_reason() {
+fn an_invalid_version_is_refused_as_a_whole_with_a_reason() {
     let (gateway, engines, server, mut stream) = controlled_gateway(|config| config);
-    let good = changed_settings(|text| text.replace("\"max-attempts\":3", "\"max-attempts\":2"));
-    stream.send(&snapshot(1, &good));
+    let valid = changed_settings(|text| text.replace("\"max-attempts\":3", "\"max-attempts\":2"));
+    stream.send(&snapshot(1, &valid));
     server.expect_applied(1);
-    let bad = |what: &str, by: &str| {
-        changed_settings(|text| text.replace("\"name\":\"report\"", "\"name\":\"digest\"").replace(what, by))
+    let invalid = |from: &str, to: &str| {
+        changed_settings(|text| text.replace("\"name\":\"report\"", "\"name\":\"digest\"").replace(from, to))
     };
     let cases = [
-        (bad("\"locality\":\"z\"", "\"locality\":\"y\""), "own zone (locality) can't change"),
-        (bad("\"deadline-s\":3.0", "\"deadline-s\":-3.0"), "deadline of class 0 is -3"),
-        (bad("\"aim-s\":4.0", "\"aim-s\":\"4\""), "a number expected"),
-        (bad("\"how\":\"answers\"", "\"how\":\"none\""), "how engines report"),
+        (invalid("\"locality\":\"z\"", "\"locality\":\"y\""), "own zone (locality) can't change"),
+        (invalid("\"deadline-s\":3.0", "\"deadline-s\":-3.0"), "deadline of class 0 is -3"),
+        (invalid("\"aim-s\":4.0", "\"aim-s\":\"4\""), "a number expected"),
+        (invalid("\"how\":\"answers\"", "\"how\":\"none\""), "how engines report"),
     ];
-    for (version, (document, part)) in (2..).zip(cases) {
+    for (version, (document, expected)) in (2..).zip(cases) {
         stream.send(&snapshot(version, &document));
-        let Report::Refused { version: told, reason, in_force } = server.next_report() else { panic!() };
-        assert_eq!((told, in_force), (Version(version), Version(1)));
-        assert!(reason.contains(part), "{reason}");
+        let Report::Refused { version: refused, reason, in_force } = server.next_report() else { panic!() };
+        assert_eq!((refused, in_force), (Version(version), Version(1)));
+        assert!(reason.contains(expected), "{reason}");
         assert!(
             rejection(&gateway, &query(version, "digest", "")).contains("unknown class"),
-            "nothing of it"
+            "no part of the version must be in force"
         );
         let text = status(&gateway);
         assert!(text.contains(&format!("in_force=1\nconfiguration.newest_seen={version}\n")), "{text}");
-        assert!(text.contains(&format!("configuration.refused={version} ")) && text.contains(part), "{text}");
+        assert!(
+            text.contains(&format!("configuration.refused={version} ")) && text.contains(expected),
+            "{text}"
+        );
     }
     gateway.wait_for_log("configuration refused version=2 in_force=1");
-    let mut client = ask(&gateway, 20, "report", "");
+    let mut client = send_request(&gateway, 20, "report", "");
     engines.next_start(&id(20)).finish();
     assert_served(&mut client, 20);
-    // A good one counts again, on top of the one in force.
-    stream.send(&delta((1, &good), (9, &initial_settings().parse().unwrap())));
+    // A later valid version is applied to the version in force.
+    stream.send(&delta((1, &valid), (9, &initial_settings().parse().unwrap())));
     server.expect_applied(9);
     assert!(!status(&gateway).contains("refused"));
 }
 
 #[test]
-fn old_and_duplicate_versions_change_nothing() {
+fn old_and_duplicate_versions_are_ignored() {
     let (gateway, _engines, server, mut stream) = controlled_gateway(|config| config);
     let named = |name: &str| {
         changed_settings(|text| text.replace("\"name\":\"report\"", &format!("\"name\":\"{name}\"")))
@@ -290,10 +300,10 @@
     stream.send(&snapshot(3, &third));
     stream.send(&snapshot(5, &fifth));
     stream.send(&delta((3, &third), (4, &sixth)));
-    // What comes in order behind them shows that they were seen and changed nothing.
-    let step = delta((5, &fifth), (6, &sixth));
-    stream.send(&step);
-    stream.send(&step);
+    // The next version in order shows that the messages before it were processed and ignored.
+    let next = delta((5, &fifth), (6, &sixth));
+    stream.send(&next);
+    stream.send(&next);
     server.expect_applied(6);
     stream.send(&snapshot(5, &fifth));
     stream.send(&delta((6, &sixth), (7, &fifth)));
@@ -305,29 +315,29 @@
 }
 
 #[test]
-fn a_delta_that_does_not_fit_leads_to_a_snapshot() {
+fn a_delta_that_cannot_be_applied_leads_to_a_snapshot() {
     let (gateway, _engines, server, mut stream) = controlled_gateway(|config| config);
     let one = changed_settings(|text| text.replace("\"max-attempts\":3", "\"max-attempts\":1"));
     let two = changed_settings(|text| text.replace("\"max-attempts\":3", "\"max-attempts\":2"));
     let few = changed_settings(|text| text.replace("\"max-open\":20000", "\"max-open\":5"));
     stream.send(&snapshot(1, &one));
     server.expect_applied(1);
-    // From a version that it does not have.
+    // The gateway does not have the base version.
     stream.send(&delta((7, &two), (8, &one)));
     let mut stream = server.accept_stream();
-    assert_eq!(stream.version, 1, "it says what it has");
-    // From its version, but with other contents: what comes out has not the digest that was told.
+    assert_eq!(stream.version, 1, "the gateway must send its version");
+    // The base version has other contents, so that the result does not have the stated digest.
     stream.send(&delta((1, &initial_settings().parse().unwrap()), (8, &few)));
     let mut stream = server.accept_stream();
-    assert_eq!(stream.version, 0, "it asks for everything");
+    assert_eq!(stream.version, 0, "the gateway must request a snapshot");
     assert!(status(&gateway).contains("configuration.in_force=1\n"));
     stream.send(&snapshot(8, &two));
     server.expect_applied(8);
-    assert!(!gateway.log().contains("silent"), "it went by itself");
+    assert!(!gateway.log().contains("silent"), "the stream must be closed without a timeout");
 }
 
 #[test]
-fn a_server_lost_within_a_message_is_replaced_by_the_next() {
+fn a_server_that_fails_within_a_message_is_replaced_by_the_next() {
     let (engines, servers) =
         (HeldEngines::start(&["e1"]), [ControlPlaneServer::start(), ControlPlaneServer::start()]);
     let addresses = [servers[0].address, servers[1].address];
@@ -343,17 +353,17 @@
     assert!(rejection(&gateway, &query(1, "digest", "")).contains("unknown class"));
     stream.connection.send(&message);
     servers[second].expect_applied(1);
-    let mut client = ask(&gateway, 2, "digest", "");
+    let mut client = send_request(&gateway, 2, "digest", "");
     engines.next_start(&id(2)).finish();
     assert_served(&mut client, 2);
 }
 
 #[test]
-fn a_message_may_come_byte_by_byte_and_counts_when_complete() {
+fn a_partial_message_is_discarded_and_a_message_can_arrive_byte_by_byte() {
     let (gateway, engines, server, mut stream) = controlled_gateway(|config| config);
     let document = changed_settings(|text| text.replace("\"name\":\"report\"", "\"name\":\"digest\""));
     let message = format!("id: 1\r\ndata: {}\r\n\r\n", snapshot(1, &document));
-    // Cut off at places all over it; what is said before keeps the pause to the next stream short.
+    // The connection is reset at evenly spaced positions. The heartbeat before keeps the reconnect backoff short.
     let pieces = 16;
     for cut in (0..pieces).map(|n| n * message.len() / pieces) {
         stream.send_heartbeat(0);
@@ -367,13 +377,13 @@
         stream.connection.send(std::str::from_utf8(&[*byte]).unwrap());
     }
     server.expect_applied(1);
-    let mut client = ask(&gateway, 2, "digest", "");
+    let mut client = send_request(&gateway, 2, "digest", "");
     engines.next_start(&id(2)).finish();
     assert_served(&mut client, 2);
 }
 
 #[test]
-fn a_report_that_is_not_accepted_is_sent_again() {
+fn a_rejected_report_is_retried() {
     let (_gateway, _engines, server, mut stream) = controlled_gateway(|config| config);
     server.reject_reports(2);
     stream.send(&snapshot(
@@ -399,70 +409,70 @@
 }
 
 #[test]
-fn garbage_in_the_stream_changes_nothing_and_leads_to_a_new_stream() {
+fn garbage_in_the_stream_is_ignored_and_leads_to_a_new_stream() {
     let (gateway, _engines, server, mut stream) = controlled_gateway(|config| config);
     let long = "x".repeat(100_000);
-    for noise in
+    for garbage in
         ["data: {\"snapshot\":7}\n\n", "data: nothing\n\n", "data: {}\n\n", &format!("data: {long}\n\n")]
     {
         stream.send_heartbeat(0);
-        stream.connection.send(noise);
+        stream.connection.send(garbage);
         stream = server.accept_stream();
         assert_eq!(stream.version, 0);
     }
     assert!(status(&gateway).contains("configuration.in_force=0\n"));
-    assert!(!gateway.log().contains("silent"), "it went by itself");
+    assert!(!gateway.log().contains("silent"), "the stream must be closed without a timeout");
     stream.send(&snapshot(1, &initial_settings().parse().unwrap()));
     server.expect_applied(1);
 }
 
 #[test]
-fn a_gateway_restarted_while_it_applies_gets_the_newest_version_and_retries_nothing() {
+fn a_gateway_killed_while_it_applies_a_version_gets_it_again_and_retries_nothing() {
     let (gateway, engines, server, mut stream) = controlled_gateway(|config| config);
-    let _client = ask(&gateway, 1, "load", "");
-    let out = engines.next_start(&id(1));
+    let _client = send_request(&gateway, 1, "load", "");
+    let attempt = engines.next_start(&id(1));
     let document = changed_settings(|text| text.replace("\"name\":\"report\"", "\"name\":\"digest\""));
     let message = snapshot(1, &document);
     gateway.while_paused(|| {
         stream.send(&message);
-        // It dies with the message in hand.
+        // The process is killed before it can read the message.
         gateway.signal("-KILL");
     });
-    let next = gateway.successor();
+    let successor = gateway.successor();
     let mut stream = server.accept_stream();
-    assert_eq!(stream.version, 0, "it has what its file says");
+    assert_eq!(stream.version, 0, "the settings of the file must be in force");
     stream.send(&message);
     server.expect_applied(1);
-    out.finish();
-    let mut client = ask(&next, 2, "digest", "");
+    attempt.finish();
+    let mut client = send_request(&successor, 2, "digest", "");
     engines.next_start(&id(2)).finish();
     assert_served(&mut client, 2);
 }
 
 #[test]
-fn both_processes_of_a_replacement_follow_and_the_predecessor_disconnects() {
+fn both_processes_of_a_replacement_follow_until_the_predecessor_shuts_down() {
     let (gateway, engines, server, mut stream) = controlled_gateway(|config| config);
     let document = changed_settings(|text| text.replace("\"name\":\"report\"", "\"name\":\"digest\""));
     stream.send(&snapshot(1, &document));
     server.expect_applied(1);
-    let mut client = ask(&gateway, 1, "digest", "");
-    let out = engines.next_start(&id(1));
-    let next = gateway.successor();
-    let mut fresh = server.accept_stream();
-    fresh.send(&snapshot(1, &document));
+    let mut client = send_request(&gateway, 1, "digest", "");
+    let attempt = engines.next_start(&id(1));
+    let successor = gateway.successor();
+    let mut second_stream = server.accept_stream();
+    second_stream.send(&snapshot(1, &document));
     server.expect_applied(1);
     gateway.terminate();
-    assert!(stream.connection.is_closed(), "it follows no longer, and serves what it has taken");
-    out.finish();
+    assert!(stream.connection.is_closed(), "the predecessor must close its stream");
+    attempt.finish();
     assert_served(&mut client, 1);
     assert_eq!(gateway.wait().0, Some(0));
-    let mut client = ask(&next, 2, "digest", "");
+    let mut client = send_request(&successor, 2, "digest", "");
     engines.next_start(&id(2)).finish();
     assert_served(&mut client, 2);
 }
 
 #[test]
-fn many_changes_with_requests_in_flight_end_each_request_once() {
+fn requests_in_flight_are_served_once_during_many_changes() {
     let (gateway, engines, server, mut stream) = controlled_gateway(keeps_order);
     let document = |n: u64| -> Document {
         let deadline = format!("\"deadline-s\":{}.0", 20 + n % 5);
@@ -477,20 +487,20 @@
     server.expect_applied(1);
     let mut waiting = std::collections::VecDeque::new();
     for n in 1..=40 {
-        let client = ask(&gateway, n, "load", &format!(",o=k{n}"));
+        let client = send_request(&gateway, n, "load", &format!(",o=k{n}"));
         waiting.push_back((n, client, engines.next_start(&id(n))));
         let after = document(n);
         stream.send(&delta((n, &before), (n + 1, &after)));
         server.expect_applied(n + 1);
         before = after;
         if waiting.len() > 3 {
-            let (n, mut client, out) = waiting.pop_front().unwrap();
-            out.finish();
+            let (n, mut client, attempt) = waiting.pop_front().unwrap();
+            attempt.finish();
             assert_served(&mut client, n);
         }
     }
-    for (n, mut client, out) in waiting {
-        out.finish();
+    for (n, mut client, attempt) in waiting {
+        attempt.finish();
         assert_served(&mut client, n);
     }
     assert_eq!((gateway.metric("served.load"), gateway.metric("attempts.load")), (40, 40));
@@ -499,7 +509,7 @@
 }
 
 #[test]
-fn without_a_control_table_there_is_no_control_plane_and_the_status_is_short() {
+fn without_a_control_plane_the_status_holds_no_configuration() {
     let engines = HeldEngines::start(&["e1"]);
     let gateway = Gateway::with_endpoints_and_admin(&engines.entries, |config| config);
     assert_eq!(status(&gateway), "ready\n");
--- a/gateway/tests/operation.rs
+++ b/gateway/tests/operation.rs
@@ -1,4 +1,4 @@
-//! What operators do: calls, figures, engines out by hand. The real program, real sockets, loopback only.
+//! Guards the operator's interfaces of the gateway program: admin requests, metrics, maintenance and replacement.
 
 mod common;
 
@@ -16,30 +16,30 @@
     format!("/* c={class},i={number:016x},d=2500,t=acme,h=20.0,mem=96 */ SELECT v FROM sales_17.orders")
 }
 
-/// Asks until this many are served; how many were refused and failed meanwhile.
-fn ask(client: &mut pg::Client, class: &str, from: u64, served: u64) -> (u64, u64) {
-    let (mut got, mut refused, mut failed) = (0, 0, 0);
+/// Sends requests until this number is served. Returns the numbers of rejected and failed requests.
+fn query_until_served(client: &mut pg::Client, class: &str, from: u64, served: u64) -> (u64, u64) {
+    let (mut served_count, mut refused, mut failed) = (0, 0, 0);
     for number in from.. {
         match client.query(&text(class, number)) {
-            pg::Answer::Rows(_) => got += 1,
+            pg::Answer::Rows(_) => served_count += 1,
             pg::Answer::Error(code, _) if code.starts_with("53") => refused += 1,
             _ => failed += 1,
         }
-        if got == served {
+        if served_count == served {
             break;
         }
-        assert!(refused + failed < 400, "hardly anything is served");
+        assert!(refused + failed < 400, "too few requests are served");
     }
     (refused, failed)
 }
 
 #[test]
-fn calls_are_answered_whoever_stands_in_the_door() {
+fn admin_requests_are_answered_while_other_connections_are_silent() {
     let seen = Recorder::default();
     let engine = Engine::start("e1", &seen, 1);
     let gateway = Gateway::start_with_admin(&[&engine]);
-    // More than there are places, silent or with half a call, and staying.
-    let half: Vec<TcpStream> = (0..40)
+    // More open connections than the interface serves at once, each silent or with an incomplete request.
+    let incomplete: Vec<TcpStream> = (0..40)
         .map(|n| {
             let mut stream = TcpStream::connect(gateway.ops.unwrap()).unwrap();
             stream.write_all(if n % 2 == 0 { b"GET /sta" } else { b"" }).unwrap();
@@ -63,40 +63,43 @@
         assert_eq!(gateway.call(line).0, status, "{line}");
     }
     let mut client = pg::Client::connect(gateway.pg);
-    assert!(matches!(client.query(&text("lookup", 1)), pg::Answer::Rows(_)), "others are unhurt");
-    drop(half);
+    assert!(matches!(client.query(&text("lookup", 1)), pg::Answer::Rows(_)), "clients must not be affected");
+    drop(incomplete);
     assert_eq!(gateway.end().0, Some(0));
 }
 
 #[test]
-fn no_door_is_opened_that_the_configuration_does_not_name() {
+fn the_admin_interface_is_closed_unless_it_is_configured() {
     let engine = Engine::start("e1", &Recorder::default(), 1);
     let gateway = Gateway::start(&[&engine], false);
     assert_eq!(gateway.ops, None);
 }
 
 #[test]
-fn figures_are_what_clients_and_engines_saw() {
+fn metrics_equal_the_counts_of_clients_and_engines() {
     let seen = Recorder::default();
     let engines = [Engine::start("e1", &seen, 2), Engine::start("e2", &seen, 2)];
     let gateway = Gateway::start_with_admin(&[&engines[0], &engines[1]]);
     let mut client = pg::Client::connect(gateway.pg);
-    let lookups = ask(&mut client, "lookup", 1_000, 30);
-    let reports = ask(&mut client, "report", 5_000, 8);
-    // One that its client leaves, and one that is under way.
-    let mut waits = pg::Client::connect(gateway.pg);
+    let lookups = query_until_served(&mut client, "lookup", 1_000, 30);
+    let reports = query_until_served(&mut client, "report", 5_000, 8);
+    // A request that stays in flight.
+    let mut in_flight = pg::Client::connect(gateway.pg);
     engines.iter().for_each(|e| e.set_work_ms(60_000));
     let seen_before = seen.query_count() as u64;
-    waits.send(&text("report", 9_000));
+    in_flight.send(&text("report", 9_000));
     let began = Instant::now();
     let attempts =
         || ["lookup", "report", "load"].map(|c| gateway.metric(&format!("attempts.{c}"))).iter().sum::<u64>();
-    // The engine may read it a little after it was written.
+    // The engine can receive the request some time after the gateway has sent it.
     while gateway.metric("in_flight") != 1
         || attempts() <= seen_before
         || attempts() != seen.query_count() as u64
     {
-        assert!(began.elapsed() < Duration::from_secs(30), "under way, and counted as engines count it");
+        assert!(
+            began.elapsed() < Duration::from_secs(30),
+            "the request must be in flight and counted as by the engines"
+        );
     }
     assert_eq!(gateway.metric("served.lookup"), 30);
     assert_eq!((gateway.metric("refused.lookup"), gateway.metric("failed.lookup")), lookups);
@@ -107,7 +110,7 @@
 }
 
 #[test]
-fn an_engine_out_by_hand_gets_nothing_until_it_is_called_back() {
+fn an_engine_in_maintenance_gets_no_requests_until_maintenance_ends() {
     let seen = Recorder::default();
     let engines = [Engine::start("e1", &seen, 1), Engine::start("e2", &seen, 1)];
     let gateway = Gateway::start_with_admin(&[&engines[0], &engines[1]]);
@@ -116,25 +119,29 @@
         let by = |id: u64| seen.engines_of(&format!("{id:016x}"));
         (from..from + 1000).flat_map(by).filter(|e| e == "e1").count()
     };
-    ask(&mut client, "lookup", 1_000, 40);
+    query_until_served(&mut client, "lookup", 1_000, 40);
     assert!(used(1_000) > 0);
     for _ in 0..2 {
         assert_eq!(gateway.call("PUT /maintenance/enter/e1").0, 200);
     }
     assert_eq!((gateway.metric("engines_known"), gateway.metric("engines_excluded")), (2, 1));
     for (class, from) in [("lookup", 2_000), ("report", 3_000), ("load", 4_000)] {
-        ask(&mut client, class, from, 10);
+        query_until_served(&mut client, class, from, 10);
         assert_eq!(used(from), 0, "{class}");
     }
     assert_eq!(gateway.call("PUT /maintenance/exit/e1").0, 200);
     assert_eq!(gateway.metric("engines_excluded"), 0);
-    ask(&mut client, "lookup", 5_000, 40);
-    assert!(used(5_000) > 0, "one call back is enough");
+    query_until_served(&mut client, "lookup", 5_000, 40);
+    assert!(used(5_000) > 0, "one exit must end repeated entries");
 }
 
-/// Clients that come and go, each request on a connection of its own, until they are told to stop. How many were
-/// served, and what else there was.
-fn come_and_go(to: std::net::SocketAddr, from: u64, stop: Arc<AtomicBool>) -> JoinHandle<(u64, Vec<String>)> {
+/// Sends requests, each on a new connection, until `stop` is set. Returns the number of served requests and all other
+/// answers.
+fn query_on_new_connections(
+    to: std::net::SocketAddr,
+    from: u64,
+    stop: Arc<AtomicBool>,
+) -> JoinHandle<(u64, Vec<String>)> {
     std::thread::spawn(move || {
         let (mut served, mut others) = (0, Vec::new());
         for number in from.. {
@@ -158,15 +165,15 @@
     assert_eq!(gateway.call("PUT /maintenance/enter/e1").0, 200);
     let stop = Arc::new(AtomicBool::new(false));
     let clients: Vec<_> =
-        (0..4).map(|n| come_and_go(gateway.pg, 1_000_000 * (n + 1), stop.clone())).collect();
-    // A load that is in flight at the predecessor, and ends there.
+        (0..4).map(|n| query_on_new_connections(gateway.pg, 1_000_000 * (n + 1), stop.clone())).collect();
+    // A load that is in flight at the predecessor and must end there.
     let mut long = pg::Client::connect(gateway.pg);
     for round in 0..3 {
         engines.iter().for_each(|e| e.set_work_ms(300));
         long.send(&text("load", round));
         let began = Instant::now();
         while seen.engines_of(&format!("{round:016x}")).is_empty() {
-            assert!(began.elapsed() < Duration::from_secs(30), "it is in flight");
+            assert!(began.elapsed() < Duration::from_secs(30), "the load must be in flight");
             std::thread::sleep(Duration::from_millis(1));
         }
         engines.iter().for_each(|e| e.set_work_ms(5));
@@ -176,33 +183,39 @@
         assert_eq!(
             successor.metric("engines_excluded"),
             if round < 2 { 1 } else { 2 },
-            "it knows the engines in maintenance"
+            "the successor must know the engines in maintenance"
         );
         if round == 1 {
-            // A call to one process holds for both.
+            // A maintenance request to one process applies to both.
             assert_eq!(successor.call("PUT /maintenance/enter/e3").0, 200);
             let began = Instant::now();
             while gateway.metric("engines_excluded") != 2 {
-                assert!(began.elapsed() < Duration::from_secs(30), "the predecessor learns it");
+                assert!(began.elapsed() < Duration::from_secs(30), "the predecessor must be informed");
             }
         }
-        assert!(matches!(long.answer(), pg::Answer::Rows(_)), "the predecessor answers what it had accepted");
+        assert!(
+            matches!(long.answer(), pg::Answer::Rows(_)),
+            "the predecessor must answer the requests that it accepted"
+        );
         let ran = seen.engines_of(&format!("{round:016x}"));
-        assert!(ran.len() == 1 && ran[0] != "e1", "once, and not at the engine in maintenance: {ran:?}");
+        assert!(
+            ran.len() == 1 && ran[0] != "e1",
+            "the load must run once, and not on the engine in maintenance: {ran:?}"
+        );
         let (exit, log) = std::mem::replace(&mut gateway, successor).end();
         assert_eq!(exit, Some(0), "{log}");
         long = pg::Client::connect(gateway.pg);
     }
     stop.store(true, Ordering::SeqCst);
     for client in clients {
-        let (served, others) = client.join().expect("no connection was refused or reset");
+        let (served, others) = client.join().expect("a connection was refused or reset");
         let refused = others.iter().filter(|o| o.starts_with("Error(\"53")).count();
         assert!(served > 0 && refused == others.len(), "{served} served, and {others:?}");
     }
     let e1 = (1..5).flat_map(|n| 1_000_000 * n..1_000_000 * n + 20_000);
     assert!(
         e1.flat_map(|n| seen.engines_of(&format!("{n:016x}"))).all(|e| e != "e1"),
-        "in maintenance throughout"
+        "an engine in maintenance must not run requests"
     );
 }
 
@@ -218,10 +231,10 @@
         gateway.wait_for_log("successor accepts clients");
         successor.kill();
         let mut back = pg::Client::connect(gateway.pg);
-        ask(&mut back, "lookup", 1_000 * (round + 1), 5);
-        ask(&mut client, "lookup", 1_000 * (round + 1) + 500, 5);
+        query_until_served(&mut back, "lookup", 1_000 * (round + 1), 5);
+        query_until_served(&mut client, "lookup", 1_000 * (round + 1) + 500, 5);
     }
-    // A process of another gateway asks to replace it, and is rejected.
+    // A replacement by a process of another gateway is rejected.
     let mut foreign = UnixStream::connect(gateway.socket()).unwrap();
     foreign.write_all(b"{\"hello\":\"other\",\"listen\":\"127.0.0.1:1\",\"form\":1}\n").unwrap();
     assert_eq!(foreign.read(&mut [0; 64]).unwrap(), 0);
@@ -229,11 +242,11 @@
     assert_eq!(successor.metric("engines_excluded"), 1);
     assert_eq!(gateway.end().0, Some(0));
     let mut client = pg::Client::connect(successor.pg);
-    ask(&mut client, "lookup", 9_000, 5);
+    query_until_served(&mut client, "lookup", 9_000, 5);
     assert_eq!(successor.call("PUT /maintenance/exit/e2").0, 200);
 }
 
-/// Clients connect to one address, whichever process has their session.
+/// During a replacement, both processes listen on one address, and a cancel request can reach either of them.
 #[test]
 fn a_cancel_request_reaches_the_process_that_has_the_session() {
     let seen = Recorder::default();
--- a/gateway/tests/recorded_messages.rs
+++ b/gateway/tests/recorded_messages.rs
@@ -1,7 +1,5 @@
-//! What the gateway says and hears, as recorded: between two processes of one gateway, to the coordinator and to
-//! control machines, and to operators. Programs of two releases talk to each other during a replacement.
-//!
-//! Object members have no fixed order in what is written as JSON here; such lines are compared as JSON values.
+//! Guards the formats of messages to other gateway processes, the coordinator, the control plane and operators.
+//! Two releases communicate during a replacement. JSON is compared by value: object members have no fixed order.
 
 use std::net::SocketAddr;
 
@@ -27,7 +25,7 @@
     text.parse().unwrap()
 }
 
-fn listed(name: &str, at: &str, state: EndpointState, since_ms: u64) -> Endpoint {
+fn endpoint(name: &str, at: &str, state: EndpointState, since_ms: u64) -> Endpoint {
     let (zone, kind) = ("east".to_owned(), "std".to_owned());
     Endpoint {
         name: name.to_owned(),
@@ -40,7 +38,7 @@
     }
 }
 
-/// The messages of the file, in its order.
+/// Messages in the order of the recorded file.
 fn handover_messages() -> Vec<Message> {
     let since_ms = 1_796_166_000_123;
     vec![
@@ -48,14 +46,14 @@
         Message::Hello { gateway: "a \"b\"\n\u{e9}".into(), listen_address: address("[::1]:80") },
         Message::KnownEngine { name: "s-1".into(), maintenance_end_ms: 0 },
         Message::KnownEngine { name: "s-1".into(), maintenance_end_ms: since_ms },
-        Message::Endpoint(listed("s-1", "127.0.0.2:80", EndpointState::Ready, since_ms)),
-        Message::Endpoint(listed("s-2", "[fe80::1]:10080", EndpointState::Draining, 0)),
-        Message::Endpoint(listed("s-3", "127.0.0.1:0", EndpointState::Removed, 0)),
+        Message::Endpoint(endpoint("s-1", "127.0.0.2:80", EndpointState::Ready, since_ms)),
+        Message::Endpoint(endpoint("s-2", "[fe80::1]:10080", EndpointState::Draining, 0)),
+        Message::Endpoint(endpoint("s-3", "127.0.0.1:0", EndpointState::Removed, 0)),
         Message::Endpoint(Endpoint {
             zone: String::new(),
             machine_type: String::new(),
             cell: 1 << 53,
-            ..listed("", "0.0.0.0:1", EndpointState::Ready, 1)
+            ..endpoint("", "0.0.0.0:1", EndpointState::Ready, 1)
         }),
         Message::MaintenanceBegan { engine: "s-1".into() },
         Message::MaintenanceEnded { engine: "s-1".into(), end_ms: since_ms },
@@ -73,7 +71,7 @@
     ]
 }
 
-fn read_handover(line: &str) -> Result<Option<Message>, MessageError> {
+fn parse_handover(line: &str) -> Result<Option<Message>, MessageError> {
     let mut input = format!("{line}\n").into_bytes();
     let message = messages::read_next(&mut input);
     assert!(message.is_err() || input.is_empty(), "{line}");
@@ -81,15 +79,15 @@
 }
 
 #[test]
-fn handover_messages_are_read_as_recorded() {
+fn handover_messages_are_parsed_as_recorded() {
     assert_eq!(HANDOVER.lines().count(), handover_messages().len());
     for (line, message) in HANDOVER.lines().zip(handover_messages()) {
-        assert_eq!(read_handover(line), Ok(Some(message)), "{line}");
+        assert_eq!(parse_handover(line), Ok(Some(message)), "{line}");
     }
 }
 
 #[test]
-fn handover_messages_are_written_as_recorded() {
+fn handover_messages_are_encoded_as_recorded() {
     assert_eq!(HANDOVER.lines().count(), handover_messages().len());
     for (line, message) in HANDOVER.lines().zip(handover_messages()) {
         let mut written = Vec::new();
@@ -99,22 +97,28 @@
         assert!(!text.contains('\n'), "{text}");
         let json = |text: &str| serde_json::from_str::<Value>(text).unwrap();
         assert_eq!(json(text), json(line));
-        // The same bytes but for the order of members.
+        // The lines may differ only in the order of object members.
         assert_eq!(text.len(), line.len(), "{text} for {line}");
     }
 }
 
 #[test]
-fn earlier_and_other_handover_messages_are_read_as_before() {
+fn handover_messages_of_other_releases_are_parsed_or_rejected() {
     let end = |cancels| Message::EndOfState(PeerFeatures { cancel_requests: cancels, key_leases: false });
-    assert_eq!(read_handover("{\"end\":true}"), Ok(Some(end(false))));
-    assert_eq!(read_handover("{\"end\":true,\"cancels\":true}"), Ok(Some(end(true))));
-    assert_eq!(read_handover("{\"taking\":true}"), Ok(Some(Message::AcceptingClients { key_leases: false })));
-    let later = "{\"enter\":\"s-1\",\"why\":{\"more\":[1]}}";
-    assert_eq!(read_handover(later), Ok(Some(Message::MaintenanceBegan { engine: "s-1".into() })));
+    assert_eq!(parse_handover("{\"end\":true}"), Ok(Some(end(false))));
+    assert_eq!(parse_handover("{\"end\":true,\"cancels\":true}"), Ok(Some(end(true))));
+    assert_eq!(
+        parse_handover("{\"taking\":true}"),
+        Ok(Some(Message::AcceptingClients { key_leases: false }))
+    );
+    let with_unknown_member = "{\"enter\":\"s-1\",\"why\":{\"more\":[1]}}";
+    assert_eq!(
+        parse_handover(with_unknown_member),
+        Ok(Some(Message::MaintenanceBegan { engine: "s-1".into() }))
+    );
     let hello = "{\"hello\":\"n0\",\"listen\":\"127.0.0.1:1\",\"form\":2}";
-    assert_eq!(read_handover(hello), Err(MessageError::UnsupportedVersion(2)));
-    for foreign in [
+    assert_eq!(parse_handover(hello), Err(MessageError::UnsupportedVersion(2)));
+    for malformed in [
         "{}",
         "x",
         "{\"enter\":7}",
@@ -122,23 +126,23 @@
         "{\"settled\":true}",
         "{\"hello\":\"n0\",\"form\":1}",
     ] {
-        assert_eq!(read_handover(foreign), Err(MessageError::Malformed), "{foreign}");
+        assert_eq!(parse_handover(malformed), Err(MessageError::Malformed), "{malformed}");
     }
 }
 
-/// What the events of the file say, in its order.
+/// Events in the order of the recorded file.
 fn list_events() -> Vec<EndpointListEvent> {
-    let whole = [
-        listed("s-1", "10.0.0.1:10080", EndpointState::Ready, 0),
-        listed("s-2", "10.0.0.2:10080", EndpointState::Draining, 1_796_166_000_123),
+    let endpoints = [
+        endpoint("s-1", "10.0.0.1:10080", EndpointState::Ready, 0),
+        endpoint("s-2", "10.0.0.2:10080", EndpointState::Draining, 1_796_166_000_123),
     ];
-    let gone = Endpoint {
+    let removed = Endpoint {
         zone: String::new(),
         machine_type: String::new(),
         cell: 0,
-        ..listed("s-3", "127.0.0.1:0", EndpointState::Removed, 0)
+        ..endpoint("s-3", "127.0.0.1:0", EndpointState::Removed, 0)
     };
-    let unread = |name: Option<&str>, why: &str| UnreadableEntry {
+    let unreadable_entry = |name: Option<&str>, why: &str| UnreadableEntry {
         name: name.map(str::to_owned),
         error: why.to_owned(),
     };
@@ -148,22 +152,28 @@
         entries: entries.to_vec(),
         unreadable: Vec::new(),
     };
-    let bad = vec![
-        unread(Some("s-4"), "event.endpoints.endpoints[0].status: Ready, Terminating or Gone expected"),
-        unread(None, "event.endpoints.endpoints[2].status: a text expected"),
-        unread(Some("s-5"), "event.endpoints.endpoints[3].address: an address with a port expected"),
+    let unreadable_entries = vec![
+        unreadable_entry(
+            Some("s-4"),
+            "event.endpoints.endpoints[0].status: Ready, Terminating or Gone expected",
+        ),
+        unreadable_entry(None, "event.endpoints.endpoints[2].status: a text expected"),
+        unreadable_entry(
+            Some("s-5"),
+            "event.endpoints.endpoints[3].address: an address with a port expected",
+        ),
     ];
     vec![
-        event(41, true, &whole),
-        event(42, false, &[gone]),
+        event(41, true, &endpoints),
+        event(42, false, &[removed]),
         event(43, false, &[]),
         event(44, true, &[]),
-        EndpointListEvent { unreadable: bad, ..event(45, false, &whole[..1]) },
+        EndpointListEvent { unreadable: unreadable_entries, ..event(45, false, &endpoints[..1]) },
     ]
 }
 
 #[test]
-fn list_events_are_read_as_recorded() {
+fn list_events_are_parsed_as_recorded() {
     assert_eq!(LIST_EVENTS.lines().count(), list_events().len());
     for (line, event) in LIST_EVENTS.lines().zip(list_events()) {
         assert_eq!(parse_event(line).unwrap(), event, "{line}");
@@ -171,7 +181,7 @@
 }
 
 #[test]
-fn texts_that_were_no_list_events_are_none() {
+fn invalid_list_events_are_errors() {
     for (text, why) in [
         ("{}", "event.index: a number expected"),
         ("{\"index\":\"4\"}", "event.index: a number expected"),
@@ -182,7 +192,7 @@
     }
 }
 
-/// The recorded stream as HTTP has it, plain or in chunks.
+/// HTTP response with the recorded stream, plain or with chunked encoding.
 fn stream_bytes(chunked: bool) -> Vec<u8> {
     let head = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n";
     if !chunked {
@@ -194,24 +204,24 @@
 }
 
 #[test]
-fn a_recorded_stream_is_read_as_before() {
-    let sent = |id, data: &str| ServerSentEvent { id, data: data.to_owned() };
-    let wanted = [
-        sent(7, "{\"current\":3}"),
-        sent(0, "{\"current\":\n4}"),
-        sent(0, "no number"),
-        sent(9, "without a blank"),
+fn a_recorded_event_stream_is_parsed() {
+    let event = |id, data: &str| ServerSentEvent { id, data: data.to_owned() };
+    let expected = [
+        event(7, "{\"current\":3}"),
+        event(0, "{\"current\":\n4}"),
+        event(0, "no number"),
+        event(9, "without a blank"),
     ];
     for chunked in [false, true] {
         let (mut stream, mut input) = (EventStream::new(10_000), stream_bytes(chunked));
         stream.read(&mut input).unwrap();
         let events: Vec<ServerSentEvent> = std::iter::from_fn(|| stream.next_event()).collect();
-        assert_eq!(events, wanted, "chunked: {chunked}");
+        assert_eq!(events, expected, "chunked: {chunked}");
         assert_eq!(stream.lines(), 1 + STREAM.lines().count() as u64);
     }
 }
 
-/// The calls and answers that are written, in the order of the file.
+/// Encoded requests and responses in the order of the recorded file.
 fn written_calls() -> Vec<Vec<u8>> {
     let write = |with: &dyn Fn(&mut Vec<u8>)| {
         let mut out = Vec::new();
@@ -242,26 +252,26 @@
 }
 
 #[test]
-fn calls_and_answers_are_written_as_recorded() {
+fn requests_and_responses_are_encoded_as_recorded() {
     let lines: Vec<&str> = CALLS.lines().collect();
     assert_eq!(lines.len(), written_calls().len());
     for (line, written) in lines.iter().zip(written_calls()) {
-        // Line ends and the like stand in the file as Rust escapes them.
+        // The file holds line ends and other control characters as Rust escapes.
         assert_eq!(String::from_utf8(written).unwrap().escape_debug().to_string(), **line);
     }
 }
 
 #[test]
-fn a_report_s_answer_is_read_as_before() {
-    let answer = |text: &str| control_plane::read_report_response(text.as_bytes());
-    assert_eq!(answer("HTTP/1.1 204 No Content\r\nContent-Length: 0\r\n\r\n"), ReportResponse::Accepted);
-    assert_eq!(answer("HTTP/1.1 204 No Content\r\n"), ReportResponse::Incomplete);
-    assert_eq!(answer("HTTP/1.1 200 OK\r\n\r\n"), ReportResponse::Failed);
-    assert_eq!(answer("HTTP/1.1 409 Conflict\r\n\r\n"), ReportResponse::Failed);
+fn responses_to_reports_are_parsed() {
+    let parse = |text: &str| control_plane::read_report_response(text.as_bytes());
+    assert_eq!(parse("HTTP/1.1 204 No Content\r\nContent-Length: 0\r\n\r\n"), ReportResponse::Accepted);
+    assert_eq!(parse("HTTP/1.1 204 No Content\r\n"), ReportResponse::Incomplete);
+    assert_eq!(parse("HTTP/1.1 200 OK\r\n\r\n"), ReportResponse::Failed);
+    assert_eq!(parse("HTTP/1.1 409 Conflict\r\n\r\n"), ReportResponse::Failed);
 }
 
 #[test]
-fn calls_of_operators_are_read_as_before() {
+fn admin_requests_are_parsed() {
     let read = |line: &str| call::read(format!("{line} HTTP/1.1\r\nHost: g\r\n\r\n").as_bytes());
     assert_eq!(read("GET /status"), Ok(Some(AdminCall::Status)));
     assert_eq!(read("GET /status/metrics"), Ok(Some(AdminCall::Metrics)));
@@ -275,7 +285,7 @@
 }
 
 #[test]
-fn figures_for_operators_are_written_as_recorded() {
+fn metrics_are_written_as_recorded() {
     let mut metrics = Metrics::new(["lookup", "load", "lookup"]);
     metrics.class(ClassId(0)).attempts = 5;
     metrics.class(ClassId(1)).attempts = u64::MAX;
@@ -302,8 +312,8 @@
         Outcome::TimedOut,
         Outcome::NeverSent,
     ];
-    for (place, outcome) in outcomes.into_iter().enumerate() {
-        (0..=place).for_each(|_| counters.ended(outcome));
+    for (index, outcome) in outcomes.into_iter().enumerate() {
+        (0..=index).for_each(|_| counters.ended(outcome));
     }
     assert_eq!(format!("{counters}\n"), COUNTERS);
 }
