--- a/gateway/tests/common/control.rs
+++ b/gateway/tests/common/control.rs
@@ -19,8 +19,8 @@
     config["settings"].to_string()
 }
 
-/// The initial settings with a change to their JSON text, which must not be without effect.
-pub fn changed_settings(change: impl Fn(String) -> String) -> Document {
+/// The initial settings with a change to their JSON text. Panics if the change has no effect.
+pub fn settings(change: impl Fn(String) -> String) -> Document {
     let before = initial_settings();
     let after = change(before.clone());
     assert_ne!(before, after, "the change has no effect");
--- a/gateway/tests/common/discovery.rs
+++ b/gateway/tests/common/discovery.rs
@@ -8,7 +8,7 @@
 
 const STREAM_HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n";
 /// Time for which a silent stream stays open.
-const SILENCE: Duration = Duration::from_secs(60);
+const SILENT_STREAM_TIME: Duration = Duration::from_secs(60);
 
 /// A discovery service that serves the endpoint list.
 pub struct DiscoveryService {
@@ -38,7 +38,7 @@
             }
             match n {
                 0 => {}
-                1 => thread::sleep(SILENCE),
+                1 => thread::sleep(SILENT_STREAM_TIME),
                 _ => write_comments(stream),
             }
         })
--- a/gateway/tests/common/engine.rs
+++ b/gateway/tests/common/engine.rs
@@ -71,13 +71,13 @@
     pub name: String,
     pub http: SocketAddr,
     pub mysql: SocketAddr,
-    dead: Arc<AtomicBool>,
-    refuses: Arc<AtomicBool>,
+    is_killed: Arc<AtomicBool>,
+    is_refusing: Arc<AtomicBool>,
     streams: Arc<Mutex<Vec<TcpStream>>>,
     work_ms: Arc<AtomicU64>,
     is_unresponsive: Arc<AtomicBool>,
     response_faults: Arc<Mutex<VecDeque<ResponseFault>>>,
-    resets: Arc<AtomicU64>,
+    resets_left: Arc<AtomicU64>,
 }
 
 /// State of an engine that its connections share.
@@ -85,7 +85,7 @@
 pub struct EngineState {
     pub name: String,
     pub recorder: Recorder,
-    pub dead: Arc<AtomicBool>,
+    pub is_killed: Arc<AtomicBool>,
     is_unresponsive: Arc<AtomicBool>,
     response_faults: Arc<Mutex<VecDeque<ResponseFault>>>,
     work_ms: Arc<AtomicU64>,
@@ -96,42 +96,42 @@
     /// Sleeps for the duration of a query. Returns false if the engine was killed in the meantime.
     pub fn run_query(&self) -> bool {
         let done = Instant::now() + Duration::from_millis(self.work_ms.load(Ordering::SeqCst));
-        while !self.dead.load(Ordering::SeqCst) && Instant::now() < done {
+        while !self.is_killed.load(Ordering::SeqCst) && Instant::now() < done {
             let left = done.saturating_duration_since(Instant::now());
             thread::sleep(left.min(Duration::from_millis(10)));
         }
-        !self.dead.load(Ordering::SeqCst)
+        !self.is_killed.load(Ordering::SeqCst)
     }
 }
 
 impl Engine {
     pub fn start(name: &str, recorder: &Recorder, work_ms: u64) -> Self {
-        let dead = Arc::new(AtomicBool::new(false));
+        let is_killed = Arc::new(AtomicBool::new(false));
         let streams = Arc::new(Mutex::new(Vec::new()));
         let (work_ms, is_unresponsive) = (Arc::new(AtomicU64::new(work_ms)), Arc::<AtomicBool>::default());
         let response_faults = Arc::<Mutex<VecDeque<ResponseFault>>>::default();
         let state = EngineState {
             name: name.to_owned(),
             recorder: recorder.clone(),
-            dead: dead.clone(),
+            is_killed: is_killed.clone(),
             is_unresponsive: is_unresponsive.clone(),
             response_faults: response_faults.clone(),
             work_ms: work_ms.clone(),
             queries: Arc::default(),
         };
-        let (resets, refuses) = (Arc::<AtomicU64>::default(), Arc::<AtomicBool>::default());
+        let (resets_left, is_refusing) = (Arc::<AtomicU64>::default(), Arc::<AtomicBool>::default());
         let listen = |serve: fn(TcpStream, EngineState)| {
             let listener = TcpListener::bind("127.0.0.1:0").unwrap();
             let address = listener.local_addr().unwrap();
-            let (state, streams, resets) = (state.clone(), streams.clone(), resets.clone());
-            let refuses = refuses.clone();
+            let (state, streams, resets_left) = (state.clone(), streams.clone(), resets_left.clone());
+            let is_refusing = is_refusing.clone();
             thread::spawn(move || {
                 for stream in listener.incoming().flatten() {
-                    if state.dead.load(Ordering::SeqCst) || refuses.load(Ordering::SeqCst) {
+                    if state.is_killed.load(Ordering::SeqCst) || is_refusing.load(Ordering::SeqCst) {
                         return;
                     }
                     let one_less = |n: u64| n.checked_sub(1);
-                    if resets.fetch_update(Ordering::SeqCst, Ordering::SeqCst, one_less).is_ok() {
+                    if resets_left.fetch_update(Ordering::SeqCst, Ordering::SeqCst, one_less).is_ok() {
                         socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO)).unwrap();
                         continue;
                     }
@@ -148,13 +148,13 @@
             name: name.to_owned(),
             http,
             mysql,
-            dead,
-            refuses,
+            is_killed,
+            is_refusing,
             streams,
             work_ms,
             is_unresponsive,
             response_faults,
-            resets,
+            resets_left,
         }
     }
 
@@ -176,13 +176,13 @@
     }
 
     /// Applies one fault to each of the next HTTP responses.
-    pub fn inject_faults(&self, ways: &[ResponseFault]) {
-        self.response_faults.lock().unwrap().extend(ways);
+    pub fn inject_faults(&self, faults: &[ResponseFault]) {
+        self.response_faults.lock().unwrap().extend(faults);
     }
 
     /// Resets this number of new connections.
     pub fn reset_new_connections(&self, connections: u64) {
-        self.resets.store(connections, Ordering::SeqCst);
+        self.resets_left.store(connections, Ordering::SeqCst);
     }
 
     /// Closes all connections. Running queries continue.
@@ -194,7 +194,7 @@
 
     /// Refuses new connections, like a draining engine. Open connections and running queries continue.
     pub fn refuse_connections(&self) {
-        self.refuses.store(true, Ordering::SeqCst);
+        self.is_refusing.store(true, Ordering::SeqCst);
         for address in [self.http, self.mysql] {
             // The connection wakes up the listener thread, which then closes the listener.
             while TcpStream::connect(address).is_ok() {
@@ -203,9 +203,9 @@
         }
     }
 
-    /// Closes all connections and ends all queries, like a killed process.
+    /// Closes all connections and is_closed all queries, like a killed process.
     pub fn kill(&self) {
-        self.dead.store(true, Ordering::SeqCst);
+        self.is_killed.store(true, Ordering::SeqCst);
         self.refuse_connections();
         self.close_connections();
     }
@@ -257,8 +257,9 @@
             continue;
         }
         let fault = state.response_faults.lock().unwrap().pop_front();
-        let (bytes, ends) = fault.map_or((response.clone(), false), |fault| fault.apply(&response));
-        if state.dead.load(Ordering::SeqCst) || stream.write_all(bytes.as_bytes()).is_err() || ends {
+        let (bytes, is_closed) = fault.map_or((response.clone(), false), |fault| fault.apply(&response));
+        if state.is_killed.load(Ordering::SeqCst) || stream.write_all(bytes.as_bytes()).is_err() || is_closed
+        {
             return;
         }
     }
--- a/gateway/tests/common/gateway.rs
+++ b/gateway/tests/common/gateway.rs
@@ -11,15 +11,15 @@
 use super::Engine;
 
 /// A directory that is removed when the last process that uses it is dropped.
-struct Folder(std::path::PathBuf);
+struct TempDir(std::path::PathBuf);
 
-impl Drop for Folder {
+impl Drop for TempDir {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
-impl std::ops::Deref for Folder {
+impl std::ops::Deref for TempDir {
     type Target = std::path::Path;
 
     fn deref(&self) -> &Self::Target {
@@ -33,7 +33,7 @@
     pub pg: SocketAddr,
     pub mysql: Option<SocketAddr>,
     pub ops: Option<SocketAddr>,
-    folder: Arc<Folder>,
+    dir: Arc<TempDir>,
     log: Arc<Mutex<String>>,
 }
 
@@ -43,7 +43,7 @@
     word.1.parse().unwrap()
 }
 
-static FOLDERS: AtomicU64 = AtomicU64::new(0);
+static DIR_COUNT: AtomicU64 = AtomicU64::new(0);
 
 impl Gateway {
     /// Starts a gateway for these engines, with or without the MySQL front end.
@@ -64,8 +64,8 @@
         operator: &str,
         descriptors: Option<u32>,
     ) -> Self {
-        let folder = Self::folder(engines, mysql, coordinator, operator);
-        Self::launch(folder, ([127, 0, 0, 1], 0).into(), descriptors, false)
+        let dir = Self::create_dir(engines, mysql, coordinator, operator);
+        Self::launch(dir, ([127, 0, 0, 1], 0).into(), descriptors, false)
     }
 
     /// Starts a gateway for the engines of these JSON entries, with a changed configuration and debug logs.
@@ -76,63 +76,63 @@
         descriptors: Option<u32>,
         change: impl Fn(String) -> String,
     ) -> Self {
-        let folder = Self::endpoints_folder(entries, coordinator, operator, change);
-        Self::launch(folder, ([127, 0, 0, 1], 0).into(), descriptors, false)
+        let dir = Self::create_dir_with_endpoints(entries, coordinator, operator, change);
+        Self::launch(dir, ([127, 0, 0, 1], 0).into(), descriptors, false)
     }
 
     /// Starts a gateway for the engines of these JSON entries, with the admin interface and without a coordinator.
     pub fn with_endpoints_and_admin(entries: &str, change: impl Fn(String) -> String) -> Self {
-        let folder = Self::endpoints_folder(entries, None, "", change);
-        Self::launch(folder, ([127, 0, 0, 1], 0).into(), None, true)
+        let dir = Self::create_dir_with_endpoints(entries, None, "", change);
+        Self::launch(dir, ([127, 0, 0, 1], 0).into(), None, true)
     }
 
     /// Starts a gateway for the engines of these JSON entries that follows these control plane servers.
     pub fn with_control_plane(
         entries: &str,
-        machines: &[SocketAddr],
+        servers: &[SocketAddr],
         change: impl Fn(String) -> String,
     ) -> Self {
-        let list = machines.iter().map(|machine| format!("\"{machine}\"")).collect::<Vec<_>>().join(", ");
+        let list = servers.iter().map(|server| format!("\"{server}\"")).collect::<Vec<_>>().join(", ");
         let operator = format!("[control]\nmachines = [{list}]\n");
-        let folder = Self::endpoints_folder(entries, None, &operator, change);
-        Self::launch(folder, ([127, 0, 0, 1], 0).into(), None, true)
+        let dir = Self::create_dir_with_endpoints(entries, None, &operator, change);
+        Self::launch(dir, ([127, 0, 0, 1], 0).into(), None, true)
     }
 
-    fn endpoints_folder(
+    fn create_dir_with_endpoints(
         entries: &str,
         coordinator: Option<SocketAddr>,
         operator: &str,
         change: impl Fn(String) -> String,
-    ) -> Arc<Folder> {
-        let folder = Self::folder(&[], false, coordinator, operator);
-        let file = folder.join("config.json");
+    ) -> Arc<TempDir> {
+        let dir = Self::create_dir(&[], false, coordinator, operator);
+        let file = dir.join("config.json");
         let list = |text: String| text.replace("\"endpoints\":[]", &format!("\"endpoints\":[{entries}]"));
         std::fs::write(&file, change(list(std::fs::read_to_string(&file).unwrap()))).unwrap();
-        std::fs::write(folder.join("log-level"), "debug").unwrap();
-        folder
+        std::fs::write(dir.join("log-level"), "debug").unwrap();
+        dir
     }
 
     /// Directory of the configuration and the socket.
     pub fn path(&self) -> &std::path::Path {
-        &self.folder
+        &self.dir
     }
 
     /// Creates a directory with a configuration.
-    fn folder(
+    fn create_dir(
         engines: &[&Engine],
         mysql: bool,
         coordinator: Option<SocketAddr>,
         operator: &str,
-    ) -> Arc<Folder> {
-        let number = FOLDERS.fetch_add(1, Ordering::SeqCst);
-        let folder = std::env::temp_dir().join(format!("wrenhatch-{}-{number}", std::process::id()));
-        std::fs::create_dir_all(&folder).unwrap();
+    ) -> Arc<TempDir> {
+        let number = DIR_COUNT.fetch_add(1, Ordering::SeqCst);
+        let dir = std::env::temp_dir().join(format!("wrenhatch-{}-{number}", std::process::id()));
+        std::fs::create_dir_all(&dir).unwrap();
         let list = engines.iter().map(|e| e.entry("Ready")).collect::<Vec<_>>().join(",");
         let mut config = include_str!("config.json").replace("LIST", &list);
         if let Some(address) = coordinator {
             config = config.replace("\"known\":", &format!("\"coordinator\":\"{address}\",\"known\":"));
         }
-        std::fs::write(folder.join("config.json"), config).unwrap();
+        std::fs::write(dir.join("config.json"), config).unwrap();
         let mut operator = operator.to_owned();
         if mysql {
             operator += "\n[mysql]\nlisten = \"127.0.0.1:0\"\n\
@@ -142,51 +142,51 @@
                 operator += &format!("{} = \"{}\"\n", engine.name, engine.mysql);
             }
         }
-        std::fs::write(folder.join("operator.toml"), operator).unwrap();
-        Arc::new(Folder(folder))
+        std::fs::write(dir.join("operator.toml"), operator).unwrap();
+        Arc::new(TempDir(dir))
     }
 
     /// Starts a gateway for these engines with the MySQL front end and a changed configuration.
     pub fn start_changed(engines: &[&Engine], change: impl Fn(String) -> String) -> Self {
-        let folder = Self::folder(engines, true, None, "");
-        let file = folder.join("config.json");
+        let dir = Self::create_dir(engines, true, None, "");
+        let file = dir.join("config.json");
         std::fs::write(&file, change(std::fs::read_to_string(&file).unwrap())).unwrap();
-        Self::launch(folder, ([127, 0, 0, 1], 0).into(), None, false)
+        Self::launch(dir, ([127, 0, 0, 1], 0).into(), None, false)
     }
 
     /// Starts a gateway for these engines with the admin interface.
     pub fn start_with_admin(engines: &[&Engine]) -> Self {
-        Self::launch(Self::folder(engines, false, None, ""), ([127, 0, 0, 1], 0).into(), None, true)
+        Self::launch(Self::create_dir(engines, false, None, ""), ([127, 0, 0, 1], 0).into(), None, true)
     }
 
     /// Starts a process that replaces this one.
     pub fn successor(&self) -> Self {
-        Self::launch(self.folder.clone(), self.pg, None, true)
+        Self::launch(self.dir.clone(), self.pg, None, true)
     }
 
     /// Starts a process that waits for its configuration, which it reads from a pipe.
     pub fn spawn_waiting(entries: &str) -> WaitingGateway {
-        let folder = Self::folder(&[], false, None, "");
-        let file = folder.join("config.json");
+        let dir = Self::create_dir(&[], false, None, "");
+        let file = dir.join("config.json");
         let list = format!("\"endpoints\":[{entries}]");
         let config = std::fs::read_to_string(&file).unwrap().replace("\"endpoints\":[]", &list);
         std::fs::remove_file(&file).unwrap();
         assert!(Command::new("mkfifo").arg(&file).status().unwrap().success());
-        let child = Self::command(&folder, ([127, 0, 0, 1], 0).into(), None, false).spawn().unwrap();
+        let child = Self::command(&dir, ([127, 0, 0, 1], 0).into(), None, false).spawn().unwrap();
         // Opening the pipe blocks until the process opens it for reading.
         let pipe = std::fs::File::options().write(true).open(&file).unwrap();
         // A reload reads the configuration from a regular file.
         std::fs::remove_file(&file).unwrap();
         std::fs::write(&file, &config).unwrap();
-        WaitingGateway { child, pipe, config, folder }
+        WaitingGateway { child, pipe, config, dir }
     }
 
-    fn launch(folder: Arc<Folder>, listen: SocketAddr, descriptors: Option<u32>, admin: bool) -> Self {
-        let child = Self::command(&folder, listen, descriptors, admin).spawn().unwrap();
-        Self::serving(child, folder)
+    fn launch(dir: Arc<TempDir>, listen: SocketAddr, descriptors: Option<u32>, admin: bool) -> Self {
+        let child = Self::command(&dir, listen, descriptors, admin).spawn().unwrap();
+        Self::wait_until_serving(child, dir)
     }
 
-    fn command(folder: &Folder, listen: SocketAddr, descriptors: Option<u32>, admin: bool) -> Command {
+    fn command(dir: &TempDir, listen: SocketAddr, descriptors: Option<u32>, admin: bool) -> Command {
         let program = env!("CARGO_BIN_EXE_wrenhatch");
         let mut command = match descriptors {
             None => Command::new(program),
@@ -196,18 +196,18 @@
                 shell
             }
         };
-        command.arg("serve").env("LB_CONFIG", folder.join("config.json")).env("LB_NAME", "t");
-        command.env("TMPDIR", &**folder).env("LB_OPS", if admin { "127.0.0.1:0" } else { "" });
+        command.arg("serve").env("LB_CONFIG", dir.join("config.json")).env("LB_NAME", "t");
+        command.env("TMPDIR", &**dir).env("LB_OPS", if admin { "127.0.0.1:0" } else { "" });
         command.env("LB_LISTEN", listen.to_string()).stderr(Stdio::piped()).stdout(Stdio::null());
-        command.arg("--config").arg(folder.join("operator.toml"));
-        if let Ok(level) = std::fs::read_to_string(folder.join("log-level")) {
+        command.arg("--config").arg(dir.join("operator.toml"));
+        if let Ok(level) = std::fs::read_to_string(dir.join("log-level")) {
             command.arg("--log").arg(level);
         }
         command
     }
 
     /// Waits until the process is serving.
-    fn serving(mut child: Child, folder: Arc<Folder>) -> Self {
+    fn wait_until_serving(mut child: Child, dir: Arc<TempDir>) -> Self {
         let mut lines = BufReader::new(child.stderr.take().unwrap()).lines();
         let serving = lines
             .by_ref()
@@ -226,7 +226,7 @@
                 log_writer.lock().unwrap().push_str(&(line + "\n"));
             }
         });
-        Self { child, pg, mysql, ops, folder, log }
+        Self { child, pg, mysql, ops, dir, log }
     }
 
     /// Sends a request with this method and path to the admin interface. Returns the status and the body.
@@ -267,12 +267,12 @@
 
     /// Path of the socket for a replacing process.
     pub fn socket(&self) -> std::path::PathBuf {
-        self.folder.join("wrenhatch-t.sock")
+        self.dir.join("wrenhatch-t.sock")
     }
 
     /// Changes the configuration file and sends SIGHUP.
     pub fn reconfigure(&self, change: impl Fn(String) -> String) {
-        let file = self.folder.join("config.json");
+        let file = self.dir.join("config.json");
         std::fs::write(&file, change(std::fs::read_to_string(&file).unwrap())).unwrap();
         self.signal("-HUP");
     }
@@ -360,7 +360,7 @@
     child: Child,
     pipe: std::fs::File,
     config: String,
-    folder: Arc<Folder>,
+    dir: Arc<TempDir>,
 }
 
 impl WaitingGateway {
@@ -373,7 +373,7 @@
     pub fn configure(mut self) -> Gateway {
         self.pipe.write_all(self.config.as_bytes()).unwrap();
         drop(self.pipe);
-        Gateway::serving(self.child, self.folder)
+        Gateway::wait_until_serving(self.child, self.dir)
     }
 }
 
--- a/gateway/tests/common/mysql.rs
+++ b/gateway/tests/common/mysql.rs
@@ -227,7 +227,7 @@
             }
             _ => drop(write_packet(&mut stream, 1, &[0, 0, 0, 2, 0, 0, 0])),
         }
-        if state.dead.load(std::sync::atomic::Ordering::SeqCst) {
+        if state.is_killed.load(std::sync::atomic::Ordering::SeqCst) {
             return;
         }
     }
--- a/gateway/tests/common/scripted.rs
+++ b/gateway/tests/common/scripted.rs
@@ -40,8 +40,8 @@
 
     /// Fills the backlog, so that no further connection is established. Established connections stay open.
     pub fn fill_backlog(&mut self) {
-        // A backlog of 0 holds one connection. The kernel drops further SYN packets, which clients retransmit after 1
-        // s.
+        // A backlog of 0 holds one connection. The kernel drops further SYN packets, which are retransmitted after a
+        // second.
         self.backlog_fillers.push(TcpStream::connect(self.address).unwrap());
     }
 
@@ -167,6 +167,7 @@
         self.next_call().expect("the connection has ended without a request")
     }
 
+    /// Sends text. Panics if the gateway has closed the connection.
     pub fn send(&mut self, text: &str) {
         self.reader.get_mut().write_all(text.as_bytes()).unwrap();
     }
--- a/gateway/tests/configuration.rs
+++ b/gateway/tests/configuration.rs
@@ -6,9 +6,7 @@
 use std::thread;
 use std::time::Duration;
 
-use common::control::{
-    ControlPlaneServer, ControlPlaneStream, changed_settings, delta, initial_settings, snapshot,
-};
+use common::control::{ControlPlaneServer, ControlPlaneStream, delta, initial_settings, settings, snapshot};
 use common::held::HeldEngines;
 use common::requests::{assert_served, id, wait_admitted, wait_answered};
 use common::scripted::Peer;
@@ -91,7 +89,7 @@
     let mut client = send_request(&gateway, 1, "load", "");
     let mut wire = e1.accept();
     assert_eq!(wire.read_call().query_id(), id(1));
-    let pure = changed_settings(|text| text.replace("\"repeat\":\"side_effect\"", "\"repeat\":\"pure\""));
+    let pure = settings(|text| text.replace("\"repeat\":\"side_effect\"", "\"repeat\":\"pure\""));
     stream.send(&snapshot(1, &pure));
     server.expect_applied(1);
     watch.send_event(2, &e2.entry("Ready"));
@@ -113,10 +111,7 @@
     let (gateway, engines, server, mut stream) = controlled_gateway(|config| config);
     let mut before = send_request(&gateway, 1, "report", "");
     let attempt = engines.next_start(&id(1));
-    stream.send(&snapshot(
-        1,
-        &changed_settings(|text| text.replace("\"deadline-s\":20.0", "\"deadline-s\":0.4")),
-    ));
+    stream.send(&snapshot(1, &settings(|text| text.replace("\"deadline-s\":20.0", "\"deadline-s\":0.4"))));
     server.expect_applied(1);
     let mut after = send_request(&gateway, 2, "report", "");
     assert!(matches!(after.answer(), pg::Answer::Error(..)), "the deadline must have passed");
@@ -134,7 +129,7 @@
         let text = text.replace("\"max-open\":20000", "\"max-open\":1");
         text.replace("\"name\":\"acme\"", "\"name\":\"other\"")
     };
-    let narrow = changed_settings(change);
+    let narrow = settings(change);
     stream.send(&snapshot(1, &narrow));
     server.expect_applied(1);
     assert!(
@@ -142,7 +137,7 @@
         "one request is already open"
     );
     assert!(rejection(&gateway, &query(3, "report", ",t=acme")).contains("unknown tenant"));
-    let wide = changed_settings(|text| text.replace("\"name\":\"acme\"", "\"name\":\"other\""));
+    let wide = settings(|text| text.replace("\"name\":\"acme\"", "\"name\":\"other\""));
     stream.send(&delta((1, &narrow), (2, &wide)));
     server.expect_applied(2);
     let mut second = send_request(&gateway, 4, "report", ",t=other");
@@ -158,7 +153,7 @@
     let short = |config: String| config.replace("\"keepalive-s\":15.0", "\"keepalive-s\":0.5");
     let gateway = Gateway::with_control_plane(&engine.entry("Ready"), &[server.address], short);
     let mut stream = server.accept_stream();
-    let longer = changed_settings(|text| {
+    let longer = settings(|text| {
         let text = text.replace("\"keepalive-s\":15.0", "\"keepalive-s\":3600.0");
         text.replace("\"connect-timeout-s\":0.25", "\"connect-timeout-s\":3600.0")
     });
@@ -210,7 +205,7 @@
 #[test]
 fn a_version_in_force_stays_when_the_file_is_reloaded() {
     let (gateway, engines, server, mut stream) = controlled_gateway(|config| config);
-    let document = changed_settings(|text| text.replace("\"name\":\"report\"", "\"name\":\"digest\""));
+    let document = settings(|text| text.replace("\"name\":\"report\"", "\"name\":\"digest\""));
     stream.send(&snapshot(1, &document));
     server.expect_applied(1);
     gateway.signal("-HUP");
@@ -233,10 +228,7 @@
     let mut first = send_request(&gateway, 1, "report", "");
     let attempt = engines.next_start(&id(1));
     assert!(rejection(&gateway, &query(2, "digest", "")).contains("unknown class"));
-    stream.send(&snapshot(
-        1,
-        &changed_settings(|text| text.replace("\"name\":\"report\"", "\"name\":\"digest\"")),
-    ));
+    stream.send(&snapshot(1, &settings(|text| text.replace("\"name\":\"report\"", "\"name\":\"digest\""))));
     server.expect_applied(1);
     assert!(rejection(&gateway, &query(3, "report", "")).contains("unknown class"));
     let mut second = send_request(&gateway, 4, "digest", "");
@@ -250,11 +242,11 @@
 #[test]
 fn an_invalid_version_is_refused_as_a_whole_with_a_reason() {
     let (gateway, engines, server, mut stream) = controlled_gateway(|config| config);
-    let valid = changed_settings(|text| text.replace("\"max-attempts\":3", "\"max-attempts\":2"));
+    let valid = settings(|text| text.replace("\"max-attempts\":3", "\"max-attempts\":2"));
     stream.send(&snapshot(1, &valid));
     server.expect_applied(1);
     let invalid = |from: &str, to: &str| {
-        changed_settings(|text| text.replace("\"name\":\"report\"", "\"name\":\"digest\"").replace(from, to))
+        settings(|text| text.replace("\"name\":\"report\"", "\"name\":\"digest\"").replace(from, to))
     };
     let cases = [
         (invalid("\"locality\":\"z\"", "\"locality\":\"y\""), "own zone (locality) can't change"),
@@ -291,9 +283,8 @@
 #[test]
 fn old_and_duplicate_versions_are_ignored() {
     let (gateway, _engines, server, mut stream) = controlled_gateway(|config| config);
-    let named = |name: &str| {
-        changed_settings(|text| text.replace("\"name\":\"report\"", &format!("\"name\":\"{name}\"")))
-    };
+    let named =
+        |name: &str| settings(|text| text.replace("\"name\":\"report\"", &format!("\"name\":\"{name}\"")));
     let (third, fifth, sixth) = (named("third"), named("fifth"), named("sixth"));
     stream.send(&snapshot(5, &fifth));
     server.expect_applied(5);
@@ -317,9 +308,9 @@
 #[test]
 fn a_delta_that_cannot_be_applied_leads_to_a_snapshot() {
     let (gateway, _engines, server, mut stream) = controlled_gateway(|config| config);
-    let one = changed_settings(|text| text.replace("\"max-attempts\":3", "\"max-attempts\":1"));
-    let two = changed_settings(|text| text.replace("\"max-attempts\":3", "\"max-attempts\":2"));
-    let few = changed_settings(|text| text.replace("\"max-open\":20000", "\"max-open\":5"));
+    let one = settings(|text| text.replace("\"max-attempts\":3", "\"max-attempts\":1"));
+    let two = settings(|text| text.replace("\"max-attempts\":3", "\"max-attempts\":2"));
+    let few = settings(|text| text.replace("\"max-open\":20000", "\"max-open\":5"));
     stream.send(&snapshot(1, &one));
     server.expect_applied(1);
     // The gateway does not have the base version.
@@ -343,7 +334,7 @@
     let addresses = [servers[0].address, servers[1].address];
     let gateway = Gateway::with_control_plane(&engines.entries, &addresses, |config| config);
     let (first, second) = if servers[0].is_contacted_before(&servers[1]) { (0, 1) } else { (1, 0) };
-    let document = changed_settings(|text| text.replace("\"name\":\"report\"", "\"name\":\"digest\""));
+    let document = settings(|text| text.replace("\"name\":\"report\"", "\"name\":\"digest\""));
     let message = format!("data: {}\n\n", snapshot(1, &document));
     let mut stream = servers[first].accept_stream();
     stream.connection.send(&message[..message.len() / 2]);
@@ -361,7 +352,7 @@
 #[test]
 fn a_partial_message_is_discarded_and_a_message_can_arrive_byte_by_byte() {
     let (gateway, engines, server, mut stream) = controlled_gateway(|config| config);
-    let document = changed_settings(|text| text.replace("\"name\":\"report\"", "\"name\":\"digest\""));
+    let document = settings(|text| text.replace("\"name\":\"report\"", "\"name\":\"digest\""));
     let message = format!("id: 1\r\ndata: {}\r\n\r\n", snapshot(1, &document));
     // The connection is reset at evenly spaced positions. The heartbeat before keeps the reconnect backoff short.
     let pieces = 16;
@@ -386,10 +377,7 @@
 fn a_rejected_report_is_retried() {
     let (_gateway, _engines, server, mut stream) = controlled_gateway(|config| config);
     server.reject_reports(2);
-    stream.send(&snapshot(
-        1,
-        &changed_settings(|text| text.replace("\"max-attempts\":3", "\"max-attempts\":2")),
-    ));
+    stream.send(&snapshot(1, &settings(|text| text.replace("\"max-attempts\":3", "\"max-attempts\":2"))));
     server.expect_applied(1);
 }
 
@@ -431,7 +419,7 @@
     let (gateway, engines, server, mut stream) = controlled_gateway(|config| config);
     let _client = send_request(&gateway, 1, "load", "");
     let attempt = engines.next_start(&id(1));
-    let document = changed_settings(|text| text.replace("\"name\":\"report\"", "\"name\":\"digest\""));
+    let document = settings(|text| text.replace("\"name\":\"report\"", "\"name\":\"digest\""));
     let message = snapshot(1, &document);
     gateway.while_paused(|| {
         stream.send(&message);
@@ -452,7 +440,7 @@
 #[test]
 fn both_processes_of_a_replacement_follow_until_the_predecessor_shuts_down() {
     let (gateway, engines, server, mut stream) = controlled_gateway(|config| config);
-    let document = changed_settings(|text| text.replace("\"name\":\"report\"", "\"name\":\"digest\""));
+    let document = settings(|text| text.replace("\"name\":\"report\"", "\"name\":\"digest\""));
     stream.send(&snapshot(1, &document));
     server.expect_applied(1);
     let mut client = send_request(&gateway, 1, "digest", "");
@@ -476,7 +464,7 @@
     let (gateway, engines, server, mut stream) = controlled_gateway(keeps_order);
     let document = |n: u64| -> Document {
         let deadline = format!("\"deadline-s\":{}.0", 20 + n % 5);
-        changed_settings(|text| {
+        settings(|text| {
             keeps_order(text)
                 .replace("\"deadline-s\":25.0", &deadline)
                 .replace("\"max-attempts\":3", "\"max-attempts\":4")
