--- a/gateway/tests/common/engine.rs
+++ b/gateway/tests/common/engine.rs
@@ -203,7 +203,7 @@
         }
     }
 
-    /// Closes all connections and is_closed all queries, like a killed process.
+    /// Closes all connections and ends all queries, like a killed process.
     pub fn kill(&self) {
         self.is_killed.store(true, Ordering::SeqCst);
         self.refuse_connections();
