--- a/configuration/src/message.rs
+++ b/configuration/src/message.rs
@@ -32,7 +32,7 @@
     },
 }
 
-/// The contents of a message are invalid. The text becomes the reason of a refused version.
+/// The contents of a message are invalid. For a snapshot, the error text is the reason of the refused version.
 #[derive(Debug, thiserror::Error)]
 pub enum VerifyError {
     /// The document of the message, or the result of the delta, is not valid.
--- a/configuration/src/publisher.rs
+++ b/configuration/src/publisher.rs
@@ -237,8 +237,7 @@
         }
     }
 
-    /// Gateways that can be sent a version now, each with the version to send, in order of the time since the last
-    /// message.
+    /// Gateways that can be sent a version now, least recently served first, each with the version to send.
     fn ready(&self, now_us: u64) -> Vec<(GatewayId, Version)> {
         let mut ready = Vec::new();
         for (gateway, gateway_state) in &self.gateways {
--- a/configuration/src/subscriber.rs
+++ b/configuration/src/subscriber.rs
@@ -127,8 +127,8 @@
         Report::Applied { version: self.in_force.version }
     }
 
-    /// Records that the gateway could not apply a version. Returns the report to send until the control plane accepts
-    /// it.
+    /// Records that the gateway failed to apply a version. Returns the report to send until the control plane
+    /// accepts it.
     pub fn on_refused(&mut self, version: Version, error: &impl fmt::Display) -> Report {
         let Some(refused) = self.take_pending(version) else {
             return Report::Applied { version: self.in_force.version };
--- a/configuration/src/version.rs
+++ b/configuration/src/version.rs
@@ -12,7 +12,7 @@
 pub struct Version(pub u64);
 
 impl Version {
-    /// Version of a gateway that uses the settings of its own file.
+    /// No published version: a gateway uses the settings of its own file.
     pub const NONE: Self = Self(0);
 }
 
--- a/configuration/tests/model.rs
+++ b/configuration/tests/model.rs
@@ -29,7 +29,7 @@
     Merge { from: usize, to: usize, version: Version, document: Document },
 }
 
-/// A version that a gateway is applying. It is in force from `at_us` on.
+/// A version that a gateway is applying. The result is available at `at_us`.
 struct Applying {
     at_us: u64,
     version: Version,
@@ -278,7 +278,7 @@
         }
     }
 
-    /// Sends a packet. Faults can drop, duplicate, delay or reorder packets_sent.
+    /// Sends a packet. Faults can drop, duplicate, delay or reorder packets.
     fn send(&mut self, packet: Packet) {
         let is_lost = self.is_partitioned(&packet) || self.is_faulty && self.random.chance(8);
         let copies = if is_lost { 0 } else { 1 + usize::from(self.is_faulty && self.random.chance(10)) };
@@ -296,8 +296,8 @@
         for packet in due.into_values() {
             match packet {
                 Packet::Message { gateway, server, stream, text } => {
-                    // Late messages can belong to an older stream. Delivering them is a stronger fault than TCP
-                    // allows.
+                    // Late messages can belong to an older stream. Unlike TCP, the
+                    // simulated network can still deliver them.
                     let is_stray = self.gateways[gateway].stream != Some((server, stream));
                     if !is_stray || self.is_faulty && self.random.chance(30) {
                         self.on_message(gateway, &text);
--- a/gateway/tests/common/pg.rs
+++ b/gateway/tests/common/pg.rs
@@ -109,7 +109,7 @@
         }
     }
 
-    /// SQLSTATE with which the gateway results the connection, or `None` if it is closed without an error.
+    /// SQLSTATE with which the gateway ends the connection, or `None` if it is closed without an error.
     pub fn into_error_code(mut self) -> Option<String> {
         let (kind, body) = self.try_message()?;
         (kind == b'E').then(|| error(&body).0)
--- a/gateway/tests/configuration.rs
+++ b/gateway/tests/configuration.rs
@@ -13,14 +13,14 @@
 use common::{Gateway, pg};
 use wrenhatch_configuration::{Document, Report, Version};
 
-fn query(n: u64, class: &str, more: &str) -> String {
-    format!("/* c={class},i={},d=20000{more} */ SELECT v FROM sales_17.orders", id(n))
+fn query(n: u64, class: &str, extra_fields: &str) -> String {
+    format!("/* c={class},i={},d=20000{extra_fields} */ SELECT v FROM sales_17.orders", id(n))
 }
 
 /// Sends a request and waits until it is admitted.
-fn send_request(gateway: &Gateway, n: u64, class: &str, more: &str) -> pg::Client {
+fn send_request(gateway: &Gateway, n: u64, class: &str, extra_fields: &str) -> pg::Client {
     let mut client = pg::Client::connect(gateway.pg);
-    client.send(&query(n, class, more));
+    client.send(&query(n, class, extra_fields));
     wait_admitted(gateway, n);
     client
 }
@@ -44,7 +44,7 @@
 }
 
 /// Starts a gateway for two engines that follows one control plane server.
-fn controlled_gateway(
+fn gateway_with_control_plane(
     change: impl Fn(String) -> String,
 ) -> (Gateway, HeldEngines, ControlPlaneServer, ControlPlaneStream) {
     let (engines, server) = (HeldEngines::start(&["e1", "e2"]), ControlPlaneServer::start());
@@ -56,7 +56,7 @@
 
 #[test]
 fn a_class_that_becomes_unordered_keeps_the_order_of_earlier_requests() {
-    let (gateway, engines, server, mut stream) = controlled_gateway(keeps_order);
+    let (gateway, engines, server, mut stream) = gateway_with_control_plane(keeps_order);
     let mut first = send_request(&gateway, 1, "load", ",o=k");
     let first_attempt = engines.next_start(&id(1));
     let mut second = send_request(&gateway, 2, "load", ",o=k");
@@ -87,28 +87,28 @@
     watch.send_stream_head();
     let mut stream = server.accept_stream();
     let mut client = send_request(&gateway, 1, "load", "");
-    let mut wire = e1.accept();
-    assert_eq!(wire.read_call().query_id(), id(1));
+    let mut connection = e1.accept();
+    assert_eq!(connection.read_call().query_id(), id(1));
     let pure = settings(|text| text.replace("\"repeat\":\"side_effect\"", "\"repeat\":\"pure\""));
     stream.send(&snapshot(1, &pure));
     server.expect_applied(1);
     watch.send_event(2, &e2.entry("Ready"));
     gateway.wait_for_log("name=\"e2\" state=Ready");
     drop(e1);
-    wire.reset();
+    connection.reset();
     assert!(matches!(client.answer(), pg::Answer::Error(code, _) if !code.starts_with("53")));
     assert!(e2.has_no_pending_connection(), "an attempt that may have run must not be retried");
     // A later request can be retried, which shows that the change is in force.
     let mut client = send_request(&gateway, 2, "load", "");
-    let mut wire = e2.accept();
-    assert_eq!(wire.read_call().query_id(), id(2));
-    wire.send_row(&id(2));
+    let mut connection = e2.accept();
+    assert_eq!(connection.read_call().query_id(), id(2));
+    connection.send_row(&id(2));
     assert_served(&mut client, 2);
 }
 
 #[test]
 fn a_shorter_deadline_applies_only_to_new_requests() {
-    let (gateway, engines, server, mut stream) = controlled_gateway(|config| config);
+    let (gateway, engines, server, mut stream) = gateway_with_control_plane(|config| config);
     let mut before = send_request(&gateway, 1, "report", "");
     let attempt = engines.next_start(&id(1));
     stream.send(&snapshot(1, &settings(|text| text.replace("\"deadline-s\":20.0", "\"deadline-s\":0.4"))));
@@ -122,7 +122,7 @@
 
 #[test]
 fn changed_limits_and_tenants_apply_immediately() {
-    let (gateway, engines, server, mut stream) = controlled_gateway(|config| config);
+    let (gateway, engines, server, mut stream) = gateway_with_control_plane(|config| config);
     let mut first = send_request(&gateway, 1, "report", ",t=acme");
     let attempt = engines.next_start(&id(1));
     let change = |text: String| {
@@ -170,14 +170,14 @@
     let engine = Peer::new("e1");
     let (gateway, _server, _stream) = gateway_with_longer_timeouts(&engine);
     let mut first = send_request(&gateway, 1, "report", "");
-    let mut wire = engine.accept();
-    assert_eq!(wire.read_call().query_id(), id(1));
-    wire.send_row(&id(1));
+    let mut connection = engine.accept();
+    assert_eq!(connection.read_call().query_id(), id(1));
+    connection.send_row(&id(1));
     assert_served(&mut first, 1);
     thread::sleep(LONGER_THAN_TIMEOUTS);
     let mut second = send_request(&gateway, 2, "report", "");
-    assert_eq!(wire.read_call().query_id(), id(2), "the connection must be reused");
-    wire.send_row(&id(2));
+    assert_eq!(connection.read_call().query_id(), id(2), "the connection must be reused");
+    connection.send_row(&id(2));
     assert_served(&mut second, 2);
     assert!(engine.has_no_pending_connection());
 }
@@ -190,9 +190,9 @@
     let mut client = send_request(&gateway, 1, "load", "");
     thread::sleep(LONGER_THAN_TIMEOUTS);
     engine.drain_backlog();
-    let mut wire = engine.accept();
-    assert_eq!(wire.read_call().query_id(), id(1));
-    wire.send_row(&id(1));
+    let mut connection = engine.accept();
+    assert_eq!(connection.read_call().query_id(), id(1));
+    connection.send_row(&id(1));
     assert_served(&mut client, 1);
     wait_answered(&gateway, 1);
     assert_eq!(
@@ -204,7 +204,7 @@
 
 #[test]
 fn a_version_in_force_stays_when_the_file_is_reloaded() {
-    let (gateway, engines, server, mut stream) = controlled_gateway(|config| config);
+    let (gateway, engines, server, mut stream) = gateway_with_control_plane(|config| config);
     let document = settings(|text| text.replace("\"name\":\"report\"", "\"name\":\"digest\""));
     stream.send(&snapshot(1, &document));
     server.expect_applied(1);
@@ -224,7 +224,7 @@
 
 #[test]
 fn removed_classes_are_rejected_and_added_ones_accepted_for_new_requests() {
-    let (gateway, engines, server, mut stream) = controlled_gateway(|config| config);
+    let (gateway, engines, server, mut stream) = gateway_with_control_plane(|config| config);
     let mut first = send_request(&gateway, 1, "report", "");
     let attempt = engines.next_start(&id(1));
     assert!(rejection(&gateway, &query(2, "digest", "")).contains("unknown class"));
@@ -241,7 +241,7 @@
 
 #[test]
 fn an_invalid_version_is_refused_as_a_whole_with_a_reason() {
-    let (gateway, engines, server, mut stream) = controlled_gateway(|config| config);
+    let (gateway, engines, server, mut stream) = gateway_with_control_plane(|config| config);
     let valid = settings(|text| text.replace("\"max-attempts\":3", "\"max-attempts\":2"));
     stream.send(&snapshot(1, &valid));
     server.expect_applied(1);
@@ -282,7 +282,7 @@
 
 #[test]
 fn old_and_duplicate_versions_are_ignored() {
-    let (gateway, _engines, server, mut stream) = controlled_gateway(|config| config);
+    let (gateway, _engines, server, mut stream) = gateway_with_control_plane(|config| config);
     let named =
         |name: &str| settings(|text| text.replace("\"name\":\"report\"", &format!("\"name\":\"{name}\"")));
     let (third, fifth, sixth) = (named("third"), named("fifth"), named("sixth"));
@@ -307,7 +307,7 @@
 
 #[test]
 fn a_delta_that_cannot_be_applied_leads_to_a_snapshot() {
-    let (gateway, _engines, server, mut stream) = controlled_gateway(|config| config);
+    let (gateway, _engines, server, mut stream) = gateway_with_control_plane(|config| config);
     let one = settings(|text| text.replace("\"max-attempts\":3", "\"max-attempts\":1"));
     let two = settings(|text| text.replace("\"max-attempts\":3", "\"max-attempts\":2"));
     let few = settings(|text| text.replace("\"max-open\":20000", "\"max-open\":5"));
@@ -351,7 +351,7 @@
 
 #[test]
 fn a_partial_message_is_discarded_and_a_message_can_arrive_byte_by_byte() {
-    let (gateway, engines, server, mut stream) = controlled_gateway(|config| config);
+    let (gateway, engines, server, mut stream) = gateway_with_control_plane(|config| config);
     let document = settings(|text| text.replace("\"name\":\"report\"", "\"name\":\"digest\""));
     let message = format!("id: 1\r\ndata: {}\r\n\r\n", snapshot(1, &document));
     // The connection is reset at evenly spaced positions. The heartbeat before keeps the reconnect backoff short.
@@ -375,7 +375,7 @@
 
 #[test]
 fn a_rejected_report_is_retried() {
-    let (_gateway, _engines, server, mut stream) = controlled_gateway(|config| config);
+    let (_gateway, _engines, server, mut stream) = gateway_with_control_plane(|config| config);
     server.reject_reports(2);
     stream.send(&snapshot(1, &settings(|text| text.replace("\"max-attempts\":3", "\"max-attempts\":2"))));
     server.expect_applied(1);
@@ -398,7 +398,7 @@
 
 #[test]
 fn garbage_in_the_stream_is_ignored_and_leads_to_a_new_stream() {
-    let (gateway, _engines, server, mut stream) = controlled_gateway(|config| config);
+    let (gateway, _engines, server, mut stream) = gateway_with_control_plane(|config| config);
     let long = "x".repeat(100_000);
     for garbage in
         ["data: {\"snapshot\":7}\n\n", "data: nothing\n\n", "data: {}\n\n", &format!("data: {long}\n\n")]
@@ -416,7 +416,7 @@
 
 #[test]
 fn a_gateway_killed_while_it_applies_a_version_gets_it_again_and_retries_nothing() {
-    let (gateway, engines, server, mut stream) = controlled_gateway(|config| config);
+    let (gateway, engines, server, mut stream) = gateway_with_control_plane(|config| config);
     let _client = send_request(&gateway, 1, "load", "");
     let attempt = engines.next_start(&id(1));
     let document = settings(|text| text.replace("\"name\":\"report\"", "\"name\":\"digest\""));
@@ -439,7 +439,7 @@
 
 #[test]
 fn both_processes_of_a_replacement_follow_until_the_predecessor_shuts_down() {
-    let (gateway, engines, server, mut stream) = controlled_gateway(|config| config);
+    let (gateway, engines, server, mut stream) = gateway_with_control_plane(|config| config);
     let document = settings(|text| text.replace("\"name\":\"report\"", "\"name\":\"digest\""));
     stream.send(&snapshot(1, &document));
     server.expect_applied(1);
@@ -461,7 +461,7 @@
 
 #[test]
 fn requests_in_flight_are_served_once_during_many_changes() {
-    let (gateway, engines, server, mut stream) = controlled_gateway(keeps_order);
+    let (gateway, engines, server, mut stream) = gateway_with_control_plane(keeps_order);
     let document = |n: u64| -> Document {
         let deadline = format!("\"deadline-s\":{}.0", 20 + n % 5);
         settings(|text| {
--- a/gateway/tests/idle.rs
+++ b/gateway/tests/idle.rs
@@ -10,7 +10,7 @@
 
 use common::{Engine, Gateway, Recorder, mysql, pg};
 
-fn text(class: &str, id: u64) -> String {
+fn statement(class: &str, id: u64) -> String {
     format!("/* c={class},i={id:016x},d=20000,h=20 */ SELECT v FROM a_1.b")
 }
 
@@ -28,12 +28,12 @@
 }
 
 /// Starts a gateway that admits more sessions than its file descriptors would allow by default.
-fn gateway_with_many_sessions(engines: &[&Engine], more: &str) -> Gateway {
+fn gateway_with_many_sessions(engines: &[&Engine], extra_settings: &str) -> Gateway {
     Gateway::start_with_options(
         engines,
         false,
         None,
-        &format!("[clients]\nmost_sessions = 180\n{more}"),
+        &format!("[clients]\nmost_sessions = 180\n{extra_settings}"),
         None,
     )
 }
@@ -46,7 +46,7 @@
     let mut suspended = connect_idle(&gateway, 120);
     // One request stays open during all rounds.
     let mut open = pg::Client::connect(gateway.pg);
-    open.send(&text("report", 1));
+    open.send(&statement("report", 1));
     while seen.query_count() == 0 {
         thread::sleep(Duration::from_millis(1));
     }
@@ -60,7 +60,7 @@
                 if stop.load(Ordering::SeqCst) {
                     return served;
                 }
-                served += usize::from(is_served(&client.query(&text("lookup", 0xa000 + n))));
+                served += usize::from(is_served(&client.query(&statement("lookup", 0xa000 + n))));
             }
             served
         }
@@ -69,7 +69,7 @@
         let old = suspended.split_off(108);
         for (n, client) in suspended.iter_mut().take(60).enumerate() {
             let id = 0x10_0000 + round * 1000 + n as u64;
-            client.send(&if n % 2 == 0 { text("lookup", id) } else { ";".to_owned() });
+            client.send(&if n % 2 == 0 { statement("lookup", id) } else { ";".to_owned() });
         }
         let reconnected = connect_idle(&gateway, 12);
         drop(old);
@@ -95,7 +95,7 @@
     let mut old = connect_idle(&gateway, gateway.max_clients());
     let mut new = connect_idle(&gateway, gateway.max_clients());
     for (n, client) in new.iter_mut().enumerate() {
-        assert!(is_served(&client.query(&text("lookup", n as u64))));
+        assert!(is_served(&client.query(&statement("lookup", n as u64))));
     }
     assert!(old.iter_mut().all(pg::Client::is_closed), "each old session must be evicted");
     let (_, log) = gateway.end();
@@ -108,8 +108,7 @@
     let engine = Engine::start("e1", &seen, 1);
     let gateway = gateway_with_many_sessions(&[&engine], "");
     let mut suspended = connect_idle(&gateway, 120);
-    // The connections exceed the limit of sessions and are opened faster than silent clients can be told from slow
-    // ones.
+    // The connections exceed the limit of sessions and are opened before silent clients can be told from slow ones.
     let silent: Vec<_> = (0..500)
         .map(|_| {
             thread::sleep(Duration::from_micros(500));
@@ -118,7 +117,7 @@
         .collect();
     for (n, client) in suspended.iter_mut().enumerate() {
         assert!(
-            is_served(&client.query(&text("lookup", n as u64))),
+            is_served(&client.query(&statement("lookup", n as u64))),
             "a suspended session must not be evicted"
         );
     }
@@ -163,7 +162,7 @@
     });
     let mut client = pg::Client::connect(gateway.pg);
     for n in 0..50 {
-        assert!(is_served(&client.query(&text("lookup", n))));
+        assert!(is_served(&client.query(&statement("lookup", n))));
     }
     let mut flood = flood;
     for _ in 0..count {
@@ -182,10 +181,10 @@
     let gateway = Gateway::start(&[&engine], false);
     let mut client = pg::Client::connect(gateway.pg);
     for n in 0..300 {
-        client.send(&text("lookup", n));
+        client.send(&statement("lookup", n));
     }
     let mut other = pg::Client::connect(gateway.pg);
-    assert!(is_served(&other.query(&text("lookup", 999))));
+    assert!(is_served(&other.query(&statement("lookup", 999))));
     for _ in 0..300 {
         assert!(is_served(&client.answer()));
     }
@@ -204,7 +203,7 @@
     for n in 0..70 {
         let mut client = pg::Client::connect(gateway.pg);
         assert!(
-            n >= 10 || is_served(&client.query(&text("lookup", n))),
+            n >= 10 || is_served(&client.query(&statement("lookup", n))),
             "descriptors for engine connections must be free at first"
         );
         clients.push(client);
@@ -224,14 +223,13 @@
     let mut busy = Vec::new();
     for n in 0..20 {
         let mut client = pg::Client::connect(gateway.pg);
-        client.send(&text("report", n));
+        client.send(&statement("report", n));
         busy.push(client);
     }
     while seen.query_count() == 0 {
         thread::sleep(Duration::from_millis(1));
     }
-    // New silent connections use the remaining descriptors, because they are not evicted before their startup
-    // timeout.
+    // New silent connections use the remaining descriptors and are not evicted before their startup timeout.
     let began = Instant::now();
     let mut rejected = 0;
     while rejected == 0 {
@@ -283,13 +281,13 @@
         Gateway::start_with_options(&[&engine], true, None, "[clients]\nmost_sessions = 180\n", None);
     let mut first = mysql::Client::connect(gateway.mysql());
     let (handle, _) = first.prepare("/* c=lookup,h=20 */ SELECT v FROM a_1.b WHERE c = ?").unwrap();
-    // Of the 192 MB of the process, an eighth is for prepared statements, which is less than the statements below
-    // need.
-    let statement = |n| format!("/* c=lookup,h=20 */ SELECT '{}' FROM a_1.b WHERE c = ?", "x".repeat(n));
+    // An eighth of the 192 MB of the process is for prepared statements, less than the statements below need.
+    let large_statement =
+        |n| format!("/* c=lookup,h=20 */ SELECT '{}' FROM a_1.b WHERE c = ?", "x".repeat(n));
     let (mut others, mut rejected) = (Vec::new(), 0);
     for _ in 0..170 {
         let mut client = mysql::Client::connect(gateway.mysql());
-        for text in [statement(120_000), statement(60_000)] {
+        for text in [large_statement(120_000), large_statement(60_000)] {
             match client.prepare(&text) {
                 Ok(_) => {}
                 Err(mysql::Answer::Error(code, ..)) => {
@@ -334,13 +332,13 @@
     let mut clients = connect_idle(&gateway, 4);
     let mut units: Vec<_> = (0..4).map(|_| mysql::Client::connect(gateway.mysql())).collect();
     for n in 0..200 {
-        assert!(is_served(&clients[n as usize % 4].query(&text("lookup", n))));
+        assert!(is_served(&clients[n as usize % 4].query(&statement("lookup", n))));
         assert_eq!(clients[n as usize % 4].query("SELECT 1 without fields"), clients[0].query("SELECT 1 x"));
         units[n as usize % 4].query("/* c=lookup,h=20 */ SELECT v FROM a_1.b", &[]);
     }
     // One request is open, and another client disconnects with an incomplete message.
     engine.set_work_ms(1000);
-    clients[0].send(&text("lookup", 1000));
+    clients[0].send(&statement("lookup", 1000));
     clients[1].send_raw(b"Q\0\0\x10\0half");
     thread::sleep(Duration::from_millis(100));
     clients.truncate(1);
--- a/gateway/tests/operation.rs
+++ b/gateway/tests/operation.rs
@@ -12,7 +12,7 @@
 
 use common::{Engine, Gateway, Recorder, pg};
 
-fn text(class: &str, number: u64) -> String {
+fn statement(class: &str, number: u64) -> String {
     format!("/* c={class},i={number:016x},d=2500,t=acme,h=20.0,mem=96 */ SELECT v FROM sales_17.orders")
 }
 
@@ -20,7 +20,7 @@
 fn query_until_served(client: &mut pg::Client, class: &str, from: u64, served: u64) -> (u64, u64) {
     let (mut served_count, mut refused, mut failed) = (0, 0, 0);
     for number in from.. {
-        match client.query(&text(class, number)) {
+        match client.query(&statement(class, number)) {
             pg::Answer::Rows(_) => served_count += 1,
             pg::Answer::Error(code, _) if code.starts_with("53") => refused += 1,
             _ => failed += 1,
@@ -63,7 +63,10 @@
         assert_eq!(gateway.call(line).0, status, "{line}");
     }
     let mut client = pg::Client::connect(gateway.pg);
-    assert!(matches!(client.query(&text("lookup", 1)), pg::Answer::Rows(_)), "clients must not be affected");
+    assert!(
+        matches!(client.query(&statement("lookup", 1)), pg::Answer::Rows(_)),
+        "clients must not be affected"
+    );
     drop(incomplete);
     assert_eq!(gateway.end().0, Some(0));
 }
@@ -87,7 +90,7 @@
     let mut in_flight = pg::Client::connect(gateway.pg);
     engines.iter().for_each(|e| e.set_work_ms(60_000));
     let seen_before = seen.query_count() as u64;
-    in_flight.send(&text("report", 9_000));
+    in_flight.send(&statement("report", 9_000));
     let began = Instant::now();
     let attempts =
         || ["lookup", "report", "load"].map(|c| gateway.metric(&format!("attempts.{c}"))).iter().sum::<u64>();
@@ -148,7 +151,7 @@
             if stop.load(Ordering::SeqCst) {
                 return (served, others);
             }
-            match pg::Client::connect(to).query(&text("lookup", number)) {
+            match pg::Client::connect(to).query(&statement("lookup", number)) {
                 pg::Answer::Rows(_) => served += 1,
                 other => others.push(format!("{other:?}")),
             }
@@ -170,7 +173,7 @@
     let mut long = pg::Client::connect(gateway.pg);
     for round in 0..3 {
         engines.iter().for_each(|e| e.set_work_ms(300));
-        long.send(&text("load", round));
+        long.send(&statement("load", round));
         let began = Instant::now();
         while seen.engines_of(&format!("{round:016x}")).is_empty() {
             assert!(began.elapsed() < Duration::from_secs(30), "the load must be in flight");
@@ -253,7 +256,7 @@
     let engine = Engine::start("e1", &seen, 20_000);
     let gateway = Gateway::start_with_admin(&[&engine]);
     let mut client = pg::Client::connect(gateway.pg);
-    client.send(&text("report", 1).replace("d=2500", "d=20000"));
+    client.send(&statement("report", 1).replace("d=2500", "d=20000"));
     while seen.query_count() == 0 {
         std::thread::sleep(Duration::from_millis(1));
     }
--- a/gateway/tests/order.rs
+++ b/gateway/tests/order.rs
@@ -79,23 +79,23 @@
     watch.send_stream_head();
     let mut first = send_request(&gateway, 1, "k1");
     let mut second = send_request(&gateway, 2, "k1");
-    let mut wire = e1.accept();
-    assert_eq!(wire.read_call().query_id(), id(1));
+    let mut connection = e1.accept();
+    assert_eq!(connection.read_call().query_id(), id(1));
     let began = Instant::now();
     watch.send_event(2, &e2.entry("Ready"));
     // The first engine accepts no further connections, so that the gateway cannot query the state of the attempt.
     drop(e1);
-    wire.reset();
+    connection.reset();
     assert!(matches!(first.answer(), pg::Answer::Error(code, _) if !code.starts_with("53")));
-    let mut wire = e2.accept();
-    assert_eq!(wire.read_call().query_id(), id(2));
+    let mut connection = e2.accept();
+    assert_eq!(connection.read_call().query_id(), id(2));
     assert!(began.elapsed() >= ABANDON_TIMEOUT + KEY_COOLDOWN, "after {:?}", began.elapsed());
-    wire.send_row(&id(2));
+    connection.send_row(&id(2));
     assert_served(&mut second, 2);
 }
 
 /// Allows a load to be queued until its deadline.
-fn keeps_order_for_long(config: String) -> String {
+fn keeps_order_with_long_waits(config: String) -> String {
     keeps_order(config).replace("\"aim-s\":4.0", "\"aim-s\":40.0")
 }
 
@@ -113,18 +113,19 @@
     fn new() -> Self {
         let (mut e1, e2, coordinator) = (Peer::with_zero_backlog("e1"), Peer::new("e2"), Peer::new("c"));
         let address = Some(coordinator.address);
-        let gateway = Gateway::with_endpoints(&e1.entry("Ready"), address, "", None, keeps_order_for_long);
+        let gateway =
+            Gateway::with_endpoints(&e1.entry("Ready"), address, "", None, keeps_order_with_long_waits);
         let (mut watch, _) = coordinator.accept_watch();
         watch.send_stream_head();
         let mut first = send_request(&gateway, 1, "k1");
         let second = send_request(&gateway, 2, "k1");
-        let mut wire = e1.accept();
-        assert_eq!(wire.read_call().query_id(), id(1));
+        let mut connection = e1.accept();
+        assert_eq!(connection.read_call().query_id(), id(1));
         e1.fill_backlog();
         watch.send_event(2, &e2.entry("Ready"));
         assert!(matches!(first.answer(), pg::Answer::Error(code, _) if !code.starts_with("53")));
         assert!(
-            !wire.is_closed(),
+            !connection.is_closed(),
             "the connection must be reset, so that no data of it arrives after the partition"
         );
         Self { e1, e2, watch, gateway, second }
@@ -138,19 +139,19 @@
     thread::sleep(ABANDON_TIMEOUT + KEY_COOLDOWN + Duration::from_secs(1));
     // A request of another key shows that the gateway is not blocked and that the second engine is usable.
     let mut other = send_request(&gateway, 3, "k2");
-    let mut wire = e2.accept();
-    assert_eq!(wire.read_call().query_id(), id(3));
-    wire.send_row(&id(3));
+    let mut connection = e2.accept();
+    assert_eq!(connection.read_call().query_id(), id(3));
+    connection.send_row(&id(3));
     assert_served(&mut other, 3);
     e1.drain_backlog();
-    let mut healed = e1.accept();
-    let call = healed.read_call();
+    let mut reconnected = e1.accept();
+    let call = reconnected.read_call();
     assert_eq!((call.method.as_str(), call.path), ("DELETE", format!("/data/{}", id(1))));
     let cancelled = Instant::now();
-    healed.send("HTTP/1.1 204 No Content\r\n\r\n");
-    assert_eq!(wire.read_call().query_id(), id(2));
+    reconnected.send("HTTP/1.1 204 No Content\r\n\r\n");
+    assert_eq!(connection.read_call().query_id(), id(2));
     assert!(cancelled.elapsed() >= KEY_COOLDOWN, "after {:?}", cancelled.elapsed());
-    wire.send_row(&id(2));
+    connection.send_row(&id(2));
     assert_served(&mut second, 2);
 }
 
@@ -158,9 +159,9 @@
 fn the_next_request_of_a_key_starts_once_the_list_removes_a_partitioned_engine() {
     let Partition { e1, e2, mut watch, gateway: _gateway, mut second } = Partition::new();
     watch.send_event(3, &e1.entry("Gone"));
-    let mut wire = e2.accept();
-    assert_eq!(wire.read_call().query_id(), id(2));
-    wire.send_row(&id(2));
+    let mut connection = e2.accept();
+    assert_eq!(connection.read_call().query_id(), id(2));
+    connection.send_row(&id(2));
     assert_served(&mut second, 2);
 }
 
@@ -168,11 +169,11 @@
 fn the_next_request_of_a_key_starts_once_a_partitioned_engine_is_reached_but_does_not_respond() {
     let Partition { mut e1, e2, watch: _watch, gateway: _gateway, mut second } = Partition::new();
     e1.drain_backlog();
-    let mut healed = e1.accept();
-    assert_eq!(healed.read_call().method, "DELETE");
-    let mut wire = e2.accept();
-    assert_eq!(wire.read_call().query_id(), id(2));
-    wire.send_row(&id(2));
+    let mut reconnected = e1.accept();
+    assert_eq!(reconnected.read_call().method, "DELETE");
+    let mut connection = e2.accept();
+    assert_eq!(connection.read_call().query_id(), id(2));
+    connection.send_row(&id(2));
     assert_served(&mut second, 2);
 }
 
@@ -188,9 +189,9 @@
     drop(first);
     wait_client_left(&gateway, 1);
     watch.send_event(2, &engine.entry("Ready"));
-    let mut wire = engine.accept();
-    assert_eq!(wire.read_call().query_id(), id(2));
-    wire.send_row(&id(2));
+    let mut connection = engine.accept();
+    assert_eq!(connection.read_call().query_id(), id(2));
+    connection.send_row(&id(2));
     assert_served(&mut second, 2);
 }
 
