--- a/gateway/src/net/engines/attempts.rs
+++ b/gateway/src/net/engines/attempts.rs
@@ -37,11 +37,11 @@
         terms: AttemptTerms,
         limits: AttemptLimits,
     ) {
-        let AttemptLimits { until_us, begin_by_us, in_order } = limits;
+        let AttemptLimits { deadline_us, send_deadline_us, has_order_key } = limits;
         let Some(request) = self.requests.open.get(&id.request) else {
             return self.attempt_not_sent(id, Outcome::NeverSent);
         };
-        let max_ms = (until_us.saturating_sub(self.time.now_us) / 1000).max(1);
+        let max_ms = (deadline_us.saturating_sub(self.time.now_us) / 1000).max(1);
         let class = self.names.classes[request.class.0].as_str();
         let (execution, protocol) = match &request.run {
             ExecutionMode::Simple => (http_execution(request, class, max_ms, terms), EngineProtocol::Http),
@@ -58,9 +58,9 @@
                     slot,
                     execution,
                     query_id,
-                    begin_by_us,
-                    until_us,
-                    in_order,
+                    send_deadline_us,
+                    deadline_us,
+                    has_order_key,
                     mysql_connection_id: 0,
                     cancelling: false,
                     reserved_bytes: 0,
@@ -77,7 +77,7 @@
     }
 
     fn attempt_not_sent(&mut self, id: AttemptId, outcome: Outcome) {
-        self.counters.ended(outcome);
+        self.counters.count_attempt_end(outcome);
         self.inputs.push(Input::AttemptEnded { attempt: id, outcome, load_report: None });
     }
 
@@ -109,7 +109,7 @@
             ?outcome,
             "attempt ended"
         );
-        self.counters.ended(outcome);
+        self.counters.count_attempt_end(outcome);
         self.inputs.push(Input::AttemptEnded { attempt: id, outcome, load_report });
     }
 
@@ -215,7 +215,7 @@
 
 fn http_execution(request: &OpenClientRequest, class: &str, max_ms: u64, terms: AttemptTerms) -> Execution {
     let mut start = Vec::with_capacity(256 + request.statement.len());
-    let call = http::Start {
+    let call = http::StartCall {
         query_id: &request.query_id,
         class,
         statement: &request.statement,
@@ -228,8 +228,8 @@
     Execution::Http { exchange: http::Exchange::new(&request.query_id), start: Some(start) }
 }
 
-/// Converts a request to work for a MySQL engine. Its id, class and remaining time are sent as query attributes.
-fn mysql_work(request: &OpenClientRequest, class: &str, max_ms: u64) -> mysql::Work {
+/// Converts a request to a statement for a MySQL engine. Its id, class and remaining time are sent as query attributes.
+fn mysql_work(request: &OpenClientRequest, class: &str, max_ms: u64) -> mysql::Statement {
     let mut attributes = vec![
         Parameter::text(field_name::ID, &request.query_id),
         Parameter::text(field_name::CLASS, class),
@@ -240,7 +240,7 @@
     );
     let sql = request.statement.clone();
     match &request.run {
-        ExecutionMode::Execute(params) => mysql::Work::Execute(sql, params.clone(), attributes),
-        ExecutionMode::Simple | ExecutionMode::Query => mysql::Work::Query(sql, attributes),
+        ExecutionMode::Execute(params) => mysql::Statement::Execute(sql, params.clone(), attributes),
+        ExecutionMode::Simple | ExecutionMode::Query => mysql::Statement::Query(sql, attributes),
     }
 }
