--- a/gateway/src/admission.rs
+++ b/gateway/src/admission.rs
@@ -26,8 +26,8 @@
     /// The settings have no tenant of this name.
     #[error("unknown tenant")]
     UnknownTenant,
-    /// Another request with the same id is open. Engines identify a query by its id alone, so calls for the two could
-    /// not be told apart.
+    /// Another request with the same id is open, or an attempt of one has not ended. Engines identify a query by its id
+    /// alone, so they could not distinguish calls for the two.
     #[error("the id is that of a request that is open")]
     DuplicateId,
 }
@@ -35,7 +35,7 @@
 /// Class and tenant of a request, by their numbers in the settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResolvedNames {
-    /// Class for new requests of this name.
+    /// Class that has the name in the current settings.
     pub class: ClassId,
     /// `None` if the fields have no tenant.
     pub tenant: Option<TenantId>,
@@ -79,7 +79,8 @@
     pub ready_us: u64,
     /// Time for which the client waits, in microseconds, from [`wait_us`].
     pub wait_us: u64,
-    /// Duration of the work queued before the request, in microseconds. 0 unless the request was read out of order.
+    /// Estimated duration of the work queued before the request, in microseconds. 0 unless the request was read ahead
+    /// of that work.
     pub work_ahead_us: u64,
     /// This process shuts down and accepts no new requests.
     pub shutting_down: bool,
@@ -100,11 +101,11 @@
 /// Reason for rejecting a valid request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectionReason {
-    /// The process shuts down. Another process accepts the request when the client retries.
+    /// The process shuts down. Another process may accept the request when the client retries.
     ShuttingDown,
     /// The number of open requests has reached the limit of the settings.
     TooManyOpenRequests,
-    /// The memory budget is exhausted.
+    /// The memory budget, or its part for requests, is exhausted.
     MemoryShort,
     /// The client would stop waiting before the request is processed.
     TooLate,
@@ -130,8 +131,8 @@
         }
     }
 
-    /// Whether the answer has a Retry-After. Its value is the expected end of the queued work, which is no estimate for
-    /// a process that shuts down or for requests that stay open.
+    /// Whether the answer has a Retry-After. The read scheduler computes its value from the queued work, which does not
+    /// determine when a process has shut down or when open requests end.
     pub fn sends_retry_after(self) -> bool {
         matches!(self, RejectionReason::MemoryShort | RejectionReason::TooLate)
     }
@@ -172,7 +173,7 @@
         self.reasons().filter_map(RejectionReason::counter)
     }
 
-    /// Whether the answer has a Retry-After. One reason that sends it is enough.
+    /// Whether the answer has a Retry-After: at least one reason sends it.
     pub fn sends_retry_after(&self) -> bool {
         self.reasons().any(RejectionReason::sends_retry_after)
     }
--- a/gateway/src/admission/tests.rs
+++ b/gateway/src/admission/tests.rs
@@ -124,8 +124,8 @@
     assert_eq!(
         rejected.counters().collect::<Vec<_>>(),
         [RejectionCounter::NoMemory, RejectionCounter::TooLate],
-        "each reason is counted"
+        "each reason that has a counter is counted"
     );
     let late_at_shutdown = AdmissionInput { memory: Ok(()), open_requests: 0, ..rejected_for_all };
-    assert!(rejection(late_at_shutdown).sends_retry_after(), "one reason that sends it is enough");
+    assert!(rejection(late_at_shutdown).sends_retry_after(), "one reason with a Retry-After is enough");
 }
--- a/gateway/src/config/error.rs
+++ b/gateway/src/config/error.rs
@@ -5,7 +5,7 @@
 use super::toml_file::TomlError;
 use crate::json::JsonError;
 
-/// Error for which the gateway does not start, or does not apply new settings.
+/// Error that prevents the gateway from starting or from applying new settings.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
     /// A required environment variable is not set.
--- a/gateway/src/config/names.rs
+++ b/gateway/src/config/names.rs
@@ -9,17 +9,17 @@
 pub struct SettingsNames {
     /// Indexed by [`ClassId`].
     pub classes: Vec<String>,
-    /// Indexed by machine type, from the settings and then from the endpoint list.
+    /// Indexed by machine type. Contains the types of the settings and of engines in the endpoint list.
     pub machine_types: Vec<String>,
-    /// Indexed by zone, from the settings and then from the endpoint list.
+    /// Indexed by zone. Contains the zones of the settings and of engines in the endpoint list.
     pub zones: Vec<String>,
     /// Indexed by [`TenantId`].
     pub tenants: Vec<String>,
     /// Names of the quantities in the fields x0 and x1 of a load report.
     pub load_report_extras: [String; 2],
-    /// Numbers of classes that are not in the current settings. New requests don't get them.
+    /// Numbers of classes that are not in the current settings. They are not assigned to new requests.
     pub retired_classes: BTreeSet<usize>,
-    /// Numbers of tenants that are not in the current settings. New requests don't get them.
+    /// Numbers of tenants that are not in the current settings. They are not assigned to new requests.
     pub retired_tenants: BTreeSet<usize>,
 }
 
--- a/gateway/src/config/operator_file.rs
+++ b/gateway/src/config/operator_file.rs
@@ -169,7 +169,7 @@
         let available = max_descriptors.saturating_sub(OWN_DESCRIPTORS + MIN_ENGINE_CONNECTIONS);
         if !(1..=available).contains(max_sessions.get_ref()) {
             let message = format!(
-                "{} is not within 1 and {available}, which is what {max_descriptors} descriptors leave beside engines",
+                "{} is not within 1 and {available}, the number of sessions that {max_descriptors} descriptors allow",
                 max_sessions.get_ref(),
             );
             return Err(toml.error_at(max_sessions.span().start, message));
--- a/gateway/src/config/site.rs
+++ b/gateway/src/config/site.rs
@@ -80,7 +80,8 @@
     Ok((settings, names))
 }
 
-/// Reads the names of machine types, zones and load report fields, which are lists of their own in the settings.
+/// Reads the names of machine types, zones and load report fields. Names of classes and tenants are read together with
+/// their values.
 fn read_names(site: &JsonField<'_>) -> Result<SettingsNames, JsonError> {
     let domain = site.get("domain");
     Ok(SettingsNames {
--- a/gateway/src/control_plane/client.rs
+++ b/gateway/src/control_plane/client.rs
@@ -17,7 +17,7 @@
 
 /// Timeout of opening a connection. The next attempt uses another server.
 const CONNECT_TIMEOUT_US: u64 = 1_000_000;
-/// Interval of the checks whether an open stream is silent.
+/// Interval between two checks of an established stream for silence.
 const SILENCE_CHECK_INTERVAL_US: u64 = 1_000_000;
 /// Maximum size of an event: a message and the surrounding fields.
 const MAX_EVENT_BYTES: usize = MAX_MESSAGE_BYTES + 64 * 1024;
@@ -28,7 +28,7 @@
 /// Upper bound of the random delay before any retry of a report.
 const REPORT_BACKOFF_MAX_US: u64 = 8_000_000;
 
-/// Result of a message of the stream.
+/// Result of handling a message of the stream.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MessageOutcome {
     /// Version in the message if it is newer than all versions announced before.
@@ -103,7 +103,8 @@
         self.report.as_ref().map_or(stream_us, |report| stream_us.min(report.due_us))
     }
 
-    /// Whether the stream has to be closed: its connection was not established in time, or it is silent.
+    /// Whether the stream has to be closed: its connection was not established in time, it is silent, or its server
+    /// offers only versions older than the one in force.
     pub fn is_stream_lost(&self, now_us: u64) -> bool {
         let is_late = |stream: &Stream| !stream.is_up && now_us >= stream.opened_us + CONNECT_TIMEOUT_US;
         self.stream.as_ref().is_some_and(is_late) || self.subscriber.is_silent(now_us)
@@ -189,8 +190,8 @@
         pending.due_us = now_us + REPORT_TIMEOUT_US;
     }
 
-    /// Records that the report failed or had no response. It is sent again after a delay that is derived from `random`,
-    /// to the server that [`ControlPlaneClient::server`] returns at that time.
+    /// Records that sending the report failed or that there was no response. The report is sent again after a delay
+    /// derived from `random`, to the server that [`ControlPlaneClient::server`] returns at that time.
     pub fn on_report_failed(&mut self, now_us: u64, random: u32) {
         let Some(pending) = &mut self.report else { return };
         let max_delay_us = REPORT_BACKOFF_INITIAL_US
--- a/gateway/src/control_plane/requests.rs
+++ b/gateway/src/control_plane/requests.rs
@@ -4,13 +4,13 @@
 
 use wrenhatch_configuration::{GatewayId, Position, Report};
 
-/// Maximum size of the response head to a report.
+/// Maximum size of the head of the response to a report.
 pub const MAX_REPORT_RESPONSE_BYTES: usize = 16 * 1024;
 const MAX_HEADERS: usize = 32;
 /// Status of the response that accepts a report.
 const NO_CONTENT: u16 = 204;
 
-/// Name of the gateway without characters that are invalid in a header, such as line ends.
+/// Name of the gateway without spaces, control characters and non-ASCII characters, which may be invalid in a header.
 fn header_value(gateway: &GatewayId) -> String {
     gateway.0.chars().filter(char::is_ascii_graphic).collect()
 }
@@ -43,7 +43,7 @@
 /// Result of parsing the response to a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportResponse {
-    /// More bytes are necessary, as the response head is not complete.
+    /// The response head is not complete.
     Incomplete,
     /// The server has accepted the report.
     Accepted,
--- a/gateway/src/core/attempts.rs
+++ b/gateway/src/core/attempts.rs
@@ -28,7 +28,8 @@
     pub(super) key: Option<KeyId>,
     started_us: u64,
     is_cancelled: bool,
-    timeout: Option<TimerId>,
+    /// Armed if the attempt has a timeout.
+    timer: Option<TimerId>,
 }
 
 /// The attempts in flight.
@@ -76,7 +77,8 @@
 
 impl Core {
     /// Starts the next attempt of a request. The attempt ends with [`Outcome::NeverSent`] if the request has another
-    /// attempt in flight, the engine is not ready, or the limit of attempts or the deadline has been reached.
+    /// attempt in flight, the engine is not ready, or the limit of attempts or the deadline has been reached. `timeout`
+    /// is in seconds.
     pub(super) fn start_attempt(
         &mut self,
         now_us: u64,
@@ -94,7 +96,7 @@
             timeout.map_or(open.answer_by_us, |span| open.answer_by_us.min(now_us + micros(span)));
         let (class, key, terms) = (open.class, open.key, open.terms);
         let attempt =
-            InFlightAttempt { class, engine, key, started_us: now_us, is_cancelled: false, timeout: None };
+            InFlightAttempt { class, engine, key, started_us: now_us, is_cancelled: false, timer: None };
         let may_have_run_since_us = open.may_have_run_since_us;
         self.in_flight.0.insert(id, attempt);
         if let Some(key) = key {
@@ -108,7 +110,7 @@
         if timeout.is_some() {
             let timer = self.timers.arm(deadline_us, Timer::AttemptTimeout(id));
             if let Some(attempt) = self.in_flight.0.get_mut(&id) {
-                attempt.timeout = Some(timer);
+                attempt.timer = Some(timer);
             }
         }
         let send_deadline_us = deadline_us.min(self.rules.retry_window_end_us(class, may_have_run_since_us));
@@ -189,7 +191,7 @@
         self.report_attempt_end(now_us, id, attempt, end);
     }
 
-    /// Records that an unconfirmed attempt ends by `runs_until_us`, which starts the cooldown of its key.
+    /// Records that an unconfirmed attempt ends by `runs_until_us`. The cooldown of its key begins at that time.
     pub(super) fn on_attempt_end_confirmed(&mut self, now_us: u64, id: AttemptId, runs_until_us: u64) {
         let Some(key) = self.unconfirmed_attempts.remove(&id) else { return };
         let cooldown_until_us = self.rules.key_cooldown_end_us(runs_until_us);
@@ -200,7 +202,7 @@
 
     fn remove_in_flight(&mut self, id: AttemptId) -> Option<InFlightAttempt> {
         let attempt = self.in_flight.0.remove(&id)?;
-        if let Some(timer) = attempt.timeout {
+        if let Some(timer) = attempt.timer {
             self.timers.cancel(timer);
         }
         Some(attempt)
--- a/gateway/src/core/command.rs
+++ b/gateway/src/core/command.rs
@@ -9,7 +9,7 @@
 pub struct AttemptTerms {
     /// Memory in MB. 0: the engine chooses.
     pub memory_mb: f64,
-    /// From 0 to 3.
+    /// From 0, the lowest, to 3.
     pub priority: u8,
 }
 
@@ -18,7 +18,8 @@
 pub struct AttemptLimits {
     /// Time after which the engine may drop the attempt, in microseconds.
     pub deadline_us: u64,
-    /// Time before which the first byte of the attempt must be sent, in microseconds. Time to open a connection counts.
+    /// Time before which the first byte of the attempt must be sent, in microseconds. An attempt whose connection is
+    /// established later is not sent.
     pub send_deadline_us: u64,
     /// The request has an order key: the next request of the key waits for the attempt's end.
     pub has_order_key: bool,
@@ -29,9 +30,9 @@
 pub enum Command {
     /// Start an attempt.
     StartAttempt {
-        /// Not in flight before.
+        /// New attempt, in flight from now on.
         attempt: AttemptId,
-        /// A ready engine of the endpoint list.
+        /// Engine that is ready according to the endpoint list.
         engine: EngineId,
         /// Sent to the engine with the request.
         terms: AttemptTerms,
@@ -40,9 +41,9 @@
     },
     /// Change the priority of an attempt in flight.
     SetPriority {
-        /// In flight and not cancelled.
+        /// Attempt that is in flight and not cancelled.
         attempt: AttemptId,
-        /// From 0 to 3.
+        /// From 0, the lowest, to 3.
         priority: u8,
     },
     /// Cancel an attempt. An [`Input`](super::Input) still reports the end of the attempt.
@@ -51,9 +52,9 @@
     Serve(AttemptId),
     /// Final answer: rejected. A retry by the client is safe.
     Reject {
-        /// Open until this command.
+        /// Request that was open until this command.
         request: RequestId,
-        /// Delay before a retry by the client, in milliseconds.
+        /// Delay before a retry by the client, in milliseconds. `None`: the answer has no Retry-After.
         retry_after_ms: Option<u64>,
     },
     /// Final answer: failed. The request may or may not have taken effect.
--- a/gateway/src/core/input.rs
+++ b/gateway/src/core/input.rs
@@ -40,14 +40,14 @@
     },
     /// A request has arrived.
     RequestArrived {
-        /// Never used for an earlier request.
+        /// Id that no earlier request had.
         id: RequestId,
         /// Class, deadline and estimates from the fields of the client's request.
         request: NewRequest,
     },
     /// An attempt has ended.
     AttemptEnded {
-        /// Ignored unless the attempt is in flight.
+        /// The input is ignored unless this attempt is in flight.
         attempt: AttemptId,
         /// Decides whether the request is served, and whether another attempt may follow.
         outcome: Outcome,
@@ -56,29 +56,29 @@
     },
     /// No response to an attempt will arrive any more.
     AttemptLost {
-        /// Ignored unless the attempt is in flight.
+        /// The input is ignored unless this attempt is in flight.
         attempt: AttemptId,
         /// Time until which the engine may run the attempt.
         runs_until_us: u64,
     },
-    /// No end of an attempt with an order key was reported. The engine may run the attempt for an unknown time until
-    /// [`Input::AttemptEndConfirmed`] follows.
+    /// The end of an attempt with an order key was not reported. Until [`Input::AttemptEndConfirmed`] follows, it is
+    /// unknown how long the engine may run the attempt.
     AttemptUnconfirmed(AttemptId),
-    /// The end of an unconfirmed attempt is known.
+    /// The end of an unconfirmed attempt is confirmed.
     AttemptEndConfirmed {
-        /// Ignored unless the attempt is unconfirmed.
+        /// The input is ignored unless this attempt is unconfirmed.
         attempt: AttemptId,
         /// Time until which the engine may run the attempt.
         runs_until_us: u64,
     },
     /// An engine has reported progress of an attempt.
     AttemptProgress {
-        /// Ignored unless the attempt is in flight.
+        /// The input is ignored unless this attempt is in flight.
         attempt: AttemptId,
         /// Progress reported by the engine.
         progress: Progress,
     },
-    /// The client has left. Its request gets no answer.
+    /// The client has disconnected or cancelled its request. The core gives no final answer to the request.
     ClientLeft(RequestId),
     /// The gateway shuts down. Every open request gets its final answer.
     ShuttingDown,
--- a/gateway/src/core/key_leases.rs
+++ b/gateway/src/core/key_leases.rs
@@ -2,14 +2,14 @@
 //!
 //! While one process of a gateway replaces another, both receive requests of the same keys, and requests of a key stay
 //! in order across both processes. Each key has a lease that one process holds at a time. The lease follows K.
-//! Raymond's algorithm ("A tree-based algorithm for distributed mutual exclusion", 1989), once for each key. The
+//! Raymond's algorithm ("A tree-based algorithm for distributed mutual exclusion", 1989), separately for each key. The
 //! processes form a tree with the oldest process at its root. For each key, a process stores the peer that is nearer to
 //! the holder (`holder`), whether it has claimed the lease from that peer (`has_claimed`, the paper's *asked*), and the
 //! waiting claims (`request_queue`). The paper's messages *request* and *privilege* are called claim and grant here.
 //!
 //! There are two differences from the paper:
-//! - Several requests of the holder may use a lease at once, because the workload manager orders them. `in_use` counts
-//!   them.
+//! - Several requests of the holder may use a lease at once, because the workload manager orders them. `use_count`
+//!   counts these requests and their attempts.
 //! - An unused lease returns to the root, so that the table contains only keys in use. The lease of a key that is not
 //!   in the table is held by the predecessor, or by this process if there is no predecessor.
 //!
@@ -69,9 +69,9 @@
     /// The lease has been claimed from `holder`.
     has_claimed: bool,
     /// Number of open admitted requests and of attempts that have not ended.
-    in_use: u32,
-    /// End of the cooldown after attempts of this process. The lease is not granted to a peer before. Requests of this
-    /// process need not wait, because the workload manager tracks this cooldown itself.
+    use_count: u32,
+    /// End of the cooldown after attempts of this process. The lease is not granted to a peer before this time.
+    /// Requests of this process need not wait for it, because the workload manager tracks this cooldown itself.
     cooldown_until_us: u64,
     /// End of the cooldown after attempts of a peer that has exited. Requests of this process wait for it too.
     inherited_cooldown_until_us: u64,
@@ -99,7 +99,7 @@
 
     /// Moves the leases of a peer that has exited to this process. `cooldown_until_us` is the time by which all
     /// attempts of the peer have ended and their key cooldowns are over.
-    pub fn on_peer_ended(
+    pub fn on_peer_exited(
         &mut self,
         now_us: u64,
         peer: PeerProcessId,
@@ -145,7 +145,7 @@
 
     /// Records the start of an attempt of an admitted request.
     pub fn on_attempt_started(&mut self, key: KeyId) {
-        self.lease(key).in_use += 1;
+        self.lease(key).use_count += 1;
     }
 
     /// Records the end of an admitted request or of one of its attempts. The lease is not granted to a peer before
@@ -158,12 +158,13 @@
         effects: &mut Vec<LeaseEffect>,
     ) {
         let Some(lease) = self.leases.get_mut(&key) else { return };
-        lease.in_use = lease.in_use.saturating_sub(1);
+        lease.use_count = lease.use_count.saturating_sub(1);
         lease.cooldown_until_us = lease.cooldown_until_us.max(cooldown_until_us);
         self.serve_queue(now_us, key, effects);
     }
 
-    /// Queues a peer's claim of a lease, unless the peer holds the lease or has claimed it already.
+    /// Queues a peer's claim of a lease. The claim is ignored if it is a duplicate, or if the peer holds the lease or
+    /// is nearer to the holder.
     pub fn on_peer_claim(
         &mut self,
         now_us: u64,
@@ -179,7 +180,7 @@
         self.serve_queue(now_us, key, effects);
     }
 
-    /// Takes the lease that a peer grants to this process.
+    /// Accepts a lease that a peer grants to this process. The grant is ignored unless the peer is the recorded holder.
     pub fn on_peer_grant(
         &mut self,
         now_us: u64,
@@ -210,7 +211,7 @@
         self.leases.entry(key).or_insert_with(|| KeyLease {
             holder,
             has_claimed: false,
-            in_use: 0,
+            use_count: 0,
             cooldown_until_us: 0,
             inherited_cooldown_until_us,
             wake_at_us: 0,
@@ -219,7 +220,8 @@
     }
 
     /// Serves waiting claims of a key until one has to wait (the paper's *assign privilege* and *make request*). A key
-    /// without users and claims is removed from the table.
+    /// that is neither used nor claimed is removed from the table, except during its cooldown or while a successor
+    /// holds the lease.
     fn serve_queue(&mut self, now_us: u64, key: KeyId, effects: &mut Vec<LeaseEffect>) {
         let Some(lease) = self.leases.get_mut(&key) else { return };
         while let Some(first) = lease.request_queue.front().copied() {
@@ -228,7 +230,7 @@
             }
             lease.request_queue.pop_front();
         }
-        if lease.in_use > 0 {
+        if lease.use_count > 0 {
             return;
         }
         if lease.holder.is_none() {
@@ -266,11 +268,11 @@
                 if self.must_wait(now_us, self.inherited_cooldown_until_us, key, effects) {
                     return false;
                 }
-                self.in_use += 1;
+                self.use_count += 1;
                 effects.push(LeaseEffect::Admit(request));
             }
             Claimant::Peer(peer) => {
-                if self.in_use > 0 || self.must_wait(now_us, self.last_cooldown_end_us(), key, effects) {
+                if self.use_count > 0 || self.must_wait(now_us, self.last_cooldown_end_us(), key, effects) {
                     return false;
                 }
                 self.holder = Some(peer);
--- a/gateway/src/core/key_leases/tests.rs
+++ b/gateway/src/core/key_leases/tests.rs
@@ -77,7 +77,7 @@
     leases.set_predecessor(PREDECESSOR);
     effects(|e| leases.claim(0, KEY, RequestId(1), e));
     assert_eq!(
-        effects(|e| leases.on_peer_ended(10, PREDECESSOR, 10 + COOLDOWN_US, e)),
+        effects(|e| leases.on_peer_exited(10, PREDECESSOR, 10 + COOLDOWN_US, e)),
         [LeaseEffect::WakeAt { key: KEY, at_us: 10 + COOLDOWN_US }]
     );
     assert_eq!(
@@ -288,7 +288,7 @@
 }
 
 #[test]
-fn no_request_waits_forever_after_its_predecessor_exits() {
+fn no_request_waits_forever_after_the_predecessor_exits() {
     for seed in 0..100 {
         let mut random = Gen::from_size_and_seed(100, seed);
         let mut chain = ProcessChain::new(2);
@@ -310,8 +310,8 @@
         let (now_us, cooldown_until_us) = (chain.now_us, chain.now_us + COOLDOWN_US);
         chain.cooldowns.insert(KEY, (cooldown_until_us, 0));
         let effects =
-            effects(|e| chain.processes[1].on_peer_ended(now_us, PeerProcessId(0), cooldown_until_us, e));
-        // Running requests of this process were admitted under the lease, before the predecessor exited.
+            effects(|e| chain.processes[1].on_peer_exited(now_us, PeerProcessId(0), cooldown_until_us, e));
+        // If requests of this process are running, it holds the lease and does not inherit the predecessor's cooldown.
         if !chain.running.is_empty() {
             chain.cooldowns.clear();
         }
--- a/gateway/src/core/order_keys.rs
+++ b/gateway/src/core/order_keys.rs
@@ -30,7 +30,7 @@
             PeerProcessEvent::ClaimsLease(key) => self.leases.on_peer_claim(now_us, key, peer, effects),
             PeerProcessEvent::GrantsLease(key) => self.leases.on_peer_grant(now_us, key, peer, effects),
             PeerProcessEvent::Exited { cooldown_until_us } => {
-                self.leases.on_peer_ended(now_us, peer, cooldown_until_us, effects);
+                self.leases.on_peer_exited(now_us, peer, cooldown_until_us, effects);
             }
         }
     }
--- a/gateway/src/core/requests.rs
+++ b/gateway/src/core/requests.rs
@@ -14,7 +14,7 @@
     pub(super) class: ClassId,
     /// Order key. `None` in a class that is not ordered by key.
     pub(super) key: Option<KeyId>,
-    /// The request while it waits for the lease of its key. The workload manager receives it with the lease.
+    /// The request while it waits for the lease of its key. Then it is passed to the workload manager.
     pub(super) awaiting_lease: Option<Request>,
     /// Time by which the core gives the final answer.
     pub(super) answer_by_us: u64,
@@ -112,7 +112,8 @@
         self.answer_unserved(now_us, id, answer, commands);
     }
 
-    /// Removes an open request, cancels its timers and releases the lease of its key.
+    /// Removes an open request, cancels its timers, and releases the lease of its key or cancels the claim of the
+    /// lease. Returns `None` if the request is not open.
     pub(super) fn close_request(&mut self, now_us: u64, id: RequestId) -> Option<OpenRequest> {
         let open = self.open_requests.remove(&id)?;
         match open.key {
@@ -129,7 +130,7 @@
     }
 
     /// Gives the final answer to a request that is not served. The request is rejected only if a retry by the client is
-    /// safe: no attempt may have run or be running, or a second execution does no harm.
+    /// safe: no attempt can have run or be running, or another execution has no further effect.
     pub(super) fn answer_unserved(
         &mut self,
         now_us: u64,
--- a/gateway/src/core/rules.rs
+++ b/gateway/src/core/rules.rs
@@ -55,7 +55,7 @@
         key.filter(|_| self.ordered_by_key[class.0])
     }
 
-    /// Whether a request with this number of attempts may have no further one.
+    /// Whether a request that has had this number of attempts has reached the limit.
     pub(super) fn attempts_exhausted(&self, attempts: u32) -> bool {
         self.max_attempts > 0 && attempts >= self.max_attempts
     }
--- a/gateway/src/core/tests.rs
+++ b/gateway/src/core/tests.rs
@@ -11,7 +11,7 @@
 const CONFIG: &str = include_str!("../../tests/common/config.json");
 const LOOKUP: ClassId = ClassId(0);
 const LOAD: ClassId = ClassId(2);
-const SECOND: u64 = 1_000_000;
+const SECOND_US: u64 = 1_000_000;
 
 fn ended(attempt: AttemptId, outcome: Outcome) -> Input {
     Input::AttemptEnded { attempt, outcome, load_report: None }
@@ -56,7 +56,7 @@
     }
 
     fn with(settings: Settings) -> Self {
-        let mut fixture = Self { core: Core::new(settings, 7).unwrap(), now_us: SECOND };
+        let mut fixture = Self { core: Core::new(settings, 7).unwrap(), now_us: SECOND_US };
         fixture.update_endpoints(&[entry(0, EndpointState::Ready), entry(1, EndpointState::Ready)]);
         fixture
     }
@@ -98,13 +98,13 @@
 
     /// Advances the clock and fires each timer at its time.
     fn advance(&mut self, span_us: u64) -> Vec<Command> {
-        let end = self.now_us + span_us;
+        let end_us = self.now_us + span_us;
         let mut commands = Vec::new();
-        while let Some(at) = self.core.next_timer_us().filter(|at| *at <= end) {
-            self.now_us = self.now_us.max(at);
+        while let Some(at_us) = self.core.next_timer_us().filter(|at_us| *at_us <= end_us) {
+            self.now_us = self.now_us.max(at_us);
             commands.extend(self.turn(Vec::new()));
         }
-        self.now_us = end;
+        self.now_us = end_us;
         commands
     }
 }
@@ -134,19 +134,19 @@
 #[test]
 fn a_request_is_forwarded_and_served_once() {
     let mut fixture = Fixture::new();
-    let attempt = first_attempt(&fixture.request(1, LOOKUP, 3 * SECOND));
+    let attempt = first_attempt(&fixture.request(1, LOOKUP, 3 * SECOND_US));
     let end = ended(attempt, Outcome::Success);
     assert_eq!(fixture.turn(vec![end.clone()]), [Command::Serve(attempt)]);
     assert_eq!(fixture.turn(vec![end]), [], "a duplicate end is ignored");
-    assert_eq!(fixture.advance(10 * SECOND).iter().find_map(answered), None);
+    assert_eq!(fixture.advance(10 * SECOND_US).iter().find_map(answered), None);
     assert_eq!(fixture.core.open_requests(), 0);
 }
 
 #[test]
 fn the_final_answer_comes_before_the_client_deadline() {
     let mut fixture = Fixture::new();
-    let attempt = first_attempt(&fixture.request(1, LOAD, 2 * SECOND));
-    assert_eq!(fixture.advance(2 * SECOND - CLIENT_DEADLINE_MARGIN_US - 10_000), []);
+    let attempt = first_attempt(&fixture.request(1, LOAD, 2 * SECOND_US));
+    assert_eq!(fixture.advance(2 * SECOND_US - CLIENT_DEADLINE_MARGIN_US - 10_000), []);
     let commands = fixture.advance(CLIENT_DEADLINE_MARGIN_US / 2 + 10_000);
     // The attempt may be running, so a retry by the client is not known to be safe.
     assert_eq!(commands, [Command::Fail(attempt.request), Command::CancelAttempt(attempt)]);
@@ -164,12 +164,12 @@
         (Outcome::Cancelled, false),
     ] {
         let mut fixture = Fixture::new();
-        let attempt = first_attempt(&fixture.request(1, LOAD, 20 * SECOND));
+        let attempt = first_attempt(&fixture.request(1, LOAD, 20 * SECOND_US));
         let commands = fixture.turn(vec![ended(attempt, outcome)]);
         if is_retried {
             assert!(commands.iter().all(|c| *c != Command::Fail(attempt.request)), "{outcome:?}");
             assert!(
-                started(&commands).or_else(|| started(&fixture.advance(SECOND))).is_some(),
+                started(&commands).or_else(|| started(&fixture.advance(SECOND_US))).is_some(),
                 "{outcome:?}"
             );
         } else {
@@ -186,12 +186,12 @@
         (LOAD, Command::Fail(RequestId(1))),
     ] {
         let mut fixture = Fixture::new();
-        let attempt = first_attempt(&fixture.request(1, class, 20 * SECOND));
+        let attempt = first_attempt(&fixture.request(1, class, 20 * SECOND_US));
         assert_eq!(
             fixture.turn(vec![Input::AttemptLost { attempt, runs_until_us: fixture.now_us }]),
             [answer]
         );
-        assert_eq!(fixture.advance(30 * SECOND), [], "no command follows the answer");
+        assert_eq!(fixture.advance(30 * SECOND_US), [], "no command follows the answer");
     }
 }
 
@@ -199,22 +199,22 @@
 fn requests_of_one_key_run_one_at_a_time() {
     let mut fixture = Fixture::ordered();
     let key = Some(KeyId(5));
-    let first = first_attempt(&fixture.request_with_key(1, LOAD, 20 * SECOND, key));
-    assert_eq!(started(&fixture.request_with_key(2, LOAD, 20 * SECOND, key)), None, "the key is in use");
+    let first = first_attempt(&fixture.request_with_key(1, LOAD, 20 * SECOND_US, key));
+    assert_eq!(started(&fixture.request_with_key(2, LOAD, 20 * SECOND_US, key)), None, "the key is in use");
     assert!(
-        started(&fixture.request_with_key(3, LOAD, 20 * SECOND, Some(KeyId(6)))).is_some(),
+        started(&fixture.request_with_key(3, LOAD, 20 * SECOND_US, Some(KeyId(6)))).is_some(),
         "a request of another key is started"
     );
     assert!(
-        started(&fixture.request(4, LOAD, 20 * SECOND)).is_some(),
+        started(&fixture.request(4, LOAD, 20 * SECOND_US)).is_some(),
         "a request without a key is not ordered"
     );
     let commands = fixture.turn(vec![ended(first, Outcome::Success)]);
     assert_eq!(started(&commands).map(|s| s.0.request), Some(RequestId(2)));
     let mut fixture = Fixture::ordered();
-    assert!(started(&fixture.request_with_key(1, LOOKUP, SECOND, key)).is_some());
+    assert!(started(&fixture.request_with_key(1, LOOKUP, SECOND_US, key)).is_some());
     assert!(
-        started(&fixture.request_with_key(2, LOOKUP, SECOND, key)).is_some(),
+        started(&fixture.request_with_key(2, LOOKUP, SECOND_US, key)).is_some(),
         "a class that is not ordered ignores keys"
     );
 }
@@ -223,15 +223,15 @@
 fn the_next_request_of_a_key_waits_for_the_end_and_cooldown_of_a_lost_attempt() {
     let mut fixture = Fixture::ordered();
     let key = Some(KeyId(5));
-    let first = first_attempt(&fixture.request_with_key(1, LOAD, 20 * SECOND, key));
-    fixture.request_with_key(2, LOAD, 20 * SECOND, key);
-    let runs_until_us = fixture.now_us + 2 * SECOND;
+    let first = first_attempt(&fixture.request_with_key(1, LOAD, 20 * SECOND_US, key));
+    fixture.request_with_key(2, LOAD, 20 * SECOND_US, key);
+    let runs_until_us = fixture.now_us + 2 * SECOND_US;
     assert_eq!(
         fixture.turn(vec![Input::AttemptLost { attempt: first, runs_until_us }]),
         [Command::Fail(first.request)]
     );
     assert_eq!(
-        started(&fixture.advance(2 * SECOND + 290_000)),
+        started(&fixture.advance(2 * SECOND_US + 290_000)),
         None,
         "the attempt may run, and the key cooldown follows"
     );
@@ -242,18 +242,18 @@
 fn the_next_request_of_a_key_waits_until_the_end_of_a_lost_attempt_is_confirmed() {
     let mut fixture = Fixture::ordered();
     let key = Some(KeyId(5));
-    let first = first_attempt(&fixture.request_with_key(1, LOAD, 20 * SECOND, key));
-    fixture.request_with_key(2, LOAD, 20 * SECOND, key);
+    let first = first_attempt(&fixture.request_with_key(1, LOAD, 20 * SECOND_US, key));
+    fixture.request_with_key(2, LOAD, 20 * SECOND_US, key);
     assert_eq!(
         fixture.turn(vec![Input::AttemptUnconfirmed(first)]),
         [Command::Fail(first.request)],
         "the client is answered immediately"
     );
     assert!(
-        fixture.core.cooldown_after_exit_us(fixture.now_us, SECOND) > fixture.now_us,
+        fixture.core.cooldown_after_exit_us(fixture.now_us, SECOND_US) > fixture.now_us,
         "a successor must wait as well"
     );
-    assert_eq!(started(&fixture.advance(3 * SECOND)), None, "the attempt may run for an unknown time");
+    assert_eq!(started(&fixture.advance(3 * SECOND_US)), None, "the attempt may run for an unknown time");
     let runs_until_us = fixture.now_us + 200_000;
     fixture.turn(vec![Input::AttemptEndConfirmed { attempt: first, runs_until_us }]);
     assert_eq!(started(&fixture.advance(490_000)), None, "the attempt may run, and the key cooldown follows");
@@ -269,21 +269,21 @@
 fn nothing_is_forwarded_to_a_draining_or_removed_engine() {
     let mut fixture = Fixture::new();
     fixture.update_endpoints(&[entry(0, EndpointState::Draining), entry(1, EndpointState::Removed)]);
-    let mut commands = fixture.request(1, LOOKUP, 3 * SECOND);
-    commands.extend(fixture.advance(4 * SECOND));
+    let mut commands = fixture.request(1, LOOKUP, 3 * SECOND_US);
+    commands.extend(fixture.advance(4 * SECOND_US));
     assert_eq!(started(&commands), None);
     assert!(matches!(commands[..], [Command::Reject { request: RequestId(1), .. }]), "{commands:?}");
     fixture.update_endpoints(&[entry(1, EndpointState::Ready)]);
-    assert_eq!(started(&fixture.request(2, LOOKUP, 3 * SECOND)).unwrap().1, EngineId(1));
+    assert_eq!(started(&fixture.request(2, LOOKUP, 3 * SECOND_US)).unwrap().1, EngineId(1));
 }
 
 #[test]
 fn a_client_that_left_gets_no_answer_and_its_attempt_is_cancelled() {
     let mut fixture = Fixture::new();
-    let attempt = first_attempt(&fixture.request(1, LOOKUP, 3 * SECOND));
+    let attempt = first_attempt(&fixture.request(1, LOOKUP, 3 * SECOND_US));
     assert_eq!(fixture.turn(vec![Input::ClientLeft(attempt.request)]), [Command::CancelAttempt(attempt)]);
     let mut commands = fixture.turn(vec![ended(attempt, Outcome::Cancelled)]);
-    commands.extend(fixture.advance(10 * SECOND));
+    commands.extend(fixture.advance(10 * SECOND_US));
     assert_eq!(commands, []);
 }
 
@@ -340,20 +340,20 @@
                     None => Vec::new(),
                 },
                 8 => fixture.advance(u64::from(span) * 20),
-                _ => fixture.advance(30 * SECOND),
+                _ => fixture.advance(30 * SECOND_US),
             };
             for c in &commands {
                 match c {
                     Command::StartAttempt { attempt, .. } => {
                         let request = &attempt.request;
-                        let load = deadlines[request].0 == LOAD;
-                        if in_flight.insert(*request, *attempt).is_some() || (load && may_have_run.contains(request)) || lost.contains(request) {
+                        let is_load = deadlines[request].0 == LOAD;
+                        if in_flight.insert(*request, *attempt).is_some() || (is_load && may_have_run.contains(request)) || lost.contains(request) {
                             return false;
                         }
                     }
                     Command::Reject { request: id, .. } => {
-                        let ran = may_have_run.contains(id) || in_flight.contains_key(id);
-                        if deadlines[id].0 == LOAD && ran {
+                        let may_take_effect = may_have_run.contains(id) || in_flight.contains_key(id);
+                        if deadlines[id].0 == LOAD && may_take_effect {
                             return false;
                         }
                     }
@@ -376,10 +376,10 @@
 #[test]
 fn open_requests_get_their_final_answers_at_shutdown() {
     let mut fixture = Fixture::new();
-    let lookup = first_attempt(&fixture.request(1, LOOKUP, 3 * SECOND));
-    let load = first_attempt(&fixture.request(2, LOAD, 20 * SECOND));
+    let lookup = first_attempt(&fixture.request(1, LOOKUP, 3 * SECOND_US));
+    let load = first_attempt(&fixture.request(2, LOAD, 20 * SECOND_US));
     fixture.update_endpoints(&[entry(0, EndpointState::Draining), entry(1, EndpointState::Draining)]);
-    assert_eq!(started(&fixture.request(3, LOAD, 20 * SECOND)), None, "the request is queued");
+    assert_eq!(started(&fixture.request(3, LOAD, 20 * SECOND_US)), None, "the request is queued");
     let commands = fixture.turn(vec![Input::ShuttingDown]);
     let answers: Vec<_> = commands.iter().filter(|c| answered(c).is_some()).collect();
     assert_eq!(answers.len(), 3, "{commands:?}");
@@ -401,16 +401,16 @@
     for outcome in [Outcome::Success, Outcome::ConnectionLost, Outcome::Rejected] {
         for left_first in [true, false] {
             let mut fixture = Fixture::new();
-            let attempt = first_attempt(&fixture.request(1, LOOKUP, 3 * SECOND));
+            let attempt = first_attempt(&fixture.request(1, LOOKUP, 3 * SECOND_US));
             let mut inputs = vec![ended(attempt, outcome), Input::ClientLeft(attempt.request)];
             if left_first {
                 inputs.reverse();
             }
             let mut commands = fixture.turn(inputs);
-            commands.extend(fixture.advance(10 * SECOND));
-            let served = outcome == Outcome::Success && !left_first;
+            commands.extend(fixture.advance(10 * SECOND_US));
+            let is_served = outcome == Outcome::Success && !left_first;
             let answers = commands.iter().filter(|c| answered(c).is_some()).count();
-            assert_eq!(answers, usize::from(served), "{outcome:?}, {left_first}");
+            assert_eq!(answers, usize::from(is_served), "{outcome:?}, {left_first}");
             // An attempt that was started before the client left is cancelled in the same turn.
             let retry = started(&commands);
             assert!(
@@ -419,10 +419,10 @@
             );
         }
         let mut fixture = Fixture::new();
-        let attempt = first_attempt(&fixture.request(1, LOOKUP, SECOND));
-        fixture.now_us += SECOND;
+        let attempt = first_attempt(&fixture.request(1, LOOKUP, SECOND_US));
+        fixture.now_us += SECOND_US;
         let mut commands = fixture.turn(vec![ended(attempt, outcome)]);
-        commands.extend(fixture.advance(10 * SECOND));
+        commands.extend(fixture.advance(10 * SECOND_US));
         assert_eq!(
             commands.iter().filter(|c| answered(c).is_some()).count(),
             1,
@@ -437,12 +437,12 @@
 fn an_idle_core_arms_no_timer() {
     let mut fixture = Fixture::new();
     assert_eq!(fixture.core.next_timer_us(), None, "engines alone need no control tick");
-    let attempt = first_attempt(&fixture.request(1, LOOKUP, 3 * SECOND));
+    let attempt = first_attempt(&fixture.request(1, LOOKUP, 3 * SECOND_US));
     assert!(fixture.core.timers() >= 2, "the deadline of the request, and the control tick");
     fixture.turn(vec![ended(attempt, Outcome::Success)]);
     fixture.advance(100_000);
     assert_eq!((fixture.core.timers(), fixture.core.next_timer_us()), (0, None));
-    assert!(started(&fixture.request(2, LOOKUP, 3 * SECOND)).is_some());
+    assert!(started(&fixture.request(2, LOOKUP, 3 * SECOND_US)).is_some());
     assert!(
         fixture.core.next_timer_us().is_some_and(|at| at <= fixture.now_us + 50_000),
         "the control tick runs again"
@@ -466,11 +466,11 @@
 #[test]
 fn keys_keep_their_order_when_their_class_is_no_longer_ordered_by_key() {
     let mut fixture = Fixture::ordered();
-    let first = first_attempt(&fixture.request_with_key(1, LOAD, 20 * SECOND, Some(KeyId(9))));
-    assert_eq!(started(&fixture.request_with_key(2, LOAD, 20 * SECOND, Some(KeyId(9)))), None);
+    let first = first_attempt(&fixture.request_with_key(1, LOAD, 20 * SECOND_US, Some(KeyId(9))));
+    assert_eq!(started(&fixture.request_with_key(2, LOAD, 20 * SECOND_US, Some(KeyId(9)))), None);
     fixture.core.reconfigure(with_changed_loads(|class| class.ordered_by_key = false)).unwrap();
-    assert_eq!(started(&fixture.advance(SECOND)), None, "the second waits for the first");
-    let third = fixture.request_with_key(3, CHANGED_LOAD, 20 * SECOND, Some(KeyId(9)));
+    assert_eq!(started(&fixture.advance(SECOND_US)), None, "the second waits for the first");
+    let third = fixture.request_with_key(3, CHANGED_LOAD, 20 * SECOND_US, Some(KeyId(9)));
     assert_eq!(started(&third).unwrap().0.request, RequestId(3), "a new request is not ordered");
     let commands = fixture.turn(vec![ended(first, Outcome::Success)]);
     assert_eq!(started(&commands).unwrap().0.request, RequestId(2));
@@ -479,14 +479,14 @@
 #[test]
 fn a_request_keeps_its_idempotency_when_its_class_changes() {
     let mut fixture = Fixture::ordered();
-    let attempt = first_attempt(&fixture.request(1, LOAD, 20 * SECOND));
+    let attempt = first_attempt(&fixture.request(1, LOAD, 20 * SECOND_US));
     fixture
         .core
         .reconfigure(with_changed_loads(|class| class.idempotency = Idempotency::Idempotent))
         .unwrap();
     let commands = fixture.turn(vec![ended(attempt, Outcome::ConnectionLost)]);
     assert_eq!(commands, [Command::Fail(attempt.request)], "no retry, and no rejection");
-    let attempt = first_attempt(&fixture.request(2, CHANGED_LOAD, 20 * SECOND));
+    let attempt = first_attempt(&fixture.request(2, CHANGED_LOAD, 20 * SECOND_US));
     let commands = fixture.turn(vec![ended(attempt, Outcome::ConnectionLost)]);
     assert!(started(&commands).is_some(), "a new request is retried");
 }
@@ -499,9 +499,9 @@
     settings.capabilities.retry_after = false;
     settings.rules.key_cooldown = 7.0;
     let origins = vec![ClassOrigin::Unchanged; settings.classes.len()];
-    let attempt = first_attempt(&fixture.request(1, LOOKUP, 3 * SECOND));
+    let attempt = first_attempt(&fixture.request(1, LOOKUP, 3 * SECOND_US));
     fixture.core.reconfigure(SettingsChange { settings, origins }).unwrap();
-    assert_eq!(fixture.core.key_cooldown_end_us(SECOND), 8 * SECOND);
+    assert_eq!(fixture.core.key_cooldown_end_us(SECOND_US), 8 * SECOND_US);
     let commands = fixture.turn(vec![ended(attempt, Outcome::ConnectionLost)]);
     assert_eq!(
         commands,
@@ -514,7 +514,7 @@
 fn a_class_is_in_use_until_its_last_attempt_has_ended() {
     let mut fixture = Fixture::new();
     assert!(fixture.core.classes_in_use().is_empty());
-    let attempt = first_attempt(&fixture.request(1, LOAD, 20 * SECOND));
+    let attempt = first_attempt(&fixture.request(1, LOAD, 20 * SECOND_US));
     fixture.turn(vec![Input::ClientLeft(attempt.request)]);
     assert_eq!(fixture.core.open_requests(), 0);
     assert!(fixture.core.classes_in_use().contains(&LOAD), "the attempt is still in flight");
--- a/gateway/src/core/timers.rs
+++ b/gateway/src/core/timers.rs
@@ -9,7 +9,7 @@
 /// The purpose of a timer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Timer {
-    /// Fires an [`Event::Timer`] with this token.
+    /// Passes an [`Event::Timer`] with this token to the workload manager.
     WorkloadManager(u64),
     /// Cancels the attempt.
     AttemptTimeout(AttemptId),
--- a/gateway/src/counters.rs
+++ b/gateway/src/counters.rs
@@ -37,11 +37,11 @@
     idle_closed,
     /// Client connections closed, or requests and statements rejected, because the memory budget was exhausted.
     no_memory,
-    /// Requests rejected with Retry-After because they would not have been processed before their deadlines.
+    /// Requests rejected because they would not have been processed before their deadlines.
     too_late,
     /// Requests passed to the core.
     taken,
-    /// Requests rejected before the core because of invalid fields or their size.
+    /// Requests, statements and other messages of clients rejected because they are invalid or too large.
     invalid,
     /// Final answers: served.
     served,
@@ -49,7 +49,7 @@
     refused,
     /// Final answers: failed.
     failed,
-    /// Requests whose client left first.
+    /// Requests whose client disconnected or cancelled them before the final answer.
     left,
     /// Attempts forwarded to an engine.
     sent,
@@ -57,7 +57,7 @@
     stopped,
     /// Calls to engines repeated because their responses were invalid or missing.
     asked_again,
-    /// Connections opened to engines.
+    /// Attempts to open a connection to an engine.
     engine_connects,
     /// Attempts that ended with success.
     ended_success,
@@ -71,15 +71,15 @@
     ended_broken,
     /// Attempts that ended after they were cancelled.
     ended_withdrawn,
-    /// Attempts whose end was not reported.
+    /// Attempts whose engine reported no end.
     ended_timed_out,
     /// Attempts that were never sent.
     ended_void,
-    /// Events received from the discovery service.
+    /// Events of the endpoint list that were applied.
     list_events,
-    /// Streams opened to the discovery service.
+    /// Attempts to open a connection to the discovery service.
     list_connects,
-    /// Reloads of the configuration.
+    /// Successful reloads of the configuration file.
     reloads,
 }
 
--- a/gateway/src/discovery/engine_registry.rs
+++ b/gateway/src/discovery/engine_registry.rs
@@ -11,7 +11,7 @@
 
 /// Number of names that are stored regardless of the memory limit.
 const MIN_KNOWN_NAMES: usize = 4096;
-/// Bytes of the gateway's memory limit required for each name beyond [`MIN_KNOWN_NAMES`].
+/// Bytes of the gateway's memory limit for each stored name, if the limit allows more than [`MIN_KNOWN_NAMES`] names.
 const MEMORY_BYTES_PER_NAME: usize = 8192;
 
 /// The registry has no engine of this name.
@@ -116,7 +116,7 @@
         if !self.known_names.contains(name) {
             return Err(UnknownEngine);
         }
-        Ok(self.in_maintenance.insert(name.to_owned()).then(|| self.changed(name)).flatten())
+        Ok(self.in_maintenance.insert(name.to_owned()).then(|| self.update_event(name)).flatten())
     }
 
     /// Ends maintenance of an engine. The engine counts as started at `now_ms`, in Unix milliseconds. Returns the event
@@ -136,10 +136,10 @@
             return Ok(None);
         }
         self.maintenance_end_ms.insert(name.to_owned(), now_ms);
-        Ok(self.changed(name))
+        Ok(self.update_event(name))
     }
 
-    fn changed(&self, name: &str) -> Option<EndpointListEvent> {
+    fn update_event(&self, name: &str) -> Option<EndpointListEvent> {
         let entries = vec![self.with_maintenance(self.endpoints.get(name)?)];
         Some(EndpointListEvent { index: 0, is_full: false, entries, unreadable: Vec::new() })
     }
--- a/gateway/src/discovery/stream.rs
+++ b/gateway/src/discovery/stream.rs
@@ -10,8 +10,8 @@
 const MAX_ENDPOINT_BYTES: usize = 512;
 /// Number of endpoints in one event that are accepted regardless of the memory limit.
 const MIN_ENDPOINTS: usize = 1024;
-/// An event may have at most the gateway's memory limit divided by this number, because its parsed form takes several
-/// times the size of its text.
+/// The maximum size of an event is the gateway's memory limit divided by this number, because the parsed form of an
+/// event is several times as large as its text.
 const MEMORY_DIVISOR: usize = 16;
 
 /// Writes the request for the stream of events after event `last_index`.
--- a/gateway/src/discovery/watch.rs
+++ b/gateway/src/discovery/watch.rs
@@ -19,9 +19,9 @@
 use super::silence::SilenceDetector;
 use super::stream::{EndpointStream, EndpointStreamError, write_stream_request};
 
-/// Mean time between two attempts to open the stream, in microseconds. Each time is a random number up to a quarter
-/// shorter or longer, because all gateways lose their streams at the same time.
-const RETRY_US: u64 = 200_000;
+/// Mean time between two attempts to open the stream. The actual time is at random up to a quarter shorter or longer,
+/// because all gateways may lose their streams at the same time.
+const MEAN_RETRY_INTERVAL_US: u64 = 200_000;
 /// Minimum time between two attempts, as a ratio of the mean.
 const MIN_JITTER_RATIO: f64 = 0.75;
 /// Difference between maximum and minimum time, as a ratio of the mean.
@@ -52,7 +52,7 @@
     MissingEvents {
         /// Number of the received event.
         index: u64,
-        /// Number of the last event before.
+        /// Number of the last accepted event.
         last_index: u64,
     },
     /// The event with this number has entries that can't be read. It is requested once more.
@@ -145,7 +145,7 @@
             due.close = true;
         }
         if now_us >= self.retry_at_us {
-            let delay_us = RETRY_US as f64 * (MIN_JITTER_RATIO + JITTER_RANGE_RATIO * random());
+            let delay_us = MEAN_RETRY_INTERVAL_US as f64 * (MIN_JITTER_RATIO + JITTER_RANGE_RATIO * random());
             self.retry_at_us = now_us + delay_us as u64;
             due.connect = true;
         }
--- a/gateway/src/event_stream.rs
+++ b/gateway/src/event_stream.rs
@@ -27,7 +27,7 @@
 }
 
 impl EventStream {
-    /// Creates a reader that accepts events of up to `max_event_bytes` bytes.
+    /// Creates a reader. `max_event_bytes` bounds the bytes that are buffered, and thus the size of an event.
     pub fn new(max_event_bytes: usize) -> Self {
         Self {
             max_event_bytes,
@@ -117,7 +117,7 @@
 }
 
 fn blank_line(body: &[u8]) -> Option<(usize, usize)> {
-    let find = |what: &[u8]| body.windows(what.len()).position(|w| w == what).map(|at| (at, what.len()));
+    let find = |delim: &[u8]| body.windows(delim.len()).position(|w| w == delim).map(|at| (at, delim.len()));
     [find(b"\n\n"), find(b"\r\n\r\n")].into_iter().flatten().min()
 }
 
--- a/gateway/src/live_reconfiguration/error.rs
+++ b/gateway/src/live_reconfiguration/error.rs
@@ -5,7 +5,7 @@
 use super::slots::MAX_NAMES;
 use crate::config::ConfigError;
 
-/// Error for which new settings are not applied.
+/// Reason for which new settings are not applied.
 #[derive(Debug, thiserror::Error)]
 pub enum ReconfigurationError {
     /// The new settings can't be read or are invalid.
@@ -14,7 +14,7 @@
     /// The new settings can't replace those in force without a restart.
     #[error(transparent)]
     Refused(#[from] SettingsRefused),
-    /// The workload manager can't apply them.
+    /// The workload manager rejects the new settings.
     #[error("settings: {0}")]
     WorkloadManager(#[from] SettingsError),
 }
--- a/gateway/src/live_reconfiguration/slots.rs
+++ b/gateway/src/live_reconfiguration/slots.rs
@@ -1,8 +1,8 @@
 //! Assigns numbers to classes, tenants, machine types and zones when settings change.
 //!
-//! The number of a class is its slot. An unchanged class keeps its slot. A changed class gets another slot, and its old
-//! slot is retired: no new request gets it. A retired slot is reused once no request and no attempt has its number, so
-//! that the number of slots stays bounded.
+//! The number of a class is its slot. An unchanged class keeps its slot. A new or changed class gets a slot that no
+//! request and no attempt uses. Slots without a class of the new settings are retired: no new request gets them. A
+//! retired slot is reused once no request and no attempt uses it, so that the number of slots stays bounded.
 //!
 //! A tenant keeps its number while the settings have its name. Machine types and zones keep their numbers until the
 //! process exits, because engines of the endpoint list refer to them.
@@ -110,14 +110,14 @@
 
 impl ClassSlots {
     /// Creates the slots of the settings in force. No class of the new settings is assigned.
-    pub(super) fn new(current: NamedSettings<'_>, in_use: &BTreeSet<ClassId>) -> Self {
+    pub(super) fn new(current: NamedSettings<'_>, classes_in_use: &BTreeSet<ClassId>) -> Self {
         let slots = current.settings.classes.len();
         Self {
             names: current.names.classes.clone(),
             classes: current.settings.classes.clone(),
             origins: vec![ClassOrigin::Retired; slots],
             retired: current.names.retired_classes.clone(),
-            free: (0..slots).filter(|slot| !in_use.contains(&ClassId(*slot))).collect(),
+            free: (0..slots).filter(|slot| !classes_in_use.contains(&ClassId(*slot))).collect(),
         }
     }
 
@@ -142,14 +142,14 @@
         }
         for (name, class, old_slot) in changed {
             let origin = old_slot.map_or(ClassOrigin::New, |slot| ClassOrigin::DerivedFrom(ClassId(slot)));
-            assigned.insert(self.place(name, class, origin));
+            assigned.insert(self.insert_into_free_slot(name, class, origin));
         }
         self.retired = (0..self.classes.len()).filter(|slot| !assigned.contains(slot)).collect();
         self
     }
 
     /// Puts a class into the lowest free slot, or into a new slot if no slot is free.
-    fn place(&mut self, name: &str, class: Class, origin: ClassOrigin) -> usize {
+    fn insert_into_free_slot(&mut self, name: &str, class: Class, origin: ClassOrigin) -> usize {
         match self.free.pop_first() {
             Some(slot) => {
                 name.clone_into(&mut self.names[slot]);
--- a/gateway/src/live_reconfiguration/tests.rs
+++ b/gateway/src/live_reconfiguration/tests.rs
@@ -30,20 +30,20 @@
 struct InForce {
     names: SettingsNames,
     settings: Settings,
-    in_use: BTreeSet<ClassId>,
+    classes_in_use: BTreeSet<ClassId>,
 }
 
 impl InForce {
     fn new() -> Self {
         let site = site(BASE);
-        Self { names: site.names, settings: site.settings, in_use: BTreeSet::new() }
+        Self { names: site.names, settings: site.settings, classes_in_use: BTreeSet::new() }
     }
 
     fn prepare(&self, text: &str) -> Result<PreparedSettings, SettingsRefused> {
         let new = site(text);
         let current = NamedSettings { names: &self.names, settings: &self.settings };
         let new = NamedSettings { names: &new.names, settings: &new.settings };
-        prepare(current, new, &self.in_use, std::iter::empty())
+        prepare(current, new, &self.classes_in_use, std::iter::empty())
     }
 
     /// Applies settings and returns the origins of the classes, by slot.
@@ -86,19 +86,19 @@
 #[test]
 fn requests_in_flight_keep_their_class_until_they_end() {
     let mut in_force = InForce::new();
-    in_force.in_use.insert(ClassId(0));
+    in_force.classes_in_use.insert(ClassId(0));
     let origins = in_force.apply(&deadline(5));
     let kept = ClassOrigin::Unchanged;
     assert_eq!(origins, [ClassOrigin::Retired, kept, kept, ClassOrigin::DerivedFrom(ClassId(0))]);
     assert_eq!(in_force.names.class("lookup"), Some(ClassId(3)));
-    assert_eq!(in_force.settings.classes[0].deadline, 3.0, "the deadline at admission");
+    assert_eq!(in_force.settings.classes[0].deadline, 3.0, "requests in flight keep their deadline");
     assert_eq!(in_force.settings.classes[3].deadline, 5.0);
     assert_eq!(in_force.names.classes[0], "lookup", "engines and metrics still use the name");
     // A retired class stays retired while its slot is in use, even if the old settings are applied again.
     let origins = in_force.apply(BASE);
     assert_eq!(origins[0], ClassOrigin::Retired);
     assert_eq!(origins[3], ClassOrigin::DerivedFrom(ClassId(3)));
-    in_force.in_use.clear();
+    in_force.classes_in_use.clear();
     let origins = in_force.apply(&deadline(7));
     assert_eq!(origins[0], ClassOrigin::DerivedFrom(ClassId(3)), "the slot is reused");
     assert_eq!(origins[3], ClassOrigin::Retired);
@@ -109,7 +109,7 @@
     let mut in_force = InForce::new();
     for n in 0..3_100 {
         // Requests that arrived before a change are in flight until the next change.
-        in_force.in_use = in_force.names.class("lookup").into_iter().collect();
+        in_force.classes_in_use = in_force.names.class("lookup").into_iter().collect();
         in_force.apply(&deadline(n % 50 + 1));
         assert_eq!(
             in_force.names.class("lookup").map(|c| in_force.settings.classes[c.0].deadline),
--- a/gateway/src/process_replacement/messages.rs
+++ b/gateway/src/process_replacement/messages.rs
@@ -51,19 +51,20 @@
     pub key_leases: bool,
 }
 
-/// A message between the processes of a replacement. Times are Unix milliseconds, exact up to 2^53.
+/// A message between the processes of a replacement. Points in time are Unix milliseconds. Numbers are exact up to
+/// 2^53.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Message {
     /// The sender requests to replace the receiver.
     Hello {
-        /// Name of the gateway, which must be that of the receiver.
+        /// Name of the gateway. Must be equal to the receiver's name.
         gateway: String,
         /// Listen address for PostgreSQL clients.
         listen_address: SocketAddr,
     },
     /// The endpoint list contains or has contained an engine of this name.
     KnownEngine {
-        /// As in the endpoint list.
+        /// Name as in the endpoint list.
         name: String,
         /// End of the engine's last maintenance. 0: the engine had no maintenance.
         maintenance_end_ms: u64,
@@ -238,7 +239,7 @@
 /// Removes the next complete message from `input`. `None`: no message is complete.
 ///
 /// # Errors
-/// A line is not a message. The input after it can't be read either.
+/// A line is not a message. The rest of the input can't be read either.
 pub fn read_next(input: &mut Vec<u8>) -> Result<Option<Message>, MessageError> {
     let Some(end) = input.iter().position(|byte| *byte == b'\n') else {
         return if input.len() > MAX_LINE_BYTES { Err(MessageError::LineTooLong) } else { Ok(None) };
