--- a/gateway/src/counters.rs
+++ b/gateway/src/counters.rs
@@ -57,7 +57,7 @@
     stopped,
     /// Calls to engines repeated because their responses were invalid or missing.
     asked_again,
-    /// Attempts to open a connection to an engine.
+    /// Connections to engines, including those that were not established.
     engine_connects,
     /// Attempts that ended with success.
     ended_success,
@@ -77,7 +77,7 @@
     ended_void,
     /// Events of the endpoint list that were applied.
     list_events,
-    /// Attempts to open a connection to the discovery service.
+    /// Connections to the discovery service, including those that were not established.
     list_connects,
     /// Successful reloads of the configuration file.
     reloads,
