--- a/gateway/src/control_plane/client.rs
+++ b/gateway/src/control_plane/client.rs
@@ -107,7 +107,7 @@
     /// offers only versions older than the one in force.
     pub fn is_stream_lost(&self, now_us: u64) -> bool {
         let is_late = |stream: &Stream| !stream.is_up && now_us >= stream.opened_us + CONNECT_TIMEOUT_US;
-        self.stream.as_ref().is_some_and(is_late) || self.subscriber.is_silent(now_us)
+        self.stream.as_ref().is_some_and(is_late) || self.subscriber.is_timed_out(now_us)
     }
 
     /// Whether to open a connection for a stream.
--- a/gateway/tests/common/pg.rs
+++ b/gateway/tests/common/pg.rs
@@ -1,10 +1,10 @@
-//! A PostgreSQL client of simple queries.
+//! A PostgreSQL client for simple queries.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// An answer: rows of text, or an error's code and text.
+/// An answer: text rows, an empty query response, or the SQLSTATE and text of an error.
 #[derive(Debug, PartialEq)]
 pub enum Answer {
     Rows(Vec<Vec<String>>),
@@ -41,9 +41,9 @@
         }
     }
 
-    /// The code with which a connection is turned away.
-    pub fn turned_away(address: SocketAddr) -> String {
-        let (kind, body) = Self::silent(address).message();
+    /// SQLSTATE with which a new connection is rejected.
+    pub fn rejection_code(address: SocketAddr) -> String {
+        let (kind, body) = Self::without_startup(address).message();
         assert_eq!(kind, b'E');
         error(&body).0
     }
@@ -52,28 +52,28 @@
         let mut stream = TcpStream::connect(address).unwrap();
         stream.write_all(&[0, 0, 0, 16, 0x04, 0xd2, 0x16, 0x2e]).unwrap();
         stream.write_all(&key).unwrap();
-        // The other side closes once it has read it.
+        // The gateway closes the connection after it has read the request.
         let _ = stream.read(&mut [0]);
     }
 
-    /// The same without waiting for the other side to close.
-    pub fn cancel_unread(address: SocketAddr, key: [u8; 8]) -> TcpStream {
+    /// Sends a cancel request without waiting until the gateway closes the connection.
+    pub fn send_cancel(address: SocketAddr, key: [u8; 8]) -> TcpStream {
         let mut stream = TcpStream::connect(address).unwrap();
         stream.write_all(&[&[0, 0, 0, 16, 0x04, 0xd2, 0x16, 0x2e], &key[..]].concat()).unwrap();
         stream
     }
 
-    /// A connection with its start and a query behind it, none of which has been answered.
-    pub fn late(address: SocketAddr, query: &str) -> Self {
-        let mut client = Self::silent(address);
+    /// Connects and sends the startup message and a query without waiting for answers.
+    pub fn pipelined(address: SocketAddr, query: &str) -> Self {
+        let mut client = Self::without_startup(address);
         let body = b"\0\x03\0\0user\0app\0database\0warehouse\0\0";
-        client.raw(&[&(body.len() as u32 + 4).to_be_bytes(), &body[..]].concat());
+        client.send_raw(&[&(body.len() as u32 + 4).to_be_bytes(), &body[..]].concat());
         client.send(query);
         client
     }
 
-    /// The code of the error that such a connection gets, behind its start or in place of it.
-    pub fn late_answer(&mut self) -> String {
+    /// Waits for the next error, during or after startup, and returns its SQLSTATE.
+    pub fn wait_error_code(&mut self) -> String {
         loop {
             let (kind, body) = self.message();
             if kind == b'E' {
@@ -82,21 +82,21 @@
         }
     }
 
-    /// A connection on which nothing has been said.
-    pub fn silent(address: SocketAddr) -> Self {
+    /// Connects without sending a startup message.
+    pub fn without_startup(address: SocketAddr) -> Self {
         let stream = TcpStream::connect(address).unwrap();
         stream.set_read_timeout(Some(Duration::from_secs(30))).unwrap();
         Self { stream, key: [0; 8] }
     }
 
-    /// Another hold on the same connection.
+    /// Returns another handle of the same connection.
     pub fn clone(&self) -> Self {
         Self { stream: self.stream.try_clone().unwrap(), key: self.key }
     }
 
-    /// A connection that has started, if the other side lets it.
+    /// Connects, or returns `None` if the gateway rejects or closes the connection.
     pub fn try_connect(address: SocketAddr) -> Option<Self> {
-        let mut client = Self::silent(address);
+        let mut client = Self::without_startup(address);
         let body = b"\0\x03\0\0user\0app\0database\0warehouse\0\0";
         let start = [&(body.len() as u32 + 4).to_be_bytes(), &body[..]].concat();
         client.stream.write_all(&start).ok()?;
@@ -109,8 +109,8 @@
         }
     }
 
-    /// The code with which a connection on which nothing was said is ended; `None` if without a word.
-    pub fn refusal(mut self) -> Option<String> {
+    /// SQLSTATE with which the gateway ends the connection, or `None` if it is closed without an error.
+    pub fn into_error_code(mut self) -> Option<String> {
         let (kind, body) = self.try_message()?;
         (kind == b'E').then(|| error(&body).0)
     }
@@ -124,13 +124,13 @@
         Some((head[0], body))
     }
 
-    /// Whether the other side has ended without a word.
-    pub fn is_ended(&mut self) -> bool {
+    /// Waits for input. Returns whether it is the end of the connection.
+    pub fn is_closed(&mut self) -> bool {
         self.stream.read(&mut [0]).is_ok_and(|n| n == 0)
     }
 
-    /// Ends this side; the other may still be read.
-    pub fn end_writing(&mut self) {
+    /// Closes the sending direction. Answers can still be read.
+    pub fn shutdown_write(&mut self) {
         self.stream.shutdown(std::net::Shutdown::Write).unwrap();
     }
 
@@ -139,17 +139,17 @@
         socket2::SockRef::from(&self.stream).set_linger(Some(Duration::ZERO)).unwrap();
     }
 
-    /// Writes as much as the connection takes of bytes that may not be wanted.
-    pub fn flood(&mut self, bytes: usize) -> bool {
+    /// Sends invalid bytes. Returns false if the gateway has closed the connection.
+    pub fn try_send_garbage(&mut self, bytes: usize) -> bool {
         self.stream.write_all(&vec![b'x'; bytes]).is_ok()
     }
 
-    pub fn raw(&mut self, bytes: &[u8]) {
+    pub fn send_raw(&mut self, bytes: &[u8]) {
         self.stream.write_all(bytes).unwrap();
     }
 
     fn message(&mut self) -> (u8, Vec<u8>) {
-        self.try_message().expect("a message")
+        self.try_message().expect("the connection has ended without a message")
     }
 
     pub fn query(&mut self, text: &str) -> Answer {
@@ -162,12 +162,12 @@
         bytes.extend((text.len() as u32 + 5).to_be_bytes());
         bytes.extend(text.as_bytes());
         bytes.push(0);
-        self.raw(&bytes);
+        self.send_raw(&bytes);
     }
 
-    /// Reads one answer; panics unless it holds exactly one outcome before ReadyForQuery.
+    /// Reads one answer. Panics unless it has exactly one result before `ReadyForQuery`.
     pub fn answer(&mut self) -> Answer {
-        let (mut rows, mut ends) = (Vec::new(), Vec::new());
+        let (mut rows, mut results) = (Vec::new(), Vec::new());
         loop {
             let (kind, body) = self.message();
             match kind {
@@ -180,11 +180,11 @@
                     }
                     rows.push(row);
                 }
-                b'C' => ends.push(Answer::Rows(std::mem::take(&mut rows))),
-                b'I' => ends.push(Answer::Empty),
+                b'C' => results.push(Answer::Rows(std::mem::take(&mut rows))),
+                b'I' => results.push(Answer::Empty),
                 b'E' => {
                     let (code, text, severity) = error(&body);
-                    ends.push(Answer::Error(code, text));
+                    results.push(Answer::Error(code, text));
                     if severity == "FATAL" {
                         break;
                     }
@@ -193,12 +193,12 @@
                 _ => {}
             }
         }
-        assert_eq!(ends.len(), 1, "one final answer");
-        ends.pop().unwrap()
+        assert_eq!(results.len(), 1, "the answer must have exactly one result");
+        results.pop().unwrap()
     }
 }
 
-/// Code, text and severity of an error.
+/// SQLSTATE, text and severity of an error.
 fn error(body: &[u8]) -> (String, String, String) {
     let field = |kind: u8| {
         let f = body.split(|b| *b == 0).find(|f| f.first() == Some(&kind)).unwrap();
--- a/gateway/tests/fronts.rs
+++ b/gateway/tests/fronts.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use common::requests::error_code;
-use common::{DiscoveryService, Engine, Gateway, ResponseFault, Seen, mysql, pg};
+use common::{DiscoveryService, Engine, Gateway, Recorder, ResponseFault, mysql, pg};
 
 const ID: &str = "9b1f03aa5c7e2d41";
 
@@ -36,7 +36,7 @@
 
 #[test]
 fn postgres_clients_get_rows_in_order_and_errors_at_once() {
-    let seen = Seen::default();
+    let seen = Recorder::default();
     let engine = Engine::start("e1", &seen, 5);
     let gateway = Gateway::start(&[&engine], false);
     assert!(gateway.mysql.is_none(), "the MySQL front end must be off by default");
@@ -52,11 +52,11 @@
     assert_eq!(error_code(&client.query("SELECT 1")), "42601");
     assert_eq!(error_code(&client.query(&text("gossip", ID, 2000))), "42601");
     assert_eq!(error_code(&client.query(&text("lookup", "12", 2000))), "42601");
-    assert_eq!(seen.count(), 1, "an invalid request was forwarded");
+    assert_eq!(seen.query_count(), 1, "an invalid request was forwarded");
     assert_eq!(client.query(&text("lookup", ID, 2000)), rows(["a", "b", "c"]));
 
     let mut other = pg::Client::connect(gateway.pg);
-    other.raw(b"Q\x7f\xff\xff\xff");
+    other.send_raw(b"Q\x7f\xff\xff\xff");
     assert_eq!(error_code(&other.answer()), "54000");
     assert_eq!(
         client.query(&text("lookup", ID, 2000)),
@@ -71,77 +71,78 @@
 
 #[test]
 fn idle_clients_are_evicted_and_clients_with_open_requests_are_not() {
-    let seen = Seen::default();
+    let seen = Recorder::default();
     let engine = Engine::start("e1", &seen, 1);
     let gateway = Gateway::start(&[&engine], false);
-    let silent: Vec<_> = (0..gateway.most_clients()).map(|_| pg::Client::silent(gateway.pg)).collect();
+    let silent: Vec<_> =
+        (0..gateway.max_clients()).map(|_| pg::Client::without_startup(gateway.pg)).collect();
     thread::sleep(Duration::from_millis(200));
     let mut client = pg::Client::connect(gateway.pg);
     assert_eq!(served_by(&mut client), "e1", "silent connections must not block clients");
     drop(silent);
 
     // Idle clients are evicted too, starting with the one idle for longest.
-    let held: Vec<_> = (0..gateway.most_clients()).map(|_| pg::Client::connect(gateway.pg)).collect();
-    assert!(client.is_ended());
+    let held: Vec<_> = (0..gateway.max_clients()).map(|_| pg::Client::connect(gateway.pg)).collect();
+    assert!(client.is_closed());
     drop(held);
 
     // If all clients have open requests, a new client is rejected with an error that permits a retry.
     engine.set_work_ms(30_000);
-    let mut busy: Vec<_> = (0..gateway.most_clients()).map(|_| pg::Client::connect(gateway.pg)).collect();
+    let mut busy: Vec<_> = (0..gateway.max_clients()).map(|_| pg::Client::connect(gateway.pg)).collect();
     for (n, client) in busy.iter_mut().enumerate() {
         client.send(&text("report", &format!("{n:016x}"), 20_000));
     }
-    assert_eq!(pg::Client::turned_away(gateway.pg), "53300");
+    assert_eq!(pg::Client::rejection_code(gateway.pg), "53300");
 }
 
 #[test]
 fn unfinished_startups_and_messages_time_out_with_an_error() {
-    let seen = Seen::default();
+    let seen = Recorder::default();
     let engine = Engine::start("e1", &seen, 1);
     let gateway = Gateway::start(&[&engine], false);
     let (mut idle, mut partial) = (pg::Client::connect(gateway.pg), pg::Client::connect(gateway.pg));
-    let mut silent = pg::Client::silent(gateway.pg);
-    partial.raw(b"Q\0\0\0\x40/* c=lookup");
+    let mut silent = pg::Client::without_startup(gateway.pg);
+    partial.send_raw(b"Q\0\0\0\x40/* c=lookup");
     assert_eq!(error_code(&silent.answer()), "57014");
     assert_eq!(error_code(&partial.answer()), "57014");
-    assert!(partial.is_ended(), "the connection must be closed");
+    assert!(partial.is_closed(), "the connection must be closed");
     assert_eq!(served_by(&mut idle), "e1", "an idle client must not time out");
 }
 
 #[test]
 fn a_fatal_error_reaches_a_client_that_goes_on_sending() {
-    let seen = Seen::default();
+    let seen = Recorder::default();
     let engine = Engine::start("e1", &seen, 1);
     let gateway = Gateway::start(&[&engine], false);
     let mut client = pg::Client::connect(gateway.pg);
-    client.raw(b"Q\x03\0\0\0");
+    client.send_raw(b"Q\x03\0\0\0");
     for _ in 0..64 {
-        client.raw(&[b'x'; 256 * 1024]);
+        client.send_raw(&[b'x'; 256 * 1024]);
     }
     assert_eq!(error_code(&client.answer()), "54000");
-    assert!(client.is_ended());
+    assert!(client.is_closed());
 }
 
 #[test]
 fn an_id_in_use_is_invalid_for_another_request() {
-    let seen = Seen::default();
+    let seen = Recorder::default();
     let engine = Engine::start("e1", &seen, 700);
     let gateway = Gateway::start(&[&engine], false);
     let (mut client, mut other) = (pg::Client::connect(gateway.pg), pg::Client::connect(gateway.pg));
     client.send(&text("report", "9b1f03aa5c7e2dff", 20_000));
-    while seen.count() == 0 {
+    while seen.query_count() == 0 {
         thread::sleep(Duration::from_millis(1));
     }
     for id in ["9b1f03aa5c7e2dff", "9B1F03AA5C7E2DFF"] {
         assert_eq!(error_code(&other.query(&text("lookup", id, 2000))), "42601");
     }
     assert!(matches!(client.answer(), pg::Answer::Rows(_)), "the open request must be served");
-    assert_eq!(seen.count(), 1, "a request with an id in use was forwarded");
+    assert_eq!(seen.query_count(), 1, "a request with an id in use was forwarded");
 }
 
 #[test]
 fn postgres_deadlines_and_cancels_end_requests() {
-    let seen = Seen::default();
+    let seen = Recorder::default();
     let engine = Engine::start("e1", &seen, 3000);
     let gateway = Gateway::start(&[&engine], false);
     let mut client = pg::Client::connect(gateway.pg);
@@ -187,19 +188,19 @@
 
 #[test]
 fn the_endpoint_list_is_followed_across_broken_and_silent_streams() {
-    let seen = Seen::default();
+    let seen = Recorder::default();
     let (one, two) = (Engine::start("e1", &seen, 1), Engine::start("e2", &seen, 1));
     let second_event = format!("{},{}", one.entry("Ready"), two.entry("Gone"));
-    let discovery = DiscoveryService::unsteady([one.entry("Terminating"), second_event]);
-    let gateway = Gateway::start_with(&[&one, &two], false, Some(discovery.address));
+    let discovery = DiscoveryService::with_interrupted_streams([one.entry("Terminating"), second_event]);
+    let gateway = Gateway::start_with_coordinator(&[&one, &two], false, Some(discovery.address));
     let mut client = pg::Client::connect(gateway.pg);
     // The third stream replaces the silent second one and continues from the last event.
     let began = Instant::now();
-    while discovery.requested.lock().unwrap().len() < 3 {
-        assert!(began.elapsed() < Duration::from_secs(60), "{:?}", discovery.requested);
+    while discovery.last_event_ids.lock().unwrap().len() < 3 {
+        assert!(began.elapsed() < Duration::from_secs(60), "{:?}", discovery.last_event_ids);
         thread::sleep(Duration::from_millis(20));
     }
-    assert_eq!(*discovery.requested.lock().unwrap(), ["1", "2", "3"]);
+    assert_eq!(*discovery.last_event_ids.lock().unwrap(), ["1", "2", "3"]);
     for _ in 0..10 {
         assert_eq!(served_by(&mut client), "e1", "the other engine is gone");
     }
@@ -207,13 +208,14 @@
 
 #[test]
 fn nothing_is_forwarded_to_a_draining_engine() {
-    let seen = Seen::default();
+    let seen = Recorder::default();
     let (one, two) = (Engine::start("e1", &seen, 1), Engine::start("e2", &seen, 1));
-    let discovery = DiscoveryService::unsteady([one.entry("Terminating"), one.entry("Terminating")]);
-    let gateway = Gateway::start_with(&[&one, &two], false, Some(discovery.address));
+    let discovery =
+        DiscoveryService::with_interrupted_streams([one.entry("Terminating"), one.entry("Terminating")]);
+    let gateway = Gateway::start_with_coordinator(&[&one, &two], false, Some(discovery.address));
     let mut client = pg::Client::connect(gateway.pg);
     // The second stream continues from the first event, which has thus been read.
-    while discovery.requested.lock().unwrap().len() < 2 {
+    while discovery.last_event_ids.lock().unwrap().len() < 2 {
         thread::sleep(Duration::from_millis(5));
     }
     for _ in 0..20 {
@@ -223,21 +225,21 @@
 
 #[test]
 fn sighup_moves_the_watch_and_an_invalid_file_changes_nothing() {
-    let seen = Seen::default();
+    let seen = Recorder::default();
     let (one, two) = (Engine::start("e1", &seen, 1), Engine::start("e2", &seen, 1));
-    let old = DiscoveryService::steady(2, vec![DiscoveryService::change(2, &one.entry("Ready"))]);
-    let gateway = Gateway::start_with(&[&one, &two], false, Some(old.address));
+    let old = DiscoveryService::with_events(2, vec![DiscoveryService::delta_event(2, &one.entry("Ready"))]);
+    let gateway = Gateway::start_with_coordinator(&[&one, &two], false, Some(old.address));
     let mut client = pg::Client::connect(gateway.pg);
     assert!(matches!(client.query(&text("lookup", ID, 2000)), pg::Answer::Rows(_)));
 
     // An incomplete file is rejected. The settings in force stay.
     gateway.reconfigure(|t| t[..t.len() / 2].to_owned());
-    gateway.logged("the old settings are kept");
+    gateway.wait_for_log("the old settings are kept");
     served_by(&mut client);
-    assert_eq!(old.requested.lock().unwrap().len(), 1, "the old stream must stay open");
+    assert_eq!(old.last_event_ids.lock().unwrap().len(), 1, "the old stream must stay open");
 
     // An incomplete file is completed a little later.
-    let new = DiscoveryService::steady(3, vec![DiscoveryService::change(3, &two.entry("Gone"))]);
+    let new = DiscoveryService::with_events(3, vec![DiscoveryService::delta_event(3, &two.entry("Gone"))]);
     let list = format!("{},{}", one.entry("Ready"), two.entry("Ready"));
     let whole = include_str!("common/config.json").replace("LIST", &list);
     let whole = whole.replace("\"known\":", &format!("\"coordinator\":\"{}\",\"known\":", new.address));
@@ -245,11 +247,11 @@
     thread::sleep(Duration::from_millis(50));
     gateway.reconfigure(|_| whole.clone());
     let began = Instant::now();
-    while new.requested.lock().unwrap().is_empty() {
+    while new.last_event_ids.lock().unwrap().is_empty() {
         assert!(began.elapsed() < Duration::from_secs(60), "no stream was requested from the new service");
         thread::sleep(Duration::from_millis(5));
     }
-    assert_eq!(*new.requested.lock().unwrap(), ["2"], "the stream must continue from the last event");
+    assert_eq!(*new.last_event_ids.lock().unwrap(), ["2"], "the stream must continue from the last event");
     only_served_by(&mut client, "e1");
     let (exit, log) = gateway.end();
     assert_eq!(exit, Some(0), "{log}");
@@ -257,41 +259,41 @@
 
 #[test]
 fn an_unreadable_entry_affects_no_other_engine() {
-    let seen = Seen::default();
+    let seen = Recorder::default();
     let engines: Vec<Engine> = ["e1", "e2", "e3"].iter().map(|name| Engine::start(name, &seen, 1)).collect();
     let [one, two, three] = &engines[..] else { unreachable!() };
     // The second engine has an unknown state, the third one drains.
     let list = format!("{},{}", two.entry("Sick"), three.entry("Terminating"));
-    let discovery = DiscoveryService::steady(2, vec![DiscoveryService::change(2, &list)]);
-    let gateway = Gateway::start_with(&[one, two, three], false, Some(discovery.address));
-    gateway.logged("engine=\"e2\" unread=1");
+    let discovery = DiscoveryService::with_events(2, vec![DiscoveryService::delta_event(2, &list)]);
+    let gateway = Gateway::start_with_coordinator(&[one, two, three], false, Some(discovery.address));
+    gateway.wait_for_log("engine=\"e2\" unread=1");
     let began = Instant::now();
-    while discovery.requested.lock().unwrap().len() < 2 {
+    while discovery.last_event_ids.lock().unwrap().len() < 2 {
         assert!(began.elapsed() < Duration::from_secs(60), "the event was not requested again");
         thread::sleep(Duration::from_millis(5));
     }
     let mut client = pg::Client::connect(gateway.pg);
     only_served_by(&mut client, "e1");
-    assert_eq!(*discovery.requested.lock().unwrap(), ["1", "1"]);
+    assert_eq!(*discovery.last_event_ids.lock().unwrap(), ["1", "1"]);
 }
 
 #[test]
 fn an_unreadable_event_does_not_block_later_ones() {
-    let seen = Seen::default();
+    let seen = Recorder::default();
     let (one, two) = (Engine::start("e1", &seen, 1), Engine::start("e2", &seen, 1));
     let events = vec![
         "{\"index\":2,\"endpoints\":{\"endpoints\":7}}".to_owned(),
-        DiscoveryService::change(3, &two.entry("Gone")),
+        DiscoveryService::delta_event(3, &two.entry("Gone")),
     ];
-    let discovery = DiscoveryService::steady(2, events);
-    let gateway = Gateway::start_with(&[&one, &two], false, Some(discovery.address));
+    let discovery = DiscoveryService::with_events(2, events);
+    let gateway = Gateway::start_with_coordinator(&[&one, &two], false, Some(discovery.address));
     let began = Instant::now();
-    while discovery.requested.lock().unwrap().len() < 3 {
-        assert!(began.elapsed() < Duration::from_secs(60), "{:?}", discovery.requested);
+    while discovery.last_event_ids.lock().unwrap().len() < 3 {
+        assert!(began.elapsed() < Duration::from_secs(60), "{:?}", discovery.last_event_ids);
         thread::sleep(Duration::from_millis(5));
     }
     assert_eq!(
-        *discovery.requested.lock().unwrap(),
+        *discovery.last_event_ids.lock().unwrap(),
         ["1", "1", "2"],
         "the unreadable event must be requested once more and then skipped"
     );
@@ -301,15 +303,15 @@
 
 #[test]
 fn a_query_survives_its_connection_without_a_second_attempt() {
-    let seen = Seen::default();
+    let seen = Recorder::default();
     let engine = Engine::start("e1", &seen, 600);
     let gateway = Gateway::start(&[&engine], false);
     let mut client = pg::Client::connect(gateway.pg);
     client.send(&text("load", ID, 20_000));
-    while seen.count() == 0 {
+    while seen.query_count() == 0 {
         thread::sleep(Duration::from_millis(1));
     }
-    engine.cut();
+    engine.close_connections();
     assert!(matches!(client.answer(), pg::Answer::Rows(_)));
     assert_eq!(seen.engines_of(ID), ["e1"]);
 }
@@ -317,17 +319,17 @@
 /// A reset connection does not prove that the query has ended.
 #[test]
 fn a_cancellation_is_repeated_over_connections_that_are_reset() {
-    let seen = Seen::default();
+    let seen = Recorder::default();
     let engine = Engine::start("e1", &seen, 2000);
     let gateway = Gateway::start(&[&engine], false);
     let mut client = pg::Client::connect(gateway.pg);
     client.send(&text("load", ID, 20_000));
     let began = Instant::now();
-    while seen.count() == 0 {
+    while seen.query_count() == 0 {
         assert!(began.elapsed() < Duration::from_secs(60), "the load did not reach its engine");
         thread::sleep(Duration::from_millis(1));
     }
-    engine.reset_new(2);
+    engine.reset_new_connections(2);
     drop(client);
     while seen.deletes().is_empty() {
         assert!(began.elapsed() < Duration::from_secs(60), "the engine received no cancellation");
@@ -340,21 +342,21 @@
 /// Guards against a second run of a query whose result the engine still has.
 #[test]
 fn unusable_responses_are_requested_again() {
-    let seen = Seen::default();
+    let seen = Recorder::default();
     let engine = Engine::start("e1", &seen, 1);
     let gateway = Gateway::start(&[&engine], false);
     let mut client = pg::Client::connect(gateway.pg);
     let cases = [
         &[ResponseFault::Garbage][..],
-        &[ResponseFault::BadStatusLine, ResponseFault::CutOff],
-        &[ResponseFault::Endless, ResponseFault::Short],
-        &[ResponseFault::Silent],
-        &[ResponseFault::Preceded, ResponseFault::Preceded],
+        &[ResponseFault::BadStatusLine, ResponseFault::TruncatedHead],
+        &[ResponseFault::HugeContentLength, ResponseFault::TruncatedBody],
+        &[ResponseFault::NoResponse],
+        &[ResponseFault::InterimResponse, ResponseFault::InterimResponse],
         // A duplicate of the first page must not be taken for the second page, nor one of the second for a new result.
-        &[ResponseFault::Twice, ResponseFault::Twice],
+        &[ResponseFault::Duplicate, ResponseFault::Duplicate],
     ];
     for (n, faults) in cases.iter().enumerate() {
-        engine.spoil(faults);
+        engine.inject_faults(faults);
         let id = format!("{n:016x}");
         let answer = client.query(&text("load", &id, 20_000));
         assert!(matches!(&answer, pg::Answer::Rows(rows) if rows.len() == 3), "{faults:?}: {answer:?}");
@@ -364,10 +366,10 @@
 
 #[test]
 fn a_query_at_a_silent_engine_is_not_retried_elsewhere() {
-    let seen = Seen::default();
+    let seen = Recorder::default();
     let engines = ["e1", "e2"].map(|n| Engine::start(n, &seen, 1));
     let gateway = Gateway::start(&[&engines[0], &engines[1]], false);
-    engines.iter().for_each(Engine::mute);
+    engines.iter().for_each(Engine::stop_responding);
     let mut client = pg::Client::connect(gateway.pg);
     let answer = client.query(&text("report", ID, 20_000));
     assert!(pg_rejected(&answer), "the client must be allowed to retry long before its deadline: {answer:?}");
@@ -375,7 +377,7 @@
 }
 
 /// Waits until a query has started and returns its engine.
-fn engine_of<'a>(seen: &Seen, id: &str, engines: &'a [Engine]) -> &'a Engine {
+fn engine_of<'a>(seen: &Recorder, id: &str, engines: &'a [Engine]) -> &'a Engine {
     loop {
         if let Some(name) = seen.engines_of(id).first() {
             return engines.iter().find(|e| e.name == *name).unwrap();
@@ -388,7 +390,7 @@
 /// refuses new ones.
 #[test]
 fn a_query_is_not_retried_elsewhere_when_its_engine_refuses_connections() {
-    let seen = Seen::default();
+    let seen = Recorder::default();
     let engines = ["e1", "e2"].map(|n| Engine::start(n, &seen, 10_000));
     let gateway = Gateway::start(&[&engines[0], &engines[1]], false);
     let mut client = pg::Client::connect(gateway.pg);
@@ -396,8 +398,8 @@
         let id = format!("{n:016x}");
         client.send(&text(class, &id, 20_000));
         let engine = engine_of(&seen, &id, &engines);
-        engine.refuse_new();
-        engine.cut();
+        engine.refuse_connections();
+        engine.close_connections();
         let answer = client.answer();
         assert_eq!(pg_rejected(&answer), class == "report", "{answer:?}");
         assert_eq!(seen.engines_of(&id).len(), 1, "a query that may still run was sent to another engine");
@@ -407,12 +409,12 @@
 /// The query may still run if its cancellation does not reach the engine.
 #[test]
 fn a_cancelled_query_is_retried_elsewhere_only_after_its_engine_was_notified() {
-    let seen = Seen::default();
+    let seen = Recorder::default();
     let engines = ["e1", "e2"].map(|n| Engine::start(n, &seen, 10_000));
     let gateway = Gateway::start(&[&engines[0], &engines[1]], false);
     let mut client = pg::Client::connect(gateway.pg);
     client.send(&text("lookup", ID, 3_000));
-    engine_of(&seen, ID, &engines).refuse_new();
+    engine_of(&seen, ID, &engines).refuse_connections();
     // The query runs far longer than a lookup usually does, so the gateway wants a new attempt.
     assert!(!matches!(client.answer(), pg::Answer::Rows(_)));
     let sent = seen.engines_of(ID).len();
@@ -421,12 +423,12 @@
 
 #[test]
 fn sigterm_finishes_open_requests_and_accepts_a_few_more() {
-    let seen = Seen::default();
+    let seen = Recorder::default();
     let engine = Engine::start("e1", &seen, 1500);
     let gateway = Gateway::start(&[&engine], false);
     let mut client = pg::Client::connect(gateway.pg);
     client.send(&text("report", ID, 20_000));
-    while seen.count() == 0 {
+    while seen.query_count() == 0 {
         thread::sleep(Duration::from_millis(1));
     }
     gateway.terminate();
@@ -441,7 +443,7 @@
 
 #[test]
 fn mysql_clients_run_text_and_prepared_statements() {
-    let seen = Seen::default();
+    let seen = Recorder::default();
     let engine = Engine::start("e1", &seen, 2);
     let gateway = Gateway::start(&[&engine], true);
     let denied = mysql::Client::log_in(gateway.mysql(), "unit", "wrong").err().unwrap();
@@ -480,13 +482,13 @@
     assert_eq!(number(client.query("/* c=lookup */ SELECT 1", &[("d", "soon")])), 1210);
     client.command(0x05, b"db");
     assert_eq!(number(client.answer(false)), 1047);
-    let runs = seen.count();
+    let runs = seen.query_count();
     assert_eq!(
         number(client.query("/* c=lookup */ nonsense", &[])),
         1064,
         "the engine's error code must be returned"
     );
-    assert_eq!(seen.count(), runs + 1, "a statement error must not be retried");
+    assert_eq!(seen.query_count(), runs + 1, "a statement error must not be retried");
     assert_eq!(client.ping(), mysql::Answer::Done);
 
     let (exit, log) = gateway.end();
@@ -496,7 +498,7 @@
 
 #[test]
 fn mysql_deadlines_rejections_and_failures() {
-    let seen = Seen::default();
+    let seen = Recorder::default();
     let engine = Engine::start("e1", &seen, 3000);
     let gateway = Gateway::start(&[&engine], true);
     let mut client = mysql::Client::connect(gateway.mysql());
@@ -520,12 +522,12 @@
 
 #[test]
 fn a_mysql_statement_is_killed_when_its_client_leaves() {
-    let seen = Seen::default();
+    let seen = Recorder::default();
     let engine = Engine::start("e1", &seen, 3000);
     let gateway = Gateway::start(&[&engine], true);
     let mut client = mysql::Client::connect(gateway.mysql());
     client.command(0x03, b"\0\x01/* c=report */ SELECT v FROM a_1.b");
-    while seen.count() == 0 {
+    while seen.query_count() == 0 {
         thread::sleep(Duration::from_millis(1));
     }
     drop(client);
@@ -542,7 +544,7 @@
 
 #[test]
 fn a_prepared_lookup_survives_an_engine_crash_and_a_load_runs_once() {
-    let seen = Seen::default();
+    let seen = Recorder::default();
     let (one, two) = (Engine::start("e1", &seen, 2), Engine::start("e2", &seen, 2));
     let gateway = Gateway::start(&[&one, &two], true);
     let mut client = mysql::Client::connect(gateway.mysql());
@@ -559,11 +561,11 @@
     assert_eq!(seen.engines_of(ID), [alive.name.as_str()]);
     // The engine crashes while it runs the load. The load may have run, so it fails without a retry.
     alive.set_work_ms(400);
-    let runs = seen.count();
+    let runs = seen.query_count();
     let wait_started = thread::spawn({
         let seen = seen.clone();
         move || {
-            while seen.count() == runs {
+            while seen.query_count() == runs {
                 thread::sleep(Duration::from_millis(1));
             }
         }
@@ -578,13 +580,13 @@
 /// A MySQL statement may outlive its connection and cannot be polled over another one.
 #[test]
 fn a_mysql_statement_whose_connection_breaks_is_not_retried() {
-    let seen = Seen::default();
+    let seen = Recorder::default();
     let engines = ["e1", "e2"].map(|n| Engine::start(n, &seen, 10_000));
     let gateway = Gateway::start(&[&engines[0], &engines[1]], true);
     let mut client = mysql::Client::connect(gateway.mysql());
     let (lookup, _) = client.prepare("/* c=lookup,h=20 */ SELECT v FROM a_1.b WHERE c = ?").unwrap();
     let request = thread::spawn(move || client.execute(lookup, &["1"], &[("i", ID)]));
-    engine_of(&seen, ID, &engines).cut();
+    engine_of(&seen, ID, &engines).close_connections();
     assert!(mysql_rejected(&request.join().unwrap()), "the client must be allowed to retry");
     assert_eq!(seen.engines_of(ID).len(), 1, "a statement that may still run was sent again");
 }
@@ -641,14 +643,14 @@
 
 #[test]
 fn mixed_traffic_survives_an_engine_killed_in_mid_batch() {
-    let seen = Seen::default();
+    let seen = Recorder::default();
     let engines: Vec<Engine> = ["e1", "e2", "e3"].map(|n| Engine::start(n, &seen, 5)).into();
     let gateway = Gateway::start(&engines.iter().collect::<Vec<_>>(), true);
     let killer = thread::spawn({
         let seen = seen.clone();
         let victim = engines.into_iter().next().unwrap();
         move || {
-            while seen.count() < 100 {
+            while seen.query_count() < 100 {
                 thread::sleep(Duration::from_millis(1));
             }
             victim.kill();
@@ -674,7 +676,7 @@
 #[ignore = "measures latencies"]
 fn lookup_latency_with_and_without_mysql_traffic() {
     let measure = |fronts: &[&str]| {
-        let seen = Seen::default();
+        let seen = Recorder::default();
         let engines = ["e1", "e2", "e3"].map(|n| Engine::start(n, &seen, 20));
         let gateway = Gateway::start(&engines.iter().collect::<Vec<_>>(), true);
         let mut latencies = traffic(&gateway, fronts, 300);
--- a/lab/src/capacity/experiments/mod.rs
+++ b/lab/src/capacity/experiments/mod.rs
@@ -1,5 +1,5 @@
-//! The experiments: what one run of each does, and what it gives. A module for each kind adds its experiments to
-//! [`ExperimentRunner`], which runs them within the bounds of its guard.
+//! Runs the experiments. Each submodule adds the experiments of one kind to [`ExperimentRunner`], which runs them
+//! within the limits of its guard.
 
 mod decisions;
 mod endpoint_list;
@@ -17,85 +17,85 @@
 use super::fit::Point;
 use super::process::Gateway;
 use super::site::Site;
-use super::slopes::Measured;
+use super::slopes::Measurement;
 use super::stand_ins::Engines;
-pub use experiment_run::{ExperimentRun, fell_behind};
-use experiment_run::{percent, unserved};
+pub use experiment_run::{ExperimentRun, schedule_overrun};
+use experiment_run::{failed_statements, percent};
 
-/// Open requests, and active sessions, where that is not what is varied.
-const FIXED_OPEN_REQUESTS: usize = 16;
-/// Sessions of the experiment that combines active and idle ones, as many as at the operators' size.
+/// Open requests or active sessions of experiments with another variable.
+const FIXED_REQUESTS: usize = 16;
+/// Sessions of the experiment that combines active and idle ones.
 const COMBINED_LOAD: CombinedLoad = CombinedLoad { active_sessions: 64, idle_sessions: 3_455 };
-/// Engines where these are not what is varied.
+/// Engines of experiments with another variable.
 const FIXED_ENGINES: usize = 80;
-/// The largest size of any experiment: with a descriptor for each engine and session.
+/// Largest size of an experiment. Each engine and session needs a descriptor in this process.
 pub const MAX_SIZE: usize = 8_000;
-/// Time in which the gateway handles what came last.
+/// Time for the gateway to handle the last input.
 const SETTLE_TIME: Duration = Duration::from_millis(150);
-/// Between two whole lists, two versions, or two readings of the configuration.
+/// Interval between full lists, versions of the settings, or configuration reloads.
 const SLOW_INTERVAL: Duration = Duration::from_millis(50);
-/// Statements for each engine before a run: a gateway hardly uses a new engine at first.
+/// Statements per engine before a run, since a gateway sends few requests to a new engine at first.
 const WARM_UP_STATEMENTS_PER_ENGINE: u64 = 3;
 
-/// Sessions of one kind and the other.
+/// Numbers of concurrently open sessions.
 struct CombinedLoad {
     active_sessions: usize,
     idle_sessions: usize,
 }
 
-/// How much a run does.
+/// Number of operations of each kind in a run.
 #[derive(Clone, Copy, Debug)]
-pub struct Effort {
-    /// Statements that are decided in memory.
-    pub decided: u64,
-    /// Statements through the process.
+pub struct Workload {
+    /// Statements of experiments in memory.
+    pub in_memory_statements: u64,
+    /// Statements through the process with its log at level info.
     pub statements: u64,
-    /// Statements through the process while its log is at debug.
-    pub logged: u64,
-    /// Changes of one engine, or control ticks.
+    /// Statements through the process with its log at level debug.
+    pub debug_statements: u64,
+    /// Changes of one engine or control ticks.
     pub changes: u64,
-    /// Whole lists, or readings of the configuration.
+    /// Full lists, versions of the settings or configuration reloads.
     pub lists: u64,
-    /// How long an idle process is observed.
-    pub idle: Duration,
+    /// Observation time of an idle process.
+    pub idle_time: Duration,
 }
 
-impl Default for Effort {
+impl Default for Workload {
     fn default() -> Self {
         Self {
-            decided: 4_000,
+            in_memory_statements: 4_000,
             statements: 640,
-            logged: 64,
+            debug_statements: 64,
             changes: 200,
             lists: 10,
-            idle: Duration::from_secs(1),
+            idle_time: Duration::from_secs(1),
         }
     }
 }
 
-/// Runs experiments.
+/// Runs experiments within limits.
 #[derive(Clone, Debug)]
 pub struct ExperimentRunner {
-    /// The gateway's program.
+    /// Path of the gateway binary.
     pub program: PathBuf,
-    /// How much a run does.
-    pub effort: Effort,
-    /// The bounds.
+    /// Number of operations of each kind in a run.
+    pub workload: Workload,
+    /// Enforces the limits of memory, processes and time.
     pub guard: Guard,
 }
 
 impl ExperimentRunner {
-    /// Runs an experiment at some sizes, `runs` times at each.
+    /// Runs an experiment `runs` times at each size.
     ///
     /// # Errors
-    /// A bound is passed, or the gateway does not do what is waited for.
+    /// A limit is exceeded, a size is out of range, or the gateway behaves unexpectedly.
     pub fn run(
         &self,
         experiment: Experiment,
         sizes: &[usize],
         runs: usize,
         command: &str,
-    ) -> Result<Vec<Measured>, CapacityError> {
+    ) -> Result<Vec<Measurement>, CapacityError> {
         let mut points: Vec<(Quantity, Vec<Point>)> = Vec::new();
         let mut unusable = Vec::new();
         for size in sizes.iter().copied() {
@@ -103,17 +103,18 @@
                 self.guard.check(None)?;
                 let run = self.run_once(experiment, size)?;
                 match run.unusable {
-                    Some(why) => unusable.push(format!("{size}: {why}")),
+                    Some(reason) => unusable.push(format!("{size}: {reason}")),
                     None => run.figures.iter().for_each(|f| add_point(&mut points, size, *f)),
                 }
             }
         }
         let measured =
-            |(quantity, points)| Measured::new(experiment, quantity, points, unusable.clone(), command);
+            |(quantity, points)| Measurement::new(experiment, quantity, points, unusable.clone(), command);
         Ok(points.into_iter().map(measured).collect())
     }
 
-    /// Does something at an interval, then lets the gateway settle; why the run can't be used if it fell behind.
+    /// Calls `work` at an interval, then waits `SETTLE_TIME`. Returns the reason that makes the run unusable if the
+    /// schedule fell behind.
     fn repeat_at_interval(
         &self,
         count: u64,
@@ -126,68 +127,68 @@
             let due = began + interval.mul_f64(n as f64);
             std::thread::sleep(due.saturating_duration_since(Instant::now()));
             work(n)?;
-            self.guard.check(Some(gateway.process()))?;
+            self.guard.check(Some(gateway.pid()))?;
         }
-        let lag = fell_behind(began.elapsed(), interval.mul_f64(count as f64));
-        self.guard.sleep(SETTLE_TIME, Some(gateway.process()))?;
-        Ok(lag)
+        let overrun = schedule_overrun(began.elapsed(), interval.mul_f64(count as f64));
+        self.guard.sleep(SETTLE_TIME, Some(gateway.pid()))?;
+        Ok(overrun)
     }
 
-    /// One run at a size.
+    /// Runs an experiment once at a size.
     ///
     /// # Errors
-    /// A bound is passed, or the gateway does not do what is waited for.
+    /// A limit is exceeded, a size is out of range, or the gateway behaves unexpectedly.
     pub fn run_once(&self, experiment: Experiment, size: usize) -> Result<ExperimentRun, CapacityError> {
         use Experiment as E;
         if !(1..=MAX_SIZE).contains(&size) {
-            return Err(CapacityError::Size { size, most: MAX_SIZE });
+            return Err(CapacityError::Size { size, max: MAX_SIZE });
         }
         match experiment {
-            E::DecideStatementEngines => self.decide_statements(size, FIXED_OPEN_REQUESTS),
-            E::DecideStatementOpen => self.decide_statements(FIXED_ENGINES, size),
+            E::DecideStatementEngines => self.core_statements(size, FIXED_REQUESTS),
+            E::DecideStatementOpen => self.core_statements(FIXED_ENGINES, size),
             E::DecideControlTickEngines => {
-                self.decide(size, FIXED_OPEN_REQUESTS, |d| d.control_ticks(self.effort.changes))
+                self.run_core(size, FIXED_REQUESTS, |d| d.run_control_ticks(self.workload.changes))
             }
             E::DecideChangeEngines => {
-                self.decide(size, FIXED_OPEN_REQUESTS, |d| d.changes(self.effort.changes))
+                self.run_core(size, FIXED_REQUESTS, |d| d.run_changes(self.workload.changes))
             }
-            E::DecideListEngines => self.decide(size, FIXED_OPEN_REQUESTS, |d| d.lists(self.effort.lists)),
-            E::StatementEngines => self.statements(size, FIXED_OPEN_REQUESTS, 0),
+            E::DecideListEngines => self.run_core(size, FIXED_REQUESTS, |d| d.run_lists(self.workload.lists)),
+            E::StatementEngines => self.statements(size, FIXED_REQUESTS, 0),
             E::StatementOpen => self.statements(FIXED_ENGINES, size, 0),
-            E::StatementSessions => self.statements(FIXED_ENGINES, FIXED_OPEN_REQUESTS, size),
+            E::StatementSessions => self.statements(FIXED_ENGINES, FIXED_REQUESTS, size),
             E::StatementTogether => {
                 self.statements(size, COMBINED_LOAD.active_sessions, COMBINED_LOAD.idle_sessions)
             }
-            E::ChangeEngines => self.changes(size),
-            E::ListEngines => self.lists(size),
+            E::ChangeEngines => self.list_changes(size),
+            E::ListEngines => self.full_lists(size),
             E::ReloadEngines => self.reloads(Site::new(Engines::start(size)?.addresses.clone())),
             E::ReloadClasses => self.reloads(Site { classes: size, ..fixed_site()? }),
             E::ReloadTenants => self.reloads(Site { tenants: size, ..fixed_site()? }),
             E::VersionEngines => self.versions(Site::new(Engines::start(size)?.addresses.clone())),
             E::VersionClasses => self.versions(Site { classes: size, ..fixed_site()? }),
             E::VersionTenants => self.versions(Site { tenants: size, ..fixed_site()? }),
-            E::StartEngines => self.start(&Site::new(Engines::start(size)?.addresses.clone())),
-            E::StartClasses => self.start(&Site { classes: size, ..fixed_site()? }),
-            E::StartTenants => self.start(&Site { tenants: size, ..fixed_site()? }),
+            E::StartEngines => self.startup(&Site::new(Engines::start(size)?.addresses.clone())),
+            E::StartClasses => self.startup(&Site { classes: size, ..fixed_site()? }),
+            E::StartTenants => self.startup(&Site { tenants: size, ..fixed_site()? }),
             E::IdleSessions => self.idle_sessions(size),
-            E::IdleEngines => self.idle(size),
+            E::IdleEngines => self.idle_watch(size),
         }
     }
 }
 
 fn add_point(points: &mut Vec<(Quantity, Vec<Point>)>, size: usize, (quantity, value): (Quantity, f64)) {
-    let at = points.iter().position(|(q, _)| *q == quantity).unwrap_or_else(|| {
+    let index = points.iter().position(|(q, _)| *q == quantity).unwrap_or_else(|| {
         points.push((quantity, Vec::new()));
         points.len() - 1
     });
-    let points_of_quantity = &mut points[at].1;
+    let points_of_quantity = &mut points[index].1;
     match points_of_quantity.iter_mut().find(|p| p.size == size as f64) {
         Some(point) => point.runs.push(value),
         None => points_of_quantity.push(Point { size: size as f64, runs: vec![value] }),
     }
 }
 
-/// A site of which engines are not what is varied, and are not called.
+/// Returns a site with `FIXED_ENGINES` engines, whose addresses no longer accept connections.
 fn fixed_site() -> Result<Site, CapacityError> {
     Ok(Site::new(Engines::start(FIXED_ENGINES)?.addresses.clone()))
 }
--- a/lab/src/capacity/stand_ins.rs
+++ b/lab/src/capacity/stand_ins.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for engines and the coordinator, written from the public protocol.
+//! Mock engines and a mock coordinator, implemented from the public protocol.
 
 use std::io::{self, BufRead, BufReader, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -12,21 +12,21 @@
 
 use super::error::CapacityError;
 
-/// The most bytes that are read from a connection at a time.
+/// Maximum number of bytes read from a connection at a time.
 const READ_BYTES: usize = 4_096;
-/// The longest time between two checks whether the engines are to end.
+/// Maximum time between two checks of the stop flag.
 const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// The least poller key of a connection; keys below are listeners'.
+/// Smallest poller key of a connection. Smaller keys belong to listeners.
 const FIRST_CONNECTION_KEY: u64 = 1 << 32;
-/// The answer to a query: one row on one page.
+/// Response to a query: one row on one page.
 const ROW_RESPONSE: &[u8] =
     b"HTTP/1.1 200 OK\r\nPage-Count: 1\r\nX-Meter: queue:0\r\nContent-Length: 2\r\n\r\n1\n";
-/// The answer to the cancellation of a query.
+/// Response to the cancellation of a query.
 const CANCELLED_RESPONSE: &[u8] = b"HTTP/1.1 204 No Content\r\n\r\n";
-/// For reading only: answers are short and fit the socket's buffer.
+/// Readiness to write is not awaited: responses fit the socket's buffer.
 const READABLE: Interest = Interest { read: true, write: false };
 
-/// Counters of all engines.
+/// Counters summed over all engines.
 #[derive(Clone, Debug, Default)]
 pub struct EngineCounters {
     connections: Arc<AtomicU64>,
@@ -34,32 +34,32 @@
 }
 
 impl EngineCounters {
-    /// Connections accepted.
+    /// Returns the number of accepted connections.
     pub fn connections(&self) -> u64 {
         self.connections.load(Ordering::SeqCst)
     }
 
-    /// Queries answered.
+    /// Returns the number of answered queries.
     pub fn queries(&self) -> u64 {
         self.queries.load(Ordering::SeqCst)
     }
 }
 
-/// Engines that answer each query at once, served by one thread.
+/// Mock engines that answer each query immediately, served by one thread until dropped.
 pub struct Engines {
-    /// Where each listens.
+    /// Listening address of each engine.
     pub addresses: Vec<SocketAddr>,
-    /// Their counters.
+    /// Counters, updated by the thread of the engines.
     pub counters: EngineCounters,
     stop: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl Engines {
-    /// Starts so many.
+    /// Starts `count` engines on free loopback ports.
     ///
     /// # Errors
-    /// No descriptors, or no ports.
+    /// A listening socket can't be opened.
     pub fn start(count: usize) -> Result<Self, CapacityError> {
         let listeners: Vec<TcpListener> =
             (0..count).map(|_| TcpListener::bind("127.0.0.1:0")).collect::<io::Result<_>>()?;
@@ -74,12 +74,14 @@
             poll,
             listeners,
             connections: Vec::new(),
-            free: Vec::new(),
+            free_slots: Vec::new(),
             counters: counters.clone(),
         };
-        let ends = stop.clone();
+        let stop_requested = stop.clone();
         let thread =
-            thread::spawn(move || while !ends.load(Ordering::SeqCst) && engine_loop.turn().is_ok() {});
+            thread::spawn(
+                move || while !stop_requested.load(Ordering::SeqCst) && engine_loop.turn().is_ok() {},
+            );
         Ok(Self { addresses, counters, stop, thread: Some(thread) })
     }
 }
@@ -93,7 +95,7 @@
     }
 }
 
-/// A connection and what of its next call has come.
+/// A connection and the received part of its next request.
 struct Connection {
     stream: TcpStream,
     input: Vec<u8>,
@@ -104,7 +106,7 @@
     poll: Poll,
     listeners: Vec<TcpListener>,
     connections: Vec<Option<Connection>>,
-    free: Vec<usize>,
+    free_slots: Vec<usize>,
     counters: EngineCounters,
 }
 
@@ -124,35 +126,35 @@
 
     fn accept(&mut self, listener: usize) {
         while let Ok((stream, _)) = self.listeners[listener].accept() {
-            let at = self.free.pop().unwrap_or_else(|| {
+            let slot = self.free_slots.pop().unwrap_or_else(|| {
                 self.connections.push(None);
                 self.connections.len() - 1
             });
             let ready = stream.set_nonblocking(true).and_then(|()| stream.set_nodelay(true));
-            let key = FIRST_CONNECTION_KEY + at as u64;
+            let key = FIRST_CONNECTION_KEY + slot as u64;
             if ready.and_then(|()| self.poll.add(&stream, key, READABLE, Trigger::Level)).is_err() {
-                self.free.push(at);
+                self.free_slots.push(slot);
                 continue;
             }
-            self.connections[at] = Some(Connection { stream, input: Vec::new() });
+            self.connections[slot] = Some(Connection { stream, input: Vec::new() });
             self.counters.connections.fetch_add(1, Ordering::SeqCst);
         }
     }
 
-    fn read(&mut self, at: usize) {
-        let Some(connection) = &mut self.connections[at] else { return };
+    fn read(&mut self, slot: usize) {
+        let Some(connection) = &mut self.connections[slot] else { return };
         if connection.serve(&self.counters).is_ok() {
             return;
         }
-        if let Some(ended) = self.connections[at].take() {
+        if let Some(ended) = self.connections[slot].take() {
             self.poll.remove(&ended.stream);
         }
-        self.free.push(at);
+        self.free_slots.push(slot);
     }
 }
 
 impl Connection {
-    /// Reads what has come and answers each call that is whole; an error once it has ended.
+    /// Reads the available bytes and answers each complete request. Returns an error when the connection has ended.
     fn serve(&mut self, counters: &EngineCounters) -> io::Result<()> {
         let mut chunk = [0; READ_BYTES];
         loop {
@@ -162,9 +164,9 @@
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return Ok(()),
                 Err(e) => return Err(e),
             }
-            while let Some(length) = call_length(&self.input) {
+            while let Some(length) = request_length(&self.input) {
                 let query = self.input.starts_with(b"POST");
-                // Counted first: whoever has the answer finds the query among those counters.
+                // Counted before the response, so that a client that has received it finds the query counted.
                 counters.queries.fetch_add(u64::from(query), Ordering::SeqCst);
                 self.stream.write_all(if query { ROW_RESPONSE } else { CANCELLED_RESPONSE })?;
                 self.input.drain(..length);
@@ -173,35 +175,35 @@
     }
 }
 
-/// The bytes of the first call, head and body, once it is whole.
-fn call_length(input: &[u8]) -> Option<usize> {
+/// Returns the length of the first request, head and body, if it is complete.
+fn request_length(input: &[u8]) -> Option<usize> {
     let head = input.windows(4).position(|w| w == b"\r\n\r\n")? + 4;
     let text = std::str::from_utf8(&input[..head]).ok()?;
     let length = text.lines().find_map(|line| {
         let (name, value) = line.split_once(':')?;
         name.eq_ignore_ascii_case("content-length").then(|| value.trim().parse::<usize>().ok())?
     });
-    let whole = head + length.unwrap_or(0);
-    (input.len() >= whole).then_some(whole)
+    let total = head + length.unwrap_or(0);
+    (input.len() >= total).then_some(total)
 }
 
-/// How long a gateway is waited for.
+/// Maximum wait for the gateway.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
-/// Between two comments on a stream.
-const COMMENTS: Duration = Duration::from_secs(1);
+/// Interval of comments on an endpoint stream.
+const COMMENT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The coordinator: one gateway's stream, on which a script says what comes and when.
+/// A mock coordinator, which sends events to one gateway at the caller's request.
 pub struct Coordinator {
     listener: TcpListener,
-    /// Where it listens.
+    /// Listening address.
     pub address: SocketAddr,
 }
 
 impl Coordinator {
-    /// Listens.
+    /// Starts listening on a free loopback port.
     ///
     /// # Errors
-    /// No descriptor, or no port.
+    /// The listening socket can't be opened.
     pub fn listen() -> Result<Self, CapacityError> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         listener.set_nonblocking(true)?;
@@ -209,11 +211,11 @@
         Ok(Self { listener, address })
     }
 
-    /// Takes in the gateway's stream.
+    /// Accepts the endpoint stream of the gateway and starts a thread that writes to it.
     ///
     /// # Errors
-    /// None comes.
-    pub fn watch(&self) -> Result<Stream, CapacityError> {
+    /// The gateway opens no stream within `ANSWER_TIMEOUT`.
+    pub fn accept_stream(&self) -> Result<EndpointStream, CapacityError> {
         let stream = self.accept()?;
         stream.set_nonblocking(false)?;
         stream.set_nodelay(true)?;
@@ -223,9 +225,9 @@
         while reader.read_line(&mut line)? > 2 {
             line.clear();
         }
-        let (say, events) = channel();
-        thread::spawn(move || tell(stream, &events));
-        Ok(Stream { say })
+        let (sender, events) = channel();
+        thread::spawn(move || write_events(stream, &events));
+        Ok(EndpointStream { sender })
     }
 
     fn accept(&self) -> Result<TcpStream, CapacityError> {
@@ -235,7 +237,9 @@
                 Ok((stream, _)) => return Ok(stream),
                 Err(e) if e.kind() != ErrorKind::WouldBlock => return Err(e.into()),
                 Err(_) if began.elapsed() > ANSWER_TIMEOUT => {
-                    return Err(CapacityError::Peer("the gateway opens no stream".to_owned()));
+                    return Err(CapacityError::Unexpected(
+                        "the gateway opened no endpoint stream".to_owned(),
+                    ));
                 }
                 Err(_) => thread::sleep(Duration::from_millis(1)),
             }
@@ -243,17 +247,17 @@
     }
 }
 
-/// Writes what is to be said, and a comment each second, until the gateway or the script ends.
-fn tell(mut stream: TcpStream, events: &Receiver<Vec<u8>>) {
+/// Writes events and periodic comments until either side closes the stream.
+fn write_events(mut stream: TcpStream, events: &Receiver<Vec<u8>>) {
     let head = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n".to_vec();
     let mut next = head;
-    let mut comment = Instant::now();
+    let mut last_comment = Instant::now();
     while stream.write_all(&next).is_ok() {
-        let left = (comment + COMMENTS).saturating_duration_since(Instant::now());
-        next = match events.recv_timeout(left) {
+        let remaining = (last_comment + COMMENT_INTERVAL).saturating_duration_since(Instant::now());
+        next = match events.recv_timeout(remaining) {
             Ok(event) => event,
             Err(RecvTimeoutError::Timeout) => {
-                comment = Instant::now();
+                last_comment = Instant::now();
                 COMMENT.to_vec()
             }
             Err(RecvTimeoutError::Disconnected) => return,
@@ -261,24 +265,24 @@
     }
 }
 
-/// The comment of each second.
+/// Comment sent every second to show that the stream is alive.
 pub const COMMENT: &[u8] = b": here\n\n";
 
-/// A gateway's stream.
-pub struct Stream {
-    say: Sender<Vec<u8>>,
+/// An open endpoint stream to a gateway.
+pub struct EndpointStream {
+    sender: Sender<Vec<u8>>,
 }
 
-impl Stream {
-    /// Tells an event; how many bytes that takes on the stream.
+impl EndpointStream {
+    /// Sends an event and returns its length on the stream in bytes.
     ///
     /// # Errors
-    /// The gateway has ended its stream.
-    pub fn event(&self, index: u64, event: &serde_json::Value) -> Result<usize, CapacityError> {
+    /// The gateway has closed the stream.
+    pub fn send(&self, index: u64, event: &serde_json::Value) -> Result<usize, CapacityError> {
         let bytes = format!("id: {index}\ndata: {event}\n\n").into_bytes();
         let length = bytes.len();
-        let ended = |_| CapacityError::Peer("the gateway has ended its stream".to_owned());
-        self.say.send(bytes).map_err(ended)?;
+        let ended = |_| CapacityError::Unexpected("the gateway closed its endpoint stream".to_owned());
+        self.sender.send(bytes).map_err(ended)?;
         Ok(length)
     }
 }
--- a/lab/src/hollow/list.rs
+++ b/lab/src/hollow/list.rs
@@ -1,4 +1,4 @@
-//! The list of databases as control machines hold it: numbered events, and the text in which they are streamed.
+//! The endpoint list of a control machine: numbered events and their encoding as server-sent events.
 
 use std::collections::VecDeque;
 use std::fmt::Write;
@@ -7,24 +7,25 @@
 
 use super::fleet;
 
-/// Events that a control machine keeps for gateways that reconnect; one that requests older ones gets the whole list.
-pub const KEPT_EVENTS: usize = 1024;
-/// The head of the answer that a stream begins with.
+/// Number of events that a control machine retains for gateways that reconnect. A request for older events is
+/// answered with a snapshot.
+pub const RETAINED_EVENTS: usize = 1024;
+/// HTTP response head at the start of a stream.
 pub const STREAM_HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n";
-/// A comment, which shows that the stream lives.
+/// Server-sent-events comment that serves as the heartbeat of a stream.
 pub const COMMENT: &[u8] = b": here\n\n";
-/// Time between two comments, in microseconds.
+/// Heartbeat interval of a stream, in microseconds.
 pub const COMMENT_PERIOD_US: u64 = 1_000_000;
 
-/// The state of a database in the list.
+/// State of a database in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DatabaseState {
-    /// It may be sent to.
+    /// Accepts requests.
     Ready,
-    /// It drains.
+    /// Draining: accepts no new requests.
     Terminating,
-    /// It has gone.
-    Gone,
+    /// Absent from snapshots.
+    Removed,
 }
 
 impl DatabaseState {
@@ -32,19 +33,19 @@
         match self {
             Self::Ready => "Ready",
             Self::Terminating => "Terminating",
-            Self::Gone => "Gone",
+            Self::Removed => "Gone",
         }
     }
 }
 
-/// A database in the list.
+/// Entry of a database in the list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Database {
-    /// Its number, which gives its name, zone and address.
+    /// Number of the database, from which its name, zone and address derive.
     pub number: usize,
-    /// Its state.
+    /// State that the list reports.
     pub state: DatabaseState,
-    /// Unix milliseconds of its last start, or 0.
+    /// Unix time of the last start in milliseconds, or 0 if unknown.
     pub since_ms: u64,
 }
 
@@ -62,68 +63,68 @@
     }
 }
 
-/// Where a database is said to listen. Nothing is there in a run without client traffic.
+/// Address of a database in the list. No process listens there, as a run has no client traffic.
 fn address(number: usize) -> SocketAddr {
     let [high, low] = (number as u16).to_be_bytes();
     (Ipv4Addr::new(127, 1, high, low), 10_080).into()
 }
 
-/// The list, and its last events.
+/// The list with its most recent events.
 #[derive(Clone, Debug)]
 pub struct DatabaseList {
     databases: Vec<Database>,
-    last: u64,
-    kept: VecDeque<(u64, Arc<[u8]>)>,
+    last_index: u64,
+    retained: VecDeque<(u64, Arc<[u8]>)>,
 }
 
 impl DatabaseList {
-    /// So many databases, all ready, as event 1.
+    /// Creates a list of ready databases as event 1.
     pub fn new(databases: usize) -> Self {
         let ready = |number| Database { number, state: DatabaseState::Ready, since_ms: 0 };
-        Self { databases: (0..databases).map(ready).collect(), last: 1, kept: VecDeque::new() }
+        Self { databases: (0..databases).map(ready).collect(), last_index: 1, retained: VecDeque::new() }
     }
 
-    /// The number of the last event.
-    pub fn last(&self) -> u64 {
-        self.last
+    /// Index of the last event.
+    pub fn last_index(&self) -> u64 {
+        self.last_index
     }
 
-    /// Changes databases in one event; its number.
+    /// Applies changes as one event and returns its index.
     pub fn change(&mut self, changed: &[Database]) -> u64 {
         for database in changed {
             if let Some(entry) = self.databases.get_mut(database.number) {
                 *entry = database.clone();
             }
         }
-        self.last += 1;
-        self.kept.push_back((self.last, event(self.last, false, changed.iter())));
-        if self.kept.len() > KEPT_EVENTS {
-            self.kept.pop_front();
+        self.last_index += 1;
+        self.retained.push_back((self.last_index, event(self.last_index, false, changed.iter())));
+        if self.retained.len() > RETAINED_EVENTS {
+            self.retained.pop_front();
         }
-        self.last
+        self.last_index
     }
 
-    /// The events behind event `after` as a stream gets them: number and text of each.
-    pub fn events(&self, after: u64) -> Vec<(u64, Arc<[u8]>)> {
-        let oldest = self.kept.front().map_or(self.last + 1, |(number, _)| *number);
-        if after == 0 || after + 1 < oldest && after < self.last {
-            return vec![(self.last, self.whole())];
+    /// Returns index and text of each event that a stream sends after event `after`.
+    pub fn events_after(&self, after: u64) -> Vec<(u64, Arc<[u8]>)> {
+        let oldest = self.retained.front().map_or(self.last_index + 1, |(number, _)| *number);
+        if after == 0 || after + 1 < oldest && after < self.last_index {
+            return vec![(self.last_index, self.snapshot())];
         }
-        self.kept.iter().filter(|(number, _)| *number > after).cloned().collect()
+        self.retained.iter().filter(|(number, _)| *number > after).cloned().collect()
     }
 
-    fn whole(&self) -> Arc<[u8]> {
-        let there = self.databases.iter().filter(|database| database.state != DatabaseState::Gone);
-        event(self.last, true, there)
+    fn snapshot(&self) -> Arc<[u8]> {
+        let present = self.databases.iter().filter(|database| database.state != DatabaseState::Removed);
+        event(self.last_index, true, present)
     }
 }
 
-fn event<'a>(number: u64, whole: bool, databases: impl Iterator<Item = &'a Database>) -> Arc<[u8]> {
+fn event<'a>(number: u64, snapshot: bool, databases: impl Iterator<Item = &'a Database>) -> Arc<[u8]> {
     let mut text = format!(
-        "id: {number}\ndata: {{\"index\":{number},\"endpoints\":{{\"index\":{number},\"snapshot\":{whole},\"endpoints\":["
+        "id: {number}\ndata: {{\"index\":{number},\"endpoints\":{{\"index\":{number},\"snapshot\":{snapshot},\"endpoints\":["
     );
-    for (place, database) in databases.enumerate() {
-        if place > 0 {
+    for (index, database) in databases.enumerate() {
+        if index > 0 {
             text.push(',');
         }
         database.write(&mut text);
@@ -132,11 +133,11 @@
     text.into_bytes().into()
 }
 
-/// The number of the last event that a gateway has, from the head of its call.
-pub fn last_event_id(call: &[u8]) -> Option<u64> {
+/// Parses `Last-Event-ID` from the head of a gateway's request. Returns `None` if the head is incomplete.
+pub fn last_event_id(head: &[u8]) -> Option<u64> {
     let mut headers = [httparse::EMPTY_HEADER; 16];
     let mut request = httparse::Request::new(&mut headers);
-    request.parse(call).ok()?.is_complete().then_some(())?;
+    request.parse(head).ok()?.is_complete().then_some(())?;
     let header = request.headers.iter().find(|header| header.name.eq_ignore_ascii_case("last-event-id"))?;
     std::str::from_utf8(header.value).ok()?.trim().parse().ok()
 }
--- a/lab/src/hollow/model/measure.rs
+++ b/lab/src/hollow/model/measure.rs
@@ -1,4 +1,4 @@
-//! What a run in simulated time is measured by.
+//! Measurements of a simulation: loads of machines and propagation delays of the list.
 
 use hdrhistogram::Histogram;
 use serde::Serialize;
@@ -6,59 +6,59 @@
 use super::Model;
 use super::control::ControlMachine;
 use crate::hollow::list::Database;
-use crate::hollow::load::{Load, SlidingMaximum, TENTH_US};
+use crate::hollow::load::{Load, SlidingMaximum, TENTH_SECOND_US};
 
-/// Longer than this counts as this, in microseconds.
-const LONGEST_US: u64 = 3_600_000_000;
+/// Largest recorded delay, in microseconds. Longer delays are recorded as this value.
+const MAX_DELAY_US: u64 = 3_600_000_000;
 
-/// The loads of one gateway.
+/// Loads of one gateway.
 #[derive(Clone, Debug, Default)]
 pub struct GatewayLoads {
-    /// Calls for the list, refused and silent ones included.
+    /// Connection attempts for the list, including those that fail.
     pub calls: Load,
-    /// List events taken in.
+    /// List events applied.
     pub events: Load,
-    /// Bytes of the list read.
+    /// Bytes received on list streams.
     pub bytes: Load,
 }
 
-/// A change of the list, at its time.
+/// A change of the list.
 pub struct ListChange {
-    /// When it was decided.
+    /// Time of the change, in microseconds.
     pub at_us: u64,
-    /// The databases that changed.
+    /// New entries of the changed databases.
     pub databases: Vec<Database>,
 }
 
-/// How long changes of the list took until they were in force.
-pub struct InForce {
+/// Delays until changes of the list have reached each gateway.
+pub struct PropagationDelays {
     changes: Histogram<u64>,
     first_lists: Histogram<u64>,
 }
 
-impl Default for InForce {
+impl Default for PropagationDelays {
     fn default() -> Self {
-        let empty = || Histogram::new_with_bounds(1, LONGEST_US, 3).expect("the bounds are sound");
+        let empty = || Histogram::new_with_bounds(1, MAX_DELAY_US, 3).expect("histogram bounds are valid");
         Self { changes: empty(), first_lists: empty() }
     }
 }
 
-impl InForce {
-    /// A gateway that started at `started_us` has got from event `last` to event `now_last`.
-    pub fn reached(
+impl PropagationDelays {
+    /// Records that a gateway that started at `started_us` advanced from event `previous` to event `current`.
+    pub fn record(
         &mut self,
         now_us: u64,
         started_us: u64,
-        last: u64,
-        now_last: u64,
+        previous: u64,
+        current: u64,
         changes: &[ListChange],
     ) {
-        if last == 0 && now_last > 0 {
+        if previous == 0 && current > 0 {
             self.first_lists.saturating_record(now_us - started_us);
         }
-        // The change at place 0 is event 2.
+        // The change at index 0 is event 2, since event 1 is the initial list.
         for ListChange { at_us, .. } in
-            changes.iter().take(now_last as usize - now_last.min(1) as usize).skip(last.max(1) as usize - 1)
+            changes.iter().take(current as usize - current.min(1) as usize).skip(previous.max(1) as usize - 1)
         {
             if *at_us >= started_us {
                 self.changes.saturating_record(now_us - at_us);
@@ -67,19 +67,19 @@
     }
 }
 
-/// The load of a role's machine that had the most of it.
+/// Peak loads over all machines of a role.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
-pub struct Worst {
-    /// In its worst second.
+pub struct Peak {
+    /// Maximum within any second.
     pub second: u64,
-    /// In its worst ten seconds, in all.
+    /// Maximum within any ten seconds.
     pub ten_seconds: u64,
-    /// Over the whole event.
+    /// Maximum total over the measurement.
     pub total: u64,
 }
 
-impl Worst {
-    /// Of these, each figure by itself.
+impl Peak {
+    /// Returns the maxima over these loads.
     pub fn of<'a>(loads: impl Iterator<Item = &'a Load>) -> Self {
         loads.fold(Self::default(), |worst, load| {
             worst.max(Self {
@@ -90,7 +90,7 @@
         })
     }
 
-    /// The larger of both, each figure by itself.
+    /// Returns the field-wise maximum.
     pub fn max(self, other: Self) -> Self {
         Self {
             second: self.second.max(other.second),
@@ -100,54 +100,54 @@
     }
 }
 
-/// What an event did to a fleet.
+/// Measurements of one simulated event.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
-pub struct Measured {
-    /// Calls of one gateway for the list.
-    pub gateway_calls: Worst,
-    /// List events taken in by one gateway.
-    pub gateway_events: Worst,
-    /// Bytes of the list read by one gateway.
-    pub gateway_bytes: Worst,
-    /// Calls to one control machine.
-    pub control_calls: Worst,
-    /// List events that one control machine wrote, once for each stream.
-    pub control_events: Worst,
-    /// Bytes that one control machine wrote.
-    pub control_bytes: Worst,
-    /// Most streams at one control machine.
+pub struct Measurements {
+    /// Peak list requests of a gateway.
+    pub gateway_calls: Peak,
+    /// Peak list events applied by a gateway.
+    pub gateway_events: Peak,
+    /// Peak bytes of list streams received by a gateway.
+    pub gateway_bytes: Peak,
+    /// Peak list requests to a control machine.
+    pub control_calls: Peak,
+    /// Peak list events written by a control machine, counted for each stream.
+    pub control_events: Peak,
+    /// Peak bytes written by a control machine.
+    pub control_bytes: Peak,
+    /// Maximum number of concurrent streams at a control machine.
     pub control_streams: u64,
-    /// Streams at the control machine that has most at the end.
+    /// Largest number of streams at a control machine at the end.
     pub control_streams_at_end: u64,
-    /// The longest that work waited at one control machine, in microseconds.
+    /// Maximum queueing delay at a control machine, in microseconds.
     pub control_wait_us: u64,
-    /// Most bytes at one control machine that waited for a network which took nothing.
+    /// Maximum number of undelivered bytes at a control machine.
     pub control_unsent_bytes: u64,
-    /// Calls of all gateways.
+    /// List requests of all gateways.
     pub calls: u64,
-    /// List events taken in by all gateways.
+    /// List events applied by all gateways.
     pub events: u64,
-    /// Bytes of list events that all control machines wrote.
+    /// Bytes of list events written by all control machines.
     pub event_bytes: u64,
-    /// Streams that control machines ended, or lost as they vanished.
+    /// Streams that ended because a control machine closed them, stopped or became unreachable.
     pub ended: u64,
-    /// Most calls of all gateways within a tenth of a second.
-    pub calls_in_step: u64,
-    /// From a change until a gateway had it: the median, in microseconds; 0 without a change.
-    pub in_force_median_us: u64,
-    /// From a change until the last gateway had it, in microseconds; 0 without a change.
-    pub in_force_last_us: u64,
-    /// From a gateway's start until it had the list: the longest, in microseconds; 0 if none started.
-    pub first_list_us: u64,
-    /// Gateways that ran at the end and had not all changes.
-    pub behind: u64,
-    /// Gateways that ran at the end and had no stream.
+    /// Maximum number of list requests of all gateways within a tenth of a second.
+    pub calls_per_tenth: u64,
+    /// Median delay from a change to a gateway, in microseconds, or 0 without a change.
+    pub propagation_median_us: u64,
+    /// Maximum delay from a change to a gateway, in microseconds, or 0 without a change.
+    pub propagation_max_us: u64,
+    /// Maximum delay from a gateway's start to its first list, in microseconds, or 0 if no gateway started.
+    pub first_list_max_us: u64,
+    /// Number of running gateways that lack a change at the end.
+    pub outdated: u64,
+    /// Number of running gateways without a stream at the end.
     pub without_stream: u64,
 }
 
-impl Measured {
-    /// The worse of two runs, each figure by itself.
-    pub fn worse(self, other: Self) -> Self {
+impl Measurements {
+    /// Returns the field-wise maximum of two runs.
+    pub fn max(self, other: Self) -> Self {
         Self {
             gateway_calls: self.gateway_calls.max(other.gateway_calls),
             gateway_events: self.gateway_events.max(other.gateway_events),
@@ -163,18 +163,18 @@
             events: self.events.max(other.events),
             event_bytes: self.event_bytes.max(other.event_bytes),
             ended: self.ended.max(other.ended),
-            calls_in_step: self.calls_in_step.max(other.calls_in_step),
-            in_force_median_us: self.in_force_median_us.max(other.in_force_median_us),
-            in_force_last_us: self.in_force_last_us.max(other.in_force_last_us),
-            first_list_us: self.first_list_us.max(other.first_list_us),
-            behind: self.behind.max(other.behind),
+            calls_per_tenth: self.calls_per_tenth.max(other.calls_per_tenth),
+            propagation_median_us: self.propagation_median_us.max(other.propagation_median_us),
+            propagation_max_us: self.propagation_max_us.max(other.propagation_max_us),
+            first_list_max_us: self.first_list_max_us.max(other.first_list_max_us),
+            outdated: self.outdated.max(other.outdated),
             without_stream: self.without_stream.max(other.without_stream),
         }
     }
 }
 
 impl Model {
-    /// What was before does not count.
+    /// Resets all measurements.
     pub(super) fn begin_measurement(&mut self) {
         for slot in &mut self.gateways {
             slot.loads = GatewayLoads::default();
@@ -182,39 +182,39 @@
         for machine in &mut self.machines {
             machine.begin_measurement();
         }
-        self.in_force = InForce::default();
-        self.calls_in_step = SlidingMaximum::new(TENTH_US);
+        self.propagation = PropagationDelays::default();
+        self.calls_per_tenth = SlidingMaximum::new(TENTH_SECOND_US);
     }
 
-    pub(super) fn measured(&self) -> Measured {
+    pub(super) fn measurements(&self) -> Measurements {
         let gateways =
-            |of: fn(&GatewayLoads) -> &Load| Worst::of(self.gateways.iter().map(|slot| of(&slot.loads)));
-        let control = |of: fn(&ControlMachine) -> &Load| Worst::of(self.machines.iter().map(of));
-        let most = |of: fn(&ControlMachine) -> u64| self.machines.iter().map(of).max().unwrap_or(0);
+            |get: fn(&GatewayLoads) -> &Load| Peak::of(self.gateways.iter().map(|slot| get(&slot.loads)));
+        let control = |get: fn(&ControlMachine) -> &Load| Peak::of(self.machines.iter().map(get));
+        let max = |get: fn(&ControlMachine) -> u64| self.machines.iter().map(get).max().unwrap_or(0);
         let sum =
-            |of: fn(&GatewayLoads) -> &Load| self.gateways.iter().map(|slot| of(&slot.loads).total()).sum();
+            |get: fn(&GatewayLoads) -> &Load| self.gateways.iter().map(|slot| get(&slot.loads).total()).sum();
         let last = self.changes.len() as u64 + 1;
         let running = || self.gateways.iter().filter_map(|slot| slot.running.as_ref());
-        Measured {
+        Measurements {
             gateway_calls: gateways(|loads| &loads.calls),
             gateway_events: gateways(|loads| &loads.events),
             gateway_bytes: gateways(|loads| &loads.bytes),
             control_calls: control(|machine| &machine.calls),
             control_events: control(|machine| &machine.events),
             control_bytes: control(|machine| &machine.bytes),
-            control_streams: most(|machine| machine.most_streams as u64),
-            control_streams_at_end: most(|machine| machine.streams.len() as u64),
-            control_wait_us: most(|machine| machine.longest_wait_us),
-            control_unsent_bytes: most(|machine| machine.most_unsent_bytes),
+            control_streams: max(|machine| machine.max_streams as u64),
+            control_streams_at_end: max(|machine| machine.streams.len() as u64),
+            control_wait_us: max(|machine| machine.max_wait_us),
+            control_unsent_bytes: max(|machine| machine.max_unsent_bytes),
             calls: sum(|loads| &loads.calls),
             events: sum(|loads| &loads.events),
             event_bytes: self.machines.iter().map(|machine| machine.event_bytes).sum(),
             ended: self.machines.iter().map(|machine| machine.ended).sum(),
-            calls_in_step: self.calls_in_step.most(),
-            in_force_median_us: self.in_force.changes.value_at_quantile(0.5),
-            in_force_last_us: self.in_force.changes.max(),
-            first_list_us: self.in_force.first_lists.max(),
-            behind: running().filter(|gateway| gateway.watch.last() < last).count() as u64,
+            calls_per_tenth: self.calls_per_tenth.peak(),
+            propagation_median_us: self.propagation.changes.value_at_quantile(0.5),
+            propagation_max_us: self.propagation.changes.max(),
+            first_list_max_us: self.propagation.first_lists.max(),
+            outdated: running().filter(|gateway| gateway.watch.last_index() < last).count() as u64,
             without_stream: running().filter(|gateway| !gateway.watch.is_up()).count() as u64,
         }
     }
--- a/lab/src/hollow/sockets/control.rs
+++ b/lab/src/hollow/sockets/control.rs
@@ -1,5 +1,5 @@
-//! A stand-in for a control machine over loopback: it streams the list as server-sent events, written from the public
-//! protocol alone. All stand-ins of a fleet listen at one port, among which the kernel spreads new connections.
+//! A minimal control machine over loopback that streams the list as server-sent events. All machines of a fleet
+//! listen on one port with `SO_REUSEPORT`, so that the kernel distributes new connections among them.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
@@ -19,70 +19,70 @@
 const LISTENER: u64 = 0;
 const COMMANDS: u64 = 1;
 const FIRST_STREAM: u64 = 2;
-/// Connections that the kernel keeps until they are accepted.
+/// Listen backlog, in connections.
 const BACKLOG: i32 = 1024;
-/// The longest call that is read.
-const LONGEST_CALL: usize = 8192;
-/// How long a stand-in sleeps at most.
-const LONGEST_WAIT: Duration = Duration::from_millis(500);
+/// Maximum size of a request, in bytes.
+const MAX_REQUEST_BYTES: usize = 8192;
+/// Maximum duration of a poll.
+const MAX_POLL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What a control machine is to do.
+/// A command to a control machine.
 #[derive(Clone, Debug)]
 pub enum Command {
-    /// Change the list, in one event.
+    /// Changes databases in the list by one event.
     Change(Vec<Database>),
-    /// End all streams, and take calls as before.
-    EndStreams,
-    /// End all streams and listen no more.
-    Leave,
-    /// Listen again.
-    Return,
-    /// Write no comments any more; or do again, the first at once.
-    Silent(bool),
-    /// What was counted before does not count.
-    Measure,
-    /// End.
+    /// Closes all streams while accepting new ones.
+    CloseStreams,
+    /// Closes all streams and the listener.
+    GoOffline,
+    /// Opens the listener again.
+    GoOnline,
+    /// Suspends (`true`) or resumes (`false`) heartbeat comments. After a change, the next comment is due at once.
+    SuspendComments(bool),
+    /// Resets all counts.
+    ResetCounts,
+    /// Ends the thread of the machine.
     Stop,
 }
 
-/// What a control machine has counted.
+/// Counts of a control machine since the last reset.
 #[derive(Clone, Debug, Default)]
 pub struct Counts {
-    /// Calls that were answered with a stream.
+    /// Requests that were answered with a stream.
     pub calls: Load,
-    /// List events written, once for each stream.
+    /// List events written, counted for each stream.
     pub events: Load,
-    /// Bytes of these events.
+    /// Bytes of list events written.
     pub event_bytes: Load,
-    /// All bytes written.
+    /// Bytes written in total.
     pub bytes: Load,
-    /// Streams that this machine has ended.
+    /// Streams that the machine closed by command.
     pub ended: u64,
-    /// Streams that it has now.
+    /// Open streams at present.
     pub streams: u64,
-    /// Streams that have been written the last event, to its last byte.
+    /// Streams on which the last event is completely written.
     pub up_to_date: u64,
-    /// How late a comment was at the worst, in microseconds.
+    /// Maximum delay of a comment behind its schedule, in microseconds.
     pub late_us: u64,
 }
 
-/// A running control machine.
-pub struct ControlStandIn {
-    commands: Sender<Command>,
-    wake: UnixStream,
+/// Handle of a running control machine. Dropping it stops the machine.
+pub struct ControlServer {
+    command_sender: Sender<Command>,
+    wake_sender: UnixStream,
     counts: Arc<Mutex<Counts>>,
     thread: Option<JoinHandle<()>>,
 }
 
-fn counted(counts: &Mutex<Counts>) -> MutexGuard<'_, Counts> {
+fn lock_counts(counts: &Mutex<Counts>) -> MutexGuard<'_, Counts> {
     counts.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-impl ControlStandIn {
-    /// Starts so many control machines at one address.
+impl ControlServer {
+    /// Starts control machines that share one address, and returns the address.
     ///
     /// # Errors
-    /// The system has no socket or thread for them.
+    /// A socket or thread can't be created.
     pub fn start_all(machines: usize, list: &DatabaseList) -> Result<(SocketAddr, Vec<Self>), HollowError> {
         let first = listen((Ipv4Addr::LOCALHOST, 0).into())?;
         let address = first.local_addr()?;
@@ -90,8 +90,8 @@
         for _ in 1..machines {
             listeners.push(listen(address)?);
         }
-        let began = Instant::now();
-        let start = |listener| Self::start(listener, address, list.clone(), began);
+        let started = Instant::now();
+        let start = |listener| Self::start(listener, address, list.clone(), started);
         Ok((address, listeners.into_iter().map(start).collect::<Result<_, _>>()?))
     }
 
@@ -99,47 +99,47 @@
         listener: TcpListener,
         address: SocketAddr,
         list: DatabaseList,
-        began: Instant,
+        started: Instant,
     ) -> Result<Self, HollowError> {
-        let (commands, received) = channel();
-        let (wake, woken) = UnixStream::pair()?;
-        woken.set_nonblocking(true)?;
+        let (command_sender, command_receiver) = channel();
+        let (wake_sender, wake_receiver) = UnixStream::pair()?;
+        wake_receiver.set_nonblocking(true)?;
         let counts = Arc::<Mutex<Counts>>::default();
         let mut machine = Machine {
             poll: Poll::new()?,
             listener: None,
             address,
             list,
-            began,
+            started,
             streams: Vec::new(),
-            is_silent: false,
-            received,
-            woken,
+            comments_suspended: false,
+            command_receiver,
+            wake_receiver,
             counts: counts.clone(),
         };
-        machine.take_listener(listener)?;
-        machine.poll.add(&machine.woken, COMMANDS, READ, Trigger::Level)?;
+        machine.register_listener(listener)?;
+        machine.poll.add(&machine.wake_receiver, COMMANDS, READ, Trigger::Level)?;
         let thread = std::thread::Builder::new().name("control".to_owned()).spawn(move || {
-            // A poller that fails leaves the machine silent, which the run then reports.
+            // After a poll error the machine stops answering, and the run fails with a timeout.
             let _ = machine.run();
         })?;
-        Ok(Self { commands, wake, counts, thread: Some(thread) })
+        Ok(Self { command_sender, wake_sender, counts, thread: Some(thread) })
     }
 
-    /// Has it do something; it does so at once.
+    /// Sends a command and wakes the machine.
     pub fn send(&self, command: Command) {
-        // Both fail only once it has ended.
-        let _ = self.commands.send(command);
-        let _ = (&self.wake).write(&[0]);
+        // Both fail only after the machine's thread has ended.
+        let _ = self.command_sender.send(command);
+        let _ = (&self.wake_sender).write(&[0]);
     }
 
-    /// What it has counted.
+    /// Returns a snapshot of the counts.
     pub fn counts(&self) -> Counts {
-        counted(&self.counts).clone()
+        lock_counts(&self.counts).clone()
     }
 }
 
-impl Drop for ControlStandIn {
+impl Drop for ControlServer {
     fn drop(&mut self) {
         self.send(Command::Stop);
         if let Some(thread) = self.thread.take() {
@@ -164,7 +164,7 @@
     socket: TcpStream,
     input: Vec<u8>,
     output: Vec<u8>,
-    /// The last event that was put into the output; none before the call has come.
+    /// Index of the last event in the output, `None` until the request has arrived.
     last_sent: Option<u64>,
     comment_due_us: u64,
 }
@@ -174,99 +174,99 @@
     listener: Option<TcpListener>,
     address: SocketAddr,
     list: DatabaseList,
-    began: Instant,
+    started: Instant,
     streams: Vec<Option<Stream>>,
-    is_silent: bool,
-    received: Receiver<Command>,
-    woken: UnixStream,
+    comments_suspended: bool,
+    command_receiver: Receiver<Command>,
+    wake_receiver: UnixStream,
     counts: Arc<Mutex<Counts>>,
 }
 
 impl Machine {
     fn now_us(&self) -> u64 {
-        self.began.elapsed().as_micros() as u64
+        self.started.elapsed().as_micros() as u64
     }
 
     fn run(&mut self) -> std::io::Result<()> {
         let mut ready = Vec::new();
         loop {
-            let wait = self.wait();
-            self.poll.wait(Some(wait), &mut ready)?;
+            let timeout = self.poll_timeout();
+            self.poll.wait(Some(timeout), &mut ready)?;
             for (key, _) in &ready {
                 match *key {
                     LISTENER => self.accept()?,
-                    COMMANDS => self.drain_wake(),
-                    key => self.ready((key - FIRST_STREAM) as usize),
+                    COMMANDS => self.drain_wake_ups(),
+                    key => self.on_stream_ready((key - FIRST_STREAM) as usize),
                 }
             }
-            while let Ok(command) = self.received.try_recv() {
+            while let Ok(command) = self.command_receiver.try_recv() {
                 if matches!(command, Command::Stop) {
                     return Ok(());
                 }
-                self.carry_out(command)?;
+                self.execute(command)?;
             }
             self.write_comments();
             self.count_streams();
         }
     }
 
-    /// Until the next comment is due.
-    fn wait(&self) -> Duration {
+    /// Time until the next comment is due, at most `MAX_POLL_TIMEOUT`.
+    fn poll_timeout(&self) -> Duration {
         let due = self.streams.iter().flatten().filter(|stream| stream.last_sent.is_some());
         let next_us = due.map(|stream| stream.comment_due_us).min().unwrap_or(u64::MAX);
-        Duration::from_micros(next_us.saturating_sub(self.now_us())).min(LONGEST_WAIT)
+        Duration::from_micros(next_us.saturating_sub(self.now_us())).min(MAX_POLL_TIMEOUT)
     }
 
-    fn drain_wake(&mut self) {
+    fn drain_wake_ups(&mut self) {
         let mut bytes = [0; 64];
-        while (&self.woken).read(&mut bytes).is_ok_and(|count| count > 0) {}
+        while (&self.wake_receiver).read(&mut bytes).is_ok_and(|count| count > 0) {}
     }
 
-    fn carry_out(&mut self, command: Command) -> std::io::Result<()> {
+    fn execute(&mut self, command: Command) -> std::io::Result<()> {
         match command {
             Command::Change(changed) => {
                 self.list.change(&changed);
-                (0..self.streams.len()).for_each(|place| self.send_events(place));
+                (0..self.streams.len()).for_each(|index| self.send_events(index));
             }
-            Command::EndStreams => self.end_streams(),
-            Command::Leave => {
+            Command::CloseStreams => self.close_streams(),
+            Command::GoOffline => {
                 if let Some(listener) = self.listener.take() {
                     self.poll.remove(&listener);
                 }
-                self.end_streams();
+                self.close_streams();
             }
-            Command::Return => {
+            Command::GoOnline => {
                 let listener = listen(self.address)?;
-                self.take_listener(listener)?;
+                self.register_listener(listener)?;
             }
-            Command::Silent(is_silent) => {
-                self.is_silent = is_silent;
+            Command::SuspendComments(comments_suspended) => {
+                self.comments_suspended = comments_suspended;
                 let now_us = self.now_us();
                 self.streams.iter_mut().flatten().for_each(|stream| stream.comment_due_us = now_us);
             }
-            Command::Measure => *counted(&self.counts) = Counts::default(),
+            Command::ResetCounts => *lock_counts(&self.counts) = Counts::default(),
             Command::Stop => {}
         }
         Ok(())
     }
 
-    fn take_listener(&mut self, listener: TcpListener) -> std::io::Result<()> {
+    fn register_listener(&mut self, listener: TcpListener) -> std::io::Result<()> {
         self.poll.add(&listener, LISTENER, READ, Trigger::Level)?;
         self.listener = Some(listener);
         Ok(())
     }
 
-    fn end_streams(&mut self) {
-        for place in 0..self.streams.len() {
-            if self.streams[place].is_some() {
-                counted(&self.counts).ended += 1;
-                self.close(place);
+    fn close_streams(&mut self) {
+        for index in 0..self.streams.len() {
+            if self.streams[index].is_some() {
+                lock_counts(&self.counts).ended += 1;
+                self.close(index);
             }
         }
     }
 
-    fn close(&mut self, place: usize) {
-        if let Some(stream) = self.streams[place].take() {
+    fn close(&mut self, index: usize) {
+        if let Some(stream) = self.streams[index].take() {
             self.poll.remove(&stream.socket);
         }
     }
@@ -283,58 +283,58 @@
             };
             socket.set_nonblocking(true)?;
             socket.set_nodelay(true)?;
-            let place = self.streams.iter().position(Option::is_none).unwrap_or_else(|| {
+            let index = self.streams.iter().position(Option::is_none).unwrap_or_else(|| {
                 self.streams.push(None);
                 self.streams.len() - 1
             });
-            self.poll.add(&socket, FIRST_STREAM + place as u64, READ, Trigger::Level)?;
+            self.poll.add(&socket, FIRST_STREAM + index as u64, READ, Trigger::Level)?;
             let (input, output) = (Vec::new(), Vec::new());
-            self.streams[place] = Some(Stream { socket, input, output, last_sent: None, comment_due_us: 0 });
+            self.streams[index] = Some(Stream { socket, input, output, last_sent: None, comment_due_us: 0 });
         }
         Ok(())
     }
 
-    /// Reads a call, or the other side's end; writes what had to wait.
-    fn ready(&mut self, place: usize) {
-        let Some(Some(stream)) = self.streams.get_mut(place) else { return };
+    /// Reads the request or the end of the connection, and continues a pending write.
+    fn on_stream_ready(&mut self, index: usize) {
+        let Some(Some(stream)) = self.streams.get_mut(index) else { return };
         let mut bytes = [0; 2048];
         loop {
             match stream.socket.read(&mut bytes) {
-                Ok(0) => return self.close(place),
+                Ok(0) => return self.close(index),
                 Ok(count) => stream.input.extend(&bytes[..count]),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => break,
-                Err(_) => return self.close(place),
+                Err(_) => return self.close(index),
             }
         }
-        if stream.input.len() > LONGEST_CALL {
-            return self.close(place);
+        if stream.input.len() > MAX_REQUEST_BYTES {
+            return self.close(index);
         }
         if let (None, Some(after)) = (stream.last_sent, last_event_id(&stream.input)) {
-            self.begin(place, after);
+            self.begin_stream(index, after);
         }
-        self.flush(place);
+        self.flush(index);
     }
 
-    fn begin(&mut self, place: usize, after: u64) {
+    fn begin_stream(&mut self, index: usize, after: u64) {
         let now_us = self.now_us();
-        let Some(Some(stream)) = self.streams.get_mut(place) else { return };
+        let Some(Some(stream)) = self.streams.get_mut(index) else { return };
         stream.last_sent = Some(after);
         stream.comment_due_us = now_us + COMMENT_PERIOD_US;
         stream.output.extend(STREAM_HEAD);
-        let mut counts = counted(&self.counts);
+        let mut counts = lock_counts(&self.counts);
         counts.calls.add(now_us, 1);
         counts.bytes.add(now_us, STREAM_HEAD.len() as u64);
         drop(counts);
-        self.send_events(place);
+        self.send_events(index);
     }
 
-    /// Writes all events that the stream has not been sent.
-    fn send_events(&mut self, place: usize) {
+    /// Writes all events that the stream has not sent yet.
+    fn send_events(&mut self, index: usize) {
         let now_us = self.now_us();
-        let Some(Some(stream)) = self.streams.get_mut(place) else { return };
+        let Some(Some(stream)) = self.streams.get_mut(index) else { return };
         let Some(last_sent) = stream.last_sent else { return };
-        let mut counts = counted(&self.counts);
-        for (number, text) in self.list.events(last_sent) {
+        let mut counts = lock_counts(&self.counts);
+        for (number, text) in self.list.events_after(last_sent) {
             stream.output.extend(&text[..]);
             stream.last_sent = Some(number);
             counts.events.add(now_us, 1);
@@ -342,51 +342,51 @@
             counts.bytes.add(now_us, text.len() as u64);
         }
         drop(counts);
-        self.flush(place);
+        self.flush(index);
     }
 
     fn write_comments(&mut self) {
         let now_us = self.now_us();
-        for place in 0..self.streams.len() {
-            let Some(stream) = &mut self.streams[place] else { continue };
+        for index in 0..self.streams.len() {
+            let Some(stream) = &mut self.streams[index] else { continue };
             if stream.last_sent.is_none() || stream.comment_due_us > now_us {
                 continue;
             }
             let late_us = now_us - stream.comment_due_us;
             stream.comment_due_us = now_us - late_us % COMMENT_PERIOD_US + COMMENT_PERIOD_US;
-            if self.is_silent {
+            if self.comments_suspended {
                 continue;
             }
             stream.output.extend(COMMENT);
-            let mut counts = counted(&self.counts);
+            let mut counts = lock_counts(&self.counts);
             counts.late_us = counts.late_us.max(late_us);
             counts.bytes.add(now_us, COMMENT.len() as u64);
             drop(counts);
-            self.flush(place);
+            self.flush(index);
         }
     }
 
-    fn flush(&mut self, place: usize) {
-        let Some(Some(stream)) = self.streams.get_mut(place) else { return };
+    fn flush(&mut self, index: usize) {
+        let Some(Some(stream)) = self.streams.get_mut(index) else { return };
         while !stream.output.is_empty() {
             match stream.socket.write(&stream.output) {
                 Ok(count) => drop(stream.output.drain(..count)),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => break,
-                Err(_) => return self.close(place),
+                Err(_) => return self.close(index),
             }
         }
         let interest = Interest { read: true, write: !stream.output.is_empty() };
-        if self.poll.change(&stream.socket, FIRST_STREAM + place as u64, interest, Trigger::Level).is_err() {
-            self.close(place);
+        if self.poll.change(&stream.socket, FIRST_STREAM + index as u64, interest, Trigger::Level).is_err() {
+            self.close(index);
         }
     }
 
     fn count_streams(&mut self) {
-        let last = self.list.last();
-        let begun = || self.streams.iter().flatten().filter(|stream| stream.last_sent.is_some());
+        let last = self.list.last_index();
+        let active = || self.streams.iter().flatten().filter(|stream| stream.last_sent.is_some());
         let up_to_date =
-            begun().filter(|stream| stream.last_sent == Some(last) && stream.output.is_empty()).count();
-        let mut counts = counted(&self.counts);
-        (counts.streams, counts.up_to_date) = (begun().count() as u64, up_to_date as u64);
+            active().filter(|stream| stream.last_sent == Some(last) && stream.output.is_empty()).count();
+        let mut counts = lock_counts(&self.counts);
+        (counts.streams, counts.up_to_date) = (active().count() as u64, up_to_date as u64);
     }
 }
