--- a/gateway/src/control_plane/client.rs
+++ b/gateway/src/control_plane/client.rs
@@ -143,9 +143,9 @@
     /// The stream can't be read any further.
     pub fn on_bytes(&mut self, now_us: u64, input: &mut Vec<u8>) -> Result<(), EventStreamError> {
         let Some(Stream { events, .. }) = &mut self.stream else { return Ok(()) };
-        let lines_before = events.lines();
+        let lines_before = events.line_count();
         let read = events.read(input);
-        if events.lines() > lines_before {
+        if events.line_count() > lines_before {
             self.subscriber.on_activity(now_us);
         }
         read
--- a/gateway/src/core/mod.rs
+++ b/gateway/src/core/mod.rs
@@ -101,7 +101,7 @@
     }
 
     /// Number of requests without a final answer.
-    pub fn open_requests(&self) -> usize {
+    pub fn open_request_count(&self) -> usize {
         self.open_requests.len()
     }
 
@@ -123,7 +123,7 @@
 
     /// Number of armed timers: one for each open request, one for each attempt with a timeout, and the timers of key
     /// cooldowns and of the workload manager.
-    pub fn timers(&self) -> usize {
+    pub fn timer_count(&self) -> usize {
         self.timers.len()
     }
 
--- a/gateway/src/core/tests.rs
+++ b/gateway/src/core/tests.rs
@@ -139,7 +139,7 @@
     assert_eq!(fixture.turn(vec![end.clone()]), [Command::Serve(attempt)]);
     assert_eq!(fixture.turn(vec![end]), [], "a duplicate end is ignored");
     assert_eq!(fixture.advance(10 * SECOND_US).iter().find_map(answered), None);
-    assert_eq!(fixture.core.open_requests(), 0);
+    assert_eq!(fixture.core.open_request_count(), 0);
 }
 
 #[test]
@@ -367,7 +367,7 @@
             }
         }
         // All deadlines have passed after the last step, so no request may be open.
-        fixture.core.open_requests() == 0 && deadlines.keys().all(|id| answers.contains_key(id) != left.contains(id)
+        fixture.core.open_request_count() == 0 && deadlines.keys().all(|id| answers.contains_key(id) != left.contains(id)
             || left.contains(id))
     }
 }
@@ -392,7 +392,7 @@
         assert!(commands.contains(&Command::CancelAttempt(attempt)), "attempts are cancelled");
     }
     assert_eq!(fixture.turn(vec![Input::ShuttingDown, Input::ClientLeft(lookup.request)]), []);
-    assert_eq!(fixture.core.open_requests(), 0);
+    assert_eq!(fixture.core.open_request_count(), 0);
 }
 
 /// Guards against a second answer when an attempt ends in the same turn as its client leaves or its deadline passes.
@@ -438,10 +438,10 @@
     let mut fixture = Fixture::new();
     assert_eq!(fixture.core.next_timer_us(), None, "engines alone need no control tick");
     let attempt = first_attempt(&fixture.request(1, LOOKUP, 3 * SECOND_US));
-    assert!(fixture.core.timers() >= 2, "the deadline of the request, and the control tick");
+    assert!(fixture.core.timer_count() >= 2, "the deadline of the request, and the control tick");
     fixture.turn(vec![ended(attempt, Outcome::Success)]);
     fixture.advance(100_000);
-    assert_eq!((fixture.core.timers(), fixture.core.next_timer_us()), (0, None));
+    assert_eq!((fixture.core.timer_count(), fixture.core.next_timer_us()), (0, None));
     assert!(started(&fixture.request(2, LOOKUP, 3 * SECOND_US)).is_some());
     assert!(
         fixture.core.next_timer_us().is_some_and(|at| at <= fixture.now_us + 50_000),
@@ -516,7 +516,7 @@
     assert!(fixture.core.classes_in_use().is_empty());
     let attempt = first_attempt(&fixture.request(1, LOAD, 20 * SECOND_US));
     fixture.turn(vec![Input::ClientLeft(attempt.request)]);
-    assert_eq!(fixture.core.open_requests(), 0);
+    assert_eq!(fixture.core.open_request_count(), 0);
     assert!(fixture.core.classes_in_use().contains(&LOAD), "the attempt is still in flight");
     fixture.turn(vec![ended(attempt, Outcome::Cancelled)]);
     assert!(fixture.core.classes_in_use().is_empty());
--- a/gateway/src/discovery/stream.rs
+++ b/gateway/src/discovery/stream.rs
@@ -44,8 +44,8 @@
     }
 
     /// Number of whole lines read so far. The response head counts as one.
-    pub fn lines(&self) -> u64 {
-        self.0.lines()
+    pub fn line_count(&self) -> u64 {
+        self.0.line_count()
     }
 
     /// Consumes bytes of `input` and appends the complete events to `events`, including those before an error.
--- a/gateway/src/discovery/stream/tests.rs
+++ b/gateway/src/discovery/stream/tests.rs
@@ -74,7 +74,7 @@
     let mut stream = EndpointStream::new(0);
     let mut read = |text: &str| {
         stream.read(&mut text.as_bytes().to_vec(), &mut Vec::new()).unwrap();
-        stream.lines()
+        stream.line_count()
     };
     let lines = read("HTTP/1.1 200 OK\r\n\r\n");
     assert_eq!(read("id: 2\ndata: {"), lines + 1);
--- a/gateway/src/discovery/watch.rs
+++ b/gateway/src/discovery/watch.rs
@@ -136,7 +136,7 @@
             if now_us < self.deadline_us() {
                 return due;
             }
-            if connection.stream.lines() > 0 {
+            if connection.stream.line_count() > 0 {
                 self.silence.on_silence();
             }
             self.close(events);
@@ -238,9 +238,9 @@
         events: &mut Vec<EndpointListEvent>,
     ) -> Result<(), WatchError> {
         let Some(Connection { stream, .. }) = &mut self.connection else { return Ok(()) };
-        let (mut read, lines_before) = (Vec::new(), stream.lines());
+        let (mut read, lines_before) = (Vec::new(), stream.line_count());
         let result = stream.read(input, &mut read);
-        if stream.lines() > lines_before {
+        if stream.line_count() > lines_before {
             self.silence.on_lines(now_us, read.is_empty() && lines_before > 0);
         }
         for event in read {
--- a/gateway/src/event_stream.rs
+++ b/gateway/src/event_stream.rs
@@ -40,7 +40,7 @@
     }
 
     /// Number of whole lines read so far. The response head counts as one.
-    pub fn lines(&self) -> u64 {
+    pub fn line_count(&self) -> u64 {
         self.lines
     }
 
--- a/gateway/src/event_stream/tests.rs
+++ b/gateway/src/event_stream/tests.rs
@@ -16,13 +16,13 @@
     }
     let mut stream = stream_of(text.as_bytes());
     assert_eq!(stream.next_event(), Some(ServerSentEvent { id: 7, data: "{\"a\":\n1}".to_owned() }));
-    assert_eq!((stream.next_event(), stream.lines()), (None, 5));
+    assert_eq!((stream.next_event(), stream.line_count()), (None, 5));
 }
 
 #[test]
 fn comments_count_as_lines_and_are_not_events() {
     let mut stream = stream_of(format!("{HEAD}: here\n\n: here\n\n").as_bytes());
-    assert_eq!((stream.next_event(), stream.lines()), (None, 5));
+    assert_eq!((stream.next_event(), stream.line_count()), (None, 5));
 }
 
 #[test]
--- a/gateway/src/net/event_loop.rs
+++ b/gateway/src/net/event_loop.rs
@@ -113,8 +113,8 @@
     fn log_counters(&self) {
         tracing::info!(
             counters = %self.counters,
-            open = self.core.open_requests(),
-            timers = self.timers.len() + self.core.timers(),
+            open = self.core.open_request_count(),
+            timers = self.timers.len() + self.core.timer_count(),
             sessions = %self.sessions,
             timer_lag = %self.timer_lag.merged(self.core.timer_lag()),
         );
--- a/gateway/tests/recorded_messages.rs
+++ b/gateway/tests/recorded_messages.rs
@@ -217,7 +217,7 @@
         stream.read(&mut input).unwrap();
         let events: Vec<ServerSentEvent> = std::iter::from_fn(|| stream.next_event()).collect();
         assert_eq!(events, expected, "chunked: {chunked}");
-        assert_eq!(stream.lines(), 1 + STREAM.lines().count() as u64);
+        assert_eq!(stream.line_count(), 1 + STREAM.lines().count() as u64);
     }
 }
 
