--- a/gateway/src/net/admin.rs
+++ b/gateway/src/net/admin.rs
@@ -123,7 +123,7 @@
                     let connection = AdminConnection { conn, serial, accepted_us, answered: false };
                     self.admin.connections.push(connection);
                 }
-                Err(error) => tracing::warn!(%error, "admin connection not accepted"),
+                Err(error) => tracing::warn!(%error, "accepting an admin connection failed"),
             }
             self.admin_connection_ready(key);
         }
@@ -134,9 +134,9 @@
         let end = self.admin.connections[index].conn.fill(2 * MAX_CALL_BYTES);
         self.answer_admin_call(index);
         let connection = &mut self.admin.connections[index];
-        let gone = end == ReadEnd::Broken || (end == ReadEnd::Eof && !connection.answered);
+        let disconnected = end == ReadEnd::Broken || (end == ReadEnd::Eof && !connection.answered);
         let broken = connection.conn.flush().is_err() || connection.conn.update(&self.poll, key).is_err();
-        if gone || broken || (end == ReadEnd::Eof && connection.awaits_close()) {
+        if disconnected || broken || (end == ReadEnd::Eof && connection.awaits_close()) {
             self.admin.close(&self.poll, index);
         }
         self.set_admin_timer();
--- a/gateway/src/net/clients/accept.rs
+++ b/gateway/src/net/clients/accept.rs
@@ -24,8 +24,8 @@
 }
 
 impl Server {
-    /// Creates a session for a new client, evicting another one if necessary, or rejects the client. Rejection also
-    /// covers a request that the client may have sent behind its start-up message.
+    /// Creates a session for a new client, evicting another one if necessary, or rejects the client. The error
+    /// for a rejected client also answers a request that the client may have sent behind its start-up message.
     pub(in crate::net) fn accept_client(&mut self, stream: TcpStream, from: SocketAddr, front_end: FrontEnd) {
         let decision = self.decide_accept();
         if decision == AcceptDecision::Close {
--- a/gateway/src/net/clients/eviction.rs
+++ b/gateway/src/net/clients/eviction.rs
@@ -1,5 +1,5 @@
-//! Eviction: closes sessions to free a place, a descriptor or memory for another client, an engine connection or an
-//! open request.
+//! Eviction: closes sessions to free a slot of the session table, a descriptor or memory for another client, an engine
+//! connection or an open request.
 
 use crate::front::DisconnectReason;
 use wrenhatch_sessions::memory_budget::MemoryPressure;
--- a/gateway/src/net/clients/mod.rs
+++ b/gateway/src/net/clients/mod.rs
@@ -4,11 +4,12 @@
 //! - `accept`: creates a session for a new connection, or rejects the connection
 //! - `read`: reads sessions in the order of the read scheduler, and handles their messages
 //! - `requests`: admission, final answer and cancellation of a request
-//! - `eviction`: closes sessions to free a place in the table, a descriptor or memory
+//! - `eviction`: closes sessions to free a slot of the session table, a descriptor or memory
 //! - `timeouts`: clients that make no progress, and sessions that exceed the idle limit
 //! - `settle`: flushes and updates a session at the end of a turn, and closes connections
 //!
-//! Invariant: the gateway never closes a session with an open request, except when the process exits.
+//! Invariant: a session with an open request is closed only if its client has disconnected, its connection has failed,
+//! or the process exits.
 
 mod accept;
 mod eviction;
--- a/gateway/src/net/clients/read.rs
+++ b/gateway/src/net/clients/read.rs
@@ -14,7 +14,8 @@
 use crate::net::sessions::ProtocolSession;
 
 impl Server {
-    /// Handles a poller event of a client connection. Input is queued with the read scheduler and not read here.
+    /// Handles a poller event of a client connection. A session with input is queued with the read scheduler and not
+    /// read here.
     pub(in crate::net) fn session_ready(&mut self, handle: Handle, interest: Interest) {
         if interest.write {
             self.sessions.mark_dirty(handle);
@@ -39,7 +40,7 @@
     /// Reads a session immediately, outside the order of the read scheduler.
     pub(in crate::net) fn read_now(&mut self, handle: Handle) {
         self.sessions.table.clear_queued(handle);
-        self.read_session(ScheduledRead { handle, ready_us: self.time.now_us, read_ahead: false });
+        self.read_session(ScheduledRead { handle, ready_us: self.time.now_us, expedited: false });
     }
 
     fn read_session(&mut self, read: ScheduledRead) {
@@ -49,8 +50,8 @@
         }
         let max_bytes = self.sessions.scheduler.limits().bytes_per_turn;
         let Some(session) = self.sessions.table.active_mut(handle) else { return };
-        (session.ready_us, session.read_ahead, session.has_unread_input) =
-            (read.ready_us, read.read_ahead, false);
+        (session.ready_us, session.expedited, session.has_unread_input) =
+            (read.ready_us, read.expedited, false);
         let connection = &mut session.connection;
         let before = connection.input.len();
         let end = connection.fill(max_bytes);
@@ -65,7 +66,7 @@
             return self.close_client(handle);
         }
         if let Some(session) = self.sessions.table.active_mut(handle) {
-            session.read_ahead = false;
+            session.expedited = false;
         }
         self.sessions.mark_dirty(handle);
     }
@@ -143,7 +144,7 @@
         let Some(session) = self.sessions.table.active_mut(handle) else { return };
         let ProtocolSession::MySql(mysql) = &mut session.protocol else { return };
         let output = &mut session.connection.output;
-        // The statement is not reserved yet, so that its bytes are checked in addition to the reserved ones.
+        // No memory is reserved for the statement yet, so that its bytes are checked in addition to the reserved ones.
         let memory = self.sessions.memory.check(MemoryPurpose::Statements, mysql.pending_bytes());
         match (invalid, memory) {
             (Some(invalid), _) => {
--- a/gateway/src/net/clients/requests.rs
+++ b/gateway/src/net/clients/requests.rs
@@ -22,21 +22,21 @@
         let query_id = fields.id.take().unwrap_or_else(|| self.sessions.new_query_id());
         let Some(session) = self.sessions.table.active_mut(handle) else { return };
         let ResolvedNames { class, tenant } = match admission::validate(&self.names, &fields, id_in_use) {
-            Ok(subject) => subject,
+            Ok(names) => names,
             Err(invalid) => {
                 self.counters.invalid += 1;
                 session.protocol.answer_invalid(&invalid.to_string(), &mut session.connection.output);
                 return;
             }
         };
-        let (ready_us, read_ahead) = (session.ready_us, session.read_ahead);
+        let (ready_us, expedited) = (session.ready_us, session.expedited);
         let idempotency_key = fields.idempotency_key.take();
         let request = OpenClientRequest { client: handle, query_id, class, statement, idempotency_key, run };
         let input = AdmissionInput {
             now_us: self.time.now_us,
             ready_us,
             wait_us: admission::wait_us(fields.wait_ms, self.config.settings.classes[class.0].deadline),
-            work_ahead_us: if read_ahead { self.sessions.scheduler.backlog_us() } else { 0 },
+            work_ahead_us: if expedited { self.sessions.scheduler.backlog_us() } else { 0 },
             shutting_down: self.is_shutting_down(),
             open_requests: self.requests.open.len(),
             max_open_requests: self.config.max_open_requests,
@@ -164,7 +164,7 @@
             outcome = answer.name(),
             "request answered"
         );
-        let (counter, end) = match answer {
+        let (counter, outcome) = match answer {
             FinalAnswer::Served(QueryResult::MySql(ResultSet::StatementError(_))) => {
                 (&mut self.counters.failed, RequestOutcome::Failed)
             }
@@ -175,7 +175,7 @@
             }
         };
         *counter += 1;
-        self.metrics.count_outcome(request.class, end);
+        self.metrics.count_outcome(request.class, outcome);
         let Some(session) = self.sessions.table.active_mut(request.client) else { return };
         if session.open_request == Some(id) {
             session.take_open_request();
--- a/gateway/src/net/clients/timeouts.rs
+++ b/gateway/src/net/clients/timeouts.rs
@@ -51,7 +51,7 @@
                     break;
                 }
                 if self.is_safe_to_close(handle) {
-                    // The place is not needed at once, so that the close is graceful.
+                    // No other client waits for the slot, so that the close can be graceful.
                     self.close_gracefully(handle);
                     self.sessions.table.set_activity(handle, Activity::Closing, self.time.now_us);
                     self.counters.idle_closed += 1;
--- a/gateway/src/net/connection.rs
+++ b/gateway/src/net/connection.rs
@@ -57,11 +57,11 @@
 pub enum ReadEnd {
     /// All available input was read.
     WouldBlock,
-    /// A limit was reached; more input may be available.
+    /// A limit was reached. More input may be available.
     More,
     /// The peer has shut down its sending side.
     Eof,
-    /// Reading failed; the connection is unusable.
+    /// Reading failed. The connection is unusable.
     Broken,
 }
 
@@ -167,12 +167,12 @@
     pub fn fill(&mut self, max_bytes: usize) -> ReadEnd {
         let mut chunk = [0; 16 * 1024];
         let closing = self.phase == Phase::Closing;
-        let mut left = if closing { MAX_DISCARDED_BYTES } else { max_bytes };
-        while left > 0 && (closing || self.detects_end || self.input.len() < self.read_ahead) {
+        let mut remaining = if closing { MAX_DISCARDED_BYTES } else { max_bytes };
+        while remaining > 0 && (closing || self.detects_end || self.input.len() < self.read_ahead) {
             match self.stream.read(&mut chunk) {
                 Ok(0) => return ReadEnd::Eof,
                 Ok(n) => {
-                    left = left.saturating_sub(n);
+                    remaining = remaining.saturating_sub(n);
                     if closing {
                         continue;
                     }
--- a/gateway/src/net/control_plane.rs
+++ b/gateway/src/net/control_plane.rs
@@ -1,5 +1,5 @@
-//! The connections to the control plane: the stream of configuration versions, and one for each report. The protocol
-//! and its timing are implemented by [`ControlPlaneClient`]. This module does the I/O.
+//! The connections to the control plane: one for the stream of configuration versions, and one for each report. The
+//! protocol and its timing are implemented by [`ControlPlaneClient`]. This module does the I/O.
 
 use wrenhatch_configuration::{Document, SubscriberAction, Version};
 use wrenhatch_sessions::timer_wheel::TimerId;
--- a/gateway/src/net/engines.rs
+++ b/gateway/src/net/engines.rs
@@ -169,7 +169,7 @@
     },
     MySql {
         /// The statement, until it is passed to the protocol session of the connection.
-        work: Option<mysql::Statement>,
+        statement: Option<mysql::Statement>,
     },
 }
 
--- a/gateway/src/net/engines/attempts.rs
+++ b/gateway/src/net/engines/attempts.rs
@@ -20,7 +20,7 @@
     RepeatCall,
     /// End the attempt. No part of it was executed.
     ConnectFailed,
-    /// Give up the attempt. The engine may still run it, and its end can't be learnt.
+    /// Give up the attempt. The engine may still run it, and there is no way to determine its end.
     Lost,
     /// Cancel the attempt, as the engine may still run it.
     Cancel,
@@ -45,9 +45,10 @@
         let class = self.names.classes[request.class.0].as_str();
         let (execution, protocol) = match &request.run {
             ExecutionMode::Simple => (http_execution(request, class, max_ms, terms), EngineProtocol::Http),
-            ExecutionMode::Query | ExecutionMode::Execute(_) => {
-                (Execution::MySql { work: Some(mysql_work(request, class, max_ms)) }, EngineProtocol::MySql)
-            }
+            ExecutionMode::Query | ExecutionMode::Execute(_) => (
+                Execution::MySql { statement: Some(mysql_statement(request, class, max_ms)) },
+                EngineProtocol::MySql,
+            ),
         };
         let query_id = request.query_id.clone();
         let prepared = matches!(request.run, ExecutionMode::Execute(_)).then(|| request.statement.clone());
@@ -117,7 +118,9 @@
     pub(super) fn is_not_forwarded(&self, id: AttemptId, protocol_state: &ProtocolState) -> bool {
         match (self.pools.attempts.get(&id).map(|a| &a.execution), protocol_state) {
             (Some(Execution::Http { start, .. }), _) => start.is_some(),
-            (Some(Execution::MySql { work }), ProtocolState::MySql(s)) => work.is_some() || !s.may_have_run(),
+            (Some(Execution::MySql { statement }), ProtocolState::MySql(s)) => {
+                statement.is_some() || !s.may_have_run()
+            }
             _ => false,
         }
     }
@@ -228,8 +231,9 @@
     Execution::Http { exchange: http::Exchange::new(&request.query_id), start: Some(start) }
 }
 
-/// Converts a request to a statement for a MySQL engine. Its id, class and remaining time are sent as query attributes.
-fn mysql_work(request: &OpenClientRequest, class: &str, max_ms: u64) -> mysql::Statement {
+/// Converts a request to a statement for a MySQL engine. The query id, the class, the remaining time and the
+/// idempotency key are sent as query attributes.
+fn mysql_statement(request: &OpenClientRequest, class: &str, max_ms: u64) -> mysql::Statement {
     let mut attributes = vec![
         Parameter::text(field_name::ID, &request.query_id),
         Parameter::text(field_name::CLASS, class),
--- a/gateway/src/net/engines/calls.rs
+++ b/gateway/src/net/engines/calls.rs
@@ -78,9 +78,9 @@
             (Execution::Http { start, .. }, ProtocolState::Http) => {
                 output.extend(start.take().into_iter().flatten());
             }
-            (Execution::MySql { work }, ProtocolState::MySql(session)) => {
-                if let Some(work) = work.take() {
-                    session.start(work, output);
+            (Execution::MySql { statement }, ProtocolState::MySql(session)) => {
+                if let Some(statement) = statement.take() {
+                    session.start(statement, output);
                 }
             }
             _ => {}
@@ -104,8 +104,8 @@
             return;
         }
         // A connection is not opened for a change of priority.
-        let idle = self.pools.engines.get_mut(&attempt.engine);
-        let Some(slot) = idle.and_then(|e| e.idle.of(super::EngineProtocol::Http).pop()) else {
+        let engine = self.pools.engines.get_mut(&attempt.engine);
+        let Some(slot) = engine.and_then(|e| e.idle.of(super::EngineProtocol::Http).pop()) else {
             return;
         };
         let now_us = self.time.now_us;
--- a/gateway/src/net/engines/cancellation.rs
+++ b/gateway/src/net/engines/cancellation.rs
@@ -1,4 +1,5 @@
-//! Cancellation of attempts: the engine is told to stop, and its confirmation is awaited up to a time limit.
+//! Cancellation of attempts: the engine is called to cancel the query, and its confirmation is awaited up to a time
+//! limit.
 
 use workload_manager::Outcome;
 
@@ -7,12 +8,12 @@
 use crate::core::Input;
 use crate::net::{NetTimer, Server};
 
-/// Time limit for the confirmation of a cancellation, in microseconds. Longer than a stall of a running engine. The state
-/// of an attempt without a confirmation is unknown.
+/// Time limit for the confirmation of a cancellation, in microseconds. Longer than a running engine may stall. The
+/// state of an attempt without a confirmation is unknown.
 pub(super) const CANCEL_TIMEOUT_US: u64 = 500_000;
 
 impl Server {
-    /// Cancels an attempt. It ends at once if no byte of it was written, and otherwise when its engine has confirmed
+    /// Cancels an attempt. An attempt that was not forwarded ends at once. Any other ends when its engine has confirmed
     /// the cancellation or the time limit has passed.
     pub(in crate::net) fn cancel_attempt(&mut self, id: AttemptId) {
         let in_flight = self.pools.attempts.get(&id).filter(|a| !a.cancelling);
@@ -52,8 +53,8 @@
         }
     }
 
-    /// Repeats the call that cancels an attempt after its connection has ended, up to [`MAX_CALL_RETRIES`] times. The
-    /// call is not repeated if the engine has refused the connection; the attempt then ends at the time limit. Such an
+    /// Repeats the call that cancels an attempt after its connection has ended, up to [`MAX_CALL_RETRIES`] times. If
+    /// the engine has refused the connection, the call is not repeated, and the attempt ends at the time limit. Such an
     /// engine may still run the query: it may be draining, or have reached its connection limit.
     pub(super) fn retry_cancellation(&mut self, id: AttemptId, link: &Link, end: ConnectionEnd) {
         let attempt = self.pools.attempts.get_mut(&id).filter(|a| a.call_retries < MAX_CALL_RETRIES);
@@ -75,7 +76,7 @@
         }
     }
 
-    /// Gives up an attempt whose end can't be learnt. Its engine may still run it.
+    /// Gives up an attempt whose end is unknown. Its engine may still run it.
     pub(in crate::net) fn attempt_lost(&mut self, id: AttemptId) {
         let Some(attempt) = self.remove_attempt(id) else { return };
         self.detach_connection(attempt.slot, id);
--- a/gateway/src/net/engines/confirmation.rs
+++ b/gateway/src/net/engines/confirmation.rs
@@ -1,8 +1,8 @@
 //! Confirms the end of lost attempts that hold up other requests of their order key.
 //!
 //! An engine drops a query for which it has received no call for some time. During a network partition, a call that was
-//! written may still be in transit, and the engine may later run the query to its end. Therefore the time only counts
-//! after the engine has been reached once more.
+//! written may still be in transit, and the engine may later run the query to its end. Therefore the expiry of that time
+//! proves the end of the attempt only if the engine has been reached once more.
 
 use workload_manager::{EndpointState, EngineId, Outcome};
 
@@ -71,13 +71,13 @@
         }
     }
 
-    /// Confirms that the attempt has ended: the engine has cancelled it or no longer knows it.
+    /// Confirms that the attempt has ended: the engine has cancelled it or no longer has it.
     pub(super) fn confirm_ended(&mut self, id: AttemptId) {
         self.confirm(id, self.time.now_us);
     }
 
-    /// Confirms that the attempt ends by the time at which an engine without further calls drops it. The engine was
-    /// reached or no longer runs.
+    /// Confirms that the attempt ends by [`LostAttempt::dropped_by_us`]. The engine must have been reached, or must no
+    /// longer run.
     pub(super) fn confirm_dropped(&mut self, id: AttemptId) {
         let dropped_by_us = self.pools.unconfirmed.get(&id).map_or(0, |attempt| attempt.dropped_by_us);
         self.confirm(id, dropped_by_us.max(self.time.now_us));
@@ -97,7 +97,7 @@
         self.inputs.push(Input::AttemptEndConfirmed { attempt: id, runs_until_us: may_run_until_us });
     }
 
-    /// Handles the end of a connection for a confirmation without a response.
+    /// Handles the end of a confirmation's connection over which no response was received.
     pub(super) fn confirmation_connection_ended(&mut self, id: AttemptId, end: ConnectionEnd) {
         match end {
             // The refusal proves that the machine was reached. The process has exited, is draining, or has reached its
--- a/gateway/src/net/engines/connection_events.rs
+++ b/gateway/src/net/engines/connection_events.rs
@@ -10,15 +10,15 @@
 use crate::net::pools::{EngineConnection, Pools};
 use crate::net::{NetTimer, Server};
 
-/// Time limit for the response to a call of an attempt, in microseconds. Longer than a stall of a running engine. After
+/// Time limit for the response to a call of an attempt, in microseconds. Longer than a running engine may stall. After
 /// the limit the call is repeated over another connection, as the query may still be running.
 const RESPONSE_TIMEOUT_US: u64 = 500_000;
 
 /// Time limit for a response that is no longer needed, in microseconds. The connection can be reused once the response
-/// has arrived. Engines hold a call for a progress report for 250 ms.
+/// has arrived. Engines delay the response to a call for a progress report by up to 250 ms.
 const DISCARD_TIMEOUT_US: u64 = 1_000_000;
 
-/// Fraction of the engines' idle timeout after which an idle connection is closed. A call must not be written to a
+/// Numerator of the fraction of the engines' idle timeout after which an idle connection is closed. A call must not be written to a
 /// connection that the engine is about to close, as it would be unknown whether the call was executed.
 const MAX_IDLE_NUMERATOR: u64 = 6;
 const MAX_IDLE_DENOMINATOR: u64 = 10;
@@ -38,7 +38,7 @@
     fn connection_deadline_us(&self, connection: &EngineConnection) -> Option<u64> {
         let link = &connection.link;
         if link.is_connecting(connection.conn.phase) {
-            // Only this engine can confirm the end of its attempt. All other jobs have an alternative.
+            // Only the attempt's own engine can confirm its end, so that a confirmation waits longer than other jobs.
             let confirms = matches!(link.job, Job::Confirm(_));
             let at_least_us = if confirms { CONFIRMATION_CONNECT_TIMEOUT_US } else { 0 };
             return Some(link.call_written_us + self.config.connect_timeout_us.max(at_least_us));
--- a/gateway/src/net/engines/connections.rs
+++ b/gateway/src/net/engines/connections.rs
@@ -21,7 +21,7 @@
     /// statement `prepared` is prepared, then any idle connection, then opens a new one.
     ///
     /// # Errors
-    /// No connection is available. The error is the outcome of an attempt for which it was to be acquired.
+    /// No connection is available. If the job is an attempt, the error is its outcome.
     pub(super) fn acquire_connection(
         &mut self,
         engine: EngineId,
@@ -89,7 +89,7 @@
     /// is closed first.
     ///
     /// # Errors
-    /// No connection could be opened. The error is the outcome of an attempt for which it was to be opened.
+    /// No connection could be opened. If the job is an attempt, the error is its outcome.
     pub(super) fn connect(
         &mut self,
         engine: EngineId,
@@ -114,12 +114,12 @@
             _ => ProtocolState::Http,
         };
         let (slot, key) = self.pools.allocate_slot();
-        let ahead = if protocol == EngineProtocol::Http {
+        let read_ahead = if protocol == EngineProtocol::Http {
             2 * http::MAX_RESPONSE_BYTES
         } else {
             MYSQL_READ_AHEAD_BYTES
         };
-        match self.dial(address, key, ahead) {
+        match self.dial(address, key, read_ahead) {
             Ok(conn) => {
                 let link = Link {
                     engine,
@@ -148,7 +148,8 @@
         crate::net::sessions::max_engine_connections(&self.config, self.peer_processes.is_empty())
     }
 
-    /// Closes idle connections beyond the half of the descriptors that a process with a peer process may use.
+    /// Closes idle connections that exceed this process's share of the descriptors. While a peer process runs, the
+    /// share is half.
     pub(in crate::net) fn share_descriptors(&mut self) {
         while self.pools.open_connections > self.max_engine_connections() && self.close_idle_connection() {}
     }
--- a/gateway/src/net/engines/http_responses.rs
+++ b/gateway/src/net/engines/http_responses.rs
@@ -15,7 +15,7 @@
         let Some(connection) = self.pools.connection(slot) else { return };
         // Input behind a response is unexpected and would be mistaken for the next response.
         response.close |= !connection.conn.input.is_empty();
-        // Both statuses mean that the attempt has ended: the engine has cancelled the query or no longer knows it.
+        // Both statuses mean that the attempt has ended: the engine has cancelled the query or no longer has it.
         let cancelled = matches!(response.status, status::NO_CONTENT | status::INTERNAL_SERVER_ERROR);
         match connection.link.job {
             Job::Cancel(id) if cancelled => {
@@ -26,7 +26,7 @@
                 self.release_or_close(slot, response.close);
                 self.confirm_ended(id);
             }
-            // An idle connection awaits no response.
+            // An idle connection awaits no response. Any other response to a call that cancels an attempt is unusable.
             Job::Idle { .. } | Job::Cancel(_) | Job::Confirm(_) => {
                 self.connection_ended(slot, ConnectionEnd::Broken);
             }
--- a/gateway/src/net/engines/list.rs
+++ b/gateway/src/net/engines/list.rs
@@ -27,7 +27,7 @@
         self.update_engines(&event);
     }
 
-    /// Updates the engines by an event that the registry has returned, and passes the event to the core.
+    /// Applies an event returned by the registry to the table of engines, and passes the event to the core.
     pub(in crate::net) fn update_engines(&mut self, event: &EndpointListEvent) {
         let mut stale_connections = Vec::new();
         if event.is_full {
--- a/gateway/src/net/listeners.rs
+++ b/gateway/src/net/listeners.rs
@@ -13,7 +13,8 @@
 use super::{NetTimer, ServeError, Server};
 use crate::config::Config;
 
-/// Pause in accepting clients after the system has run out of descriptors and no session could be evicted.
+/// Pause in accepting clients after the system has run out of descriptors, if no session could be evicted and the client
+/// could not be rejected.
 const ACCEPT_PAUSE_US: u64 = 50_000;
 /// EMFILE and ENFILE on Linux: the process or the machine has no descriptor left.
 const OUT_OF_DESCRIPTORS: [i32; 2] = [24, 23];
@@ -215,7 +216,7 @@
 
     /// Handles descriptor exhaustion, which may occur within the descriptor budget if the system's limit is lower.
     /// Evicts a session. If none can be evicted, rejects the client by means of the spare descriptor. If that fails
-    /// too, pauses the listeners, as they would be reported as ready at every wait. Returns false if they are paused.
+    /// too, pauses the listeners, as the poller would report them at every wait. Returns false if they are paused.
     fn handle_descriptor_exhaustion(&mut self, front_end: FrontEnd) -> bool {
         if self.evict_one() {
             return true;
--- a/gateway/src/net/mod.rs
+++ b/gateway/src/net/mod.rs
@@ -151,7 +151,7 @@
             server.restore_state(state.messages);
             state.connection
         });
-        // The core learns the known engines before the first client is accepted.
+        // The core must receive the known engines before the first client is accepted.
         server.turn();
         server.start_peer_processes(predecessor);
         Ok(server)
@@ -167,8 +167,8 @@
     ) -> Result<Self, ServeError> {
         let since_epoch = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
         let process_salt = since_epoch.as_nanos() as u64 ^ u64::from(std::process::id()).rotate_left(40);
-        let chance = config.seed as u32 as f64 / f64::from(u32::MAX);
-        let endpoint_watch = EndpointWatch::new(last_list_index, config.memory_bytes, chance);
+        let random = config.seed as u32 as f64 / f64::from(u32::MAX);
+        let endpoint_watch = EndpointWatch::new(last_list_index, config.memory_bytes, random);
         let control_plane = config.control_plane.clone().map(|settings| {
             let client = ControlPlaneClient::new(settings, &config.name, config.seed);
             control_plane::ControlPlane::new(client)
--- a/gateway/src/net/process_replacement/listener_passing.rs
+++ b/gateway/src/net/process_replacement/listener_passing.rs
@@ -19,7 +19,7 @@
 const MAX_LISTENERS: usize = 2;
 
 /// The path of the socket, in the directory TMPDIR, which the platform must not share between gateways. Returns `None`
-/// without an admin interface, as a replacement can't be requested then.
+/// if TMPDIR is not set, or if the admin interface is disabled, as a replacement can't be requested then.
 pub(super) fn socket_path(config: &Config) -> Option<PathBuf> {
     config.admin?;
     let directory = std::env::var_os("TMPDIR").filter(|directory| !directory.is_empty())?;
@@ -28,7 +28,7 @@
 }
 
 /// Listens at the path, replacing an existing socket. The new socket is renamed into place, so that a successor can
-/// connect to one of them at any time.
+/// connect to one of the two at any time.
 pub(super) fn listen_at(path: &Path) -> io::Result<UnixListener> {
     let temporary = path.with_extension(format!("{}", std::process::id()));
     let _ = std::fs::remove_file(&temporary);
--- a/gateway/src/net/process_replacement/mod.rs
+++ b/gateway/src/net/process_replacement/mod.rs
@@ -180,7 +180,7 @@
     fn remove_peer_process(&mut self, index: usize) {
         let peer = self.peer_processes.remove(&self.poll, index);
         if peer.features.key_leases {
-            // A process that exited without a message may have left attempts that run as long as engines allow.
+            // A process that exited unannounced may have left attempts that run as long as engines allow.
             let latest_us = self.core.key_cooldown_end_us(self.time.now_us + MAX_RUN_AFTER_LAST_CALL_US);
             let cooldown_until_us = peer.cooldown_until_us.unwrap_or(latest_us);
             let event = PeerProcessEvent::Exited { cooldown_until_us };
--- a/gateway/src/net/process_replacement/state_transfer.rs
+++ b/gateway/src/net/process_replacement/state_transfer.rs
@@ -49,7 +49,8 @@
     pub(super) features: PeerFeatures,
 }
 
-/// Receives the state of the predecessor, if there is one. Blocks for little more than [`TRANSFER_TIMEOUT`] at most.
+/// Receives the state of the predecessor, if there is one. Blocks for about twice [`TRANSFER_TIMEOUT`] at most, as the
+/// limit also applies to a single read or write.
 pub fn receive_state(config: &Config) -> Option<PredecessorState> {
     let path = socket_path(config)?;
     // A failure to connect means that there is no predecessor.
--- a/gateway/src/net/sessions/limits.rs
+++ b/gateway/src/net/sessions/limits.rs
@@ -1,4 +1,4 @@
-//! Limits derived from the configuration: sessions, engine connections, message size, and those of the read scheduler.
+//! Limits derived from the configuration: sessions, engine connections, message size, and the read scheduler's limits.
 
 use wrenhatch_sessions::read_scheduler::ReadLimits;
 
@@ -6,10 +6,10 @@
 use crate::mysql_protocol::MAX_PACKET_BYTES;
 use crate::net::own_descriptors;
 
-/// Divisor of the memory budget that gives the memory for messages being read. A message may be in memory three times:
-/// in the input buffer, stored for a retry, and in an output buffer.
+/// Process memory divided by the memory for messages being read. A message may be in memory three times: in the input
+/// buffer, stored for a retry, and in an output buffer.
 const MESSAGE_MEMORY_DIVISOR: usize = 8;
-/// Bounds of the longest accepted message, whatever the memory budget.
+/// Bounds of the longest accepted message in bytes, regardless of the process memory.
 const LONGEST_MESSAGE_BYTES: std::ops::RangeInclusive<usize> = 8 * 1024..=MAX_PACKET_BYTES;
 /// Number of sessions accepted in addition to the share of descriptors that clients are guaranteed, which is a third.
 const EXTRA_SESSIONS: usize = 16;
@@ -21,14 +21,15 @@
 }
 
 /// Maximum number of connections to engines. Two processes of one gateway share its descriptors. The limit on sessions
-/// applies to both together, as each client is connected to one of them. Of the rest, each process may use half.
+/// applies to both together, as each client is connected to one of them. Each process may use half of the remaining
+/// descriptors.
 pub fn max_engine_connections(config: &Config, is_alone: bool) -> usize {
     let own = own_descriptors(config);
-    let left = config.max_descriptors.saturating_sub(max_sessions(config) + own);
-    if is_alone { left } else { left.saturating_sub(own) / 2 }
+    let remaining = config.max_descriptors.saturating_sub(max_sessions(config) + own);
+    if is_alone { remaining } else { remaining.saturating_sub(own) / 2 }
 }
 
-/// The longest message accepted from a client, in bytes.
+/// Length of the longest message accepted from a client, in bytes.
 pub fn longest_message_bytes(config: &Config) -> usize {
     let part = config.memory_bytes / MESSAGE_MEMORY_DIVISOR / max_sessions(config).max(1);
     part.clamp(*LONGEST_MESSAGE_BYTES.start(), *LONGEST_MESSAGE_BYTES.end())
--- a/gateway/src/net/sessions/mod.rs
+++ b/gateway/src/net/sessions/mod.rs
@@ -28,8 +28,7 @@
 use crate::front::{mysql, pg};
 use state::{ActiveSession, ReservedBytes, SuspendedProtocol, SuspendedSession};
 
-/// Divisor of the session limit that gives the number of sessions with incomplete messages that counts as a connection
-/// surge.
+/// Session limit divided by the number of sessions with incomplete messages that counts as a connection surge.
 const SURGE_DIVISOR: usize = 4;
 /// Lower bound of the number of sessions that counts as a connection surge.
 const MIN_SURGE_SESSIONS: usize = 32;
@@ -38,7 +37,7 @@
 /// Set in the group of a tenant and cleared in the group of an address.
 const TENANT_GROUP_BIT: u32 = 1 << 31;
 
-/// The session table with this module's states of a session.
+/// The session table of the gateway, with its types for suspended and active sessions.
 pub type ClientTable = SessionTable<SuspendedSession, ActiveSession>;
 
 /// The sessions of all clients.
@@ -50,8 +49,8 @@
     pub dirty: Vec<Handle>,
     /// Maximum number of sessions.
     pub max_sessions: usize,
-    /// The longest message accepted from a client, in bytes.
-    longest_message: usize,
+    /// Length of the longest message accepted from a client, in bytes.
+    longest_message_bytes: usize,
     /// The next id of a prepared statement, shared by all sessions.
     statement_ids: Rc<Cell<u32>>,
     random_state: u64,
@@ -80,7 +79,7 @@
             memory: MemoryBudget::new(config.memory_bytes),
             dirty: Vec::new(),
             max_sessions: max_sessions(config),
-            longest_message: limits::longest_message_bytes(config),
+            longest_message_bytes: limits::longest_message_bytes(config),
             statement_ids: Rc::new(Cell::new((config.seed as u32).max(1))),
             random_state: config.seed ^ salt,
             idle_timer: None,
@@ -116,7 +115,7 @@
         self.table.len() >= self.max_sessions
     }
 
-    /// The session that is to be evicted first, if any may be.
+    /// The session to evict first; `None` if no session may be evicted.
     pub fn eviction_candidate(&self, now_us: u64) -> Option<Handle> {
         let surge_size = (self.max_sessions / SURGE_DIVISOR).max(MIN_SURGE_SESSIONS);
         self.table.eviction_candidate(now_us, surge_size)
@@ -124,7 +123,7 @@
 
     /// Read-ahead of a client connection in bytes.
     pub fn read_ahead_bytes(&self) -> usize {
-        self.longest_message + READ_AHEAD_EXTRA_BYTES
+        self.longest_message_bytes + READ_AHEAD_EXTRA_BYTES
     }
 
     /// Size of a new session in bytes, with its slot and without its buffers.
@@ -160,7 +159,7 @@
             }
             _ => ProtocolSession::Pg(pg::Session::new(
                 pg::BackendKey { process_id: slot, secret },
-                self.longest_message,
+                self.longest_message_bytes,
             )),
         };
         self.memory.reserve(MemoryPurpose::Sessions, Self::active_session_bytes());
@@ -170,7 +169,7 @@
 
     /// Resumes a session if it is suspended. Returns false if the session no longer exists.
     pub fn resume(&mut self, handle: Handle, config: &Config, now_us: u64) -> bool {
-        let (longest, read_ahead) = (self.longest_message, self.read_ahead_bytes());
+        let (longest, read_ahead) = (self.longest_message_bytes, self.read_ahead_bytes());
         let (memory, statement_ids) = (&mut self.memory, &self.statement_ids);
         self.table.resume(handle, now_us, |suspended| {
             let statements = suspended.statement_bytes();
--- a/gateway/src/net/sessions/state.rs
+++ b/gateway/src/net/sessions/state.rs
@@ -38,8 +38,9 @@
     pub timer: Option<(u64, TimerId)>,
     /// Time at which the message being read became ready to be read.
     pub ready_us: u64,
-    /// The session is read out of order, as it might be reached too late otherwise.
-    pub read_ahead: bool,
+    /// The message being read was read before its turn in the read scheduler, see
+    /// [`ScheduledRead::expedited`](wrenhatch_sessions::read_scheduler::ScheduledRead::expedited).
+    pub expedited: bool,
     /// The last read stopped before all available input was read and handled.
     pub has_unread_input: bool,
     /// The session will be settled at the end of this turn.
@@ -58,7 +59,7 @@
             awaited_since_us: None,
             timer: None,
             ready_us: 0,
-            read_ahead: false,
+            expedited: false,
             has_unread_input: false,
             dirty: false,
             reserved: ReservedBytes::default(),
@@ -92,8 +93,8 @@
     /// Whether the session must be queued for reading without an event of the poller, as unread input remains and may
     /// be read.
     pub fn should_read_again(&self) -> bool {
-        let takes_input = self.open_request.is_some() || self.connection.output.len() <= MAX_UNSENT_BYTES;
-        self.has_unread_input && takes_input
+        let may_read = self.open_request.is_some() || self.connection.output.len() <= MAX_UNSENT_BYTES;
+        self.has_unread_input && may_read
     }
 
     /// Deadline of the wait for the client, in microseconds.
--- a/gateway/src/net/shutdown.rs
+++ b/gateway/src/net/shutdown.rs
@@ -20,11 +20,11 @@
 /// Time after SIGTERM during which new work is accepted.
 const ACCEPT_US: u64 = 700_000;
 
-/// The platform sends SIGKILL no earlier than [`ACCEPT_US`] plus the longest deadline of a class after SIGTERM. This is
-/// the upper bound of that deadline for a process without a peer process.
+/// Upper bound of the longest class deadline in the time until SIGKILL, for a process without a peer process. The
+/// platform sends SIGKILL no earlier than [`ACCEPT_US`] plus that deadline after SIGTERM.
 const MAX_DEADLINE_ALONE_US: u64 = 3_000_000;
 
-/// Upper bound of the same deadline for a process that has a peer process.
+/// The bound corresponding to [`MAX_DEADLINE_ALONE_US`] for a process that has a peer process.
 const MAX_DEADLINE_WITH_PEER_US: u64 = 5_000_000;
 
 /// Time reserved before SIGKILL for writing final answers, and for clients to read them.
@@ -149,7 +149,7 @@
     }
 
     /// Reads from every client once more, rejecting new requests, and begins a graceful close of all sessions. A client
-    /// with an incomplete message or start-up gets an error. For an idle client the connection is only closed.
+    /// with an incomplete message or start-up gets an error. The connection of an idle client is closed without an error.
     fn end_sessions(&mut self) {
         let sessions: Vec<_> = self.sessions.table.handles().collect();
         for handle in sessions {
--- a/gateway/src/net/timer.rs
+++ b/gateway/src/net/timer.rs
@@ -12,19 +12,19 @@
     EngineConnection(usize, u32),
     /// The engine has not confirmed the cancellation of an attempt in time.
     CancelTimeout(engines::AttemptId),
-    /// Retry of the call that asks an engine to confirm the end of a lost attempt.
+    /// Retry of the connection that is to confirm the end of a lost attempt.
     Confirmation(engines::AttemptId),
     /// The deadline of a client: for its start-up, a message, or a graceful close.
     Client(Handle),
     /// The longest idle session may have reached the idle limit.
     IdleLimit,
-    /// The deadline of the endpoint list's stream: to reconnect, or to close a silent one.
+    /// The deadline of the endpoint list's stream: for reconnecting, or for closing a silent stream.
     Watch,
-    /// The deadline of the control plane's client: to reconnect, to close a silent stream, or to send a report.
+    /// The deadline of the control plane's client: for reconnecting, closing a silent stream, or sending a report.
     ControlPlane,
     /// Retry of reading the configuration file, with the number of failures so far.
     Reload(u32),
-    /// End of a pause in accepting clients, made because no descriptor was left.
+    /// End of a pause in accepting clients that was caused by a lack of descriptors.
     Listeners,
     /// The oldest connection of the admin interface may have timed out.
     Admin,
--- a/gateway/src/net/watch.rs
+++ b/gateway/src/net/watch.rs
@@ -20,7 +20,7 @@
     conn: Option<Connection>,
     /// Distinguishes the connection from earlier ones in poller keys.
     serial: u32,
-    /// Fires at the deadline of the state.
+    /// Fires at [`EndpointWatch::deadline_us`].
     timer: Option<TimerId>,
 }
 
@@ -146,10 +146,10 @@
                         "events of the endpoint list are missing: requesting them again"
                     );
                 }
-                // The log line of the event itself contains the entry.
+                // The first unreadable entry is logged when the event is applied.
                 WatchError::UnreadableEntries(_) => {}
                 WatchError::Stream(error) => {
-                    tracing::warn!(%error, "endpoint list stream can't be followed");
+                    tracing::warn!(%error, "endpoint list stream can't be read");
                 }
             }
             self.close_watch_conn();
--- a/sessions/src/memory_budget.rs
+++ b/sessions/src/memory_budget.rs
@@ -1,7 +1,8 @@
 //! The memory budget: accounts for the memory held for clients, by purpose, and limits it.
 //!
-//! Owners check with [`MemoryBudget::check`] before they allocate, and report every change of their allocations. As the
-//! budget fills up, fewer purposes may allocate, so that open requests can always be completed.
+//! Owners report every change of their allocations, and call [`MemoryBudget::check`] before they accept a session, a
+//! request or a prepared statement. As the budget fills up, the check fails for more purposes, so that open requests can
+//! be completed.
 
 /// The purpose for which memory is held.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -90,11 +91,11 @@
 }
 
 impl MemoryBudget {
-    /// Creates the budget of a process that may use `memory` bytes. Half of them is left to the program, the workload
+    /// Creates the budget of a process that may use `memory_bytes`. Half of them is left to the program, the workload
     /// manager and the allocator. Prepared statements may hold a quarter of the budget, sessions a half, and all other
     /// purposes the whole.
-    pub fn new(memory: usize) -> Self {
-        let limit = memory / BUDGET_DIVISOR;
+    pub fn new(memory_bytes: usize) -> Self {
+        let limit = memory_bytes / BUDGET_DIVISOR;
         let mut purpose_limits = [limit; PURPOSE_COUNT];
         purpose_limits[MemoryPurpose::Sessions as usize] = limit / SESSIONS_DIVISOR;
         purpose_limits[MemoryPurpose::Statements as usize] = limit / STATEMENTS_DIVISOR;
--- a/sessions/src/read_scheduler.rs
+++ b/sessions/src/read_scheduler.rs
@@ -2,11 +2,11 @@
 //! in this turn, defers the others, and computes the Retry-After of rejected requests.
 //!
 //! - Ready sessions are queued by [`ReadPriority`]. The queues share each turn by stride scheduling. Within a queue,
-//!   groups (a tenant, or an address if the tenant is unknown) are served round-robin, regardless of their numbers of
-//!   sessions.
+//!   groups (a tenant, or an address if the tenant is unknown) are served round-robin, regardless of the number of
+//!   sessions in each.
 //! - The capacity of a turn is estimated from the durations of earlier turns ([`CostModel`]).
-//! - If the backlog approaches the time for which clients wait, sessions are read ahead of their turn. A request that
-//!   can't be served in time is then rejected as soon as it is read.
+//! - If the backlog approaches the time for which clients wait, further sessions get an expedited read, from a queue of
+//!   their own. A request that can't be served in time is then rejected as soon as it is read.
 //!
 //! In each turn, call [`ReadScheduler::enqueue`] for each ready session, [`ReadScheduler::next_read`] until it returns
 //! `None`, [`ReadScheduler::charge`] for all work done, and [`ReadScheduler::end_turn`].
@@ -76,7 +76,7 @@
     /// Upper bound of Retry-After, in milliseconds.
     pub max_retry_after_ms: u64,
     /// Shortest time for which clients of any class wait, in microseconds. Half of it is the backlog beyond which
-    /// sessions are read ahead.
+    /// reads are expedited.
     pub shortest_deadline_us: u64,
 }
 
@@ -109,9 +109,9 @@
     pub handle: Handle,
     /// Time at which the session was enqueued, in microseconds.
     pub ready_us: u64,
-    /// The session is read ahead of its turn. Its request must be rejected if it can't be served in time, see
-    /// [`ReadScheduler::can_meet_deadline`].
-    pub read_ahead: bool,
+    /// The session was put into the queue for expedited reads, as the backlog was long. Its request must be rejected if
+    /// it can't be served in time, see [`ReadScheduler::can_meet_deadline`].
+    pub expedited: bool,
 }
 
 /// Queues of ready sessions, and the cost model that bounds a turn.
@@ -183,9 +183,9 @@
     /// Enqueues a session that is ready to be read. The caller must not enqueue it again before it is returned by
     /// [`ReadScheduler::next_read`].
     pub fn enqueue(&mut self, handle: Handle, priority: ReadPriority, group: u32, now_us: u64) {
-        let read_ahead = priority > ReadPriority::RecentlyActive
+        let expedited = priority > ReadPriority::RecentlyActive
             && self.backlog_us() > self.limits.shortest_deadline_us / 2;
-        self.queues.push(priority, group, ScheduledRead { handle, ready_us: now_us, read_ahead });
+        self.queues.push(priority, group, ScheduledRead { handle, ready_us: now_us, expedited });
     }
 
     /// Records work done in this turn. `amount` is in bytes for [`Work::Bytes`], and a number of operations otherwise.
@@ -220,10 +220,10 @@
         Some(read)
     }
 
-    /// Ends the turn: updates the costs from its duration, and counts the sessions still queued as deferred.
-    pub fn end_turn(&mut self, took_us: u64) {
-        self.longest_turn_us = self.longest_turn_us.max(took_us);
-        self.costs.learn(&self.turn_work, took_us as f64);
+    /// Ends the turn: updates the costs from the duration of the turn, and counts the sessions still queued as deferred.
+    pub fn end_turn(&mut self, duration_us: u64) {
+        self.longest_turn_us = self.longest_turn_us.max(duration_us);
+        self.costs.learn(&self.turn_work, duration_us as f64);
         self.turn_work = TurnWork::default();
         self.turn_reads = 0;
         self.deferred += self.waiting() as u64;
@@ -233,10 +233,10 @@
         self.costs.cost_us(Work::Read) + self.costs.cost_us(Work::Request)
     }
 
-    /// Estimated CPU time to serve the queued sessions, in microseconds. Sessions to be read ahead are not counted, as
-    /// most of them will be rejected.
+    /// Estimated CPU time to serve the queued sessions, in microseconds. Expedited reads are not counted, as most of
+    /// their requests will be rejected.
     pub fn backlog_us(&self) -> u64 {
-        (self.queues.len_without_read_ahead() as f64 * self.request_cost_us()) as u64
+        (self.queues.len_without_expedited() as f64 * self.request_cost_us()) as u64
     }
 
     /// Whether a request can be served by `deadline_us` if `work_ahead_us` of work precede it.
--- a/sessions/src/read_scheduler/queues.rs
+++ b/sessions/src/read_scheduler/queues.rs
@@ -1,4 +1,4 @@
-//! Queues of sessions that are ready to be read: one for each [`ReadPriority`], and one for read-ahead.
+//! Queues of sessions that are ready to be read: one for each [`ReadPriority`], and one for expedited reads.
 //!
 //! The queue of open requests has absolute priority. The others share the turns by stride scheduling (Waldspurger and
 //! Weihl, 1995): a queue's pass increases by its stride with every session removed, and the queue with the lowest pass
@@ -9,9 +9,9 @@
 
 use super::{ReadPriority, ScheduledRead};
 
-/// Index of the queue for read-ahead, which follows the queues of the priorities.
-const READ_AHEAD: usize = ReadPriority::ALL.len();
-pub(super) const QUEUE_COUNT: usize = READ_AHEAD + 1;
+/// Index of the queue for expedited reads, which follows the queues of the priorities.
+const EXPEDITED: usize = ReadPriority::ALL.len();
+pub(super) const QUEUE_COUNT: usize = EXPEDITED + 1;
 const OPEN_REQUEST: usize = ReadPriority::OpenRequest as usize;
 /// Stride of each queue. A queue with half the stride is served twice as often. Unused for open requests.
 const STRIDES: [u64; QUEUE_COUNT] = [0, 1, 1, 2, 4, 2];
@@ -49,7 +49,7 @@
     }
 }
 
-/// The queues of all priorities and of read-ahead.
+/// The queues of all priorities, and the queue for expedited reads.
 #[derive(Debug, Default)]
 pub(super) struct ReadQueues {
     queues: [Queue; QUEUE_COUNT],
@@ -63,18 +63,18 @@
         self.queues.iter().map(|queue| queue.waiting).sum()
     }
 
-    /// Number of sessions in all queues except that for read-ahead.
-    pub(super) fn len_without_read_ahead(&self) -> usize {
-        self.queues[..READ_AHEAD].iter().map(|queue| queue.waiting).sum()
+    /// Number of sessions in all queues except the queue for expedited reads.
+    pub(super) fn len_without_expedited(&self) -> usize {
+        self.queues[..EXPEDITED].iter().map(|queue| queue.waiting).sum()
     }
 
     pub(super) fn has_open_requests(&self) -> bool {
         self.queues[OPEN_REQUEST].waiting > 0
     }
 
-    /// Adds a session to the queue of its priority, or to the queue for read-ahead if `read.read_ahead` is set.
+    /// Adds a session to the queue of its priority, or to the queue for expedited reads if `read.expedited` is set.
     pub(super) fn push(&mut self, priority: ReadPriority, group: u32, read: ScheduledRead) {
-        let queue = &mut self.queues[if read.read_ahead { READ_AHEAD } else { priority as usize }];
+        let queue = &mut self.queues[if read.expedited { EXPEDITED } else { priority as usize }];
         if queue.waiting == 0 {
             // An empty queue must not accumulate credit, even if all other queues are empty too.
             queue.pass = queue.pass.max(self.global_pass);
--- a/sessions/src/read_scheduler/tests.rs
+++ b/sessions/src/read_scheduler/tests.rs
@@ -131,18 +131,18 @@
 }
 
 #[test]
-fn a_session_that_would_be_read_too_late_is_read_ahead() {
+fn a_session_that_would_be_read_too_late_is_expedited() {
     let all = handles(10_000);
     let mut scheduler = scheduler_with_read_cost(400.0);
     all.iter().for_each(|h| scheduler.enqueue(*h, ReadPriority::LongIdle, 1, 0));
     let first_late = all.iter().position(|h| h.index as u64 * 440 > 1_500_000).unwrap();
-    let mut ahead = Vec::new();
+    let mut expedited = Vec::new();
     for _ in 0..20 {
-        ahead.extend(read_turn(&mut scheduler, 0).into_iter().filter(|p| p.read_ahead));
+        expedited.extend(read_turn(&mut scheduler, 0).into_iter().filter(|p| p.expedited));
         scheduler.end_turn(4000);
     }
-    assert!(ahead.len() >= 80, "{} sessions were read ahead", ahead.len());
-    assert!(ahead.iter().all(|p| p.handle.index as usize + 10 >= first_late));
+    assert!(expedited.len() >= 80, "{} sessions were expedited", expedited.len());
+    assert!(expedited.iter().all(|p| p.handle.index as usize + 10 >= first_late));
     assert!(!ReadScheduler::can_meet_deadline(0, scheduler.backlog_us(), 1_000_000));
 }
 
--- a/sessions/src/session_table.rs
+++ b/sessions/src/session_table.rs
@@ -398,7 +398,8 @@
         Some((Handle { index, generation: slot.generation }, slot.since_us))
     }
 
-    /// Selects the session to evict in favour of another one, in constant time. The first that exists of:
+    /// Selects the session to evict in favour of another one, in constant time. The candidate is the first session that
+    /// exists in this order:
     ///
     /// 1. the oldest closing session, past [`EVICTION_GRACE_US`];
     /// 2. the oldest session with an incomplete message or unread output, past [`EVICTION_GRACE_US`] or
@@ -410,8 +411,8 @@
         let past_grace = |activity, grace_us: u64| {
             self.oldest(activity).filter(|(_, since_us)| now_us.saturating_sub(*since_us) >= grace_us)
         };
-        let older = |of: [Option<(Handle, u64)>; 2]| {
-            of.into_iter().flatten().min_by_key(|(handle, since_us)| (*since_us, handle.index))
+        let older = |candidates: [Option<(Handle, u64)>; 2]| {
+            candidates.into_iter().flatten().min_by_key(|(handle, since_us)| (*since_us, handle.index))
         };
         let slow = || {
             older([
--- a/sessions/tests/model.rs
+++ b/sessions/tests/model.rs
@@ -59,10 +59,12 @@
     name: u64,
     suspended: bool,
     activity: Activity,
-    /// Time from which its age counts, and the number of the change, which orders sessions with the same time.
+    /// Time from which the age of the session counts.
     since_us: u64,
-    changed: u64,
+    /// Number of the change that set `since_us`. Orders sessions with the same time.
+    change: u64,
     queued: bool,
+    /// The timer, its due time in microseconds, and the number of the change that armed it.
     timer: Option<(TimerId, u64, u64)>,
     held: [usize; MemoryPurpose::ALL.len()],
 }
@@ -75,6 +77,7 @@
     /// All handles ever returned, including stale ones.
     handles: Vec<Handle>,
     now_us: u64,
+    /// Number of changes made so far.
     changes: u64,
 }
 
@@ -89,15 +92,15 @@
             Activity::Idle | Activity::IdleWithStatements => Some(2),
             _ => None,
         };
-        let all = self.sessions.iter().filter_map(|(h, s)| Some((rank(s)?, s.since_us, s.changed, h)));
-        all.min_by_key(|(rank, since, changed, _)| (*rank, *since, *changed)).map(|(.., handle)| *handle)
+        let all = self.sessions.iter().filter_map(|(h, s)| Some((rank(s)?, s.since_us, s.change, h)));
+        all.min_by_key(|(rank, since, change, _)| (*rank, *since, *change)).map(|(.., handle)| *handle)
     }
 
     fn set_activity(&mut self, handle: Handle, activity: Activity) {
         self.table.set_activity(handle, activity, self.now_us);
         self.changes += 1;
         if let Some(s) = self.sessions.get_mut(&handle).filter(|s| s.activity != activity) {
-            (s.activity, s.since_us, s.changed) = (activity, self.now_us, self.changes);
+            (s.activity, s.since_us, s.change) = (activity, self.now_us, self.changes);
         }
     }
 
@@ -140,7 +143,7 @@
                     suspended: false,
                     activity: Activity::Busy,
                     since_us: harness.now_us,
-                    changed: harness.changes,
+                    change: harness.changes,
                     queued: false,
                     timer: None,
                     held: Default::default(),
@@ -194,7 +197,7 @@
                 harness.table.restart_age(handle, harness.now_us);
                 harness.changes += 1;
                 if let Some(s) = harness.sessions.get_mut(&handle) {
-                    (s.since_us, s.changed) = (harness.now_us, harness.changes);
+                    (s.since_us, s.change) = (harness.now_us, harness.changes);
                 }
             }
             Step::Queue(n) => {
--- a/sessions/tests/surge.rs
+++ b/sessions/tests/surge.rs
@@ -60,7 +60,7 @@
             duration_us += READ_US;
             let ready_us = self.ready.remove(&read.handle).unwrap();
             assert_eq!(ready_us, read.ready_us);
-            let backlog_us = if read.read_ahead { self.scheduler.backlog_us() } else { 0 };
+            let backlog_us = if read.expedited { self.scheduler.backlog_us() } else { 0 };
             if ReadScheduler::can_meet_deadline(self.now_us, backlog_us, ready_us + timeout_us) {
                 self.scheduler.charge(Work::Request, 1);
                 duration_us += REQUEST_US;
