--- a/gateway/src/net/engines.rs
+++ b/gateway/src/net/engines.rs
@@ -169,7 +169,7 @@
     },
     MySql {
         /// The statement, until it is passed to the protocol session of the connection.
-        statement: Option<mysql::Statement>,
+        stmt: Option<mysql::Statement>,
     },
 }
 
--- a/gateway/src/net/engines/attempts.rs
+++ b/gateway/src/net/engines/attempts.rs
@@ -45,10 +45,9 @@
         let class = self.names.classes[request.class.0].as_str();
         let (execution, protocol) = match &request.run {
             ExecutionMode::Simple => (http_execution(request, class, max_ms, terms), EngineProtocol::Http),
-            ExecutionMode::Query | ExecutionMode::Execute(_) => (
-                Execution::MySql { statement: Some(mysql_statement(request, class, max_ms)) },
-                EngineProtocol::MySql,
-            ),
+            ExecutionMode::Query | ExecutionMode::Execute(_) => {
+                (Execution::MySql { stmt: Some(mysql_stmt(request, class, max_ms)) }, EngineProtocol::MySql)
+            }
         };
         let query_id = request.query_id.clone();
         let prepared = matches!(request.run, ExecutionMode::Execute(_)).then(|| request.statement.clone());
@@ -118,9 +117,7 @@
     pub(super) fn is_not_forwarded(&self, id: AttemptId, protocol_state: &ProtocolState) -> bool {
         match (self.pools.attempts.get(&id).map(|a| &a.execution), protocol_state) {
             (Some(Execution::Http { start, .. }), _) => start.is_some(),
-            (Some(Execution::MySql { statement }), ProtocolState::MySql(s)) => {
-                statement.is_some() || !s.may_have_run()
-            }
+            (Some(Execution::MySql { stmt }), ProtocolState::MySql(s)) => stmt.is_some() || !s.may_have_run(),
             _ => false,
         }
     }
@@ -233,7 +230,7 @@
 
 /// Converts a request to a statement for a MySQL engine. The query id, the class, the remaining time and the
 /// idempotency key are sent as query attributes.
-fn mysql_statement(request: &OpenClientRequest, class: &str, max_ms: u64) -> mysql::Statement {
+fn mysql_stmt(request: &OpenClientRequest, class: &str, max_ms: u64) -> mysql::Statement {
     let mut attributes = vec![
         Parameter::text(field_name::ID, &request.query_id),
         Parameter::text(field_name::CLASS, class),
--- a/gateway/src/net/engines/calls.rs
+++ b/gateway/src/net/engines/calls.rs
@@ -78,9 +78,9 @@
             (Execution::Http { start, .. }, ProtocolState::Http) => {
                 output.extend(start.take().into_iter().flatten());
             }
-            (Execution::MySql { statement }, ProtocolState::MySql(session)) => {
-                if let Some(statement) = statement.take() {
-                    session.start(statement, output);
+            (Execution::MySql { stmt }, ProtocolState::MySql(session)) => {
+                if let Some(stmt) = stmt.take() {
+                    session.start(stmt, output);
                 }
             }
             _ => {}
--- a/gateway/src/net/engines/confirmation.rs
+++ b/gateway/src/net/engines/confirmation.rs
@@ -1,8 +1,8 @@
 //! Confirms the end of lost attempts that hold up other requests of their order key.
 //!
 //! An engine drops a query for which it has received no call for some time. During a network partition, a call that was
-//! written may still be in transit, and the engine may later run the query to its end. Therefore the expiry of that time
-//! proves the end of the attempt only if the engine has been reached once more.
+//! written may still be in transit, and the engine may later run the query to its end. Therefore the expiry of that
+//! time proves the end of the attempt only if the engine has been reached once more.
 
 use workload_manager::{EndpointState, EngineId, Outcome};
 
--- a/gateway/src/net/engines/connection_events.rs
+++ b/gateway/src/net/engines/connection_events.rs
@@ -18,8 +18,8 @@
 /// has arrived. Engines delay the response to a call for a progress report by up to 250 ms.
 const DISCARD_TIMEOUT_US: u64 = 1_000_000;
 
-/// Numerator of the fraction of the engines' idle timeout after which an idle connection is closed. A call must not be written to a
-/// connection that the engine is about to close, as it would be unknown whether the call was executed.
+/// Numerator of the fraction of the engines' idle timeout after which an idle connection is closed. A call must not be
+/// written to a connection that the engine is about to close, as it would be unknown whether the call was executed.
 const MAX_IDLE_NUMERATOR: u64 = 6;
 const MAX_IDLE_DENOMINATOR: u64 = 10;
 
@@ -115,6 +115,7 @@
                 );
                 self.connection_ended(slot, ConnectionEnd::Broken);
             }
+            // The cancellation timer of the attempt limits the wait.
             Job::Cancel(id) if self.pools.attempts.contains_key(&id) => {
                 let now_us = self.time.now_us;
                 if let Some(connection) = self.pools.connection(slot) {
--- a/gateway/src/net/listeners.rs
+++ b/gateway/src/net/listeners.rs
@@ -13,8 +13,8 @@
 use super::{NetTimer, ServeError, Server};
 use crate::config::Config;
 
-/// Pause in accepting clients after the system has run out of descriptors, if no session could be evicted and the client
-/// could not be rejected.
+/// Pause in accepting clients after the system has run out of descriptors, if no session could be evicted and the
+/// client could not be rejected.
 const ACCEPT_PAUSE_US: u64 = 50_000;
 /// EMFILE and ENFILE on Linux: the process or the machine has no descriptor left.
 const OUT_OF_DESCRIPTORS: [i32; 2] = [24, 23];
--- a/gateway/src/net/sessions/state.rs
+++ b/gateway/src/net/sessions/state.rs
@@ -38,7 +38,7 @@
     pub timer: Option<(u64, TimerId)>,
     /// Time at which the message being read became ready to be read.
     pub ready_us: u64,
-    /// The message being read was read before its turn in the read scheduler, see
+    /// The current read is expedited, see
     /// [`ScheduledRead::expedited`](wrenhatch_sessions::read_scheduler::ScheduledRead::expedited).
     pub expedited: bool,
     /// The last read stopped before all available input was read and handled.
--- a/gateway/src/net/shutdown.rs
+++ b/gateway/src/net/shutdown.rs
@@ -149,7 +149,7 @@
     }
 
     /// Reads from every client once more, rejecting new requests, and begins a graceful close of all sessions. A client
-    /// with an incomplete message or start-up gets an error. The connection of an idle client is closed without an error.
+    /// with an incomplete message or start-up gets an error. Connections of idle clients are closed without an error.
     fn end_sessions(&mut self) {
         let sessions: Vec<_> = self.sessions.table.handles().collect();
         for handle in sessions {
--- a/sessions/src/memory_budget.rs
+++ b/sessions/src/memory_budget.rs
@@ -1,8 +1,8 @@
 //! The memory budget: accounts for the memory held for clients, by purpose, and limits it.
 //!
 //! Owners report every change of their allocations, and call [`MemoryBudget::check`] before they accept a session, a
-//! request or a prepared statement. As the budget fills up, the check fails for more purposes, so that open requests can
-//! be completed.
+//! request or a prepared statement. As the budget fills up, the check fails for more purposes, so that open requests
+//! can be completed.
 
 /// The purpose for which memory is held.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
--- a/sessions/src/read_scheduler.rs
+++ b/sessions/src/read_scheduler.rs
@@ -220,7 +220,7 @@
         Some(read)
     }
 
-    /// Ends the turn: updates the costs from the duration of the turn, and counts the sessions still queued as deferred.
+    /// Ends the turn: updates the costs from the turn's duration, and counts the sessions still queued as deferred.
     pub fn end_turn(&mut self, duration_us: u64) {
         self.longest_turn_us = self.longest_turn_us.max(duration_us);
         self.costs.learn(&self.turn_work, duration_us as f64);
--- a/sessions/tests/model.rs
+++ b/sessions/tests/model.rs
@@ -77,7 +77,7 @@
     /// All handles ever returned, including stale ones.
     handles: Vec<Handle>,
     now_us: u64,
-    /// Number of changes made so far.
+    /// Number of the last change.
     changes: u64,
 }
 
