--- a/gateway/src/net/sessions/figures.rs
+++ b/gateway/src/net/sessions/figures.rs
@@ -18,7 +18,7 @@
         let Self { memory, scheduler, .. } = self;
         write!(f, "held={} most_held={} bound={} ", memory.total(), memory.peak(), memory.limit())?;
         for purpose in MemoryPurpose::ALL {
-            write!(f, "held_{}={} ", purpose.name(), memory.held(purpose))?;
+            write!(f, "held_{}={} ", purpose.name(), memory.reserved(purpose))?;
         }
         write!(f, "waiting={} deferred={}", scheduler.waiting(), scheduler.deferred())?;
         write!(f, " longest_turn_us={}", scheduler.longest_turn_us())?;
--- a/gateway/src/net/sessions/mod.rs
+++ b/gateway/src/net/sessions/mod.rs
@@ -206,13 +206,13 @@
     /// Updates the memory reserved for the buffers and prepared statements of an active session.
     pub fn update_reservation(&mut self, handle: Handle) {
         let Some(session) = self.table.active_mut(handle) else { return };
-        let held = ReservedBytes {
+        let reserved = ReservedBytes {
             buffers: session.connection.buffer_bytes(),
             statements: session.protocol.statement_bytes(),
         };
-        let before = std::mem::replace(&mut session.reserved, held);
-        self.memory.resize(MemoryPurpose::Buffers, before.buffers, held.buffers);
-        self.memory.resize(MemoryPurpose::Statements, before.statements, held.statements);
+        let before = std::mem::replace(&mut session.reserved, reserved);
+        self.memory.resize(MemoryPurpose::Buffers, before.buffers, reserved.buffers);
+        self.memory.resize(MemoryPurpose::Statements, before.statements, reserved.statements);
     }
 
     /// Removes a session and releases its memory reservations.
--- a/sessions/src/memory_budget.rs
+++ b/sessions/src/memory_budget.rs
@@ -1,10 +1,10 @@
-//! The memory budget: accounts for the memory held for clients, by purpose, and limits it.
+//! The memory budget: accounts for the memory reserved for clients, by purpose, and limits it.
 //!
 //! Owners report every change of their allocations, and call [`MemoryBudget::check`] before they accept a session, a
 //! request or a prepared statement. As the budget fills up, the check fails for more purposes, so that open requests
 //! can be completed.
 
-/// The purpose for which memory is held.
+/// The purpose for which memory is reserved.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[repr(u8)]
 pub enum MemoryPurpose {
@@ -81,25 +81,25 @@
     Purpose,
 }
 
-/// Bytes held for each purpose, and their limits.
+/// Bytes reserved for each purpose, and their limits.
 #[derive(Clone, Debug)]
 pub struct MemoryBudget {
     limit: usize,
     purpose_limits: [usize; PURPOSE_COUNT],
-    held: [usize; PURPOSE_COUNT],
+    reserved: [usize; PURPOSE_COUNT],
     peak: usize,
 }
 
 impl MemoryBudget {
     /// Creates the budget of a process that may use `memory_bytes`. Half of them is left to the program, the workload
-    /// manager and the allocator. Prepared statements may hold a quarter of the budget, sessions a half, and all other
+    /// manager and the allocator. Prepared statements may use a quarter of the budget, sessions a half, and all other
     /// purposes the whole.
     pub fn new(memory_bytes: usize) -> Self {
         let limit = memory_bytes / BUDGET_DIVISOR;
         let mut purpose_limits = [limit; PURPOSE_COUNT];
         purpose_limits[MemoryPurpose::Sessions as usize] = limit / SESSIONS_DIVISOR;
         purpose_limits[MemoryPurpose::Statements as usize] = limit / STATEMENTS_DIVISOR;
-        Self { limit, purpose_limits, held: [0; PURPOSE_COUNT], peak: 0 }
+        Self { limit, purpose_limits, reserved: [0; PURPOSE_COUNT], peak: 0 }
     }
 
     /// Limit of the total, in bytes.
@@ -112,14 +112,14 @@
         self.purpose_limits[purpose as usize]
     }
 
-    /// Bytes held for one purpose.
-    pub fn held(&self, purpose: MemoryPurpose) -> usize {
-        self.held[purpose as usize]
+    /// Bytes reserved for one purpose.
+    pub fn reserved(&self, purpose: MemoryPurpose) -> usize {
+        self.reserved[purpose as usize]
     }
 
-    /// Bytes held for all purposes.
+    /// Bytes reserved for all purposes.
     pub fn total(&self) -> usize {
-        self.held.iter().sum()
+        self.reserved.iter().sum()
     }
 
     /// Maximum of the total so far, in bytes.
@@ -146,12 +146,12 @@
         }
     }
 
-    /// Checks whether `bytes` more may be held for a purpose.
+    /// Checks whether `bytes` more may be reserved for a purpose.
     ///
     /// # Errors
     /// The limit of the purpose is reached, or the remaining budget is reserved for the completion of open requests.
     pub fn check(&self, purpose: MemoryPurpose, bytes: usize) -> Result<(), InsufficientMemory> {
-        if self.held(purpose) + bytes > self.purpose_limit(purpose) {
+        if self.reserved(purpose) + bytes > self.purpose_limit(purpose) {
             return Err(InsufficientMemory::Purpose);
         }
         let total_limit = match purpose {
@@ -174,9 +174,9 @@
 
     /// Records that an allocation changed from `before` to `after` bytes.
     pub fn resize(&mut self, purpose: MemoryPurpose, before: usize, after: usize) {
-        let held = &mut self.held[purpose as usize];
-        debug_assert!(*held >= before, "{purpose:?}: {held} held, {before} released");
-        *held = held.saturating_sub(before) + after;
+        let reserved = &mut self.reserved[purpose as usize];
+        debug_assert!(*reserved >= before, "{purpose:?}: {reserved} reserved, {before} released");
+        *reserved = reserved.saturating_sub(before) + after;
         self.peak = self.peak.max(self.total());
     }
 }
--- a/sessions/tests/model.rs
+++ b/sessions/tests/model.rs
@@ -66,7 +66,7 @@
     queued: bool,
     /// The timer, its due time in microseconds, and the number of the change that armed it.
     timer: Option<(TimerId, u64, u64)>,
-    held: [usize; MemoryPurpose::ALL.len()],
+    reserved: [usize; MemoryPurpose::ALL.len()],
 }
 
 #[derive(Default)]
@@ -146,7 +146,7 @@
                     change: harness.changes,
                     queued: false,
                     timer: None,
-                    held: Default::default(),
+                    reserved: Default::default(),
                 };
                 harness.sessions.insert(handle, session);
             }
@@ -166,7 +166,7 @@
                 if let Some((timer, ..)) = session.timer {
                     prop_assert_eq!(harness.wheel.cancel(timer), Some(handle));
                 }
-                for (purpose, bytes) in MemoryPurpose::ALL.into_iter().zip(session.held) {
+                for (purpose, bytes) in MemoryPurpose::ALL.into_iter().zip(session.reserved) {
                     memory.release(purpose, bytes);
                 }
             }
@@ -235,7 +235,7 @@
                 if let Some(s) = harness.sessions.get_mut(&handle) {
                     memory.resize(
                         MemoryPurpose::ALL[purpose],
-                        std::mem::replace(&mut s.held[purpose], bytes),
+                        std::mem::replace(&mut s.reserved[purpose], bytes),
                         bytes,
                     );
                 }
@@ -276,7 +276,10 @@
         since(harness.eviction_candidate())
     );
     for (at, purpose) in MemoryPurpose::ALL.into_iter().enumerate() {
-        prop_assert_eq!(memory.held(purpose), harness.sessions.values().map(|s| s.held[at]).sum::<usize>());
+        prop_assert_eq!(
+            memory.reserved(purpose),
+            harness.sessions.values().map(|s| s.reserved[at]).sum::<usize>()
+        );
     }
     let next = harness.sessions.values().filter_map(|s| s.timer.map(|(_, at_us, _)| at_us)).min();
     // The time may be too early if a timer was cancelled, but must never be too late.
