--- a/gateway/src/net/clients/accept.rs
+++ b/gateway/src/net/clients/accept.rs
@@ -56,8 +56,8 @@
 
     fn decide_accept(&mut self) -> AcceptDecision {
         let session_bytes = Sessions::active_session_bytes();
-        let memory_short = self.sessions.memory.check(MemoryPurpose::Sessions, session_bytes).is_err();
-        if !(self.sessions.is_full() || memory_short) || self.evict_one() {
+        let is_memory_short = self.sessions.memory.check(MemoryPurpose::Sessions, session_bytes).is_err();
+        if !(self.sessions.is_full() || is_memory_short) || self.evict_one() {
             AcceptDecision::Session
         } else if self.sessions.table.len() < self.sessions.max_sessions + MAX_REJECTED_CLIENTS {
             AcceptDecision::Rejection
--- a/gateway/src/net/process_replacement/peers.rs
+++ b/gateway/src/net/process_replacement/peers.rs
@@ -119,7 +119,7 @@
     /// Listens for a successor, replacing the socket of another process at the same path.
     pub(super) fn listen(&mut self, poll: &Poll) {
         let Some(path) = &self.socket_path else { return };
-        let failed = |error: io::Error| {
+        let log_failure = |error: io::Error| {
             tracing::warn!(path = %path.display(), %error, "listening for a successor failed");
         };
         match listen_at(path) {
@@ -130,11 +130,11 @@
                 if let Err(error) =
                     poll.add(&listener, PollKey::PeerListener.encode(), READABLE, Trigger::Level)
                 {
-                    return failed(error);
+                    return log_failure(error);
                 }
                 self.listener = Some(listener);
             }
-            Err(error) => failed(error),
+            Err(error) => log_failure(error),
         }
     }
 
--- a/sessions/benches/structures.rs
+++ b/sessions/benches/structures.rs
@@ -104,7 +104,7 @@
 
 /// Cancels all timers, and pops until their entries are removed.
 #[divan::bench_group(sample_count = 20, sample_size = 1)]
-mod cancel_until_gone {
+mod cancel_and_remove {
     use super::*;
 
     #[divan::bench(args = SIZES)]
@@ -157,7 +157,7 @@
 /// Arms and cancels timeouts of 20 s for `n` sessions, of which nearly none fires: a million operations within 40 s of
 /// simulated time.
 #[divan::bench_group(sample_count = 5, sample_size = 1)]
-mod arm_and_cancel_in_time {
+mod arm_and_cancel_over_time {
     use super::*;
 
     const ROUNDS: u64 = 1_000_000;
--- a/sessions/src/read_scheduler/tests.rs
+++ b/sessions/src/read_scheduler/tests.rs
@@ -27,7 +27,7 @@
         let mut scheduler = scheduler_with_read_cost(cost);
         all.iter().for_each(|h| scheduler.enqueue(*h, ReadPriority::LongIdle, 1, 0));
         let reads = read_turn(&mut scheduler, 0).len();
-        assert!(reads.abs_diff(expected) <= expected / 10, "{reads} reads at {cost}");
+        assert!(reads.abs_diff(expected) <= expected / 10, "{reads} reads at a cost of {cost} us");
     }
     let mut slow = scheduler_with_read_cost(20_000.0);
     all.iter().for_each(|h| slow.enqueue(*h, ReadPriority::LongIdle, 1, 0));
@@ -74,7 +74,7 @@
     ];
     let mut served = [0; 4];
     let mut next = all.iter();
-    // Each queue has more sessions than fit into all turns.
+    // Each queue gets more sessions than can be read in all turns.
     for (i, s) in priorities.iter().enumerate() {
         next.by_ref().take(100).for_each(|h| scheduler.enqueue(*h, *s, i as u32, 0));
     }
@@ -115,12 +115,12 @@
 fn retries_are_spread_at_a_rate_that_can_be_served() {
     let mut scheduler = scheduler_with_read_cost(100.0);
     scheduler.limits.max_retry_after_ms = 60_000;
-    let each = scheduler.costs.cost_us(Work::Read) + scheduler.costs.cost_us(Work::Request);
+    let cost_us = scheduler.costs.cost_us(Work::Read) + scheduler.costs.cost_us(Work::Request);
     let mut waits: Vec<u64> = (0..10_000).map(|_| scheduler.retry_after_ms(1_000_000)).collect();
     assert!(waits[0] >= scheduler.limits.min_retry_after_ms);
     let span_ms = waits[9_999] - waits[0];
-    let expected = 10_000.0 * each / RETRY_CORE_RATIO / 1e3;
-    assert!((span_ms as f64 - expected).abs() < 0.01 * expected, "{span_ms} ms, not {expected}");
+    let expected = 10_000.0 * cost_us / RETRY_CORE_RATIO / 1e3;
+    assert!((span_ms as f64 - expected).abs() < 0.01 * expected, "{span_ms} ms, not {expected} ms");
     // If Retry-After is limited to half a second, retries are still spread evenly.
     scheduler.limits.max_retry_after_ms = 500;
     waits = (0..10_000).map(|_| scheduler.retry_after_ms(1_000_000)).collect();
@@ -135,6 +135,7 @@
     let all = handles(10_000);
     let mut scheduler = scheduler_with_read_cost(400.0);
     all.iter().for_each(|h| scheduler.enqueue(*h, ReadPriority::LongIdle, 1, 0));
+    // A read costs 400 us and a request 40 us. Half of the shortest deadline is 1.5 s.
     let first_late = all.iter().position(|h| h.index as u64 * 440 > 1_500_000).unwrap();
     let mut expedited = Vec::new();
     for _ in 0..20 {
@@ -150,8 +151,8 @@
 fn a_request_misses_its_deadline_only_if_the_work_before_it_takes_longer() {
     let mut scheduler = scheduler_with_read_cost(40.0);
     handles(1000).iter().for_each(|h| scheduler.enqueue(*h, ReadPriority::LongIdle, 1, 0));
-    let work = scheduler.backlog_us();
-    assert!(work >= 1000 * 40);
-    assert!(ReadScheduler::can_meet_deadline(500, work, 501 + work));
-    assert!(!ReadScheduler::can_meet_deadline(500, work, 500 + work));
+    let work_us = scheduler.backlog_us();
+    assert!(work_us >= 1000 * 40);
+    assert!(ReadScheduler::can_meet_deadline(500, work_us, 501 + work_us));
+    assert!(!ReadScheduler::can_meet_deadline(500, work_us, 500 + work_us));
 }
--- a/sessions/src/session_table/tests.rs
+++ b/sessions/src/session_table/tests.rs
@@ -14,6 +14,7 @@
     (table, handles)
 }
 
+/// Index of the session that is selected for eviction.
 fn evicted(activities: &[(Activity, u64)]) -> Option<usize> {
     let (table, handles) = table(activities);
     let candidate = table.eviction_candidate(NOW, usize::MAX)?;
--- a/sessions/tests/surge.rs
+++ b/sessions/tests/surge.rs
@@ -148,7 +148,7 @@
     assert!(simulation.longest_turn_us <= 10_000, "a turn took {} us", simulation.longest_turn_us);
     // On one core, 50,000 requests take 2.1 s.
     let longest = simulation.waits[&ReadPriority::LongIdle].iter().max().unwrap();
-    assert!(*longest < 2_700_000, "{longest}");
+    assert!(*longest < 2_700_000, "an idle client waited {longest} us");
 }
 
 #[test]
