--- a/gateway/src/net/engines/attempts.rs
+++ b/gateway/src/net/engines/attempts.rs
@@ -20,7 +20,7 @@
     RepeatCall,
     /// End the attempt. No part of it was executed.
     ConnectFailed,
-    /// Give up the attempt. The engine may still run it, and its end can't be learnt.
+    /// Give up the attempt. The engine may still run it, and there is no way to determine its end.
     Lost,
     /// Cancel the attempt, as the engine may still run it.
     Cancel,
@@ -43,14 +43,14 @@
         };
         let max_ms = (deadline_us.saturating_sub(self.time.now_us) / 1000).max(1);
         let class = self.names.classes[request.class.0].as_str();
-        let (execution, protocol) = match &request.run {
+        let (execution, protocol) = match &request.mode {
             ExecutionMode::Simple => (http_execution(request, class, max_ms, terms), EngineProtocol::Http),
             ExecutionMode::Query | ExecutionMode::Execute(_) => {
-                (Execution::MySql { work: Some(mysql_work(request, class, max_ms)) }, EngineProtocol::MySql)
+                (Execution::MySql { stmt: Some(mysql_stmt(request, class, max_ms)) }, EngineProtocol::MySql)
             }
         };
         let query_id = request.query_id.clone();
-        let prepared = matches!(request.run, ExecutionMode::Execute(_)).then(|| request.statement.clone());
+        let prepared = matches!(request.mode, ExecutionMode::Execute(_)).then(|| request.statement.clone());
         match self.acquire_connection(engine, Job::Attempt(id), protocol, prepared.as_deref()) {
             Ok(slot) => {
                 let attempt = Attempt {
@@ -117,7 +117,7 @@
     pub(super) fn is_not_forwarded(&self, id: AttemptId, protocol_state: &ProtocolState) -> bool {
         match (self.pools.attempts.get(&id).map(|a| &a.execution), protocol_state) {
             (Some(Execution::Http { start, .. }), _) => start.is_some(),
-            (Some(Execution::MySql { work }), ProtocolState::MySql(s)) => work.is_some() || !s.may_have_run(),
+            (Some(Execution::MySql { stmt }), ProtocolState::MySql(s)) => stmt.is_some() || !s.may_have_run(),
             _ => false,
         }
     }
@@ -228,8 +228,9 @@
     Execution::Http { exchange: http::Exchange::new(&request.query_id), start: Some(start) }
 }
 
-/// Converts a request to a statement for a MySQL engine. Its id, class and remaining time are sent as query attributes.
-fn mysql_work(request: &OpenClientRequest, class: &str, max_ms: u64) -> mysql::Statement {
+/// Converts a request to a statement for a MySQL engine. The query id, the class, the remaining time and the
+/// idempotency key are sent as query attributes.
+fn mysql_stmt(request: &OpenClientRequest, class: &str, max_ms: u64) -> mysql::Statement {
     let mut attributes = vec![
         Parameter::text(field_name::ID, &request.query_id),
         Parameter::text(field_name::CLASS, class),
@@ -239,7 +240,7 @@
         request.idempotency_key.as_deref().map(|key| Parameter::text(field_name::IDEMPOTENCY_KEY, key)),
     );
     let sql = request.statement.clone();
-    match &request.run {
+    match &request.mode {
         ExecutionMode::Execute(params) => mysql::Statement::Execute(sql, params.clone(), attributes),
         ExecutionMode::Simple | ExecutionMode::Query => mysql::Statement::Query(sql, attributes),
     }
--- a/sessions/tests/model.rs
+++ b/sessions/tests/model.rs
@@ -59,12 +59,14 @@
     name: u64,
     suspended: bool,
     activity: Activity,
-    /// Time from which its age counts, and the number of the change, which orders sessions with the same time.
+    /// Time from which the age of the session counts.
     since_us: u64,
-    changed: u64,
+    /// Number of the change that set `since_us`. Orders sessions with the same time.
+    change: u64,
     queued: bool,
+    /// The timer, its due time in microseconds, and the number of the change that armed it.
     timer: Option<(TimerId, u64, u64)>,
-    held: [usize; MemoryPurpose::ALL.len()],
+    reserved: [usize; MemoryPurpose::ALL.len()],
 }
 
 #[derive(Default)]
@@ -75,6 +77,7 @@
     /// All handles ever returned, including stale ones.
     handles: Vec<Handle>,
     now_us: u64,
+    /// Number of the last change.
     changes: u64,
 }
 
@@ -89,15 +92,15 @@
             Activity::Idle | Activity::IdleWithStatements => Some(2),
             _ => None,
         };
-        let all = self.sessions.iter().filter_map(|(h, s)| Some((rank(s)?, s.since_us, s.changed, h)));
-        all.min_by_key(|(rank, since, changed, _)| (*rank, *since, *changed)).map(|(.., handle)| *handle)
+        let all = self.sessions.iter().filter_map(|(h, s)| Some((rank(s)?, s.since_us, s.change, h)));
+        all.min_by_key(|(rank, since, change, _)| (*rank, *since, *change)).map(|(.., handle)| *handle)
     }
 
     fn set_activity(&mut self, handle: Handle, activity: Activity) {
         self.table.set_activity(handle, activity, self.now_us);
         self.changes += 1;
         if let Some(s) = self.sessions.get_mut(&handle).filter(|s| s.activity != activity) {
-            (s.activity, s.since_us, s.changed) = (activity, self.now_us, self.changes);
+            (s.activity, s.since_us, s.change) = (activity, self.now_us, self.changes);
         }
     }
 
@@ -140,10 +143,10 @@
                     suspended: false,
                     activity: Activity::Busy,
                     since_us: harness.now_us,
-                    changed: harness.changes,
+                    change: harness.changes,
                     queued: false,
                     timer: None,
-                    held: Default::default(),
+                    reserved: Default::default(),
                 };
                 harness.sessions.insert(handle, session);
             }
@@ -163,7 +166,7 @@
                 if let Some((timer, ..)) = session.timer {
                     prop_assert_eq!(harness.wheel.cancel(timer), Some(handle));
                 }
-                for (purpose, bytes) in MemoryPurpose::ALL.into_iter().zip(session.held) {
+                for (purpose, bytes) in MemoryPurpose::ALL.into_iter().zip(session.reserved) {
                     memory.release(purpose, bytes);
                 }
             }
@@ -194,7 +197,7 @@
                 harness.table.restart_age(handle, harness.now_us);
                 harness.changes += 1;
                 if let Some(s) = harness.sessions.get_mut(&handle) {
-                    (s.since_us, s.changed) = (harness.now_us, harness.changes);
+                    (s.since_us, s.change) = (harness.now_us, harness.changes);
                 }
             }
             Step::Queue(n) => {
@@ -232,7 +235,7 @@
                 if let Some(s) = harness.sessions.get_mut(&handle) {
                     memory.resize(
                         MemoryPurpose::ALL[purpose],
-                        std::mem::replace(&mut s.held[purpose], bytes),
+                        std::mem::replace(&mut s.reserved[purpose], bytes),
                         bytes,
                     );
                 }
@@ -273,7 +276,10 @@
         since(harness.eviction_candidate())
     );
     for (at, purpose) in MemoryPurpose::ALL.into_iter().enumerate() {
-        prop_assert_eq!(memory.held(purpose), harness.sessions.values().map(|s| s.held[at]).sum::<usize>());
+        prop_assert_eq!(
+            memory.reserved(purpose),
+            harness.sessions.values().map(|s| s.reserved[at]).sum::<usize>()
+        );
     }
     let next = harness.sessions.values().filter_map(|s| s.timer.map(|(_, at_us, _)| at_us)).min();
     // The time may be too early if a timer was cancelled, but must never be too late.
