--- a/src/decisions/active_subset.rs
+++ b/src/decisions/active_subset.rs
@@ -1,7 +1,7 @@
 //! Active subset: the engines that this gateway prefers. With many engines, a gateway sends too few requests
-//! to each of them for useful statistics. It therefore prefers the first engines in a random order of its
-//! own, in proportion to its rate of requests. The other engines get requests that find no capacity in the
-//! subset.
+//! to each of them for useful statistics. Each gateway therefore draws a random order of the engines and
+//! prefers the first ones, in a number that grows with its rate of requests. The other engines get requests
+//! that find no capacity in the subset.
 
 use crate::ZoneId;
 
@@ -9,7 +9,7 @@
 use super::engine::Engine;
 use super::relative_latency::SLOW_RATIO;
 
-/// The size of the subset is the number of requests that arrive in this time, with a lower bound.
+/// The size of the subset is the mean number of requests that arrive in this time, with a lower bound.
 const ARRIVALS_WINDOW_SECONDS: f64 = 2.0;
 const MIN_ENGINES: f64 = 4.0;
 /// Time after the start in which the rate of requests is unknown and all engines are active.
@@ -68,7 +68,8 @@
         ranks.get(size).copied().unwrap_or(u32::MAX)
     }
 
-    /// Draws a rank for a new engine. Engines of this gateway's zone get lower ranks.
+    /// Draws a rank for a new engine. The rank of an engine in this gateway's zone is halved, so that such
+    /// engines are preferred.
     pub(super) fn draw_rank(&mut self, zone: ZoneId) -> u32 {
         let draw = self.next_draw();
         if self.settings.zone == Some(zone) { draw / 2 } else { draw }
--- a/src/decisions/admission.rs
+++ b/src/decisions/admission.rs
@@ -11,12 +11,12 @@
 use super::load_estimate::MAX_BACKGROUND_UTILIZATION_RATIO;
 use super::request_path::PendingRequest;
 
-/// Interactive threads per core, summed over all gateways, from which on interactive work is held back too.
-/// With more than one or two threads per core, the total throughput of an engine falls.
+/// Interactive threads per core, summed over all gateways, at which further interactive work is queued. With
+/// more than one or two threads per core, the total throughput of an engine falls.
 pub(super) const OVERLOAD_THREADS_PER_CORE: f64 = 1.5;
 /// Factor on that bound while the mean utilization shows that engines are full.
 const FULL_ENGINES_OVERLOAD_RATIO: f64 = 0.5;
-/// Ratio of an engine's memory that the attempts of a single gateway may need.
+/// Ratio of an engine's memory that attempts may need if there is only one gateway.
 const MEMORY_RATIO: f64 = 0.75;
 
 /// Properties of a request that admission depends on.
@@ -40,8 +40,8 @@
     Health,
     /// The engine's slow-start budget has capacity left.
     SlowStart,
-    /// The engine's threads are within the concurrency limit, or for interactive work below the overload
-    /// bound.
+    /// For background work: its threads at the engine stay within the concurrency limit. For interactive
+    /// work: its threads are below the overload bound.
     ConcurrencyLimit,
     /// For background work: the engine is not full according to load reports.
     Utilization,
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Whether the result is the same for all requests of a class with the same answer of the token bucket.
+    /// Whether the result depends only on the request's class and on [`Needs::has_tokens`].
     fn depends_on_class_only(self) -> bool {
         self != Self::Memory
     }
@@ -111,7 +111,7 @@
     }
 
     /// First guard that rejects the request at an engine. `None` if the engine admits it.
-    pub(super) fn first_closed_guard(&self, engine: &Engine) -> Option<EngineGuard> {
+    pub(super) fn first_rejecting_guard(&self, engine: &Engine) -> Option<EngineGuard> {
         EngineGuard::ALL.into_iter().find(|guard| !self.passes(*guard, engine))
     }
 
@@ -139,7 +139,8 @@
             }
             EngineGuard::ConcurrencyLimit if interactive => manager.is_not_overloaded(engine),
             EngineGuard::ConcurrencyLimit => self.is_within_limit(engine),
-            // An estimate from the time for work is not used here. Only new background work could lower it.
+            // An estimate from the time for work is not used here. If it stopped background work, there would be
+            // no sample to lower it.
             EngineGuard::Utilization => {
                 interactive
                     || !manager.load.has_reports
@@ -175,9 +176,10 @@
     }
 
     /// Whether the memory of this gateway's attempts at the engine stays within its share. A request larger
-    /// than the share is admitted at an engine without background work of this gateway, if it fits into the
-    /// shares of all engines or no background work is in flight. The more gateways there are, the less of the
-    /// memory is kept free, because they rarely fill their shares at the same time.
+    /// than the share is admitted at an engine without background work of this gateway, if the sum over all
+    /// engines stays within the gateway's share of their memory, or if no background work is in flight at
+    /// all. The more gateways there are, the less of the memory is kept free, because they rarely fill their
+    /// shares at the same time. Always true if the engine's memory is not known.
     fn has_memory(&self, engine: &Engine, memory_mb: f64) -> bool {
         let gateways = f64::from(self.settings.gateways);
         let share_mb = (1.0 - (1.0 - MEMORY_RATIO) / gateways) * engine.memory_mb / gateways;
--- a/src/decisions/class_profile.rs
+++ b/src/decisions/class_profile.rs
@@ -19,7 +19,7 @@
 pub(super) struct TimeForWork {
     /// Moving average. 0 before the first sample.
     pub(super) mean_ratio: f64,
-    /// Lowest value of the moving average, which rises slowly.
+    /// Lowest value of the moving average, which rises slowly. It starts at 1 if engines send no load reports.
     pub(super) lowest_ratio: f64,
 }
 
@@ -28,7 +28,7 @@
 pub(super) struct ClassProfile {
     /// Whether the class is interactive. Requests of all other classes are background work.
     pub(super) interactive: bool,
-    /// Memory that a request needs.
+    /// Memory that a query uses. 0 before the first sample.
     pub(super) memory_mb: f64,
     /// Work of a request, summed over its threads. Initially the work that fits into the objective.
     work_seconds: f64,
--- a/src/decisions/classification.rs
+++ b/src/decisions/classification.rs
@@ -8,9 +8,9 @@
 /// Lower bound of the cores of the smallest machine.
 const MIN_CORES: f64 = 2.0;
 
-/// For each class of the settings, whether it is interactive. Interactive classes are those of the fewest
-/// threads, among the active classes other than loads, whose objective is near the shortest one. A class
-/// whose request can occupy the smallest machine alone is never interactive.
+/// For each class of the settings, whether it is interactive. A class is interactive if none of the active
+/// classes has fewer threads, and its objective is near the shortest one with that number of threads. Loads,
+/// and classes whose request can occupy the smallest machine alone, are ignored and never interactive.
 pub(super) fn interactive_classes(change: &SettingsChange) -> Vec<bool> {
     let (settings, active) = (&change.settings, change.active_classes());
     let smallest_cores = settings.machine_types.iter().map(|kind| kind.cores).fold(f64::INFINITY, f64::min);
--- a/src/decisions/concurrency_limit.rs
+++ b/src/decisions/concurrency_limit.rs
@@ -28,7 +28,7 @@
     pub(super) objective_seconds: f64,
     /// Integral gain, in threads per core and second of the error integral.
     pub(super) gain_per_core: f64,
-    /// Initial limit: this gateway's share of a core.
+    /// Initial limit per core: an even share for each gateway.
     pub(super) initial_threads_per_core: f64,
 }
 
@@ -93,7 +93,7 @@
     }
 
     /// Closes the control interval if it has ended. `utilization` is the estimate for this engine.
-    pub(super) fn close_interval_if_over(
+    pub(super) fn close_interval_if_ended(
         &mut self,
         now: f64,
         latency: &InteractiveLatency,
@@ -122,9 +122,10 @@
         (self.latency_sum_seconds + missing * mean_seconds) / (completions + missing)
     }
 
-    /// Raises the sample by the engine's utilization. If answers carry no load reports, the sample is at
-    /// least the objective for an engine at the utilization bound. If this gateway's share is less than two
-    /// cores and no report has arrived, it is at least the objective for a full engine.
+    /// Applies a lower bound to the sample that is proportional to the engine's utilization. If answers carry
+    /// no load reports, the bound equals the objective at [`MAX_BACKGROUND_UTILIZATION_RATIO`]. Otherwise, if
+    /// no report has arrived and this gateway's share is less than two cores, the bound equals the objective
+    /// at a utilization of 1. In all other cases there is no bound.
     fn sample_with_utilization(
         &self,
         sample_seconds: f64,
--- a/src/decisions/endpoint_list.rs
+++ b/src/decisions/endpoint_list.rs
@@ -9,8 +9,8 @@
 use super::relative_latency::RelativeLatency;
 use super::{POLL_LIST_TOKEN, WorkloadManager, unit_interval};
 
-/// Delay before a failed poll of the list is retried. The discovery service may be overloaded.
-const POLL_AGAIN_SECONDS: f64 = 1.0;
+/// Delay before a failed poll of the list is retried, because the discovery service may be overloaded.
+const POLL_RETRY_SECONDS: f64 = 1.0;
 /// Lower bound of the random factor on an engine's backoffs. The upper bound is greater by 1.
 const MIN_BACKOFF_RATIO: f64 = 0.5;
 
@@ -25,7 +25,7 @@
     ) {
         if mode == EndpointListMode::Failed {
             if self.settings.capabilities.polls_endpoint_list {
-                let (delay, token) = (POLL_AGAIN_SECONDS, POLL_LIST_TOKEN);
+                let (delay, token) = (POLL_RETRY_SECONDS, POLL_LIST_TOKEN);
                 actions.push(Action::SetTimer { delay, token, request: None });
             }
             return;
@@ -42,8 +42,8 @@
         self.update_fleet(now);
     }
 
-    /// Adds an engine that is new or has restarted. Attempts in flight to its earlier incarnation stay in its
-    /// sums.
+    /// Adds an engine that is new or has restarted. A restarted engine keeps its rank and the sums of its
+    /// attempts in flight.
     fn add_engine(&mut self, now: f64, entry: &EndpointEntry) {
         let MachineType { cores, memory_mb } = self.settings.machine_type(entry.machine_type);
         let backoff_ratio = MIN_BACKOFF_RATIO + unit_interval(self.next_draw());
--- a/src/decisions/explain.rs
+++ b/src/decisions/explain.rs
@@ -27,7 +27,7 @@
 #[derive(Default)]
 struct EngineCounts {
     /// For each guard, in order, the number of engines where it is the first to reject the request.
-    closed: [u32; EngineGuard::ALL.len()],
+    rejected_by: [u32; EngineGuard::ALL.len()],
     /// Number of engines that would admit the request.
     open: u32,
 }
@@ -44,9 +44,9 @@
         let admission = Admission::new(self.manager, self.manager.needs(self.pending), self.now);
         let mut counts = EngineCounts::default();
         for engine in self.manager.engines.values() {
-            let first = admission.first_closed_guard(engine);
+            let first = admission.first_rejecting_guard(engine);
             match first.and_then(|first| EngineGuard::ALL.iter().position(|guard| *guard == first)) {
-                Some(at) => counts.closed[at] += 1,
+                Some(at) => counts.rejected_by[at] += 1,
                 None => counts.open += 1,
             }
         }
@@ -82,15 +82,16 @@
 }
 
 impl fmt::Display for Explanation<'_> {
-    /// Begins with the guard that rejects the request at most engines. If an engine admits the request, the
-    /// text begins with `order_key` if the order of its key holds the request back, else with `no_guard`.
+    /// Begins with the guard that rejects the request at the largest number of engines. If an engine admits
+    /// the request, the text begins with `order_key` if the order of its key holds the request back, else
+    /// with `no_guard`.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let EngineCounts { closed, open } = self.count_engines();
-        let largest = (0..closed.len()).max_by_key(|at| (closed[*at], closed.len() - at));
+        let EngineCounts { rejected_by, open } = self.count_engines();
+        let largest = (0..rejected_by.len()).max_by_key(|at| (rejected_by[*at], rejected_by.len() - at));
         let first =
             if open > 0 { self.no_guard() } else { largest.map_or("none", |at| EngineGuard::ALL[at].name()) };
         write!(f, "{first} open={open}")?;
-        for (guard, engines) in EngineGuard::ALL.iter().zip(closed).filter(|(_, engines)| *engines > 0) {
+        for (guard, engines) in EngineGuard::ALL.iter().zip(rejected_by).filter(|(_, engines)| *engines > 0) {
             write!(f, " {}={engines}", guard.name())?;
         }
         self.write_values(f)
--- a/src/decisions/fleet.rs
+++ b/src/decisions/fleet.rs
@@ -11,7 +11,7 @@
 pub(super) struct Fleet {
     /// Number of cores of the engines, not divided by gateways.
     pub(super) cores: f64,
-    /// This gateway's share of the engines' memory.
+    /// This gateway's share of the engines' memory that background work may use.
     pub(super) memory_mb: f64,
     /// Threads of this gateway's attempts in flight: the total, and the part of background work.
     pub(super) threads: f64,
@@ -23,7 +23,7 @@
 }
 
 impl Fleet {
-    /// Sums without any engine.
+    /// Creates the sums of an empty endpoint list.
     pub(super) fn new() -> Self {
         Self { mean_relative_latency: 1.0, ..Self::default() }
     }
--- a/src/decisions/load_estimate.rs
+++ b/src/decisions/load_estimate.rs
@@ -15,7 +15,8 @@
 pub(super) const MAX_BACKGROUND_UTILIZATION_RATIO: f64 = 0.8;
 /// Threads per core at a utilization of 1.
 const FULL_THREADS_PER_CORE: f64 = 2.0;
-/// Factor on the memory utilization if queries spill when memory is short.
+/// Factor on the memory utilization that queries imply, and on the reported one if queries spill when memory
+/// is short.
 const SPILLING_MEMORY_RATIO: f64 = 1.3;
 /// Factor on the reported core utilization.
 const BUSY_CORES_RATIO: f64 = 0.9;
@@ -24,7 +25,7 @@
 const MAX_TIME_FOR_WORK_RATIO: f64 = 2.0;
 /// Utilization assumed for an engine that has rejected an attempt.
 const REJECTING_RATIO: f64 = 2.0;
-/// Reported values from here on are ignored as implausible.
+/// Negative utilizations, and those from here on, are ignored as implausible.
 const IMPLAUSIBLE_RATIO: f64 = 1e6;
 /// Time constant of the decay of an estimate.
 const DECAY_SECONDS: f64 = 2.0;
--- a/src/decisions/mod.rs
+++ b/src/decisions/mod.rs
@@ -1,8 +1,8 @@
 //! The decisions of one gateway: admission of requests, selection of engines, retries and load shedding.
 //!
 //! [`WorkloadManager`] takes events and returns actions. It does no I/O and reads no clock: the same
-//! settings, seed and events give the same actions. `request_path` follows a request from its arrival to its
-//! final answer. The other modules implement one rule each:
+//! settings, seed and events give the same actions. `request_path` implements the life cycle of a request,
+//! from its arrival to its final answer. Each rule has a module:
 //!
 //! | subject | module |
 //! | --- | --- |
@@ -24,9 +24,11 @@
 //! | Retries and their budget | `retry` |
 //! | Requests that are given up, and their answers | `shedding` |
 //! | Periodic work | `control_tick` |
+//! | Engines that are added, changed or removed | `endpoint_list` |
+//! | Capacity of all engines, and its use | `fleet` |
 //!
-//! Times and durations are in seconds as `f64`. `docs/design.md` lists the differences from the thesis that
-//! the concurrency limit is based on.
+//! Times and durations are in seconds as `f64`. The concurrency limit is based on a thesis, and
+//! `docs/design.md` lists the differences.
 
 mod active_subset;
 mod admission;
@@ -149,7 +151,7 @@
         Ok(manager)
     }
 
-    /// Applies new settings between two events. Statistics are kept, and so are the classes of requests.
+    /// Applies new settings between two events. Statistics are kept, and requests keep their classes.
     ///
     /// # Errors
     /// The new settings are invalid, see [`SettingsChange::check`]. The old ones stay in force.
@@ -254,11 +256,11 @@
     /// Number of listed engines that get no new attempts at the time `now`, in seconds, because they are
     /// draining, ejected, or backed off after a rejection.
     pub fn engines_excluded(&self, now: f64) -> usize {
-        let is_avoided = |engine: &&Engine| match engine.entry.state {
-            EndpointState::Ready => engine.health.is_paused(now),
+        let is_excluded = |engine: &&Engine| match engine.entry.state {
+            EndpointState::Ready => engine.health.is_backed_off(now),
             EndpointState::Draining => true,
             EndpointState::Removed => false,
         };
-        self.engines.values().filter(is_avoided).count()
+        self.engines.values().filter(is_excluded).count()
     }
 }
--- a/src/decisions/order_by_key.rs
+++ b/src/decisions/order_by_key.rs
@@ -12,7 +12,7 @@
     caused_by: RequestId,
 }
 
-/// Requests of one key, in order of arrival.
+/// Open requests of one key, in order of arrival, and the state that delays them.
 #[derive(Default)]
 struct KeyQueue {
     order: VecDeque<RequestId>,
@@ -89,7 +89,7 @@
         })
     }
 
-    /// Removes keys without queued requests, attempts in flight and cooldown.
+    /// Removes the keys that have no open request, no attempt in flight and no cooldown.
     pub(super) fn remove_idle(&mut self, now: f64) {
         self.0.retain(|_, queue| {
             !queue.order.is_empty() || queue.attempts_in_flight > 0 || queue.is_cooling_down(now)
--- a/src/decisions/outcome.rs
+++ b/src/decisions/outcome.rs
@@ -63,7 +63,7 @@
         self.record_engine_health(now, attempt, end);
         if let Some(engine) = self.engines.get_mut(&attempt.engine) {
             let utilization = self.load.utilization(engine, now);
-            engine.limit.close_interval_if_over(now, &self.latency, &self.load, utilization, &terms);
+            engine.limit.close_interval_if_ended(now, &self.latency, &self.load, utilization, &terms);
         }
     }
 
@@ -76,8 +76,8 @@
         }
     }
 
-    /// Removes the attempt from the sums of its engine and of the fleet, and settles its charge to the token
-    /// bucket by the time taken.
+    /// Removes the attempt from the sums of its engine and of the fleet, and corrects its charge to the token
+    /// bucket by its elapsed time.
     fn remove_from_sums(&mut self, attempt: &Attempt, end: &AttemptEnd) {
         let threads = self.threads_of(attempt);
         let Some(engine) = self.engines.get_mut(&attempt.engine) else { return };
@@ -120,7 +120,7 @@
         let terms = self.controller_terms();
         for engine in self.engines.values_mut() {
             let utilization = self.load.utilization(engine, now);
-            engine.limit.close_interval_if_over(now, &self.latency, &self.load, utilization, &terms);
+            engine.limit.close_interval_if_ended(now, &self.latency, &self.load, utilization, &terms);
         }
     }
 }
--- a/src/decisions/outlier.rs
+++ b/src/decisions/outlier.rs
@@ -2,8 +2,8 @@
 //!
 //! An engine is ejected when the weighted sum of its faults reaches 1. After the backoff, a recovery ramp
 //! limits it to one attempt in flight, and doubles the limit with each success. A slow engine is not ejected,
-//! see `relative_latency`. An engine that rejects attempts is full rather than faulty: it gets a short
-//! backoff without a ramp.
+//! see `relative_latency`. An engine that rejects attempts is full rather than faulty: it gets a backoff
+//! without a ramp.
 
 use crate::{EngineId, Outcome};
 
@@ -20,7 +20,7 @@
 const RAMP_FACTOR: u32 = 2;
 /// Factor applied by a success to the backoff that the next rejection starts from.
 const SUCCESS_BACKOFF_RATIO: f64 = 0.5;
-/// Attempts in flight at which the recovery ramp ends.
+/// Largest limit on attempts in flight in the recovery ramp. The next success ends the ramp.
 const RECOVERED_ATTEMPTS: u32 = 16;
 /// Limit on attempts in flight to an engine that has not answered yet. The endpoint list may be stale.
 const INITIAL_ATTEMPTS: u32 = RECOVERED_ATTEMPTS / 4;
@@ -63,13 +63,14 @@
     /// Weighted sum of faults.
     faults: f64,
     /// End of the backoff after an ejection or a rejected attempt.
-    paused_until: f64,
+    backoff_until: f64,
     rejection_backoff_seconds: f64,
     ejection_seconds: f64,
     /// Limit on attempts in flight during the recovery ramp. `None` outside of it.
     ramp_attempts: Option<u32>,
     /// Number of ejections and restarts. Attempts of an earlier epoch do not count for the recovery.
     epoch: u32,
+    /// Attempts of the current epoch that are in flight.
     attempts_of_epoch: u32,
     /// Time of the engine's last successful answer or progress report.
     pub(super) last_seen_at: f64,
@@ -95,12 +96,12 @@
 
     /// Whether another attempt may be sent.
     pub(super) fn admits(&self, now: f64) -> bool {
-        !self.is_paused(now) && self.ramp_attempts.is_none_or(|limit| self.attempts_of_epoch < limit)
+        !self.is_backed_off(now) && self.ramp_attempts.is_none_or(|limit| self.attempts_of_epoch < limit)
     }
 
     /// Whether a backoff is running, after an ejection or a rejected attempt.
-    pub(super) fn is_paused(&self, now: f64) -> bool {
-        now < self.paused_until
+    pub(super) fn is_backed_off(&self, now: f64) -> bool {
+        now < self.backoff_until
     }
 
     pub(super) fn attempt_started(&mut self) {
@@ -128,13 +129,13 @@
     /// Adds a fault, and ejects the engine if the sum reaches the threshold.
     pub(super) fn record_fault(&mut self, now: f64, faults: f64) -> Option<HealthChange> {
         self.faults += faults;
-        if self.faults < EJECTION_FAULTS || self.is_paused(now) {
+        if self.faults < EJECTION_FAULTS || self.is_backed_off(now) {
             return None;
         }
         self.ejection_seconds =
             (BACKOFF_FACTOR * self.ejection_seconds).clamp(MIN_EJECTION_SECONDS, MAX_EJECTION_SECONDS);
         let ejection_seconds = self.ejection_seconds * self.backoff_ratio;
-        self.paused_until = now + ejection_seconds;
+        self.backoff_until = now + ejection_seconds;
         self.ramp_attempts = Some(1);
         self.faults = 0.0;
         self.epoch += 1;
@@ -163,7 +164,7 @@
         self.rejection_backoff_seconds = (BACKOFF_FACTOR * self.rejection_backoff_seconds)
             .clamp(MIN_REJECTION_BACKOFF_SECONDS, MAX_REJECTION_BACKOFF_SECONDS);
         let backoff_end = now + self.rejection_backoff_seconds * self.backoff_ratio;
-        self.paused_until = self.paused_until.max(backoff_end);
+        self.backoff_until = self.backoff_until.max(backoff_end);
     }
 }
 
--- a/src/decisions/relative_latency.rs
+++ b/src/decisions/relative_latency.rs
@@ -11,14 +11,14 @@
 const SAMPLE_WEIGHT: f64 = 0.2;
 /// Upper bound of the sample of an attempt.
 const MAX_SAMPLE_RATIO: f64 = 2.0 * SLOW_RATIO;
-/// Lower bound for an engine with an overdue interactive attempt.
+/// Lower bound of the relative latency of an engine with an overdue interactive attempt.
 const OVERDUE_RATIO: f64 = 1.2 * SLOW_RATIO;
 /// Time constant of the decay.
 const DECAY_SECONDS: f64 = 8.0;
 /// Lower bound of the mean latency that samples are divided by.
 const MIN_MEAN_SECONDS: f64 = 1e-6;
 
-/// Moving average for one engine.
+/// Moving average of the relative latency of one engine.
 #[derive(Clone, Copy, Default)]
 pub(super) struct RelativeLatency(TimedValue);
 
--- a/src/decisions/release.rs
+++ b/src/decisions/release.rs
@@ -4,8 +4,8 @@
 
 use super::admission::Needs;
 
-/// Requests that differ only in their memory for admission: those of one class that the token bucket admits,
-/// or those that it does not admit.
+/// Requests that admission distinguishes only by their memory: they have the same class and the same value of
+/// [`Needs::has_tokens`].
 #[derive(Clone, Default)]
 struct Group {
     /// Engines that admit the requests, of the active subset and of the others. `None` before the search.
@@ -15,7 +15,7 @@
     blocked_mb: f64,
 }
 
-/// One pass over the queue.
+/// Results of the searches for engines during one pass over the queue.
 pub(super) struct Release {
     groups: Vec<Group>,
 }
--- a/src/decisions/request_path.rs
+++ b/src/decisions/request_path.rs
@@ -57,7 +57,7 @@
         self.arrivals += 1;
         self.retry_history.record_request(now);
         self.key_queues.enqueue(request);
-        // The deadline timer does not depend on attempts, the endpoint list or other timers.
+        // Ensures a final answer by the deadline, independent of attempts, the endpoint list and other timers.
         let delay = (request.deadline - self.settings.clock_resolution - now).max(0.0);
         let token = super::deadline_token(request.id);
         actions.push(Action::SetTimer { delay, token, request: Some(request.id) });
@@ -76,7 +76,7 @@
     }
 
     /// Forwards all requests that may leave the queue, oldest first. A request without an admitting engine
-    /// blocks only requests of its class that need at least as much memory.
+    /// blocks only requests of its group in [`Release`] that need at least as much memory.
     pub(super) fn release_queued(&mut self, now: f64, actions: &mut Vec<Action>) {
         let mut release = Release::new(self.profiles.len());
         let may_start = |id: &RequestId| self.key_queues.may_start(&self.requests[id].request, now);
@@ -84,7 +84,7 @@
         for id in queued {
             let pending = &self.requests[&id];
             let needs = self.needs(pending);
-            // An earlier request of the same key may have been forwarded in this round.
+            // An earlier request of the same key may have been forwarded in this pass.
             if release.is_blocked(&needs) || !self.key_queues.may_start(&pending.request, now) {
                 continue;
             }
--- a/src/decisions/slow_start.rs
+++ b/src/decisions/slow_start.rs
@@ -14,13 +14,13 @@
 
 /// Ratio of the collapse load that all gateways together send to an engine in slow start.
 const USED_BUDGET_RATIO: f64 = 0.3;
-/// Ratio of the budget for interactive work, and also for background work.
+/// Ratio of the budget for each type of work, interactive and background.
 const WORK_TYPE_RATIO: f64 = 0.5;
 /// Ratio of an engine's cores that is available for work.
 const USABLE_CORES_RATIO: f64 = 0.85;
 /// Ratio of the budget for gateways that have the engine in their active subset. The others share the rest.
 const ACTIVE_GATEWAYS_RATIO: f64 = 0.75;
-/// Number of gateways for which the upper bound of a share, in even shares, rises by 1.
+/// Number of gateways with which the upper bound of a share rises by one even share.
 const GATEWAYS_PER_EXTRA_SHARE: f64 = 8.0;
 /// Lower bounds of the collapse window and the slow-start duration, against division by zero.
 const MIN_WINDOW_SECONDS: f64 = 1e-3;
@@ -63,7 +63,7 @@
     }
 }
 
-/// Ratio of an engine's memory that background work may use. In slow start it follows the work budget.
+/// Ratio of an engine's memory that background work may use. In slow start it is reduced like the budget for work.
 pub(super) fn usable_memory_ratio(warm_up_ratio: f64, rules: &Rules) -> f64 {
     let budget_ratio = (WORK_TYPE_RATIO * USED_BUDGET_RATIO * rules.collapse_load_ratio).min(1.0);
     if warm_up_ratio < 1.0 { budget_ratio * warm_up_ratio } else { 1.0 }
@@ -105,7 +105,7 @@
         spent + work <= budget + work * self.rounding_ratio(now, window_seconds)
     }
 
-    /// Random fraction of a request by which this gateway's budget is exceeded, drawn for each window. Of the
+    /// Random fraction of a request by which this gateway may exceed its budget, drawn for each window. Of the
     /// gateways whose share is less than a request, some send one request and others none.
     fn rounding_ratio(&self, now: f64, window_seconds: f64) -> f64 {
         let age = now - self.entry.started_at.unwrap_or(now);
--- a/src/decisions/supervision.rs
+++ b/src/decisions/supervision.rs
@@ -3,7 +3,7 @@
 //!
 //! While a request is open, its attempts are cancelled only if the deployment permits that and the request is
 //! idempotent. A cancelled attempt ends like any other, and its request is queued again. Only one attempt of
-//! a request is cancelled for slowness: if the next one is slow too, the request itself is heavy.
+//! a request is cancelled for slowness: if the next one is slow too, the request itself is taken to be heavy.
 
 use std::collections::BTreeMap;
 
@@ -20,7 +20,7 @@
 use super::token_bucket::TokenBucket;
 
 /// An attempt lacks progress reports after this number of report periods without any report, or without a
-/// report of more than [`Progress::Running`].
+/// report other than [`Progress::Running`].
 const MAX_PERIODS_WITHOUT_REPORT: f64 = 1.5;
 const MAX_PERIODS_WITHOUT_PROGRESS: f64 = 2.6;
 /// Multiple of its expected latency after which an attempt without progress is stalled.
@@ -33,8 +33,9 @@
 const MIN_MEASURABLE_PROGRESS_RATIO: f64 = 0.1;
 /// Lower bound of reported progress, against division by zero.
 const MIN_PROGRESS_RATIO: f64 = 1e-3;
-/// Time without an answer after which an engine is silent, as a multiple of the class's mean latency, and for
-/// background work of its objective.
+/// Age at which an attempt shows that its engine is silent: as a multiple of the class's mean latency for
+/// interactive work, and of the class's objective for background work. The latter is also the upper bound for
+/// interactive work.
 const SILENT_AFTER_LATENCIES: f64 = 8.0;
 const SILENT_AFTER_OBJECTIVES: f64 = 2.0;
 /// Lower bound of that time, as a ratio of the interactive objective.
@@ -56,7 +57,8 @@
     pub(super) interactive: bool,
     pub(super) engine: EngineId,
     pub(super) sent_at: f64,
-    /// Times of the last progress report, and of the last one of more than [`Progress::Running`].
+    /// Times of the last progress report, and of the last one other than [`Progress::Running`]. Initially the
+    /// time of sending.
     pub(super) reported_at: f64,
     pub(super) progressed_at: f64,
     /// Whether the attempt was found to lack progress reports or to be stalled.
@@ -105,7 +107,7 @@
                 || now - self.progressed_at > MAX_PERIODS_WITHOUT_PROGRESS * report_period)
     }
 
-    /// Whether the attempt makes no progress at an engine that answers others.
+    /// Whether the attempt makes no progress although its engine has responded since the attempt was sent.
     fn is_stalled(&self, now: f64, engine: &Engine) -> bool {
         engine.health.last_seen_at > self.sent_at
             && now - self.progressed_at > STALLED_LATENCIES * self.expected_seconds
@@ -161,7 +163,8 @@
     }
 }
 
-/// Age at which an attempt of this class shows that its engine is silent, if the engine answers no other.
+/// Age at which an attempt of this class shows that its engine is silent, if the engine has not responded
+/// since the attempt was sent.
 fn silent_after_seconds(class: &Class, profile: &ClassProfile, latency: &InteractiveLatency) -> f64 {
     let by_objective = SILENT_AFTER_OBJECTIVES * class.latency_objective;
     let silent_after =
--- a/src/decisions/token_bucket.rs
+++ b/src/decisions/token_bucket.rs
@@ -1,4 +1,4 @@
-//! Token bucket of background work: bounds its mean over time, summed over all engines.
+//! Token bucket of background work: bounds the mean number of its threads over time, summed over all engines.
 //!
 //! If this gateway's share of an engine is less than a thread, one thread on each engine would exceed the
 //! sum of the concurrency limits. The bucket is refilled with thread-seconds at the rate of that sum, and
--- a/src/event.rs
+++ b/src/event.rs
@@ -41,7 +41,7 @@
     /// No connection could be opened. The attempt never ran.
     ConnectFailed,
     /// The connection was lost. The attempt may have run, or may still run. Only the simulator's adapter
-    /// reports this outcome. The gateway reports `TimedOut` once an attempt's connection is lost for good.
+    /// reports this outcome. The gateway reports `TimedOut` once it considers such an attempt lost.
     ConnectionLost,
     /// The attempt was cancelled. It may have run, or may still run.
     Cancelled,
