--- a/adapter/src/translate.rs
+++ b/adapter/src/translate.rs
@@ -1,4 +1,5 @@
-//! Translation of the wire's types to those of `workload_manager`, except where ids of engines are needed.
+//! Translation of the wire's types to those of `workload_manager`. The module `instance` translates messages
+//! that contain names of engines or order keys.
 
 use std::collections::BTreeMap;
 
@@ -212,7 +213,7 @@
 }
 
 impl LoadReportFields {
-    /// Takes the descriptions of the fields from the settings.
+    /// Copies the descriptions of the fields from the settings.
     pub fn new(domain: &wire::Domain) -> Self {
         Self { x0: domain.report_x0.clone(), x1: domain.report_x1.clone() }
     }
--- a/adapter/tests/wire.rs
+++ b/adapter/tests/wire.rs
@@ -5,7 +5,7 @@
 
 use serde_json::{Value, json};
 
-fn play(lines: &[String]) -> Output {
+fn run_adapter(lines: &[String]) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
@@ -21,7 +21,7 @@
 
 fn replies(lines: &[Value]) -> Vec<Vec<Value>> {
     let lines: Vec<String> = lines.iter().map(Value::to_string).collect();
-    let output = play(&lines);
+    let output = run_adapter(&lines);
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
     let text = String::from_utf8(output.stdout).unwrap();
     let steps = |l: &str| serde_json::from_str::<Value>(l).unwrap()["steps"].as_array().unwrap().clone();
@@ -74,7 +74,7 @@
 
 #[test]
 fn an_empty_batch_has_an_empty_reply() {
-    let output = play(&[r#"{"now-s":8.41225,"in":[]}"#.to_owned()]);
+    let output = run_adapter(&[r#"{"now-s":8.41225,"in":[]}"#.to_owned()]);
     assert_eq!(String::from_utf8(output.stdout).unwrap(), "{\"steps\":[]}\n");
 }
 
@@ -195,7 +195,7 @@
         (batch(11.0, vec![change("r/0", 2, 5)]).to_string(), "unknown roster slot 5"),
         (no_classes, "settings name no class"),
     ] {
-        let output = play(&[start.clone(), line]);
+        let output = run_adapter(&[start.clone(), line]);
         let stderr = String::from_utf8(output.stderr).unwrap();
         assert!(!output.status.success());
         assert_eq!(stderr.lines().count(), 1, "{stderr}");
