--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -14,7 +14,7 @@
     assert_eq!(driver.count_admitted(1, INTERACTIVE), 6);
 }
 
-/// Work beyond an engine's memory slows down all of its queries, so that background work must stay within the
+/// Work beyond an engine's memory slows down all of its queries, so background work must stay within the
 /// gateway's share.
 #[test]
 fn background_work_waits_for_its_share_of_memory() {
@@ -64,9 +64,9 @@
     }
 }
 
-/// The overload bound must count warming engines by their warmth only.
+/// The overload bound must count only the current capacity of engines in slow start.
 #[test]
-fn the_overload_bound_counts_warming_engines_by_their_warmth() {
+fn the_overload_bound_counts_the_current_capacity_of_warming_engines() {
     let (s, mut engines) = many_gateways();
     engines.iter_mut().take(25).for_each(|e| e.started_at = Some(100.0));
     // One and a half threads per core on 25 warm engines and 25 engines at three tenths, shared by a hundred
@@ -83,7 +83,7 @@
 }
 
 /// With many gateways a request exceeds its gateway's share of one engine. Without a bound on the sum over
-/// all engines, the remaining engines would run out of memory after most engines have left.
+/// all engines, the remaining engines would run out of memory once most engines are removed.
 #[test]
 fn memory_is_bounded_over_all_engines_together() {
     for (engines, warming, min, max) in [(80, 0, 2, 4), (80, 60, 1, 1), (800, 0, 18, 40)] {
--- a/tests/concurrency_limit.rs
+++ b/tests/concurrency_limit.rs
@@ -35,7 +35,7 @@
     assert!(busy.count_admitted(50, LOAD) >= 1, "the ceiling of eight did not rise");
 }
 
-/// The latency of a stalled attempt is no measure of load, so that it must not lower the limit.
+/// The latency of a stalled attempt is no measure of load, so it must not lower the limit.
 #[test]
 fn stalled_attempts_do_not_lower_the_limit() {
     let admitted = |stalls: bool| {
@@ -60,8 +60,8 @@
     assert!(admitted(true) > admitted(false), "{} {}", admitted(true), admitted(false));
 }
 
-/// With many gateways, a gateway has few latency samples per engine. The mean over all engines must stand in
-/// for missing samples.
+/// With many gateways, a gateway has few latency samples per engine. The mean over all engines must
+/// replace missing samples.
 #[test]
 fn interactive_latency_of_other_engines_sets_the_limit_of_engines_without_samples() {
     let (s, engines) = many_gateways();
@@ -96,29 +96,29 @@
 /// count as low latencies, or they would hide the overload.
 #[test]
 fn aborted_attempts_do_not_count_as_fast() {
-    let admitted = |cut: f64| {
+    let admitted = |elapsed: f64| {
         let mut driver = Driver::new(settings_with_cancelling(), vec![engine(1)]);
         driver.serve_interactive(1000, 40, 2.0);
         for id in 1..80 {
             forwarded_to(&driver.arrive(id, INTERACTIVE)).unwrap();
             driver.now += 0.2;
             driver.event(&Event::RequestAborted(RequestId(id)));
-            driver.attempt_ended(id, 0, 1, Outcome::Cancelled, cut);
+            driver.attempt_ended(id, 0, 1, Outcome::Cancelled, elapsed);
         }
         driver.count_admitted(200, LOAD)
     };
     assert_eq!(admitted(0.05), admitted(2.0));
 }
 
-/// Serves enough requests for the engine to complete its recovery ramp.
-fn prove_engine(driver: &mut Driver) {
+/// Serves the number of requests after which a new engine has completed its recovery ramp.
+fn complete_recovery_ramp(driver: &mut Driver) {
     driver.serve_interactive(9000, 6, 0.99);
 }
 
 #[test]
 fn the_limit_starts_at_the_gateways_share_of_the_cores() {
     let mut driver = Driver::new(single_thread_loads(), vec![engine(1)]);
-    prove_engine(&mut driver);
+    complete_recovery_ramp(&mut driver);
     assert_eq!(driver.count_admitted(1, LOAD), 4, "half of 8 cores");
 }
 
@@ -130,7 +130,7 @@
         s.classes[0].threads = 1;
         let mut driver = Driver::new(s, vec![engine(1)]);
         if cores > 1.0 {
-            prove_engine(&mut driver);
+            complete_recovery_ramp(&mut driver);
         }
         assert_eq!(driver.count_admitted(1, LOAD), expected, "{cores} cores, {gateways} gateways");
     }
@@ -160,9 +160,9 @@
 }
 
 #[test]
-fn an_interval_without_completions_leaves_the_error_integral() {
+fn an_interval_without_completions_leaves_the_error_integral_unchanged() {
     let mut driver = Driver::new(single_thread_loads(), vec![engine(1)]);
-    prove_engine(&mut driver);
+    complete_recovery_ramp(&mut driver);
     driver.serve_interactive(1000, 14, 0.7);
     for _ in 0..10 {
         driver.now += 5.1;
@@ -203,7 +203,7 @@
 
 /// The sample of an interval with few completions is too noisy to be used alone.
 #[test]
-fn few_completions_are_filled_up_with_the_mean_over_all_engines() {
+fn missing_completions_are_replaced_with_the_mean_over_all_engines() {
     let admitted = |latency: f64, n: u64| {
         let mut driver = Driver::new(single_thread_loads(), vec![engine(1)]);
         driver.serve_interactive(1000, 40, 0.5);
@@ -216,8 +216,8 @@
     assert!(admitted(2.0, 19) < admitted(0.5, 19));
 }
 
-/// Short interactive requests may not be slowed down by background work. Without load reports in responses,
-/// the estimated utilization must lower the limit instead.
+/// Background work may fill an engine without slowing down short interactive requests. Without load reports in
+/// responses, the estimated utilization must lower the limit instead.
 #[test]
 fn the_limit_falls_when_the_engine_reports_high_utilization() {
     let admitted = |reports: LoadReportSource, busy: f64| {
--- a/tests/explain.rs
+++ b/tests/explain.rs
@@ -1,5 +1,5 @@
-//! Debug log lines that operators and the lab search for: the rule and the guard behind a shed request, and
-//! the ejection and recovery of an engine.
+//! Debug log lines that operators and the lab search for: the rule by which a request is shed, the guards that
+//! kept it from engines, and the ejection and recovery of an engine.
 
 mod common;
 
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_shed_request_is_logged_with_the_guard_that_closed_most_engines() {
+fn a_shed_request_is_logged_with_the_guard_that_rejected_it_most() {
     let draining = |id| EndpointEntry { state: EndpointState::Draining, ..engine(id) };
     let lines = log_of_shed_request(vec![draining(1), draining(2)], INTERACTIVE, |_| {});
     let [line] = lines.as_slice() else { panic!("{lines:?}") };
@@ -123,7 +123,7 @@
 fn ejection_and_recovery_of_an_engine_are_logged() {
     let lines = logged_lines("message=engine ", || {
         let mut driver = Driver::new(settings(), vec![engine(1)]);
-        // The end of a new engine's slow start is not logged.
+        // The end of a new engine's first recovery ramp is not logged.
         driver.serve_interactive(0, 20, 0.1);
         assert!(forwarded_to(&driver.arrive(100, INTERACTIVE)).is_some());
         driver.attempt_ended(100, 0, 1, Outcome::ConnectFailed, 0.1);
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -31,9 +31,12 @@
 impl PendingRequest {
     /// Engine and start time of the first attempt that may have run.
     fn may_have_run(&self) -> Option<(u32, f64)> {
-        let proves =
+        let proves_not_run =
             |how: Outcome| matches!(how, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NeverSent);
-        self.attempts.iter().find(|(.., how)| !how.is_some_and(proves)).map(|(engine, at, _)| (*engine, *at))
+        self.attempts
+            .iter()
+            .find(|(.., outcome)| !outcome.is_some_and(proves_not_run))
+            .map(|(engine, at, _)| (*engine, *at))
     }
 }
 
@@ -107,6 +110,7 @@
         fleet
     }
 
+    /// Creates a gateway without state that receives the current endpoint list at once.
     fn start(&mut self, n: u32, now: f64) -> Instance {
         let zones = 1 + self.engines.values().map(|e| e.zone.0).max().unwrap_or(0);
         let s = Settings { zone: Some(ZoneId(n as usize % zones)), ..self.s.clone() };
@@ -191,8 +195,8 @@
         let pending = instance.requests.get_mut(&id).unwrap();
         let class = &self.s.classes[pending.class];
         assert!(
-            !pending.answered && pending.attempts.iter().all(|(.., how)| how.is_some()),
-            "forwarded after its answer or beside another attempt"
+            !pending.answered && pending.attempts.iter().all(|(.., outcome)| outcome.is_some()),
+            "forwarded after its final answer or during another attempt"
         );
         assert!(
             class.allowed_zones.as_ref().is_none_or(|z| z.contains(&entry.zone)),
@@ -336,13 +340,13 @@
             for (from, _) in attempts {
                 let window = |at: f64| (*from..from + r.collapse_window).contains(&at);
                 let sent: f64 = attempts.iter().filter(|(at, _)| window(*at)).map(|(_, work)| work).sum();
-                let warmth = r.slow_start_min_ratio
+                let warm_up = r.slow_start_min_ratio
                     + (1.0 - r.slow_start_min_ratio)
                         * ((from - started) / r.slow_start_duration).clamp(0.0, 1.0);
-                let most = r.collapse_load_ratio * warmth * cores * 0.85 * r.collapse_window;
+                let max_work = r.collapse_load_ratio * warm_up * cores * 0.85 * r.collapse_window;
                 assert!(
-                    warmth >= 1.0 || sent <= most + heaviest,
-                    "{sent} s of work to warming engine {engine}, {most} s allowed"
+                    warm_up >= 1.0 || sent <= max_work + heaviest,
+                    "{sent} s of work to warming engine {engine}, {max_work} s allowed"
                 );
             }
         }
@@ -358,8 +362,8 @@
         };
         for class in 0..self.s.classes.len() {
             let zones = &self.s.classes[class].allowed_zones;
-            let has = |e: &EndpointEntry| zones.as_ref().is_none_or(|z| z.contains(&e.zone));
-            if self.engines.values().any(has) && count(class) > 20 {
+            let is_allowed = |e: &EndpointEntry| zones.as_ref().is_none_or(|z| z.contains(&e.zone));
+            if self.engines.values().any(is_allowed) && count(class) > 20 {
                 assert!(
                     self.sent[class] > 0,
                     "class {class}: none of {} requests was forwarded",
--- a/tests/load_estimate.rs
+++ b/tests/load_estimate.rs
@@ -11,7 +11,7 @@
 }
 
 /// Load reports include the work of other gateways. An engine that reports high utilization must get no
-/// background work until the report expires.
+/// background work, and implausible values must be ignored.
 #[test]
 fn an_engine_that_reports_high_utilization_gets_no_background_work() {
     for (report, queued) in [
@@ -95,10 +95,10 @@
     }
 }
 
-/// Without load reports only background work shows the end of an overload, so that some must always be
+/// Without load reports only background work shows the end of an overload, so some must always be
 /// forwarded, however slow the last request was.
 #[test]
-fn without_reports_background_work_returns_after_an_overload() {
+fn without_reports_background_work_resumes_after_an_overload() {
     let mut s = settings();
     s.capabilities.load_reports = LoadReportSource::None;
     let mut driver = Driver::new(s, (1..=4).map(engine).collect());
--- a/tests/order_by_key.rs
+++ b/tests/order_by_key.rs
@@ -1,5 +1,5 @@
-//! Order keys with many requests and many keys: requests of one key run in order, and queued requests do not
-//! delay requests of other keys.
+//! Order keys with many requests and many keys: requests queued for one key do not delay requests of other
+//! keys, and the state of unused keys is removed.
 
 mod common;
 
@@ -9,7 +9,7 @@
 use workload_manager::*;
 
 const MANY: u64 = 10_000;
-/// Fewer than `MANY`, so that the test is fast without optimisation.
+/// Fewer than `MANY`, because the test also runs in unoptimized builds.
 const QUEUED: u64 = 1_000;
 
 fn keyed(driver: &Driver, id: u64, key: u64) -> Event {
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_thousand_requests_of_one_key_run_in_order_and_do_not_block_other_keys() {
+fn a_thousand_requests_queued_for_one_key_do_not_block_other_keys() {
     let mut driver = with_queued_requests(QUEUED);
     let event = keyed(&driver, QUEUED + 1, 6);
     let other = forwards(&driver.event(&event));
@@ -36,7 +36,7 @@
         vec![QUEUED + 1],
         "a request of another key is forwarded at once"
     );
-    // One control tick rejects all queued requests past their queue time; the one in flight stays.
+    // One control tick rejects all requests that were queued for too long. The request in flight is unaffected.
     driver.now += 5.0;
     let rejected = final_answers(&driver.control_tick());
     assert_eq!(rejected.len() as u64, QUEUED);
--- a/tests/outliers.rs
+++ b/tests/outliers.rs
@@ -89,7 +89,7 @@
     assert!(forwarded_to(&driver.arrive(50, INTERACTIVE)).is_some());
 }
 
-/// Engines of a cached endpoint list may be gone, so that each gets few attempts until it has answered.
+/// Engines of a cached endpoint list may no longer exist, so each gets few attempts until it has answered.
 #[test]
 fn engines_of_a_cached_list_get_few_attempts_until_they_answer() {
     let mut driver = Driver::new(settings(), vec![]);
@@ -100,7 +100,7 @@
 /// An engine that rejects attempts at once has the fewest threads in flight, and would be selected for all
 /// requests.
 #[test]
-fn an_engine_that_rejects_is_paused() {
+fn an_engine_that_rejects_attempts_is_backed_off() {
     let mut driver = Driver::new(settings(), vec![engine(1), engine(2)]);
     driver.serve_interactive(100, 40, 0.2);
     let (rejecting, _) = forwarded_to(&driver.arrive(1, INTERACTIVE)).unwrap();
@@ -117,7 +117,7 @@
     );
 }
 
-/// An engine that fails fast has the fewest threads in flight. The second error that other engines disprove
+/// An engine that fails fast has the fewest threads in flight. Two errors for requests that other engines serve
 /// must eject it.
 #[test]
 fn an_engine_is_ejected_after_two_errors() {
@@ -137,7 +137,7 @@
     assert!(failed <= 2, "{failed} errors from one engine");
 }
 
-/// A request that fails on every engine is at fault itself. It is retried once and ejects no engine.
+/// A request that fails on every engine is itself the cause. It is retried once and ejects no engine.
 #[test]
 fn a_request_that_fails_on_all_engines_ejects_none() {
     let mut driver = Driver::new(settings(), vec![engine(1), engine(2), engine(3)]);
@@ -152,10 +152,10 @@
     }
     let used: Vec<u32> =
         (30..36).map(|id| forwarded_to(&driver.arrive(id, INTERACTIVE)).unwrap().0).collect();
-    assert!((1..=3).all(|e| used.contains(&e)), "engines in use: {used:?}");
+    assert!((1..=3).all(|e| used.contains(&e)), "selected engines: {used:?}");
 }
 
-/// An error is the engine's fault if another engine serves the request.
+/// An error counts against the engine if another engine serves the request.
 #[test]
 fn an_engine_that_fails_requests_served_elsewhere_is_ejected() {
     let mut driver = Driver::new(settings(), vec![engine(1), engine(2)]);
@@ -177,7 +177,7 @@
 
 /// The state of removed engines must not accumulate. It is dropped when no attempt is in flight there.
 #[test]
-fn removed_engines_are_forgotten() {
+fn the_state_of_removed_engines_is_dropped() {
     let mut driver = Driver::new(settings(), vec![engine(1)]);
     forwarded_to(&driver.arrive(1, INTERACTIVE)).unwrap();
     for id in 2..50 {
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -14,7 +14,7 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// Milliseconds.
+    /// Advances the clock by this number of milliseconds.
     Wait(u16),
     Arrive {
         class: usize,
@@ -101,7 +101,7 @@
             &mut actions,
         );
         let listed = engines.keys().copied().collect();
-        // The empty list from `Driver::new` has set the timer of the control tick.
+        // A first control tick that the workload manager has not requested.
         let timers = vec![(driver.now + 0.1, 0)];
         Self {
             driver,
@@ -196,8 +196,8 @@
                     );
                 }
             }
-            if let Some((until, by)) = self.cooldowns.get(&key) {
-                assert!(*by == id || now >= *until - 1e-9, "forwarded during the cooldown of the key");
+            if let Some((until, caused_by)) = self.cooldowns.get(&key) {
+                assert!(*caused_by == id || now >= *until - 1e-9, "forwarded during the cooldown of the key");
             }
         }
         if !r.attempts.is_empty() {
@@ -218,11 +218,11 @@
             let since = now - self.settings.rules.collapse_window;
             let work: f64 = sent.iter().filter(|(t, _)| *t > since).map(|(_, w)| w).sum();
             let age = ((now - started) / self.settings.rules.slow_start_duration).clamp(0.0, 1.0);
-            let warmth = self.settings.rules.slow_start_min_ratio
+            let warm_up = self.settings.rules.slow_start_min_ratio
                 + (1.0 - self.settings.rules.slow_start_min_ratio) * age;
-            let most =
-                self.settings.rules.collapse_load_ratio * warmth * 8.0 * self.settings.rules.collapse_window;
-            assert!(2.0 * work <= most, "a warming engine is overloaded");
+            let max_work =
+                self.settings.rules.collapse_load_ratio * warm_up * 8.0 * self.settings.rules.collapse_window;
+            assert!(2.0 * work <= max_work, "a warming engine is overloaded");
         }
         self.in_flight.push((id, r.attempts.len() as u32, engine, now));
         self.requests.get_mut(&id).unwrap().attempts.push((engine, now, None));
@@ -336,10 +336,10 @@
                 self.deliver(&Event::EndpointList { mode, entries });
             }
             Step::Abort(index) => {
-                let live: Vec<u64> =
+                let open: Vec<u64> =
                     self.requests.iter().filter(|(_, r)| !r.done).map(|(id, _)| *id).collect();
-                // An abort may also name a request that has ended.
-                let id = live.get(usize::from(index) % live.len().max(1)).copied().unwrap_or(n);
+                // Without an open request, the abort is for a request that never arrived.
+                let id = open.get(usize::from(index) % open.len().max(1)).copied().unwrap_or(n);
                 if let Some(r) = self.requests.get_mut(&id) {
                     r.done = true;
                 }
--- a/tests/reconfigure.rs
+++ b/tests/reconfigure.rs
@@ -1,4 +1,4 @@
-//! Live reconfiguration: learned state is kept, requests keep the class with which they arrived, and equal
+//! Live reconfiguration: statistics are kept, requests keep the class with which they arrived, and equal
 //! settings change no decision.
 
 mod common;
@@ -98,7 +98,7 @@
     driver.now += 0.05;
     assert!(
         forwards(&driver.control_tick()).is_empty(),
-        "the second request of the key was forwarded beside the first"
+        "the second request of the key was forwarded while the first was in flight"
     );
     let new = ClassId(settings().classes.len());
     let third = Event::RequestArrived(Request { class: new, ..driver.request(3, LOAD) });
--- a/tests/recorded_decisions/scenario.rs
+++ b/tests/recorded_decisions/scenario.rs
@@ -113,7 +113,7 @@
     }
 }
 
-/// Whether one machine type has too few cores for any class to be interactive there.
+/// Whether the smallest machine has too few cores for any class to be interactive.
 fn has_small_machines(stream: usize) -> bool {
     stream % 12 == 4
 }
--- a/tests/recorded_decisions/simulation.rs
+++ b/tests/recorded_decisions/simulation.rs
@@ -79,7 +79,7 @@
     active: ActiveSettings,
     rng: Rng,
     now_us: u64,
-    /// By due time in microseconds and sequence number.
+    /// Events by their time in microseconds and their sequence number.
     event_queue: BTreeMap<(u64, u64), SimEvent>,
     sequence: u64,
     engines: BTreeMap<u32, SimEngine>,
@@ -88,7 +88,7 @@
     in_flight: BTreeMap<(u64, u32), SimAttempt>,
     /// Factor of the request rate.
     demand: f64,
-    /// Load of the engines by other gateways; 1 is full load.
+    /// Load of the engines by other gateways. 1 is full load.
     other_load: f64,
     /// Responses carry no load report, whatever the settings say.
     omits_reports: bool,
@@ -417,7 +417,7 @@
         });
     }
 
-    /// Draws the time in seconds for which a lost attempt may still run; infinite until it is confirmed.
+    /// Draws the time in seconds for which a lost attempt may still run. Infinite until its end is confirmed.
     fn draw_may_run_for(&mut self, outcome: Outcome, key: Option<u64>) -> f64 {
         let Some(key) = key.filter(|_| outcome.may_still_run()) else { return 0.0 };
         let span = self.rng.pick(&[0.0, 0.6, f64::INFINITY]);
@@ -523,7 +523,7 @@
         let id = self.engines.len() as u32;
         let template = self.rng.below(id);
         let started = Some(self.now());
-        // The settings describe two machine types; the third is unknown.
+        // The settings describe two machine types. The third is unknown.
         let kind = MachineTypeId(self.rng.below(3) as usize);
         let state = EndpointState::Ready;
         let old = self.engines[&template].entry.clone();
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,4 +1,4 @@
-//! Rules for every attempt and final answer, each with a test of its own.
+//! Rules for every attempt and final answer, with one test for each rule.
 
 mod common;
 
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn invalid_settings_are_a_typed_error() {
+fn invalid_settings_are_rejected_with_a_typed_error() {
     let none = Settings { classes: vec![], ..settings() };
     assert_eq!(WorkloadManager::new(none, 1).err(), Some(SettingsError::NoClasses));
     assert_eq!(
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn requests_that_are_not_idempotent_are_retried_only_when_proved_not_to_have_run() {
+fn requests_that_are_not_idempotent_are_retried_only_if_known_not_to_have_run() {
     for (outcome, retried) in [
         (Outcome::ConnectFailed, true),
         (Outcome::Rejected, true),
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn keyed_requests_stay_in_their_scope_and_window() {
+fn retries_of_keyed_requests_stay_in_their_scope_and_window() {
     let other_zone = EndpointEntry { zone: ZoneId(1), ..engine(2) };
     for key_scope in [IdempotencyScope::All, IdempotencyScope::Zone] {
         let mut driver = Driver::new(keyed(key_scope), vec![engine(1), other_zone.clone()]);
@@ -127,7 +127,7 @@
     assert_eq!(
         final_answers(&actions),
         vec![(1, true)],
-        "all engines deduplicate by the key, so that a retry by the client is safe"
+        "all engines deduplicate by the key, so a retry by the client is safe"
     );
 }
 
@@ -226,7 +226,7 @@
 }
 
 #[test]
-fn a_key_stays_taken_while_an_attempt_of_a_settled_request_is_in_flight() {
+fn a_key_stays_blocked_while_an_attempt_of_an_aborted_request_is_in_flight() {
     let mut driver = Driver::new(settings(), vec![engine(1), engine(2)]);
     for id in 1..=2 {
         let mut request = driver.request(id, LOAD);
--- a/tests/selection.rs
+++ b/tests/selection.rs
@@ -5,9 +5,9 @@
 use common::*;
 use workload_manager::*;
 
-/// Engines get slower before they crash. An engine with a high relative latency is selected last.
+/// An engine with a high relative latency must be selected last, and be tried again once the value has decayed.
 #[test]
-fn a_slow_engine_is_selected_last_and_retried_later() {
+fn a_slow_engine_is_selected_last_and_tried_again_later() {
     let mut driver = Driver::new(settings(), vec![engine(1), engine(2), engine(3)]);
     driver.serve_interactive(100, 60, 0.2);
     for id in 200..290 {
@@ -31,8 +31,8 @@
     assert!(count_to_slow(&mut driver, 400) > 0, "the slow engine was not selected again");
 }
 
-/// Each of a hundred gateways prefers a few engines, chosen by its seed, or its samples of each engine would
-/// be too rare. It uses other engines after the preferred ones are removed.
+/// Each of a hundred gateways prefers a few engines, chosen by its seed. With requests spread over all engines,
+/// it would have too few samples of each. It uses other engines after the preferred ones are removed.
 #[test]
 fn each_of_many_gateways_prefers_a_few_engines_of_its_own() {
     let mut s = settings();
@@ -81,7 +81,7 @@
     }
 }
 
-/// The age of attempts in flight reveals a slow engine before any attempt there has ended.
+/// The age of attempts in flight indicates a slow engine before any attempt there has ended.
 #[test]
 fn an_engine_whose_attempts_do_not_end_is_selected_last() {
     let mut driver = Driver::new(settings(), (1..=12).map(engine).collect());
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -50,11 +50,11 @@
         let from = 100.0 + f64::from(start) * 0.1;
         let sent: f64 =
             work.iter().filter(|(at, _)| (from..from + window).contains(at)).map(|(_, w)| w).sum();
-        let warmth = 0.3 + 0.7 * (from - 100.0) / 10.0;
+        let warm_up = 0.3 + 0.7 * (from - 100.0) / 10.0;
         // Twice the gateways may exceed the bound by one request of eight seconds.
         let slack = if gateways > 120 { 8.0 } else { 0.0 };
         assert!(
-            sent <= 2.0 * warmth * 8.0 * window + slack,
+            sent <= 2.0 * warm_up * 8.0 * window + slack,
             "{gateways} gateways: {sent} s of work in the window from {from}"
         );
     }
@@ -115,8 +115,8 @@
     }
     // Interactive requests get half of three tenths of the budget, and the gateways that prefer the engine
     // use most of that.
-    let warmth = |from: f64| 0.3 + 0.7 * (from - 108.0) / 10.0;
-    let budget = |from: f64| 2.0 * warmth(from) * 8.0 * 0.85 * window;
+    let warm_up = |from: f64| 0.3 + 0.7 * (from - 108.0) / 10.0;
+    let budget = |from: f64| 2.0 * warm_up(from) * 8.0 * 0.85 * window;
     let share = |from: f64| {
         let sent =
             sent_to_warming.iter().filter(|at| (from..from + window).contains(*at)).count() as f64 * 0.2;
--- a/tests/supervision.rs
+++ b/tests/supervision.rs
@@ -49,8 +49,8 @@
     assert_eq!(cancelled_requests(&driver.event(&report)), vec![1]);
 }
 
-/// Attempts run until the client's deadline. Without cancellation a second attempt would only add load, and
-/// with it supervision goes by progress.
+/// Attempts may run until the client's deadline. Without cancellation a retry would only add load. With
+/// cancellation, supervision acts on progress reports instead.
 #[test]
 fn attempts_have_no_timeout() {
     for s in [settings(), settings_with_cancelling()] {
@@ -119,7 +119,7 @@
 }
 
 /// An interactive attempt that stalls while others succeed on its engine is cancelled and retried. The engine
-/// stays in use.
+/// still gets attempts.
 #[test]
 fn a_stalled_interactive_attempt_is_retried() {
     let mut driver = Driver::new(settings_with_cancelling(), vec![engine(1)]);
@@ -243,7 +243,7 @@
 }
 
 /// A request with too little time for an attempt is rejected at once. A request with half of its class's
-/// deadline left is always forwarded, or nothing would show the end of an overload.
+/// deadline left is always forwarded, because latencies are measured only with attempts.
 #[test]
 fn a_request_without_time_for_an_attempt_is_not_forwarded() {
     let mut driver = Driver::new(settings_with_cancelling(), vec![engine(1), engine(2)]);
@@ -251,17 +251,17 @@
         forwarded_to(&driver.arrive(id, INTERACTIVE)).unwrap();
         driver.attempt_ended(id, 0, 1, Outcome::Success, 0.4);
     }
-    let due_in = |driver: &Driver, id, seconds| Request {
+    let with_deadline_in = |driver: &Driver, id, seconds| Request {
         deadline: driver.now + seconds,
         ..driver.request(id, INTERACTIVE)
     };
-    let late = due_in(&driver, 1, 0.2);
+    let late = with_deadline_in(&driver, 1, 0.2);
     assert!(forwards(&driver.event(&Event::RequestArrived(late))).is_empty());
     assert_eq!(final_answers(&driver.control_tick()).len(), 1, "the request was not rejected at once");
     for id in (2000..2400).step_by(2) {
         forwarded_to(&driver.arrive(id, INTERACTIVE)).unwrap();
         driver.attempt_ended(id, 0, 1, Outcome::Success, 9.0);
     }
-    let half = due_in(&driver, 2, 2.1);
+    let half = with_deadline_in(&driver, 2, 2.1);
     assert!(forwarded_to(&driver.event(&Event::RequestArrived(half))).is_some());
 }
--- a/tests/token_bucket.rs
+++ b/tests/token_bucket.rs
@@ -93,7 +93,7 @@
 fn the_largest_request_waits_while_the_bucket_is_in_debt() {
     let mut s = settings();
     s.gateways = 100;
-    // The bucket refills two thread-seconds per second; the large request needs two seconds of refill.
+    // The bucket refills two thread-seconds per second. The large request needs two seconds of refill.
     s.classes[1].latency_objective = 16.0;
     let mut driver = Driver::new(s, (1..=25).map(engine).collect());
     let sized =
--- a/tests/warming_engines.rs
+++ b/tests/warming_engines.rs
@@ -36,7 +36,7 @@
     warm: u32,
     /// Number of warming engines.
     warming: u32,
-    /// Work of a request of each class in seconds; 0 for a class without requests.
+    /// Work of a request of each class in seconds. 0 for a class without requests.
     work: [f64; 3],
     /// Requests of each class out of ten.
     mix: [u32; 3],
@@ -61,7 +61,7 @@
     f64::from(rng.next_u32()) / f64::from(u32::MAX)
 }
 
-fn rules() -> Settings {
+fn slow_start_settings() -> Settings {
     let mut s = settings();
     s.classes = vec![class(0.6, 1, 3.0), class(2.0, 4, 20.0), class(4.0, 2, 25.0)];
     s.machine_types = vec![MachineType { cores: 16.0, memory_mb: 0.0 }];
@@ -85,7 +85,7 @@
 /// Simulates a scenario. Returns the time and the work of each request sent to each warming engine.
 fn simulate(scenario: &Scenario, seed: u64) -> Vec<Vec<(f64, f64)>> {
     let mut rng = Pcg32::seed_from_u64(seed);
-    let mut s = rules();
+    let mut s = slow_start_settings();
     s.gateways = scenario.gateways;
     let template = Driver::new(s.clone(), vec![]);
     // The request rate exceeds the budget of the warming engines by far.
@@ -116,8 +116,8 @@
             let restarts = match scenario.restarts {
                 Restarts::Never | Restarts::Replacement => false,
                 Restarts::Rolling => {
-                    let turn = n as f64 % 10.0 / 3.0;
-                    since >= turn && since < turn + TICK_SECONDS
+                    let restart_at = n as f64 % 10.0 / 3.0;
+                    since >= restart_at && since < restart_at + TICK_SECONDS
                 }
                 Restarts::Simultaneous => (1.5..1.5 + TICK_SECONDS).contains(&since) && n % 10 < 7,
             };
@@ -212,7 +212,7 @@
 /// The window nearest to a collapse. Returns the requests sent, their budget and the tolerated maximum, each
 /// as a number of requests of mean work.
 fn worst_window(scenario: &Scenario, requests: &[(f64, f64)]) -> (f64, f64, f64) {
-    let s = rules();
+    let s = slow_start_settings();
     let r = &s.rules;
     let mean: f64 = (0..3).map(|c| scenario.work[c] * f64::from(scenario.mix[c]) / 10.0).sum();
     let mut worst = (0.0, 1.0, 1.0);
@@ -222,9 +222,9 @@
             .filter(|(at, _)| (*from..from + r.collapse_window).contains(at))
             .map(|(_, w)| w)
             .sum();
-        let warmth = r.slow_start_min_ratio
+        let warm_up = r.slow_start_min_ratio
             + (1.0 - r.slow_start_min_ratio) * ((from - STARTED_AT) / r.slow_start_duration).clamp(0.0, 1.0);
-        let budget = r.collapse_load_ratio * warmth * 16.0 * 0.85 * r.collapse_window / mean;
+        let budget = r.collapse_load_ratio * warm_up * 16.0 * 0.85 * r.collapse_window / mean;
         let tolerated = budget + 2.0 * budget.sqrt() + 2.0;
         if sent / mean / tolerated > worst.0 / worst.2 {
             worst = (sent / mean, budget, tolerated);
