--- a/gateway/src/core/mod.rs
+++ b/gateway/src/core/mod.rs
@@ -107,7 +107,7 @@
 
     /// Number of engines of the endpoint list that receive no new attempts: draining, ejected, or backing off after a
     /// rejected attempt.
-    pub fn engines_avoided(&self, now_us: u64) -> usize {
+    pub fn engines_excluded(&self, now_us: u64) -> usize {
         self.workload_manager.engines_excluded(seconds(now_us))
     }
 
--- a/gateway/src/net/admin.rs
+++ b/gateway/src/net/admin.rs
@@ -188,7 +188,7 @@
                 let gauges = Gauges {
                     in_flight: self.requests.open.len(),
                     engines_known: self.registry.endpoint_count(),
-                    engines_excluded: self.core.engines_avoided(self.time.now_us),
+                    engines_excluded: self.core.engines_excluded(self.time.now_us),
                 };
                 Ok(self.metrics.text(gauges))
             }
