--- a/src/decisions/explain.rs
+++ b/src/decisions/explain.rs
@@ -32,7 +32,8 @@
     open: u32,
 }
 
-/// Writes the number of engines at which each guard rejects the request, and the inputs of the guards.
+/// Text for a shed request: the numbers of engines by the first guard that rejects it, and the inputs of the
+/// guards.
 struct Explanation<'a> {
     manager: &'a WorkloadManager,
     pending: &'a PendingRequest,
--- a/src/decisions/outcome.rs
+++ b/src/decisions/outcome.rs
@@ -56,7 +56,6 @@
     /// Removes the attempt from all sums and records its outcome.
     pub(super) fn record_outcome(&mut self, now: f64, attempt: &Attempt, end: &AttemptEnd) {
         self.record_time_for_work(now, attempt, end);
-        // The terms are read before the attempt's latency is recorded.
         let terms = self.controller_terms();
         self.remove_from_sums(attempt, end);
         self.record_latency_and_cost(now, attempt, end);
--- a/src/decisions/request_path.rs
+++ b/src/decisions/request_path.rs
@@ -26,7 +26,7 @@
     pub(super) sent_at: f64,
 }
 
-/// A request without its final answer.
+/// A request that has no final answer yet.
 pub(super) struct PendingRequest {
     pub(super) request: Request,
     pub(super) arrived_at: f64,
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -64,7 +64,7 @@
     pub allowed_zones: Option<Vec<ZoneId>>,
     /// Number of threads that a request runs on.
     pub threads: u32,
-    /// Whether requests are loads. A load locks its table group at its engine while it runs.
+    /// Whether requests are loads. A load holds a lock on its table group at its engine while it runs.
     pub is_load: bool,
     /// Whether requests wait while a load holds their table group.
     pub waits_for_loads: bool,
@@ -129,7 +129,8 @@
     pub collapse_load_ratio: f64,
     /// Seconds for which that load must last to make the engine collapse.
     pub collapse_window: f64,
-    /// Seconds for which an order key is held back after an attempt that may still run.
+    /// Seconds for which an order key is held back after the last time at which a lost or cancelled attempt may
+    /// run.
     pub key_cooldown: f64,
     /// Limit on retries. `None`: unlimited.
     pub retry_budget: Option<RetryBudget>,
--- a/tests/reconfigure.rs
+++ b/tests/reconfigure.rs
@@ -13,14 +13,14 @@
 }
 
 /// Retires a class and appends a modified copy of it.
-fn with_changed(of: ClassId, to: impl Fn(&mut Class)) -> SettingsChange {
+fn with_changed(old: ClassId, modify: impl Fn(&mut Class)) -> SettingsChange {
     let mut s = settings();
     let mut origins = vec![UNCHANGED; s.classes.len()];
-    let mut class = s.classes[of.0].clone();
-    to(&mut class);
+    let mut class = s.classes[old.0].clone();
+    modify(&mut class);
     s.classes.push(class);
-    origins[of.0] = ClassOrigin::Retired;
-    origins.push(ClassOrigin::DerivedFrom(of));
+    origins[old.0] = ClassOrigin::Retired;
+    origins.push(ClassOrigin::DerivedFrom(old));
     change(s, &origins)
 }
 
@@ -214,7 +214,7 @@
 }
 
 #[test]
-fn a_larger_share_of_the_engines_is_used_at_once() {
+fn a_larger_share_of_the_engines_is_used_immediately() {
     let sent = |more: bool| {
         let mut driver = Driver::new(Settings { gateways: 8, ..single_thread_loads() }, vec![engine(1)]);
         if more {
