--- a/src/action.rs
+++ b/src/action.rs
@@ -21,7 +21,8 @@
         request: RequestId,
         /// Engine that receives the attempt.
         engine: EngineId,
-        /// Seconds after which the attempt times out. `None`: the attempt may run until the client's deadline.
+        /// Seconds after which the attempt times out. `None`: the attempt may run until the client's
+        /// deadline.
         timeout: Option<f64>,
     },
     /// Cancels an attempt. Its end is reported by [`Event::AttemptEnded`](crate::Event::AttemptEnded), as for
--- a/src/decisions/admission.rs
+++ b/src/decisions/admission.rs
@@ -139,8 +139,8 @@
             }
             EngineGuard::ConcurrencyLimit if interactive => manager.is_not_overloaded(engine),
             EngineGuard::ConcurrencyLimit => self.is_within_limit(engine),
-            // An estimate from the time for work is not used here. If it stopped background work, there would be
-            // no sample to lower it.
+            // An estimate from the time for work is not used here. If it stopped background work, there would
+            // be no sample to lower it.
             EngineGuard::Utilization => {
                 interactive
                     || !manager.load.has_reports
--- a/src/decisions/class_profile.rs
+++ b/src/decisions/class_profile.rs
@@ -19,7 +19,8 @@
 pub(super) struct TimeForWork {
     /// Moving average. 0 before the first sample.
     pub(super) mean_ratio: f64,
-    /// Lowest value of the moving average, which rises slowly. It starts at 1 if engines send no load reports.
+    /// Lowest value of the moving average, which rises slowly. It starts at 1 if engines send no load
+    /// reports.
     pub(super) lowest_ratio: f64,
 }
 
--- a/src/decisions/concurrency_limit.rs
+++ b/src/decisions/concurrency_limit.rs
@@ -65,8 +65,8 @@
         }
     }
 
-    /// Applies new terms or a new number of cores. Limit and ceiling keep their ratio to this gateway's share of
-    /// the cores.
+    /// Applies new terms or a new number of cores. Limit and ceiling keep their ratio to this gateway's share
+    /// of the cores.
     pub(super) fn rescale(&mut self, cores: f64, old: &ControllerTerms, new: &ControllerTerms) {
         let ratio = cores * new.initial_threads_per_core / self.share_cores;
         self.error_integral_seconds *= ratio * (old.gain_per_core * self.cores) / (new.gain_per_core * cores);
--- a/src/decisions/outlier.rs
+++ b/src/decisions/outlier.rs
@@ -121,7 +121,8 @@
                 self.record_rejection(now);
                 None
             }
-            // A load of the same tables may have delayed the attempt. Supervision detects an engine that hangs.
+            // A load of the same tables may have delayed the attempt. Supervision detects an engine that
+            // hangs.
             Outcome::TimedOut | Outcome::Cancelled | Outcome::NeverSent => None,
         }
     }
--- a/src/decisions/request_path.rs
+++ b/src/decisions/request_path.rs
@@ -57,7 +57,8 @@
         self.arrivals += 1;
         self.retry_history.record_request(now);
         self.key_queues.enqueue(request);
-        // Ensures a final answer by the deadline, independent of attempts, the endpoint list and other timers.
+        // Ensures a final answer by the deadline, independent of attempts, the endpoint list and other
+        // timers.
         let delay = (request.deadline - self.settings.clock_resolution - now).max(0.0);
         let token = super::deadline_token(request.id);
         actions.push(Action::SetTimer { delay, token, request: Some(request.id) });
--- a/src/decisions/retry.rs
+++ b/src/decisions/retry.rs
@@ -26,8 +26,8 @@
         self.retries.push_back(now);
     }
 
-    /// Whether the budget allows a retry now. For retries the window is longer by the clock resolution, so that
-    /// a retry at its edge still counts.
+    /// Whether the budget allows a retry now. For retries the window is longer by the clock resolution, so
+    /// that a retry at its edge still counts.
     fn allows_retry(&self, now: f64, budget: &RetryBudget, clock_resolution: f64) -> bool {
         let since = |times: &VecDeque<f64>, from: f64| times.iter().filter(|at| **at > from).count() as f64;
         let window_start = now - budget.window;
--- a/src/decisions/slow_start.rs
+++ b/src/decisions/slow_start.rs
@@ -63,7 +63,8 @@
     }
 }
 
-/// Ratio of an engine's memory that background work may use. In slow start it is reduced like the budget for work.
+/// Ratio of an engine's memory that background work may use. In slow start it is reduced like the budget for
+/// work.
 pub(super) fn usable_memory_ratio(warm_up_ratio: f64, rules: &Rules) -> f64 {
     let budget_ratio = (WORK_TYPE_RATIO * USED_BUDGET_RATIO * rules.collapse_load_ratio).min(1.0);
     if warm_up_ratio < 1.0 { budget_ratio * warm_up_ratio } else { 1.0 }
@@ -105,8 +106,8 @@
         spent + work <= budget + work * self.rounding_ratio(now, window_seconds)
     }
 
-    /// Random fraction of a request by which this gateway may exceed its budget, drawn for each window. Of the
-    /// gateways whose share is less than a request, some send one request and others none.
+    /// Random fraction of a request by which this gateway may exceed its budget, drawn for each window. Of
+    /// the gateways whose share is less than a request, some send one request and others none.
     fn rounding_ratio(&self, now: f64, window_seconds: f64) -> f64 {
         let age = now - self.entry.started_at.unwrap_or(now);
         let window = (age.max(0.0) / window_seconds + unit_interval(self.rank)) as u64;
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -129,8 +129,8 @@
     pub collapse_load_ratio: f64,
     /// Seconds for which that load must last to make the engine collapse.
     pub collapse_window: f64,
-    /// Seconds for which an order key is held back after the last time at which a lost or cancelled attempt may
-    /// run.
+    /// Seconds for which an order key is held back after the last time at which a lost or cancelled attempt
+    /// may run.
     pub key_cooldown: f64,
     /// Limit on retries. `None`: unlimited.
     pub retry_budget: Option<RetryBudget>,
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -72,8 +72,8 @@
     }
 }
 
-/// Settings as in [`settings`], but with idempotent, unordered loads of one thread. The number of loads admitted
-/// at once is the concurrency limit.
+/// Settings as in [`settings`], but with idempotent, unordered loads of one thread. The number of loads
+/// admitted at once is the concurrency limit.
 pub fn single_thread_loads() -> Settings {
     let mut s = settings();
     s.classes[2] = Class { is_load: true, ..class(3.0, 1, 30.0) };
--- a/tests/concurrency_limit.rs
+++ b/tests/concurrency_limit.rs
@@ -216,8 +216,8 @@
     assert!(admitted(2.0, 19) < admitted(0.5, 19));
 }
 
-/// Background work may fill an engine without slowing down short interactive requests. Without load reports in
-/// responses, the estimated utilization must lower the limit instead.
+/// Background work may fill an engine without slowing down short interactive requests. Without load reports
+/// in responses, the estimated utilization must lower the limit instead.
 #[test]
 fn the_limit_falls_when_the_engine_reports_high_utilization() {
     let admitted = |reports: LoadReportSource, busy: f64| {
--- a/tests/explain.rs
+++ b/tests/explain.rs
@@ -1,5 +1,5 @@
-//! Debug log lines that operators and the lab search for: the rule by which a request is shed, the guards that
-//! kept it from engines, and the ejection and recovery of an engine.
+//! Debug log lines that operators and the lab search for: the rule by which a request is shed, the guards
+//! that kept it from engines, and the ejection and recovery of an engine.
 
 mod common;
 
--- a/tests/order_by_key.rs
+++ b/tests/order_by_key.rs
@@ -36,7 +36,8 @@
         vec![QUEUED + 1],
         "a request of another key is forwarded at once"
     );
-    // One control tick rejects all requests that were queued for too long. The request in flight is unaffected.
+    // One control tick rejects all requests that were queued for too long. The request in flight is
+    // unaffected.
     driver.now += 5.0;
     let rejected = final_answers(&driver.control_tick());
     assert_eq!(rejected.len() as u64, QUEUED);
--- a/tests/outliers.rs
+++ b/tests/outliers.rs
@@ -117,8 +117,8 @@
     );
 }
 
-/// An engine that fails fast has the fewest threads in flight. Two errors for requests that other engines serve
-/// must eject it.
+/// An engine that fails fast has the fewest threads in flight. Two errors for requests that other engines
+/// serve must eject it.
 #[test]
 fn an_engine_is_ejected_after_two_errors() {
     let mut driver = Driver::new(settings(), vec![engine(1), engine(2), engine(3)]);
--- a/tests/selection.rs
+++ b/tests/selection.rs
@@ -5,7 +5,8 @@
 use common::*;
 use workload_manager::*;
 
-/// An engine with a high relative latency must be selected last, and be tried again once the value has decayed.
+/// An engine with a high relative latency must be selected last, and be tried again once the value has
+/// decayed.
 #[test]
 fn a_slow_engine_is_selected_last_and_tried_again_later() {
     let mut driver = Driver::new(settings(), vec![engine(1), engine(2), engine(3)]);
@@ -31,8 +32,9 @@
     assert!(count_to_slow(&mut driver, 400) > 0, "the slow engine was not selected again");
 }
 
-/// Each of a hundred gateways prefers a few engines, chosen by its seed. With requests spread over all engines,
-/// it would have too few samples of each. It uses other engines after the preferred ones are removed.
+/// Each of a hundred gateways prefers a few engines, chosen by its seed. With requests spread over all
+/// engines, it would have too few samples of each. It uses other engines after the preferred ones are
+/// removed.
 #[test]
 fn each_of_many_gateways_prefers_a_few_engines_of_its_own() {
     let mut s = settings();
