--- a/adapter/src/error.rs
+++ b/adapter/src/error.rs
@@ -8,7 +8,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum HostError {
     /// The line is not a batch of events in JSON.
-    #[error("not a batch of the wire: {0}")]
+    #[error("not a batch of events: {0}")]
     InvalidBatch(#[from] serde_json::Error),
     /// The event is for an instance that is not running.
     #[error("event {event}: no gateway {who} has been started")]
--- a/adapter/tests/wire.rs
+++ b/adapter/tests/wire.rs
@@ -188,7 +188,7 @@
     let no_classes =
         batch(10.0, vec![json!({"hello": {"who": "r/0", "salt": 1, "env": {"classes": []}}})]).to_string();
     for (line, expected) in [
-        ("{".to_owned(), "not a batch of the wire"),
+        ("{".to_owned(), "not a batch of events"),
         (r#"{"now-s":1,"in":[{"surprise":{}}]}"#.to_owned(), "unknown variant `surprise`"),
         (batch(11.0, vec![item("r/9", 1, "look")]).to_string(), "no gateway r/9 has been started"),
         (batch(11.0, vec![item("r/0", 1, "odd")]).to_string(), "unknown class odd"),
--- a/src/decisions/request_path.rs
+++ b/src/decisions/request_path.rs
@@ -41,7 +41,7 @@
     /// Engine that last answered the request with an error.
     pub(super) error_from: Option<EngineId>,
     /// First attempt that may have run.
-    pub(super) may_have_run: Option<EarlierAttempt>,
+    pub(super) first_possible_run: Option<EarlierAttempt>,
 }
 
 impl PendingRequest {
@@ -70,7 +70,7 @@
             attempts: 0,
             cancelled_as_slow: false,
             error_from: None,
-            may_have_run: None,
+            first_possible_run: None,
         };
         self.queue.insert(pending.queue_index, request.id);
         self.requests.insert(request.id, pending);
@@ -183,7 +183,7 @@
         let Some(pending) = self.requests.get_mut(&id) else { return };
         if outcome.effect_is_unknown() {
             let this = EarlierAttempt { engine: attempt.engine, sent_at: attempt.sent_at };
-            pending.may_have_run.get_or_insert(this);
+            pending.first_possible_run.get_or_insert(this);
         }
         self.queue.insert(pending.queue_index, id);
         if !self.allows_another_attempt(&self.requests[&id], now) {
--- a/src/decisions/retry.rs
+++ b/src/decisions/retry.rs
@@ -50,7 +50,7 @@
     pub(super) fn allows_another_attempt(&self, pending: &PendingRequest, now: f64) -> bool {
         let max_attempts = self.settings.capabilities.max_attempts;
         let idempotency = self.settings.classes[pending.request.class.0].idempotency;
-        let repeatable = match (idempotency, pending.may_have_run) {
+        let repeatable = match (idempotency, pending.first_possible_run) {
             (_, None) | (Idempotency::Idempotent, _) => true,
             (Idempotency::NotIdempotent, Some(_)) => false,
             (Idempotency::Keyed { window, .. }, Some(first)) => {
@@ -73,7 +73,7 @@
 
     /// Whether the engine deduplicates a retry of an attempt that may have run, if the class relies on that.
     fn engine_deduplicates(&self, pending: &PendingRequest, entry: &EndpointEntry) -> bool {
-        let Some(first) = pending.may_have_run else { return true };
+        let Some(first) = pending.first_possible_run else { return true };
         let first = self.engines.get(&first.engine).map(|engine| &engine.entry);
         match self.settings.classes[pending.request.class.0].idempotency {
             Idempotency::Keyed { scope: IdempotencyScope::Zone, .. } => {
--- a/src/decisions/shedding.rs
+++ b/src/decisions/shedding.rs
@@ -74,7 +74,8 @@
     /// or else a failure. With `retry_after` set, a rejection has a Retry-After if clients respect it.
     pub(super) fn give_up(&mut self, id: RequestId, retry_after: bool, actions: &mut Vec<Action>) {
         let Some(pending) = self.requests.get(&id) else { return };
-        let may_have_run = !self.queue.contains_key(&pending.queue_index) || pending.may_have_run.is_some();
+        let may_have_run =
+            !self.queue.contains_key(&pending.queue_index) || pending.first_possible_run.is_some();
         let idempotency = self.settings.classes[pending.request.class.0].idempotency;
         if idempotency.client_may_retry(may_have_run) {
             let seconds = self.draw_retry_after_seconds();
