--- a/gateway/tests/common/manual.rs
+++ b/gateway/tests/common/manual.rs
@@ -1,49 +1,49 @@
-//! Engines whose queries end when a test says so, whatever connection the calls come over.
+//! Engines whose responses to new queries and cancellations are sent by the test, on any connection.
 
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::thread;
 use std::time::Duration;
 
-use super::script::{PATIENCE, Peer, Wire, row};
+use super::scripted::{Connection, Peer, TIMEOUT, row_response};
 
-/// How long an engine takes to say that a query goes on.
-const NEWS: Duration = Duration::from_millis(100);
+/// Delay of the response to a poll of a running query.
+const POLL_DELAY: Duration = Duration::from_millis(100);
 
-/// A call that starts a query or gives one up, and awaits its answer.
-pub struct Pending {
-    pub verb: String,
+/// A received request that starts or cancels a query, and has no response yet.
+pub struct PendingCall {
+    pub method: String,
     pub query_id: String,
-    wire: Wire,
-    calls: Sender<Pending>,
+    connection: Connection,
+    calls: Sender<PendingCall>,
 }
 
-impl Pending {
-    /// The end of the query: one row with its own id.
-    pub fn row(self) {
-        let text = row(&self.query_id);
-        self.answer(&text);
+impl PendingCall {
+    /// Finishes the query with one row that holds the query id.
+    pub fn finish(self) {
+        let text = row_response(&self.query_id);
+        self.respond(&text);
     }
 
-    /// The query was given up.
-    pub fn given_up(self) {
-        self.answer("HTTP/1.1 204 No Content\r\n\r\n");
+    /// Acknowledges the cancellation.
+    pub fn acknowledge_cancel(self) {
+        self.respond("HTTP/1.1 204 No Content\r\n\r\n");
     }
 
-    fn answer(mut self, text: &str) {
-        if self.wire.try_say(text) {
-            read(self.wire, self.calls);
+    fn respond(mut self, text: &str) {
+        if self.connection.try_send(text) {
+            read_calls(self.connection, self.calls);
         }
     }
 }
 
-/// Engines of one test, and the calls that they got.
-pub struct Engines {
-    calls: Receiver<Pending>,
-    /// Their entries in the list.
+/// Engines of a test, and the requests that they have received.
+pub struct ManualEngines {
+    calls: Receiver<PendingCall>,
+    /// JSON entries of the engines in the endpoint list.
     pub entries: String,
 }
 
-impl Engines {
+impl ManualEngines {
     pub fn start(names: &[&str]) -> Self {
         let (sender, calls) = channel();
         let peers: Vec<Peer> = names.iter().map(|name| Peer::new(name)).collect();
@@ -52,44 +52,44 @@
             let sender = sender.clone();
             thread::spawn(move || {
                 loop {
-                    read(peer.accept(), sender.clone());
+                    read_calls(peer.accept(), sender.clone());
                 }
             });
         }
         Self { calls, entries: entries.join(",") }
     }
 
-    /// The next call that starts a query or gives one up.
-    pub fn next(&self) -> Pending {
-        self.calls.recv_timeout(PATIENCE).expect("a call")
+    /// Waits for the next request that starts or cancels a query.
+    pub fn next_call(&self) -> PendingCall {
+        self.calls.recv_timeout(TIMEOUT).expect("no engine has received a request")
     }
 
-    /// The next call, which must start this query.
-    pub fn next_start(&self, query_id: &str) -> Pending {
-        let call = self.next();
-        assert_eq!((call.verb.as_str(), call.query_id.as_str()), ("POST", query_id));
+    /// Waits for the next request, which must start this query.
+    pub fn next_start(&self, query_id: &str) -> PendingCall {
+        let call = self.next_call();
+        assert_eq!((call.method.as_str(), call.query_id.as_str()), ("POST", query_id));
         call
     }
 }
 
-/// Reads a connection in a thread of its own up to a call that the test answers. Calls for news are answered here:
-/// the query goes on.
-fn read(mut wire: Wire, calls: Sender<Pending>) {
+/// Reads a connection in a thread until a request that the test must respond to. Responds to polls itself that the
+/// query is running.
+fn read_calls(mut connection: Connection, calls: Sender<PendingCall>) {
     thread::spawn(move || {
-        while let Some(call) = wire.next_call() {
-            if call.verb == "GET" {
-                thread::sleep(NEWS);
-                if !wire.try_say("HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n") {
+        while let Some(call) = connection.next_call() {
+            if call.method == "GET" {
+                thread::sleep(POLL_DELAY);
+                if !connection.try_send("HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n") {
                     return;
                 }
                 continue;
             }
-            let query_id = match call.verb.as_str() {
+            let query_id = match call.method.as_str() {
                 "POST" => call.query_id().to_owned(),
                 _ => call.path.rsplit('/').next().unwrap_or_default().to_owned(),
             };
-            let pending = Pending { verb: call.verb, query_id, wire, calls: calls.clone() };
-            // The test may be over.
+            let pending = PendingCall { method: call.method, query_id, connection, calls: calls.clone() };
+            // Sending to the test fails only if the test has ended.
             let _ = calls.send(pending);
             return;
         }
--- a/gateway/tests/common/mod.rs
+++ b/gateway/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! Simulated engines, discovery services and clients, written from the public protocols alone, and the gateway's program.
-//! Everything is on loopback, with ports that the system chooses.
-// Each test program uses a part of it.
+//! Support for tests of the gateway program: simulated engines, discovery services, control plane servers and
+//! clients, implemented from the public protocols. All sockets are on loopback, with ports chosen by the system.
+// Each test program uses only some of the items.
 #![allow(dead_code, missing_docs, unused_imports)]
 
 pub mod control;
@@ -12,8 +12,8 @@
 pub mod mysql;
 pub mod pg;
 pub mod requests;
-pub mod script;
+pub mod scripted;
 
 pub use discovery::DiscoveryService;
-pub use engine::{Engine, Host, ResponseFault, Seen};
-pub use gateway::{Gateway, Starting, figure};
+pub use engine::{Engine, EngineState, Recorder, ResponseFault};
+pub use gateway::{Gateway, WaitingGateway, last_counter};
--- a/gateway/tests/common/mysql.rs
+++ b/gateway/tests/common/mysql.rs
@@ -1,4 +1,4 @@
-//! A MySQL client and an engine that speaks MySQL, both as plain as the protocol allows.
+//! A minimal MySQL client, and the MySQL protocol of the simulated engines.
 
 use std::collections::HashMap;
 use std::io::{Read, Write};
@@ -7,7 +7,7 @@
 
 use sha1::{Digest, Sha1};
 
-use super::Host;
+use super::EngineState;
 
 const CAPS: u32 = 0x1 | 0x4 | 0x200 | 0x2000 | 0x8000 | 0x8_0000 | 0x100_0000 | 0x800_0000;
 
@@ -40,7 +40,7 @@
     bytes
 }
 
-/// An answer: rows of text, a count, or an error's number, state and text.
+/// An answer: text rows, an OK packet, or the number, SQLSTATE and text of an error.
 #[derive(Debug, PartialEq)]
 pub enum Answer {
     Rows(Vec<String>),
@@ -112,7 +112,7 @@
         self.answer(false)
     }
 
-    /// Prepares; the handle and the number of parameters.
+    /// Prepares a statement. Returns its handle and number of parameters.
     pub fn prepare(&mut self, text: &str) -> Result<(u32, u16), Answer> {
         self.command(0x16, text.as_bytes());
         let (_, p) = read_packet(&mut self.stream).unwrap();
@@ -159,7 +159,7 @@
             if p[0] == 0xfe {
                 return Answer::Rows(rows);
             }
-            // One column: behind the binary header and its null bits, or at once.
+            // The rows have one column. In the binary protocol, the value follows the header and the null bitmap.
             let cell = if binary { &p[2..] } else { &p[..] };
             rows.push(String::from_utf8(cell[1..=cell[0] as usize].to_vec()).unwrap());
         }
@@ -171,12 +171,12 @@
     Answer::Error(u16::from_le_bytes([p[1], p[2]]), text(&p[4..9]), text(&p[9..]))
 }
 
-/// The engine: every statement gives the engine's name, its parameters, and whether it ran prepared. A
-/// statement with `nonsense` in it is a syntax error, one with `fail` fails.
-pub fn serve(mut stream: TcpStream, host: Host) {
+/// Serves a connection of an engine. The rows of a statement are the engine name and the parameters. A statement that
+/// contains `nonsense` has a syntax error, and a statement that contains `fail` fails.
+pub fn serve(mut stream: TcpStream, state: EngineState) {
     let scramble = *b"abcdefghijklmnopqrst";
     let mut g = b"\x0a8.0.0\0".to_vec();
-    g.extend(host.seen.connection().to_le_bytes());
+    g.extend(state.recorder.next_connection_id().to_le_bytes());
     g.extend(&scramble[..8]);
     g.push(0);
     g.extend((CAPS as u16).to_le_bytes());
@@ -200,7 +200,7 @@
             0x03 => {
                 let (values, rest) = values(&p[3..], p[1] as usize);
                 let sql = String::from_utf8(rest.to_vec()).unwrap();
-                run(&mut stream, &host, &sql, &values, 0);
+                run(&mut stream, &state, &sql, &values, 0);
             }
             0x16 => {
                 let sql = String::from_utf8(p[1..].to_vec()).unwrap();
@@ -221,13 +221,13 @@
                 let id = u32::from_le_bytes([p[1], p[2], p[3], p[4]]);
                 let (values, _) = values(&p[11..], p[10] as usize);
                 match statements.get(&id) {
-                    Some(sql) => run(&mut stream, &host, &sql.clone(), &values, 1),
+                    Some(sql) => run(&mut stream, &state, &sql.clone(), &values, 1),
                     None => drop(write_packet(&mut stream, 1, b"\xff\xdb\x04#HY000Unknown statement")),
                 }
             }
             _ => drop(write_packet(&mut stream, 1, &[0, 0, 0, 2, 0, 0, 0])),
         }
-        if host.dead.load(std::sync::atomic::Ordering::SeqCst) {
+        if state.is_killed.load(std::sync::atomic::Ordering::SeqCst) {
             return;
         }
     }
@@ -242,7 +242,7 @@
     c
 }
 
-/// Text parameters with their names, and what follows them.
+/// Parses text parameters. Returns their names and values, and the rest of the packet.
 fn values(p: &[u8], count: usize) -> (Vec<(String, String)>, &[u8]) {
     if count == 0 {
         return (Vec::new(), p);
@@ -263,15 +263,15 @@
     (values, &p[at..])
 }
 
-fn run(stream: &mut TcpStream, host: &Host, sql: &str, values: &[(String, String)], binary: usize) {
+fn run(stream: &mut TcpStream, state: &EngineState, sql: &str, values: &[(String, String)], binary: usize) {
     if let Some(connection) = sql.strip_prefix("KILL ") {
-        host.seen.killed(connection.parse().unwrap());
+        state.recorder.record_kill(connection.parse().unwrap());
         write_packet(stream, 1, &[0, 0, 0, 2, 0, 0, 0]);
         return;
     }
     let query_id = values.iter().find(|(n, _)| n == "i").map_or("", |(_, v)| v);
-    host.seen.ran(&host.name, query_id);
-    if !host.work() {
+    state.recorder.record_query(&state.name, query_id);
+    if !state.run_query() {
         return;
     }
     if sql.contains("nonsense") {
@@ -289,7 +289,7 @@
     let given: Vec<&str> = values.iter().filter(|(n, _)| n.is_empty()).map(|(_, v)| v.as_str()).collect();
     write_packet(stream, 1, &[1]);
     write_packet(stream, 2, &column());
-    for (n, text) in [host.name.as_str(), &given.join(",")].into_iter().enumerate() {
+    for (n, text) in [state.name.as_str(), &given.join(",")].into_iter().enumerate() {
         let mut row = [&[0u8, 0][..], &short(text)].concat();
         write_packet(stream, 3 + n as u8, &row.split_off(2 - 2 * binary));
     }
--- a/lab/src/hollow/compare.rs
+++ b/lab/src/hollow/compare.rs
@@ -1,5 +1,5 @@
-//! `wrenhatch-lab hollow compare`: the same small fleet with real processes, with hollow gateways and in simulated
-//! time. No hollow figure counts while the counts differ.
+//! `wrenhatch-lab hollow compare`: runs one small fleet with real processes, with hollow gateways and in simulated
+//! time. Figures of hollow runs are valid only if all three have equal counts.
 
 use std::path::{Path, PathBuf};
 
@@ -15,122 +15,130 @@
 use super::list::{Database, DatabaseState};
 use super::model::Model;
 use super::options::{BoundOptions, SizeOptions};
-use super::sockets::gateways::{Manner, Programs};
+use super::sockets::gateways::{GatewayMode, Programs};
 use super::sockets::print;
-use super::sockets::run::{self, AWAY, Phase, Plan, RETURN_MS, RunFigures, SILENCE};
+use super::sockets::run::{self, COMMENT_PAUSE, CONTROL_DOWNTIME, Phase, Plan, RESTART_MS, RunFigures};
 
 /// A second, in microseconds.
 const SECOND_US: u64 = 1_000_000;
-/// Phases in simulated time begin at this second: all gateways have started by then.
+/// Second of simulated time at which the first phase begins. All gateways have started by then.
 const FIRST_PHASE_S: u64 = 20;
 
-/// What to compare.
+/// Options of `hollow compare`.
 #[derive(Args)]
 pub struct Options {
-    /// Gateways.
+    /// Number of gateways.
     #[arg(long, default_value_t = 20)]
     gateways: usize,
-    /// Databases.
+    /// Number of databases.
     #[arg(long, default_value_t = 60)]
     databases: usize,
-    /// Control machines.
+    /// Number of control machines.
     #[arg(long, default_value_t = 2)]
     control: usize,
     #[command(flatten)]
     bounds: BoundOptions,
-    /// Seed of the gateways.
+    /// Seed from which the seeds of the gateways derive.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// The file of figures that the comparison is to stand beside.
+    /// Figure file; the comparison is written to the same folder.
     #[arg(long)]
     json: Option<PathBuf>,
 }
 
-/// Counts of a run that don't depend on chance.
+/// Counts of a run that do not depend on random numbers.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq, Serialize)]
 pub struct Counts {
-    /// Calls for the list, less those that follow a stream which control has ended: chance decides where those were.
+    /// List requests, less one for each stream that control ended. The number of those depends on the random
+    /// assignment of gateways to control machines.
     pub list_calls: u64,
-    /// List events taken in by gateways.
+    /// List events applied by gateways.
     pub list_events: u64,
-    /// Bytes of list events.
+    /// Bytes of list events written by control machines.
     pub event_bytes: u64,
-    /// Connections to databases.
+    /// Connections opened to databases.
     pub engine_connects: u64,
 }
 
-/// A run and its counts.
+/// Results of one of the compared runs.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Side {
-    /// Its counts.
+pub struct RunResult {
+    /// Counts that must be equal in all runs.
     pub counts: Counts,
-    /// What it cost; nothing in simulated time.
+    /// Processor time and memory; `None` for the simulation.
     pub run: Option<RunFigures>,
 }
 
-/// The three runs.
+/// Results of the three runs.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Comparison {
-    /// Gateways.
+    /// Number of gateways.
     pub gateways: usize,
-    /// Databases.
+    /// Number of databases.
     pub databases: usize,
-    /// Control machines.
+    /// Number of control machines.
     pub control: usize,
-    /// The command that gives it.
+    /// Command that reproduces the comparison.
     pub command: String,
-    /// Each gateway a process.
-    pub real: Side,
-    /// Gateways on threads of one process.
-    pub hollow: Side,
-    /// The control-side code in simulated time.
-    pub simulated: Side,
-    /// Processor time of a hollow gateway over that of a real one, at the start. A real one's program is started too.
+    /// Run with a process for each gateway.
+    pub real: RunResult,
+    /// Run with all gateways on threads of one process.
+    pub hollow: RunResult,
+    /// Simulation with the gateway's control-side code.
+    pub simulated: RunResult,
+    /// Ratio of processor time, hollow to real gateway, at the start. The time of a real gateway includes process
+    /// startup.
     pub processor_ratio_start: f64,
-    /// The same over all phases behind the start that kept to their schedule.
+    /// Ratio of processor time, hollow to real gateway, over all later phases that are usable in both runs.
     pub processor_ratio: f64,
-    /// Memory of a hollow gateway over that of a real one.
+    /// Ratio of anonymous memory, hollow to real gateway.
     pub memory_ratio: f64,
 }
 
 impl Comparison {
-    /// Whether all three have the same counts.
+    /// Returns whether all three runs have equal counts.
     pub fn has_same_counts(&self) -> bool {
         self.real.counts == self.hollow.counts && self.real.counts == self.simulated.counts
     }
 }
 
-/// Whether the comparison in this file found the same counts; no file, no.
+/// Returns whether the comparison in this file has equal counts. A missing file gives `false`.
 ///
 /// # Errors
-/// The file is not of its form.
+/// The file can't be read or does not contain a comparison.
 pub fn has_same_counts(path: &Path) -> Result<bool, HollowError> {
     if !path.exists() {
         return Ok(false);
     }
     let text = std::fs::read_to_string(path).map_err(|e| HollowError::File(path.to_owned(), e))?;
     let comparison: Comparison =
-        serde_json::from_str(&text).map_err(|e| HollowError::Form(path.to_owned(), e))?;
+        serde_json::from_str(&text).map_err(|e| HollowError::Json(path.to_owned(), e))?;
     Ok(comparison.has_same_counts())
 }
 
-/// Runs the three and prints what they came to.
+/// Runs the fleet in all three ways and prints the comparison.
 ///
 /// # Errors
-/// An option is wrong, a bound is passed, or a peer did not do its part.
+/// An option is invalid, a bound is exceeded, or a gateway fails.
 pub fn run(options: &Options) -> Result<(), HollowError> {
     let Options { gateways, databases, control, .. } = *options;
     let size = SizeOptions { gateways, databases, control }.size()?;
     let bounds = options.bounds.bounds()?;
-    let programs = Programs::beside_this()?;
-    let real = run::run(&programs, Manner::Real, Plan::COMPARED, size, options.seed, &bounds)?;
+    let programs = Programs::next_to_current_exe()?;
+    let real = run::run(&programs, GatewayMode::Real, Plan::COMPARISON, size, options.seed, &bounds)?;
     println!("real processes");
     print(&real);
-    let hollow =
-        run::run(&programs, Manner::Hollow { processes: 1 }, Plan::COMPARED, size, options.seed, &bounds)?;
+    let hollow = run::run(
+        &programs,
+        GatewayMode::Hollow { processes: 1 },
+        Plan::COMPARISON,
+        size,
+        options.seed,
+        &bounds,
+    )?;
     println!("hollow gateways");
     print(&hollow);
-    let simulated = Side { counts: simulated_counts(size, options.seed, &bounds)?, run: None };
+    let simulated = RunResult { counts: simulated_counts(size, options.seed, &bounds)?, run: None };
     let seed = options.seed;
     let comparison = Comparison {
         gateways,
@@ -143,8 +151,8 @@
         processor_ratio_start: hollow.phases[0].gateway_mean_ms / real.phases[0].gateway_mean_ms,
         processor_ratio: processor_ms(&hollow, &real, &hollow) / processor_ms(&real, &real, &hollow),
         memory_ratio: hollow.bytes_a_gateway / real.bytes_a_gateway,
-        real: side(real),
-        hollow: side(hollow),
+        real: run_result(real),
+        hollow: run_result(hollow),
         simulated,
     };
     println!("counts: real {:?}", comparison.real.counts);
@@ -163,7 +171,7 @@
     }
 }
 
-fn side(run: RunFigures) -> Side {
+fn run_result(run: RunFigures) -> RunResult {
     let ended: u64 = run.phases.iter().map(|phase| phase.ended).sum();
     let counts = Counts {
         list_calls: run.counts.list_connects.saturating_sub(ended),
@@ -171,38 +179,39 @@
         event_bytes: run.phases.iter().map(|phase| phase.event_bytes).sum(),
         engine_connects: run.counts.engine_connects,
     };
-    Side { counts, run: Some(run) }
+    RunResult { counts, run: Some(run) }
 }
 
-/// Processor time of a gateway over the phases behind the start that both runs kept to their schedule in.
-fn processor_ms(of: &RunFigures, one: &RunFigures, other: &RunFigures) -> f64 {
-    let usable = |place: usize| one.phases[place].is_usable() && other.phases[place].is_usable();
-    let phases = of.phases.iter().enumerate().filter(|(place, _)| *place > 0 && usable(*place));
+/// Sum of the mean processor time of a gateway in `run`, over the phases after the start that are usable in both
+/// `one` and `other`, in ms.
+fn processor_ms(run: &RunFigures, one: &RunFigures, other: &RunFigures) -> f64 {
+    let usable = |index: usize| one.phases[index].is_usable() && other.phases[index].is_usable();
+    let phases = run.phases.iter().enumerate().filter(|(index, _)| *index > 0 && usable(*index));
     phases.map(|(_, phase)| phase.gateway_mean_ms).sum()
 }
 
-/// The counts of the same phases in simulated time. As over loopback, where the kernel leads to listeners that are
-/// there, the router notices at once who is gone.
+/// Simulates the phases and returns the counts. The router detects failures without delay, since over loopback the
+/// kernel passes connections to open listeners only.
 ///
 /// # Errors
-/// A bound is passed.
+/// A bound is exceeded.
 pub fn simulated_counts(size: FleetSize, seed: u64, bounds: &Bounds) -> Result<Counts, HollowError> {
-    let measured = Model::new(size, seed).with_router_detection(0).run(&script(size), bounds)?;
+    let measurements = Model::new(size, seed).with_router_detection_delay(0).run(&script(size), bounds)?;
     Ok(Counts {
-        list_calls: measured.calls.saturating_sub(measured.ended),
-        list_events: measured.events,
-        event_bytes: measured.event_bytes,
-        // Without requests no connection is opened; the core of a hollow gateway sends nothing.
+        list_calls: measurements.calls.saturating_sub(measurements.ended),
+        list_events: measurements.events,
+        event_bytes: measurements.event_bytes,
+        // Gateways open connections to databases only for client requests, and the simulation has none.
         engine_connects: 0,
     })
 }
 
-/// The phases of a run over loopback as a script in simulated time, the start included.
+/// Script with the phases of a run over loopback. Its measurement includes the start.
 fn script(size: FleetSize) -> Script {
     let mut actions = Vec::new();
-    let Plan { phases, phase_s } = Plan::COMPARED;
-    for (place, phase) in phases.iter().enumerate() {
-        let at_us = (FIRST_PHASE_S + place as u64 * phase_s) * SECOND_US;
+    let Plan { phases, phase_s } = Plan::COMPARISON;
+    for (index, phase) in phases.iter().enumerate() {
+        let at_us = (FIRST_PHASE_S + index as u64 * phase_s) * SECOND_US;
         actions.extend(phase_actions(*phase, size, at_us));
     }
     let ends_us = (FIRST_PHASE_S + (phases.len() as u64 + 1) * phase_s) * SECOND_US;
@@ -216,15 +225,18 @@
     match phase {
         Phase::Start | Phase::Quiet => Vec::new(),
         Phase::OneChange => vec![change(0, DatabaseState::Terminating, 0)],
-        Phase::ZoneGoes => zone().map(|number| change(number, DatabaseState::Gone, 0)).collect(),
-        Phase::ZoneReturns => zone().map(|number| change(number, DatabaseState::Ready, RETURN_MS)).collect(),
-        Phase::ControlEnds => vec![
-            (at_us, Action::Control(0, ControlState::Ended)),
-            (at_us + AWAY.as_micros() as u64, Action::Control(0, ControlState::Serves)),
+        Phase::ZoneRemoved => zone().map(|number| change(number, DatabaseState::Removed, 0)).collect(),
+        Phase::ZoneAdded => zone().map(|number| change(number, DatabaseState::Ready, RESTART_MS)).collect(),
+        Phase::ControlRestarts => vec![
+            (at_us, Action::SetControl(0, ControlState::Down)),
+            (at_us + CONTROL_DOWNTIME.as_micros() as u64, Action::SetControl(0, ControlState::Serving)),
         ],
-        Phase::StreamsEnd => vec![(at_us, Action::EndStreams)],
-        Phase::Silence => {
-            vec![(at_us, Action::Silent(true)), (at_us + SILENCE.as_micros() as u64, Action::Silent(false))]
+        Phase::StreamsClosed => vec![(at_us, Action::CloseStreams)],
+        Phase::CommentPause => {
+            vec![
+                (at_us, Action::SuspendComments(true)),
+                (at_us + COMMENT_PAUSE.as_micros() as u64, Action::SuspendComments(false)),
+            ]
         }
     }
 }
--- a/lab/tests/recorded_files.rs
+++ b/lab/tests/recorded_files.rs
@@ -1,13 +1,13 @@
-//! The lab's files of figures as they were written once must stay readable, and give the same page.
+//! Guards against changes that make recorded files of figures unreadable or give a different page for them.
 //!
-//! The files in `recorded_files` are copies that nothing makes anew. `hollow.json` holds every tenth figure of its
-//! original; the page is the one that the lab made from these copies.
+//! The files in `recorded_files` are never regenerated. `hollow.json` has every tenth figure of its original. The
+//! page was generated from these copies.
 
 use std::path::{Path, PathBuf};
 
 use wrenhatch_lab::capacity::experiment::{Experiment, Quantity};
-use wrenhatch_lab::capacity::hollow::Hollow;
-use wrenhatch_lab::capacity::page::page;
+use wrenhatch_lab::capacity::hollow::HollowFile;
+use wrenhatch_lab::capacity::page::generate_page;
 use wrenhatch_lab::capacity::slopes::Slopes;
 use wrenhatch_lab::capacity::target::Target;
 use wrenhatch_lab::hollow::compare::{self, Comparison};
@@ -21,7 +21,7 @@
     std::fs::read_to_string(recorded(file)).unwrap()
 }
 
-/// What a writer of the lab makes of what it has read.
+/// Returns the text that a writer produces.
 fn written(name: &str, write: impl FnOnce(&Path)) -> String {
     let path = std::env::temp_dir().join(format!("wrenhatch-{}-{name}", std::process::id()));
     write(&path);
@@ -41,7 +41,7 @@
 #[test]
 fn figures_of_hollow_runs_are_read_and_written_as_recorded() {
     let file = FigureFile::read(&recorded("hollow.json")).unwrap();
-    let read_for_the_page = Hollow::read(&recorded("hollow.json")).unwrap();
+    let read_for_the_page = HollowFile::read(&recorded("hollow.json")).unwrap();
     assert_eq!(file.figures.len(), read_for_the_page.figures.len());
     assert_eq!(written("hollow.json", |path| file.write(path).unwrap()), text("hollow.json"));
 }
@@ -57,7 +57,7 @@
 
 #[test]
 fn figures_of_configuration_in_service_are_read_as_recorded() {
-    let hollow = Hollow::default().with_configuration(&recorded("configuration.json")).unwrap();
+    let hollow = HollowFile::default().with_configuration(&recorded("configuration.json")).unwrap();
     let (first, last) = (hollow.figures.first().unwrap(), hollow.figures.last().unwrap());
     assert_eq!(hollow.figures.len(), 30);
     assert_eq!((first.event.as_str(), first.value), ("configuration, ordinary", 487.935));
@@ -86,12 +86,12 @@
 }
 
 #[test]
-fn the_page_of_the_recorded_files_is_the_recorded_one() {
+fn the_page_matches_the_recorded_one() {
     let target = Target::read(&recorded("target.toml")).unwrap();
     let slopes = Slopes::read(&recorded("slopes.json")).unwrap();
-    let hollow = Hollow::read(&recorded("hollow.json")).unwrap();
+    let hollow = HollowFile::read(&recorded("hollow.json")).unwrap();
     let hollow = hollow.with_configuration(&recorded("configuration.json")).unwrap();
-    let (made, page) = (page(&target, &slopes, &hollow), text("page.md"));
-    let differs = page.lines().zip(made.lines()).find(|(a, b)| a != b);
-    assert!(page == made, "first difference: {differs:?}");
+    let (generated, page) = (generate_page(&target, &slopes, &hollow), text("page.md"));
+    let differs = page.lines().zip(generated.lines()).find(|(a, b)| a != b);
+    assert!(page == generated, "first difference: {differs:?}");
 }
