--- a/src/decisions/outcome.rs
+++ b/src/decisions/outcome.rs
@@ -56,14 +56,13 @@
     /// Removes the attempt from all sums and records its outcome.
     pub(super) fn record_outcome(&mut self, now: f64, attempt: &Attempt, end: &AttemptEnd) {
         self.record_time_for_work(now, attempt, end);
-        // The terms are read before the attempt's latency is recorded.
         let terms = self.controller_terms();
         self.remove_from_sums(attempt, end);
         self.record_latency_and_cost(now, attempt, end);
         self.record_engine_health(now, attempt, end);
         if let Some(engine) = self.engines.get_mut(&attempt.engine) {
             let utilization = self.load.utilization(engine, now);
-            engine.limit.close_interval_if_over(now, &self.latency, &self.load, utilization, &terms);
+            engine.limit.close_interval_if_ended(now, &self.latency, &self.load, utilization, &terms);
         }
     }
 
@@ -76,8 +75,8 @@
         }
     }
 
-    /// Removes the attempt from the sums of its engine and of the fleet, and settles its charge to the token
-    /// bucket by the time taken.
+    /// Removes the attempt from the sums of its engine and of the fleet, and corrects its charge to the token
+    /// bucket by its elapsed time.
     fn remove_from_sums(&mut self, attempt: &Attempt, end: &AttemptEnd) {
         let threads = self.threads_of(attempt);
         let Some(engine) = self.engines.get_mut(&attempt.engine) else { return };
@@ -120,7 +119,7 @@
         let terms = self.controller_terms();
         for engine in self.engines.values_mut() {
             let utilization = self.load.utilization(engine, now);
-            engine.limit.close_interval_if_over(now, &self.latency, &self.load, utilization, &terms);
+            engine.limit.close_interval_if_ended(now, &self.latency, &self.load, utilization, &terms);
         }
     }
 }
