--- a/gateway/src/engine/http/exchange.rs
+++ b/gateway/src/engine/http/exchange.rs
@@ -15,7 +15,7 @@
     cancelled: bool,
     /// The next response answers the call that starts the query, rather than a later or repeated call.
     starting: bool,
-    /// Latest load report. Kept here, as responses with further pages carry none.
+    /// Latest load report. Responses with further pages have none and leave it unchanged.
     pub load_report: Option<LoadReport>,
 }
 
@@ -24,7 +24,7 @@
 pub enum Step {
     /// The next call was written to the output buffer.
     CallWritten,
-    /// The query was cancelled but is still running. No further call is written.
+    /// The query is being cancelled but still runs. No call was written.
     StillRunning,
     /// The response does not fit the call. The query itself may still be running.
     Unusable,
@@ -55,7 +55,8 @@
         self.pages.allocated_bytes()
     }
 
-    /// Records that the query is being cancelled. No further calls are written.
+    /// Records that the query is being cancelled. Progress is not polled any more. If the result is already complete at
+    /// the engine, its remaining pages are still requested.
     pub fn cancel(&mut self) {
         self.cancelled = true;
     }
@@ -78,14 +79,14 @@
                 get(&self.query_id, self.pages.next_page(), out);
                 Step::CallWritten
             }
-            // `X-Shed` proves that the query never ran only in the response to the call that starts it. Later, or over
-            // another connection, the header may refer to a progress call, or come from another engine at the same
-            // address. Without the header, the query may have run.
+            // Only in the response to the call that starts the query does `X-Shed` prove that the query never ran. In a
+            // later response, or over another connection, the header may refer to a progress call, or come from another
+            // engine at the same address. Without the header, the query may have run.
             status::SERVICE_UNAVAILABLE if response.shed && starting => Step::Ended(Outcome::Rejected),
             status::GATEWAY_TIMEOUT if response.shed && starting => Step::Ended(Outcome::NeverSent),
             status::SERVICE_UNAVAILABLE | status::GATEWAY_TIMEOUT if response.shed => Step::Unusable,
-            // The engine processed the cancellation before it responded to the last call. An error for a query that no
-            // longer exists is expected then.
+            // The engine may process the cancellation before it responds to the last call, and then reports an error
+            // for a query that no longer exists.
             status::OK | status::INTERNAL_SERVER_ERROR if self.cancelled => Step::Ended(Outcome::Cancelled),
             status::INTERNAL_SERVER_ERROR | status::SERVICE_UNAVAILABLE | status::GATEWAY_TIMEOUT => {
                 Step::Ended(Outcome::Error)
--- a/gateway/src/engine/http/pages.rs
+++ b/gateway/src/engine/http/pages.rs
@@ -18,7 +18,7 @@
     pages: Vec<Vec<u8>>,
     /// Number of columns. `None` until a page with rows was received.
     columns: Option<usize>,
-    /// Total number of pages, from the first page. 0 before.
+    /// Total number of pages, as reported with the first page. 0 until then.
     page_count: u32,
 }
 
--- a/gateway/src/engine/http/request.rs
+++ b/gateway/src/engine/http/request.rs
@@ -11,11 +11,11 @@
     pub class: &'a str,
     /// SQL text, sent as the content.
     pub statement: &'a [u8],
-    /// Time for which the gateway waits for the result, in milliseconds.
+    /// Time for which the gateway waits for the result, in milliseconds. Sent as `X-Max-Ms`.
     pub max_ms: u64,
-    /// Memory grant in MB, rounded up. If 0, the engine chooses the grant.
+    /// Memory grant in MB, rounded up and sent as `Grant-Mb`. If 0, the engine chooses the grant.
     pub memory_mb: f64,
-    /// 0 to 3.
+    /// 0 to 3, sent as `Rank`.
     pub priority: u8,
     /// Key by which engines recognise a repeated request, sent as `X-Nonce`.
     pub idempotency_key: Option<&'a str>,
--- a/gateway/src/engine/mysql/commands.rs
+++ b/gateway/src/engine/mysql/commands.rs
@@ -6,7 +6,8 @@
 };
 use crate::mysql_protocol::{capabilities, write_lenenc_int, write_packet, write_parameters};
 
-/// Maximum number of prepared statements on a connection. The least recently used one is closed when it is exceeded.
+/// Maximum number of prepared statements on a connection. At the limit, the least recently used one is closed before
+/// another is prepared.
 const MAX_PREPARED_STATEMENTS: usize = 64;
 
 impl Session {
--- a/gateway/src/engine/mysql/mod.rs
+++ b/gateway/src/engine/mysql/mod.rs
@@ -152,14 +152,14 @@
     pub fn read(&mut self, input: &mut Vec<u8>, out: &mut Vec<u8>) -> Result<Option<Event>, PacketError> {
         while let Some((sequence, payload)) = read_packet(input)? {
             self.sequence = sequence.wrapping_add(1);
-            if let Some(event) = self.payload(payload, out)? {
+            if let Some(event) = self.handle_payload(payload, out)? {
                 return Ok(Some(event));
             }
         }
         Ok(None)
     }
 
-    fn payload(&mut self, payload: Vec<u8>, out: &mut Vec<u8>) -> Result<Option<Event>, PacketError> {
+    fn handle_payload(&mut self, payload: Vec<u8>, out: &mut Vec<u8>) -> Result<Option<Event>, PacketError> {
         let header = *payload.first().ok_or(PacketError::Malformed)?;
         if header == ERR_HEADER && !matches!(self.state, State::ColumnDefinitions(_)) {
             return Ok(self.error(SqlError::read(&payload)?, out));
--- a/gateway/src/front/fields.rs
+++ b/gateway/src/front/fields.rs
@@ -20,7 +20,7 @@
     pub const MEMORY_MB: &str = "mem";
     /// 1 to 128 visible ASCII characters, by which engines recognise a repeated request.
     pub const IDEMPOTENCY_KEY: &str = "k";
-    /// 1 to 128 visible ASCII characters. Requests with the same key run one at a time.
+    /// 1 to 128 visible ASCII characters. In a class ordered by key, requests with the same key run one at a time.
     pub const ORDER_KEY: &str = "o";
     /// `1` if the client retries an earlier request.
     pub const RETRY: &str = "r";
@@ -52,7 +52,7 @@
     pub memory_mb: Option<f64>,
     /// Key by which engines recognise a repeated request.
     pub idempotency_key: Option<String>,
-    /// Requests with the same key run one at a time, in order.
+    /// In a class ordered by key, requests with the same key run one at a time, in order of admission.
     pub order_key: Option<String>,
     /// The client retries an earlier request.
     pub is_retry: bool,
--- a/gateway/src/front/mysql/mod.rs
+++ b/gateway/src/front/mysql/mod.rs
@@ -182,10 +182,10 @@
             Err(error) => return Some(self.packet_error(error, out)),
         };
         self.sequence = sequence.wrapping_add(1);
-        Some(self.payload(&payload, out).unwrap_or_else(|error| self.packet_error(error, out)))
+        Some(self.handle_payload(&payload, out).unwrap_or_else(|error| self.packet_error(error, out)))
     }
 
-    fn payload(&mut self, payload: &[u8], out: &mut Vec<u8>) -> Result<ClientCommand, PacketError> {
+    fn handle_payload(&mut self, payload: &[u8], out: &mut Vec<u8>) -> Result<ClientCommand, PacketError> {
         match std::mem::replace(&mut self.state, State::Ready) {
             State::AwaitingHandshakeResponse => self.handshake_response(payload, out),
             State::AwaitingAuthSwitchResponse(user) => Ok(self.authenticate(&user, payload, out)),
--- a/gateway/src/front/mysql/prepared_statements.rs
+++ b/gateway/src/front/mysql/prepared_statements.rs
@@ -27,9 +27,9 @@
 pub struct PreparedStatement {
     /// Template for the request of each execution, without the per-execution fields.
     request: ClientRequest,
-    parameters: usize,
+    parameter_count: usize,
     /// Parameter types sent by the latest execution with new-params-bind-flag set.
-    bound: Vec<ParameterType>,
+    bound_types: Vec<ParameterType>,
     /// COM_STMT_SEND_LONG_DATA was received. As it is not supported, executions fail until COM_STMT_RESET.
     has_long_data: bool,
 }
@@ -37,9 +37,9 @@
 impl PreparedStatement {
     /// Memory of the statement, including its share of the map nodes, in bytes.
     pub fn bytes(&self) -> usize {
-        let names: usize = self.bound.iter().map(|parameter| parameter.name.capacity()).sum();
-        let bound = self.bound.capacity() * size_of::<ParameterType>() + names;
-        2 * size_of::<Self>() + self.request.statement.capacity() + bound
+        let names: usize = self.bound_types.iter().map(|parameter| parameter.name.capacity()).sum();
+        let bound_bytes = self.bound_types.capacity() * size_of::<ParameterType>() + names;
+        2 * size_of::<Self>() + self.request.statement.capacity() + bound_bytes
     }
 }
 
@@ -100,14 +100,18 @@
             Err(error) => return self.invalid_fields(error, out),
         };
         request.fields.clear_per_execution();
-        let parameters = count_placeholders(&request.statement);
-        if u16::try_from(parameters).is_err() {
+        let parameter_count = count_placeholders(&request.statement);
+        if u16::try_from(parameter_count).is_err() {
             let message = "Prepared statement contains too many placeholders";
             return self.invalid(error_code::ER_PS_MANY_PARAM, "HY000", message, out);
         }
         let command = ClientCommand::Prepare(request.fields.clone());
-        self.pending =
-            Some(PreparedStatement { request, parameters, bound: Vec::new(), has_long_data: false });
+        self.pending = Some(PreparedStatement {
+            request,
+            parameter_count,
+            bound_types: Vec::new(),
+            has_long_data: false,
+        });
         self.state = State::Busy;
         command
     }
@@ -118,21 +122,21 @@
         let Some(statement) = self.pending.take() else { return };
         let statement_id = self.statement_ids.get();
         self.statement_ids.set(statement_id.wrapping_add(1));
-        self.write_prepare_ok(statement_id, statement.parameters, out);
+        self.write_prepare_ok(statement_id, statement.parameter_count, out);
         self.statements.get_or_insert_default().insert(statement_id, statement);
     }
 
-    fn write_prepare_ok(&mut self, statement_id: u32, parameters: usize, out: &mut Vec<u8>) {
+    fn write_prepare_ok(&mut self, statement_id: u32, parameter_count: usize, out: &mut Vec<u8>) {
         let mut payload = vec![OK_HEADER];
         payload.extend(statement_id.to_le_bytes());
         payload.extend([0, 0]); // num_columns: unknown until an engine executes the statement.
-        payload.extend((parameters as u16).to_le_bytes());
+        payload.extend((parameter_count as u16).to_le_bytes());
         payload.extend([0, 0, 0]); // Filler and warning_count.
         write_packet(out, &mut self.sequence, &payload);
-        for _ in 0..parameters {
+        for _ in 0..parameter_count {
             write_packet(out, &mut self.sequence, &parameter_definition());
         }
-        if parameters > 0 && !self.has_capability(capabilities::CLIENT_DEPRECATE_EOF) {
+        if parameter_count > 0 && !self.has_capability(capabilities::CLIENT_DEPRECATE_EOF) {
             self.write_eof(out);
         }
     }
@@ -166,17 +170,17 @@
             let message = "Cursors are not spoken here";
             return Ok(self.invalid(error_code::ER_NOT_SUPPORTED_YET, "42000", message, out));
         }
-        let mut count = statement.parameters;
+        let mut count = statement.parameter_count;
         if has_attributes && flags & u64::from(PARAMETER_COUNT_AVAILABLE) != 0 {
             count = reader.lenenc_int()? as usize;
         }
-        if count < statement.parameters {
+        if count < statement.parameter_count {
             let message = "Too few parameters for the statement";
             return Ok(self.invalid(error_code::ER_WRONG_ARGUMENTS, "HY000", message, out));
         }
         let bytes_before = statement.bytes();
-        let mut parameters = read_parameters(&mut reader, count, has_attributes, &mut statement.bound)?;
-        let attributes = parameters.split_off(statement.parameters);
+        let mut parameters = read_parameters(&mut reader, count, has_attributes, &mut statement.bound_types)?;
+        let attributes = parameters.split_off(statement.parameter_count);
         parameters.iter_mut().for_each(|parameter| parameter.name.clear());
         let run = ExecutionMode::Execute(parameters);
         let request = ClientRequest { run, ..statement.request.clone() };
--- a/gateway/src/front/mysql/responses.rs
+++ b/gateway/src/front/mysql/responses.rs
@@ -3,7 +3,7 @@
 use super::{FinalAnswer, QueryResult, Session, SqlError, State, error_code, ok_payload, write_packet};
 use crate::mysql_protocol::{EOF_HEADER, OK_HEADER, ResultSet, capabilities, eof_payload, write_lenenc_int};
 
-/// SQLSTATE of a rejection. Clients take class 53 as a safe retry, as on the PostgreSQL front end.
+/// SQLSTATE of a rejection. Clients treat errors of class 53 as safe to retry, as on the PostgreSQL front end.
 const REJECTED_SQLSTATE: &str = "53000";
 
 impl Session {
@@ -38,7 +38,7 @@
             FinalAnswer::Cancelled => {
                 SqlError::new(error_code::ER_QUERY_INTERRUPTED, "70100", "Query execution was interrupted")
             }
-            FinalAnswer::Failed(why) => SqlError::new(error_code::ER_UNKNOWN_ERROR, "HY000", why),
+            FinalAnswer::Failed(text) => SqlError::new(error_code::ER_UNKNOWN_ERROR, "HY000", text),
         };
         self.write_error(&error, out);
     }
--- a/gateway/src/front/pg/mod.rs
+++ b/gateway/src/front/pg/mod.rs
@@ -109,10 +109,10 @@
             return None;
         }
         let body: Vec<u8> = input.drain(..=length).skip(5).collect();
-        Some(self.message(message_type, &body, out))
+        Some(self.handle_message(message_type, &body, out))
     }
 
-    fn message(&mut self, message_type: u8, body: &[u8], out: &mut Vec<u8>) -> ClientCommand {
+    fn handle_message(&mut self, message_type: u8, body: &[u8], out: &mut Vec<u8>) -> ClientCommand {
         match FrontendMessage::from_type(message_type) {
             FrontendMessage::Terminate => {
                 self.state = State::Closed;
@@ -191,13 +191,13 @@
             FinalAnswer::Served(QueryResult::MySql(_)) => {
                 error(sqlstate::INTERNAL_ERROR, "the result has another form");
             }
-            // Clients take SQLSTATE class 53 (insufficient resources) as a safe retry.
+            // Clients treat errors of SQLSTATE class 53 (insufficient resources) as safe to retry.
             FinalAnswer::Rejected(None) => error(sqlstate::INSUFFICIENT_RESOURCES, "refused"),
             FinalAnswer::Rejected(Some(ms)) => {
                 error(sqlstate::INSUFFICIENT_RESOURCES, &format!("refused, w={ms}"));
             }
             FinalAnswer::Cancelled => error(sqlstate::QUERY_CANCELED, "cancelled at the client's word"),
-            FinalAnswer::Failed(why) => error(sqlstate::SYSTEM_ERROR, why),
+            FinalAnswer::Failed(text) => error(sqlstate::SYSTEM_ERROR, text),
         }
         ready_for_query(out);
     }
--- a/gateway/src/front/table_group.rs
+++ b/gateway/src/front/table_group.rs
@@ -6,7 +6,7 @@
 const TABLE_KEYWORDS: [&str; 5] = ["from", "join", "into", "update", "table"];
 /// Keywords that may stand between a table keyword and the table name.
 const TABLE_MODIFIERS: [&str; 2] = ["only", "table"];
-/// Name of the schemas that belong to no group, without the number.
+/// Name, without the numeric suffix, of the schemas that belong to no group.
 const STAGING_SCHEMA: &str = "staging";
 
 #[derive(Debug, PartialEq)]
--- a/gateway/src/mysql_protocol/parameters.rs
+++ b/gateway/src/mysql_protocol/parameters.rs
@@ -77,7 +77,7 @@
         Self { type_and_flag, name: name.as_bytes().to_vec(), value: Some(encoded) }
     }
 
-    /// Returns the value as text, with numbers in decimal. `None` for NULL and for types that have no text form here.
+    /// Returns the value as text, with numbers in decimal. `None` for NULL and for types that are not converted.
     pub fn as_text(&self) -> Option<String> {
         use column_type as t;
         let value = self.value.as_ref()?;
@@ -124,10 +124,11 @@
 }
 
 /// Reads `count` parameters with their NULL bitmap. If the packet binds new types, they are stored in `bound_types`.
-/// Otherwise, the types from there are used. `has_names` is whether the capabilities include query attributes.
+/// Otherwise, the types in `bound_types` are used. `has_names` must be true if CLIENT_QUERY_ATTRIBUTES was negotiated,
+/// as each type is followed by a name then.
 ///
 /// # Errors
-/// The payload is truncated, has an unknown type, or binds no types and `bound_types` has another number of them.
+/// The payload is truncated or has an unknown type, or it binds no types and `bound_types` does not hold `count` types.
 pub fn read_parameters(
     reader: &mut Reader<'_>,
     count: usize,
