--- a/gateway/tests/auditor.rs
+++ b/gateway/tests/auditor.rs
@@ -1,5 +1,4 @@
-//! Tests the auditor of `deployments.rs`: for each rule, hand-written logs that violate it and similar ones that do
-//! not.
+//! Tests the auditor of `deployments.rs`. For each rule, there are logs that violate it and similar ones that do not.
 #![allow(missing_docs)]
 
 #[path = "deployments/auditor.rs"]
@@ -50,7 +49,7 @@
         may_cancel: true,
         may_probe: false,
         max_attempts: 2,
-        order_pause: ms(300),
+        key_cooldown: ms(300),
         drain_grace: ms(200),
         answer_slack: ms(20),
     }
@@ -151,8 +150,8 @@
     assert_valid(&[3], &[(50, arrived(0, 3)), (90, served(0, 3)), (91, answered(3))]);
     assert_valid(&[3], &[(50, error(3, "53000"))]);
     assert_valid(&[3], &[(50, error(3, "42601"))]);
-    assert_valid(&[3], &[(40, Event::Left(3)), (50, Event::Disconnected(3))]);
-    assert_violates(Rule::Answered, 3, &[3], &[(50, Event::Disconnected(3))]);
+    assert_valid(&[3], &[(40, Event::ClientLeft(3)), (50, Event::ConnectionEnded(3))]);
+    assert_violates(Rule::Answered, 3, &[3], &[(50, Event::ConnectionEnded(3))]);
     assert_violates(Rule::Answered, 3, &[3], &[(50, arrived(0, 3)), (90, served(0, 3))]);
 }
 
@@ -161,7 +160,7 @@
     // The limit is the sum of 2,000.5 ms, the answer slack, the socket tolerance and the delivery tolerance.
     assert_valid(&[3], &[(2570, error(3, "58000"))]);
     assert_violates(Rule::Deadline, 3, &[3], &[(2572, error(3, "58000"))]);
-    assert_valid(&[3], &[(30, Event::Left(3)), (2900, error(3, "57014"))]);
+    assert_valid(&[3], &[(30, Event::ClientLeft(3)), (2900, error(3, "57014"))]);
 }
 
 #[test]
@@ -191,13 +190,18 @@
 #[test]
 fn an_answer_holds_the_rows_of_its_own_request() {
     let other = Event::Answered(3, Answer::Rows(vec!["a\tb\td".to_owned()]));
-    assert_violates(Rule::Result, 3, &[3], &[(50, arrived(0, 3)), (90, served(0, 3)), (91, other)]);
+    assert_violates(Rule::CorrectRows, 3, &[3], &[(50, arrived(0, 3)), (90, served(0, 3)), (91, other)]);
     let truncated = Event::Answered(3, Answer::Rows(Vec::new()));
-    assert_violates(Rule::Result, 3, &[3], &[(50, arrived(0, 3)), (90, served(0, 3)), (91, truncated)]);
-    assert_violates(Rule::Result, 3, &[3], &[(50, arrived(0, 3)), (90, answered(3)), (95, served(0, 3))]);
+    assert_violates(Rule::CorrectRows, 3, &[3], &[(50, arrived(0, 3)), (90, served(0, 3)), (91, truncated)]);
+    assert_violates(
+        Rule::CorrectRows,
+        3,
+        &[3],
+        &[(50, arrived(0, 3)), (90, answered(3)), (95, served(0, 3))],
+    );
     // The rows belong to another request.
     let both = [(50, arrived(0, 3)), (60, served(0, 3)), (61, answered(3)), (70, answered(8))];
-    assert_violates(Rule::Result, 8, &[3, 8], &both);
+    assert_violates(Rule::CorrectRows, 8, &[3, 8], &both);
 }
 
 #[test]
@@ -225,7 +229,13 @@
 #[test]
 fn a_key_stays_in_use_while_an_attempt_of_a_client_that_left_is_in_flight() {
     let left = |end: Event, at: u64| {
-        [(50, arrived(0, 0)), (60, Event::Left(0)), (70, end), (at, arrived(0, 1)), (900, error(1, "58000"))]
+        [
+            (50, arrived(0, 0)),
+            (60, Event::ClientLeft(0)),
+            (70, end),
+            (at, arrived(0, 1)),
+            (900, error(1, "58000")),
+        ]
     };
     assert_violates(Rule::OneRequestPerKey, 1, &[0, 1], &left(Event::Polled(0, 0), 800));
     assert_valid(&[0, 1], &left(served(0, 0), 800));
@@ -240,14 +250,14 @@
     // A request whose attempt was shed by an engine keeps its position.
     let shed = [(30, arrived(0, 0)), (31, ending(0, 0, Outcome::NeverRan))];
     assert_violates(Rule::KeyOrder, 0, &[0, 1], &[&shed[..], &overtaken, &end].concat());
-    // A request that was answered with an error gives its position up.
+    // A request that was answered with an error no longer blocks later ones.
     assert_valid(&[0, 1], &[&shed[..], &[(40, error(0, "53000"))], &overtaken[..3]].concat());
 }
 
 #[test]
 fn a_key_has_a_cooldown_after_an_attempt_that_may_still_run() {
     for end in [Event::Cancelled(0, 0), Event::Crashing(0, 0)] {
-        let with_pause = |at: u64| {
+        let with_cooldown = |at: u64| {
             [
                 (50, arrived(0, 0)),
                 (100, end.clone()),
@@ -256,11 +266,11 @@
                 (900, error(1, "58000")),
             ]
         };
-        assert_valid(&[0, 1], &with_pause(400));
-        assert_valid(&[0, 1], &with_pause(351));
-        assert_violates(Rule::KeyPause, 1, &[0, 1], &with_pause(349));
+        assert_valid(&[0, 1], &with_cooldown(400));
+        assert_valid(&[0, 1], &with_cooldown(351));
+        assert_violates(Rule::KeyCooldown, 1, &[0, 1], &with_cooldown(349));
     }
-    // There is no pause after an attempt with a known outcome.
+    // There is no cooldown after an attempt with a known outcome.
     for end in [ending(0, 0, Outcome::Error), ending(0, 0, Outcome::NeverRan)] {
         let next = [(50, arrived(0, 0)), (100, end), (110, error(0, "58000")), (111, arrived(1, 1))];
         assert_valid(&[0, 1], &[&next[..], &[(900, error(1, "58000"))]].concat());
@@ -272,7 +282,7 @@
     let next = |at: u64| {
         let mut events = vec![(50, arrived(0, 0)), (600, Event::Polled(0, 0)), (1900, error(0, "58000"))];
         events.push((at, arrived(1, 1)));
-        events.push((at + 1, Event::Left(1)));
+        events.push((at + 1, Event::ClientLeft(1)));
         events
     };
     assert_violates(Rule::OneRequestPerKey, 1, &[0, 1], &next(2500));
@@ -280,7 +290,7 @@
 }
 
 #[test]
-fn no_second_attempt_is_in_flight_beside_the_first() {
+fn a_request_has_at_most_one_attempt_in_flight() {
     let again = |end: Event, at: u64| {
         [(50, arrived(0, 7)), (at, end), (300, arrived(1, 7)), (400, served(1, 7)), (401, answered(7))]
     };
@@ -298,7 +308,7 @@
 }
 
 #[test]
-fn no_more_attempts_than_allowed() {
+fn a_request_has_at_most_the_allowed_number_of_attempts() {
     let attempt = |at: u64| [(at, arrived(0, 7)), (at + 1, ending(0, 7, Outcome::Error))];
     let answer = [(401, error(7, "58000"))];
     assert_valid(&[7], &[&attempt(50)[..], &attempt(60), &answer].concat());
@@ -363,33 +373,36 @@
     for state in [State::Draining, State::Gone] {
         let sent = |at: u64| {
             let mut events =
-                vec![(20, Event::Announced(0, state)), (at, Event::Writing(7)), (at, Event::Written(7))];
+                vec![(20, Event::StateAnnounced(0, state)), (at, Event::Writing(7)), (at, Event::Written(7))];
             events.extend([(at + 1, arrived(0, 7)), (at + 2, served(0, 7)), (at + 3, answered(7))]);
             events
         };
         assert_valid(&[], &sent(700));
-        assert_violates(Rule::Drain, 7, &[], &sent(740));
+        assert_violates(Rule::NoAttemptAfterDrain, 7, &[], &sent(740));
     }
-    // A request that was written long before, and another engine.
+    // A request written long before the attempt and an attempt at another engine are allowed.
     let long = [
-        (20, Event::Announced(0, State::Gone)),
+        (20, Event::StateAnnounced(0, State::Gone)),
         (700, arrived(0, 7)),
         (701, served(0, 7)),
         (702, answered(7)),
     ];
     assert_valid(&[7], &long);
     let other = [
-        (20, Event::Announced(0, State::Gone)),
+        (20, Event::StateAnnounced(0, State::Gone)),
         (1500, arrived(1, 7)),
         (1501, served(1, 7)),
         (1502, answered(7)),
     ];
     assert_valid(&[7], &other);
     // The second attempt was sent after the first one ended, long after the announcement.
-    let again =
-        [(30, Event::Announced(0, State::Gone)), (50, arrived(1, 7)), (1000, ending(1, 7, Outcome::Error))];
+    let again = [
+        (30, Event::StateAnnounced(0, State::Gone)),
+        (50, arrived(1, 7)),
+        (1000, ending(1, 7, Outcome::Error)),
+    ];
     let end = [(1001, arrived(0, 7)), (1002, served(0, 7)), (1003, answered(7))];
-    assert_violates(Rule::Drain, 7, &[7], &[&again[..], &end].concat());
+    assert_violates(Rule::NoAttemptAfterDrain, 7, &[7], &[&again[..], &end].concat());
 }
 
 #[test]
@@ -416,23 +429,27 @@
         &|call| call.rank = text("4"),
     ];
     for change in corruptions {
-        assert_violates(Rule::Fields, 6, &[6], &events_with(change));
+        assert_violates(Rule::UnchangedFields, 6, &[6], &events_with(change));
     }
     // An idempotency key that no client sent, and an invalid query id.
     assert_violates(
-        Rule::Fields,
+        Rule::UnchangedFields,
         7,
         &[7],
-        &[(50, changed(0, 7, |call| call.idempotency_key = text("1"))), (60, Event::Left(7))],
+        &[(50, changed(0, 7, |call| call.idempotency_key = text("1"))), (60, Event::ClientLeft(7))],
     );
     let mut spec = spec();
     spec.requests[7].id = None;
-    let with_id = |id: &str| [(50, changed(0, 7, |call| call.query_id = text(id))), (60, Event::Left(7))];
+    let with_id =
+        |id: &str| [(50, changed(0, 7, |call| call.query_id = text(id))), (60, Event::ClientLeft(7))];
     assert_eq!(violations(&spec, &[7], &with_id("00000000000000ff")), []);
-    assert_eq!(violations(&spec, &[7], &with_id("ff")), [(Rule::Fields, Some(7))]);
+    assert_eq!(violations(&spec, &[7], &with_id("ff")), [(Rule::UnchangedFields, Some(7))]);
     // A statement that no client sent.
     let foreign = changed(0, 7, |call| call.statement = "SELECT 1".to_owned());
-    assert_eq!(violations(&spec, &[7], &[(50, foreign), (60, Event::Left(7))]), [(Rule::Fields, None)]);
+    assert_eq!(
+        violations(&spec, &[7], &[(50, foreign), (60, Event::ClientLeft(7))]),
+        [(Rule::UnchangedFields, None)]
+    );
 }
 
 #[test]
@@ -440,9 +457,9 @@
     let cancelled = [(50, arrived(0, 7)), (100, Event::Cancelled(0, 7)), (110, error(7, "58000"))];
     assert_valid(&[7], &cancelled);
     let forbidding = Spec { may_cancel: false, ..spec() };
-    assert_eq!(violations(&forbidding, &[7], &cancelled), [(Rule::Cancel, Some(7))]);
-    let probed = [(50, Event::Probed(0))];
-    assert_eq!(violations(&spec(), &[], &probed), [(Rule::Probe, None)]);
+    assert_eq!(violations(&forbidding, &[7], &cancelled), [(Rule::NoForbiddenCancellation, Some(7))]);
+    let probed = [(50, Event::HealthChecked(0))];
+    assert_eq!(violations(&spec(), &[], &probed), [(Rule::NoForbiddenHealthCheck, None)]);
     assert_eq!(violations(&Spec { may_probe: true, ..spec() }, &[], &probed), []);
 }
 
--- a/gateway/tests/crossings.rs
+++ b/gateway/tests/crossings.rs
@@ -15,7 +15,7 @@
     format!("/* c={class},i={},d=20000 */ SELECT v FROM sales_17.orders", id(n))
 }
 
-/// Sends requests with new ids until one is served. Returns its number.
+/// Sends requests with increasing numbers until one is served. Returns its number.
 fn query_until_served(gateway: &Gateway, class: &str, from: u64) -> u64 {
     let mut client = pg::Client::connect(gateway.pg);
     for n in from..from + 100 {
@@ -30,7 +30,7 @@
     panic!("rejected 100 times");
 }
 
-/// Sends a request and reads its call. Returns the client and the engine's end of the connection.
+/// Sends request 1 and reads its call. Returns the client and the engine's end of the connection.
 fn request_in_flight(engine: &Peer, gateway: &Gateway, class: &str) -> (pg::Client, Wire) {
     let mut client = pg::Client::connect(gateway.pg);
     client.send(&text(class, 1));
@@ -40,12 +40,12 @@
     (client, wire)
 }
 
-/// Records the ids of the queries that engines of [`run_all`] run.
+/// Returns an empty list, in which [`run_all`] records the ids of the queries that the engine executes.
 fn id_log() -> Arc<Mutex<Vec<String>>> {
     Arc::default()
 }
 
-/// Forbids cancellation, so that only the check before the first byte stops an attempt.
+/// Forbids cancellation, so that an attempt can only be stopped before the first byte of its call is written.
 fn without_cancelling(config: String) -> String {
     config.replace("\"cancelling\":true", "\"cancelling\":false")
 }
@@ -104,10 +104,10 @@
         watch.event(2, &engine.entry("Ready"));
         drop(clients);
     });
-    let ran = id_log();
-    run_all(engine, ran.clone());
+    let ran_ids = id_log();
+    run_all(engine, ran_ids.clone());
     let n = query_until_served(&gateway, "load", 100);
-    assert_eq!(*ran.lock().unwrap(), [id(n)]);
+    assert_eq!(*ran_ids.lock().unwrap(), [id(n)]);
     (0..60).for_each(|n| wait_left(&gateway, n));
 }
 
@@ -125,22 +125,22 @@
         engine.let_in();
         // Without cancellation the connection is established after its request has ended. Other requests may use it.
         let wire = connects.then(|| engine.accept());
-        let ran = id_log();
+        let ran_ids = id_log();
         let late = thread::spawn({
-            let ran = ran.clone();
+            let ran_ids = ran_ids.clone();
             move || {
                 let Some(mut wire) = wire else { return };
                 while let Some(call) = wire.next_call() {
-                    ran.lock().unwrap().push(call.query_id().to_owned());
+                    ran_ids.lock().unwrap().push(call.query_id().to_owned());
                     wire.row(call.query_id());
                 }
             }
         });
-        run_all(engine, ran.clone());
+        run_all(engine, ran_ids.clone());
         let n = query_until_served(&gateway, "load", 100);
         drop(gateway);
         late.join().unwrap();
-        assert_eq!(*ran.lock().unwrap(), [id(n)]);
+        assert_eq!(*ran_ids.lock().unwrap(), [id(n)]);
     }
 }
 
@@ -154,10 +154,10 @@
     gateway.logged("attempt ended query_id=\"0000000000000001\"");
     drop(client);
     wait_left(&gateway, 1);
-    let ran = id_log();
-    run_all(engine, ran.clone());
+    let ran_ids = id_log();
+    run_all(engine, ran_ids.clone());
     let n = query_until_served(&gateway, "load", 100);
-    assert_eq!(*ran.lock().unwrap(), [id(n)]);
+    assert_eq!(*ran_ids.lock().unwrap(), [id(n)]);
 }
 
 #[test]
@@ -196,8 +196,8 @@
     let engine = Peer::new("e1");
     let operator = "[clients]\nmost_sessions = 180\nturn_ms = 1";
     let gateway = Gateway::scripted(&engine.entry("Ready"), None, operator, None, |t| t);
-    let ran = id_log();
-    run_all(engine, ran.clone());
+    let ran_ids = id_log();
+    run_all(engine, ran_ids.clone());
     let mut others: Vec<_> = (0..140).map(|_| pg::Client::connect(gateway.pg)).collect();
     let mut client = pg::Client::connect(gateway.pg);
     // All requests wait to be read, the one to be cancelled last. The cancel request uses a new connection.
@@ -212,13 +212,13 @@
     for one in &mut others {
         one.answer();
     }
-    assert!(!ran.lock().unwrap().contains(&id(1)), "the cancelled request was forwarded");
+    assert!(!ran_ids.lock().unwrap().contains(&id(1)), "the cancelled request was forwarded");
     // Cancel requests with a wrong key or for a finished request have no effect.
     let key = client.key;
     pg::Client::cancel(gateway.pg, key);
     pg::Client::cancel(gateway.pg, [key[0], key[1], key[2], key[3], key[4], key[5], key[6], !key[7]]);
     let n = query_until_served(&gateway, "lookup", 100);
-    assert!(ran.lock().unwrap().contains(&id(n)));
+    assert!(ran_ids.lock().unwrap().contains(&id(n)));
 }
 
 #[test]
@@ -328,11 +328,11 @@
     // The kernel resends the SYN after one second, which is twice the window.
     two.let_in();
     assert!(error_code(&client.answer()).starts_with("53"), "the class must allow retries at every engine");
-    let ran = id_log();
-    run_all(two, ran.clone());
+    let ran_ids = id_log();
+    run_all(two, ran_ids.clone());
     let n = query_until_served(&gateway, "lookup", 100);
-    assert!(!ran.lock().unwrap().contains(&id(1)), "the request was forwarded after its window");
-    assert!(ran.lock().unwrap().contains(&id(n)));
+    assert!(!ran_ids.lock().unwrap().contains(&id(1)), "the request was forwarded after its window");
+    assert!(ran_ids.lock().unwrap().contains(&id(n)));
 }
 
 #[test]
@@ -347,13 +347,13 @@
     gateway.logged("connection opened");
     watch.event(2, &format!("{},{}", one.entry("Terminating"), two.entry("Ready")));
     gateway.logged("name=\"e1\" state=Draining");
-    let ran_on_two = id_log();
-    run_all(two, ran_on_two.clone());
+    let ids_on_two = id_log();
+    run_all(two, ids_on_two.clone());
     one.let_in();
     assert_eq!(client.answer(), row_of(1), "a request that never ran may be sent to another engine");
-    assert_eq!(*ran_on_two.lock().unwrap(), [id(1)]);
+    assert_eq!(*ids_on_two.lock().unwrap(), [id(1)]);
     let n = query_until_served(&gateway, "load", 100);
-    assert_eq!(*ran_on_two.lock().unwrap(), [id(1), id(n)]);
+    assert_eq!(*ids_on_two.lock().unwrap(), [id(1), id(n)]);
     // The log is read asynchronously. It is complete up to this line.
     wait_answered(&gateway, n);
     assert!(gateway.log().matches("attempt forwarded query_id=").count() == 2, "{}", gateway.log());
@@ -505,7 +505,7 @@
     let gateway = Gateway::scripted(&list, Some(old.address), "", None, |t| t);
     let (mut watch, _) = old.watch();
     watch.say("HTTP/1.1 503 later\r\nContent-Length: 0\r\n\r\n");
-    // The next stream never gets a response head. Discovery moves to another address meanwhile.
+    // The next stream receives no response head. Meanwhile, the configured address of the service changes.
     let (mut silent, last) = old.watch();
     assert_eq!(last, 1);
     gateway.reconfigure(|t| t.replace(&old.address.to_string(), &new.address.to_string()));
@@ -560,7 +560,7 @@
     for signal in ["-HUP", "-USR1", "-TERM"] {
         let engine = Peer::new("e1");
         let starting = Gateway::starting(&engine.entry("Ready"));
-        // The process waits for its configuration.
+        // The process is still waiting for its configuration.
         starting.signal(signal);
         let gateway = starting.go_on();
         match signal {
@@ -574,11 +574,11 @@
 #[test]
 fn sigterm_answers_connections_and_requests_that_arrive_late() {
     let engine = Peer::new("e1");
-    // One event loop turn is too short for all requests below.
+    // An event loop turn is too short for all requests below.
     let operator = "[clients]\nmost_sessions = 180\nturn_ms = 1";
     let gateway = Gateway::scripted(&engine.entry("Ready"), None, operator, None, |t| t);
-    let ran = id_log();
-    run_all(engine, ran.clone());
+    let ran_ids = id_log();
+    run_all(engine, ran_ids.clone());
     let mut idle = pg::Client::connect(gateway.pg);
     let mut late_senders: Vec<_> = (0..70).map(|_| pg::Client::connect(gateway.pg)).collect();
     let (mut partial, mut starting) = (pg::Client::connect(gateway.pg), pg::Client::silent(gateway.pg));
@@ -610,7 +610,7 @@
     assert_eq!(error_code(&partial.answer()), "57P03");
     assert_eq!(error_code(&starting.answer()), "57P03");
     assert!(idle.is_ended() && partial.is_ended(), "connections must be closed without a reset");
-    assert!(ran.lock().unwrap().is_empty());
+    assert!(ran_ids.lock().unwrap().is_empty());
     let (exit, log) = gateway.wait();
     assert_eq!(exit, Some(0), "{log}");
 }
@@ -618,7 +618,7 @@
 #[test]
 fn sigterm_answers_all_requests_in_flight_before_exit() {
     let (engine, discovery) = (Peer::new("e1"), Peer::new("c"));
-    // Deadlines are longer than the test's read timeout, so that the answers cannot be caused by a deadline.
+    // Deadlines are longer than the read timeout of the clients, so that no answer is caused by a deadline.
     let long = |t: String| t.replace("\"deadline-s\":2", "\"deadline-s\":32");
     let gateway = Gateway::scripted(&engine.entry("Ready"), Some(discovery.address), "", None, long);
     // The discovery service never responds. SIGHUP and SIGTERM arrive in the same turn.
@@ -649,7 +649,7 @@
         gateway.signal("-HUP");
         gateway.terminate();
     });
-    // The queries would run for minutes. A report may be retried, a load may not.
+    // The queries would run for minutes. Reports are safe to retry, loads are not.
     assert!(error_code(&clients[0].answer()).starts_with("53"));
     assert_eq!(error_code(&clients[1].answer()), "58000");
     assert!(error_code(&clients[2].answer()).starts_with("53"));
@@ -661,20 +661,20 @@
 }
 
 #[test]
-fn idle_clients_that_hold_all_descriptors_are_evicted_for_engines_watch_and_new_clients() {
+fn idle_clients_that_hold_all_descriptors_are_evicted_for_engines_the_watch_and_new_clients() {
     let (engine, discovery) = (Peer::new("e1"), Peer::new("c"));
-    // The process gets fewer descriptors than the configuration says, so that they run out before the client limit.
+    // The process has fewer descriptors than configured, so that they run out before the client limit is reached.
     let gateway = Gateway::scripted(&engine.entry("Ready"), Some(discovery.address), "", Some(64), |t| t);
     let (watch, _) = discovery.watch();
     let address = discovery.address;
     drop((watch, discovery));
-    // The discovery service is down, so that clients may take the descriptor of its stream.
+    // While the discovery service is down, clients may use the descriptor of its stream.
     let mut clients: Vec<_> = (0..80).map(|_| pg::Client::connect(gateway.pg)).collect();
     let mut requesters = clients.split_off(76);
     for (n, client) in requesters.iter_mut().enumerate() {
         client.send(&text("lookup", n as u64));
     }
-    // All requests run at the same time, each over its own connection.
+    // The requests run concurrently, each over a connection of its own.
     let mut wires: Vec<_> = (0..requesters.len()).map(|_| engine.accept()).collect();
     for wire in &mut wires {
         let query_id = wire.call().query_id().to_owned();
@@ -698,7 +698,7 @@
 }
 
 #[test]
-fn a_restarted_process_is_ready_whatever_the_discovery_service_does() {
+fn a_restarted_process_is_ready_while_the_discovery_service_is_silent_or_down() {
     let list = (0..4000).map(|n| {
         format!(
             "{{\"name\":\"e{n}\",\"address\":\"127.0.0.1:9\",\"zone\":\"z\",\"type\":\"k\",\"group\":{},\"status\":\"Ready\",\"weight\":1,\"since_ms\":0}}",
@@ -737,7 +737,7 @@
     let mut client = pg::Client::connect(gateway.pg);
     let whole = row(&id(1));
     let head = whole.find("\r\n\r\n").unwrap();
-    // The response ends within its head, between head and body, and within its body.
+    // The response is truncated within its head, between head and body, and within its body.
     for length in [5, head + 4, whole.len() - 3] {
         client.send(&text("load", 1));
         let mut wire = engine.accept();
--- a/gateway/tests/deployments.rs
+++ b/gateway/tests/deployments.rs
@@ -27,10 +27,10 @@
 use generator::{Behavior, ClientAction, ConnectionKind, Deployment, LoadReports};
 
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=16;
-/// Deployments that run at the same time.
+/// Number of deployments that run at the same time.
 const CONCURRENT_RUNS: usize = 8;
 
-/// The seeds in `DEPLOYMENT_SEEDS`, for instance `3,5`, or else all.
+/// The seeds listed in the environment variable `DEPLOYMENT_SEEDS`, for instance `3,5`. All seeds if it is not set.
 fn seeds() -> Vec<u64> {
     match std::env::var("DEPLOYMENT_SEEDS") {
         Ok(list) => list.split(',').filter_map(|seed| seed.parse().ok()).collect(),
@@ -70,12 +70,12 @@
 
 #[test]
 fn the_rules_hold_in_random_deployments() {
-    assert_none(|rule| rule != Rule::Cancel);
+    assert_none(|rule| rule != Rule::NoForbiddenCancellation);
 }
 
 #[test]
 fn no_attempt_is_cancelled_where_cancelling_is_not_allowed() {
-    assert_none(|rule| rule == Rule::Cancel);
+    assert_none(|rule| rule == Rule::NoForbiddenCancellation);
 }
 
 /// Guards against seeds that never exercise a rule.
@@ -130,8 +130,8 @@
         Behavior::Error { .. } => "error",
         Behavior::Shed => "shed",
         Behavior::Expired => "expired",
-        Behavior::Crashes => "crashes",
-        Behavior::CrashesForGood => "crashes for good",
+        Behavior::Crash => "crash",
+        Behavior::PermanentCrash => "permanent crash",
         Behavior::Reset { .. } => "reset",
         Behavior::Silent => "silent",
     }
--- a/gateway/tests/deployments/auditor.rs
+++ b/gateway/tests/deployments/auditor.rs
@@ -1,8 +1,9 @@
 //! Checks the rules of the protocol against a log of the events at clients, engines and the discovery service. The
 //! gateway is a black box here.
 //!
-//! Scheduling delays must not cause false violations: a peer logs an action before performing it and an observation
-//! after making it. Rules that compare two timestamps without a message between them allow for the [`Tolerance`].
+//! Scheduling delays must not cause false violations. A peer therefore logs an action before it performs it, and an
+//! observation after it. Rules that compare the timestamps of events not linked by a message allow for the
+//! [`Tolerance`].
 #![allow(missing_docs)]
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -23,7 +24,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetrySafety {
     Safe,
-    /// Engines of the group drop requests with a known idempotency key during the window.
+    /// During the window, engines of the group do not execute a second request with the same idempotency key.
     Keyed {
         group: Group,
         window: Duration,
@@ -31,7 +32,7 @@
     Unsafe,
 }
 
-/// Engines that share their known idempotency keys.
+/// Engines that share the idempotency keys that they have received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Group {
     All,
@@ -77,7 +78,7 @@
     pub may_cancel: bool,
     pub may_probe: bool,
     pub max_attempts: usize,
-    pub order_pause: Duration,
+    pub key_cooldown: Duration,
     pub drain_grace: Duration,
     pub answer_slack: Duration,
 }
@@ -94,7 +95,7 @@
     pub statement: String,
 }
 
-/// The engine's result of an attempt.
+/// Outcome of an attempt, as reported by its engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// The rows of the result.
@@ -133,9 +134,9 @@
     Written(RequestIndex),
     Answered(RequestIndex, Answer),
     /// The client's connection ended without a complete answer.
-    Disconnected(RequestIndex),
-    /// A client has disconnected or cancelled. No answer is required from here on.
-    Left(RequestIndex),
+    ConnectionEnded(RequestIndex),
+    /// A client has disconnected or cancelled. No answer is required any more.
+    ClientLeft(RequestIndex),
     /// An engine has received a call that starts a query.
     Arrived(EngineIndex, Call),
     /// An engine has received a poll of a query, or a call for a page of its result.
@@ -147,9 +148,9 @@
     /// An engine process is about to crash with the query and to reset its connections.
     Crashing(EngineIndex, RequestIndex),
     /// The discovery service has sent a state of an engine.
-    Announced(EngineIndex, State),
+    StateAnnounced(EngineIndex, State),
     /// An engine has received a health check.
-    Probed(EngineIndex),
+    HealthChecked(EngineIndex),
 }
 
 /// An event and its time since the start of the log.
@@ -167,14 +168,14 @@
     Deadline,
     /// A request is answered once.
     SingleAnswer,
-    /// Rows are those that an engine produced for the request, complete.
-    Result,
+    /// The rows in an answer are all rows that an engine produced for the request.
+    CorrectRows,
     /// Requests with the same order key run one at a time.
     OneRequestPerKey,
     /// Requests with the same order key run in the order of their admission.
     KeyOrder,
-    /// An order key is paused after an attempt that may still be running.
-    KeyPause,
+    /// An order key has a cooldown after an attempt that may still be running.
+    KeyCooldown,
     /// A request has at most one attempt in flight.
     OneAttemptInFlight,
     /// The number of attempts stays within the settings.
@@ -183,16 +184,16 @@
     AtMostOnce,
     /// No error invites the client to retry a request that is not idempotent and may have run.
     RetryInvitation,
-    /// Retries go to engines that know the idempotency key.
+    /// Retries with an idempotency key go to engines of the same group, within the window.
     RetryPlacement,
-    /// Nothing new is sent to engines that drain or are gone.
-    Drain,
+    /// No new attempt is sent to an engine that is draining or gone, except within the grace period.
+    NoAttemptAfterDrain,
     /// Fields of the request reach the engine unchanged.
-    Fields,
+    UnchangedFields,
     /// Attempts are not cancelled where the settings forbid it.
-    Cancel,
+    NoForbiddenCancellation,
     /// Engines are not health-checked where the settings forbid it.
-    Probe,
+    NoForbiddenHealthCheck,
 }
 
 #[derive(Clone, Debug)]
@@ -202,7 +203,7 @@
     pub detail: String,
 }
 
-/// Tolerated delay between timestamps without a message between them.
+/// Tolerated delay between the timestamps of events that are not linked by a message.
 #[derive(Clone, Copy, Debug)]
 pub struct Tolerance {
     /// For timers of the gateway that a message starts.
@@ -255,12 +256,12 @@
         !matches!(self.end, Some((_, End::NeverRan)))
     }
 
-    /// Earliest time at which the pause of the attempt's order key may end.
-    fn paused_until(&self, pause: Duration, tolerance: Tolerance) -> Duration {
+    /// Earliest time at which the cooldown of the attempt's order key may end.
+    fn cooldown_until(&self, cooldown: Duration, tolerance: Tolerance) -> Duration {
         match self.end {
-            Some((at, End::Cancelled | End::Crashed)) => (at + pause).saturating_sub(tolerance.timers),
+            Some((at, End::Cancelled | End::Crashed)) => (at + cooldown).saturating_sub(tolerance.timers),
             Some((at, _)) => at,
-            None => (self.polled_at + pause).saturating_sub(tolerance.timers),
+            None => (self.polled_at + cooldown).saturating_sub(tolerance.timers),
         }
     }
 }
@@ -327,13 +328,17 @@
                     self.end_attempt(*engine, *request, at, End::Cancelled);
                     if !self.spec.may_cancel {
                         let detail = format!("engine {engine} received a cancellation");
-                        self.report(Rule::Cancel, *request, detail);
+                        self.report(Rule::NoForbiddenCancellation, *request, detail);
                     }
                 }
                 Event::Crashing(engine, request) => self.end_attempt(*engine, *request, at, End::Crashed),
-                Event::Probed(engine) if !self.spec.may_probe => {
+                Event::HealthChecked(engine) if !self.spec.may_probe => {
                     let detail = format!("engine {engine} received a health check");
-                    self.violations.push(Violation { rule: Rule::Probe, request: None, detail });
+                    self.violations.push(Violation {
+                        rule: Rule::NoForbiddenHealthCheck,
+                        request: None,
+                        detail,
+                    });
                 }
                 _ => {}
             }
@@ -354,11 +359,11 @@
         let request = request_of(&call.statement).filter(|index| *index < self.spec.requests.len());
         let Some(request) = request else {
             let detail = format!("no client sent {:?}", call.statement);
-            return self.violations.push(Violation { rule: Rule::Fields, request: None, detail });
+            return self.violations.push(Violation { rule: Rule::UnchangedFields, request: None, detail });
         };
         self.attempts.push(Attempt { request, engine, log_index, at, polled_at: at, end: None });
         for detail in self.field_errors(request, call) {
-            self.report(Rule::Fields, request, detail);
+            self.report(Rule::UnchangedFields, request, detail);
         }
     }
 
@@ -396,12 +401,12 @@
         errors
     }
 
-    /// Checks that each request has one answer, its time and its content.
+    /// Checks that each request has a single answer, which is in time and correct.
     fn check_answers(&mut self) {
         for request in 0..self.spec.requests.len() {
             let is_answer = |event: &Event| matches!(event, Event::Answered(index, _) if *index == request);
             let answers: Vec<&Entry> = self.log.iter().filter(|entry| is_answer(&entry.event)).collect();
-            let left = self.first_at(|event| matches!(event, Event::Left(index) if *index == request));
+            let left = self.first_at(|event| matches!(event, Event::ClientLeft(index) if *index == request));
             let written = self.first_at(|event| matches!(event, Event::Written(index) if *index == request));
             let Some(written) = written else { continue };
             if answers.len() > 1 {
@@ -409,7 +414,7 @@
             }
             let Some(first) = answers.first() else {
                 let disconnected =
-                    |event: &Event| matches!(event, Event::Disconnected(index) if *index == request);
+                    |event: &Event| matches!(event, Event::ConnectionEnded(index) if *index == request);
                 let detail = match self.first_at(disconnected) {
                     Some(at) => format!("its connection ended at {at:?} without a complete answer"),
                     None => "no answer was received".to_owned(),
@@ -455,7 +460,7 @@
             _ => false,
         };
         if matches!(answer, Answer::Rows(_)) && !self.log.iter().any(produced) {
-            self.report(Rule::Result, request, format!("no engine produced {answer:?}"));
+            self.report(Rule::CorrectRows, request, format!("no engine produced {answer:?}"));
         }
         let ran = |a: &Attempt| {
             let never = matches!(a.end, Some((_, End::NeverRan)));
@@ -569,7 +574,7 @@
         debug_assert!(earlier.log_index < later.log_index);
         let request = later.request;
         let in_flight_until = earlier.in_flight_until(self.tolerance);
-        let paused_until = earlier.paused_until(self.spec.order_pause, self.tolerance);
+        let cooldown_end = earlier.cooldown_until(self.spec.key_cooldown, self.tolerance);
         let other = earlier.request;
         let at = later.at;
         if out_of_order {
@@ -586,17 +591,17 @@
             return Some((Rule::OneRequestPerKey, request, detail));
         }
         let detail =
-            || format!("sent at {at:?} while its key was paused for request {other} until {paused_until:?}");
-        (at < paused_until).then(|| (Rule::KeyPause, request, detail()))
+            || format!("sent at {at:?} in the key's cooldown after request {other} until {cooldown_end:?}");
+        (at < cooldown_end).then(|| (Rule::KeyCooldown, request, detail()))
     }
 
-    /// Checks that nothing new goes to an engine that drains or is gone. An attempt is sent after its request was
-    /// written and after the previous attempt ended.
+    /// Checks that no new attempt is sent to an engine that is draining or gone. As only its arrival is logged, the
+    /// time of sending is bounded from below by the writing of the request and the end of the previous attempt.
     fn check_drains(&mut self) {
         let mut found = Vec::new();
         for (n, attempt) in self.attempts.iter().enumerate() {
             let announced = self.log.iter().find_map(|entry| match entry.event {
-                Event::Announced(engine, state) if engine == attempt.engine => Some((entry.at, state)),
+                Event::StateAnnounced(engine, state) if engine == attempt.engine => Some((entry.at, state)),
                 _ => None,
             });
             let Some((announced_at, state)) = announced else { continue };
@@ -615,7 +620,7 @@
             }
         }
         for (request, detail) in found {
-            self.report(Rule::Drain, request, detail);
+            self.report(Rule::NoAttemptAfterDrain, request, detail);
         }
     }
 }
--- a/gateway/tests/deployments/client.rs
+++ b/gateway/tests/deployments/client.rs
@@ -29,7 +29,7 @@
     unanswered: VecDeque<RequestIndex>,
     cancel_key: Option<[u8; 8]>,
     ready: bool,
-    /// Nothing more is to be written: the connection has ended or its client has left.
+    /// The connection has ended or its client has left. No further requests are written.
     ended: bool,
     /// The reader has ended.
     disconnected: bool,
@@ -51,7 +51,7 @@
         Ok(Self { kind: head[0], body })
     }
 
-    /// The cells of a row, separated by tabs.
+    /// The cells of a DataRow message, separated by tabs.
     fn row(&self) -> Option<String> {
         let (mut cells, mut rest) = (Vec::new(), self.body.get(2..)?);
         while let Some((length, after)) = rest.split_at_checked(4) {
@@ -63,9 +63,9 @@
         Some(cells.join("\t"))
     }
 
-    fn code(&self) -> String {
-        let code = self.body.split(|byte| *byte == 0).find_map(|field| field.strip_prefix(b"C"));
-        String::from_utf8_lossy(code.unwrap_or_default()).into_owned()
+    fn sqlstate(&self) -> String {
+        let sqlstate = self.body.split(|byte| *byte == 0).find_map(|field| field.strip_prefix(b"C"));
+        String::from_utf8_lossy(sqlstate.unwrap_or_default()).into_owned()
     }
 }
 
@@ -107,7 +107,7 @@
         shared.ready && shared.unanswered.is_empty()
     }
 
-    /// Whether nothing more is to be written.
+    /// Whether the connection has ended or its client has left.
     pub fn is_ended(&self) -> bool {
         lock(&self.shared).ended
     }
@@ -127,10 +127,10 @@
         }
         let mut shared = lock(&self.shared);
         if shared.disconnected {
-            // There is no reader that would receive the answers.
+            // The reader has ended and would not log these requests as disconnected.
             for (request, _) in queries {
                 self.harness.log(Event::Written(*request));
-                self.harness.log(Event::Disconnected(*request));
+                self.harness.log(Event::ConnectionEnded(*request));
             }
             return;
         }
@@ -149,7 +149,7 @@
         let waiting = shared.unanswered.contains(&request);
         if waiting {
             shared.ended = true;
-            self.harness.log(Event::Left(request));
+            self.harness.log(Event::ClientLeft(request));
         }
         waiting
     }
@@ -192,7 +192,7 @@
         let mut shared = lock(&self.shared);
         (shared.ready, shared.ended, shared.disconnected) = (true, true, true);
         for request in shared.unanswered.drain(..) {
-            self.harness.log(Event::Disconnected(request));
+            self.harness.log(Event::ConnectionEnded(request));
         }
     }
 
@@ -209,12 +209,12 @@
                 self.record_answer(Answer::Rows(rows));
             }
             b'I' => self.record_answer(Answer::Rows(Vec::new())),
-            b'E' => self.record_answer(Answer::Error(message.code())),
+            b'E' => self.record_answer(Answer::Error(message.sqlstate())),
             _ => {}
         }
     }
 
-    /// A second answer before the next ReadyForQuery belongs to the same request.
+    /// Logs an answer. A second answer before the next ReadyForQuery belongs to the same request.
     fn record_answer(&mut self, answer: Answer) {
         let mut shared = lock(&self.shared);
         let request = self.answering.or_else(|| shared.unanswered.pop_front());
--- a/gateway/tests/deployments/discovery.rs
+++ b/gateway/tests/deployments/discovery.rs
@@ -28,7 +28,7 @@
         Ok(Self { listener, address })
     }
 
-    /// Serves event streams with this change, `entry` being the engine's entry in the list.
+    /// Serves event streams with this change. `entry` is the list entry of the changed engine.
     pub fn serve(self, harness: &Arc<Harness>, change: StateChange, entry: String) {
         let (harness, entry) = (harness.clone(), Arc::new(entry));
         thread::spawn(move || {
@@ -53,14 +53,14 @@
         return Ok(());
     }
     stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n")?;
-    let known = call.headers.get("last-event-id").and_then(|id| id.parse::<u64>().ok()).unwrap_or(0);
-    if known < CHANGE_INDEX {
+    let last_index = call.headers.get("last-event-id").and_then(|id| id.parse::<u64>().ok()).unwrap_or(0);
+    if last_index < CHANGE_INDEX {
         thread::sleep(Duration::from_millis(change.after_ms).saturating_sub(harness.elapsed()));
         let body = format!("\"index\":{CHANGE_INDEX},\"snapshot\":false,\"endpoints\":[{entry}]");
         let event =
             format!("id: {CHANGE_INDEX}\ndata: {{\"index\":{CHANGE_INDEX},\"endpoints\":{{{body}}}}}\n\n");
         stream.write_all(event.as_bytes())?;
-        harness.log(Event::Announced(change.engine, change.state));
+        harness.log(Event::StateAnnounced(change.engine, change.state));
     }
     while !harness.is_finished() {
         stream.write_all(b": here\n\n")?;
--- a/gateway/tests/deployments/engine.rs
+++ b/gateway/tests/deployments/engine.rs
@@ -14,15 +14,16 @@
 use crate::generator::{Behavior, LoadReports};
 use crate::harness::{Harness, lock};
 
-/// Time after which the poll of a running query is answered with state 202.
-const POLL_HOLD: Duration = Duration::from_millis(250);
-/// Interval at which a held poll checks its query.
+/// Time after which the poll of a running query is answered with status 202.
+const MAX_POLL_DELAY: Duration = Duration::from_millis(250);
+/// Interval at which a delayed poll checks its query.
 const CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
-/// A query that an engine knows.
+/// A query that an engine has started.
 struct Query {
     request: RequestIndex,
-    due: Instant,
+    ends_at: Instant,
+    /// Calls for the query get no response.
     silent: bool,
     /// Polls are answered with a progress report.
     progress: bool,
@@ -142,7 +143,7 @@
             let page = parts.next().and_then(|page| page.parse::<usize>().ok());
             let response = match (call.verb.as_str(), call.path.as_str()) {
                 ("GET", "/healthz" | "/busy") => {
-                    self.harness.log(Event::Probed(self.index));
+                    self.harness.log(Event::HealthChecked(self.index));
                     Some(self.response("200 OK", "", ""))
                 }
                 ("POST", "/data") => match self.start_query(&call) {
@@ -196,7 +197,7 @@
         };
         let query = |after_ms: u64, pages: Vec<String>| Query {
             request,
-            due: Instant::now() + Duration::from_millis(after_ms),
+            ends_at: Instant::now() + Duration::from_millis(after_ms),
             silent: false,
             progress: false,
             fails: false,
@@ -216,11 +217,11 @@
                 store(query(after_ms, pages(2)));
                 StartReaction::Reset
             }
-            Behavior::Crashes => {
+            Behavior::Crash => {
                 self.harness.log(Event::Crashing(self.index, request));
                 StartReaction::Reset
             }
-            Behavior::CrashesForGood => {
+            Behavior::PermanentCrash => {
                 self.harness.log(Event::Crashing(self.index, request));
                 self.crash();
                 StartReaction::Reset
@@ -240,7 +241,7 @@
         }
     }
 
-    /// Waits until a query ends or the hold time passes. A silent query gets no response.
+    /// Responds when the query ends or [`MAX_POLL_DELAY`] has passed. A silent query gets no response.
     fn poll(&self, query_id: &str) -> Option<String> {
         let polled_at = Instant::now();
         if let Some(query) = lock(&self.queries).get(query_id) {
@@ -252,17 +253,17 @@
             if query.silent {
                 return None;
             }
-            if Instant::now() >= query.due && query.fails {
+            if Instant::now() >= query.ends_at && query.fails {
                 self.ending(query.request, Outcome::Error);
                 return Some(self.server_error());
             }
-            if Instant::now() >= query.due {
+            if Instant::now() >= query.ends_at {
                 let rows = query.pages.iter().map(|page| page.trim_end().to_owned()).collect();
                 self.ending(query.request, Outcome::Rows(rows));
                 let count = format!("Page-Count: {}\r\n", query.pages.len());
                 return Some(self.response("200 OK", &count, query.pages.first().map_or("", String::as_str)));
             }
-            if polled_at.elapsed() >= POLL_HOLD {
+            if polled_at.elapsed() >= MAX_POLL_DELAY {
                 let remark = if query.progress { "X-Remark: progress\r\nFigure: 0.5\r\n" } else { "" };
                 return Some(self.response("202 Accepted", remark, ""));
             }
@@ -271,13 +272,13 @@
         }
     }
 
-    /// Ends the process with all its queries. From here on its address refuses connections.
+    /// Simulates a crash of the process with all its queries. The address refuses connections afterwards.
     fn crash(&self) {
         self.crashed.store(true, Ordering::SeqCst);
         for (_, query) in lock(&self.queries).drain() {
             self.harness.log(Event::Crashing(self.index, query.request));
         }
-        // Each connection wakes the listener, which closes once it has seen the flag.
+        // Each connection wakes up the listener, which closes if the flag is set.
         while TcpStream::connect(self.address).is_ok() {
             thread::sleep(Duration::from_millis(1));
         }
@@ -305,9 +306,11 @@
 
 /// Reaction to the call that starts a query.
 enum StartReaction {
+    /// Write this response.
     Response(String),
-    /// Responds as to a poll of this query.
+    /// Respond as to a poll of this query.
     Poll(String),
+    /// Reset the connection.
     Reset,
 }
 
--- a/gateway/tests/deployments/generator.rs
+++ b/gateway/tests/deployments/generator.rs
@@ -48,23 +48,23 @@
 pub enum Behavior {
     /// Returns a result on several pages, with or without progress reports while the query runs.
     Served { after_ms: u64, pages: usize, progress: bool },
-    /// Responds with state 500. The query may have run.
+    /// Responds with status 500. The query may have run.
     Error { after_ms: u64 },
-    /// Responds with state 503 and `X-Shed`.
+    /// Responds with status 503 and `X-Shed`.
     Shed,
-    /// Responds with state 504 and `X-Shed`.
+    /// Responds with status 504 and `X-Shed`.
     Expired,
-    /// The process crashes after reading the call. Its successor at the same address does not know the query.
-    Crashes,
+    /// Resets the connection after reading the call and drops the query, like a process that crashes and restarts.
+    Crash,
     /// The process crashes after reading the call and is not restarted. At most one engine of a deployment does so.
-    CrashesForGood,
-    /// Resets the connection after reading the call. The query goes on.
+    PermanentCrash,
+    /// Resets the connection after reading the call. The query continues to run.
     Reset { after_ms: u64 },
     /// Never responds, on any connection.
     Silent,
 }
 
-/// What a client does after it has written its requests.
+/// Action of a client after it has written its requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientAction {
     Wait,
@@ -126,15 +126,15 @@
     pub retry_after: bool,
     /// For each engine, whether it refuses connections.
     pub refusing: Vec<bool>,
-    /// The text of each request with its comment of fields.
+    /// The query text of each request, with the comment that contains its fields.
     pub queries: Vec<String>,
-    /// For each request, the engine behavior for its first attempts.
+    /// For each request, the behavior of the engine in each of its first attempts.
     pub behaviors: Vec<Vec<Behavior>>,
     pub scripts: Vec<ClientScript>,
     pub change: StateChange,
 }
 
-/// Attempts of a request with a generated behavior. Later attempts are served.
+/// Number of attempts of a request that have a generated behavior. Later attempts succeed.
 const SCRIPTED_ATTEMPTS: usize = 3;
 const ORDERED_SCRIPTS: usize = 2;
 const UNORDERED_SCRIPTS: usize = 4;
@@ -176,7 +176,7 @@
             may_cancel: self.rng.chance(70),
             may_probe: self.rng.chance(50),
             max_attempts: self.rng.choose(&[1, 2, 2, 3, 3]),
-            order_pause: Duration::from_millis(self.rng.between(250, 400)),
+            key_cooldown: Duration::from_millis(self.rng.between(250, 400)),
             drain_grace: Duration::from_millis(self.rng.between(100, 300)),
             answer_slack: Duration::from_millis(20),
             classes,
@@ -365,8 +365,8 @@
             52..66 => Behavior::Error { after_ms: if progress { 0 } else { 2 * after_ms } },
             66..76 => Behavior::Shed,
             76..78 => Behavior::Expired,
-            78..84 => Behavior::Crashes,
-            84..87 => Behavior::CrashesForGood,
+            78..84 => Behavior::Crash,
+            84..87 => Behavior::PermanentCrash,
             87..94 => Behavior::Reset { after_ms },
             94..100 => Behavior::Silent,
             _ => Behavior::Served { after_ms: 100, pages, progress },
--- a/gateway/tests/deployments/harness.rs
+++ b/gateway/tests/deployments/harness.rs
@@ -12,7 +12,7 @@
 /// Sleep interval of the thread that measures the timer lag.
 const LAG_SAMPLE_INTERVAL: Duration = Duration::from_millis(2);
 
-/// Time without a poll after which an attempt is no longer waited for.
+/// Time without a poll after which the end of a run does not wait for an attempt.
 const ABANDONED_AFTER: Duration = Duration::from_secs(1);
 
 pub struct Harness {
@@ -22,6 +22,7 @@
     attempt_counts: Mutex<BTreeMap<RequestIndex, usize>>,
     pub reports: LoadReports,
     finished: AtomicBool,
+    /// An engine has crashed permanently. At most one engine of a deployment does so.
     has_crashed: AtomicBool,
     max_lag_us: AtomicU64,
 }
@@ -72,15 +73,15 @@
         lock(&self.log).iter().any(|entry| matches(&entry.event))
     }
 
-    /// Whether a request has its answer, or has lost its client or connection.
+    /// Whether a request was answered, its client left, or its connection ended.
     pub fn is_settled(&self, request: RequestIndex) -> bool {
         self.contains(|event| match event {
-            Event::Answered(index, _) | Event::Disconnected(index) | Event::Left(index) => *index == request,
+            Event::Answered(n, _) | Event::ConnectionEnded(n) | Event::ClientLeft(n) => *n == request,
             _ => false,
         })
     }
 
-    /// Whether no attempt is in flight that is still polled.
+    /// Whether no attempt in flight is still polled.
     pub fn is_idle(&self) -> bool {
         let now = self.started.elapsed();
         let mut in_flight = BTreeMap::new();
@@ -108,7 +109,7 @@
         *number += 1;
         let behavior = self.behaviors.get(request).and_then(|behaviors| behaviors.get(*number - 1)).copied();
         let behavior = match behavior.unwrap_or(Behavior::Served { after_ms: 0, pages: 1, progress: false }) {
-            Behavior::CrashesForGood if self.has_crashed.swap(true, Ordering::SeqCst) => Behavior::Crashes,
+            Behavior::PermanentCrash if self.has_crashed.swap(true, Ordering::SeqCst) => Behavior::Crash,
             behavior => behavior,
         };
         (behavior, *number)
--- a/gateway/tests/deployments/run.rs
+++ b/gateway/tests/deployments/run.rs
@@ -13,11 +13,11 @@
 use crate::generator::{ClientAction, ClientScript, ConnectionKind, Deployment, LoadReports, Step};
 use crate::harness::{Harness, lock};
 
-/// Longer than any request of a deployment may take.
+/// Time limit for all requests of a deployment to be settled, longer than any of them may take.
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(30);
 /// Wait for duplicate answers and late attempts after the last request is settled.
 const LATE_EVENT_WAIT: Duration = Duration::from_millis(300);
-/// Pause between two requests of an order key if the first was pipelined after a start-up message.
+/// Pause between two requests of an order key if the first is pipelined after a start-up message.
 const STARTUP_PAUSE: Duration = Duration::from_millis(250);
 
 /// Runs the deployment of a seed and returns the violations found in its log.
@@ -64,7 +64,7 @@
         lock(&self.gateway).log()
     }
 
-    /// Runs the steps of a script. Its sessions stay open until the run is finished.
+    /// Runs the steps of a script. Returns its sessions, which must stay open until the run is finished.
     fn run_script(&self, script: &ClientScript) -> Vec<Arc<Mutex<Session>>> {
         let mut sessions: Vec<Arc<Mutex<Session>>> = Vec::new();
         for step in &script.steps {
@@ -90,7 +90,7 @@
                     thread::sleep(Duration::from_millis(1));
                 }
                 let mut writer = lock(&session);
-                // A session that its client has closed, or that has ended, cannot be reused.
+                // A session that its client has left, or that has ended, cannot be reused.
                 if writer.is_ended() {
                     drop(writer);
                     return self.write(&Step { connection: ConnectionKind::New, ..step.clone() }, None);
@@ -154,7 +154,7 @@
         thread::sleep(LATE_EVENT_WAIT);
     }
 
-    /// Writes the event log and the gateway's log to the folder that `DEPLOYMENT_LOGS` names, if it is set.
+    /// Writes the event log and the gateway's log to the folder in the environment variable `DEPLOYMENT_LOGS`, if set.
     fn write_logs(&self, seed: u64, violations: &[Violation]) {
         let Ok(folder) = std::env::var("DEPLOYMENT_LOGS") else { return };
         let mut text = format!("{:#?}\n", self.deployment);
@@ -244,6 +244,6 @@
         one = per_class("1"),
         slack = spec.answer_slack.as_secs_f64(),
         grace = spec.drain_grace.as_secs_f64(),
-        settle = spec.order_pause.as_secs_f64(),
+        settle = spec.key_cooldown.as_secs_f64(),
     )
 }
--- a/gateway/tests/fronts.rs
+++ b/gateway/tests/fronts.rs
@@ -15,9 +15,9 @@
 }
 
 /// Sends a request until it is not rejected. A rejected request is safe to retry.
-fn until_served<A>(mut ask: impl FnMut() -> A, is_rejection: impl Fn(&A) -> bool) -> A {
+fn until_served<A>(mut send: impl FnMut() -> A, is_rejection: impl Fn(&A) -> bool) -> A {
     for _ in 0..40 {
-        let answer = ask();
+        let answer = send();
         if !is_rejection(&answer) {
             return answer;
         }
@@ -176,7 +176,7 @@
 }
 
 /// Waits until this engine has served 20 requests in a row.
-fn only_served_by(client: &mut pg::Client, name: &str) {
+fn wait_only_served_by(client: &mut pg::Client, name: &str) {
     let began = Instant::now();
     let mut consecutive = 0;
     while consecutive < 20 {
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn the_endpoint_list_is_followed_across_broken_and_silent_streams() {
+fn the_endpoint_list_stays_current_across_broken_and_silent_streams() {
     let seen = Seen::default();
     let (one, two) = (Engine::start("e1", &seen, 1), Engine::start("e2", &seen, 1));
     let second_event = format!("{},{}", one.entry("Ready"), two.entry("Gone"));
@@ -230,7 +230,7 @@
     let mut client = pg::Client::connect(gateway.pg);
     assert!(matches!(client.query(&text("lookup", ID, 2000)), pg::Answer::Rows(_)));
 
-    // An incomplete file is rejected. The settings in force stay.
+    // An incomplete file is rejected. The settings in force are kept.
     gateway.reconfigure(|t| t[..t.len() / 2].to_owned());
     gateway.logged("the old settings are kept");
     served_by(&mut client);
@@ -250,7 +250,7 @@
         thread::sleep(Duration::from_millis(5));
     }
     assert_eq!(*new.requested.lock().unwrap(), ["2"], "the stream must continue from the last event");
-    only_served_by(&mut client, "e1");
+    wait_only_served_by(&mut client, "e1");
     let (exit, log) = gateway.end();
     assert_eq!(exit, Some(0), "{log}");
 }
@@ -271,7 +271,7 @@
         thread::sleep(Duration::from_millis(5));
     }
     let mut client = pg::Client::connect(gateway.pg);
-    only_served_by(&mut client, "e1");
+    wait_only_served_by(&mut client, "e1");
     assert_eq!(*discovery.requested.lock().unwrap(), ["1", "1"]);
 }
 
@@ -296,7 +296,7 @@
         "the unreadable event must be requested once more and then skipped"
     );
     let mut client = pg::Client::connect(gateway.pg);
-    only_served_by(&mut client, "e1");
+    wait_only_served_by(&mut client, "e1");
 }
 
 #[test]
@@ -413,10 +413,10 @@
     let mut client = pg::Client::connect(gateway.pg);
     client.send(&text("lookup", ID, 3_000));
     engine_of(&seen, ID, &engines).refuse_new();
-    // The query runs far longer than a lookup usually does, so the gateway wants a new attempt.
+    // The query runs far longer than a lookup usually does, so the gateway considers a new attempt.
     assert!(!matches!(client.answer(), pg::Answer::Rows(_)));
     let sent = seen.engines_of(ID).len();
-    assert!(sent == 1 || seen.deletes().contains(&ID.to_owned()), "{sent} copies, none of them cancelled");
+    assert!(sent == 1 || seen.deletes().contains(&ID.to_owned()), "{sent} attempts, none of them cancelled");
 }
 
 #[test]
@@ -495,7 +495,7 @@
 }
 
 #[test]
-fn mysql_deadlines_rejections_and_failures() {
+fn a_mysql_load_that_may_have_run_fails_and_a_lookup_is_rejected() {
     let seen = Seen::default();
     let engine = Engine::start("e1", &seen, 3000);
     let gateway = Gateway::start(&[&engine], true);
@@ -590,14 +590,14 @@
 }
 
 /// Sends lookups and loads over these front ends and returns the latencies of the lookups.
-fn traffic(gateway: &Gateway, fronts: &[&str], rounds: u32) -> Vec<Duration> {
+fn traffic(gateway: &Gateway, front_ends: &[&str], rounds: u32) -> Vec<Duration> {
     let mut workers = Vec::new();
-    for (w, front) in fronts.iter().cycle().take(8).enumerate() {
-        let (pg_at, mysql_at, over_pg) = (gateway.pg, gateway.mysql, *front == "pg");
+    for (w, front_end) in front_ends.iter().cycle().take(8).enumerate() {
+        let (pg_address, mysql_address, over_pg) = (gateway.pg, gateway.mysql, *front_end == "pg");
         workers.push(thread::spawn(move || {
             let mut latencies = Vec::new();
-            let mut pg = pg::Client::connect(pg_at);
-            let mut mysql = mysql_at.map(mysql::Client::connect);
+            let mut pg = pg::Client::connect(pg_address);
+            let mut mysql = mysql_address.map(mysql::Client::connect);
             let mut prepare = |sql: &str| mysql.as_mut().unwrap().prepare(sql).unwrap().0;
             let handles = (!over_pg).then(|| {
                 let lookup = prepare("/* c=lookup,h=20 */ SELECT v FROM a_1.b WHERE c = ?");
@@ -609,7 +609,7 @@
                 loop {
                     let id = format!("{w:08x}{n:06x}{tries:02x}");
                     let began = Instant::now();
-                    let (served, refused) = match (handles, &mut mysql) {
+                    let (served, rejected) = match (handles, &mut mysql) {
                         (Some((lookup, insert)), Some(mysql)) => {
                             let handle = if load { insert } else { lookup };
                             let a = mysql.execute(handle, &["1"], &[("i", &id), ("d", "3000")]);
@@ -623,10 +623,10 @@
                     if served && !load {
                         latencies.push(began.elapsed());
                     }
-                    assert!(served || refused || load, "a lookup is safe to retry and must not fail");
+                    assert!(served || rejected || load, "a lookup is safe to retry and must not fail");
                     tries += 1;
                     // A load that failed may have run, so it is not retried.
-                    if !refused || tries == 40 {
+                    if !rejected || tries == 40 {
                         assert!(tries < 40, "not served after 40 tries");
                         break;
                     }
@@ -640,7 +640,7 @@
 }
 
 #[test]
-fn mixed_traffic_survives_an_engine_killed_in_mid_batch() {
+fn mixed_traffic_survives_the_crash_of_an_engine() {
     let seen = Seen::default();
     let engines: Vec<Engine> = ["e1", "e2", "e3"].map(|n| Engine::start(n, &seen, 5)).into();
     let gateway = Gateway::start(&engines.iter().collect::<Vec<_>>(), true);
@@ -673,18 +673,18 @@
 #[test]
 #[ignore = "measures latencies"]
 fn lookup_latency_with_and_without_mysql_traffic() {
-    let measure = |fronts: &[&str]| {
+    let measure = |front_ends: &[&str]| {
         let seen = Seen::default();
         let engines = ["e1", "e2", "e3"].map(|n| Engine::start(n, &seen, 20));
         let gateway = Gateway::start(&engines.iter().collect::<Vec<_>>(), true);
-        let mut latencies = traffic(&gateway, fronts, 300);
+        let mut latencies = traffic(&gateway, front_ends, 300);
         latencies.sort();
         (latencies[latencies.len() / 2], latencies[latencies.len() * 95 / 100])
     };
     for round in 1..=3 {
         let (postgres_only, mixed) = (measure(&["pg"]), measure(&["pg", "mysql"]));
         println!(
-            "round {round}: median and 95th percentile, PostgreSQL only {postgres_only:?}, both fronts {mixed:?}"
+            "round {round}: median and 95th percentile, PostgreSQL only {postgres_only:?}, both front ends {mixed:?}"
         );
     }
 }
