--- a/gateway/src/front/mod.rs
+++ b/gateway/src/front/mod.rs
@@ -84,7 +84,7 @@
     /// SQL text without the comment that contained the fields.
     pub statement: Vec<u8>,
     /// Determines the engine protocol and the command that executes the statement.
-    pub run: ExecutionMode,
+    pub mode: ExecutionMode,
 }
 
 /// The way in which an engine executes a statement.
--- a/gateway/src/front/mysql/commands.rs
+++ b/gateway/src/front/mysql/commands.rs
@@ -52,7 +52,7 @@
         let (mut fields, statement) = fields::split(text)?;
         // The tenant is that of the authenticated account. The field `t` can't override it.
         fields.tenant = self.tenant.as_deref().map(str::to_owned);
-        Ok(ClientRequest { fields, statement: statement.to_vec(), run: ExecutionMode::Query })
+        Ok(ClientRequest { fields, statement: statement.to_vec(), mode: ExecutionMode::Query })
     }
 
     pub(super) fn invalid_fields(&mut self, error: FieldError, out: &mut Vec<u8>) -> ClientCommand {
--- a/gateway/src/front/mysql/prepared_statements.rs
+++ b/gateway/src/front/mysql/prepared_statements.rs
@@ -182,8 +182,8 @@
         let mut parameters = read_parameters(&mut reader, count, has_attributes, &mut statement.bound_types)?;
         let attributes = parameters.split_off(statement.parameter_count);
         parameters.iter_mut().for_each(|parameter| parameter.name.clear());
-        let run = ExecutionMode::Execute(parameters);
-        let request = ClientRequest { run, ..statement.request.clone() };
+        let mode = ExecutionMode::Execute(parameters);
+        let request = ClientRequest { mode, ..statement.request.clone() };
         let bytes_after = statement.bytes();
         if let Some(statements) = &mut self.statements {
             statements.bytes = statements.bytes + bytes_after - bytes_before;
--- a/gateway/src/front/pg/mod.rs
+++ b/gateway/src/front/pg/mod.rs
@@ -157,7 +157,7 @@
                 self.state = State::Busy;
                 self.returns_rows = !statement.get(..6).is_some_and(|v| v.eq_ignore_ascii_case(b"insert"));
                 let statement = statement.to_vec();
-                ClientCommand::Request(ClientRequest { fields, statement, run: ExecutionMode::Simple })
+                ClientCommand::Request(ClientRequest { fields, statement, mode: ExecutionMode::Simple })
             }
             Err(error) => self.invalid(&error.to_string(), out),
         }
--- a/gateway/src/net/clients/requests.rs
+++ b/gateway/src/net/clients/requests.rs
@@ -17,7 +17,7 @@
 impl Server {
     /// Validates a request and admits or rejects it. The decision is made by [`admission`].
     pub(super) fn handle_request(&mut self, handle: Handle, request: ClientRequest) {
-        let ClientRequest { mut fields, statement, run } = request;
+        let ClientRequest { mut fields, statement, mode } = request;
         let id_in_use = fields.id.as_ref().is_some_and(|id| self.requests.is_query_id_in_use(id));
         let query_id = fields.id.take().unwrap_or_else(|| self.sessions.new_query_id());
         let Some(session) = self.sessions.table.active_mut(handle) else { return };
@@ -31,7 +31,7 @@
         };
         let (ready_us, read_ahead) = (session.ready_us, session.read_ahead);
         let idempotency_key = fields.idempotency_key.take();
-        let request = OpenClientRequest { client: handle, query_id, class, statement, idempotency_key, run };
+        let request = OpenClientRequest { client: handle, query_id, class, statement, idempotency_key, mode };
         let input = AdmissionInput {
             now_us: self.time.now_us,
             ready_us,
--- a/gateway/src/net/engines/attempts.rs
+++ b/gateway/src/net/engines/attempts.rs
@@ -43,14 +43,14 @@
         };
         let max_ms = (deadline_us.saturating_sub(self.time.now_us) / 1000).max(1);
         let class = self.names.classes[request.class.0].as_str();
-        let (execution, protocol) = match &request.run {
+        let (execution, protocol) = match &request.mode {
             ExecutionMode::Simple => (http_execution(request, class, max_ms, terms), EngineProtocol::Http),
             ExecutionMode::Query | ExecutionMode::Execute(_) => {
                 (Execution::MySql { work: Some(mysql_work(request, class, max_ms)) }, EngineProtocol::MySql)
             }
         };
         let query_id = request.query_id.clone();
-        let prepared = matches!(request.run, ExecutionMode::Execute(_)).then(|| request.statement.clone());
+        let prepared = matches!(request.mode, ExecutionMode::Execute(_)).then(|| request.statement.clone());
         match self.acquire_connection(engine, Job::Attempt(id), protocol, prepared.as_deref()) {
             Ok(slot) => {
                 let attempt = Attempt {
@@ -239,7 +239,7 @@
         request.idempotency_key.as_deref().map(|key| Parameter::text(field_name::IDEMPOTENCY_KEY, key)),
     );
     let sql = request.statement.clone();
-    match &request.run {
+    match &request.mode {
         ExecutionMode::Execute(params) => mysql::Statement::Execute(sql, params.clone(), attributes),
         ExecutionMode::Simple | ExecutionMode::Query => mysql::Statement::Query(sql, attributes),
     }
--- a/gateway/src/net/requests.rs
+++ b/gateway/src/net/requests.rs
@@ -21,13 +21,13 @@
     pub statement: Vec<u8>,
     /// The client's idempotency key, by which engines recognise a retry of the same work.
     pub idempotency_key: Option<String>,
-    pub run: ExecutionMode,
+    pub mode: ExecutionMode,
 }
 
 impl OpenClientRequest {
     /// Size of the request in bytes, as reserved in the memory budget.
     pub fn bytes(&self) -> usize {
-        let params = match &self.run {
+        let params = match &self.mode {
             ExecutionMode::Execute(params) => {
                 params.iter().map(|p| PARAMETER_BYTES + p.value.as_ref().map_or(0, Vec::len)).sum()
             }
