--- a/gateway/src/mysql_protocol/error.rs
+++ b/gateway/src/mysql_protocol/error.rs
@@ -55,16 +55,16 @@
 pub struct SqlError {
     /// One of [`error_code`], or any other code from an engine.
     pub code: u16,
-    /// SQLSTATE of five characters.
-    pub state: String,
+    /// Five characters. The first two are the class.
+    pub sqlstate: String,
     /// Human-readable text, forwarded to the client unchanged.
     pub message: String,
 }
 
 impl SqlError {
     /// Creates an error with a SQLSTATE of five characters.
-    pub fn new(code: u16, state: &str, message: impl Into<String>) -> Self {
-        Self { code, state: state.to_owned(), message: message.into() }
+    pub fn new(code: u16, sqlstate: &str, message: impl Into<String>) -> Self {
+        Self { code, sqlstate: sqlstate.to_owned(), message: message.into() }
     }
 
     /// Reads the payload of an ERR packet. The SQLSTATE is `HY000` if the packet has none.
@@ -75,12 +75,12 @@
         let mut reader = Reader(payload);
         reader.bytes(1)?;
         let code = reader.int(2)? as u16;
-        let mut state = "HY000".to_owned();
+        let mut sqlstate = "HY000".to_owned();
         if reader.0.first() == Some(&b'#') {
             reader.bytes(1)?;
-            state = String::from_utf8_lossy(reader.bytes(5)?).into_owned();
+            sqlstate = String::from_utf8_lossy(reader.bytes(5)?).into_owned();
         }
-        Ok(Self { code, state, message: String::from_utf8_lossy(reader.0).into_owned() })
+        Ok(Self { code, sqlstate, message: String::from_utf8_lossy(reader.0).into_owned() })
     }
 
     /// Returns the payload of an ERR packet with this error.
@@ -88,13 +88,13 @@
         let mut payload = vec![ERR_HEADER];
         payload.extend(self.code.to_le_bytes());
         payload.push(b'#');
-        payload.extend(self.state.as_bytes());
+        payload.extend(self.sqlstate.as_bytes());
         payload.extend(self.message.as_bytes());
         payload
     }
 
     /// Whether the statement itself caused the error, so that every engine would report the same error.
     pub fn is_statement_error(&self) -> bool {
-        STATEMENT_ERROR_CLASSES.iter().any(|class| self.state.starts_with(class))
+        STATEMENT_ERROR_CLASSES.iter().any(|class| self.sqlstate.starts_with(class))
     }
 }
--- a/gateway/tests/crossings.rs
+++ b/gateway/tests/crossings.rs
@@ -400,7 +400,7 @@
 #[test]
 fn a_call_whose_connection_is_closed_as_it_is_written_is_retried_as_its_class_allows() {
     let unknown = "HTTP/1.1 500 x\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
-    for (class, again) in [("report", true), ("load", false)] {
+    for (class, is_retried) in [("report", true), ("load", false)] {
         let engine = Peer::new("e1");
         let gateway = Gateway::scripted(&engine.entry("Ready"), None, "", None, |t| t);
         let (mut client, wire) = request_in_flight(&engine, &gateway, class);
@@ -408,7 +408,7 @@
         let mut poll = engine.accept();
         assert_eq!(poll.call().path, format!("/data/{}/0", id(1)));
         poll.say(unknown);
-        if again {
+        if is_retried {
             let mut second = engine.accept();
             let call = second.call();
             assert_eq!((call.verb.as_str(), call.query_id()), ("POST", id(1).as_str()));
@@ -441,13 +441,13 @@
     assert!(gateway.log().contains("name=\"e1\" state=Draining"), "events must be applied in order");
     // Events that are also missing from the second stream are skipped. An old event changes nothing.
     second.event(6, &one.entry("Ready"));
-    let (mut last_one, last) = discovery.watch();
+    let (mut third, last) = discovery.watch();
     assert_eq!(last, 3);
-    last_one.stream();
-    last_one.event(6, &one.entry("Ready"));
+    third.stream();
+    third.event(6, &one.entry("Ready"));
     gateway.logged("name=\"e1\" state=Ready since_ms=0 now_us=");
-    last_one.event(5, &one.entry("Gone"));
-    last_one.event(7, &two.entry("Gone"));
+    third.event(5, &one.entry("Gone"));
+    third.event(7, &two.entry("Gone"));
     gateway.logged("name=\"e2\" state=Removed");
     assert!(!gateway.log().contains("name=\"e1\" state=Removed"));
 }
--- a/gateway/tests/deployments/client.rs
+++ b/gateway/tests/deployments/client.rs
@@ -31,8 +31,8 @@
     ready: bool,
     /// The connection has ended or its client has left. No further requests are written.
     ended: bool,
-    /// The reader has ended.
-    disconnected: bool,
+    /// The reader thread has ended.
+    reader_ended: bool,
 }
 
 /// A message from the server.
@@ -126,7 +126,7 @@
             self.harness.log(Event::Writing(*request));
         }
         let mut shared = lock(&self.shared);
-        if shared.disconnected {
+        if shared.reader_ended {
             // The reader has ended and would not log these requests as disconnected.
             for (request, _) in queries {
                 self.harness.log(Event::Written(*request));
@@ -190,7 +190,7 @@
             self.handle(&message);
         }
         let mut shared = lock(&self.shared);
-        (shared.ready, shared.ended, shared.disconnected) = (true, true, true);
+        (shared.ready, shared.ended, shared.reader_ended) = (true, true, true);
         for request in shared.unanswered.drain(..) {
             self.harness.log(Event::ConnectionEnded(request));
         }
--- a/gateway/tests/fronts.rs
+++ b/gateway/tests/fronts.rs
@@ -81,9 +81,9 @@
     drop(silent);
 
     // Idle clients are evicted too, starting with the one idle for longest.
-    let held: Vec<_> = (0..gateway.most_clients()).map(|_| pg::Client::connect(gateway.pg)).collect();
+    let idle: Vec<_> = (0..gateway.most_clients()).map(|_| pg::Client::connect(gateway.pg)).collect();
     assert!(client.is_ended());
-    drop(held);
+    drop(idle);
 
     // If all clients have open requests, a new client is rejected with an error that permits a retry.
     engine.set_work_ms(30_000);
@@ -448,7 +448,7 @@
     assert!(matches!(denied, mysql::Answer::Error(1045, ..)));
     let mut client = mysql::Client::connect(gateway.mysql());
     assert_eq!(client.ping(), mysql::Answer::Done);
-    let rows = |given: &str| mysql::Answer::Rows(vec!["e1".to_owned(), given.to_owned()]);
+    let rows = |parameters: &str| mysql::Answer::Rows(vec!["e1".to_owned(), parameters.to_owned()]);
     let lookup = "/* c=lookup,h=20,mem=9 */ SELECT v FROM sales_17.orders";
     assert_eq!(client.query(lookup, &[("i", ID)]), rows(""));
     assert_eq!(seen.engines_of(ID), ["e1"], "the id must be forwarded unchanged");
