--- a/gateway/tests/common/gateway.rs
+++ b/gateway/tests/common/gateway.rs
@@ -1,4 +1,4 @@
-//! The gateway's program, as a process with a configuration of its own.
+//! Gateway processes, each with its own configuration.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -10,16 +10,16 @@
 
 use super::Engine;
 
-/// A folder that goes with the last process that has it.
-struct Folder(std::path::PathBuf);
+/// A directory that is removed when the last process that uses it is dropped.
+struct TempDir(std::path::PathBuf);
 
-impl Drop for Folder {
+impl Drop for TempDir {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
-impl std::ops::Deref for Folder {
+impl std::ops::Deref for TempDir {
     type Target = std::path::Path;
 
     fn deref(&self) -> &Self::Target {
@@ -27,109 +27,112 @@
     }
 }
 
-/// The real program, started with a configuration of its own.
+/// A running gateway process. Killed when dropped.
 pub struct Gateway {
     child: Child,
     pub pg: SocketAddr,
     pub mysql: Option<SocketAddr>,
     pub ops: Option<SocketAddr>,
-    folder: Arc<Folder>,
+    dir: Arc<TempDir>,
     log: Arc<Mutex<String>>,
 }
 
-/// A figure of the log, by the key before it.
-pub fn figure(log: &str, key: &str) -> usize {
+/// Last value of a counter in a log, by its key.
+pub fn last_counter(log: &str, key: &str) -> usize {
     let word = log.split_whitespace().rev().find_map(|w| w.split_once(key)).expect(key);
     word.1.parse().unwrap()
 }
 
-static FOLDERS: AtomicU64 = AtomicU64::new(0);
+static DIR_COUNT: AtomicU64 = AtomicU64::new(0);
 
 impl Gateway {
-    /// Starts it in front of these engines, with the MySQL front if `mysql` says so.
+    /// Starts a gateway for these engines, with or without the MySQL front end.
     pub fn start(engines: &[&Engine], mysql: bool) -> Self {
-        Self::start_with(engines, mysql, None)
+        Self::start_with_coordinator(engines, mysql, None)
     }
 
-    /// The same, with a coordinator that knows more than the start.
-    pub fn start_with(engines: &[&Engine], mysql: bool, coordinator: Option<SocketAddr>) -> Self {
-        Self::start_as(engines, mysql, coordinator, "", None)
+    /// Starts a gateway that also follows the endpoint list of a coordinator.
+    pub fn start_with_coordinator(engines: &[&Engine], mysql: bool, coordinator: Option<SocketAddr>) -> Self {
+        Self::start_with_options(engines, mysql, coordinator, "", None)
     }
 
-    /// The same, with an operator's file and a limit on the process's descriptors.
-    pub fn start_as(
+    /// Starts a gateway with the contents of an operator's file and a limit on file descriptors.
+    pub fn start_with_options(
         engines: &[&Engine],
         mysql: bool,
         coordinator: Option<SocketAddr>,
         operator: &str,
         descriptors: Option<u32>,
     ) -> Self {
-        let folder = Self::folder(engines, mysql, coordinator, operator);
-        Self::launch(folder, ([127, 0, 0, 1], 0).into(), descriptors, false)
+        let dir = Self::create_dir(engines, mysql, coordinator, operator);
+        Self::launch(dir, ([127, 0, 0, 1], 0).into(), descriptors, false)
     }
 
-    /// In front of whoever these entries of the list name, with a coordinator if there is one, with the configuration
-    /// as `change` makes it and a log that tells each request.
-    pub fn scripted(
+    /// Starts a gateway for the engines of these JSON entries, with a changed configuration and debug logs.
+    pub fn with_endpoints(
         entries: &str,
         coordinator: Option<SocketAddr>,
         operator: &str,
         descriptors: Option<u32>,
         change: impl Fn(String) -> String,
     ) -> Self {
-        let folder = Self::scripted_folder(entries, coordinator, operator, change);
-        Self::launch(folder, ([127, 0, 0, 1], 0).into(), descriptors, false)
+        let dir = Self::create_dir_with_endpoints(entries, coordinator, operator, change);
+        Self::launch(dir, ([127, 0, 0, 1], 0).into(), descriptors, false)
     }
 
-    /// The same without a coordinator, with the admin interface, so that another process may take its place.
-    pub fn scripted_with_admin(entries: &str, change: impl Fn(String) -> String) -> Self {
-        let folder = Self::scripted_folder(entries, None, "", change);
-        Self::launch(folder, ([127, 0, 0, 1], 0).into(), None, true)
+    /// Starts a gateway for the engines of these JSON entries, with the admin interface and without a coordinator.
+    pub fn with_endpoints_and_admin(entries: &str, change: impl Fn(String) -> String) -> Self {
+        let dir = Self::create_dir_with_endpoints(entries, None, "", change);
+        Self::launch(dir, ([127, 0, 0, 1], 0).into(), None, true)
     }
 
-    /// The same, following these control machines.
-    pub fn controlled(entries: &str, machines: &[SocketAddr], change: impl Fn(String) -> String) -> Self {
-        let list = machines.iter().map(|machine| format!("\"{machine}\"")).collect::<Vec<_>>().join(", ");
+    /// Starts a gateway for the engines of these JSON entries that follows these control plane servers.
+    pub fn with_control_plane(
+        entries: &str,
+        servers: &[SocketAddr],
+        change: impl Fn(String) -> String,
+    ) -> Self {
+        let list = servers.iter().map(|server| format!("\"{server}\"")).collect::<Vec<_>>().join(", ");
         let operator = format!("[control]\nmachines = [{list}]\n");
-        let folder = Self::scripted_folder(entries, None, &operator, change);
-        Self::launch(folder, ([127, 0, 0, 1], 0).into(), None, true)
+        let dir = Self::create_dir_with_endpoints(entries, None, &operator, change);
+        Self::launch(dir, ([127, 0, 0, 1], 0).into(), None, true)
     }
 
-    fn scripted_folder(
+    fn create_dir_with_endpoints(
         entries: &str,
         coordinator: Option<SocketAddr>,
         operator: &str,
         change: impl Fn(String) -> String,
-    ) -> Arc<Folder> {
-        let folder = Self::folder(&[], false, coordinator, operator);
-        let file = folder.join("config.json");
+    ) -> Arc<TempDir> {
+        let dir = Self::create_dir(&[], false, coordinator, operator);
+        let file = dir.join("config.json");
         let list = |text: String| text.replace("\"endpoints\":[]", &format!("\"endpoints\":[{entries}]"));
         std::fs::write(&file, change(list(std::fs::read_to_string(&file).unwrap()))).unwrap();
-        std::fs::write(folder.join("log-level"), "debug").unwrap();
-        folder
+        std::fs::write(dir.join("log-level"), "debug").unwrap();
+        dir
     }
 
-    /// Its folder.
+    /// Directory of the configuration and the socket.
     pub fn path(&self) -> &std::path::Path {
-        &self.folder
+        &self.dir
     }
 
-    /// A folder with its configuration.
-    fn folder(
+    /// Creates a directory with a configuration.
+    fn create_dir(
         engines: &[&Engine],
         mysql: bool,
         coordinator: Option<SocketAddr>,
         operator: &str,
-    ) -> Arc<Folder> {
-        let number = FOLDERS.fetch_add(1, Ordering::SeqCst);
-        let folder = std::env::temp_dir().join(format!("wrenhatch-{}-{number}", std::process::id()));
-        std::fs::create_dir_all(&folder).unwrap();
+    ) -> Arc<TempDir> {
+        let number = DIR_COUNT.fetch_add(1, Ordering::SeqCst);
+        let dir = std::env::temp_dir().join(format!("wrenhatch-{}-{number}", std::process::id()));
+        std::fs::create_dir_all(&dir).unwrap();
         let list = engines.iter().map(|e| e.entry("Ready")).collect::<Vec<_>>().join(",");
         let mut config = include_str!("config.json").replace("LIST", &list);
         if let Some(address) = coordinator {
             config = config.replace("\"known\":", &format!("\"coordinator\":\"{address}\",\"known\":"));
         }
-        std::fs::write(folder.join("config.json"), config).unwrap();
+        std::fs::write(dir.join("config.json"), config).unwrap();
         let mut operator = operator.to_owned();
         if mysql {
             operator += "\n[mysql]\nlisten = \"127.0.0.1:0\"\n\
@@ -139,51 +142,51 @@
                 operator += &format!("{} = \"{}\"\n", engine.name, engine.mysql);
             }
         }
-        std::fs::write(folder.join("operator.toml"), operator).unwrap();
-        Arc::new(Folder(folder))
+        std::fs::write(dir.join("operator.toml"), operator).unwrap();
+        Arc::new(TempDir(dir))
     }
 
-    /// In front of these engines with the MySQL front, with the configuration as `change` makes it.
+    /// Starts a gateway for these engines with the MySQL front end and a changed configuration.
     pub fn start_changed(engines: &[&Engine], change: impl Fn(String) -> String) -> Self {
-        let folder = Self::folder(engines, true, None, "");
-        let file = folder.join("config.json");
+        let dir = Self::create_dir(engines, true, None, "");
+        let file = dir.join("config.json");
         std::fs::write(&file, change(std::fs::read_to_string(&file).unwrap())).unwrap();
-        Self::launch(folder, ([127, 0, 0, 1], 0).into(), None, false)
+        Self::launch(dir, ([127, 0, 0, 1], 0).into(), None, false)
     }
 
-    /// In front of these engines, with the admin interface.
+    /// Starts a gateway for these engines with the admin interface.
     pub fn start_with_admin(engines: &[&Engine]) -> Self {
-        Self::launch(Self::folder(engines, false, None, ""), ([127, 0, 0, 1], 0).into(), None, true)
+        Self::launch(Self::create_dir(engines, false, None, ""), ([127, 0, 0, 1], 0).into(), None, true)
     }
 
-    /// Starts another process that is to take this one's place.
+    /// Starts a process that replaces this one.
     pub fn successor(&self) -> Self {
-        Self::launch(self.folder.clone(), self.pg, None, true)
+        Self::launch(self.dir.clone(), self.pg, None, true)
     }
 
-    /// A process that has begun and waits for its configuration, which is to come through a pipe.
-    pub fn starting(entries: &str) -> Starting {
-        let folder = Self::folder(&[], false, None, "");
-        let file = folder.join("config.json");
+    /// Starts a process that waits for its configuration, which it reads from a pipe.
+    pub fn spawn_waiting(entries: &str) -> WaitingGateway {
+        let dir = Self::create_dir(&[], false, None, "");
+        let file = dir.join("config.json");
         let list = format!("\"endpoints\":[{entries}]");
         let config = std::fs::read_to_string(&file).unwrap().replace("\"endpoints\":[]", &list);
         std::fs::remove_file(&file).unwrap();
         assert!(Command::new("mkfifo").arg(&file).status().unwrap().success());
-        let child = Self::command(&folder, ([127, 0, 0, 1], 0).into(), None, false).spawn().unwrap();
-        // It comes through once the process reads.
+        let child = Self::command(&dir, ([127, 0, 0, 1], 0).into(), None, false).spawn().unwrap();
+        // Opening the pipe blocks until the process opens it for reading.
         let pipe = std::fs::File::options().write(true).open(&file).unwrap();
-        // Who reads it again finds a file.
+        // A reload reads the configuration from a regular file.
         std::fs::remove_file(&file).unwrap();
         std::fs::write(&file, &config).unwrap();
-        Starting { child, pipe, config, folder }
+        WaitingGateway { child, pipe, config, dir }
     }
 
-    fn launch(folder: Arc<Folder>, listen: SocketAddr, descriptors: Option<u32>, admin: bool) -> Self {
-        let child = Self::command(&folder, listen, descriptors, admin).spawn().unwrap();
-        Self::serving(child, folder)
+    fn launch(dir: Arc<TempDir>, listen: SocketAddr, descriptors: Option<u32>, admin: bool) -> Self {
+        let child = Self::command(&dir, listen, descriptors, admin).spawn().unwrap();
+        Self::wait_until_serving(child, dir)
     }
 
-    fn command(folder: &Folder, listen: SocketAddr, descriptors: Option<u32>, admin: bool) -> Command {
+    fn command(dir: &TempDir, listen: SocketAddr, descriptors: Option<u32>, admin: bool) -> Command {
         let program = env!("CARGO_BIN_EXE_wrenhatch");
         let mut command = match descriptors {
             None => Command::new(program),
@@ -193,37 +196,40 @@
                 shell
             }
         };
-        command.arg("serve").env("LB_CONFIG", folder.join("config.json")).env("LB_NAME", "t");
-        command.env("TMPDIR", &**folder).env("LB_OPS", if admin { "127.0.0.1:0" } else { "" });
+        command.arg("serve").env("LB_CONFIG", dir.join("config.json")).env("LB_NAME", "t");
+        command.env("TMPDIR", &**dir).env("LB_OPS", if admin { "127.0.0.1:0" } else { "" });
         command.env("LB_LISTEN", listen.to_string()).stderr(Stdio::piped()).stdout(Stdio::null());
-        command.arg("--config").arg(folder.join("operator.toml"));
-        if let Ok(level) = std::fs::read_to_string(folder.join("log-level")) {
+        command.arg("--config").arg(dir.join("operator.toml"));
+        if let Ok(level) = std::fs::read_to_string(dir.join("log-level")) {
             command.arg("--log").arg(level);
         }
         command
     }
 
-    /// Waits until it serves.
-    fn serving(mut child: Child, folder: Arc<Folder>) -> Self {
+    /// Waits until the process is serving.
+    fn wait_until_serving(mut child: Child, dir: Arc<TempDir>) -> Self {
         let mut lines = BufReader::new(child.stderr.take().unwrap()).lines();
-        let serving =
-            lines.by_ref().map_while(Result::ok).find(|l| l.contains("serving")).expect("it serves");
+        let serving = lines
+            .by_ref()
+            .map_while(Result::ok)
+            .find(|l| l.contains("serving"))
+            .expect("the gateway has not started to serve");
         let address = |key: &str| {
             let word = serving.split_whitespace().find_map(|w| w.strip_prefix(key)).unwrap();
             word.parse::<SocketAddr>().ok()
         };
         let (pg, mysql, ops) = (address("listen=").unwrap(), address("mysql="), address("ops="));
         let log = Arc::new(Mutex::new(String::new()));
-        let kept = log.clone();
+        let log_writer = log.clone();
         thread::spawn(move || {
             for line in lines.map_while(Result::ok) {
-                kept.lock().unwrap().push_str(&(line + "\n"));
+                log_writer.lock().unwrap().push_str(&(line + "\n"));
             }
         });
-        Self { child, pg, mysql, ops, folder, log }
+        Self { child, pg, mysql, ops, dir, log }
     }
 
-    /// A call to the admin interface, with a method and a path; the answer's status and text.
+    /// Sends a request with this method and path to the admin interface. Returns the status and the body.
     pub fn call(&self, line: &str) -> (u16, String) {
         let mut stream = TcpStream::connect(self.ops.unwrap()).unwrap();
         stream.set_read_timeout(Some(Duration::from_secs(30))).unwrap();
@@ -234,7 +240,7 @@
         (head.split(' ').nth(1).unwrap().parse().unwrap(), body.to_owned())
     }
 
-    /// A figure of the admin interface.
+    /// Value of a metric of the admin interface.
     pub fn metric(&self, name: &str) -> u64 {
         let (status, text) = self.call("GET /status/metrics");
         assert_eq!(status, 200);
@@ -247,32 +253,32 @@
         self.signal("-TERM");
     }
 
-    /// Sends a signal, named as `kill` wants it.
+    /// Sends a signal, given as an option of `kill`.
     pub fn signal(&self, signal: &str) {
         let id = self.child.id().to_string();
         assert!(Command::new("kill").args([signal, &id]).status().unwrap().success());
     }
 
-    /// Kills it.
+    /// Kills the process.
     pub fn kill(mut self) {
         self.child.kill().unwrap();
         self.child.wait().unwrap();
     }
 
-    /// Where it waits for a process that is to take its place.
+    /// Path of the socket for a replacing process.
     pub fn socket(&self) -> std::path::PathBuf {
-        self.folder.join("wrenhatch-t.sock")
+        self.dir.join("wrenhatch-t.sock")
     }
 
-    /// Replaces its configuration's file by what `change` makes of it, and sends SIGHUP.
+    /// Changes the configuration file and sends SIGHUP.
     pub fn reconfigure(&self, change: impl Fn(String) -> String) {
-        let file = self.folder.join("config.json");
+        let file = self.dir.join("config.json");
         std::fs::write(&file, change(std::fs::read_to_string(&file).unwrap())).unwrap();
         self.signal("-HUP");
     }
 
-    /// Stands still while `during` goes on: all that comes meanwhile is there at its next turn.
-    pub fn paused<T>(&self, during: impl FnOnce() -> T) -> T {
+    /// Stops the process while `during` runs, so that the process receives all of its input in its next turn.
+    pub fn while_paused<T>(&self, during: impl FnOnce() -> T) -> T {
         self.signal("-STOP");
         self.await_stopped();
         let result = during();
@@ -280,29 +286,29 @@
         result
     }
 
-    /// Waits until the process has stopped: the signal has been sent before, but it goes on until it is delivered.
+    /// Waits until the process has stopped. It runs on until the signal is delivered.
     fn await_stopped(&self) {
         let path = format!("/proc/{}/stat", self.child.id());
         let began = Instant::now();
         loop {
-            // proc(5): the state stands behind the name in parentheses, which may itself hold some.
+            // proc(5): the state follows the name in parentheses, which can itself contain parentheses.
             let stat = std::fs::read_to_string(&path).unwrap();
             let state = stat.rsplit_once(") ").and_then(|(_, rest)| rest.chars().next());
             if state == Some('T') {
                 return;
             }
-            assert!(began.elapsed() < Duration::from_secs(60), "it does not stop: {stat}");
+            assert!(began.elapsed() < Duration::from_secs(60), "the process has not stopped: {stat}");
             thread::sleep(Duration::from_millis(1));
         }
     }
 
-    /// What it has logged so far.
+    /// Log so far.
     pub fn log(&self) -> String {
         self.log.lock().unwrap().clone()
     }
 
-    /// Waits until its log holds this.
-    pub fn logged(&self, text: &str) {
+    /// Waits until the log contains this text.
+    pub fn wait_for_log(&self, text: &str) {
         let began = Instant::now();
         while !self.log.lock().unwrap().contains(text) {
             assert!(began.elapsed() < Duration::from_secs(60), "no {text} in the log");
@@ -310,7 +316,7 @@
         }
     }
 
-    /// The turns that its loop has made, by its own word.
+    /// Number of turns of the event loop, from the counters logged on SIGUSR1.
     pub fn turns(&self) -> u64 {
         let before = self.log.lock().unwrap().len();
         self.signal("-USR1");
@@ -318,20 +324,20 @@
         loop {
             let new = self.log.lock().unwrap().get(before..).unwrap_or_default().to_owned();
             if new.contains("turns=") && new.ends_with('\n') {
-                return figure(&new, "turns=") as u64;
+                return last_counter(&new, "turns=") as u64;
             }
-            assert!(began.elapsed() < Duration::from_secs(60), "it tells no counters");
+            assert!(began.elapsed() < Duration::from_secs(60), "the process has not logged its counters");
             thread::sleep(Duration::from_millis(5));
         }
     }
 
-    /// Asks it to end; its exit code and its last words.
+    /// Sends SIGTERM and waits for the exit. Returns the exit code and the log.
     pub fn end(self) -> (Option<i32>, String) {
         self.terminate();
         self.wait()
     }
 
-    /// Waits for its end; its exit code and its last words.
+    /// Waits for the exit. Returns the exit code and the log.
     pub fn wait(mut self) -> (Option<i32>, String) {
         let code = self.child.wait().unwrap().code();
         thread::sleep(Duration::from_millis(100));
@@ -339,8 +345,8 @@
         (code, log)
     }
 
-    /// The clients that it holds at once with the 256 descriptors of its configuration.
-    pub fn most_clients(&self) -> usize {
+    /// Maximum number of clients with the 256 sockets of the configuration.
+    pub fn max_clients(&self) -> usize {
         256 / 3 + 16
     }
 
@@ -349,25 +355,25 @@
     }
 }
 
-/// A process that waits for its configuration.
-pub struct Starting {
+/// A gateway process that waits for its configuration.
+pub struct WaitingGateway {
     child: Child,
     pipe: std::fs::File,
     config: String,
-    folder: Arc<Folder>,
+    dir: Arc<TempDir>,
 }
 
-impl Starting {
+impl WaitingGateway {
     pub fn signal(&self, signal: &str) {
         let id = self.child.id().to_string();
         assert!(Command::new("kill").args([signal, &id]).status().unwrap().success());
     }
 
-    /// It gets its configuration, and serves.
-    pub fn go_on(mut self) -> Gateway {
+    /// Sends the configuration and waits until the process is serving.
+    pub fn configure(mut self) -> Gateway {
         self.pipe.write_all(self.config.as_bytes()).unwrap();
         drop(self.pipe);
-        Gateway::serving(self.child, self.folder)
+        Gateway::wait_until_serving(self.child, self.dir)
     }
 }
 
--- a/gateway/tests/deployments/run.rs
+++ b/gateway/tests/deployments/run.rs
@@ -29,7 +29,7 @@
         .collect();
     let discovery = DiscoveryService::listen().unwrap();
     let config = config(&deployment, &endpoints, discovery.address);
-    let gateway = Gateway::scripted("", None, "", None, |_| config.clone());
+    let gateway = Gateway::with_endpoints("", None, "", None, |_| config.clone());
     let change = deployment.change;
     let entry = entry(&deployment, change.engine, &endpoints, state_name(change.state));
     discovery.serve(&harness, change, entry);
--- a/lab/src/capacity/mod.rs
+++ b/lab/src/capacity/mod.rs
@@ -1,4 +1,5 @@
-//! What the gateway costs as a function of size, and the page that holds it against the size that has to be carried.
+//! The `capacity` command: measures the gateway's cost as a function of size, and generates the page that compares
+//! it with a target size.
 
 pub mod bounds;
 pub mod control_machine;
@@ -25,12 +26,12 @@
 use bounds::{Guard, Limits};
 use error::CapacityError;
 use experiment::Experiment;
-use experiments::{Effort, ExperimentRunner};
-use hollow::Hollow;
-use slopes::{Machine, Measured, Slopes};
+use experiments::{ExperimentRunner, Workload};
+use hollow::HollowFile;
+use slopes::{Machine, Measurement, Slopes};
 use target::Target;
 
-/// What the gateway costs by size, and the page that holds it against a target.
+/// Measures the gateway's cost as a function of size and compares it with a target size.
 #[derive(Args)]
 pub struct Options {
     #[command(subcommand)]
@@ -39,98 +40,99 @@
 
 #[derive(Subcommand)]
 enum Action {
-    /// Runs experiments and puts their figures into the file of slopes.
+    /// Runs experiments and writes their figures to the slopes file.
     Measure(MeasureOptions),
-    /// Makes the page from slopes, target and, where they are there, figures of hollow runs.
+    /// Generates the page from the slopes, the target and any figures of hollow runs.
     Page(PageOptions),
 }
 
-/// What the page is made from, and where it goes.
+/// Inputs and output of the page.
 #[derive(Args)]
 struct PageOptions {
-    /// The file of slopes.
+    /// The slopes file.
     #[arg(long, default_value = "docs/capacity/slopes.json")]
     slopes: PathBuf,
-    /// The size that has to be carried.
+    /// The target size.
     #[arg(long, default_value = "docs/capacity/target.toml")]
     target: PathBuf,
-    /// Figures of hollow runs; a file that is not there holds none.
+    /// Figures of hollow runs. A missing file counts as empty.
     #[arg(long, default_value = "docs/capacity/hollow.json")]
     hollow: PathBuf,
-    /// Figures of configuration in service; a file that is not there holds none.
+    /// Figures of configuration in service. A missing file counts as empty.
     #[arg(long, default_value = "docs/capacity/configuration.json")]
     configuration: PathBuf,
-    /// Where the page goes.
+    /// The page to write.
     #[arg(long, default_value = "docs/CAPACITY.md")]
     output: PathBuf,
-    /// Writes nothing, and fails where the page is another.
+    /// Write nothing, and fail if the existing page differs.
     #[arg(long)]
     check: bool,
 }
 
-/// What to measure, and where the figures go.
+/// Experiments to run, and the file for their figures.
 #[derive(Args)]
 struct MeasureOptions {
-    /// Which experiments.
+    /// The experiments to run.
     #[arg(required = true, value_enum)]
     experiments: Vec<Experiment>,
-    /// Other sizes than those of the experiment.
+    /// Sizes to run at instead of the experiment's own.
     #[arg(long, value_delimiter = ',')]
     sizes: Vec<usize>,
-    /// Runs at each size.
+    /// Number of runs at each size.
     #[arg(long, default_value_t = 3)]
     plays: usize,
-    /// A gateway that is built already; without it the workspace's is built.
+    /// A gateway binary. Without this option, the workspace's gateway is built.
     #[arg(long)]
     gateway: Option<PathBuf>,
-    /// The file of slopes; what the experiments gave before is replaced.
+    /// The slopes file. Earlier figures of the same experiments are replaced.
     #[arg(long)]
     slopes: Option<PathBuf>,
     #[command(flatten)]
     limits: Limits,
 }
 
-/// Does what the options say.
+/// Runs the subcommand.
 ///
 /// # Errors
-/// A bound is passed, a file is wrong, or the gateway does not do what is waited for.
+/// A limit is exceeded, a file is missing or malformed, or the gateway behaves unexpectedly.
 pub fn run(options: &Options) -> Result<(), CapacityError> {
     match &options.action {
         Action::Measure(options) => measure(options),
-        Action::Page(options) => make_page(options),
+        Action::Page(options) => run_page(options),
     }
 }
 
-fn make_page(options: &PageOptions) -> Result<(), CapacityError> {
+fn run_page(options: &PageOptions) -> Result<(), CapacityError> {
     let target = Target::read(&options.target)?;
     let slopes = Slopes::read(&options.slopes)?;
-    let hollow = Hollow::read(&options.hollow)?.with_configuration(&options.configuration)?;
-    let text = page::page(&target, &slopes, &hollow);
+    let hollow = HollowFile::read(&options.hollow)?.with_configuration(&options.configuration)?;
+    let text = page::generate_page(&target, &slopes, &hollow);
     let path = &options.output;
     if !options.check {
         return std::fs::write(path, text).map_err(CapacityError::file(path));
     }
-    let present = std::fs::read_to_string(path).map_err(CapacityError::file(path))?;
-    if present == text { Ok(()) } else { Err(CapacityError::Stale(path.clone())) }
+    let existing = std::fs::read_to_string(path).map_err(CapacityError::file(path))?;
+    if existing == text { Ok(()) } else { Err(CapacityError::Stale(path.clone())) }
 }
 
 fn measure(options: &MeasureOptions) -> Result<(), CapacityError> {
     let program = match &options.gateway {
         Some(program) => program.clone(),
-        None => build()?,
+        None => build_gateway()?,
     };
-    let runner = ExperimentRunner { program, effort: Effort::default(), guard: Guard::new(options.limits) };
+    let runner =
+        ExperimentRunner { program, workload: Workload::default(), guard: Guard::new(options.limits) };
     for experiment in &options.experiments {
         let measured = runner.run(
             *experiment,
             &sizes(options, *experiment),
             options.plays.max(1),
-            &command(*experiment),
+            &command_line(*experiment),
         )?;
         measured.iter().for_each(print);
         if let Some(path) = &options.slopes {
             let mut slopes = Slopes::read(path)?;
-            slopes.machine = Machine::this();
+            slopes.machine = Machine::current();
             slopes.replace(*experiment, measured);
             slopes.write(path)?;
         }
@@ -138,7 +140,7 @@
     Ok(())
 }
 
-/// The sizes to run at, each once and in order.
+/// Returns the sizes to run at, sorted and without duplicates.
 fn sizes(options: &MeasureOptions, experiment: Experiment) -> Vec<usize> {
     if options.sizes.is_empty() {
         return experiment.sizes().to_vec();
@@ -149,15 +151,15 @@
     sizes
 }
 
-fn command(experiment: Experiment) -> String {
+fn command_line(experiment: Experiment) -> String {
     format!("wrenhatch-lab capacity measure {experiment}")
 }
 
-fn print(measured: &Measured) {
+fn print(measured: &Measurement) {
     println!("{} by {} ({})", measured.name(), measured.of, measured.fixed);
     for point in &measured.points {
-        let plays: Vec<String> = point.runs.iter().map(|v| format!("{v:.3}")).collect();
-        println!("  {:>6}  {:>14.3} {}  of {}", point.size, point.median(), measured.unit, plays.join(", "));
+        let runs: Vec<String> = point.runs.iter().map(|v| format!("{v:.3}")).collect();
+        println!("  {:>6}  {:>14.3} {}  of {}", point.size, point.median(), measured.unit, runs.join(", "));
     }
     if let Some(fit) = &measured.fit {
         let growth = if fit.linear { "linear" } else { "NOT linear" };
@@ -166,16 +168,16 @@
             fit.slope, fit.slope_error, fit.misfit, fit.noise, fit.first_slope, fit.last_slope
         );
     }
-    measured.unusable.iter().for_each(|why| println!("  unusable: {why}"));
+    measured.unusable.iter().for_each(|reason| println!("  unusable: {reason}"));
 }
 
-/// Builds the gateway and says where it is.
-fn build() -> Result<PathBuf, CapacityError> {
+/// Builds the gateway and returns the path of its binary.
+fn build_gateway() -> Result<PathBuf, CapacityError> {
     let cargo = std::env::var_os("CARGO").unwrap_or_else(|| "cargo".into());
-    let built = Command::new(cargo).args(["build", "--release", "--locked", "-p", "wrenhatch"]).status()?;
-    if !built.success() {
-        return Err(CapacityError::Peer("the gateway could not be built".to_owned()));
+    let status = Command::new(cargo).args(["build", "--release", "--locked", "-p", "wrenhatch"]).status()?;
+    if !status.success() {
+        return Err(CapacityError::Unexpected("building the gateway failed".to_owned()));
     }
-    let own = std::env::current_exe()?;
-    Ok(own.parent().unwrap_or(Path::new(".")).join("../release/wrenhatch"))
+    let own_path = std::env::current_exe()?;
+    Ok(own_path.parent().unwrap_or(Path::new(".")).join("../release/wrenhatch"))
 }
