--- a/gateway/tests/crossings.rs
+++ b/gateway/tests/crossings.rs
@@ -34,10 +34,10 @@
 fn request_in_flight(engine: &Peer, gateway: &Gateway, class: &str) -> (pg::Client, Connection) {
     let mut client = pg::Client::connect(gateway.pg);
     client.send(&text(class, 1));
-    let mut wire = engine.accept();
-    let call = wire.read_call();
+    let mut connection = engine.accept();
+    let call = connection.read_call();
     assert_eq!((call.method.as_str(), call.query_id()), ("POST", id(1).as_str()));
-    (client, wire)
+    (client, connection)
 }
 
 /// Returns an empty list, in which [`serve_all_queries`] records the ids of the queries that the engine executes.
@@ -126,15 +126,15 @@
         wait_client_left(&gateway, 1);
         engine.drain_backlog();
         // Without cancellation the connection is established after its request has ended. Other requests may use it.
-        let wire = connects.then(|| engine.accept());
+        let connection = connects.then(|| engine.accept());
         let ran_ids = id_log();
         let late = thread::spawn({
             let ran_ids = ran_ids.clone();
             move || {
-                let Some(mut wire) = wire else { return };
-                while let Some(call) = wire.next_call() {
+                let Some(mut connection) = connection else { return };
+                while let Some(call) = connection.next_call() {
                     ran_ids.lock().unwrap().push(call.query_id().to_owned());
-                    wire.send_row(call.query_id());
+                    connection.send_row(call.query_id());
                 }
             }
         });
@@ -150,9 +150,9 @@
 fn a_request_whose_client_leaves_between_two_attempts_is_not_retried() {
     let engine = Peer::new("e1");
     let gateway = Gateway::with_endpoints(&engine.entry("Ready"), None, "", None, |t| t);
-    let (client, mut wire) = request_in_flight(&engine, &gateway, "load");
+    let (client, mut connection) = request_in_flight(&engine, &gateway, "load");
     // The engine sheds the attempt, which delays the next one.
-    wire.send("HTTP/1.1 503 x\r\nX-Shed: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
+    connection.send("HTTP/1.1 503 x\r\nX-Shed: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
     gateway.wait_for_log("attempt ended query_id=\"0000000000000001\"");
     drop(client);
     wait_client_left(&gateway, 1);
@@ -179,13 +179,13 @@
     let gateway = Gateway::with_endpoints(&engine.entry("Ready"), None, "", None, |t| t);
     let (mut client, mut other) = (pg::Client::connect(gateway.pg), pg::Client::connect(gateway.pg));
     client.send(&text("load", 1));
-    let mut wire = engine.accept();
-    wire.read_call();
+    let mut connection = engine.accept();
+    connection.read_call();
     for _ in 0..16 {
         assert!(client.try_send_garbage(256 << 10));
         assert_eq!(other.query(";"), pg::Answer::Empty, "the gateway must go on reading other clients");
     }
-    wire.send_row(&id(1));
+    connection.send_row(&id(1));
     assert_eq!(client.answer(), row_answer(1), "the request must be answered");
     assert_eq!(error_code(&client.answer()), "54000", "the invalid data must be answered once");
     assert!(client.is_closed());
@@ -229,13 +229,13 @@
     let gateway = Gateway::with_endpoints(&engine.entry("Ready"), None, "", None, |t| t);
     thread::spawn(move || {
         loop {
-            let mut wire = engine.accept();
+            let mut connection = engine.accept();
             thread::spawn(move || {
-                while let Some(call) = wire.next_call() {
+                while let Some(call) = connection.next_call() {
                     if call.method == "POST" {
-                        wire.send_row(call.query_id());
+                        connection.send_row(call.query_id());
                         thread::sleep(Duration::from_millis(5));
-                        wire.send_row(call.query_id());
+                        connection.send_row(call.query_id());
                     }
                 }
             });
@@ -255,19 +255,19 @@
     let gateway = Gateway::with_endpoints(&engine.entry("Ready"), None, "", None, |t| t);
     let (mut client, mut other) = (pg::Client::connect(gateway.pg), pg::Client::connect(gateway.pg));
     client.send(&text("lookup", 1));
-    let mut wire = engine.accept();
-    assert_eq!(wire.read_call().query_id(), id(1));
+    let mut connection = engine.accept();
+    assert_eq!(connection.read_call().query_id(), id(1));
     let accepted = "HTTP/1.1 202 x\r\nContent-Length: 0\r\n\r\n";
-    wire.send(accepted);
-    assert_eq!(wire.read_call().method, "GET");
-    wire.send(accepted);
-    assert_eq!(wire.read_call().method, "GET");
-    wire.send_row(&id(1));
+    connection.send(accepted);
+    assert_eq!(connection.read_call().method, "GET");
+    connection.send(accepted);
+    assert_eq!(connection.read_call().method, "GET");
+    connection.send_row(&id(1));
     assert_eq!(client.answer(), row_answer(1));
     thread::sleep(Duration::from_millis(40));
     other.send(&text("lookup", 2));
     thread::sleep(Duration::from_millis(40));
-    wire.try_send(&row_response(&id(1)));
+    connection.try_send(&row_response(&id(1)));
     serve_all_queries(engine, id_log());
     assert_eq!(other.answer(), row_answer(2), "the response to the first query was delivered to the second");
 }
@@ -290,21 +290,21 @@
     let query =
         |token: &str| format!("/* c=report,i={},d=20000,k={token} */ SELECT v FROM sales_17.orders", id(1));
     client.send(&text("report", 2));
-    let mut wire = engine.accept();
-    assert!(!wire.read_call().headers.contains_key("x-nonce"), "the gateway added an idempotency key");
-    wire.send(&row_response(&id(2)).replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n"));
+    let mut connection = engine.accept();
+    assert!(!connection.read_call().headers.contains_key("x-nonce"), "the gateway added an idempotency key");
+    connection.send(&row_response(&id(2)).replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n"));
     assert_eq!(client.answer(), row_answer(2));
     client.send(&query("16d2cf6db534bf77e12ba3280ca951ca"));
-    let mut wire = engine.accept();
+    let mut connection = engine.accept();
     for attempt in 0..2 {
-        let call = wire.read_call();
+        let call = connection.read_call();
         assert_eq!(call.headers["x-nonce"], "16d2cf6db534bf77e12ba3280ca951ca", "attempt {attempt}");
         assert_eq!(call.query_id(), id(1));
         if attempt == 0 {
-            wire.send("HTTP/1.1 503 x\r\nX-Shed: 1\r\nContent-Length: 0\r\n\r\n");
+            connection.send("HTTP/1.1 503 x\r\nX-Shed: 1\r\nContent-Length: 0\r\n\r\n");
         }
     }
-    wire.send_row(&id(1));
+    connection.send_row(&id(1));
     assert_eq!(client.answer(), row_answer(1));
     for bad in ["", "a b", "a\tb", "a\u{7f}", &"k".repeat(129)] {
         assert_eq!(error_code(&client.query(&query(bad))), "42601", "{bad:?}");
@@ -320,11 +320,11 @@
     watch.send_stream_head();
     let mut client = pg::Client::connect(gateway.pg);
     client.send(&text("lookup", 1));
-    let mut wire = one.accept();
-    assert_eq!(wire.read_call().query_id(), id(1));
+    let mut connection = one.accept();
+    assert_eq!(connection.read_call().query_id(), id(1));
     watch.send_event(2, &format!("{},{}", two.entry("Ready"), one.entry("Terminating")));
     gateway.wait_for_log("name=\"e1\" state=Draining");
-    wire.send("HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n");
+    connection.send("HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n");
     gateway.wait_for_log("attempt ended query_id=\"0000000000000001\"");
     // The attempt's connection must have begun before the engine accepts connections.
     gateway.wait_for_log("connection opened engine=1");
@@ -384,18 +384,18 @@
     let gateway = Gateway::with_endpoints(&engine.entry("Ready"), Some(discovery.address), "", None, |t| t);
     let (mut watch, _) = discovery.accept_watch();
     watch.send_stream_head();
-    let (mut client, wire) = request_in_flight(&engine, &gateway, "report");
+    let (mut client, connection) = request_in_flight(&engine, &gateway, "report");
     let replacement = engine.entry("Ready").replace("\"e1\"", "\"e2\"");
     watch.send_event(2, &format!("{},{replacement}", engine.entry("Gone")));
     gateway.wait_for_log("name=\"e2\" state=Ready");
-    wire.reset();
+    connection.reset();
     // The query is neither polled nor cancelled at the new engine.
     assert!(error_code(&client.answer()).starts_with("53"));
     client.send(&text("report", 2));
-    let mut wire = engine.accept();
-    let call = wire.read_call();
+    let mut connection = engine.accept();
+    let call = connection.read_call();
     assert_eq!((call.method.as_str(), call.query_id()), ("POST", id(2).as_str()));
-    wire.send_row(&id(2));
+    connection.send_row(&id(2));
     assert_eq!(client.answer(), row_answer(2));
 }
 
@@ -406,8 +406,8 @@
     for (class, is_retried) in [("report", true), ("load", false)] {
         let engine = Peer::new("e1");
         let gateway = Gateway::with_endpoints(&engine.entry("Ready"), None, "", None, |t| t);
-        let (mut client, wire) = request_in_flight(&engine, &gateway, class);
-        drop(wire);
+        let (mut client, connection) = request_in_flight(&engine, &gateway, class);
+        drop(connection);
         let mut poll = engine.accept();
         assert_eq!(poll.read_call().path, format!("/data/{}/0", id(1)));
         poll.send(unknown);
@@ -495,8 +495,8 @@
     gateway.wait_for_log("the discovery service is silent");
     discovery.drain_backlog();
     // The abandoned connection may still be established. It then ends without a call.
-    let mut wire = discovery.accept();
-    let call = wire.next_call().unwrap_or_else(|| discovery.accept().read_call());
+    let mut connection = discovery.accept();
+    let call = connection.next_call().unwrap_or_else(|| discovery.accept().read_call());
     assert_eq!(call.path, "/v2/stream");
 }
 
@@ -535,8 +535,8 @@
     let gateway = Gateway::with_endpoints(&engine.entry("Ready"), None, "", None, |t| t);
     let mut client = pg::Client::connect(gateway.pg);
     client.send(&text("report", 1));
-    let mut wire = engine.accept();
-    assert_eq!(wire.read_call().headers["x-queue"], "report");
+    let mut connection = engine.accept();
+    assert_eq!(connection.read_call().headers["x-queue"], "report");
     // The class of the running request is renamed, and the other classes change places.
     gateway.reconfigure(|t| {
         t.replace("\"report\"", "\"digest\"").replace("\"lookup\"", "\"load\"").replacen(
@@ -546,7 +546,7 @@
         )
     });
     gateway.wait_for_log("classes_gone=[\"report\"] classes_new=[\"digest\"]");
-    wire.send_row(&id(1));
+    connection.send_row(&id(1));
     assert_eq!(client.answer(), row_answer(1), "a running request must keep its settings");
     assert_eq!(
         error_code(&client.query(&text("digest", 2))),
@@ -554,7 +554,7 @@
         "the new class takes effect at the next start"
     );
     client.send(&text("report", 3));
-    assert_eq!(wire.read_call().headers["x-queue"], "report");
+    assert_eq!(connection.read_call().headers["x-queue"], "report");
     assert_eq!(gateway.log().matches("settings in the file differ from those in force").count(), 1);
 }
 
@@ -628,23 +628,23 @@
     // The discovery service never responds. SIGHUP and SIGTERM arrive in the same turn.
     let (_silent, _) = discovery.accept_watch();
     let mut clients: Vec<_> = (0..3).map(|_| pg::Client::connect(gateway.pg)).collect();
-    let mut wires = Vec::new();
+    let mut connections = Vec::new();
     for (n, (client, class)) in clients.iter_mut().zip(["report", "load", "report"]).enumerate() {
         client.send(&text(class, n as u64 + 1).replace("d=20000", "d=300000"));
         if n < 2 {
-            let mut wire = engine.accept();
-            assert_eq!(wire.read_call().query_id(), id(n as u64 + 1));
+            let mut connection = engine.accept();
+            assert_eq!(connection.read_call().query_id(), id(n as u64 + 1));
             // The query never ends.
-            wire.send("HTTP/1.1 202 x\r\nContent-Length: 0\r\n\r\n");
-            wires.push(wire);
+            connection.send("HTTP/1.1 202 x\r\nContent-Length: 0\r\n\r\n");
+            connections.push(connection);
         }
         wait_admitted(&gateway, n as u64 + 1);
     }
-    let pollers = wires.into_iter().map(|mut wire| {
+    let pollers = connections.into_iter().map(|mut connection| {
         thread::spawn(move || {
-            while wire.next_call().is_some() {
+            while connection.next_call().is_some() {
                 thread::sleep(Duration::from_millis(100));
-                wire.send("HTTP/1.1 202 x\r\nContent-Length: 0\r\n\r\n");
+                connection.send("HTTP/1.1 202 x\r\nContent-Length: 0\r\n\r\n");
             }
         })
     });
@@ -680,15 +680,15 @@
         client.send(&text("lookup", n as u64));
     }
     // The requests run concurrently, each over a connection of its own.
-    let mut wires: Vec<_> = (0..requesters.len()).map(|_| engine.accept()).collect();
-    for wire in &mut wires {
-        let query_id = wire.read_call().query_id().to_owned();
-        wire.send_row(&query_id);
+    let mut connections: Vec<_> = (0..requesters.len()).map(|_| engine.accept()).collect();
+    for connection in &mut connections {
+        let query_id = connection.read_call().query_id().to_owned();
+        connection.send_row(&query_id);
     }
     for (n, client) in requesters.iter_mut().enumerate() {
         assert_eq!(client.answer(), row_answer(n as u64), "engine connections must get descriptors");
     }
-    drop(wires);
+    drop(connections);
     serve_all_queries(engine, id_log());
     query_until_served(&gateway, "lookup", 100);
     let restarted = Peer::bind("c", address);
@@ -745,10 +745,10 @@
     // The response is truncated within its head, between head and body, and within its body.
     for length in [5, head + 4, whole.len() - 3] {
         client.send(&text("load", 1));
-        let mut wire = engine.accept();
-        assert_eq!(wire.read_call().method, "POST");
-        wire.send(&whole[..length]);
-        wire.shutdown_write();
+        let mut connection = engine.accept();
+        assert_eq!(connection.read_call().method, "POST");
+        connection.send(&whole[..length]);
+        connection.shutdown_write();
         let mut again = engine.accept();
         let call = again.read_call();
         assert_eq!((call.method.as_str(), call.path), ("GET", format!("/data/{}/0", id(1))));
