--- a/configuration/src/backoff.rs
+++ b/configuration/src/backoff.rs
@@ -8,7 +8,7 @@
 /// Upper bound of any delay, in microseconds.
 pub const BACKOFF_MAX_US: u64 = 8_000_000;
 
-/// Exponential backoff with full jitter over the control plane servers.
+/// Rotation through the control plane servers, with exponential backoff and full jitter between attempts.
 ///
 /// Each gateway tries the servers in an order derived from its seed by rendezvous hashing, so that gateways spread
 /// evenly over the servers.
@@ -36,11 +36,11 @@
     /// Selects the next server and returns the delay before connecting to it, in microseconds.
     pub(crate) fn on_failure(&mut self) -> u64 {
         self.position = (self.position + 1) % self.servers.len();
-        let doubled = BACKOFF_INITIAL_US.saturating_mul(1 << self.failures.min(32));
-        let ceiling = doubled.min(BACKOFF_MAX_US);
+        let doubled_us = BACKOFF_INITIAL_US.saturating_mul(1 << self.failures.min(32));
+        let ceiling_us = doubled_us.min(BACKOFF_MAX_US);
         self.failures = self.failures.saturating_add(1);
         self.random = mix(self.random);
-        self.random % ceiling
+        self.random % ceiling_us
     }
 
     /// Resets the delay after the server has sent a valid message.
--- a/configuration/src/document.rs
+++ b/configuration/src/document.rs
@@ -10,7 +10,7 @@
 use crate::patch::LIST_MEMBER;
 use crate::version::Digest;
 
-/// A text or JSON value is not a valid document.
+/// Error of parsing or validating a [`Document`].
 #[derive(Debug, thiserror::Error)]
 pub enum DocumentError {
     /// The text is not valid JSON.
--- a/configuration/src/hash.rs
+++ b/configuration/src/hash.rs
@@ -35,7 +35,7 @@
     }
 }
 
-/// Mixes a number over all 64 bits by the finaliser of SplitMix64.
+/// Hashes a number: the output of SplitMix64 for this state.
 pub(crate) fn mix(number: u64) -> u64 {
     let mut mixed = number.wrapping_add(0x9e37_79b9_7f4a_7c15);
     mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/configuration/src/lib.rs
+++ b/configuration/src/lib.rs
@@ -1,8 +1,9 @@
-//! Live reconfiguration of gateways: versioned settings, their distribution, and the state of both ends.
+//! Live reconfiguration of gateways: versioned settings and the protocol that distributes them from control plane
+//! servers to gateways.
 //!
 //! A control plane server holds a [`Publisher`] and a gateway holds a [`Subscriber`]. The publisher sends
-//! [`Message`]s over a stream, and the subscriber answers with [`Report`]s. The caller that publishes assigns version
-//! numbers, which increase strictly. All input from the wire is validated before use, and no input makes the crate
+//! [`Message`]s over a stream, and the subscriber answers with [`Report`]s. The caller of [`Publisher::publish`]
+//! assigns version numbers, which increase strictly. All input from the wire is validated before use and causes no
 //! panic.
 //!
 //! The crate does no I/O and reads no clock. All times are microseconds of the caller's monotonic clock.
--- a/configuration/src/message.rs
+++ b/configuration/src/message.rs
@@ -13,7 +13,7 @@
 /// Longest reason of a refused version, in characters. Longer reasons are truncated.
 pub const MAX_REASON_CHARS: usize = 400;
 
-/// A text is not a valid message or report.
+/// Error of parsing a [`Message`] or [`Report`].
 #[derive(Debug, thiserror::Error)]
 pub enum MessageError {
     /// The text has this number of bytes, more than [`MAX_MESSAGE_BYTES`].
@@ -23,7 +23,7 @@
     #[error("not a message: {0}")]
     Json(#[from] serde_json::Error),
     /// The target version of a delta is not newer than its base version.
-    #[error("a difference from version {from} to {to}")]
+    #[error("target version {to} of a delta is not newer than its base version {from}")]
     NotNewer {
         /// Base version of the delta.
         from: Version,
@@ -32,7 +32,7 @@
     },
 }
 
-/// The contents of a message are invalid. For a snapshot, the error text is the reason of the refused version.
+/// Error of verifying the contents of a message. For a snapshot, its text is the reason of the refused version.
 #[derive(Debug, thiserror::Error)]
 pub enum VerifyError {
     /// The document of the message, or the result of the delta, is not valid.
@@ -159,7 +159,7 @@
     }
 }
 
-/// The result of a version at a gateway.
+/// Result of applying a version at a gateway.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "state", rename_all = "lowercase")]
 pub enum Report {
@@ -210,7 +210,7 @@
         serde_json::to_string(&envelope).unwrap_or_default()
     }
 
-    /// Version whose result is reported.
+    /// Version to which the report refers.
     pub fn version(&self) -> Version {
         match self {
             Self::Applied { version } | Self::Refused { version, .. } => *version,
--- a/configuration/src/pacing.rs
+++ b/configuration/src/pacing.rs
@@ -17,11 +17,11 @@
     }
 }
 
-/// Time by which messages may be sent ahead of the rate, in microseconds.
+/// Burst tolerance of the rate limits: time by which a message may be sent ahead of the rate, in microseconds.
 const BURST_US: u64 = 10_000;
 
-/// A virtual-scheduling rate limit: stores the time at which everything sent so far conforms to the rate. A message
-/// larger than the burst is sent whole and delays the messages after it.
+/// Rate limit by virtual scheduling (GCRA): `free_at_us` is the time at which everything sent so far conforms to the
+/// rate. A message larger than the burst tolerance is sent in one piece and delays the messages after it.
 #[derive(Debug)]
 struct Rate {
     per_second: u64,
@@ -48,7 +48,7 @@
         Self { bytes: rate(pacing.bytes_per_second), messages: rate(pacing.messages_per_second) }
     }
 
-    /// Time at which the next message may be sent.
+    /// Earliest time of the next message, in microseconds.
     pub(crate) fn free_at_us(&self) -> u64 {
         self.bytes.free_at_us.max(self.messages.free_at_us).saturating_sub(BURST_US)
     }
--- a/configuration/src/patch.rs
+++ b/configuration/src/patch.rs
@@ -14,20 +14,21 @@
 /// Name of the member that identifies an element of a list.
 const NAME_MEMBER: &str = "name";
 
-/// A patch cannot be applied.
+/// Error of applying a patch.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum PatchError {
     /// The patch of a list is malformed.
-    #[error("the patch of a list can't be read: {0}")]
+    #[error("malformed patch of a list: {0}")]
     Malformed(String),
-    /// The target or the result of a patch by element name is not a list of objects with distinct names.
+    /// The target is not a list of objects with names, an added element has no name, or the resulting list is empty or
+    /// has elements without distinct names.
     #[error("a list of named objects expected")]
     NotANamedList,
     /// The list has no element of this name to change or remove.
-    #[error("no element {0} in the list")]
+    #[error("the list has no element named {0}")]
     UnknownElement(String),
-    /// The elements of the order differ from the elements of the list.
-    #[error("the order names other elements than the list has")]
+    /// The `order` of the patch does not contain exactly the elements of the list.
+    #[error("the order does not contain exactly the elements of the list")]
     OrderMismatch,
 }
 
@@ -81,7 +82,8 @@
     patch
 }
 
-/// Computes a patch by element name, or `None` if one of the lists is not a list of objects with distinct names.
+/// Computes a patch by element name, or `None` if one of the lists is empty or not a list of objects with distinct
+/// names.
 fn list_changes(old: &[Value], new: &[Value]) -> Option<Value> {
     let (old_by_name, new_by_name) = (by_name(old)?, by_name(new)?);
     let mut patch = ListPatch::default();
@@ -157,7 +159,7 @@
 fn apply_list(target: &mut Value, patch: Value) -> Result<(), PatchError> {
     let patch: ListPatch = serde_json::from_value(patch).map_err(|e| PatchError::Malformed(e.to_string()))?;
     let Value::Array(list) = target else { return Err(PatchError::NotANamedList) };
-    let mut elements = take_named(std::mem::take(list))?;
+    let mut elements = into_named(std::mem::take(list))?;
     for name in patch.removed {
         let position = position(&elements, &name)?;
         elements.remove(position);
@@ -166,7 +168,7 @@
         let position = position(&elements, &name)?;
         apply(&mut elements[position].1, change)?;
     }
-    elements.extend(take_named(patch.added)?);
+    elements.extend(into_named(patch.added)?);
     if !patch.order.is_empty() {
         elements = reorder(elements, patch.order)?;
     }
@@ -176,7 +178,7 @@
     Ok(())
 }
 
-fn take_named(list: Vec<Value>) -> Result<Vec<(String, Value)>, PatchError> {
+fn into_named(list: Vec<Value>) -> Result<Vec<(String, Value)>, PatchError> {
     let named = |element: Value| {
         let name = name(&element).ok_or(PatchError::NotANamedList)?.to_owned();
         Ok((name, element))
--- a/configuration/src/publisher.rs
+++ b/configuration/src/publisher.rs
@@ -1,8 +1,8 @@
 //! The publisher of a control plane server: stores the newest versions and schedules messages to the gateways.
 //!
-//! Each gateway has at most one message with configuration without a report. Versions published in the meantime are
-//! coalesced: the next message leads from the version of the gateway to the newest. A gateway that refuses the newest
-//! version is sent the newest version that it has not refused.
+//! A gateway is sent the next message with configuration after it has reported the result of the previous one, or
+//! after a timeout. Versions published in the meantime are coalesced: the next message updates the gateway to the
+//! newest version. A gateway that refuses the newest version is sent the newest version that it has not refused.
 
 mod gateway_state;
 mod history;
@@ -26,10 +26,11 @@
 /// Number of tracked gateways at which gateways without a stream are removed.
 pub const MAX_KNOWN_GATEWAYS: usize = 4_096;
 
-/// Reported versions that are further ahead of the newest version than this are ignored.
+/// Reported versions that exceed the newest version of this server by more than this number are ignored, so that no
+/// gateway can exhaust the version numbers.
 const MAX_VERSIONS_AHEAD: u64 = 1 << 32;
 
-/// Identifies a stream of a gateway. The late end of an old stream must not disconnect the current one.
+/// Identifies a stream of a gateway, so that the late end of an old stream does not disconnect the current one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionId(u64);
 
@@ -42,7 +43,7 @@
     pub text: Arc<str>,
 }
 
-/// A version cannot be published.
+/// Error of [`Publisher::publish`].
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum PublishError {
     /// The version is not newer than the newest version of this server.
@@ -70,7 +71,7 @@
     Added,
     /// The version and its document equal the newest version of this server.
     Same,
-    /// The version is older than the newest version of this server.
+    /// The version is older than the newest version of this server, or is [`Version::NONE`].
     Older,
     /// The newest version of this server has the same number and a different document, which is kept. Publishing a
     /// newer version resolves the conflict.
@@ -86,7 +87,7 @@
     newest_reported: Version,
     conflict: Option<Version>,
     gateways: BTreeMap<GatewayId, GatewayState>,
-    connections: u64,
+    connections_opened: u64,
     messages_sent: u64,
 }
 
@@ -100,7 +101,7 @@
             newest_reported: Version::NONE,
             conflict: None,
             gateways: BTreeMap::new(),
-            connections: 0,
+            connections_opened: 0,
             messages_sent: 0,
         }
     }
@@ -108,7 +109,7 @@
     /// Publishes a version. Publishing the newest version again has no effect.
     ///
     /// # Errors
-    /// The version is not newer than every version of this server and every reported version.
+    /// The newest version of this server or the newest reported version is the same or newer.
     pub fn publish(&mut self, version: Version, document: Document) -> Result<(), PublishError> {
         let newest = self.history.newest();
         let is_newest = version == newest && version > Version::NONE;
@@ -163,8 +164,8 @@
     ) -> ConnectionId {
         self.record_reported_version(version);
         self.remove_disconnected();
-        self.connections += 1;
-        let connection = ConnectionId(self.connections);
+        self.connections_opened += 1;
+        let connection = ConnectionId(self.connections_opened);
         let gateway_state = GatewayState::new(now_us, connection, self.messages_sent, version, digest);
         self.gateways.insert(gateway, gateway_state);
         connection
--- a/configuration/src/publisher/gateway_state.rs
+++ b/configuration/src/publisher/gateway_state.rs
@@ -21,7 +21,7 @@
 /// A version that a gateway has refused.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RefusedVersion {
-    /// Version that is not in force because of the refusal.
+    /// Version of the refused message.
     pub version: Version,
     /// Error text reported by the gateway.
     pub reason: String,
@@ -36,8 +36,8 @@
 }
 
 impl UnreportedMessage {
-    /// Earliest time of the next message with configuration. The backoff applies only if `target` is the version of
-    /// this message.
+    /// Earliest time of the next message with configuration, whose version is `target`. The backoff applies only if
+    /// this message has the same version.
     fn retry_at_us(&self, target: Version) -> u64 {
         let doublings = if self.version == target {
             self.attempts.saturating_sub(ATTEMPTS_WITHOUT_BACKOFF).min(16)
@@ -55,6 +55,7 @@
     pub(super) connection: ConnectionId,
     pub(super) is_connected: bool,
     pub(super) version: Version,
+    /// Digest of the settings in force. `None` after a report of a version that is not in the history.
     pub(super) digest: Option<Digest>,
     /// Versions refused on this stream, in order of their reports. At most [`HISTORY_VERSIONS`].
     pub(super) refused: Vec<RefusedVersion>,
@@ -126,8 +127,8 @@
         self.next_heartbeat_us = now_us.saturating_add(HEARTBEAT_INTERVAL_US);
     }
 
-    /// Processes a report. Late, duplicate and invalid reports are ignored: the version must have been sent on this
-    /// stream or be in the recorded state of the gateway.
+    /// Processes a report. Late, duplicate and invalid reports are ignored: a report must refer to the unreported
+    /// message or correct the recorded result of its version.
     pub(super) fn on_report(&mut self, report: Report, digest_of: impl Fn(Version) -> Option<Digest>) {
         let version = report.version();
         let was_sent = self.unreported.take_if(|unreported| unreported.version == version).is_some();
--- a/configuration/src/publisher/history.rs
+++ b/configuration/src/publisher/history.rs
@@ -55,15 +55,20 @@
         self.versions.iter().rev().map(|(version, document)| (*version, document.digest()))
     }
 
-    /// Encodes the message that updates a gateway from version `has` to version `to`: a delta if `has` is retained
+    /// Encodes the message that updates a gateway from version `base` to version `to`: a delta if `base` is retained
     /// with the same digest and the delta is shorter, otherwise a snapshot. `None` if `to` is not retained.
-    pub(super) fn text_for(&mut self, has: Version, digest: Option<Digest>, to: Version) -> Option<Arc<str>> {
+    pub(super) fn text_for(
+        &mut self,
+        base: Version,
+        digest: Option<Digest>,
+        to: Version,
+    ) -> Option<Arc<str>> {
         let snapshot = self.text(Transition { from: Version::NONE, to })?;
-        let has_base = digest.is_some() && self.digest(has) == digest && has < to;
+        let has_base = digest.is_some() && self.digest(base) == digest && base < to;
         if !has_base {
             return Some(snapshot);
         }
-        let delta = self.text(Transition { from: has, to })?;
+        let delta = self.text(Transition { from: base, to })?;
         Some(if delta.len() < snapshot.len() { delta } else { snapshot })
     }
 
--- a/configuration/src/publisher/status.rs
+++ b/configuration/src/publisher/status.rs
@@ -9,7 +9,7 @@
 /// Status of one gateway at a control plane server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GatewayStatus {
-    /// Name that the gateway has sent when it opened the stream.
+    /// Name that the gateway sent when it opened the stream.
     pub gateway: GatewayId,
     /// Whether the gateway has an open stream to this server.
     pub is_connected: bool,
--- a/configuration/src/publisher/tests.rs
+++ b/configuration/src/publisher/tests.rs
@@ -33,6 +33,7 @@
     messages.filter(|message| !matches!(message, Message::Current(_))).collect()
 }
 
+/// Base and target versions of the messages. The base of a snapshot is 0.
 fn transitions(messages: &[Message]) -> Vec<(u64, u64)> {
     let transition = |message: &Message| match message {
         Message::Delta(delta) => (delta.from.0, delta.to.0),
@@ -41,11 +42,11 @@
     messages.iter().map(transition).collect()
 }
 
-fn applied(publisher: &mut Publisher, version: u64) {
+fn report_applied(publisher: &mut Publisher, version: u64) {
     publisher.report(&gateway(), Report::Applied { version: Version(version) });
 }
 
-fn refused(publisher: &mut Publisher, version: u64, in_force: u64) {
+fn report_refused(publisher: &mut Publisher, version: u64, in_force: u64) {
     publisher.report(&gateway(), Report::refused(Version(version), "no", Version(in_force)));
 }
 
@@ -93,7 +94,7 @@
 
 #[test]
 fn gateways_with_a_known_version_get_a_delta_and_others_a_snapshot() {
-    for (has, digest, expected) in [
+    for (version, digest, expected) in [
         (3, settings(3).digest(), vec![(3, 5)]),
         (3, settings(4).digest(), vec![(0, 5)]),
         (0, settings(0).digest(), vec![(0, 5)]),
@@ -102,8 +103,8 @@
         (6, settings(6).digest(), vec![]),
     ] {
         let mut publisher = publisher(5);
-        publisher.connect(0, gateway(), Version(has), digest);
-        assert_eq!(transitions(&configuration(&mut publisher, 0)), expected, "{has} {digest}");
+        publisher.connect(0, gateway(), Version(version), digest);
+        assert_eq!(transitions(&configuration(&mut publisher, 0)), expected, "{version} {digest}");
     }
 }
 
@@ -128,7 +129,7 @@
 }
 
 #[test]
-fn one_message_is_unreported_and_versions_published_meanwhile_are_coalesced() {
+fn versions_published_before_a_report_are_coalesced_into_one_message() {
     let mut publisher = publisher(1);
     connect(&mut publisher, 0, 1);
     publisher.publish(Version(2), settings(2)).unwrap();
@@ -137,9 +138,9 @@
         publisher.publish(Version(version), settings(version)).unwrap();
         assert_eq!(transitions(&configuration(&mut publisher, SECOND_US)), []);
     }
-    applied(&mut publisher, 2);
+    report_applied(&mut publisher, 2);
     assert_eq!(transitions(&configuration(&mut publisher, SECOND_US)), [(2, 8)]);
-    applied(&mut publisher, 8);
+    report_applied(&mut publisher, 8);
     assert_eq!(transitions(&configuration(&mut publisher, 60 * SECOND_US)), []);
     assert_eq!(publisher.status().gateways[0].version, Version(8));
 }
@@ -150,7 +151,7 @@
     connect(&mut publisher, 0, 1);
     publisher.publish(Version(2), settings(2)).unwrap();
     assert_eq!(transitions(&configuration(&mut publisher, 0)), [(1, 2)]);
-    applied(&mut publisher, 2);
+    report_applied(&mut publisher, 2);
     publisher.publish(Version(3), settings(3)).unwrap();
     let min_interval_us = Pacing::default().min_interval_us;
     assert_eq!(transitions(&configuration(&mut publisher, min_interval_us - 1)), []);
@@ -182,9 +183,9 @@
     let mut publisher = publisher(6);
     connect(&mut publisher, 0, 3);
     assert_eq!(transitions(&configuration(&mut publisher, 0)), [(3, 6)]);
-    refused(&mut publisher, 6, 3);
+    report_refused(&mut publisher, 6, 3);
     assert_eq!(transitions(&configuration(&mut publisher, SECOND_US)), [(3, 5)]);
-    applied(&mut publisher, 5);
+    report_applied(&mut publisher, 5);
     assert_eq!(transitions(&configuration(&mut publisher, 60 * SECOND_US)), []);
     let status = publisher.status();
     let refusals: Vec<_> = status.refusals().collect();
@@ -193,7 +194,7 @@
     assert_eq!(status.behind().count(), 1);
     publisher.publish(Version(7), settings(7)).unwrap();
     assert_eq!(transitions(&configuration(&mut publisher, 61 * SECOND_US)), [(5, 7)]);
-    applied(&mut publisher, 7);
+    report_applied(&mut publisher, 7);
     assert_eq!(publisher.status().refusals().count(), 0);
     assert_eq!(publisher.status().counts(), BTreeMap::from([(Version(7), 1)]));
 }
@@ -201,15 +202,15 @@
 #[test]
 fn reports_on_versions_not_sent_on_this_stream_are_ignored() {
     let mut publisher = publisher(3);
-    applied(&mut publisher, 3);
+    report_applied(&mut publisher, 3);
     connect(&mut publisher, 0, 1);
-    applied(&mut publisher, 3);
-    refused(&mut publisher, 3, 2);
+    report_applied(&mut publisher, 3);
+    report_refused(&mut publisher, 3, 2);
     assert_eq!(publisher.status().gateways[0].version, Version(1));
     assert_eq!(transitions(&configuration(&mut publisher, 0)), [(1, 3)]);
-    applied(&mut publisher, 2);
+    report_applied(&mut publisher, 2);
     assert_eq!(publisher.status().gateways[0].version, Version(1));
-    applied(&mut publisher, 3);
+    report_applied(&mut publisher, 3);
     assert_eq!(publisher.status().gateways[0].version, Version(3));
 }
 
@@ -218,12 +219,12 @@
     let mut publisher = publisher(3);
     connect(&mut publisher, 0, 1);
     assert_eq!(transitions(&configuration(&mut publisher, 0)), [(1, 3)]);
-    applied(&mut publisher, 3);
-    refused(&mut publisher, 3, 1);
+    report_applied(&mut publisher, 3);
+    report_refused(&mut publisher, 3, 1);
     let status = publisher.status();
     assert_eq!((status.gateways[0].version, status.refusals().count()), (Version(1), 1));
     assert_eq!(transitions(&configuration(&mut publisher, SECOND_US)), [(1, 2)]);
-    applied(&mut publisher, 3);
+    report_applied(&mut publisher, 3);
     let status = publisher.status();
     assert_eq!((status.gateways[0].version, status.refusals().count()), (Version(3), 0));
 }
@@ -235,7 +236,7 @@
     for version in 2..200 {
         publisher.publish(Version(version), settings(version)).unwrap();
         configuration(&mut publisher, version * SECOND_US);
-        refused(&mut publisher, version, 1);
+        report_refused(&mut publisher, version, 1);
         assert!(publisher.gateways[&gateway()].refused.len() <= HISTORY_VERSIONS);
     }
     assert_eq!(
--- a/configuration/src/subscriber.rs
+++ b/configuration/src/subscriber.rs
@@ -1,8 +1,8 @@
-//! The subscriber of a gateway: tracks the version in force and the version being applied, and the stream to a
-//! control plane server.
+//! The subscriber of a gateway: tracks the version in force, the version being applied, and the stream to a control
+//! plane server.
 //!
-//! Invariants: a version is in force only after the gateway has called [`Subscriber::on_applied`], and an older
-//! version never replaces a newer one.
+//! Invariants: a received version comes into force only when the gateway calls [`Subscriber::on_applied`], and an
+//! older version never replaces a newer one.
 
 use std::fmt;
 
@@ -11,8 +11,8 @@
 use crate::message::{Delta, Message, Report, Snapshot, VerifyError};
 use crate::version::{Digest, Version};
 
-/// Time after which a stream is closed, in microseconds, if nothing was received or if the server has had only older
-/// versions than the gateway.
+/// Timeout of a stream, in microseconds. The stream is closed after this time without received data, and after this
+/// time with a server whose newest version is older than the version in force.
 pub const STREAM_TIMEOUT_US: u64 = 6_000_000;
 
 /// Action that the gateway must take after a message.
@@ -42,7 +42,7 @@
 /// Version and digest that a gateway sends when it opens a stream.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Position {
-    /// Version in force. 0 requests a snapshot.
+    /// Version in force, or 0 to request a snapshot.
     pub version: Version,
     /// Digest of the settings in force.
     pub digest: Digest,
@@ -67,10 +67,13 @@
     in_force: VersionedDocument,
     /// The version being applied, whose result the gateway has not reported yet.
     pending: Option<VersionedDocument>,
+    /// The last version that the gateway failed to apply. A message with the same version and digest is refused again
+    /// without another attempt.
     refused: Option<Refusal>,
     newest_seen: Version,
-    /// A message was invalid or a delta could not be applied, so that the next stream must start with a snapshot.
-    wants_snapshot: bool,
+    /// Whether the next stream must start with a snapshot, because a message was invalid or a delta could not be
+    /// applied.
+    needs_snapshot: bool,
     backoff: Backoff,
     stream: StreamState,
 }
@@ -90,7 +93,7 @@
             pending: None,
             refused: None,
             newest_seen: version,
-            wants_snapshot: false,
+            needs_snapshot: false,
             backoff: Backoff::new(servers, seed),
             stream: StreamState::Down { next_attempt_us: 0 },
         }
@@ -170,7 +173,7 @@
 
     /// Position with which to open the stream.
     pub fn position(&self) -> Position {
-        let version = if self.wants_snapshot { Version::NONE } else { self.in_force.version };
+        let version = if self.needs_snapshot { Version::NONE } else { self.in_force.version };
         Position { version, digest: self.in_force.document.digest() }
     }
 
@@ -216,7 +219,7 @@
         if version <= self.newest_known() {
             return SubscriberAction::Nothing;
         }
-        if let Some(refused) = self.refused_before(version, delta.digest) {
+        if let Some(refused) = self.earlier_refusal(version, delta.digest) {
             return refused;
         }
         let Some(base) = self.known_document(delta.from) else { return self.resync(false) };
@@ -228,11 +231,11 @@
 
     fn on_snapshot(&mut self, snapshot: Snapshot) -> SubscriberAction {
         let version = snapshot.version;
-        self.wants_snapshot = false;
+        self.needs_snapshot = false;
         if version == Version::NONE || version < self.newest_known() {
             return SubscriberAction::Nothing;
         }
-        if let Some(refused) = self.refused_before(version, snapshot.digest) {
+        if let Some(refused) = self.earlier_refusal(version, snapshot.digest) {
             return refused;
         }
         if let Some(known) = self.known_document(version) {
@@ -266,14 +269,14 @@
         SubscriberAction::Refused { version, reason: error.to_string() }
     }
 
-    fn refused_before(&self, version: Version, digest: Digest) -> Option<SubscriberAction> {
+    fn earlier_refusal(&self, version: Version, digest: Digest) -> Option<SubscriberAction> {
         let refusal = self.refused.as_ref()?;
         let is_same = refusal.version == version && refusal.digest == digest;
         is_same.then(|| SubscriberAction::Refused { version, reason: refusal.reason.clone() })
     }
 
-    fn resync(&mut self, wants_snapshot: bool) -> SubscriberAction {
-        self.wants_snapshot |= wants_snapshot;
+    fn resync(&mut self, needs_snapshot: bool) -> SubscriberAction {
+        self.needs_snapshot |= needs_snapshot;
         SubscriberAction::Resync
     }
 
--- a/configuration/src/version.rs
+++ b/configuration/src/version.rs
@@ -33,7 +33,7 @@
     }
 }
 
-/// The text of a digest is not 16 hex digits.
+/// Error of parsing a [`Digest`]: the text is not 16 hex digits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("16 hex digits expected")]
 pub struct DigestError;
@@ -62,7 +62,7 @@
     }
 }
 
-/// Name of a gateway, as configured there.
+/// Configured name of a gateway, by which control plane servers identify it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct GatewayId(pub String);
--- a/configuration/tests/model.rs
+++ b/configuration/tests/model.rs
@@ -19,12 +19,12 @@
 const REPORT_RETRY_US: u64 = SECOND_US;
 const MERGE_INTERVAL_US: u64 = SECOND_US / 2;
 
-type Stream = u64;
+type StreamId = u64;
 
 /// A message in flight on the simulated network.
 #[derive(Clone)]
 enum Packet {
-    Message { gateway: usize, server: usize, stream: Stream, text: String },
+    Message { gateway: usize, server: usize, stream: StreamId, text: String },
     Report { gateway: usize, server: usize, text: String },
     Merge { from: usize, to: usize, version: Version, document: Document },
 }
@@ -39,21 +39,21 @@
 struct Gateway {
     id: GatewayId,
     subscriber: Subscriber,
-    stream: Option<(usize, Stream)>,
+    stream: Option<(usize, StreamId)>,
     applying: Option<Applying>,
     /// Unacknowledged report and the time of its next attempt.
     report: Option<(Report, u64)>,
-    /// The version in force by the model.
+    /// Version in force according to the model.
     in_force: Version,
 }
 
 #[derive(Default)]
 struct Server {
     publisher: Option<Publisher>,
-    streams: BTreeMap<usize, (ConnectionId, Stream)>,
+    streams: BTreeMap<usize, (ConnectionId, StreamId)>,
 }
 
-/// Numbers of events, to check that the steps exercise all of them.
+/// Counts of events, to check that the simulation exercises all kinds.
 #[derive(Debug, Default)]
 struct EventCounts {
     applied: usize,
@@ -70,19 +70,23 @@
     now_us: u64,
     gateways: Vec<Gateway>,
     servers: Vec<Server>,
+    /// Packets in flight, by delivery time in microseconds and sequence number.
     network: BTreeMap<(u64, u64), Packet>,
     packets_sent: u64,
-    streams: u64,
+    streams_opened: u64,
     is_faulty: bool,
+    /// Pairs of a gateway and a server that cannot reach each other.
     partitioned: BTreeSet<(usize, usize)>,
+    /// Pairs of servers of which the first cannot send to the second.
     partitioned_servers: BTreeSet<(usize, usize)>,
-    /// All published versions, by the model.
+    /// All published versions, according to the model.
     published: BTreeMap<Version, Document>,
-    file: Document,
+    file_settings: Document,
     counts: EventCounts,
 }
 
-fn file() -> Document {
+/// Settings in the configuration file of each gateway.
+fn file_settings() -> Document {
     Document::new(json!({ "classes": [{ "name": "lookup" }] })).unwrap()
 }
 
@@ -94,7 +98,7 @@
     fn new(seed: u64) -> Self {
         let gateway = |number: usize| Gateway {
             id: GatewayId(format!("gw-{number}")),
-            subscriber: Subscriber::new(SERVERS, seed * 100 + number as u64, Version::NONE, file()),
+            subscriber: Subscriber::new(SERVERS, seed * 100 + number as u64, Version::NONE, file_settings()),
             stream: None,
             applying: None,
             report: None,
@@ -108,19 +112,19 @@
             servers: (0..SERVERS).map(server).collect(),
             network: BTreeMap::new(),
             packets_sent: 0,
-            streams: 0,
+            streams_opened: 0,
             is_faulty: true,
             partitioned: BTreeSet::new(),
             partitioned_servers: BTreeSet::new(),
             published: BTreeMap::new(),
-            file: file(),
+            file_settings: file_settings(),
             counts: EventCounts::default(),
         }
     }
 
     fn run(&mut self) {
         for _ in 0..FAULTY_STEPS {
-            self.inject_fault();
+            self.inject_event();
             self.step();
         }
         self.repair_all();
@@ -148,7 +152,8 @@
         self.check_against_the_model();
     }
 
-    fn inject_fault(&mut self) {
+    /// Publishes a version or injects a fault, with some probability.
+    fn inject_event(&mut self) {
         match self.random.below(400) {
             0..10 => self.publish(false),
             10..14 => self.publish(true),
@@ -172,12 +177,12 @@
     }
 
     /// Publishes a new version on any server that is up.
-    fn publish(&mut self, bad: bool) {
+    fn publish(&mut self, is_invalid: bool) {
         let server = self.random.below(SERVERS);
         let version = Version(self.published.keys().last().map_or(0, |version| version.0) + 1);
         let mut value = document(&mut self.random).value().clone();
         value["number"] = json!(version.0);
-        if bad {
+        if is_invalid {
             value["bad"] = json!(true);
         }
         let document = Document::new(value).unwrap();
@@ -195,7 +200,7 @@
         let Some(publisher) = &mut self.servers[server].publisher else { return };
         let Some(newest) = publisher.newest().map(|(version, _)| version) else { return };
         let old = Version(newest.0 - self.random.below(3).min(newest.0 as usize) as u64);
-        assert!(publisher.publish(old, file()).is_err());
+        assert!(publisher.publish(old, file_settings()).is_err());
     }
 
     fn crash_server(&mut self) {
@@ -237,10 +242,10 @@
         }
         gateway.report = None;
         gateway.in_force = if keeps_version { gateway.in_force } else { Version::NONE };
-        let settings = self.published.get(&gateway.in_force).cloned().unwrap_or_else(file);
+        let settings = self.published.get(&gateway.in_force).cloned().unwrap_or_else(file_settings);
         gateway.subscriber = Subscriber::new(SERVERS, seed, gateway.in_force, settings);
         if let Some((server, connection)) = self.stream_at_server(number) {
-            // The server may detect the end of the stream only after the gateway has reconnected.
+            // Not reached: `close` has already ended the stream at the server.
             if self.random.chance(50) {
                 self.disconnect(server, number, connection);
             }
@@ -296,8 +301,8 @@
         for packet in due.into_values() {
             match packet {
                 Packet::Message { gateway, server, stream, text } => {
-                    // Late messages can belong to an older stream. Unlike TCP, the
-                    // simulated network can still deliver them.
+                    // Late messages can belong to an older stream. Unlike TCP, the simulated network can still
+                    // deliver them.
                     let is_stray = self.gateways[gateway].stream != Some((server, stream));
                     if !is_stray || self.is_faulty && self.random.chance(30) {
                         self.on_message(gateway, &text);
@@ -391,7 +396,7 @@
         gateway.report = Some((report, now_us));
     }
 
-    /// Sends the report of a gateway, and again until a server accepts it.
+    /// Sends the report of a gateway, repeatedly until a server accepts it.
     fn send_report(&mut self, number: usize) {
         let now_us = self.now_us;
         let gateway = &mut self.gateways[number];
@@ -417,10 +422,10 @@
         };
         let position = gateway.subscriber.position();
         let connection = publisher.connect(now_us, gateway.id.clone(), position.version, position.digest);
-        self.streams += 1;
-        gateway.stream = Some((server, self.streams));
+        self.streams_opened += 1;
+        gateway.stream = Some((server, self.streams_opened));
         gateway.subscriber.on_connected(now_us);
-        self.servers[server].streams.insert(number, (connection, self.streams));
+        self.servers[server].streams.insert(number, (connection, self.streams_opened));
     }
 
     fn close(&mut self, number: usize) {
@@ -465,7 +470,7 @@
     fn check_against_the_model(&self) {
         for gateway in &self.gateways {
             assert_eq!(gateway.subscriber.in_force(), gateway.in_force);
-            let settings = self.published.get(&gateway.in_force).unwrap_or(&self.file);
+            let settings = self.published.get(&gateway.in_force).unwrap_or(&self.file_settings);
             assert_eq!(gateway.subscriber.document().digest(), settings.digest());
             assert!(!is_invalid(settings), "invalid version {} is in force", gateway.in_force);
         }
@@ -510,11 +515,11 @@
         total.longest_convergence_us =
             total.longest_convergence_us.max(simulation.counts.longest_convergence_us);
     }
-    // The steps must exercise all kinds of events.
+    // The simulation must exercise all kinds of events.
     assert!(total.applied > 1_000 && total.refused > 200 && total.resyncs > 10, "{total:?}");
     assert!(total.restarts_while_applying > 10 && total.stream_timeouts > 100, "{total:?}");
     assert!(total.stale_servers > 50, "{total:?}");
     println!("{total:?}");
-    // Time from the end of all faults to convergence: stream timeout, one backoff delay and the snapshot.
+    // After the last fault, convergence can take a stream timeout, a backoff delay and the transfer of a snapshot.
     assert!(total.longest_convergence_us < 20 * SECOND_US, "{total:?}");
 }
--- a/configuration/tests/recorded_messages.rs
+++ b/configuration/tests/recorded_messages.rs
@@ -9,7 +9,7 @@
 const DIGESTS: [u64; 4] =
     [0x08f4_4b07_b590_1a25, 0x04ac_7692_6434_9514, 0xb8d6_39b5_aced_6468, 0xb50b_9aff_c7d8_5393];
 
-/// Recorded documents, one per line, in the form in which an operator can write them.
+/// Recorded documents, one per line, with unsorted keys and null members as an operator can write them.
 fn documents() -> Vec<Document> {
     DOCUMENTS.lines().map(|line| line.parse().unwrap()).collect()
 }
--- a/gateway/tests/common/control.rs
+++ b/gateway/tests/common/control.rs
@@ -12,7 +12,7 @@
 
 use super::scripted::{Call, Connection, Peer, TIMEOUT};
 
-/// Settings in the configuration file of the tested gateways.
+/// Settings in `config.json`, from which the configuration files of the tested gateways are made.
 pub fn initial_settings() -> String {
     let config: serde_json::Value =
         serde_json::from_str(&include_str!("config.json").replace("LIST", "")).unwrap();
@@ -60,7 +60,7 @@
     received: RefCell<Option<(Connection, Call)>>,
     reports: Receiver<Report>,
     /// Number of reports to reject before the next one is accepted.
-    to_reject: Arc<AtomicUsize>,
+    reports_to_reject: Arc<AtomicUsize>,
 }
 
 impl ControlPlaneServer {
@@ -68,16 +68,16 @@
         let peer = Peer::new("control");
         let address = peer.address;
         let ((streams_in, streams), (reports_in, reports)) = (channel(), channel());
-        let to_reject = Arc::<AtomicUsize>::default();
-        let rejects = to_reject.clone();
+        let reports_to_reject = Arc::<AtomicUsize>::default();
+        let to_reject = reports_to_reject.clone();
         thread::spawn(move || {
             loop {
                 let (connection, streams, reports) = (peer.accept(), streams_in.clone(), reports_in.clone());
-                let rejects = rejects.clone();
-                thread::spawn(move || answer(connection, &streams, &reports, &rejects));
+                let to_reject = to_reject.clone();
+                thread::spawn(move || serve(connection, &streams, &reports, &to_reject));
             }
         });
-        Self { address, streams, received: RefCell::default(), reports, to_reject }
+        Self { address, streams, received: RefCell::default(), reports, reports_to_reject }
     }
 
     /// Waits for the next stream that a gateway opens, and sends the response head.
@@ -90,12 +90,12 @@
         ControlPlaneStream { connection, version: call.headers["version"].parse().unwrap() }
     }
 
-    /// Rejects this number of reports before the next one is accepted.
+    /// Rejects this number of further reports. The gateway must send a rejected report again.
     pub fn reject_reports(&self, reports: usize) {
-        self.to_reject.store(reports, Ordering::SeqCst);
+        self.reports_to_reject.store(reports, Ordering::SeqCst);
     }
 
-    /// Waits until a gateway opens a stream at one of two servers. Returns whether it is this server.
+    /// Waits until a gateway opens a stream at this server or the other one. Returns whether it is this one.
     pub fn is_contacted_before(&self, other: &Self) -> bool {
         let began = Instant::now();
         while began.elapsed() < TIMEOUT {
@@ -121,11 +121,11 @@
     }
 }
 
-fn answer(
+fn serve(
     mut connection: Connection,
     streams: &Sender<(Connection, Call)>,
     reports: &Sender<Report>,
-    to_reject: &AtomicUsize,
+    reports_to_reject: &AtomicUsize,
 ) {
     let Some(call) = connection.next_call() else { return };
     // Sending to the test fails only if the test has ended.
@@ -134,7 +134,7 @@
         return;
     }
     assert_eq!(call.path, "/v1/configuration/report");
-    if to_reject.fetch_update(Ordering::SeqCst, Ordering::SeqCst, |n| n.checked_sub(1)).is_ok() {
+    if reports_to_reject.fetch_update(Ordering::SeqCst, Ordering::SeqCst, |n| n.checked_sub(1)).is_ok() {
         connection.try_send("HTTP/1.1 503 Later\r\nContent-Length: 0\r\n\r\n");
         return;
     }
--- a/gateway/tests/common/engine.rs
+++ b/gateway/tests/common/engine.rs
@@ -1,4 +1,4 @@
-//! Simulated engines, which speak both protocols of an engine.
+//! Simulated engines, which serve queries over HTTP and MySQL.
 
 use std::collections::{HashMap, VecDeque};
 use std::io::{BufRead, BufReader, Read, Write};
@@ -10,7 +10,7 @@
 
 use super::mysql;
 
-/// Queries, cancellations and connections of all engines of a test.
+/// Records the queries, cancellations and MySQL connections of all engines of a test.
 #[derive(Clone, Default)]
 pub struct Recorder {
     runs: Arc<Mutex<Vec<(String, String)>>>,
@@ -66,7 +66,7 @@
     Duplicate,
 }
 
-/// A simulated engine process that serves both protocols.
+/// A simulated engine process. Runs each query for `work_ms` milliseconds.
 pub struct Engine {
     pub name: String,
     pub http: SocketAddr,
@@ -170,7 +170,7 @@
         )
     }
 
-    /// Runs all further queries, but sends no responses.
+    /// Runs all further queries, but sends no HTTP responses.
     pub fn stop_responding(&self) {
         self.is_unresponsive.store(true, Ordering::SeqCst);
     }
@@ -265,7 +265,7 @@
     }
 }
 
-/// Serves `POST /data`, `GET /data/ID/N` and `DELETE /data/ID`. Each query has three rows on two pages.
+/// Response to `POST /data`, `GET /data/ID/N` or `DELETE /data/ID`. The result of a query has three rows on two pages.
 fn respond(state: &EngineState, call: &HttpCall) -> String {
     match call.method.as_str() {
         "POST" => {
--- a/gateway/tests/common/held.rs
+++ b/gateway/tests/common/gated.rs
@@ -1,4 +1,4 @@
-//! Engines that accept each query and report it as running until the test finishes it.
+//! Scripted engines that report each query as running until the test finishes it.
 
 use std::collections::HashSet;
 use std::sync::mpsc::{Receiver, Sender, channel};
@@ -14,12 +14,12 @@
 type Finished = Arc<Mutex<HashSet<String>>>;
 
 /// A query that runs until the test finishes it.
-pub struct HeldQuery {
+pub struct RunningQuery {
     query_id: String,
     finished: Finished,
 }
 
-impl HeldQuery {
+impl RunningQuery {
     /// Finishes the query with one row that holds the query id.
     pub fn finish(self) {
         self.finished.lock().unwrap().insert(self.query_id);
@@ -27,14 +27,14 @@
 }
 
 /// Engines of a test, and the queries that were started on them.
-pub struct HeldEngines {
+pub struct GatedEngines {
     starts: Receiver<String>,
     finished: Finished,
     /// JSON entries of the engines in the endpoint list.
     pub entries: String,
 }
 
-impl HeldEngines {
+impl GatedEngines {
     pub fn start(names: &[&str]) -> Self {
         let ((sender, starts), finished) = (channel(), Finished::default());
         let peers: Vec<Peer> = names.iter().map(|name| Peer::new(name)).collect();
@@ -52,12 +52,12 @@
     }
 
     /// Waits for the next query to be started, which must be this one.
-    pub fn next_start(&self, query_id: &str) -> HeldQuery {
+    pub fn next_start(&self, query_id: &str) -> RunningQuery {
         assert_eq!(self.starts.recv_timeout(TIMEOUT).expect("no query was started"), query_id);
-        HeldQuery { query_id: query_id.to_owned(), finished: self.finished.clone() }
+        RunningQuery { query_id: query_id.to_owned(), finished: self.finished.clone() }
     }
 
-    /// Whether all started queries were returned by [`HeldEngines::next_start`].
+    /// Whether all started queries were returned by [`GatedEngines::next_start`].
     pub fn has_started_no_other(&self) -> bool {
         self.starts.try_recv().is_err()
     }
@@ -67,7 +67,7 @@
     while let Some(call) = connection.next_call() {
         let is_written = match call.method.as_str() {
             "POST" => {
-                // Sending to the test fails only if the test has finished.
+                // Sending to the test fails only if the test has ended.
                 let _ = starts.send(call.query_id().to_owned());
                 connection.try_send("HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n")
             }
--- a/gateway/tests/common/gateway.rs
+++ b/gateway/tests/common/gateway.rs
@@ -51,7 +51,7 @@
         Self::start_with_coordinator(engines, mysql, None)
     }
 
-    /// Starts a gateway that also follows the endpoint list of a coordinator.
+    /// Starts a gateway that also reads the endpoint list of a discovery service (setting `coordinator`).
     pub fn start_with_coordinator(engines: &[&Engine], mysql: bool, coordinator: Option<SocketAddr>) -> Self {
         Self::start_with_options(engines, mysql, coordinator, "", None)
     }
@@ -80,13 +80,14 @@
         Self::launch(dir, ([127, 0, 0, 1], 0).into(), descriptors, false)
     }
 
-    /// Starts a gateway for the engines of these JSON entries, with the admin interface and without a coordinator.
+    /// Starts a gateway for the engines of these JSON entries, with the admin interface and without a discovery
+    /// service.
     pub fn with_endpoints_and_admin(entries: &str, change: impl Fn(String) -> String) -> Self {
         let dir = Self::create_dir_with_endpoints(entries, None, "", change);
         Self::launch(dir, ([127, 0, 0, 1], 0).into(), None, true)
     }
 
-    /// Starts a gateway for the engines of these JSON entries that follows these control plane servers.
+    /// Starts a gateway for the engines of these JSON entries that receives settings from these control plane servers.
     pub fn with_control_plane(
         entries: &str,
         servers: &[SocketAddr],
@@ -265,7 +266,7 @@
         self.child.wait().unwrap();
     }
 
-    /// Path of the socket for a replacing process.
+    /// Path of the Unix socket to which a successor connects.
     pub fn socket(&self) -> std::path::PathBuf {
         self.dir.join("wrenhatch-t.sock")
     }
@@ -277,7 +278,7 @@
         self.signal("-HUP");
     }
 
-    /// Stops the process while `during` runs, so that the process receives all of its input in its next turn.
+    /// Stops the process while `during` runs. The process receives all input that arrives meanwhile in its next turn.
     pub fn while_paused<T>(&self, during: impl FnOnce() -> T) -> T {
         self.signal("-STOP");
         self.await_stopped();
@@ -286,7 +287,7 @@
         result
     }
 
-    /// Waits until the process has stopped. It runs on until the signal is delivered.
+    /// Waits until the process has stopped, which can be some time after the signal was sent.
     fn await_stopped(&self) {
         let path = format!("/proc/{}/stat", self.child.id());
         let began = Instant::now();
--- a/gateway/tests/common/manual.rs
+++ b/gateway/tests/common/manual.rs
@@ -1,4 +1,4 @@
-//! Engines whose responses to new queries and cancellations are sent by the test, on any connection.
+//! Scripted engines whose responses to new queries and cancellations are sent by the test.
 
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::thread;
@@ -72,8 +72,8 @@
     }
 }
 
-/// Reads a connection in a thread until a request that the test must respond to. Responds to polls itself that the
-/// query is running.
+/// Spawns a thread that passes the next request of a connection that starts or cancels a query to the test. The thread
+/// answers polls before that request: the query is running.
 fn read_calls(mut connection: Connection, calls: Sender<PendingCall>) {
     thread::spawn(move || {
         while let Some(call) = connection.next_call() {
--- a/gateway/tests/common/mod.rs
+++ b/gateway/tests/common/mod.rs
@@ -6,8 +6,8 @@
 pub mod control;
 mod discovery;
 mod engine;
+pub mod gated;
 mod gateway;
-pub mod held;
 pub mod manual;
 pub mod mysql;
 pub mod pg;
--- a/gateway/tests/common/mysql.rs
+++ b/gateway/tests/common/mysql.rs
@@ -9,7 +9,7 @@
 
 use super::EngineState;
 
-const CAPS: u32 = 0x1 | 0x4 | 0x200 | 0x2000 | 0x8000 | 0x8_0000 | 0x100_0000 | 0x800_0000;
+const CAPABILITIES: u32 = 0x1 | 0x4 | 0x200 | 0x2000 | 0x8000 | 0x8_0000 | 0x100_0000 | 0x800_0000;
 
 fn read_packet(stream: &mut TcpStream) -> Option<(u8, Vec<u8>)> {
     let mut head = [0; 4];
@@ -26,14 +26,15 @@
     stream.write_all(&bytes).is_ok()
 }
 
-fn token(password: &str, scramble: &[u8]) -> Vec<u8> {
+fn auth_response(password: &str, scramble: &[u8]) -> Vec<u8> {
     let one = Sha1::digest(password);
     let two = Sha1::digest(one);
     let three = Sha1::digest([scramble, &two[..]].concat());
     one.iter().zip(three).map(|(a, b)| a ^ b).collect()
 }
 
-fn short(text: &str) -> Vec<u8> {
+/// Length-encoded string of at most 250 bytes.
+fn length_encoded(text: &str) -> Vec<u8> {
     assert!(text.len() < 251);
     let mut bytes = vec![text.len() as u8];
     bytes.extend(text.as_bytes());
@@ -64,12 +65,12 @@
         let (_, g) = read_packet(&mut stream).unwrap();
         let version = g[1..].iter().position(|b| *b == 0).unwrap() + 2;
         let scramble = [&g[version + 4..version + 12], &g[version + 31..version + 43]].concat();
-        let mut p = CAPS.to_le_bytes().to_vec();
+        let mut p = CAPABILITIES.to_le_bytes().to_vec();
         p.extend([0, 0, 0, 1, 45]);
         p.extend([0; 23]);
         p.extend(user.bytes().chain([0]));
         p.push(20);
-        p.extend(token(password, &scramble));
+        p.extend(auth_response(password, &scramble));
         p.extend(b"mysql_native_password\0");
         write_packet(&mut stream, 1, &p);
         let mut client = Self { stream };
@@ -88,6 +89,7 @@
         self.answer(false)
     }
 
+    /// Encodes named text values as query attributes or parameters.
     fn attributes(values: &[(&str, &str)]) -> Vec<u8> {
         let mut p = Vec::new();
         if !values.is_empty() {
@@ -95,10 +97,10 @@
             p.push(1);
             for (name, _) in values {
                 p.extend([0xfd, 0]);
-                p.extend(short(name));
+                p.extend(length_encoded(name));
             }
             for (_, value) in values {
-                p.extend(short(value));
+                p.extend(length_encoded(value));
             }
         }
         p
@@ -147,7 +149,7 @@
     }
 
     pub fn answer(&mut self, binary: bool) -> Answer {
-        let (_, p) = read_packet(&mut self.stream).expect("an answer");
+        let (_, p) = read_packet(&mut self.stream).expect("the connection has ended without an answer");
         match p[0] {
             0 => return Answer::Done,
             0xff => return error(&p),
@@ -171,24 +173,24 @@
     Answer::Error(u16::from_le_bytes([p[1], p[2]]), text(&p[4..9]), text(&p[9..]))
 }
 
-/// Serves a connection of an engine. The rows of a statement are the engine name and the parameters. A statement that
-/// contains `nonsense` has a syntax error, and a statement that contains `fail` fails.
+/// Serves a connection of an engine. The result of a statement has two rows: the engine name and the parameters. An
+/// `INSERT` has no rows, a statement that contains `nonsense` has a syntax error, and one that contains `fail` fails.
 pub fn serve(mut stream: TcpStream, state: EngineState) {
     let scramble = *b"abcdefghijklmnopqrst";
     let mut g = b"\x0a8.0.0\0".to_vec();
     g.extend(state.recorder.next_connection_id().to_le_bytes());
     g.extend(&scramble[..8]);
     g.push(0);
-    g.extend((CAPS as u16).to_le_bytes());
+    g.extend((CAPABILITIES as u16).to_le_bytes());
     g.extend([45, 2, 0]);
-    g.extend(((CAPS >> 16) as u16).to_le_bytes());
+    g.extend(((CAPABILITIES >> 16) as u16).to_le_bytes());
     g.push(21);
     g.extend([0; 10]);
     g.extend(&scramble[8..]);
     g.extend(b"\0mysql_native_password\0");
     write_packet(&mut stream, 0, &g);
     let Some((sequence, reply)) = read_packet(&mut stream) else { return };
-    let expected = token("secret", &scramble);
+    let expected = auth_response("secret", &scramble);
     if !reply.windows(20).any(|w| w == expected) || &reply[32..35] != b"gw\0" {
         write_packet(&mut stream, sequence + 1, b"\xff\x15\x04#28000Access denied");
         return;
@@ -236,7 +238,7 @@
 fn column() -> Vec<u8> {
     let mut c = Vec::new();
     for text in ["def", "", "", "", "v", ""] {
-        c.extend(short(text));
+        c.extend(length_encoded(text));
     }
     c.extend([0x0c, 45, 0, 0, 1, 0, 0, 0xfd, 0, 0, 0, 0, 0]);
     c
@@ -263,6 +265,8 @@
     (values, &p[at..])
 }
 
+/// Runs a statement and sends its result. `binary` is 1 for a prepared statement, whose rows have a header and a null
+/// bitmap of one byte each, and 0 for text rows.
 fn run(stream: &mut TcpStream, state: &EngineState, sql: &str, values: &[(String, String)], binary: usize) {
     if let Some(connection) = sql.strip_prefix("KILL ") {
         state.recorder.record_kill(connection.parse().unwrap());
@@ -286,11 +290,11 @@
         write_packet(stream, 1, &[0, 1, 0, 2, 0, 0, 0]);
         return;
     }
-    let given: Vec<&str> = values.iter().filter(|(n, _)| n.is_empty()).map(|(_, v)| v.as_str()).collect();
+    let params: Vec<&str> = values.iter().filter(|(n, _)| n.is_empty()).map(|(_, v)| v.as_str()).collect();
     write_packet(stream, 1, &[1]);
     write_packet(stream, 2, &column());
-    for (n, text) in [state.name.as_str(), &given.join(",")].into_iter().enumerate() {
-        let mut row = [&[0u8, 0][..], &short(text)].concat();
+    for (n, text) in [state.name.as_str(), &params.join(",")].into_iter().enumerate() {
+        let mut row = [&[0u8, 0][..], &length_encoded(text)].concat();
         write_packet(stream, 3 + n as u8, &row.split_off(2 - 2 * binary));
     }
     write_packet(stream, 5, &[0xfe, 0, 0, 2, 0, 0, 0]);
--- a/gateway/tests/common/pg.rs
+++ b/gateway/tests/common/pg.rs
@@ -14,6 +14,7 @@
 
 pub struct Client {
     stream: TcpStream,
+    /// Process id and secret key of `BackendKeyData`, which a cancel request repeats.
     pub key: [u8; 8],
 }
 
@@ -124,7 +125,8 @@
         Some((head[0], body))
     }
 
-    /// Waits for input. Returns whether it is the end of the connection.
+    /// Waits for input. Returns true if the gateway has closed the connection, and false if it has sent data or reset
+    /// the connection.
     pub fn is_closed(&mut self) -> bool {
         self.stream.read(&mut [0]).is_ok_and(|n| n == 0)
     }
--- a/gateway/tests/common/scripted.rs
+++ b/gateway/tests/common/scripted.rs
@@ -12,7 +12,7 @@
 /// Time limit of connections, reads and waits in tests.
 pub const TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A listening socket of a scripted engine or coordinator.
+/// A listening socket of a scripted engine, discovery service or control plane server.
 pub struct Peer {
     pub name: String,
     pub address: SocketAddr,
@@ -45,7 +45,7 @@
         self.backlog_fillers.push(TcpStream::connect(self.address).unwrap());
     }
 
-    /// Creates a peer at the address of a former one.
+    /// Creates a peer at the address of an earlier peer that was closed.
     pub fn bind(name: &str, address: SocketAddr) -> Self {
         Self::listen_at(name, address, 128)
     }
@@ -90,7 +90,7 @@
         matches!(self.listener.accept(), Err(e) if e.kind() == ErrorKind::WouldBlock)
     }
 
-    /// Accepts the next stream request of a coordinator. Returns the connection and the last event id.
+    /// Accepts the next stream request to a discovery service. Returns the connection and the last event id.
     pub fn accept_watch(&self) -> (Connection, u64) {
         let mut connection = self.accept();
         let call = connection.read_call();
@@ -218,17 +218,18 @@
     format!("HTTP/1.1 200 OK\r\nPage-Count: 1\r\nContent-Length: {}\r\n\r\n{body}", body.len())
 }
 
-/// Serves all queries of an engine: records each query id in `ran` and responds with one row that holds the query id.
-pub fn serve_all_queries(peer: Peer, ran: std::sync::Arc<std::sync::Mutex<Vec<String>>>) {
+/// Serves all queries of an engine. Records each query id in `query_ids` and responds with one row that contains the
+/// query id.
+pub fn serve_all_queries(peer: Peer, query_ids: std::sync::Arc<std::sync::Mutex<Vec<String>>>) {
     thread::spawn(move || {
         loop {
             let mut connection = peer.accept();
-            let ran = ran.clone();
+            let query_ids = query_ids.clone();
             thread::spawn(move || {
                 while let Some(call) = connection.next_call() {
                     match call.method.as_str() {
                         "POST" => {
-                            ran.lock().unwrap().push(call.query_id().to_owned());
+                            query_ids.lock().unwrap().push(call.query_id().to_owned());
                             connection.send_row(call.query_id());
                         }
                         "GET" => connection.send("HTTP/1.1 500 no\r\nContent-Length: 0\r\n\r\n"),
--- a/gateway/tests/configuration.rs
+++ b/gateway/tests/configuration.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use common::control::{ControlPlaneServer, ControlPlaneStream, delta, initial_settings, settings, snapshot};
-use common::held::HeldEngines;
+use common::gated::GatedEngines;
 use common::requests::{assert_served, id, wait_admitted, wait_answered};
 use common::scripted::Peer;
 use common::{Gateway, pg};
@@ -43,11 +43,11 @@
     config.replace("\"name\":\"load\",", "\"name\":\"load\",\"keep-order\":true,")
 }
 
-/// Starts a gateway for two engines that follows one control plane server.
+/// Starts a gateway for two engines that receives settings from one control plane server.
 fn gateway_with_control_plane(
     change: impl Fn(String) -> String,
-) -> (Gateway, HeldEngines, ControlPlaneServer, ControlPlaneStream) {
-    let (engines, server) = (HeldEngines::start(&["e1", "e2"]), ControlPlaneServer::start());
+) -> (Gateway, GatedEngines, ControlPlaneServer, ControlPlaneStream) {
+    let (engines, server) = (GatedEngines::start(&["e1", "e2"]), ControlPlaneServer::start());
     let gateway = Gateway::with_control_plane(&engines.entries, &[server.address], change);
     let stream = server.accept_stream();
     assert_eq!(stream.version, 0);
@@ -60,7 +60,7 @@
     let mut first = send_request(&gateway, 1, "load", ",o=k");
     let first_attempt = engines.next_start(&id(1));
     let mut second = send_request(&gateway, 2, "load", ",o=k");
-    // In the initial settings the class is not ordered, unlike in the gateway's own file.
+    // The gateway's configuration file orders the class, and these settings do not.
     stream.send(&snapshot(1, &initial_settings().parse().unwrap()));
     server.expect_applied(1);
     let mut third = send_request(&gateway, 3, "load", ",o=k");
@@ -98,7 +98,7 @@
     connection.reset();
     assert!(matches!(client.answer(), pg::Answer::Error(code, _) if !code.starts_with("53")));
     assert!(e2.has_no_pending_connection(), "an attempt that may have run must not be retried");
-    // A later request can be retried, which shows that the change is in force.
+    // The other engine is usable: it serves a later request.
     let mut client = send_request(&gateway, 2, "load", "");
     let mut connection = e2.accept();
     assert_eq!(connection.read_call().query_id(), id(2));
@@ -162,7 +162,7 @@
     (gateway, server, stream)
 }
 
-/// Longer than the short connection timeouts.
+/// Longer than the connection timeouts in the gateway's file.
 const LONGER_THAN_TIMEOUTS: Duration = Duration::from_secs(1);
 
 #[test]
@@ -330,7 +330,7 @@
 #[test]
 fn a_server_that_fails_within_a_message_is_replaced_by_the_next() {
     let (engines, servers) =
-        (HeldEngines::start(&["e1"]), [ControlPlaneServer::start(), ControlPlaneServer::start()]);
+        (GatedEngines::start(&["e1"]), [ControlPlaneServer::start(), ControlPlaneServer::start()]);
     let addresses = [servers[0].address, servers[1].address];
     let gateway = Gateway::with_control_plane(&engines.entries, &addresses, |config| config);
     let (first, second) = if servers[0].is_contacted_before(&servers[1]) { (0, 1) } else { (1, 0) };
@@ -354,7 +354,7 @@
     let (gateway, engines, server, mut stream) = gateway_with_control_plane(|config| config);
     let document = settings(|text| text.replace("\"name\":\"report\"", "\"name\":\"digest\""));
     let message = format!("id: 1\r\ndata: {}\r\n\r\n", snapshot(1, &document));
-    // The connection is reset at evenly spaced positions. The heartbeat before keeps the reconnect backoff short.
+    // The connection is reset at evenly spaced positions of the message. Each heartbeat resets the reconnect backoff.
     let pieces = 16;
     for cut in (0..pieces).map(|n| n * message.len() / pieces) {
         stream.send_heartbeat(0);
@@ -384,7 +384,7 @@
 #[test]
 fn a_silent_server_is_replaced_by_the_next() {
     let (engines, servers) =
-        (HeldEngines::start(&["e1"]), [ControlPlaneServer::start(), ControlPlaneServer::start()]);
+        (GatedEngines::start(&["e1"]), [ControlPlaneServer::start(), ControlPlaneServer::start()]);
     let addresses = [servers[0].address, servers[1].address];
     let gateway = Gateway::with_control_plane(&engines.entries, &addresses, |config| config);
     let (first, second) = if servers[0].is_contacted_before(&servers[1]) { (0, 1) } else { (1, 0) };
@@ -415,7 +415,7 @@
 }
 
 #[test]
-fn a_gateway_killed_while_it_applies_a_version_gets_it_again_and_retries_nothing() {
+fn a_gateway_killed_before_it_reads_a_version_gets_it_again_and_retries_nothing() {
     let (gateway, engines, server, mut stream) = gateway_with_control_plane(|config| config);
     let _client = send_request(&gateway, 1, "load", "");
     let attempt = engines.next_start(&id(1));
@@ -438,7 +438,7 @@
 }
 
 #[test]
-fn both_processes_of_a_replacement_follow_until_the_predecessor_shuts_down() {
+fn both_processes_of_a_replacement_receive_versions_until_the_predecessor_shuts_down() {
     let (gateway, engines, server, mut stream) = gateway_with_control_plane(|config| config);
     let document = settings(|text| text.replace("\"name\":\"report\"", "\"name\":\"digest\""));
     stream.send(&snapshot(1, &document));
@@ -498,7 +498,7 @@
 
 #[test]
 fn without_a_control_plane_the_status_holds_no_configuration() {
-    let engines = HeldEngines::start(&["e1"]);
+    let engines = GatedEngines::start(&["e1"]);
     let gateway = Gateway::with_endpoints_and_admin(&engines.entries, |config| config);
     assert_eq!(status(&gateway), "ready\n");
 }
--- a/gateway/tests/idle.rs
+++ b/gateway/tests/idle.rs
@@ -40,14 +40,14 @@
 
 #[test]
 fn bursts_of_queries_and_reconnections_are_answered_without_evictions() {
-    let seen = Recorder::default();
-    let engine = Engine::start("e1", &seen, 1500);
+    let recorder = Recorder::default();
+    let engine = Engine::start("e1", &recorder, 1500);
     let gateway = gateway_with_many_sessions(&[&engine], "");
     let mut suspended = connect_idle(&gateway, 120);
     // One request stays open during all rounds.
     let mut open = pg::Client::connect(gateway.pg);
     open.send(&statement("report", 1));
-    while seen.query_count() == 0 {
+    while recorder.query_count() == 0 {
         thread::sleep(Duration::from_millis(1));
     }
     engine.set_work_ms(2);
@@ -89,8 +89,8 @@
 
 #[test]
 fn idle_sessions_are_evicted_when_all_clients_reconnect_before_disconnecting() {
-    let seen = Recorder::default();
-    let engine = Engine::start("e1", &seen, 1);
+    let recorder = Recorder::default();
+    let engine = Engine::start("e1", &recorder, 1);
     let gateway = Gateway::start(&[&engine], false);
     let mut old = connect_idle(&gateway, gateway.max_clients());
     let mut new = connect_idle(&gateway, gateway.max_clients());
@@ -104,11 +104,11 @@
 
 #[test]
 fn many_silent_connections_evict_no_suspended_session() {
-    let seen = Recorder::default();
-    let engine = Engine::start("e1", &seen, 1);
+    let recorder = Recorder::default();
+    let engine = Engine::start("e1", &recorder, 1);
     let gateway = gateway_with_many_sessions(&[&engine], "");
     let mut suspended = connect_idle(&gateway, 120);
-    // The connections exceed the limit of sessions and are opened before silent clients can be told from slow ones.
+    // The connections exceed the session limit within the eviction grace period of incomplete messages.
     let silent: Vec<_> = (0..500)
         .map(|_| {
             thread::sleep(Duration::from_micros(500));
@@ -126,8 +126,8 @@
 
 #[test]
 fn a_message_that_arrives_too_slowly_times_out() {
-    let seen = Recorder::default();
-    let engine = Engine::start("e1", &seen, 1);
+    let recorder = Recorder::default();
+    let engine = Engine::start("e1", &recorder, 1);
     let gateway = Gateway::start(&[&engine], false);
     let mut client = pg::Client::connect(gateway.pg);
     let stop = Arc::new(AtomicBool::new(false));
@@ -150,8 +150,8 @@
 
 #[test]
 fn a_client_that_sends_without_reading_gets_all_answers_later_and_delays_no_other() {
-    let seen = Recorder::default();
-    let engine = Engine::start("e1", &seen, 1);
+    let recorder = Recorder::default();
+    let engine = Engine::start("e1", &recorder, 1);
     let gateway = Gateway::start(&[&engine], false);
     let flood = pg::Client::connect(gateway.pg);
     let mut writer = flood.clone();
@@ -176,8 +176,8 @@
 
 #[test]
 fn hundreds_of_pipelined_requests_are_each_run_and_answered_once() {
-    let seen = Recorder::default();
-    let engine = Engine::start("e1", &seen, 0);
+    let recorder = Recorder::default();
+    let engine = Engine::start("e1", &recorder, 0);
     let gateway = Gateway::start(&[&engine], false);
     let mut client = pg::Client::connect(gateway.pg);
     for n in 0..300 {
@@ -189,14 +189,14 @@
         assert!(is_served(&client.answer()));
     }
     for n in 0..300 {
-        assert_eq!(seen.engines_of(&format!("{n:016x}")).len(), 1);
+        assert_eq!(recorder.engines_of(&format!("{n:016x}")).len(), 1);
     }
 }
 
 #[test]
-fn out_of_descriptors_idle_sessions_are_evicted() {
-    let seen = Recorder::default();
-    let engine = Engine::start("e1", &seen, 1);
+fn idle_sessions_are_evicted_when_descriptors_run_out() {
+    let recorder = Recorder::default();
+    let engine = Engine::start("e1", &recorder, 1);
     let gateway = Gateway::start_with_options(&[&engine], false, None, "", Some(48));
     // The descriptor limit of the process is far below the configured number of sockets.
     let mut clients = Vec::new();
@@ -215,9 +215,9 @@
 }
 
 #[test]
-fn out_of_descriptors_without_a_session_to_evict_a_new_client_is_rejected_with_an_error() {
-    let seen = Recorder::default();
-    let engine = Engine::start("e1", &seen, 30_000);
+fn a_new_client_gets_an_error_when_descriptors_run_out_and_no_session_is_idle() {
+    let recorder = Recorder::default();
+    let engine = Engine::start("e1", &recorder, 30_000);
     let gateway = Gateway::start_with_options(&[&engine], false, None, "", Some(48));
     // Each session has an open request, queued or in flight.
     let mut busy = Vec::new();
@@ -226,10 +226,10 @@
         client.send(&statement("report", n));
         busy.push(client);
     }
-    while seen.query_count() == 0 {
+    while recorder.query_count() == 0 {
         thread::sleep(Duration::from_millis(1));
     }
-    // New silent connections use the remaining descriptors and are not evicted before their startup timeout.
+    // New silent connections use the remaining descriptors and are not evicted within their grace period.
     let began = Instant::now();
     let mut rejected = 0;
     while rejected == 0 {
@@ -250,9 +250,9 @@
 }
 
 #[test]
-fn sessions_idle_beyond_the_operator_s_limit_are_closed_and_active_ones_are_not() {
-    let seen = Recorder::default();
-    let engine = Engine::start("e1", &seen, 1);
+fn sessions_idle_beyond_the_configured_limit_are_closed_and_active_ones_are_not() {
+    let recorder = Recorder::default();
+    let engine = Engine::start("e1", &recorder, 1);
     let gateway = gateway_with_many_sessions(&[&engine], "idle_limit_s = 1\n");
     let (mut silent, mut active) = (pg::Client::connect(gateway.pg), pg::Client::connect(gateway.pg));
     let stop = Arc::new(AtomicBool::new(false));
@@ -275,13 +275,13 @@
 
 #[test]
 fn prepared_statements_of_suspended_sessions_stay_within_their_memory_limit() {
-    let seen = Recorder::default();
-    let engine = Engine::start("e1", &seen, 1);
+    let recorder = Recorder::default();
+    let engine = Engine::start("e1", &recorder, 1);
     let gateway =
         Gateway::start_with_options(&[&engine], true, None, "[clients]\nmost_sessions = 180\n", None);
     let mut first = mysql::Client::connect(gateway.mysql());
     let (handle, _) = first.prepare("/* c=lookup,h=20 */ SELECT v FROM a_1.b WHERE c = ?").unwrap();
-    // An eighth of the 192 MB of the process is for prepared statements, less than the statements below need.
+    // Prepared statements may use an eighth of the 192 MB of the process, which is less than these statements need.
     let large_statement =
         |n| format!("/* c=lookup,h=20 */ SELECT '{}' FROM a_1.b WHERE c = ?", "x".repeat(n));
     let (mut others, mut rejected) = (Vec::new(), 0);
@@ -309,13 +309,13 @@
 }
 
 #[test]
-fn a_gateway_with_idle_sessions_makes_no_turns() {
-    let seen = Recorder::default();
-    let engine = Engine::start("e1", &seen, 1);
+fn the_event_loop_does_not_run_while_all_sessions_are_idle() {
+    let recorder = Recorder::default();
+    let engine = Engine::start("e1", &recorder, 1);
     let gateway = gateway_with_many_sessions(&[&engine], "");
     let mut clients = connect_idle(&gateway, 100);
     assert_eq!(clients[0].query(";"), pg::Answer::Empty);
-    // The startup timers of all sessions have expired after this time.
+    // All sessions are suspended after this time.
     thread::sleep(Duration::from_millis(300));
     let before = gateway.turns();
     thread::sleep(Duration::from_secs(3));
@@ -325,16 +325,16 @@
 /// Guards the memory budget: a session must release its memory when it is suspended and when it ends.
 #[test]
 fn memory_reserved_for_requests_is_released_however_they_end() {
-    let seen = Recorder::default();
-    let engine = Engine::start("e1", &seen, 0);
+    let recorder = Recorder::default();
+    let engine = Engine::start("e1", &recorder, 0);
     let gateway =
         Gateway::start_with_options(&[&engine], true, None, "[clients]\nmost_sessions = 100\n", None);
     let mut clients = connect_idle(&gateway, 4);
-    let mut units: Vec<_> = (0..4).map(|_| mysql::Client::connect(gateway.mysql())).collect();
+    let mut mysql_clients: Vec<_> = (0..4).map(|_| mysql::Client::connect(gateway.mysql())).collect();
     for n in 0..200 {
         assert!(is_served(&clients[n as usize % 4].query(&statement("lookup", n))));
         assert_eq!(clients[n as usize % 4].query("SELECT 1 without fields"), clients[0].query("SELECT 1 x"));
-        units[n as usize % 4].query("/* c=lookup,h=20 */ SELECT v FROM a_1.b", &[]);
+        mysql_clients[n as usize % 4].query("/* c=lookup,h=20 */ SELECT v FROM a_1.b", &[]);
     }
     // One request is open, and another client disconnects with an incomplete message.
     engine.set_work_ms(1000);
@@ -343,7 +343,7 @@
     thread::sleep(Duration::from_millis(100));
     clients.truncate(1);
     is_served(&clients[0].answer());
-    drop(units);
+    drop(mysql_clients);
     thread::sleep(Duration::from_millis(300));
     let (_, log) = gateway.end();
     for key in ["held_buffers=", "held_requests=", "held_results=", "held_statements="] {
--- a/gateway/tests/operation.rs
+++ b/gateway/tests/operation.rs
@@ -35,8 +35,8 @@
 
 #[test]
 fn admin_requests_are_answered_while_other_connections_are_silent() {
-    let seen = Recorder::default();
-    let engine = Engine::start("e1", &seen, 1);
+    let recorder = Recorder::default();
+    let engine = Engine::start("e1", &recorder, 1);
     let gateway = Gateway::start_with_admin(&[&engine]);
     // More open connections than the interface serves at once, each silent or with an incomplete request.
     let incomplete: Vec<TcpStream> = (0..40)
@@ -80,8 +80,8 @@
 
 #[test]
 fn metrics_equal_the_counts_of_clients_and_engines() {
-    let seen = Recorder::default();
-    let engines = [Engine::start("e1", &seen, 2), Engine::start("e2", &seen, 2)];
+    let recorder = Recorder::default();
+    let engines = [Engine::start("e1", &recorder, 2), Engine::start("e2", &recorder, 2)];
     let gateway = Gateway::start_with_admin(&[&engines[0], &engines[1]]);
     let mut client = pg::Client::connect(gateway.pg);
     let lookups = query_until_served(&mut client, "lookup", 1_000, 30);
@@ -89,15 +89,15 @@
     // A request that stays in flight.
     let mut in_flight = pg::Client::connect(gateway.pg);
     engines.iter().for_each(|e| e.set_work_ms(60_000));
-    let seen_before = seen.query_count() as u64;
+    let queries_before = recorder.query_count() as u64;
     in_flight.send(&statement("report", 9_000));
     let began = Instant::now();
     let attempts =
         || ["lookup", "report", "load"].map(|c| gateway.metric(&format!("attempts.{c}"))).iter().sum::<u64>();
     // The engine can receive the request some time after the gateway has sent it.
     while gateway.metric("in_flight") != 1
-        || attempts() <= seen_before
-        || attempts() != seen.query_count() as u64
+        || attempts() <= queries_before
+        || attempts() != recorder.query_count() as u64
     {
         assert!(
             began.elapsed() < Duration::from_secs(30),
@@ -114,28 +114,28 @@
 
 #[test]
 fn an_engine_in_maintenance_gets_no_requests_until_maintenance_ends() {
-    let seen = Recorder::default();
-    let engines = [Engine::start("e1", &seen, 1), Engine::start("e2", &seen, 1)];
+    let recorder = Recorder::default();
+    let engines = [Engine::start("e1", &recorder, 1), Engine::start("e2", &recorder, 1)];
     let gateway = Gateway::start_with_admin(&[&engines[0], &engines[1]]);
     let mut client = pg::Client::connect(gateway.pg);
-    let used = |from: u64| {
-        let by = |id: u64| seen.engines_of(&format!("{id:016x}"));
+    let queries_on_e1 = |from: u64| {
+        let by = |id: u64| recorder.engines_of(&format!("{id:016x}"));
         (from..from + 1000).flat_map(by).filter(|e| e == "e1").count()
     };
     query_until_served(&mut client, "lookup", 1_000, 40);
-    assert!(used(1_000) > 0);
+    assert!(queries_on_e1(1_000) > 0);
     for _ in 0..2 {
         assert_eq!(gateway.call("PUT /maintenance/enter/e1").0, 200);
     }
     assert_eq!((gateway.metric("engines_known"), gateway.metric("engines_excluded")), (2, 1));
     for (class, from) in [("lookup", 2_000), ("report", 3_000), ("load", 4_000)] {
         query_until_served(&mut client, class, from, 10);
-        assert_eq!(used(from), 0, "{class}");
+        assert_eq!(queries_on_e1(from), 0, "{class}");
     }
     assert_eq!(gateway.call("PUT /maintenance/exit/e1").0, 200);
     assert_eq!(gateway.metric("engines_excluded"), 0);
     query_until_served(&mut client, "lookup", 5_000, 40);
-    assert!(used(5_000) > 0, "one exit must end repeated entries");
+    assert!(queries_on_e1(5_000) > 0, "one exit must end repeated entries");
 }
 
 /// Sends requests, each on a new connection, until `stop` is set. Returns the number of served requests and all other
@@ -162,20 +162,20 @@
 
 #[test]
 fn a_successor_replaces_its_predecessor_without_a_lost_request() {
-    let seen = Recorder::default();
-    let engines = ["e1", "e2", "e3"].map(|name| Engine::start(name, &seen, 5));
+    let recorder = Recorder::default();
+    let engines = ["e1", "e2", "e3"].map(|name| Engine::start(name, &recorder, 5));
     let mut gateway = Gateway::start_with_admin(&[&engines[0], &engines[1], &engines[2]]);
     assert_eq!(gateway.call("PUT /maintenance/enter/e1").0, 200);
     let stop = Arc::new(AtomicBool::new(false));
     let clients: Vec<_> =
         (0..4).map(|n| query_on_new_connections(gateway.pg, 1_000_000 * (n + 1), stop.clone())).collect();
-    // A load that is in flight at the predecessor and must end there.
+    // The session of a load that is in flight at the predecessor, which must answer it.
     let mut long = pg::Client::connect(gateway.pg);
     for round in 0..3 {
         engines.iter().for_each(|e| e.set_work_ms(300));
         long.send(&statement("load", round));
         let began = Instant::now();
-        while seen.engines_of(&format!("{round:016x}")).is_empty() {
+        while recorder.engines_of(&format!("{round:016x}")).is_empty() {
             assert!(began.elapsed() < Duration::from_secs(30), "the load must be in flight");
             std::thread::sleep(Duration::from_millis(1));
         }
@@ -186,7 +186,7 @@
         assert_eq!(
             successor.metric("engines_excluded"),
             if round < 2 { 1 } else { 2 },
-            "the successor must know the engines in maintenance"
+            "the engines in maintenance must be transferred to the successor"
         );
         if round == 1 {
             // A maintenance request to one process applies to both.
@@ -200,10 +200,10 @@
             matches!(long.answer(), pg::Answer::Rows(_)),
             "the predecessor must answer the requests that it accepted"
         );
-        let ran = seen.engines_of(&format!("{round:016x}"));
+        let engine_names = recorder.engines_of(&format!("{round:016x}"));
         assert!(
-            ran.len() == 1 && ran[0] != "e1",
-            "the load must run once, and not on the engine in maintenance: {ran:?}"
+            engine_names.len() == 1 && engine_names[0] != "e1",
+            "the load must run once, and not on the engine in maintenance: {engine_names:?}"
         );
         let (exit, log) = std::mem::replace(&mut gateway, successor).end();
         assert_eq!(exit, Some(0), "{log}");
@@ -215,17 +215,17 @@
         let refused = others.iter().filter(|o| o.starts_with("Error(\"53")).count();
         assert!(served > 0 && refused == others.len(), "{served} served, and {others:?}");
     }
-    let e1 = (1..5).flat_map(|n| 1_000_000 * n..1_000_000 * n + 20_000);
+    let numbers = (1..5).flat_map(|n| 1_000_000 * n..1_000_000 * n + 20_000);
     assert!(
-        e1.flat_map(|n| seen.engines_of(&format!("{n:016x}"))).all(|e| e != "e1"),
+        numbers.flat_map(|n| recorder.engines_of(&format!("{n:016x}"))).all(|e| e != "e1"),
         "an engine in maintenance must not run requests"
     );
 }
 
 #[test]
 fn a_killed_successor_leaves_the_predecessor_serving_and_replaceable() {
-    let seen = Recorder::default();
-    let engines = [Engine::start("e1", &seen, 1), Engine::start("e2", &seen, 1)];
+    let recorder = Recorder::default();
+    let engines = [Engine::start("e1", &recorder, 1), Engine::start("e2", &recorder, 1)];
     let gateway = Gateway::start_with_admin(&[&engines[0], &engines[1]]);
     assert_eq!(gateway.call("PUT /maintenance/enter/e2").0, 200);
     let mut client = pg::Client::connect(gateway.pg);
@@ -233,8 +233,8 @@
         let successor = gateway.successor();
         gateway.wait_for_log("successor accepts clients");
         successor.kill();
-        let mut back = pg::Client::connect(gateway.pg);
-        query_until_served(&mut back, "lookup", 1_000 * (round + 1), 5);
+        let mut new_client = pg::Client::connect(gateway.pg);
+        query_until_served(&mut new_client, "lookup", 1_000 * (round + 1), 5);
         query_until_served(&mut client, "lookup", 1_000 * (round + 1) + 500, 5);
     }
     // A replacement by a process of another gateway is rejected.
@@ -252,12 +252,12 @@
 /// During a replacement, both processes listen on one address, and a cancel request can reach either of them.
 #[test]
 fn a_cancel_request_reaches_the_process_that_has_the_session() {
-    let seen = Recorder::default();
-    let engine = Engine::start("e1", &seen, 20_000);
+    let recorder = Recorder::default();
+    let engine = Engine::start("e1", &recorder, 20_000);
     let gateway = Gateway::start_with_admin(&[&engine]);
     let mut client = pg::Client::connect(gateway.pg);
     client.send(&statement("report", 1).replace("d=2500", "d=20000"));
-    while seen.query_count() == 0 {
+    while recorder.query_count() == 0 {
         std::thread::sleep(Duration::from_millis(1));
     }
     let successor = gateway.successor();
--- a/gateway/tests/order.rs
+++ b/gateway/tests/order.rs
@@ -126,7 +126,7 @@
         assert!(matches!(first.answer(), pg::Answer::Error(code, _) if !code.starts_with("53")));
         assert!(
             !connection.is_closed(),
-            "the connection must be reset, so that no data of it arrives after the partition"
+            "the connection must be reset, so that none of its data arrives after the partition"
         );
         Self { e1, e2, watch, gateway, second }
     }
@@ -246,8 +246,8 @@
 #[test]
 fn mysql_requests_are_ordered_by_key() {
     const WORK_MS: u64 = 200;
-    let seen = Recorder::default();
-    let engine = Engine::start("e1", &seen, WORK_MS);
+    let recorder = Recorder::default();
+    let engine = Engine::start("e1", &recorder, WORK_MS);
     let gateway = Gateway::start_changed(&[&engine], keeps_order);
     let began = Instant::now();
     let send_request = |n: u64| {
@@ -277,13 +277,13 @@
     let engines = ManualEngines::start(&["e1", "e2"]);
     let predecessor = Gateway::with_endpoints_and_admin(&engines.entries, keeps_order);
     let (mut first, mut second) = (send_request(&predecessor, 1, "k1"), send_request(&predecessor, 2, "k1"));
-    let mut held = pg::Client::connect(predecessor.pg);
+    let mut fourth = pg::Client::connect(predecessor.pg);
     let attempt = engines.next_start(&id(1));
     let successor = predecessor.successor();
     predecessor.wait_for_log("successor accepts clients");
     let mut third = send_request(&successor, 3, "k1");
     predecessor.wait_for_log("peer process claims the lease of a key");
-    held.send(&load(4, "k1"));
+    fourth.send(&load(4, "k1"));
     wait_admitted(&predecessor, 4);
     // A request of another key shows that the successor is not blocked.
     let mut other = send_request(&successor, 9, "k2");
@@ -291,7 +291,7 @@
     assert_served(&mut other, 9);
     attempt.finish();
     assert_served(&mut first, 1);
-    for (client, n) in [(&mut second, 2), (&mut third, 3), (&mut held, 4)] {
+    for (client, n) in [(&mut second, 2), (&mut third, 3), (&mut fourth, 4)] {
         engines.next_start(&id(n)).finish();
         assert_served(client, n);
     }
@@ -307,10 +307,10 @@
     predecessor.wait_for_log("successor accepts clients");
     let mut second = send_request(&successor, 2, "k1");
     predecessor.wait_for_log("peer process claims the lease of a key");
-    let died = Instant::now();
+    let killed = Instant::now();
     predecessor.kill();
     let attempt = engines.next_start(&id(2));
-    assert!(died.elapsed() >= ABANDON_TIMEOUT + KEY_COOLDOWN, "after {:?}", died.elapsed());
+    assert!(killed.elapsed() >= ABANDON_TIMEOUT + KEY_COOLDOWN, "after {:?}", killed.elapsed());
     attempt.finish();
     assert_served(&mut second, 2);
     let mut third = send_request(&successor, 3, "k1");
--- a/gateway/tests/recorded_messages.rs
+++ b/gateway/tests/recorded_messages.rs
@@ -1,4 +1,5 @@
-//! Guards the formats of messages to other gateway processes, the coordinator, the control plane and operators.
+//! Guards the formats of messages to other gateway processes, the discovery service, the control plane and
+//! operators.
 //! Two releases communicate during a replacement. JSON is compared by value: object members have no fixed order.
 
 use std::net::SocketAddr;
@@ -14,7 +15,7 @@
 use wrenhatch::process_replacement::{Message, MessageError, PeerFeatures, messages};
 use wrenhatch_configuration::{Digest, Position, Report, Version};
 
-const HANDOVER: &str = include_str!("recorded_messages/handover.txt");
+const REPLACEMENT_MESSAGES: &str = include_str!("recorded_messages/handover.txt");
 const LIST_EVENTS: &str = include_str!("recorded_messages/list_events.txt");
 const CALLS: &str = include_str!("recorded_messages/calls.txt");
 const STREAM: &str = include_str!("recorded_messages/stream.txt");
@@ -39,7 +40,7 @@
 }
 
 /// Messages in the order of the recorded file.
-fn handover_messages() -> Vec<Message> {
+fn replacement_messages() -> Vec<Message> {
     let since_ms = 1_796_166_000_123;
     vec![
         Message::Hello { gateway: "n0".into(), listen_address: address("127.0.0.1:5432") },
@@ -71,7 +72,7 @@
     ]
 }
 
-fn parse_handover(line: &str) -> Result<Option<Message>, MessageError> {
+fn parse_replacement_message(line: &str) -> Result<Option<Message>, MessageError> {
     let mut input = format!("{line}\n").into_bytes();
     let message = messages::read_next(&mut input);
     assert!(message.is_err() || input.is_empty(), "{line}");
@@ -79,17 +80,17 @@
 }
 
 #[test]
-fn handover_messages_are_parsed_as_recorded() {
-    assert_eq!(HANDOVER.lines().count(), handover_messages().len());
-    for (line, message) in HANDOVER.lines().zip(handover_messages()) {
-        assert_eq!(parse_handover(line), Ok(Some(message)), "{line}");
+fn replacement_messages_are_parsed_as_recorded() {
+    assert_eq!(REPLACEMENT_MESSAGES.lines().count(), replacement_messages().len());
+    for (line, message) in REPLACEMENT_MESSAGES.lines().zip(replacement_messages()) {
+        assert_eq!(parse_replacement_message(line), Ok(Some(message)), "{line}");
     }
 }
 
 #[test]
-fn handover_messages_are_encoded_as_recorded() {
-    assert_eq!(HANDOVER.lines().count(), handover_messages().len());
-    for (line, message) in HANDOVER.lines().zip(handover_messages()) {
+fn replacement_messages_are_encoded_as_recorded() {
+    assert_eq!(REPLACEMENT_MESSAGES.lines().count(), replacement_messages().len());
+    for (line, message) in REPLACEMENT_MESSAGES.lines().zip(replacement_messages()) {
         let mut written = Vec::new();
         message.write(&mut written);
         let text = String::from_utf8(written).unwrap();
@@ -103,21 +104,21 @@
 }
 
 #[test]
-fn handover_messages_of_other_releases_are_parsed_or_rejected() {
+fn replacement_messages_of_other_releases_are_parsed_or_rejected() {
     let end = |cancels| Message::EndOfState(PeerFeatures { cancel_requests: cancels, key_leases: false });
-    assert_eq!(parse_handover("{\"end\":true}"), Ok(Some(end(false))));
-    assert_eq!(parse_handover("{\"end\":true,\"cancels\":true}"), Ok(Some(end(true))));
+    assert_eq!(parse_replacement_message("{\"end\":true}"), Ok(Some(end(false))));
+    assert_eq!(parse_replacement_message("{\"end\":true,\"cancels\":true}"), Ok(Some(end(true))));
     assert_eq!(
-        parse_handover("{\"taking\":true}"),
+        parse_replacement_message("{\"taking\":true}"),
         Ok(Some(Message::AcceptingClients { key_leases: false }))
     );
     let with_unknown_member = "{\"enter\":\"s-1\",\"why\":{\"more\":[1]}}";
     assert_eq!(
-        parse_handover(with_unknown_member),
+        parse_replacement_message(with_unknown_member),
         Ok(Some(Message::MaintenanceBegan { engine: "s-1".into() }))
     );
     let hello = "{\"hello\":\"n0\",\"listen\":\"127.0.0.1:1\",\"form\":2}";
-    assert_eq!(parse_handover(hello), Err(MessageError::UnsupportedVersion(2)));
+    assert_eq!(parse_replacement_message(hello), Err(MessageError::UnsupportedVersion(2)));
     for malformed in [
         "{}",
         "x",
@@ -126,7 +127,7 @@
         "{\"settled\":true}",
         "{\"hello\":\"n0\",\"form\":1}",
     ] {
-        assert_eq!(parse_handover(malformed), Err(MessageError::Malformed), "{malformed}");
+        assert_eq!(parse_replacement_message(malformed), Err(MessageError::Malformed), "{malformed}");
     }
 }
 
@@ -142,9 +143,9 @@
         cell: 0,
         ..endpoint("s-3", "127.0.0.1:0", EndpointState::Removed, 0)
     };
-    let unreadable_entry = |name: Option<&str>, why: &str| UnreadableEntry {
+    let unreadable_entry = |name: Option<&str>, error: &str| UnreadableEntry {
         name: name.map(str::to_owned),
-        error: why.to_owned(),
+        error: error.to_owned(),
     };
     let event = |index, full, entries: &[Endpoint]| EndpointListEvent {
         index,
@@ -182,13 +183,13 @@
 
 #[test]
 fn invalid_list_events_are_errors() {
-    for (text, why) in [
+    for (text, expected) in [
         ("{}", "event.index: a number expected"),
         ("{\"index\":\"4\"}", "event.index: a number expected"),
         ("{\"index\":4,\"endpoints\":{\"snapshot\":1}}", "event.endpoints.snapshot: true or false expected"),
         ("{\"index\":4,\"endpoints\":{\"endpoints\":{}}}", "event.endpoints.endpoints: an array expected"),
     ] {
-        assert_eq!(parse_event(text).unwrap_err().to_string(), why, "{text}");
+        assert_eq!(parse_event(text).unwrap_err().to_string(), expected, "{text}");
     }
 }
 
