--- a/configuration/src/message.rs
+++ b/configuration/src/message.rs
@@ -64,7 +64,7 @@
 
 impl Snapshot {
     /// Creates the snapshot of a document.
-    pub fn of(version: Version, document: &Document) -> Self {
+    pub fn new(version: Version, document: &Document) -> Self {
         Self { version, document: document.value().clone(), digest: document.digest() }
     }
 
--- a/configuration/src/message/tests.rs
+++ b/configuration/src/message/tests.rs
@@ -10,7 +10,7 @@
 fn messages_have_the_specified_form() {
     let (old, new) = (document("{\"a\":1}"), document("{\"a\":2}"));
     let digest = new.digest();
-    let snapshot = Message::Snapshot(Snapshot::of(Version(7), &new));
+    let snapshot = Message::Snapshot(Snapshot::new(Version(7), &new));
     let delta = Message::Delta(Delta::between((Version(5), &old), (Version(7), &new)));
     let expected = [
         (
@@ -81,7 +81,7 @@
 #[test]
 fn a_digest_mismatch_is_an_error() {
     let (old, new) = (document("{\"a\":1}"), document("{\"a\":2}"));
-    let mut snapshot = Snapshot::of(Version(1), &new);
+    let mut snapshot = Snapshot::new(Version(1), &new);
     snapshot.digest = old.digest();
     assert!(matches!(snapshot.verify(), Err(VerifyError::DigestMismatch { .. })));
     let mut delta = Delta::between((Version(1), &old), (Version(2), &new));
--- a/configuration/src/publisher.rs
+++ b/configuration/src/publisher.rs
@@ -191,7 +191,7 @@
 
     /// Returns the messages to send now: configuration within the rate limits, starting with the least recently
     /// served gateway, and heartbeats.
-    pub fn due(&mut self, now_us: u64) -> Vec<(GatewayId, OutgoingMessage)> {
+    pub fn due_messages(&mut self, now_us: u64) -> Vec<(GatewayId, OutgoingMessage)> {
         let mut outgoing = Vec::new();
         self.add_configuration(now_us, &mut outgoing);
         self.add_heartbeats(now_us, &mut outgoing);
--- a/configuration/src/publisher/history.rs
+++ b/configuration/src/publisher/history.rs
@@ -89,7 +89,7 @@
     fn message(&self, Transition { from, to }: Transition) -> Option<Message> {
         let document = self.document(to)?;
         if from == Version::NONE {
-            return Some(Message::Snapshot(Snapshot::of(to, document)));
+            return Some(Message::Snapshot(Snapshot::new(to, document)));
         }
         let base = self.document(from)?;
         Some(Message::Delta(Delta::between((from, base), (to, document))))
--- a/configuration/src/publisher/status.rs
+++ b/configuration/src/publisher/status.rs
@@ -36,7 +36,7 @@
 
 impl Status {
     /// Number of connected gateways per version in force.
-    pub fn counts(&self) -> BTreeMap<Version, usize> {
+    pub fn connected_per_version(&self) -> BTreeMap<Version, usize> {
         let mut counts = BTreeMap::new();
         for gateway in self.gateways.iter().filter(|gateway| gateway.is_connected) {
             *counts.entry(gateway.version).or_default() += 1;
--- a/configuration/src/publisher/tests.rs
+++ b/configuration/src/publisher/tests.rs
@@ -28,8 +28,10 @@
 
 /// Messages due now, without heartbeats.
 fn configuration(publisher: &mut Publisher, now_us: u64) -> Vec<Message> {
-    let messages =
-        publisher.due(now_us).into_iter().map(|(_, outgoing)| Message::parse(&outgoing.text).unwrap());
+    let messages = publisher
+        .due_messages(now_us)
+        .into_iter()
+        .map(|(_, outgoing)| Message::parse(&outgoing.text).unwrap());
     messages.filter(|message| !matches!(message, Message::Current(_))).collect()
 }
 
@@ -196,7 +198,7 @@
     assert_eq!(transitions(&configuration(&mut publisher, 61 * SECOND_US)), [(5, 7)]);
     report_applied(&mut publisher, 7);
     assert_eq!(publisher.status().refusals().count(), 0);
-    assert_eq!(publisher.status().counts(), BTreeMap::from([(Version(7), 1)]));
+    assert_eq!(publisher.status().connected_per_version(), BTreeMap::from([(Version(7), 1)]));
 }
 
 #[test]
@@ -253,7 +255,7 @@
     publisher.disconnect(&gateway(), old);
     assert_eq!(transitions(&configuration(&mut publisher, 0)), [(0, 1)]);
     publisher.disconnect(&gateway(), new);
-    assert_eq!((publisher.due(60 * SECOND_US), publisher.next_due_us()), (vec![], None));
+    assert_eq!((publisher.due_messages(60 * SECOND_US), publisher.next_due_us()), (vec![], None));
     assert!(!publisher.status().gateways[0].is_connected);
 }
 
@@ -271,7 +273,7 @@
         publisher.publish(Version(version), settings(version)).unwrap();
         let until_us = now_us + SECOND_US / 10;
         while now_us < until_us {
-            for (gateway, outgoing) in publisher.due(now_us) {
+            for (gateway, outgoing) in publisher.due_messages(now_us) {
                 if matches!(Message::parse(&outgoing.text), Ok(Message::Current(_))) {
                     continue;
                 }
@@ -296,10 +298,10 @@
         version: Version(version),
         text: format!("{{\"current\":{version}}}").into(),
     };
-    assert_eq!(publisher.due(5), [(gateway(), current(0))]);
+    assert_eq!(publisher.due_messages(5), [(gateway(), current(0))]);
     assert_eq!(publisher.next_due_us(), Some(5 + HEARTBEAT_INTERVAL_US));
-    assert_eq!(publisher.due(4 + HEARTBEAT_INTERVAL_US), []);
-    assert_eq!(publisher.due(5 + HEARTBEAT_INTERVAL_US), [(gateway(), current(0))]);
+    assert_eq!(publisher.due_messages(4 + HEARTBEAT_INTERVAL_US), []);
+    assert_eq!(publisher.due_messages(5 + HEARTBEAT_INTERVAL_US), [(gateway(), current(0))]);
 }
 
 #[test]
--- a/configuration/src/subscriber/tests.rs
+++ b/configuration/src/subscriber/tests.rs
@@ -11,7 +11,7 @@
 }
 
 fn snapshot(version: u64) -> String {
-    Message::Snapshot(Snapshot::of(Version(version), &settings(version))).encode()
+    Message::Snapshot(Snapshot::new(Version(version), &settings(version))).encode()
 }
 
 fn delta(from: u64, to: u64) -> String {
@@ -57,7 +57,7 @@
     for text in [snapshot(4), snapshot(5), delta(4, 5), delta(3, 4), snapshot(0)] {
         assert_eq!(subscriber.on_message(0, &text), SubscriberAction::Nothing, "{text}");
     }
-    let none = Snapshot::of(Version::NONE, &settings(4));
+    let none = Snapshot::new(Version::NONE, &settings(4));
     assert_eq!(
         self::subscriber(0).on_message(0, &Message::Snapshot(none).encode()),
         SubscriberAction::Nothing
@@ -143,7 +143,7 @@
 #[test]
 fn a_version_that_is_published_twice_is_refused_and_the_next_one_is_applied() {
     let mut subscriber = subscriber(5);
-    let other = Message::Snapshot(Snapshot::of(Version(5), &settings(4))).encode();
+    let other = Message::Snapshot(Snapshot::new(Version(5), &settings(4))).encode();
     let action = subscriber.on_message(0, &other);
     let SubscriberAction::Refused { version: Version(5), reason } = action else { panic!("{action:?}") };
     assert!(reason.contains("published twice"), "{reason}");
--- a/configuration/tests/model.rs
+++ b/configuration/tests/model.rs
@@ -454,7 +454,7 @@
         let now_us = self.now_us;
         let Some(publisher) = &mut self.servers[number].publisher else { return };
         let newest = publisher.newest().map(|(version, document)| (version, document.clone()));
-        for (id, outgoing) in publisher.due(now_us) {
+        for (id, outgoing) in publisher.due_messages(now_us) {
             let gateway = self.gateways.iter().position(|gateway| gateway.id == id).unwrap();
             let Some((_, stream)) = self.servers[number].streams.get(&gateway) else { continue };
             let packet =
@@ -487,7 +487,7 @@
         for server in &self.servers {
             let status = server.publisher.as_ref().unwrap().status();
             assert_eq!((status.newest, status.conflict), (newest, None));
-            up_to_date += status.counts().get(&newest).copied().unwrap_or(0);
+            up_to_date += status.connected_per_version().get(&newest).copied().unwrap_or(0);
         }
         assert_eq!(
             up_to_date, GATEWAYS,
--- a/configuration/tests/recorded_messages.rs
+++ b/configuration/tests/recorded_messages.rs
@@ -23,7 +23,7 @@
     let documents = documents();
     let snapshot = |number: usize| {
         let (version, document) = versioned(&documents, number);
-        Message::Snapshot(Snapshot::of(version, document))
+        Message::Snapshot(Snapshot::new(version, document))
     };
     let delta = |from: usize, to: usize| {
         Message::Delta(Delta::between(versioned(&documents, from), versioned(&documents, to)))
--- a/gateway/src/control_plane/client/tests.rs
+++ b/gateway/src/control_plane/client/tests.rs
@@ -10,7 +10,7 @@
 }
 
 fn snapshot(version: u64) -> String {
-    let message = Message::Snapshot(Snapshot::of(Version(version), &settings(version)));
+    let message = Message::Snapshot(Snapshot::new(Version(version), &settings(version)));
     format!("data: {}\n\n", message.encode())
 }
 
--- a/gateway/tests/common/control.rs
+++ b/gateway/tests/common/control.rs
@@ -28,7 +28,7 @@
 }
 
 pub fn snapshot(version: u64, document: &Document) -> String {
-    Message::Snapshot(Snapshot::of(Version(version), document)).encode()
+    Message::Snapshot(Snapshot::new(Version(version), document)).encode()
 }
 
 pub fn delta(from: (u64, &Document), to: (u64, &Document)) -> String {
--- a/lab/src/capacity/experiments/settings.rs
+++ b/lab/src/capacity/experiments/settings.rs
@@ -37,7 +37,7 @@
         let gateway = Gateway::start(&self.program, &site, "info")?;
         let mut stream = machine.accept_stream()?;
         let mut in_force = (Version(1), document(&site, 1)?);
-        stream.send(&Message::Snapshot(Snapshot::of(in_force.0, &in_force.1)))?;
+        stream.send(&Message::Snapshot(Snapshot::new(in_force.0, &in_force.1)))?;
         machine.wait_until_applied(1)?;
         self.guard.sleep(SETTLE_TIME, Some(gateway.pid()))?;
         let (cpu_us, logged, count) = (gateway.cpu_us()?, gateway.log_bytes(), self.workload.lists);
--- a/lab/src/configuration/cost.rs
+++ b/lab/src/configuration/cost.rs
@@ -119,7 +119,7 @@
 }
 
 fn snapshot(version: &(Version, Document)) -> String {
-    Message::Snapshot(Snapshot::of(version.0, &version.1)).encode()
+    Message::Snapshot(Snapshot::new(version.0, &version.1)).encode()
 }
 
 /// Processor time of the main thread so far, in microseconds.
@@ -210,7 +210,7 @@
             return Ok(());
         }
         *now_us = next_us;
-        for (gateway, outgoing) in publisher.due(next_us) {
+        for (gateway, outgoing) in publisher.due_messages(next_us) {
             publisher.report(&gateway, Report::Applied { version: outgoing.version });
         }
     }
--- a/lab/src/configuration/fleet/control_machines.rs
+++ b/lab/src/configuration/fleet/control_machines.rs
@@ -53,7 +53,7 @@
         }
         self.machines[machine].next_turn_us = u64::MAX;
         let Some(publisher) = &mut self.machines[machine].publisher else { return };
-        for (id, outgoing) in publisher.due(now_us) {
+        for (id, outgoing) in publisher.due_messages(now_us) {
             if let Some((_, gateway, stream)) = self.machines[machine].streams.get(&id).copied() {
                 self.send(machine, gateway, stream, &outgoing.text);
             }
