--- a/gateway/tests/common/manual.rs
+++ b/gateway/tests/common/manual.rs
@@ -72,8 +72,8 @@
     }
 }
 
-/// Spawns a thread that passes the next request of a connection that starts or cancels a query to the test. The thread
-/// answers polls before that request: the query is running.
+/// Spawns a thread that reads a connection up to the next request that starts or cancels a query, and passes that
+/// request to the test. The thread responds to earlier polls that the query is running.
 fn read_calls(mut connection: Connection, calls: Sender<PendingCall>) {
     thread::spawn(move || {
         while let Some(call) = connection.next_call() {
--- a/gateway/tests/configuration.rs
+++ b/gateway/tests/configuration.rs
@@ -186,7 +186,7 @@
 fn a_longer_connect_timeout_applies_immediately() {
     let mut engine = Peer::with_full_backlog("e1");
     let (gateway, _server, _stream) = gateway_with_longer_timeouts(&engine);
-    // A load is not withdrawn for a slow response, even if the kernel must retransmit SYN packets.
+    // A load is not cancelled for a slow response, even if the kernel must retransmit SYN packets.
     let mut client = send_request(&gateway, 1, "load", "");
     thread::sleep(LONGER_THAN_TIMEOUTS);
     engine.drain_backlog();
@@ -261,7 +261,7 @@
         assert!(reason.contains(expected), "{reason}");
         assert!(
             rejection(&gateway, &query(version, "digest", "")).contains("unknown class"),
-            "no part of the version must be in force"
+            "no part of the version may be in force"
         );
         let text = status(&gateway);
         assert!(text.contains(&format!("in_force=1\nconfiguration.newest_seen={version}\n")), "{text}");
--- a/gateway/tests/operation.rs
+++ b/gateway/tests/operation.rs
@@ -16,7 +16,8 @@
     format!("/* c={class},i={number:016x},d=2500,t=acme,h=20.0,mem=96 */ SELECT v FROM sales_17.orders")
 }
 
-/// Sends requests until this number is served. Returns the numbers of rejected and failed requests.
+/// Sends requests with consecutive ids until `served` of them are served. Returns the counts of rejected and failed
+/// requests.
 fn query_until_served(client: &mut pg::Client, class: &str, from: u64, served: u64) -> (u64, u64) {
     let (mut served_count, mut refused, mut failed) = (0, 0, 0);
     for number in from.. {
