--- a/configuration/src/publisher/status.rs
+++ b/configuration/src/publisher/status.rs
@@ -9,7 +9,7 @@
 /// Status of one gateway at a control plane server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GatewayStatus {
-    /// Name that the gateway has sent when it opened the stream.
+    /// Name that the gateway sent when it opened the stream.
     pub gateway: GatewayId,
     /// Whether the gateway has an open stream to this server.
     pub is_connected: bool,
@@ -36,7 +36,7 @@
 
 impl Status {
     /// Number of connected gateways per version in force.
-    pub fn counts(&self) -> BTreeMap<Version, usize> {
+    pub fn connected_per_version(&self) -> BTreeMap<Version, usize> {
         let mut counts = BTreeMap::new();
         for gateway in self.gateways.iter().filter(|gateway| gateway.is_connected) {
             *counts.entry(gateway.version).or_default() += 1;
--- a/gateway/tests/common/manual.rs
+++ b/gateway/tests/common/manual.rs
@@ -1,4 +1,4 @@
-//! Engines whose responses to new queries and cancellations are sent by the test, on any connection.
+//! Scripted engines whose responses to new queries and cancellations are sent by the test.
 
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::thread;
@@ -72,8 +72,8 @@
     }
 }
 
-/// Reads a connection in a thread until a request that the test must respond to. Responds to polls itself that the
-/// query is running.
+/// Spawns a thread that reads a connection up to the next request that starts or cancels a query, and passes that
+/// request to the test. The thread responds to earlier polls that the query is running.
 fn read_calls(mut connection: Connection, calls: Sender<PendingCall>) {
     thread::spawn(move || {
         while let Some(call) = connection.next_call() {
