--- a/lab/src/capacity/bounds.rs
+++ b/lab/src/capacity/bounds.rs
@@ -7,10 +7,10 @@
 /// Resource limits of a run.
 #[derive(Clone, Copy, Debug, clap::Args)]
 pub struct Limits {
-    /// Memory limit of all processes of a run together, in MB.
+    /// Limit on the resident memory of the measuring process and the gateway together, in MB.
     #[arg(long, default_value_t = 2_048)]
     pub memory_mb: u64,
-    /// Limit on the processes of a run plus the threads of the measuring process.
+    /// Limit on the number of threads of the measuring process plus gateway processes.
     #[arg(long, default_value_t = 400)]
     pub processes: u64,
     /// Time limit of a run, in seconds.
@@ -27,9 +27,9 @@
 /// Resources in use by a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Usage {
-    /// Memory of all processes together, in MB.
+    /// Resident memory of the measuring process and the gateway together, in MB.
     pub memory_mb: u64,
-    /// Processes plus the threads of the measuring process.
+    /// Threads of the measuring process plus gateway processes.
     pub processes: u64,
     /// Time since the start of the run, in seconds.
     pub seconds: u64,
@@ -55,7 +55,7 @@
     }
 }
 
-/// Maximum time between two checks of the limits during a wait.
+/// Maximum time between two checks of the limits during a sleep.
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Enforces the limits of a run.
@@ -71,7 +71,7 @@
         Self { limits, started_at: Instant::now() }
     }
 
-    /// Checks this process and, if given, the gateway process against the limits.
+    /// Checks the limits for this process and, if its process id is given, the gateway.
     ///
     /// # Errors
     /// A limit is exceeded.
@@ -86,7 +86,7 @@
         self.limits.check(usage)
     }
 
-    /// Sleeps while checking the limits.
+    /// Sleeps for `duration` and checks the limits at least every `CHECK_INTERVAL`.
     ///
     /// # Errors
     /// A limit is exceeded.
@@ -103,7 +103,7 @@
     }
 }
 
-/// Returns a number from `/proc/PID/status`: kilobytes or a count.
+/// Returns the number after `key` in `/proc/PID/status`: kilobytes for memory, else a count.
 pub fn proc_status(pid: u32, key: &str) -> Option<u64> {
     let text = std::fs::read_to_string(format!("/proc/{pid}/status")).ok()?;
     let line = text.lines().find_map(|line| line.strip_prefix(key))?;
--- a/lab/src/capacity/control_machine.rs
+++ b/lab/src/capacity/control_machine.rs
@@ -10,7 +10,7 @@
 
 use super::error::CapacityError;
 
-/// Maximum wait for the gateway.
+/// Maximum wait for a connection, request or report of the gateway.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
 /// Maximum length of the body of a report.
 const MAX_REPORT_BYTES: usize = 64 * 1024;
@@ -104,7 +104,7 @@
     let length = content_length(&mut reader)?;
     if request_line.starts_with("GET ") {
         connection.write_all(STREAM_HEAD)?;
-        // The receiver may be gone.
+        // Sending fails only after the `ControlMachine` was dropped.
         let _ = streams.send(connection);
         return Ok(());
     }
@@ -116,7 +116,7 @@
     let unreadable = |reason: String| CapacityError::Unexpected(format!("unreadable report: {reason}"));
     let text = std::str::from_utf8(&body).map_err(|e| unreadable(e.to_string()))?;
     let (_, report) = Report::parse(text).map_err(|e| unreadable(e.to_string()))?;
-    // The receiver may be gone.
+    // Sending fails only after the `ControlMachine` was dropped.
     let _ = reports.send(report);
     Ok(connection.write_all(NO_CONTENT_RESPONSE)?)
 }
--- a/lab/src/capacity/decisions.rs
+++ b/lab/src/capacity/decisions.rs
@@ -1,5 +1,5 @@
-//! Measures the gateway's core without a process: in memory, on simulated time, with engines that answer after a fixed
-//! time.
+//! Measures the processor time of the gateway's core in memory, on simulated time, with engines that answer after a
+//! fixed time.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -11,7 +11,7 @@
 use super::error::CapacityError;
 use super::site::Site;
 
-/// Rate of the simulated clients, close to one gateway's share at the target size.
+/// Statement rate of all simulated clients together, about one gateway's share at the target size.
 const STATEMENTS_PER_SECOND: f64 = 2_364.0;
 /// Deadline of a request after its arrival, in microseconds.
 const CLIENT_TIMEOUT_US: u64 = 3_000_000;
@@ -150,11 +150,11 @@
 
     /// Ends the oldest attempt and sends the next request of its client.
     fn run_statement(&mut self) {
-        let Some(next) = self.in_flight.pop_front() else { return };
-        self.run_timers_until(next.response_us);
+        let Some(oldest) = self.in_flight.pop_front() else { return };
+        self.run_timers_until(oldest.response_us);
         let report = LoadReport { queued: Some(0.0), ..LoadReport::default() };
         let ended = Input::AttemptEnded {
-            attempt: next.attempt,
+            attempt: oldest.attempt,
             outcome: Outcome::Success,
             load_report: Some(report),
         };
@@ -162,32 +162,32 @@
         self.turn(vec![ended, request]);
     }
 
-    /// Runs statements and returns the mean processor time of one in microseconds, including the control ticks between
-    /// them.
+    /// Runs statements and returns the mean processor time per statement in microseconds, including the control ticks
+    /// between them.
     pub fn run_statements(&mut self, count: u64) -> f64 {
         let began_us = thread_cpu_us();
         (0..count).for_each(|_| self.run_statement());
         (thread_cpu_us() - began_us) / count as f64
     }
 
-    /// Runs control ticks with all requests in flight and returns the mean processor time of one in microseconds.
+    /// Runs control ticks with all requests in flight and returns the mean processor time per tick in microseconds.
     pub fn run_control_ticks(&mut self, count: u64) -> f64 {
         let (mut ticks, mut cpu_us) = (0, 0.0);
         while ticks < count {
-            let Some(next) = self.core.next_timer_us() else { break };
-            let due = self.in_flight.front().map_or(u64::MAX, |r| r.response_us);
-            if due <= next {
+            let Some(timer_us) = self.core.next_timer_us() else { break };
+            let response_us = self.in_flight.front().map_or(u64::MAX, |r| r.response_us);
+            if response_us <= timer_us {
                 self.run_statement();
                 continue;
             }
             let began_us = thread_cpu_us();
-            ticks += self.run_timers_until(next + 1);
+            ticks += self.run_timers_until(timer_us + 1);
             cpu_us += thread_cpu_us() - began_us;
         }
         cpu_us / ticks.max(1) as f64
     }
 
-    /// Applies changes of one engine each, with requests in flight, and returns the mean processor time of one in
+    /// Applies changes of one engine each, with requests in flight, and returns the mean processor time per change in
     /// microseconds.
     pub fn run_changes(&mut self, count: u64) -> f64 {
         let mut cpu_us = 0.0;
@@ -206,7 +206,7 @@
         cpu_us / count as f64
     }
 
-    /// Applies full endpoint lists and returns the mean processor time of one in microseconds.
+    /// Applies full endpoint lists and returns the mean processor time per list in microseconds.
     pub fn run_lists(&mut self, count: u64) -> f64 {
         let mut cpu_us = 0.0;
         for _ in 0..count {
@@ -216,6 +216,7 @@
         cpu_us / count as f64
     }
 
+    /// Applies a list of all engines and returns its processor time in microseconds.
     fn apply_full_list(&mut self) -> f64 {
         let entries = (0..self.engines).map(|engine| self.entry(engine, EndpointState::Ready)).collect();
         let list = vec![Input::EndpointList { mode: EndpointListMode::Full, entries }];
--- a/lab/src/capacity/error.rs
+++ b/lab/src/capacity/error.rs
@@ -11,9 +11,9 @@
 /// A limited resource.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LimitKind {
-    /// Memory of all processes of a run together, in MB.
+    /// Resident memory of the measuring process and the gateway together, in MB.
     Memory,
-    /// Processes of a run plus the threads of this process.
+    /// Threads of the measuring process plus gateway processes.
     Processes,
     /// Time since the start of the run, in seconds.
     Time,
@@ -100,7 +100,7 @@
         move |source| Self::File { path: path.to_owned(), source }
     }
 
-    /// A file has invalid or unexpected JSON content.
+    /// Returns a conversion that adds the path to a JSON error.
     pub fn json(path: &Path) -> impl FnOnce(serde_json::Error) -> Self + '_ {
         move |source| Self::Json { path: path.to_owned(), source }
     }
--- a/lab/src/capacity/estimate/control.rs
+++ b/lab/src/capacity/estimate/control.rs
@@ -1,16 +1,17 @@
-//! Needs of a control machine at the target size. Its programs are not in this repository: the load that gateways
-//! cause is calculated, and its cost on the machine is not measured.
+//! Needs of a control machine at the target size. The programs that run on it are not in this repository. Therefore
+//! only the load that gateways cause is calculated, and not the processor time that it costs.
 
 use super::super::experiment::{Experiment as E, Quantity as Q};
 use super::super::stand_ins::COMMENT;
 use super::{CapacityEstimate, Case, DAY_S, Entry, Figure, Resource, Role, entry, list_events_per_day};
 
-/// Returns the number of control machines that remain after the loss of one of `parts` equal parts, at least 1.
+/// Returns the number of control machines that remain after the loss of one of `parts` zones or regions of equal size,
+/// at least 1.
 pub fn remaining(machines: f64, parts: f64) -> f64 {
     (machines - (machines / parts).ceil()).max(1.0)
 }
 
-/// Mechanism named for needs that the coordinator meets.
+/// Mechanism printed on the page for needs that the coordinator meets.
 const COORDINATOR: &str = "the operators' coordinator, not in this repository";
 
 /// Adds the needs of a control machine.
--- a/lab/src/capacity/estimate/database.rs
+++ b/lab/src/capacity/estimate/database.rs
@@ -1,4 +1,4 @@
-//! Needs of a database at the target size, as far as gateways cause them.
+//! Needs of a database that gateways cause at the target size.
 
 use super::super::experiment::{Experiment as E, Quantity as Q};
 use super::{CapacityEstimate, Case, DAY_S, Figure, Resource, Role, entry};
@@ -10,13 +10,13 @@
 pub fn add_needs(estimate: &mut CapacityEstimate<'_>) {
     let t = estimate.target;
     let calls = entry(Resource::Messages, Case::Ordinary, "statements", "a second");
-    let each = t.statements_per_s / t.databases;
-    estimate.add(Role::Database, calls.met_by("src/decisions/"), Figure::from_target(each));
+    let per_database = t.statements_per_s / t.databases;
+    estimate.add(Role::Database, calls.met_by("src/decisions/"), Figure::from_target(per_database));
     let probes = entry(Resource::Messages, Case::Ordinary, "probes", "a second");
     let no_probes = Figure { source: "gateways send none".to_owned(), ..Figure::from_target(0.0) };
     estimate.add(Role::Database, probes.met_by("src/decisions/"), no_probes);
-    let Some(held) = estimate.at(E::StatementEngines, Q::Connections, t.databases) else { return };
-    add_connections(estimate, &held.times(1.0 / t.databases));
+    let Some(connections) = estimate.at(E::StatementEngines, Q::Connections, t.databases) else { return };
+    add_connections(estimate, &connections.times(1.0 / t.databases));
 }
 
 /// Adds connections and handshakes, from the connections that a gateway holds to one database.
@@ -26,6 +26,8 @@
     let held = entry(Resource::State, Case::Ordinary, "connections of all gateways", "");
     estimate.add(Role::Database, held.met_by(files), per_gateway.times(t.gateways));
     let per_pair = t.statements_per_s / t.pairs();
+    // The statements of a gateway at a database are modelled as a Poisson process. Each statement after an idle timeout
+    // reopens a connection.
     let reopened = t.gateways * per_pair * (-IDLE_TIMEOUT_S * per_pair).exp() * DAY_S;
     let restarts = t.gateway_restarts_per_day() + t.gateways * t.database_restarts_per_day() / t.databases;
     let handshakes = entry(Resource::Messages, Case::Ordinary, "handshakes", "a day").met_by(files);
@@ -43,7 +45,7 @@
         "handshakes when the gateways of its zone come back",
         "at once",
     );
-    // A gateway prefers the databases of its zone, so that its connections go to them first.
+    // A gateway connects to the databases of its own zone first.
     let share = per_gateway
         .amount
         .value
--- a/lab/src/capacity/estimate/gateway.rs
+++ b/lab/src/capacity/estimate/gateway.rs
@@ -8,20 +8,20 @@
 
 /// Microseconds per second.
 const SECOND_US: f64 = 1e6;
-/// Open requests in experiments with another variable.
+/// Number of open requests in experiments that vary something else (`FIXED_REQUESTS` of the experiments).
 const FIXED_OPEN: f64 = 16.0;
 /// Smallest number of engines in the experiments.
 const MIN_ENGINES: f64 = 16.0;
 /// Descriptors other than for clients and engines: the process itself and the admin interface with its connections.
 const OWN_DESCRIPTORS: f64 = 49.0;
-/// Share of a gateway's memory that the text of a list event may take (`MEMORY_DIVISOR` of `wrenhatch::discovery`).
+/// Share of a gateway's memory that the text of a list event may occupy (`MEMORY_DIVISOR` of `wrenhatch::discovery`).
 const EVENT_MEMORY_RATIO: f64 = 1.0 / 16.0;
-/// Seconds in which a gateway receives as many requests as its active subset has databases
+/// Time window in seconds. A gateway's active subset has one database for each request that arrives within the window
 /// (`ARRIVALS_WINDOW_SECONDS` of the decisions).
 const ACTIVE_SUBSET_SECONDS: f64 = 2.0;
 /// Time for which a connection is not reused after a response, in seconds (`REUSE_DELAY_US` of the gateway).
 const REUSE_DELAY_SECONDS: f64 = 0.025;
-/// Bytes of the comment that the stream carries each second.
+/// Length of the comment that the endpoint stream carries every second, in bytes.
 const COMMENT_BYTES: f64 = super::super::stand_ins::COMMENT.len() as f64;
 
 /// Adds the needs of a gateway.
@@ -39,38 +39,38 @@
     entry(Resource::Processor, case, description, "cores")
 }
 
-/// Adds the processor time of statements, in total and by part.
+/// Adds the processor time of statements: in total, and the parts that depend on engines, open requests and sessions.
 fn add_statements(estimate: &mut CapacityEstimate<'_>) {
     let t = estimate.target;
     let (rate, cores) = (t.statements_per_gateway() / SECOND_US, t.gateway_cores);
-    let Some(whole) = estimate.at(E::StatementEngines, Q::Cpu, t.databases) else { return };
+    let Some(statement) = estimate.at(E::StatementEngines, Q::Cpu, t.databases) else { return };
     let files = "gateway/src/net/mod.rs, src/decisions/";
-    let mut total = whole.clone();
+    let mut total = statement.clone();
     estimate.add(
         Role::Gateway,
         processor_entry(Case::Ordinary, "statements, few open at once").limit(cores).met_by(files),
-        whole.times(rate),
+        statement.times(rate),
     );
-    if let Some(few) = estimate.at(E::StatementEngines, Q::Cpu, MIN_ENGINES) {
-        let grown = entry(Resource::Processor, Case::Ordinary, "of these, what grows with engines", "cores");
+    if let Some(at_min_engines) = estimate.at(E::StatementEngines, Q::Cpu, MIN_ENGINES) {
+        let growth = entry(Resource::Processor, Case::Ordinary, "of these, what grows with engines", "cores");
         estimate.add(
             Role::Gateway,
-            grown.limit(cores).met_by("src/decisions/"),
-            whole.minus(&few).times(rate),
+            growth.limit(cores).met_by("src/decisions/"),
+            statement.minus(&at_min_engines).times(rate),
         );
     }
-    if let Some(decided) = estimate.at(E::DecideStatementEngines, Q::Cpu, t.databases) {
+    if let Some(decisions) = estimate.at(E::DecideStatementEngines, Q::Cpu, t.databases) {
         let description = "of these, decisions alone";
         estimate.add(
             Role::Gateway,
             processor_entry(Case::Ordinary, description).limit(cores).met_by("src/decisions/"),
-            decided.times(rate),
+            decisions.times(rate),
         );
     }
-    let few = estimate.at(E::StatementOpen, Q::Cpu, FIXED_OPEN);
-    let open = estimate.at(E::StatementOpen, Q::Cpu, t.open_per_gateway);
-    if let (Some(few), Some(open)) = (few, open) {
-        let more = open.minus(&few);
+    let at_fixed_open = estimate.at(E::StatementOpen, Q::Cpu, FIXED_OPEN);
+    let at_target_open = estimate.at(E::StatementOpen, Q::Cpu, t.open_per_gateway);
+    if let (Some(at_fixed_open), Some(at_target_open)) = (at_fixed_open, at_target_open) {
+        let more = at_target_open.minus(&at_fixed_open);
         total = total.plus(&more);
         let description = format!(
             "beside that, {} requests open at once, which share turns",
@@ -113,7 +113,7 @@
     }
 }
 
-/// Adds the processor time and traffic of the endpoint list, compared with the limits for control.
+/// Adds the processor time, traffic, memory and delay of the endpoint list, with the limits for control.
 fn add_endpoint_list(estimate: &mut CapacityEstimate<'_>) {
     let t = estimate.target;
     let files = "gateway/src/net/watch.rs, gateway/src/discovery/, src/decisions/";
@@ -206,21 +206,21 @@
     let t = estimate.target;
     let (per_day, per_s) = (t.configuration_per_day, t.configuration_per_day / DAY_S);
     let files = "configuration/src/subscriber.rs, gateway/src/net/control_plane.rs, gateway/src/net/live_reconfiguration.rs";
-    let names = [E::VersionClasses, E::VersionTenants];
-    if let Some(cpu) = with_classes_and_tenants(estimate, E::VersionEngines, names, Q::Cpu) {
+    let experiments = [E::VersionClasses, E::VersionTenants];
+    if let Some(cpu) = with_classes_and_tenants(estimate, E::VersionEngines, experiments, Q::Cpu) {
         let description =
             format!("versions of the settings taken over in service, {} a day", format_number(per_day));
         let share = entry(Resource::Processor, Case::Ordinary, description, "% of a core");
         let share = share.limit(t.control_core_percent).met_by(files);
         estimate.add(Role::Gateway, share, cpu.times(100.0 * per_s / SECOND_US));
     }
-    if let Some(difference) = with_classes_and_tenants(estimate, E::VersionEngines, names, Q::StreamBytes) {
+    if let Some(delta) = with_classes_and_tenants(estimate, E::VersionEngines, experiments, Q::StreamBytes) {
         let description = "their differences, each of one class";
         let bytes =
             entry(Resource::Messages, Case::Ordinary, description, "bytes/s").limit(t.control_bytes_per_s);
-        estimate.add(Role::Gateway, bytes.met_by(files), difference.times(per_s));
+        estimate.add(Role::Gateway, bytes.met_by(files), delta.times(per_s));
     }
-    if let Some(taken) = with_classes_and_tenants(estimate, E::VersionEngines, names, Q::Taken) {
+    if let Some(taken) = with_classes_and_tenants(estimate, E::VersionEngines, experiments, Q::Taken) {
         let description = "time to take a version over, with its report";
         let time = entry(Resource::Messages, Case::Ordinary, description, "ms")
             .limit(t.configuration_within_s * 1e3);
@@ -232,8 +232,8 @@
 fn add_reloads(estimate: &mut CapacityEstimate<'_>) {
     let t = estimate.target;
     let per_s = t.configuration_per_day / DAY_S;
-    let names = [E::ReloadClasses, E::ReloadTenants];
-    if let Some(read) = with_classes_and_tenants(estimate, E::ReloadEngines, names, Q::Cpu) {
+    let experiments = [E::ReloadClasses, E::ReloadTenants];
+    if let Some(cpu) = with_classes_and_tenants(estimate, E::ReloadEngines, experiments, Q::Cpu) {
         let description = format!(
             "the file read again {} times a day, by signal; classes, shares and limits don't count",
             format_number(t.configuration_per_day)
@@ -242,10 +242,10 @@
         estimate.add(
             Role::Gateway,
             share.limit(t.control_core_percent).met_by("gateway/src/net/reload.rs"),
-            read.times(100.0 * per_s / SECOND_US),
+            cpu.times(100.0 * per_s / SECOND_US),
         );
     }
-    if let Some(file) = with_classes_and_tenants(estimate, E::ReloadEngines, names, Q::FileBytes) {
+    if let Some(file) = with_classes_and_tenants(estimate, E::ReloadEngines, experiments, Q::FileBytes) {
         let description = "the whole file, were it sent for each change";
         let bytes =
             entry(Resource::Messages, Case::Ordinary, description, "bytes/s").limit(t.control_bytes_per_s);
@@ -287,26 +287,26 @@
 fn add_connections(estimate: &mut CapacityEstimate<'_>) {
     let t = estimate.target;
     let clients = t.connections_per_gateway();
-    let held = |description: &str| entry(Resource::State, Case::Ordinary, description, "");
+    let state = |description: &str| entry(Resource::State, Case::Ordinary, description, "");
     let Some(engines) = estimate.at(E::StatementEngines, Q::Connections, t.databases) else { return };
-    let to_engines = held("connections to databases").met_by("gateway/src/net/pools.rs, src/decisions/");
+    let to_engines = state("connections to databases").met_by("gateway/src/net/pools.rs, src/decisions/");
     estimate.add(Role::Gateway, to_engines, engines.clone());
     let all = engines.plus(&Figure::from_target(clients + OWN_DESCRIPTORS));
-    let descriptors = held("descriptors, with those of clients").limit(t.gateway_descriptors);
+    let descriptors = state("descriptors, with those of clients").limit(t.gateway_descriptors);
     estimate.add(
         Role::Gateway,
         descriptors.met_by("gateway/src/net/pools.rs, gateway/src/net/sessions/"),
         all,
     );
-    let sessions = held("sessions, of a third of the descriptors").limit(t.gateway_descriptors / 3.0);
+    let sessions = state("sessions, of a third of the descriptors").limit(t.gateway_descriptors / 3.0);
     estimate.add(Role::Gateway, sessions.met_by("gateway/src/net/sessions/"), Figure::from_target(clients));
     add_call_rate(estimate, &engines);
     let outside_zone = t.databases - t.databases_per_zone();
-    let moved =
+    let zone_lost =
         entry(Resource::State, Case::Worst, "descriptors, its zone's databases gone, one to each other", "");
     estimate.add(
         Role::Gateway,
-        moved.limit(t.gateway_descriptors).met_by("gateway/src/net/pools.rs, src/decisions/"),
+        zone_lost.limit(t.gateway_descriptors).met_by("gateway/src/net/pools.rs, src/decisions/"),
         Figure::from_target(outside_zone + clients + OWN_DESCRIPTORS),
     );
     let share = engines.amount.value / t.databases;
@@ -323,7 +323,7 @@
     estimate.add(Role::Gateway, missing.without_mechanism(fallback, Some(descriptors_share)), engines);
 }
 
-/// Adds the call rate per connection, which `REUSE_DELAY_SECONDS` limits.
+/// Adds the call rate per connection. The limit follows from `REUSE_DELAY_SECONDS`.
 fn add_call_rate(estimate: &mut CapacityEstimate<'_>, connections: &Figure) {
     let t = estimate.target;
     let description = "calls over each connection, which rests for 25 ms behind an answer";
--- a/lab/src/capacity/estimate/mod.rs
+++ b/lab/src/capacity/estimate/mod.rs
@@ -57,7 +57,7 @@
 /// The kind of resource that is needed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Resource {
-    /// Held state, such as connections.
+    /// Long-lived state, such as connections and sessions.
     State,
     /// Traffic, or the time that it takes.
     Messages,
@@ -116,12 +116,12 @@
         Self { value: self.value * factor, spread: self.spread * factor.abs() }
     }
 
-    /// Adds two amounts, with errors taken as independent.
+    /// Adds two amounts, with errors treated as independent.
     pub fn plus(self, other: Self) -> Self {
         Self { value: self.value + other.value, spread: self.spread.hypot(other.spread) }
     }
 
-    /// Subtracts an amount, with errors taken as independent.
+    /// Subtracts an amount, with errors treated as independent.
     pub fn minus(self, other: Self) -> Self {
         self.plus(other.times(-1.0))
     }
@@ -133,12 +133,12 @@
     }
 }
 
-/// What happens today in place of a missing mechanism.
+/// The present behaviour in place of a missing mechanism.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fallback {
     /// Description, as printed on the page.
     pub text: String,
-    /// Need of the fallback relative to its limit or ordinary amount, if known.
+    /// Ratio of the fallback's need to its limit, or to the ordinary amount if no limit is stated, if known.
     pub ratio: Option<f64>,
 }
 
@@ -293,18 +293,19 @@
     }
 
     /// Returns the needs without a mechanism, then those over or near their limit, each sorted by descending ratio.
-    pub fn missing(&self) -> Vec<&Need> {
-        let weight = |need: &Need| match (need.ratio(), &need.mechanism) {
+    pub fn critical_needs(&self) -> Vec<&Need> {
+        let sort_key = |need: &Need| match (need.ratio(), &need.mechanism) {
             (Ratio::NoMechanism, Mechanism::Missing(fallback)) => Some((true, fallback.ratio.unwrap_or(0.0))),
             (Ratio::OfLimit(ratio), _) if ratio >= NEAR_LIMIT_RATIO => Some((false, ratio)),
             _ => None,
         };
-        let mut missing: Vec<_> = self.needs.iter().filter_map(|n| Some((weight(n)?, n))).collect();
-        missing.sort_by(|(a, _), (b, _)| b.0.cmp(&a.0).then(b.1.total_cmp(&a.1)));
-        missing.into_iter().map(|(_, need)| need).collect()
+        let mut critical: Vec<_> = self.needs.iter().filter_map(|n| Some((sort_key(n)?, n))).collect();
+        critical.sort_by(|(a, _), (b, _)| b.0.cmp(&a.0).then(b.1.total_cmp(&a.1)));
+        critical.into_iter().map(|(_, need)| need).collect()
     }
 
-    fn measured(&mut self, experiment: Experiment, quantity: Quantity) -> Option<&'a Measurement> {
+    /// Looks up a measurement. The name of a missing one is added to `unmeasured`.
+    fn find(&mut self, experiment: Experiment, quantity: Quantity) -> Option<&'a Measurement> {
         let found = self.slopes.get(experiment, quantity);
         let name = format!("{experiment} {quantity}");
         if found.is_none() && !self.unmeasured.contains(&name) {
@@ -315,7 +316,7 @@
 
     /// Returns the value at a size. A missing measurement is added to `unmeasured`.
     fn at(&mut self, experiment: Experiment, quantity: Quantity, size: f64) -> Option<Figure> {
-        let measured = self.measured(experiment, quantity)?;
+        let measured = self.find(experiment, quantity)?;
         let estimate = measured.at(size)?;
         let source = format!("{} at {}", measured.name(), format_number(size));
         Some(Figure { amount: estimate.into(), source, mark: estimate.mark })
@@ -323,7 +324,7 @@
 
     /// Returns the increase per unit of size. A missing measurement is added to `unmeasured`.
     fn slope(&mut self, experiment: Experiment, quantity: Quantity) -> Option<Figure> {
-        let measured = self.measured(experiment, quantity)?;
+        let measured = self.find(experiment, quantity)?;
         let fit = measured.fit?;
         let amount = Amount { value: fit.slope, spread: fit.slope_error };
         Some(Figure { amount, source: format!("slope of {}", measured.name()), mark: Mark::Calculated })
@@ -361,11 +362,12 @@
         Self { amount: Amount::exact(value), source: "the target".to_owned(), mark: Mark::Calculated }
     }
 
-    /// Converts the amount to another unit, which keeps its origin.
+    /// Converts the amount to another unit. Source and mark stay the same.
     fn in_unit(&self, factor: f64) -> Self {
         Self { amount: self.amount.times(factor), ..self.clone() }
     }
 
+    /// Multiplies the amount by a factor. The result is marked as calculated.
     fn times(&self, factor: f64) -> Self {
         Self { mark: Mark::Calculated, ..self.in_unit(factor) }
     }
--- a/lab/src/capacity/experiment.rs
+++ b/lab/src/capacity/experiment.rs
@@ -34,7 +34,7 @@
     }
 }
 
-/// An experiment: an operation and the variable that it is repeated for.
+/// An operation that is measured at several values of one variable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, ValueEnum, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Experiment {
@@ -118,8 +118,8 @@
     MetricsBytes,
     /// 99th percentile of the latency at clients.
     LatencyP99,
-    /// Median time until an event is applied: from its writing until the gateway's metrics show it (including the
-    /// request for them), or for a version until its report arrives.
+    /// Median time to apply an event or a version. It starts when the event is written. It ends when the gateway's
+    /// metrics show the event (including the request for the metrics), or when the report of the version arrives.
     Taken,
 }
 
--- a/lab/src/capacity/experiments/endpoint_list.rs
+++ b/lab/src/capacity/experiments/endpoint_list.rs
@@ -12,7 +12,7 @@
 
 /// Interval between changes of one engine.
 const CHANGE_INTERVAL: Duration = Duration::from_millis(5);
-/// Number of events per run whose application is timed.
+/// Number of events per run for which the time until they are applied is measured.
 const TIMED_EVENTS: u64 = 9;
 /// Maximum time until a timed event is applied.
 const EVENT_TIMEOUT: Duration = Duration::from_secs(10);
@@ -84,7 +84,7 @@
         Ok(run.with_figure(Quantity::Taken, applied))
     }
 
-    pub(super) fn idle_watch(&self, engines: usize) -> Result<ExperimentRun, CapacityError> {
+    pub(super) fn unchanged_list(&self, engines: usize) -> Result<ExperimentRun, CapacityError> {
         let watching = self.watching_gateway(engines)?;
         let before = watching.gateway.cpu_us()?;
         self.guard.sleep(self.workload.idle_time, Some(watching.gateway.pid()))?;
--- a/lab/src/capacity/experiments/experiment_run.rs
+++ b/lab/src/capacity/experiments/experiment_run.rs
@@ -12,7 +12,7 @@
 pub struct ExperimentRun {
     /// Measured values, at most one per quantity, in the unit of the quantity.
     pub figures: Vec<(Quantity, f64)>,
-    /// Reason that makes the figures unusable.
+    /// Reason that makes the figures unusable, `None` if they are usable.
     pub unusable: Option<String>,
 }
 
@@ -27,24 +27,24 @@
         self
     }
 
-    /// Adds a figure.
     pub(super) fn with_figure(mut self, quantity: Quantity, value: f64) -> Self {
         self.figures.push((quantity, value));
         self
     }
 }
 
-/// Converts processor time to percent of a core.
-pub(super) fn percent(cpu_us: f64, of: Duration) -> f64 {
-    100.0 * cpu_us / of.as_micros().max(1) as f64
+/// Converts processor time spent in a period to percent of a core.
+pub(super) fn percent(cpu_us: f64, period: Duration) -> f64 {
+    100.0 * cpu_us / period.as_micros().max(1) as f64
 }
 
-/// Returns the reason that makes a run unusable if statements failed.
+/// Returns the reason that makes a run unusable, or `None` if no statements failed.
 pub(super) fn failed_statements(count: u64) -> Option<String> {
     (count > 0).then(|| format!("{count} statements were not served"))
 }
 
-/// Returns the reason that makes a run unusable if its schedule took much longer than planned.
+/// Returns the reason that makes a run unusable, or `None` if it took at most `MAX_SCHEDULE_LAG_RATIO` longer than
+/// planned.
 pub fn schedule_overrun(took: Duration, planned: Duration) -> Option<String> {
     let limit = planned.mul_f64(1.0 + MAX_SCHEDULE_LAG_RATIO);
     let (took_ms, planned_ms) = (took.as_millis(), planned.as_millis());
--- a/lab/src/capacity/experiments/mod.rs
+++ b/lab/src/capacity/experiments/mod.rs
@@ -30,7 +30,7 @@
 const FIXED_ENGINES: usize = 80;
 /// Largest size of an experiment. Each engine and session needs a descriptor in this process.
 pub const MAX_SIZE: usize = 8_000;
-/// Time for the gateway to handle the last input.
+/// Wait before a reading, so that the gateway has handled all input.
 const SETTLE_TIME: Duration = Duration::from_millis(150);
 /// Interval between full lists, versions of the settings, or configuration reloads.
 const SLOW_INTERVAL: Duration = Duration::from_millis(50);
@@ -85,7 +85,7 @@
 }
 
 impl ExperimentRunner {
-    /// Runs an experiment `runs` times at each size.
+    /// Runs an experiment `runs` times at each size. `command` is stored with the figures.
     ///
     /// # Errors
     /// A limit is exceeded, a size is out of range, or the gateway behaves unexpectedly.
@@ -113,8 +113,8 @@
         Ok(points.into_iter().map(measured).collect())
     }
 
-    /// Calls `work` at an interval, then waits `SETTLE_TIME`. Returns the reason that makes the run unusable if the
-    /// schedule fell behind.
+    /// Calls `work` at an interval, then waits `SETTLE_TIME`. If the calls took much longer than planned, returns the
+    /// reason that makes the run unusable.
     fn repeat_at_interval(
         &self,
         count: u64,
@@ -171,7 +171,7 @@
             E::StartClasses => self.startup(&Site { classes: size, ..fixed_site()? }),
             E::StartTenants => self.startup(&Site { tenants: size, ..fixed_site()? }),
             E::IdleSessions => self.idle_sessions(size),
-            E::IdleEngines => self.idle_watch(size),
+            E::IdleEngines => self.unchanged_list(size),
         }
     }
 }
--- a/lab/src/capacity/experiments/settings.rs
+++ b/lab/src/capacity/experiments/settings.rs
@@ -19,8 +19,8 @@
         let (cpu_us, logged, count) = (gateway.cpu_us()?, gateway.log_bytes(), self.workload.lists);
         let overrun = self.repeat_at_interval(count, SLOW_INTERVAL, &gateway, |_| gateway.reload())?;
         let (cpu_us, logged) = (gateway.cpu_us()? - cpu_us, gateway.log_bytes() - logged);
-        let made = gateway.counter("reloads")? - before;
-        let missing = (made != count).then(|| format!("{made} of {count} readings were made"));
+        let reloads = gateway.counter("reloads")? - before;
+        let missing = (reloads != count).then(|| format!("{reloads} of {count} readings were made"));
         let operations = count as f64;
         let run = ExperimentRun::new(vec![
             (Quantity::Cpu, cpu_us / operations),
@@ -77,7 +77,7 @@
     }
 }
 
-/// Returns the settings of a version.
+/// Returns the settings of a site with the change that a version makes.
 fn document(site: &Site, version: u64) -> Result<Document, CapacityError> {
     let text = site.changed_settings(version).to_string();
     text.parse().map_err(|e| CapacityError::Unexpected(format!("invalid settings document: {e}")))
--- a/lab/src/capacity/experiments/statements.rs
+++ b/lab/src/capacity/experiments/statements.rs
@@ -46,15 +46,15 @@
         Ok(run.with_figure(Quantity::DebugLogBytes, debug).unusable_if(failed_statements(tally.failed)))
     }
 
-    /// Sends statements from separate sessions until the gateway uses all engines.
+    /// Sends `WARM_UP_STATEMENTS_PER_ENGINE` statements per engine from separate sessions.
     fn warm_up(&self, gateway: &Gateway, engines: u64) -> Result<(), CapacityError> {
         let mut sessions = Session::open_all(gateway.listen, WARM_UP_SESSIONS)?;
         run_closed_loop(&mut sessions, WARM_UP_STATEMENTS_PER_ENGINE * engines)?;
         self.guard.check(Some(gateway.pid()))
     }
 
-    /// Returns the bytes logged per statement at level debug. A separate process logs them, because writing the log
-    /// costs time.
+    /// Returns the bytes logged per statement at level debug. They are measured on a separate process, because writing
+    /// the log would add to the processor time and latency of the other.
     fn debug_log_bytes(&self, site: &Site) -> Result<f64, CapacityError> {
         let gateway = Gateway::start(&self.program, site, "debug")?;
         let mut sessions = Session::open_all(gateway.listen, FIXED_REQUESTS)?;
--- a/lab/src/capacity/hollow.rs
+++ b/lab/src/capacity/hollow.rs
@@ -1,4 +1,4 @@
-//! Reads the figures that the commands `hollow` and `configuration` write, for the page.
+//! Reads the figures for the page that the commands `hollow` (gateways without clients) and `configuration` write.
 
 use std::path::Path;
 
@@ -10,11 +10,11 @@
 /// A figure of a hollow run.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct HollowFigure {
-    /// The role that it concerns: `gateway`, `database` or `control`.
+    /// Role of the machine with the counted quantity: `gateway`, `database` or `control`.
     pub role: String,
     /// Name of the counted quantity.
     pub quantity: String,
-    /// Event during which it was counted.
+    /// Event during which the quantity was counted.
     pub event: String,
     /// Value in `unit`.
     pub value: f64,
@@ -22,7 +22,7 @@
     pub unit: String,
     /// Origin of the value: hollow or simulated.
     pub mark: Mark,
-    /// Command that produced it.
+    /// Command that produced the figure.
     pub command: String,
 }
 
@@ -86,7 +86,7 @@
 }
 
 impl HollowFile {
-    /// Adds the figures of configuration in service on the largest simulated fleet. A missing file adds nothing.
+    /// Adds the figures of configuration changes in service on the largest simulated fleet. A missing file adds nothing.
     ///
     /// # Errors
     /// The file can't be read or parsed.
--- a/lab/src/capacity/mod.rs
+++ b/lab/src/capacity/mod.rs
@@ -58,7 +58,7 @@
     /// Figures of hollow runs. A missing file counts as empty.
     #[arg(long, default_value = "docs/capacity/hollow.json")]
     hollow: PathBuf,
-    /// Figures of configuration in service. A missing file counts as empty.
+    /// Figures of configuration changes in service. A missing file counts as empty.
     #[arg(long, default_value = "docs/capacity/configuration.json")]
     configuration: PathBuf,
     /// The page to write.
@@ -75,7 +75,7 @@
     /// The experiments to run.
     #[arg(required = true, value_enum)]
     experiments: Vec<Experiment>,
-    /// Sizes to run at instead of the experiment's own.
+    /// Sizes to run at instead of the experiment's default sizes.
     #[arg(long, value_delimiter = ',')]
     sizes: Vec<usize>,
     /// Number of runs at each size.
--- a/lab/src/capacity/page.rs
+++ b/lab/src/capacity/page.rs
@@ -9,7 +9,7 @@
 use super::slopes::{Measurement, Slopes};
 use super::target::Target;
 
-/// Gaps of the measurements that do not depend on the input files.
+/// Conditions that no experiment covers, independent of the input files.
 const MEASUREMENT_GAPS: [&str; 11] = [
     "processor time and memory of databases: the engines of the plays answer at once and do no work",
     "processor time of control machines: no program for them is in the repository",
@@ -86,7 +86,7 @@
         let limit = need.limit.map_or_else(|| "not stated".to_owned(), format_number);
         let mechanism = match &need.mechanism {
             Mechanism::Exists(files) => (*files).to_owned(),
-            Mechanism::Missing(today) => format!("nothing. Today: {}", today.text),
+            Mechanism::Missing(fallback) => format!("nothing. Today: {}", fallback.text),
         };
         writeln!(
             page,
@@ -162,11 +162,11 @@
         let Some(need) = estimate.needs.iter().find(|need| need.description.contains(text)) else { continue };
         let (figure, against) = match &need.mechanism {
             Mechanism::Exists(_) => (format_amount(need), need.ratio().to_string()),
-            Mechanism::Missing(today) => {
-                let ratio = today
+            Mechanism::Missing(fallback) => {
+                let ratio = fallback
                     .ratio
                     .map_or_else(String::new, |r| format!("; today's way {} times", format_number(r)));
-                (today.text.clone(), format!("none{ratio}"))
+                (fallback.text.clone(), format!("none{ratio}"))
             }
         };
         writeln!(page, "| {topic} | {}: {figure} | {against} |", need.description)?;
@@ -177,7 +177,7 @@
 /// Writes the processor time of a statement by number of engines.
 fn write_statement_growth(page: &mut String, target: &Target, slopes: &Slopes) -> std::fmt::Result {
     let get = |experiment| slopes.get(experiment, Quantity::Cpu);
-    let (Some(whole), Some(decided)) =
+    let (Some(process), Some(in_memory)) =
         (get(Experiment::StatementEngines), get(Experiment::DecideStatementEngines))
     else {
         return Ok(());
@@ -189,15 +189,15 @@
         format_number(target.statements_per_gateway())
     )?;
     writeln!(page, "| --- | --- | --- | --- |")?;
-    for point in &whole.points {
-        let Some(decided) = decided.at(point.size) else { continue };
+    for point in &process.points {
+        let Some(in_memory) = in_memory.at(point.size) else { continue };
         let cores = point.median() * target.statements_per_gateway() / 1e6;
         writeln!(
             page,
             "| {} | {} | {} | {} |",
             format_number(point.size),
             format_number(point.median()),
-            format_number(decided.value),
+            format_number(in_memory.value),
             format_number(cores)
         )?;
     }
@@ -258,10 +258,10 @@
     )?;
     writeln!(page, "| | what | ratio | today's way | times its limit |")?;
     writeln!(page, "| --- | --- | --- | --- | --- |")?;
-    for (at, need) in estimate.missing().into_iter().enumerate() {
+    for (index, need) in estimate.critical_needs().into_iter().enumerate() {
         let (approach, times_limit) = match (&need.mechanism, need.ratio()) {
-            (Mechanism::Missing(today), _) => {
-                (today.text.clone(), today.ratio.map_or_else(|| "can't be said".to_owned(), format_number))
+            (Mechanism::Missing(f), _) => {
+                (f.text.clone(), f.ratio.map_or_else(|| "can't be said".to_owned(), format_number))
             }
             (Mechanism::Exists(files), Ratio::OfLimit(ratio)) => ((*files).to_owned(), format_number(ratio)),
             (Mechanism::Exists(files), _) => ((*files).to_owned(), "-".to_owned()),
@@ -269,7 +269,7 @@
         writeln!(
             page,
             "| {} | {}: {} ({}) | {} | {approach} | {times_limit} |",
-            at + 1,
+            index + 1,
             need.role,
             need.description,
             need.case,
--- a/lab/src/capacity/process.rs
+++ b/lab/src/capacity/process.rs
@@ -42,7 +42,7 @@
     /// Starts a gateway binary with the configuration of a site and a log level, and waits until it serves.
     ///
     /// # Errors
-    /// The process can't be started, or does not log that it serves within `ANSWER_TIMEOUT`.
+    /// The process can't be started, or logs no line with `serving` within `ANSWER_TIMEOUT`.
     pub fn start(program: &Path, site: &Site, level: &str) -> Result<Self, CapacityError> {
         let number = NEXT_NUMBER.fetch_add(1, Ordering::SeqCst);
         let dir = std::env::temp_dir().join(format!("wrenhatch-capacity-{}-{number}", std::process::id()));
@@ -117,7 +117,7 @@
         self.log_bytes.load(Ordering::SeqCst)
     }
 
-    /// Makes the gateway reload its configuration with SIGHUP.
+    /// Sends SIGHUP, on which the gateway reloads its configuration.
     ///
     /// # Errors
     /// The process has ended.
@@ -125,7 +125,7 @@
         self.signal(Signal::HUP)
     }
 
-    /// Makes the gateway print its counters with SIGUSR1, and returns one of them.
+    /// Sends SIGUSR1, on which the gateway prints its counters, and returns the counter `name`.
     ///
     /// # Errors
     /// The process has ended, or does not print the counter.
@@ -157,8 +157,8 @@
     /// # Errors
     /// The admin interface does not respond, or the metric is missing.
     pub fn engines_known(&self) -> Result<usize, CapacityError> {
-        let figures = self.metrics()?;
-        let known = figures.lines().find_map(|line| line.strip_prefix("edge_lb.engines_known="));
+        let metrics = self.metrics()?;
+        let known = metrics.lines().find_map(|line| line.strip_prefix("edge_lb.engines_known="));
         let missing = || CapacityError::Unexpected("the metric edge_lb.engines_known is missing".to_owned());
         known.and_then(|n| n.parse().ok()).ok_or_else(missing)
     }
@@ -188,8 +188,8 @@
     }
 }
 
-/// Counts the bytes of the log. Forwards only the lines that `wait_for_line` looks for, so that those of requests do
-/// not accumulate.
+/// Counts the bytes of the log. Forwards only the lines that `wait_for_line` looks for, so that lines about requests do
+/// not accumulate in the channel.
 fn read_log(log: ChildStderr, counter: &AtomicU64, lines_sender: &Sender<String>) {
     for line in BufReader::new(log).lines().map_while(Result::ok) {
         counter.fetch_add(line.len() as u64 + LINE_END, Ordering::SeqCst);
--- a/lab/src/capacity/sessions.rs
+++ b/lab/src/capacity/sessions.rs
@@ -23,10 +23,10 @@
     statements: u64,
 }
 
-/// Outcomes of statements.
+/// Number of statements by outcome, and their latencies.
 #[derive(Clone, Debug)]
 pub struct Tally {
-    /// Statements with all their rows.
+    /// Statements that ended without an error.
     pub served: u64,
     /// Statements that ended with an error.
     pub failed: u64,
@@ -35,8 +35,7 @@
 }
 
 impl Tally {
-    /// Creates an empty tally.
-    pub fn new() -> Result<Self, CapacityError> {
+    fn new() -> Result<Self, CapacityError> {
         let (low, high, digits) = LATENCY_HISTOGRAM;
         let latencies = Histogram::new_with_bounds(low, high, digits);
         let latencies = latencies.map_err(|e| CapacityError::Unexpected(e.to_string()))?;
@@ -124,7 +123,7 @@
 }
 
 /// Distributes `statements` statements evenly over the sessions, rounded up. The sessions run concurrently, each on a
-/// thread of its own that sends the next statement after the response to the last.
+/// thread of its own that sends the next statement after the response to the previous one.
 ///
 /// # Errors
 /// A session was closed or timed out.
--- a/lab/src/capacity/slopes.rs
+++ b/lab/src/capacity/slopes.rs
@@ -12,7 +12,7 @@
 /// Runs of one quantity of an experiment at several sizes, and the line fitted through them.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Measurement {
-    /// Experiment that measured it.
+    /// Experiment that measured the quantity.
     pub experiment: Experiment,
     /// The measured quantity.
     pub quantity: Quantity,
@@ -38,7 +38,7 @@
 pub enum Mark {
     /// Measured at this size.
     Measured,
-    /// Counted with hollow gateways.
+    /// Counted in a run with gateways without clients.
     Hollow,
     /// Measured in simulated time.
     Simulated,
@@ -96,8 +96,9 @@
         format!("{} {}", self.experiment, self.quantity)
     }
 
-    /// Estimates the value at a size: the median run at a measured size, else the fitted line if growth is linear, else
-    /// interpolation between the neighbouring sizes or extrapolation from the two nearest.
+    /// Estimates the value at a size: the median of the runs at a measured size, else the value of the fitted line if
+    /// growth is linear, else an interpolation between the neighbouring sizes or an extrapolation from the two nearest.
+    /// Without a fit, returns `None` for a size that was not measured.
     pub fn at(&self, size: f64) -> Option<Estimate> {
         if let Some(point) = self.points.iter().find(|p| p.size == size) {
             return Some(Estimate { value: point.median(), spread: point.spread(), mark: Mark::Measured });
@@ -109,8 +110,8 @@
 
     fn interpolate(&self, size: f64) -> Option<f64> {
         let above = self.points.partition_point(|p| p.size < size);
-        let at = above.clamp(1, self.points.len().checked_sub(1)?);
-        let (low, high) = (&self.points[at - 1], &self.points[at]);
+        let upper = above.clamp(1, self.points.len().checked_sub(1)?);
+        let (low, high) = (&self.points[upper - 1], &self.points[upper]);
         let slope = (high.median() - low.median()) / (high.size - low.size);
         Some(low.median() + slope * (size - low.size))
     }
--- a/lab/src/capacity/stand_ins.rs
+++ b/lab/src/capacity/stand_ins.rs
@@ -1,4 +1,4 @@
-//! Mock engines and a mock coordinator, implemented from the public protocol.
+//! Mock engines and a mock coordinator for a gateway process.
 
 use std::io::{self, BufRead, BufReader, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -23,7 +23,7 @@
     b"HTTP/1.1 200 OK\r\nPage-Count: 1\r\nX-Meter: queue:0\r\nContent-Length: 2\r\n\r\n1\n";
 /// Response to the cancellation of a query.
 const CANCELLED_RESPONSE: &[u8] = b"HTTP/1.1 204 No Content\r\n\r\n";
-/// Readiness to write is not awaited: responses fit the socket's buffer.
+/// Polls for readiness to read only, because responses fit the socket's send buffer.
 const READABLE: Interest = Interest { read: true, write: false };
 
 /// Counters summed over all engines.
@@ -39,13 +39,13 @@
         self.connections.load(Ordering::SeqCst)
     }
 
-    /// Returns the number of answered queries.
+    /// Returns the number of queries received in full.
     pub fn queries(&self) -> u64 {
         self.queries.load(Ordering::SeqCst)
     }
 }
 
-/// Mock engines that answer each query immediately, served by one thread until dropped.
+/// Mock engines that answer each query immediately. One thread serves them until they are dropped.
 pub struct Engines {
     /// Listening address of each engine.
     pub addresses: Vec<SocketAddr>,
@@ -166,7 +166,7 @@
             }
             while let Some(length) = request_length(&self.input) {
                 let query = self.input.starts_with(b"POST");
-                // Counted before the response, so that a client that has received it finds the query counted.
+                // Counted before the response is written, so that a reader of the response finds the query counted.
                 counters.queries.fetch_add(u64::from(query), Ordering::SeqCst);
                 self.stream.write_all(if query { ROW_RESPONSE } else { CANCELLED_RESPONSE })?;
                 self.input.drain(..length);
@@ -187,7 +187,7 @@
     (input.len() >= total).then_some(total)
 }
 
-/// Maximum wait for the gateway.
+/// Maximum wait for the gateway to connect, and for each read of its request.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
 /// Interval of comments on an endpoint stream.
 const COMMENT_INTERVAL: Duration = Duration::from_secs(1);
--- a/lab/src/capacity/target.rs
+++ b/lab/src/capacity/target.rs
@@ -148,7 +148,7 @@
 const RATE_RANGE: RangeInclusive<f64> = 1e-3..=1e9;
 /// Valid durations in seconds, up to a day.
 const SECONDS_RANGE: RangeInclusive<f64> = 1e-3..=86_400.0;
-/// Valid numbers of cores, or percentages of one.
+/// Valid numbers of cores, or percentages of a core.
 const CORE_RANGE: RangeInclusive<f64> = 1e-3..=1e4;
 /// Valid numbers of megabytes, bytes per second or descriptors.
 const AMOUNT_RANGE: RangeInclusive<f64> = 1.0..=1e9;
--- a/lab/tests/capacity.rs
+++ b/lab/tests/capacity.rs
@@ -23,7 +23,7 @@
     std::fs::read_to_string(docs("capacity/target.toml")).unwrap()
 }
 
-/// Runs of a function of size, with the given deviations at each size.
+/// Returns three runs at each size: the value of a function of the size plus each of the offsets.
 fn runs(sizes: &[f64], offsets: [f64; 3], value: impl Fn(f64) -> f64) -> Vec<Point> {
     let point = |size: &f64| Point {
         size: *size,
@@ -39,7 +39,8 @@
     let fit = fit(&runs(&SIZES, [-1.0, 0.0, 1.0], |size| 5.0 + 2.0 * size)).unwrap();
     assert!((fit.slope - 2.0).abs() < 1e-9 && (fit.intercept - 5.0).abs() < 1e-9, "{fit:?}");
     assert!((fit.noise - 1.0).abs() < 1e-9 && fit.misfit < 1e-6 && fit.linear, "{fit:?}");
-    // The residuals' sum of squares is 8 with 10 degrees of freedom, and that of the sizes is 3 times 2,875.
+    // The sum of the squared residuals is 8 with 10 degrees of freedom. The sum of the squared deviations of the sizes
+    // from their mean is 3 times 2,875.
     assert!((fit.slope_error - (0.8_f64 / 8_625.0).sqrt()).abs() < 1e-9, "{fit:?}");
 }
 
@@ -71,16 +72,16 @@
 #[test]
 fn measured_sizes_give_the_median_and_other_sizes_the_line() {
     let line = measured(runs(&SIZES, [-1.0, 0.0, 4.0], |size| 5.0 + 2.0 * size));
-    let at = line.at(40.0).unwrap();
-    assert_eq!((at.value, at.spread, at.mark), (85.0, 2.5, Mark::Measured));
-    let at = line.at(100.0).unwrap();
-    assert!((at.value - 206.0).abs() < 1e-9 && at.mark == Mark::Calculated, "{at:?}");
+    let known = line.at(40.0).unwrap();
+    assert_eq!((known.value, known.spread, known.mark), (85.0, 2.5, Mark::Measured));
+    let other = line.at(100.0).unwrap();
+    assert!((other.value - 206.0).abs() < 1e-9 && other.mark == Mark::Calculated, "{other:?}");
 }
 
 #[test]
 fn nonlinear_growth_is_interpolated_from_the_two_nearest_sizes() {
-    let bent = measured(runs(&SIZES, [0.0; 3], |size| size * size));
-    let value = |size: f64| bent.at(size).unwrap().value;
+    let quadratic = measured(runs(&SIZES, [0.0; 3], |size| size * size));
+    let value = |size: f64| quadratic.at(size).unwrap().value;
     assert!((value(30.0) - 1_000.0).abs() < 1e-9);
     assert!((value(90.0) - (6_400.0 + 10.0 * 120.0)).abs() < 1e-9);
     assert!((value(5.0) - (100.0 - 5.0 * 30.0)).abs() < 1e-9);
@@ -178,7 +179,7 @@
     assert_eq!(reason, "fell behind its schedule: 1101 ms for 1000 ms");
 }
 
-/// Slopes with round figures for the measurements that the tests refer to.
+/// Returns measurements with round figures, as far as the tests need them.
 fn round_slopes() -> Slopes {
     let mut slopes = Slopes::default();
     let engines = [100.0, 200.0, 400.0, 810.0];
@@ -215,17 +216,17 @@
     let share = 100.0 * 3_100.0 * (0.081 + 0.3455) / 86_400.0;
     assert!(matches!(restarts.ratio(), Ratio::OfLimit(ratio) if (ratio - share / 2.3).abs() < 1e-9));
     // A mechanism for configuration changes exists, and the target states no limit on their number.
-    let missing = estimate.missing();
+    let critical = estimate.critical_needs();
     assert_eq!(need("changes of classes").ratio(), Ratio::NoLimit);
-    assert!(missing.iter().all(|n| !n.description.contains("changes of classes")));
-    // No mechanism chooses a subset of databases: the runs have 810 connections, of 20,000 descriptors.
-    let subset = missing.iter().find(|n| n.description.contains("a stable, even subset")).unwrap();
+    assert!(critical.iter().all(|n| !n.description.contains("changes of classes")));
+    // No mechanism chooses a subset of databases. The runs have 810 connections, and the limit is 20,000 descriptors.
+    let subset = critical.iter().find(|n| n.description.contains("a stable, even subset")).unwrap();
     assert_eq!(subset.ratio(), Ratio::NoMechanism);
     let wrenhatch_lab::capacity::estimate::Mechanism::Missing(fallback) = &subset.mechanism else {
         panic!("a mechanism exists")
     };
     assert!((fallback.ratio.unwrap() - 810.0 / 20_000.0).abs() < 1e-9);
-    // 550 gateways over 7 machines, over 5 without those of a zone, and over 3 without those of a region.
+    // 550 gateways have streams to 7 machines, to 5 after the loss of a zone, and to 3 after the loss of a region.
     let streams: Vec<f64> = estimate
         .needs_of(Role::Control)
         .filter(|n| n.description.starts_with("streams"))
@@ -238,11 +239,11 @@
 fn missing_mechanisms_are_listed_before_exceeded_limits() {
     let (target, slopes) = (Target::parse("t", &target_text()).unwrap(), round_slopes());
     let estimate = CapacityEstimate::new(&target, &slopes);
-    let missing = estimate.missing();
-    let none = missing.iter().take_while(|n| n.ratio() == Ratio::NoMechanism).count();
+    let needs = estimate.critical_needs();
+    let missing = needs.iter().take_while(|n| n.ratio() == Ratio::NoMechanism).count();
     assert!(
-        none > 0
-            && missing[none..].iter().all(|n| matches!(n.ratio(), Ratio::OfLimit(ratio) if ratio >= 0.5))
+        missing > 0
+            && needs[missing..].iter().all(|n| matches!(n.ratio(), Ratio::OfLimit(ratio) if ratio >= 0.5))
     );
 }
 
--- a/lab/tests/capacity_process.rs
+++ b/lab/tests/capacity_process.rs
@@ -15,8 +15,7 @@
 use wrenhatch_lab::capacity::site::Site;
 use wrenhatch_lab::capacity::stand_ins::{Coordinator, Engines};
 
-/// Returns the gateway binary next to the test binary, and builds it first: running this package's tests alone does
-/// not.
+/// Builds the gateway and returns the path of its binary. Running only the tests of this package does not build it.
 fn program() -> PathBuf {
     static BUILT: OnceLock<PathBuf> = OnceLock::new();
     let build = || {
--- a/lab/tests/hollow.rs
+++ b/lab/tests/hollow.rs
@@ -1,4 +1,5 @@
-//! Tests of hollow runs: small fleets with fixed seeds, resource bounds, stored figures and invalid options.
+//! Tests of hollow runs (gateways without clients): small fleets with fixed seeds, resource bounds, stored figures and
+//! invalid options.
 
 use std::path::PathBuf;
 use std::process::Command;
--- a/lab/tests/recorded_files.rs
+++ b/lab/tests/recorded_files.rs
@@ -68,18 +68,18 @@
 fn the_target_is_read_as_recorded() {
     let target = Target::read(&recorded("target.toml")).unwrap();
     let fleet = [target.gateways, target.databases, target.regions, target.zones];
-    let names = [target.classes, target.tenants];
+    let settings = [target.classes, target.tenants];
     let load = [target.connections, target.statements_per_s, target.open_per_gateway];
     let changes = [target.primary_per_day, target.configuration_per_day];
-    let within = [target.primary_within_s, target.configuration_within_s];
+    let time_limits = [target.primary_within_s, target.configuration_within_s];
     let events = [target.failures_per_day, target.restarts_per_day];
     let control = [target.control_machines, target.control_core_percent, target.control_memory_mb];
     let gateway = [target.gateway_cores, target.gateway_memory_mb, target.gateway_descriptors];
     assert_eq!(fleet, [550.0, 810.0, 2.0, 5.0]);
-    assert_eq!(names, [10.0, 100.0]);
+    assert_eq!(settings, [10.0, 100.0]);
     assert_eq!(load, [1_900_000.0, 1_300_000.0, 64.0]);
     assert_eq!(changes, [2.0, 3_100.0]);
-    assert_eq!(within, [7.0, 11.0]);
+    assert_eq!(time_limits, [7.0, 11.0]);
     assert_eq!(events, [2.0, 110.0]);
     assert_eq!((control, target.control_bytes_per_s), ([7.0, 2.3, 64.0], 18_000.0));
     assert_eq!(gateway, [1.0, 192.0, 20_000.0]);
