--- a/lab/src/capacity/estimate/gateway.rs
+++ b/lab/src/capacity/estimate/gateway.rs
@@ -158,10 +158,10 @@
     for (experiment, description) in
         [(E::ChangeEngines, "time to take a change"), (E::ListEngines, "time to take a whole list")]
     {
-        let Some(taken) = estimate.at(experiment, Q::Taken, t.databases) else { continue };
+        let Some(delay) = estimate.at(experiment, Q::ApplyTime, t.databases) else { continue };
         let time =
             entry(Resource::Messages, Case::Ordinary, description, "ms").limit(within_s * 1e3).met_by(files);
-        estimate.add(Role::Gateway, time, taken);
+        estimate.add(Role::Gateway, time, delay);
     }
     if let Some(idle) = estimate.at(E::IdleEngines, Q::IdleCpu, t.databases) {
         estimate.add(
@@ -220,11 +220,11 @@
             entry(Resource::Messages, Case::Ordinary, description, "bytes/s").limit(t.control_bytes_per_s);
         estimate.add(Role::Gateway, bytes.met_by(files), delta.times(per_s));
     }
-    if let Some(taken) = with_classes_and_tenants(estimate, E::VersionEngines, experiments, Q::Taken) {
+    if let Some(delay) = with_classes_and_tenants(estimate, E::VersionEngines, experiments, Q::ApplyTime) {
         let description = "time to take a version over, with its report";
         let time = entry(Resource::Messages, Case::Ordinary, description, "ms")
             .limit(t.configuration_within_s * 1e3);
-        estimate.add(Role::Gateway, time.met_by(files), taken);
+        estimate.add(Role::Gateway, time.met_by(files), delay);
     }
 }
 
--- a/lab/src/capacity/experiment.rs
+++ b/lab/src/capacity/experiment.rs
@@ -120,7 +120,8 @@
     LatencyP99,
     /// Median time to apply an event or a version. It starts when the event is written. It ends when the gateway's
     /// metrics show the event (including the request for the metrics), or when the report of the version arrives.
-    Taken,
+    #[serde(rename = "taken")]
+    ApplyTime,
 }
 
 impl Quantity {
@@ -136,7 +137,7 @@
             | Quantity::LogBytes
             | Quantity::DebugLogBytes
             | Quantity::MetricsBytes => "bytes",
-            Quantity::LatencyP99 | Quantity::Taken => "ms",
+            Quantity::LatencyP99 | Quantity::ApplyTime => "ms",
         }
     }
 }
@@ -155,7 +156,7 @@
             Quantity::DebugLogBytes => "debug-log-bytes",
             Quantity::MetricsBytes => "metrics-bytes",
             Quantity::LatencyP99 => "latency-p99",
-            Quantity::Taken => "taken",
+            Quantity::ApplyTime => "taken",
         })
     }
 }
--- a/lab/src/capacity/experiments/endpoint_list.rs
+++ b/lab/src/capacity/experiments/endpoint_list.rs
@@ -68,7 +68,7 @@
                 vec![site.endpoint_entry(0, if removed { "Gone" } else { "Ready" })],
             )
         })?;
-        Ok(run.with_figure(Quantity::Taken, applied))
+        Ok(run.with_figure(Quantity::ApplyTime, applied))
     }
 
     pub(super) fn full_lists(&self, engines: usize) -> Result<ExperimentRun, CapacityError> {
@@ -81,7 +81,7 @@
             let listed = (usize::from(removed)..engines).map(|engine| site.endpoint_entry(engine, "Ready"));
             site.list_event(index, true, listed.collect())
         })?;
-        Ok(run.with_figure(Quantity::Taken, applied))
+        Ok(run.with_figure(Quantity::ApplyTime, applied))
     }
 
     pub(super) fn unchanged_list(&self, engines: usize) -> Result<ExperimentRun, CapacityError> {
--- a/lab/src/capacity/experiments/settings.rs
+++ b/lab/src/capacity/experiments/settings.rs
@@ -59,7 +59,7 @@
             (Quantity::Cpu, cpu_us / operations),
             (Quantity::StreamBytes, bytes as f64 / operations),
             (Quantity::LogBytes, logged as f64 / operations),
-            (Quantity::Taken, Point { size: operations, runs: times }.median()),
+            (Quantity::ApplyTime, Point { size: operations, runs: times }.median()),
         ]);
         Ok(run.unusable_if(overrun))
     }
--- a/lab/src/capacity/hollow.rs
+++ b/lab/src/capacity/hollow.rs
@@ -86,7 +86,8 @@
 }
 
 impl HollowFile {
-    /// Adds the figures of configuration changes in service on the largest simulated fleet. A missing file adds nothing.
+    /// Adds the figures of configuration changes in service for the largest simulated fleet. Without the file, nothing
+    /// is added.
     ///
     /// # Errors
     /// The file can't be read or parsed.
--- a/lab/src/capacity/mod.rs
+++ b/lab/src/capacity/mod.rs
@@ -156,7 +156,7 @@
 }
 
 fn print(measured: &Measurement) {
-    println!("{} by {} ({})", measured.name(), measured.of, measured.fixed);
+    println!("{} by {} ({})", measured.name(), measured.variable, measured.fixed);
     for point in &measured.points {
         let runs: Vec<String> = point.runs.iter().map(|v| format!("{v:.3}")).collect();
         println!("  {:>6}  {:>14.3} {}  of {}", point.size, point.median(), measured.unit, runs.join(", "));
--- a/lab/src/capacity/page.rs
+++ b/lab/src/capacity/page.rs
@@ -238,7 +238,7 @@
         "| {} | {} | {} | {sizes} | {middles} | {slope} | {growth} | {} | `{}` |",
         m.name(),
         m.unit,
-        m.of,
+        m.variable,
         m.fixed,
         m.command
     )
--- a/lab/src/capacity/slopes.rs
+++ b/lab/src/capacity/slopes.rs
@@ -19,7 +19,8 @@
     /// Unit of the values, from `Quantity::unit`.
     pub unit: String,
     /// Variable that the sizes refer to.
-    pub of: Variable,
+    #[serde(rename = "of")]
+    pub variable: Variable,
     /// Fixed conditions, from `Experiment::fixed`.
     pub fixed: String,
     /// Command that repeats the measurement.
@@ -82,7 +83,7 @@
             experiment,
             quantity,
             unit: quantity.unit().to_owned(),
-            of: experiment.variable(),
+            variable: experiment.variable(),
             fixed: experiment.fixed().to_owned(),
             command: command.to_owned(),
             fit: fit(&points),
--- a/lab/tests/capacity_process.rs
+++ b/lab/tests/capacity_process.rs
@@ -93,7 +93,7 @@
     let runner = runner(Limits::default());
     let bytes = [1, 100].map(|tenants| {
         let run = runner.run_once(Experiment::VersionTenants, tenants).unwrap();
-        assert!(figure(&run, Quantity::Cpu) > 0.0 && figure(&run, Quantity::Taken) > 0.0);
+        assert!(figure(&run, Quantity::Cpu) > 0.0 && figure(&run, Quantity::ApplyTime) > 0.0);
         figure(&run, Quantity::StreamBytes)
     });
     assert_eq!(bytes[0], bytes[1], "only the delta is sent");
