--- a/gateway/src/net/clients/accept.rs
+++ b/gateway/src/net/clients/accept.rs
@@ -24,8 +24,8 @@
 }
 
 impl Server {
-    /// Creates a session for a new client, evicting another one if necessary, or rejects the client. Rejection also
-    /// covers a request that the client may have sent behind its start-up message.
+    /// Creates a session for a new client, evicting another one if necessary, or rejects the client. The error
+    /// for a rejected client also answers a request that the client may have sent behind its start-up message.
     pub(in crate::net) fn accept_client(&mut self, stream: TcpStream, from: SocketAddr, front_end: FrontEnd) {
         let decision = self.decide_accept();
         if decision == AcceptDecision::Close {
@@ -56,8 +56,8 @@
 
     fn decide_accept(&mut self) -> AcceptDecision {
         let session_bytes = Sessions::active_session_bytes();
-        let memory_short = self.sessions.memory.check(MemoryPurpose::Sessions, session_bytes).is_err();
-        if !(self.sessions.is_full() || memory_short) || self.evict_one() {
+        let is_memory_short = self.sessions.memory.check(MemoryPurpose::Sessions, session_bytes).is_err();
+        if !(self.sessions.is_full() || is_memory_short) || self.evict_one() {
             AcceptDecision::Session
         } else if self.sessions.table.len() < self.sessions.max_sessions + MAX_REJECTED_CLIENTS {
             AcceptDecision::Rejection
--- a/tests/reconfigure.rs
+++ b/tests/reconfigure.rs
@@ -1,4 +1,4 @@
-//! Live reconfiguration: learned state is kept, requests keep the class with which they arrived, and equal
+//! Live reconfiguration: statistics are kept, requests keep the class with which they arrived, and equal
 //! settings change no decision.
 
 mod common;
@@ -13,14 +13,14 @@
 }
 
 /// Retires a class and appends a modified copy of it.
-fn with_changed(of: ClassId, to: impl Fn(&mut Class)) -> SettingsChange {
+fn with_changed(old: ClassId, modify: impl Fn(&mut Class)) -> SettingsChange {
     let mut s = settings();
     let mut origins = vec![UNCHANGED; s.classes.len()];
-    let mut class = s.classes[of.0].clone();
-    to(&mut class);
+    let mut class = s.classes[old.0].clone();
+    modify(&mut class);
     s.classes.push(class);
-    origins[of.0] = ClassOrigin::Retired;
-    origins.push(ClassOrigin::DerivedFrom(of));
+    origins[old.0] = ClassOrigin::Retired;
+    origins.push(ClassOrigin::DerivedFrom(old));
     change(s, &origins)
 }
 
@@ -98,7 +98,7 @@
     driver.now += 0.05;
     assert!(
         forwards(&driver.control_tick()).is_empty(),
-        "the second request of the key was forwarded beside the first"
+        "the second request of the key was forwarded while the first was in flight"
     );
     let new = ClassId(settings().classes.len());
     let third = Event::RequestArrived(Request { class: new, ..driver.request(3, LOAD) });
@@ -214,7 +214,7 @@
 }
 
 #[test]
-fn a_larger_share_of_the_engines_is_used_at_once() {
+fn a_larger_share_of_the_engines_is_used_immediately() {
     let sent = |more: bool| {
         let mut driver = Driver::new(Settings { gateways: 8, ..single_thread_loads() }, vec![engine(1)]);
         if more {
