--- a/lab/src/capacity/mod.rs
+++ b/lab/src/capacity/mod.rs
@@ -58,7 +58,7 @@
     /// Figures of hollow runs. A missing file counts as empty.
     #[arg(long, default_value = "docs/capacity/hollow.json")]
     hollow: PathBuf,
-    /// Figures of configuration in service. A missing file counts as empty.
+    /// Figures of configuration changes in service. A missing file counts as empty.
     #[arg(long, default_value = "docs/capacity/configuration.json")]
     configuration: PathBuf,
     /// The page to write.
@@ -75,7 +75,7 @@
     /// The experiments to run.
     #[arg(required = true, value_enum)]
     experiments: Vec<Experiment>,
-    /// Sizes to run at instead of the experiment's own.
+    /// Sizes to run at instead of the experiment's default sizes.
     #[arg(long, value_delimiter = ',')]
     sizes: Vec<usize>,
     /// Number of runs at each size.
@@ -156,7 +156,7 @@
 }
 
 fn print(measured: &Measurement) {
-    println!("{} by {} ({})", measured.name(), measured.of, measured.fixed);
+    println!("{} by {} ({})", measured.name(), measured.variable, measured.fixed);
     for point in &measured.points {
         let runs: Vec<String> = point.runs.iter().map(|v| format!("{v:.3}")).collect();
         println!("  {:>6}  {:>14.3} {}  of {}", point.size, point.median(), measured.unit, runs.join(", "));
