--- a/lab/src/classes.rs
+++ b/lab/src/classes.rs
@@ -163,7 +163,7 @@
     }
     let classes = sums(&all);
     classes.iter().for_each(|(class, count)| print_row(&format!("{class}, all"), count));
-    // Separate sums of the tenth of the gateways with the least traffic and of the tenth with the most.
+    // Separate sums for the tenth of the gateways with the fewest admitted requests and for the tenth with the most.
     gateways.sort_by_key(|g| g.values().map(|c| c.taken).sum::<u64>());
     let tenth = gateways.len().div_ceil(10);
     let sums_of = |gateways: &[ClassSeconds]| {
--- a/lab/src/configuration/fleet/control_machines.rs
+++ b/lab/src/configuration/fleet/control_machines.rs
@@ -19,6 +19,7 @@
 /// A control machine. `publisher` is `None` while its process is down.
 pub(super) struct ControlMachine {
     pub(super) publisher: Option<Publisher>,
+    /// Streams by gateway: the publisher's connection, the number of the gateway, and the number of the stream.
     pub(super) streams: HashMap<GatewayId, (ConnectionId, usize, StreamId)>,
     pub(super) is_isolated: bool,
     /// Time of the scheduled turn of the event loop; `u64::MAX` if none is scheduled.
--- a/lab/src/configuration/fleet/gateways.rs
+++ b/lab/src/configuration/fleet/gateways.rs
@@ -156,7 +156,7 @@
         }
     }
 
-    /// Puts a checked version into force, or refuses it if it is invalid.
+    /// Puts a checked version into force, refuses it if it is invalid, or injects a restart.
     pub(super) fn on_applied(&mut self, number: usize, incarnation: u64, version: Version, is_valid: bool) {
         let now_us = self.now_us;
         let gateway = &mut self.gateways[number];
--- a/lab/src/configuration/fleet/measure.rs
+++ b/lab/src/configuration/fleet/measure.rs
@@ -31,6 +31,7 @@
 /// A version whose delay is measured.
 pub(super) struct MeasuredVersion {
     pub(super) version: Version,
+    /// Start of the measurement: publication of the version, or the end of a partition.
     pub(super) since_us: u64,
     /// For each gateway, whether this or a newer version is in force.
     pub(super) has_version: Vec<bool>,
@@ -40,9 +41,9 @@
 
 /// Figures of one run.
 pub struct SimulationResult {
-    /// Time from publication until a version is in force at a gateway.
+    /// Time from the start of the measurement until a version is in force at a gateway.
     pub gateway_delays_us: Histogram<u64>,
-    /// Time from publication until a version is in force at all gateways.
+    /// Time from the start of the measurement until a version is in force at all gateways.
     pub fleet_delays_us: Histogram<u64>,
     /// Number of measured versions that some gateway had not applied at the end.
     pub missed: u64,
--- a/lab/src/configuration/fleet/mod.rs
+++ b/lab/src/configuration/fleet/mod.rs
@@ -123,7 +123,7 @@
         self.now_us = until_us;
     }
 
-    /// An operator sends a version to all control machines, from the zone of the first one.
+    /// Sends a version from the operator to all control machines. The operator is in the zone of the first one.
     pub fn publish(&mut self, version: Version, document: &Document) {
         self.published.insert(version, document.clone());
         for machine in 0..MACHINES {
@@ -135,10 +135,10 @@
         }
     }
 
-    /// Number of gateways whose stream goes to a control machine.
+    /// Number of gateways that are connected or connecting to a control machine.
     pub fn stream_count(&self, machine: usize) -> usize {
-        let is_here = |gateway: &&Gateway| gateway.stream.is_some_and(|(other, _)| other == machine);
-        self.gateways.iter().filter(is_here).count()
+        let uses_machine = |gateway: &&Gateway| gateway.stream.is_some_and(|(other, _)| other == machine);
+        self.gateways.iter().filter(uses_machine).count()
     }
 
     fn schedule_at(&mut self, at_us: u64, event: Event) {
--- a/lab/src/configuration/mod.rs
+++ b/lab/src/configuration/mod.rs
@@ -26,13 +26,13 @@
 /// Upper limit of the time until a change is in force at all gateways, in milliseconds.
 const LIMIT_MS: f64 = 11_000.0;
 
-/// Upper limit of a gateway's processor time for control, in percent of a core.
+/// Upper limit of a gateway's processor time for the control plane, in percent of a core.
 const LIMIT_CORE_PERCENT: f64 = 2.3;
 
-/// Upper limit of a gateway's memory for control.
+/// Upper limit of a gateway's memory for the control plane.
 const LIMIT_MEMORY_BYTES: u64 = 64 << 20;
 
-/// Upper limit of a gateway's control traffic.
+/// Upper limit of a gateway's traffic with the control plane.
 const LIMIT_BYTES_PER_S: f64 = 18_000.0;
 
 const SECOND_US: u64 = 1_000_000;
@@ -65,7 +65,7 @@
 /// Simulates all scenarios on all fleets, measures the cost, and prints the figures of both.
 pub fn run(options: &Options) -> anyhow::Result<()> {
     let size = settings::Size { classes: options.classes, tenants: options.tenants };
-    // Measured first: later allocations could reuse memory that was freed before, and so would not be counted.
+    // Memory is measured first, as the growth of this process: allocations that reuse freed memory add nothing to it.
     let mut figures = Figures::new(size, cost::measure_memory(size)?);
     for gateways in &options.gateways {
         figures.costs.push(cost::measure(size, *gateways)?);
--- a/lab/src/configuration/network.rs
+++ b/lab/src/configuration/network.rs
@@ -1,4 +1,4 @@
-//! The simulated network between gateways and control plane servers: delays, loss, duplication and reordering.
+//! The simulated network between gateways and control machines: delays, loss, duplication and reordering.
 //!
 //! There are two regions, with three and two zones. A one-way trip has a base delay that depends on the zones, a
 //! queueing delay with an exponential distribution, and in some cases the delay of a retransmission.
@@ -19,14 +19,14 @@
 /// Upper bound of the additional delay of a late message.
 const MAX_LATE_US: u64 = 2 * SECOND_US;
 
-/// Faults on the level of messages, which a TCP connection would not pass on.
+/// Probabilities of faults of single messages. TCP would hide these faults.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct NetworkFaults {
-    /// Lost messages of each thousand.
+    /// Probability that a message is lost, per thousand.
     pub lost_per_mille: u64,
-    /// Duplicated messages of each thousand.
+    /// Probability that a message is duplicated, per thousand.
     pub duplicated_per_mille: u64,
-    /// Messages of each thousand that are delayed further and so can arrive out of order.
+    /// Probability that a message is delayed further, per thousand. Such a message can arrive out of order.
     pub late_per_mille: u64,
 }
 
--- a/lab/src/configuration/report.rs
+++ b/lab/src/configuration/report.rs
@@ -37,9 +37,9 @@
     pub gateways: usize,
     /// Number of runs.
     plays: usize,
-    /// Time from publication until a version is in force at a gateway, over all gateways.
+    /// Time from the start of the measurement until a version is in force at a gateway, over all gateways.
     each: Summary,
-    /// Time from publication until a version is in force at all gateways.
+    /// Time from the start of the measurement until a version is in force at all gateways.
     pub all: Summary,
     /// Number of measured versions that some gateway had not applied at the end of the run.
     pub missed: u64,
--- a/lab/src/configuration/scenario.rs
+++ b/lab/src/configuration/scenario.rs
@@ -14,7 +14,7 @@
 /// Number of versions published before the one that is measured.
 const WARM_UP_VERSIONS: usize = 12;
 
-/// Time from publication to a fault: only some of the gateways have received the version.
+/// Time from publication to a fault. By then, only some of the gateways have received the version.
 const FAULT_DELAY_US: u64 = 30_000;
 
 /// Duration of the run after the fault.
@@ -64,7 +64,7 @@
     AllRestart,
     /// Each time that a gateway applies a version, it may restart instead.
     RestartWhileApplying,
-    /// Messages and reports are lost, duplicated and delayed at random, which a TCP connection would not pass on.
+    /// Messages and reports are lost, duplicated and delayed at random. TCP would hide these faults.
     Tampered,
     /// An invalid version is published shortly before the valid one that is measured.
     BadBetween,
--- a/lab/src/configuration/settings.rs
+++ b/lab/src/configuration/settings.rs
@@ -56,7 +56,7 @@
     }
 }
 
-/// Whether gateways accept the settings.
+/// Whether simulated gateways accept the settings. Only the value that `next_invalid_version` changes is checked.
 pub fn is_valid(document: &Document) -> bool {
     document.value()["classes"][0]["aim-s"].as_f64() >= Some(0.0)
 }
--- a/lab/src/engines.rs
+++ b/lab/src/engines.rs
@@ -33,7 +33,7 @@
     pub again: u64,
     /// Connections opened by a gateway that had others open to the engine.
     pub more: u64,
-    /// Connections opened to cancel an attempt; they are also counted above.
+    /// Connections opened to cancel an attempt, also counted in `first`, `again` or `more`.
     pub to_give_up: u64,
     /// Connections closed.
     pub closed: u64,
@@ -120,7 +120,7 @@
     Ok(figures)
 }
 
-/// A change of an engine, with the number of gateways that were notified and the first and the last time of that.
+/// Number of gateways that were notified of an engine change, and times of the first and the last notification.
 #[derive(Debug, PartialEq, Serialize)]
 pub struct ChangeNotifications {
     name: String,
@@ -164,10 +164,10 @@
     Figures { seconds, engines, learned: change_notifications(logs) }
 }
 
-fn print_row(label: &str, c: &Count, held: i64) {
+fn print_row(label: &str, c: &Count, open: i64) {
     let opened_per_sent = if c.sent > 0 { c.opened() as f64 / c.sent as f64 } else { 0.0 };
     println!(
-        "{label:<24} {:>6} {:>6} {:>6} {:>7} {:>6} {held:>6} {:>7} {:>7} {:>6} {opened_per_sent:>9.2}",
+        "{label:<24} {:>6} {:>6} {:>6} {:>7} {:>6} {open:>6} {:>7} {:>7} {:>6} {opened_per_sent:>9.2}",
         c.first, c.again, c.more, c.to_give_up, c.closed, c.sent, c.served, c.other
     );
 }
@@ -178,10 +178,10 @@
     println!(
         "second, engine            first  again   more give up closed   held    sent  served  other each sent"
     );
-    let mut held = 0;
+    let mut open = 0;
     for (second, count) in &figures.seconds {
-        held += count.opened() as i64 - count.closed as i64;
-        print_row(&second.to_string(), count, held);
+        open += count.opened() as i64 - count.closed as i64;
+        print_row(&second.to_string(), count, open);
     }
     for (name, count) in figures.engines.iter().filter(|_| options.each) {
         print_row(name, count, count.opened() as i64 - count.closed as i64);
--- a/lab/src/fleet.rs
+++ b/lab/src/fleet.rs
@@ -107,7 +107,7 @@
     pub mysql: Option<SocketAddr>,
 }
 
-/// Builds the gateway and returns the path of the executable.
+/// Builds the gateway in release mode and returns the path of its executable.
 pub fn build_gateway() -> anyhow::Result<PathBuf> {
     let cargo = std::env::var_os("CARGO").unwrap_or_else(|| "cargo".into());
     let built = Command::new(cargo).args(["build", "--release", "--locked", "-p", "wrenhatch"]).status()?;
@@ -117,8 +117,8 @@
 }
 
 impl Gateway {
-    /// Starts a gateway for `engine` that admits up to `clients` clients. With `reads_operator_file`, the gateway gets
-    /// an operator's file that opens the MySQL front end; earlier builds read no such file.
+    /// Starts a gateway for `engine` that admits up to `clients` clients. If `reads_operator_file` is true, it starts
+    /// with an operator's file that opens the MySQL front end. Earlier builds do not read such a file.
     pub fn start(
         program: &Path,
         engine: SocketAddr,
--- a/lab/src/helper.rs
+++ b/lab/src/helper.rs
@@ -48,7 +48,7 @@
         }
         FrontEnd::Mysql => {
             read_packet(&mut stream)?;
-            // Capabilities of protocol 4.1 with plugin authentication; the password is empty.
+            // Capability flags for protocol 4.1 with plugin authentication. The password is empty.
             let mut handshake = (0x1_u32 | 0x200 | 0x8000 | 0x8_0000).to_le_bytes().to_vec();
             handshake.extend([0, 0, 0, 1, 45]);
             handshake.extend([0; 23]);
@@ -199,7 +199,7 @@
             let connecting = Instant::now();
             let stream = open_session(self.address, self.source, self.front)?;
             latencies.saturating_record(connecting.elapsed().as_micros() as u64);
-            // Lets the gateway read the end of the session before the socket is closed.
+            // Sends a FIN first, since closing a socket with unread data sends only a reset.
             stream.shutdown(Shutdown::Write)?;
             count += 1;
         }
--- a/lab/src/hollow/compare.rs
+++ b/lab/src/hollow/compare.rs
@@ -49,7 +49,7 @@
 /// Counts of a run that do not depend on random numbers.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq, Serialize)]
 pub struct Counts {
-    /// List requests, less one for each stream that control ended. The number of those depends on the random
+    /// List requests minus streams ended by control machines. The number of ended streams depends on the random
     /// assignment of gateways to control machines.
     pub list_calls: u64,
     /// List events applied by gateways.
--- a/lab/src/hollow/events.rs
+++ b/lab/src/hollow/events.rs
@@ -21,7 +21,7 @@
 /// Duration of a network partition between the regions.
 const PARTITION_US: u64 = 180 * SECOND_US;
 /// Duration of a restart of a database or control machine.
-const DATABASE_RESTART_US: u64 = 10 * SECOND_US;
+const RESTART_US: u64 = 10 * SECOND_US;
 /// Period without actions at the end of a script.
 const QUIET_END_US: u64 = 30 * SECOND_US;
 /// Planned restarts and replacements per day.
@@ -42,8 +42,8 @@
     GatewayStarts(usize),
     /// Starts (`true`) or ends (`false`) a network partition between the regions.
     Partition(bool),
-    /// Keeps the first control machines, up to this number, serving and stops the processes of all others.
-    KeepControl(usize),
+    /// Sets the first control machines, up to this number, to `Serving` and all others to `Down`.
+    SetServingControl(usize),
     /// Closes all streams while the control machines continue to accept requests.
     CloseStreams,
     /// Suspends (`true`) or resumes (`false`) the heartbeat comments of all control machines.
@@ -124,7 +124,7 @@
     [
         state_change(number, DatabaseState::Terminating, at_us),
         state_change(number, DatabaseState::Removed, at_us + 2 * SECOND_US),
-        state_change(number, DatabaseState::Ready, at_us + DATABASE_RESTART_US),
+        state_change(number, DatabaseState::Ready, at_us + RESTART_US),
     ]
 }
 
@@ -160,7 +160,7 @@
             actions.extend(database_restart(machine - size.gateways, at_us));
         } else {
             let control = machine - size.gateways - size.databases;
-            actions.extend(control_outage(control, ControlState::Down, at_us, at_us + DATABASE_RESTART_US));
+            actions.extend(control_outage(control, ControlState::Down, at_us, at_us + RESTART_US));
         }
     }
     actions
@@ -266,11 +266,11 @@
     actions
 }
 
-/// Stops all but two sevenths of the control machines.
+/// Stops all but two sevenths of the control machines for the duration of an outage.
 fn all_reconnect(size: FleetSize, _: &mut Pcg32) -> Vec<(u64, Action)> {
-    let remaining = (size.control * 2 / 7).max(1);
+    let serving = (size.control * 2 / 7).max(1);
     vec![
-        (BEGIN_US, Action::KeepControl(remaining)),
-        (BEGIN_US + OUTAGE_US, Action::KeepControl(size.control)),
+        (BEGIN_US, Action::SetServingControl(serving)),
+        (BEGIN_US + OUTAGE_US, Action::SetServingControl(size.control)),
     ]
 }
--- a/lab/src/hollow/fleet.rs
+++ b/lab/src/hollow/fleet.rs
@@ -21,7 +21,7 @@
 }
 
 impl FleetSize {
-    /// The fleet size that the operators plan for in two years.
+    /// Fleet size that the operators expect in two years, and default of the size options.
     pub const PLANNED: Self = Self { gateways: 550, databases: 810, control: 7 };
 
     /// Checks that each number is within its range.
--- a/lab/src/hollow/list.rs
+++ b/lab/src/hollow/list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list of a control machine: numbered events and their encoding as server-sent events.
+//! The endpoint list of a control machine: indexed events and their encoding as server-sent events.
 
 use std::collections::VecDeque;
 use std::fmt::Write;
@@ -24,7 +24,7 @@
     Ready,
     /// Draining: accepts no new requests.
     Terminating,
-    /// Absent from snapshots.
+    /// Failed or stopped: reported as `Gone` in the event of its removal and absent from snapshots.
     Removed,
 }
 
@@ -74,6 +74,7 @@
 pub struct DatabaseList {
     databases: Vec<Database>,
     last_index: u64,
+    /// Index and encoded text of the most recent events, oldest first.
     retained: VecDeque<(u64, Arc<[u8]>)>,
 }
 
@@ -106,11 +107,11 @@
 
     /// Returns index and text of each event that a stream sends after event `after`.
     pub fn events_after(&self, after: u64) -> Vec<(u64, Arc<[u8]>)> {
-        let oldest = self.retained.front().map_or(self.last_index + 1, |(number, _)| *number);
+        let oldest = self.retained.front().map_or(self.last_index + 1, |(index, _)| *index);
         if after == 0 || after + 1 < oldest && after < self.last_index {
             return vec![(self.last_index, self.snapshot())];
         }
-        self.retained.iter().filter(|(number, _)| *number > after).cloned().collect()
+        self.retained.iter().filter(|(index, _)| *index > after).cloned().collect()
     }
 
     fn snapshot(&self) -> Arc<[u8]> {
@@ -119,12 +120,12 @@
     }
 }
 
-fn event<'a>(number: u64, snapshot: bool, databases: impl Iterator<Item = &'a Database>) -> Arc<[u8]> {
+fn event<'a>(index: u64, snapshot: bool, databases: impl Iterator<Item = &'a Database>) -> Arc<[u8]> {
     let mut text = format!(
-        "id: {number}\ndata: {{\"index\":{number},\"endpoints\":{{\"index\":{number},\"snapshot\":{snapshot},\"endpoints\":["
+        "id: {index}\ndata: {{\"index\":{index},\"endpoints\":{{\"index\":{index},\"snapshot\":{snapshot},\"endpoints\":["
     );
-    for (index, database) in databases.enumerate() {
-        if index > 0 {
+    for (position, database) in databases.enumerate() {
+        if position > 0 {
             text.push(',');
         }
         database.write(&mut text);
@@ -133,7 +134,8 @@
     text.into_bytes().into()
 }
 
-/// Parses `Last-Event-ID` from the head of a gateway's request. Returns `None` if the head is incomplete.
+/// Parses `Last-Event-ID` from the head of a gateway's request. Returns `None` if the head is incomplete or the header
+/// is missing or invalid.
 pub fn last_event_id(head: &[u8]) -> Option<u64> {
     let mut headers = [httparse::EMPTY_HEADER; 16];
     let mut request = httparse::Request::new(&mut headers);
--- a/lab/src/hollow/load.rs
+++ b/lab/src/hollow/load.rs
@@ -13,6 +13,7 @@
 #[derive(Clone, Debug)]
 pub struct SlidingMaximum {
     window_us: u64,
+    /// Times and amounts within the window, oldest first.
     samples: VecDeque<(u64, u64)>,
     sum: u64,
     peak: u64,
--- a/lab/src/hollow/mod.rs
+++ b/lab/src/hollow/mod.rs
@@ -4,6 +4,8 @@
 //! clients over loopback. `compare` runs one small fleet with hollow gateways, with real processes and in simulated
 //! time, and compares event counts, processor time and memory. `docs/design/capacity-hollow.md` describes the method
 //! and its limits.
+//!
+//! A hollow gateway is a complete gateway without clients that runs on a thread of a process with others.
 
 pub mod bounds;
 pub mod compare;
--- a/lab/src/hollow/model/actions.rs
+++ b/lab/src/hollow/model/actions.rs
@@ -17,9 +17,9 @@
             Action::GatewayCrashes(gateway) => self.gateways[*gateway].running = None,
             Action::GatewayStarts(gateway) => self.schedule(self.now_us, Event::GatewayStarts(*gateway)),
             Action::Partition(is_partitioned) => self.set_partitioned(*is_partitioned),
-            Action::KeepControl(remaining) => {
+            Action::SetServingControl(serving) => {
                 for machine in 0..self.size.control {
-                    let state = if machine < *remaining { ControlState::Serving } else { ControlState::Down };
+                    let state = if machine < *serving { ControlState::Serving } else { ControlState::Down };
                     self.set_control(machine, state);
                 }
             }
--- a/lab/src/hollow/model/control.rs
+++ b/lab/src/hollow/model/control.rs
@@ -46,7 +46,7 @@
     pub event_bytes: u64,
     /// Bytes written in total.
     pub bytes: Load,
-    /// Streams closed by scripted actions.
+    /// Streams that ended because the machine closed them, stopped or became unreachable.
     pub ended: u64,
     /// Maximum number of concurrent streams.
     pub max_streams: usize,
--- a/lab/src/hollow/model/control_side.rs
+++ b/lab/src/hollow/model/control_side.rs
@@ -47,8 +47,8 @@
         let machine = self.machine_of(connection);
         let Some(stream) = machine.streams.get_mut(&connection) else { return };
         let events = machine.list.events_after(stream.last_sent);
-        if let Some((number, _)) = events.last() {
-            stream.last_sent = *number;
+        if let Some((index, _)) = events.last() {
+            stream.last_sent = *index;
         }
         machine.events.add(now_us, events.len() as u64);
         machine.event_bytes += events.iter().map(|(_, text)| text.len() as u64).sum::<u64>();
@@ -75,8 +75,8 @@
         if self.machines[machine].state != ControlState::Serving {
             return;
         }
-        let known = self.machines[machine].list.last_index() as usize - 1;
-        for change in self.changes.iter().take(changes).skip(known) {
+        let applied = self.machines[machine].list.last_index() as usize - 1;
+        for change in self.changes.iter().take(changes).skip(applied) {
             self.machines[machine].list.change(&change.databases);
         }
         let streams: Vec<_> = self.machines[machine].streams.keys().copied().collect();
--- a/lab/src/hollow/model/event.rs
+++ b/lab/src/hollow/model/event.rs
@@ -34,11 +34,11 @@
     StreamEndedAtGateway(ConnectionId),
     /// The end of a stream arrives at the control machine.
     StreamEndedAtControl(ConnectionId),
-    /// The changes of the list before index `changes` have been replicated to a control machine.
+    /// The first `changes` changes of the list have been replicated to a control machine.
     ChangesReplicated { machine: usize, changes: usize },
     /// The router of a region detects the state of a control machine.
     RouterUpdated { region: usize, machine: usize },
-    /// Bytes that a network partition held back are retransmitted.
+    /// Bytes that were buffered during a network partition are retransmitted.
     Retransmission(ConnectionId),
 }
 
--- a/lab/src/hollow/model/gateway_side.rs
+++ b/lab/src/hollow/model/gateway_side.rs
@@ -64,7 +64,7 @@
         self.with_gateway(gateway, |running, now_us, requests| running.on_timer(now_us, requests));
     }
 
-    /// Lets `handle` pass an input to a gateway, records the effect, and executes the requests of the watch.
+    /// Passes an input to a running gateway by `handle`, records the effect, and executes the requests of the watch.
     fn with_gateway(
         &mut self,
         gateway: usize,
--- a/lab/src/hollow/model/mod.rs
+++ b/lab/src/hollow/model/mod.rs
@@ -7,7 +7,7 @@
 //! in the order in which they were scheduled, and random numbers are drawn in the order of events, so that a run is
 //! deterministic for a seed.
 //!
-//! Gateways know a single address for all control machines. The router of each region forwards a connection to a
+//! Gateways use a single address for all control machines. The router of each region forwards a connection to a
 //! random control machine that it considers reachable, and detects failures after a delay.
 
 mod actions;
--- a/lab/src/hollow/model/network.rs
+++ b/lab/src/hollow/model/network.rs
@@ -1,4 +1,4 @@
-//! The network between gateways and control machines: routers, latencies, and bytes held back by partitions.
+//! The network between gateways and control machines: routers, latencies, and bytes buffered during partitions.
 
 use std::sync::Arc;
 
--- a/lab/src/hollow/simulate.rs
+++ b/lab/src/hollow/simulate.rs
@@ -121,7 +121,7 @@
     let builder = FigureBuilder { event, command };
     let mut all = peak_loads(&builder, measurements);
     all.extend(control_totals(&builder, measurements));
-    // Loads of zero are left out of the page.
+    // Loads of zero are omitted.
     all.retain(|figure| figure.value > 0.0);
     all.extend(delays(&builder, measurements));
     let outdated = "gateways behind the list at the end";
@@ -233,8 +233,8 @@
         ("from a change of the list until the last gateway has it", measurements.propagation_max_us),
         ("from a gateway's start until it has the list, longest", measurements.first_list_max_us),
     ];
-    let happened = delays.into_iter().filter(|(_, us)| *us > 0);
-    happened.map(|(quantity, us)| builder.figure(Role::Gateway, quantity, milliseconds(us), "ms")).collect()
+    let observed = delays.into_iter().filter(|(_, us)| *us > 0);
+    observed.map(|(quantity, us)| builder.figure(Role::Gateway, quantity, milliseconds(us), "ms")).collect()
 }
 
 fn milliseconds(us: u64) -> f64 {
--- a/lab/src/hollow/sockets/control.rs
+++ b/lab/src/hollow/sockets/control.rs
@@ -37,7 +37,7 @@
     GoOffline,
     /// Opens the listener again.
     GoOnline,
-    /// Suspends (`true`) or resumes (`false`) heartbeat comments. After a change, the next comment is due at once.
+    /// Suspends (`true`) or resumes (`false`) heartbeat comments. Both restart the comment schedule at once.
     SuspendComments(bool),
     /// Resets all counts.
     ResetCounts,
@@ -56,7 +56,7 @@
     pub event_bytes: Load,
     /// Bytes written in total.
     pub bytes: Load,
-    /// Streams that the machine closed by command.
+    /// Streams that the machine closed on command.
     pub ended: u64,
     /// Open streams at present.
     pub streams: u64,
@@ -334,9 +334,9 @@
         let Some(Some(stream)) = self.streams.get_mut(index) else { return };
         let Some(last_sent) = stream.last_sent else { return };
         let mut counts = lock_counts(&self.counts);
-        for (number, text) in self.list.events_after(last_sent) {
+        for (event_index, text) in self.list.events_after(last_sent) {
             stream.output.extend(&text[..]);
-            stream.last_sent = Some(number);
+            stream.last_sent = Some(event_index);
             counts.events.add(now_us, 1);
             counts.event_bytes.add(now_us, text.len() as u64);
             counts.bytes.add(now_us, text.len() as u64);
--- a/lab/src/hollow/sockets/run.rs
+++ b/lab/src/hollow/sockets/run.rs
@@ -15,9 +15,9 @@
 
 /// Sampling interval of the gateways' processor time.
 const SAMPLE_INTERVAL: Duration = Duration::from_secs(1);
-/// Maximum delay of a step or comment in a usable phase.
+/// Maximum delay of a step or comment behind its schedule in a usable phase.
 const MAX_LATENESS: Duration = Duration::from_millis(250);
-/// Time for gateways to apply the list after control has written it.
+/// Time for gateways to apply the list after the control machines have written it.
 const SETTLE_TIME: Duration = Duration::from_secs(2);
 /// Maximum time until all gateways have the list.
 const START_TIMEOUT: Duration = Duration::from_secs(60);
@@ -124,7 +124,7 @@
     pub machine_bytes_worst_second: u64,
     /// Mean number of bytes written per gateway.
     pub bytes_a_gateway: f64,
-    /// Streams that the control machines closed by command.
+    /// Streams that the control machines closed on command.
     pub ended: u64,
     /// Maximum delay of a step or comment behind its schedule, in ms.
     pub late_ms: f64,
@@ -164,7 +164,7 @@
 /// Runs a fleet through the start and all phases of the plan.
 ///
 /// # Errors
-/// A bound is exceeded, or a gateway fails or does not get the list in time.
+/// A bound is exceeded, or a gateway fails or does not receive the list in time.
 pub fn run(
     programs: &Programs,
     mode: GatewayMode,
--- a/lab/src/idle/in_memory.rs
+++ b/lab/src/idle/in_memory.rs
@@ -1,5 +1,5 @@
-//! Measures the session table, the timer wheel and the read scheduler without sockets, at numbers of sessions beyond
-//! the limits of sockets.
+//! Measures the session table, the timer wheel and the read scheduler without sockets, so that the number of sessions
+//! is not limited by descriptors.
 
 use std::hint::black_box;
 use std::time::{Duration, Instant};
@@ -22,12 +22,15 @@
     sessions: usize,
     resident_bytes_per_session: f64,
     slot_bytes: usize,
-    /// Resident bytes per session after all sessions were resumed, suspended, removed and inserted again. The table
-    /// reuses its memory if this does not exceed `resident_bytes_per_session`.
+    /// Resident bytes per session after half of the sessions were woken, and all were removed and inserted again. The
+    /// table reuses its memory if this does not exceed `resident_bytes_per_session`.
     resident_bytes_after_reuse: f64,
+    /// Time to wake half of the sessions and to suspend them again.
     wake_half_ms: f64,
+    /// Mean time of a search for a session to evict.
     yield_ns: f64,
     timers: usize,
+    /// Lag of timers behind their due time.
     timer_drift: Summary,
     timer_wakeups: u64,
     timer_cpu_percent: f64,
@@ -48,7 +51,7 @@
         .collect()
 }
 
-/// Wakes half of the sessions through the read scheduler and returns the time that it takes.
+/// Wakes half of the sessions through the read scheduler, suspends them again, and returns the duration.
 fn wake_half(table: &mut Sessions, handles: &[Handle], now_us: u64) -> Duration {
     let mut scheduler = ReadScheduler::new(ReadLimits::default());
     let began = Instant::now();
--- a/lab/src/idle/report.rs
+++ b/lab/src/idle/report.rs
@@ -10,24 +10,37 @@
 #[derive(Clone, Debug, Serialize)]
 pub struct Round {
     pub build: String,
+    /// Resident memory of the gateway per idle session.
     pub bytes_per_session: f64,
+    /// Mean time to open a session, in the slowest helper process.
     pub open_ms_each: f64,
     pub idle_wakeups_per_s: f64,
     pub idle_cpu_percent: f64,
+    /// Latency of lookups before the idle sessions are opened.
     pub latency_alone: Summary,
+    /// Latency of lookups while the other sessions are idle.
     pub latency_beside_parked: Summary,
+    /// The wake-up of median duration. Its `lost` is the sum over all wake-ups of the round.
     pub wake_half: CommandResult,
     pub wake_half_least_ms: f64,
     pub wake_half_most_ms: f64,
+    /// Processor time of the gateway per wake-up, including the idle time after it and the active lookups.
     pub wake_cpu_ms: f64,
+    /// Latency of lookups during the wake-ups.
     pub active_during_wake: Summary,
+    /// A wake-up while other clients reconnect.
     pub wake_half_and_reconnect: CommandResult,
+    /// Reconnections during `wake_half_and_reconnect`.
     pub reconnected: CommandResult,
+    /// Latency of lookups during `wake_half_and_reconnect`.
     pub active_during_both: Summary,
     pub time_outs: Vec<TimeoutLag>,
+    /// Sessions opened and closed per second.
     pub churn_per_s: f64,
     pub churn_cpu_percent: f64,
+    /// Fraction of the processor time during churn that was spent in the kernel.
     pub churn_system_part: f64,
+    /// Resident memory of the gateway per idle session at the end of the round.
     pub bytes_after: f64,
     pub timers_late: String,
     pub longest_waits: String,
--- a/lab/src/idle/round.rs
+++ b/lab/src/idle/round.rs
@@ -69,7 +69,7 @@
     system_part: f64,
 }
 
-/// Runs all measurements once. `reads_operator_file` tells whether the program reads the operator's file.
+/// Runs all measurements once. `reads_operator_file` is false for earlier builds, which read no operator's file.
 pub fn run(
     options: &Options,
     program: &Path,
--- a/lab/src/idle/time_outs.rs
+++ b/lab/src/idle/time_outs.rs
@@ -22,8 +22,8 @@
     pub late_ms: f64,
 }
 
-/// Time before the end of a client's wait at which the gateway times out a request: its allowance for the network,
-/// and the resolution in its settings.
+/// Time before the end of a client's wait at which the gateway times out a request: its deadline margin of 25 ms, and
+/// the clock resolution of 5 ms in its settings.
 const MARGIN_MS: f64 = 30.0;
 
 /// Sends `count` requests that never complete, each on a session of its own, and waits for their time-outs.
--- a/lab/src/log/tests.rs
+++ b/lab/src/log/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn lines_without_a_prefix_take_the_time_of_the_field_now_us() {
+fn lines_without_a_time_prefix_are_dated_by_the_field_now_us() {
     assert_eq!(timestamp_s("DEBUG wrenhatch: request admitted query_id=\"a\" now_us=2500000"), Some(2.5));
     assert_eq!(timestamp_s("[3.25] DEBUG wrenhatch: request admitted"), Some(3.25));
     assert_eq!(timestamp_s("no time"), None);
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -1,5 +1,5 @@
-//! Command line of the experiments on the gateway. All sockets are bound to loopback addresses, and each command
-//! ends without being stopped.
+//! Command line of the experiments on the gateway. All sockets are bound to loopback addresses. Every command that
+//! the help lists terminates on its own.
 
 mod classes;
 mod configuration;
@@ -15,7 +15,7 @@
 
 use clap::{Parser, Subcommand, ValueEnum};
 
-/// Experiments on the gateway, on loopback.
+/// Arguments of the program. The help shows the package description as the title.
 #[derive(Parser)]
 #[command(version, about)]
 struct Arguments {
@@ -37,13 +37,13 @@
 enum Command {
     /// Measures the cost of idle sessions, the lag of timers, and a simultaneous wake-up of half of the sessions.
     Idle(idle::Options),
-    /// Summarizes the outcome of each class over a fleet from debug logs of its gateways.
+    /// Summarizes request outcomes by class over a fleet, from the debug logs of its gateways.
     Classes(classes::Options),
     /// Simulates how fast configuration changes reach a fleet, and measures their cost.
     Configuration(configuration::Options),
-    /// Summarizes connections and attempts of a fleet to its engines from debug logs of its gateways.
+    /// Summarizes connections and attempts of a fleet to its engines, from the debug logs of its gateways.
     Engines(engines::Options),
-    /// Measures the cost of the gateway by size, and writes the page that compares it with a target.
+    /// Measures the gateway's cost as a function of size, and generates the page that compares it with a target size.
     Capacity(wrenhatch_lab::capacity::Options),
     /// Measures the cost of the control plane over a fleet without client traffic.
     Hollow(wrenhatch_lab::hollow::Options),
