--- a/lab/src/hollow/model/measure.rs
+++ b/lab/src/hollow/model/measure.rs
@@ -139,7 +139,7 @@
     pub propagation_max_us: u64,
     /// Maximum delay from a gateway's start to its first list, in microseconds, or 0 if no gateway started.
     pub first_list_max_us: u64,
-    /// Number of running gateways that lack a change at the end.
+    /// Number of running gateways that have not received all changes at the end.
     pub outdated: u64,
     /// Number of running gateways without a stream at the end.
     pub without_stream: u64,
--- a/lab/src/hollow/model/watch.rs
+++ b/lab/src/hollow/model/watch.rs
@@ -51,7 +51,7 @@
         self.state.deadline_us()
     }
 
-    /// Closes a connection that was not established or received nothing in time, and requests one if there is none.
+    /// Closes a connection that was not established in time or received nothing in time, and requests a new one if due.
     pub fn on_timer(&mut self, now_us: u64, requests: &mut Vec<WatchRequest>) -> Vec<EndpointListEvent> {
         let mut events = Vec::new();
         let due = self.state.on_deadline(now_us, || random_fraction(&mut self.random), &mut events);
--- a/lab/src/hollow/options.rs
+++ b/lab/src/hollow/options.rs
@@ -36,16 +36,16 @@
 /// Options for the bounds of a run.
 #[derive(Args, Clone, Copy, Debug)]
 pub struct BoundOptions {
-    /// Maximum memory of all processes together, in MB; the run stops above it.
+    /// Maximum memory of all processes together, in MB. A run that exceeds it ends with an error.
     #[arg(long, default_value_t = MAX_MEMORY_MB)]
     pub memory_mb: u64,
-    /// Maximum duration of the run, in seconds.
+    /// Maximum duration of the run, in seconds. A run that exceeds it ends with an error.
     #[arg(long, default_value_t = 900)]
     pub limit_s: u64,
 }
 
 impl BoundOptions {
-    /// Returns the bounds after range checks; the time limit starts now.
+    /// Returns the bounds after range checks. The time limit counts from this call.
     ///
     /// # Errors
     /// An option is out of range.
--- a/lab/src/hollow/simulate.rs
+++ b/lab/src/hollow/simulate.rs
@@ -29,7 +29,7 @@
     /// Event to simulate; the default is all events.
     #[arg(long)]
     event: Option<String>,
-    /// Number of seeds: each event runs with seeds 1 to N, and figures show the worst run.
+    /// Number of seeds N: each event runs with seeds 1 to N, and each figure is the maximum over these runs.
     #[arg(long, default_value_t = 2)]
     seeds: u64,
     /// File to add the figures to; its folder must contain a comparison with equal counts.
--- a/lab/src/hollow/sockets/run.rs
+++ b/lab/src/hollow/sockets/run.rs
@@ -27,7 +27,7 @@
 pub const COMMENT_PAUSE: Duration = Duration::from_millis(3500);
 /// Time until a stopped control machine listens again.
 pub const CONTROL_DOWNTIME: Duration = Duration::from_secs(3);
-/// Start time of the databases that return, in Unix milliseconds.
+/// Start time of the databases that [`Phase::ZoneAdded`] adds, in Unix milliseconds.
 pub const RESTART_MS: u64 = 1_700_000_000_000;
 
 /// Action of the control machines in a phase.
--- a/lab/src/log.rs
+++ b/lab/src/log.rs
@@ -8,7 +8,7 @@
 #[cfg(test)]
 mod tests;
 
-/// Returns the value of the field `key` of a line, without quotes.
+/// Returns the value of the field `key` of a line, without quotes. Values must not contain spaces.
 pub fn field<'a>(line: &'a str, key: &str) -> Option<&'a str> {
     let start = line
         .match_indices(key)
