--- a/adapter/tests/wire.rs
+++ b/adapter/tests/wire.rs
@@ -5,7 +5,7 @@
 
 use serde_json::{Value, json};
 
-fn play(lines: &[String]) -> Output {
+fn run_adapter(lines: &[String]) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
@@ -21,7 +21,7 @@
 
 fn replies(lines: &[Value]) -> Vec<Vec<Value>> {
     let lines: Vec<String> = lines.iter().map(Value::to_string).collect();
-    let output = play(&lines);
+    let output = run_adapter(&lines);
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
     let text = String::from_utf8(output.stdout).unwrap();
     let steps = |l: &str| serde_json::from_str::<Value>(l).unwrap()["steps"].as_array().unwrap().clone();
@@ -74,7 +74,7 @@
 
 #[test]
 fn an_empty_batch_has_an_empty_reply() {
-    let output = play(&[r#"{"now-s":8.41225,"in":[]}"#.to_owned()]);
+    let output = run_adapter(&[r#"{"now-s":8.41225,"in":[]}"#.to_owned()]);
     assert_eq!(String::from_utf8(output.stdout).unwrap(), "{\"steps\":[]}\n");
 }
 
@@ -188,14 +188,14 @@
     let no_classes =
         batch(10.0, vec![json!({"hello": {"who": "r/0", "salt": 1, "env": {"classes": []}}})]).to_string();
     for (line, expected) in [
-        ("{".to_owned(), "not a batch of the wire"),
+        ("{".to_owned(), "not a batch of events"),
         (r#"{"now-s":1,"in":[{"surprise":{}}]}"#.to_owned(), "unknown variant `surprise`"),
         (batch(11.0, vec![item("r/9", 1, "look")]).to_string(), "no gateway r/9 has been started"),
         (batch(11.0, vec![item("r/0", 1, "odd")]).to_string(), "unknown class odd"),
         (batch(11.0, vec![change("r/0", 2, 5)]).to_string(), "unknown roster slot 5"),
         (no_classes, "settings name no class"),
     ] {
-        let output = play(&[start.clone(), line]);
+        let output = run_adapter(&[start.clone(), line]);
         let stderr = String::from_utf8(output.stderr).unwrap();
         assert!(!output.status.success());
         assert_eq!(stderr.lines().count(), 1, "{stderr}");
--- a/gateway/src/core/mod.rs
+++ b/gateway/src/core/mod.rs
@@ -101,13 +101,13 @@
     }
 
     /// Number of requests without a final answer.
-    pub fn open_requests(&self) -> usize {
+    pub fn open_request_count(&self) -> usize {
         self.open_requests.len()
     }
 
     /// Number of engines of the endpoint list that receive no new attempts: draining, ejected, or backing off after a
     /// rejected attempt.
-    pub fn engines_avoided(&self, now_us: u64) -> usize {
+    pub fn engines_excluded(&self, now_us: u64) -> usize {
         self.workload_manager.engines_excluded(seconds(now_us))
     }
 
@@ -123,7 +123,7 @@
 
     /// Number of armed timers: one for each open request, one for each attempt with a timeout, and the timers of key
     /// cooldowns and of the workload manager.
-    pub fn timers(&self) -> usize {
+    pub fn timer_count(&self) -> usize {
         self.timers.len()
     }
 
--- a/sessions/tests/surge.rs
+++ b/sessions/tests/surge.rs
@@ -60,7 +60,7 @@
             duration_us += READ_US;
             let ready_us = self.ready.remove(&read.handle).unwrap();
             assert_eq!(ready_us, read.ready_us);
-            let backlog_us = if read.read_ahead { self.scheduler.backlog_us() } else { 0 };
+            let backlog_us = if read.expedited { self.scheduler.backlog_us() } else { 0 };
             if ReadScheduler::can_meet_deadline(self.now_us, backlog_us, ready_us + timeout_us) {
                 self.scheduler.charge(Work::Request, 1);
                 duration_us += REQUEST_US;
@@ -148,7 +148,7 @@
     assert!(simulation.longest_turn_us <= 10_000, "a turn took {} us", simulation.longest_turn_us);
     // On one core, 50,000 requests take 2.1 s.
     let longest = simulation.waits[&ReadPriority::LongIdle].iter().max().unwrap();
-    assert!(*longest < 2_700_000, "{longest}");
+    assert!(*longest < 2_700_000, "an idle client waited {longest} us");
 }
 
 #[test]
--- a/src/decisions/request_path.rs
+++ b/src/decisions/request_path.rs
@@ -26,7 +26,7 @@
     pub(super) sent_at: f64,
 }
 
-/// A request without its final answer.
+/// A request that has no final answer yet.
 pub(super) struct PendingRequest {
     pub(super) request: Request,
     pub(super) arrived_at: f64,
@@ -41,7 +41,7 @@
     /// Engine that last answered the request with an error.
     pub(super) error_from: Option<EngineId>,
     /// First attempt that may have run.
-    pub(super) may_have_run: Option<EarlierAttempt>,
+    pub(super) first_possible_run: Option<EarlierAttempt>,
 }
 
 impl PendingRequest {
@@ -57,7 +57,8 @@
         self.arrivals += 1;
         self.retry_history.record_request(now);
         self.key_queues.enqueue(request);
-        // The deadline timer does not depend on attempts, the endpoint list or other timers.
+        // Ensures a final answer by the deadline, independent of attempts, the endpoint list and other
+        // timers.
         let delay = (request.deadline - self.settings.clock_resolution - now).max(0.0);
         let token = super::deadline_token(request.id);
         actions.push(Action::SetTimer { delay, token, request: Some(request.id) });
@@ -69,14 +70,14 @@
             attempts: 0,
             cancelled_as_slow: false,
             error_from: None,
-            may_have_run: None,
+            first_possible_run: None,
         };
         self.queue.insert(pending.queue_index, request.id);
         self.requests.insert(request.id, pending);
     }
 
     /// Forwards all requests that may leave the queue, oldest first. A request without an admitting engine
-    /// blocks only requests of its class that need at least as much memory.
+    /// blocks only requests of its group in [`Release`] that need at least as much memory.
     pub(super) fn release_queued(&mut self, now: f64, actions: &mut Vec<Action>) {
         let mut release = Release::new(self.profiles.len());
         let may_start = |id: &RequestId| self.key_queues.may_start(&self.requests[id].request, now);
@@ -84,7 +85,7 @@
         for id in queued {
             let pending = &self.requests[&id];
             let needs = self.needs(pending);
-            // An earlier request of the same key may have been forwarded in this round.
+            // An earlier request of the same key may have been forwarded in this pass.
             if release.is_blocked(&needs) || !self.key_queues.may_start(&pending.request, now) {
                 continue;
             }
@@ -182,7 +183,7 @@
         let Some(pending) = self.requests.get_mut(&id) else { return };
         if outcome.effect_is_unknown() {
             let this = EarlierAttempt { engine: attempt.engine, sent_at: attempt.sent_at };
-            pending.may_have_run.get_or_insert(this);
+            pending.first_possible_run.get_or_insert(this);
         }
         self.queue.insert(pending.queue_index, id);
         if !self.allows_another_attempt(&self.requests[&id], now) {
