--- a/adapter/src/error.rs
+++ b/adapter/src/error.rs
@@ -20,7 +20,8 @@
     /// The settings have no class of the request's name.
     #[error("event {event}: unknown class {class}")]
     UnknownClass { event: usize, class: String },
-    /// The wire protocol does not define the number.
+    /// The wire protocol does not define the number, or no endpoint list is stored in the slot of this
+    /// number.
     #[error("event {event}: unknown {what} {value}")]
     UnknownNumber {
         event: usize,
@@ -44,7 +45,7 @@
     /// Input can't be read, or output can't be written.
     #[error("line {line}: {source}")]
     Io { line: usize, source: io::Error },
-    /// A reply can't be written as JSON.
+    /// A reply can't be encoded as JSON, or the encoded text can't be written.
     #[error("line {line}: {source}")]
     Reply { line: usize, source: serde_json::Error },
     /// A line is invalid.
--- a/adapter/src/host.rs
+++ b/adapter/src/host.rs
@@ -20,7 +20,8 @@
     /// Handles one line of input and returns the reply.
     ///
     /// # Errors
-    /// The line is not a valid batch, or refers to an unknown instance, class or slot.
+    /// The line is not a valid batch, starts an instance with invalid settings, or refers to an unknown
+    /// instance, class, slot or number. Events before the invalid one have taken effect.
     pub fn on_line(&mut self, line: &str) -> Result<Reply, HostError> {
         let batch: Batch = serde_json::from_str(line)?;
         let mut reply = Reply::default();
--- a/adapter/src/instance.rs
+++ b/adapter/src/instance.rs
@@ -40,7 +40,7 @@
         })
     }
 
-    /// Passes an event to the workload manager and appends its actions, or `bail-out` after a panic, to
+    /// Passes an event to the workload manager and appends its actions, or only `bail-out` after a panic, to
     /// `steps`.
     pub fn on_event(&mut self, now: f64, event: &Event, steps: &mut Vec<Step>) {
         let mut actions = Vec::new();
--- a/adapter/src/main.rs
+++ b/adapter/src/main.rs
@@ -1,8 +1,15 @@
 //! Runs workload managers for the simulator: reads batches of events from standard input, one JSON value per
-//! line, and writes a reply with the resulting actions to standard output for each.
+//! line, and writes a reply with the resulting actions to standard output for each. Blank lines are skipped.
 //!
 //! The crate `workload_manager` makes all decisions. This program translates between its types and the wire
-//! protocol, whose types are in [`wire`].
+//! protocol:
+//!
+//! - [`wire`]: types of the wire protocol
+//! - [`host`]: passes the events of a line to their instances
+//! - [`instance`]: a workload manager for one gateway, and the translation of names and actions
+//! - [`translate`]: translation of settings, outcomes, progress reports and load reports
+//! - [`names`]: tables that map names to ids
+//! - [`error`]: errors that end the program
 
 mod error;
 mod host;
--- a/adapter/src/translate.rs
+++ b/adapter/src/translate.rs
@@ -218,7 +218,8 @@
         Self { x0: domain.report_x0.clone(), x1: domain.report_x1.clone() }
     }
 
-    /// Translates a load report, if there is one.
+    /// Translates a load report, if there is one. Figures that it lacks, or whose field the settings do not
+    /// describe, are `None`.
     pub fn read(&self, values: Option<&BTreeMap<String, f64>>) -> Option<LoadReport> {
         let values = values?;
         Some(LoadReport {
--- a/adapter/src/wire.rs
+++ b/adapter/src/wire.rs
@@ -1,5 +1,6 @@
 //! Types of the wire protocol. Each line is a JSON value: a batch of events as input, or a list of actions as
-//! output. Unknown keys are ignored, and absent ones have the defaults given here.
+//! output. Unknown keys are ignored. Absent keys have the defaults given here, and those without a default
+//! are required.
 //!
 //! In all types `who` is the name of the instance, `job` the id of the request, and `attempt` the number of
 //! the attempt.
@@ -222,7 +223,8 @@
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 pub struct ReportSettings {
-    /// `answers`, `probe` or `none`: the messages that carry load reports.
+    /// `answers`, `probe` or `none`: the messages that carry load reports. `probe` counts as `none` without
+    /// the permission `probing`, and any other text as `answers`.
     pub how: String,
 }
 
@@ -321,8 +323,8 @@
     pub quota_per_s: f64,
 }
 
-/// By default, keys have no cooldown, retries are not limited, engines start with full capacity, and grace
-/// periods are 0.
+/// By default, keys have no cooldown, engines start with full capacity, and grace periods are 0. Retries are
+/// limited only if `look-back-s` is given.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "kebab-case", default)]
 pub struct Rules {
--- a/src/action.rs
+++ b/src/action.rs
@@ -26,7 +26,7 @@
         timeout: Option<f64>,
     },
     /// Cancels an attempt. Its end is reported by [`Event::AttemptEnded`](crate::Event::AttemptEnded), as for
-    /// any other attempt.
+    /// any other attempt. The action may be repeated until then.
     CancelAttempt {
         /// Request of the attempt.
         request: RequestId,
@@ -52,7 +52,10 @@
         request: Option<RequestId>,
     },
     /// Sends a health check. [`Event::HealthChecked`](crate::Event::HealthChecked) reports the result.
+    /// No decision returns this action.
     CheckHealth(EngineId),
-    /// Subscribes to watch events of the endpoint list.
+    /// Subscribes to watch events of the endpoint list. Returned only with
+    /// [`Capabilities::polls_endpoint_list`](crate::Capabilities::polls_endpoint_list): at the first event,
+    /// and again after a [failed](crate::EndpointListMode::Failed) read.
     WatchEndpointList,
 }
--- a/src/decisions/active_subset.rs
+++ b/src/decisions/active_subset.rs
@@ -9,10 +9,11 @@
 use super::engine::Engine;
 use super::relative_latency::SLOW_RATIO;
 
-/// The size of the subset is the mean number of requests that arrive in this time, with a lower bound.
+/// The index of the subset's last engine is the mean number of requests that arrive in this time, with a
+/// lower bound.
 const ARRIVALS_WINDOW_SECONDS: f64 = 2.0;
-const MIN_ENGINES: f64 = 4.0;
-/// Time after the start in which the rate of requests is unknown and all engines are active.
+const MIN_LAST_INDEX: f64 = 4.0;
+/// Time after the first event in which the rate of requests is unknown and all eligible engines are active.
 const RATE_UNKNOWN_SECONDS: f64 = 5.0;
 
 /// Numbers of engines: those that are available, and those in the active subset.
@@ -37,7 +38,7 @@
 }
 
 impl WorkloadManager {
-    /// Recomputes the subset, and from its size this gateway's share of slow-start budgets.
+    /// Recomputes the subset, and from its part of each zone this gateway's share of slow-start budgets.
     pub(super) fn update_active_subset(&mut self, now: f64) {
         let last_rank = self.last_active_rank(now);
         let mean_relative_latency = self.fleet.mean_relative_latency;
@@ -57,15 +58,15 @@
     }
 
     /// Highest rank of an engine in the subset, or the highest possible rank if there are too few engines.
-    /// The engine at index `size` is the last of the subset, which thus has `size + 1` engines.
+    /// The engine at index `last_index` is the last of the subset, which thus has `last_index + 1` engines.
     fn last_active_rank(&self, now: f64) -> u32 {
         let age = now - self.ticks.started_at.unwrap_or(now);
         let rate = if age < RATE_UNKNOWN_SECONDS { f64::INFINITY } else { self.arrivals as f64 / age };
-        let size = (rate * ARRIVALS_WINDOW_SECONDS).max(MIN_ENGINES) as usize;
+        let last_index = (rate * ARRIVALS_WINDOW_SECONDS).max(MIN_LAST_INDEX) as usize;
         let eligible = |engine: &&Engine| is_eligible(engine, self.fleet.mean_relative_latency, now);
         let mut ranks: Vec<u32> = self.engines.values().filter(eligible).map(|engine| engine.rank).collect();
         ranks.sort_unstable();
-        ranks.get(size).copied().unwrap_or(u32::MAX)
+        ranks.get(last_index).copied().unwrap_or(u32::MAX)
     }
 
     /// Draws a rank for a new engine. The rank of an engine in this gateway's zone is halved, so that such
--- a/src/decisions/admission.rs
+++ b/src/decisions/admission.rs
@@ -14,8 +14,8 @@
 /// Interactive threads per core, summed over all gateways, at which further interactive work is queued. With
 /// more than one or two threads per core, the total throughput of an engine falls.
 pub(super) const OVERLOAD_THREADS_PER_CORE: f64 = 1.5;
-/// Factor on that bound while the mean utilization shows that engines are full.
-const FULL_ENGINES_OVERLOAD_RATIO: f64 = 0.5;
+/// Factor on that bound while the mean utilization is above [`MAX_BACKGROUND_UTILIZATION_RATIO`].
+const HIGH_UTILIZATION_OVERLOAD_RATIO: f64 = 0.5;
 /// Ratio of an engine's memory that attempts may need if there is only one gateway.
 const MEMORY_RATIO: f64 = 0.75;
 
@@ -43,7 +43,7 @@
     /// For background work: its threads at the engine stay within the concurrency limit. For interactive
     /// work: its threads are below the overload bound.
     ConcurrencyLimit,
-    /// For background work: the engine is not full according to load reports.
+    /// For background work: the utilization by load reports is below [`MAX_BACKGROUND_UTILIZATION_RATIO`].
     Utilization,
     /// For background work: the needed memory is within this gateway's share of the engine.
     Memory,
@@ -75,7 +75,7 @@
     }
 
     /// Whether the result depends only on the request's class and on [`Needs::has_tokens`].
-    fn depends_on_class_only(self) -> bool {
+    fn ignores_memory(self) -> bool {
         self != Self::Memory
     }
 }
@@ -115,11 +115,11 @@
         EngineGuard::ALL.into_iter().find(|guard| !self.passes(*guard, engine))
     }
 
-    /// Engines of the active subset, or else the other engines, at which all guards except memory admit the
-    /// request.
+    /// Engines at which all guards except memory admit the request: those of the active subset if `active` is
+    /// set, and otherwise only those outside of it.
     pub(super) fn admitting_engines(&self, active: bool) -> Vec<EngineId> {
         let passes_all = |engine: &Engine| {
-            let mut guards = EngineGuard::ALL.into_iter().filter(|guard| guard.depends_on_class_only());
+            let mut guards = EngineGuard::ALL.into_iter().filter(|guard| guard.ignores_memory());
             guards.all(|guard| self.passes(guard, engine))
         };
         let admitting =
@@ -150,8 +150,9 @@
         }
     }
 
-    /// Whether background threads stay within the concurrency limit. A request beyond the limit is also
-    /// admitted at an engine without background work of this gateway, if the token bucket admits it.
+    /// Whether background threads stay within the concurrency limit, which is rounded to at least one thread
+    /// and scaled by the engine's warm-up ratio. A request beyond the limit is also admitted at an engine
+    /// without background work of this gateway, if the token bucket admits it.
     fn is_within_limit(&self, engine: &Engine) -> bool {
         let warm_up = engine.warm_up_ratio(self.now, &self.manager.settings.rules);
         let limit = (engine.limit.threads + 0.5).floor().max(1.0) * warm_up;
@@ -162,11 +163,11 @@
 
 impl WorkloadManager {
     /// Whether the interactive threads at the engine, and over all engines, are below this gateway's share of
-    /// the overload bound.
+    /// the overload bound, which is at least one thread.
     fn is_not_overloaded(&self, engine: &Engine) -> bool {
-        let full = self.load.mean_utilization.is_some_and(|mean| mean > MAX_BACKGROUND_UTILIZATION_RATIO);
-        let per_core = if full {
-            FULL_ENGINES_OVERLOAD_RATIO * OVERLOAD_THREADS_PER_CORE
+        let high = self.load.mean_utilization.is_some_and(|mean| mean > MAX_BACKGROUND_UTILIZATION_RATIO);
+        let per_core = if high {
+            HIGH_UTILIZATION_OVERLOAD_RATIO * OVERLOAD_THREADS_PER_CORE
         } else {
             OVERLOAD_THREADS_PER_CORE
         };
@@ -175,8 +176,8 @@
             && self.fleet.interactive_threads() < bound(self.fleet.cores)
     }
 
-    /// Whether the memory of this gateway's attempts at the engine stays within its share. A request larger
-    /// than the share is admitted at an engine without background work of this gateway, if the sum over all
+    /// Whether the memory of this gateway's attempts at the engine stays within its share. A request beyond
+    /// the share is admitted at an engine without background work of this gateway, if the sum over all
     /// engines stays within the gateway's share of their memory, or if no background work is in flight at
     /// all. The more gateways there are, the less of the memory is kept free, because they rarely fill their
     /// shares at the same time. Always true if the engine's memory is not known.
--- a/src/decisions/class_profile.rs
+++ b/src/decisions/class_profile.rs
@@ -14,7 +14,7 @@
 /// Smallest divisor for relative sizes, against division by zero.
 const MIN_MEAN_WORK_SECONDS: f64 = 1e-6;
 
-/// Time for work: thread-seconds that attempts take per second of their estimated work.
+/// Time for work: thread-seconds that attempts take per second of their work, reported or else estimated.
 #[derive(Clone, Copy)]
 pub(super) struct TimeForWork {
     /// Moving average. 0 before the first sample.
@@ -33,7 +33,7 @@
     pub(super) memory_mb: f64,
     /// Work of a request, summed over its threads. Initially the work that fits into the objective.
     work_seconds: f64,
-    /// Latency of an attempt.
+    /// Latency of a successful attempt. Initially a part of the objective.
     pub(super) latency_seconds: f64,
     time_for_work: TimeForWork,
 }
@@ -66,7 +66,7 @@
     }
 
     /// Records the work estimate of a new request, in seconds. Returns its relative size: the ratio of its
-    /// work to the mean.
+    /// work to the earlier mean, at most [`MAX_SAMPLE_RATIO`]. Without an estimate, its work is the mean.
     pub(super) fn record_estimate(&mut self, estimated_work: Option<f64>) -> f64 {
         let mean = &mut self.work_seconds;
         let work = estimated_work.map_or(*mean, |work| work.min(MAX_SAMPLE_RATIO * *mean));
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Records the thread-seconds that an attempt took per second of its estimated work.
+    /// Records the thread-seconds that an attempt took per second of its work.
     pub(super) fn record_time_for_work(&mut self, ratio: f64) {
         let TimeForWork { mean_ratio, lowest_ratio } = &mut self.time_for_work;
         let weight = if *mean_ratio > 0.0 { SAMPLE_WEIGHT } else { 1.0 };
@@ -99,7 +99,7 @@
         self.time_for_work
     }
 
-    /// Lowest mean time for work, in thread-seconds per second of estimated work.
+    /// Lowest mean time for work, in thread-seconds per second of work.
     pub(super) fn lowest_time_for_work(&self) -> f64 {
         self.time_for_work.lowest_ratio
     }
--- a/src/decisions/concurrency_limit.rs
+++ b/src/decisions/concurrency_limit.rs
@@ -3,8 +3,8 @@
 //! The limit is set by an integral controller (Algorithm 1 of the thesis, 3.2.1.3.3), in threads of this
 //! gateway. A control interval collects the latencies of interactive requests at the engine. At its end, the
 //! error integral grows by `objective - measured latency`, and the limit becomes `gain * integral`. The limit
-//! lies between [`ConcurrencyLimit::step_threads`] and a ceiling, which halves whenever an interval misses
-//! the objective.
+//! lies between [`ConcurrencyLimit::step_threads`] and a ceiling. The ceiling halves whenever an interval
+//! misses the objective, but not below this gateway's share of the cores.
 
 use super::interactive_latency::InteractiveLatency;
 use super::load_estimate::{LoadEstimate, MAX_BACKGROUND_UTILIZATION_RATIO};
--- a/src/decisions/control_tick.rs
+++ b/src/decisions/control_tick.rs
@@ -1,7 +1,7 @@
 //! Control tick: the periodic work that no event triggers.
 //!
-//! Ticks are aligned to multiples of the interval from the first event on. There are none while no request is
-//! queued or in flight.
+//! Ticks are aligned to multiples of the interval from the first event on. None is scheduled while there is
+//! neither an open request nor an attempt in flight.
 
 use crate::Action;
 
--- a/src/decisions/engine.rs
+++ b/src/decisions/engine.rs
@@ -19,14 +19,14 @@
     /// Threads of this gateway's attempts in flight: the total, and the part of background work.
     pub(super) threads: f64,
     pub(super) background_threads: f64,
-    /// Memory of the engine, and the estimated memory of this gateway's attempts in flight.
+    /// Memory of the engine, 0 if not known, and the estimated memory of this gateway's attempts in flight.
     pub(super) memory_mb: f64,
     pub(super) needed_memory_mb: f64,
-    /// Last estimate of the engine's utilization.
+    /// Last estimate of the engine's utilization, raised by each attempt sent since.
     pub(super) utilization: Option<TimedValue>,
     pub(super) relative_latency: RelativeLatency,
     pub(super) stalled: StalledRatio,
-    /// Position in this gateway's random order of engines.
+    /// Random sort key, drawn by this gateway. Engines of low rank are preferred.
     pub(super) rank: u32,
     /// Whether the engine is in the active subset.
     pub(super) active: bool,
--- a/src/decisions/explain.rs
+++ b/src/decisions/explain.rs
@@ -83,9 +83,9 @@
 }
 
 impl fmt::Display for Explanation<'_> {
-    /// Begins with the guard that rejects the request at the largest number of engines. If an engine admits
-    /// the request, the text begins with `order_key` if the order of its key holds the request back, else
-    /// with `no_guard`.
+    /// Begins with the guard that rejects the request at the largest number of engines, the first in order if
+    /// several do or if no engine is known. If an engine admits the request, the text begins with `order_key`
+    /// if the order of its key holds the request back, else with `no_guard`.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let EngineCounts { rejected_by, open } = self.count_engines();
         let largest = (0..rejected_by.len()).max_by_key(|at| (rejected_by[*at], rejected_by.len() - at));
--- a/src/decisions/fleet.rs
+++ b/src/decisions/fleet.rs
@@ -6,7 +6,7 @@
 use super::engine::Engine;
 use super::slow_start::usable_memory_ratio;
 
-/// Sums over engines. Capacity covers available engines, each scaled by its slow-start ratio.
+/// Sums over engines. Cores and memory cover available engines, each scaled by its warm-up ratio.
 #[derive(Default)]
 pub(super) struct Fleet {
     /// Number of cores of the engines, not divided by gateways.
--- a/src/decisions/interactive_latency.rs
+++ b/src/decisions/interactive_latency.rs
@@ -8,18 +8,18 @@
 const BASELINE_RISE_RATIO: f64 = 1.001;
 /// Number of samples that the moving average covers.
 const MEAN_SAMPLES: f64 = 20.0;
-/// Lower bound of objectives and of the baseline latency.
+/// Lower bound of objectives, and of the baseline latency in the gain.
 const MIN_LATENCY_SECONDS: f64 = 1e-3;
 
 /// Objective, baseline and measured latency of interactive requests.
 pub(super) struct InteractiveLatency {
-    /// Shortest objective of an interactive class.
+    /// Shortest objective of an interactive class. 1 if there is no such class.
     pub(super) objective_seconds: f64,
     /// Baseline: the lowest mean latency, which rises slowly, or the objective if that is lower.
     pub(super) baseline_seconds: f64,
     /// Moving average over all engines.
     pub(super) mean_seconds: f64,
-    /// Time of the last sample.
+    /// Time of the last sample. 0 before the first.
     pub(super) sampled_at: f64,
 }
 
--- a/src/decisions/load_estimate.rs
+++ b/src/decisions/load_estimate.rs
@@ -11,7 +11,7 @@
 use super::relative_latency::SLOW_RATIO;
 use super::smoothing::{SAMPLE_WEIGHT, TimedValue, blend};
 
-/// Utilization from which on an engine gets no background work.
+/// Utilization by load reports from which on an engine gets no background work.
 pub(super) const MAX_BACKGROUND_UTILIZATION_RATIO: f64 = 0.8;
 /// Threads per core at a utilization of 1.
 const FULL_THREADS_PER_CORE: f64 = 2.0;
@@ -78,7 +78,8 @@
         blend(&mut self.query_memory_mb, mean_memory_mb, SAMPLE_WEIGHT);
     }
 
-    /// Sets an engine's utilization to the highest plausible value in its load report.
+    /// Sets an engine's utilization to the highest plausible estimate from the figures of its load report.
+    /// Without one, the report is ignored.
     fn record_report(
         &mut self,
         now: f64,
@@ -163,7 +164,7 @@
         }
     }
 
-    /// Records the thread-seconds that an attempt takes per second of its estimated work.
+    /// Records the thread-seconds that an attempt takes per second of its work, reported or else estimated.
     pub(super) fn on_time_for_work(&mut self, now: f64, engine: EngineId, class: ClassId, ratio: f64) {
         if let Some(engine) = self.engines.get_mut(&engine) {
             let profile = &mut self.profiles[class.0];
--- a/src/decisions/mod.rs
+++ b/src/decisions/mod.rs
@@ -26,6 +26,9 @@
 //! | Periodic work | `control_tick` |
 //! | Engines that are added, changed or removed | `endpoint_list` |
 //! | Capacity of all engines, and its use | `fleet` |
+//! | State of one engine | `engine` |
+//! | Moving averages and decay | `smoothing` |
+//! | Debug log of shed requests | `explain` |
 //!
 //! Times and durations are in seconds as `f64`. The concurrency limit is based on a thesis, and
 //! `docs/design.md` lists the differences.
@@ -95,7 +98,7 @@
     RequestId(token - 1)
 }
 
-/// Maps a random draw to the range from 0 to 1.
+/// Maps a random draw to the range from 0 to 1, both inclusive.
 fn unit_interval(draw: u32) -> f64 {
     f64::from(draw) / f64::from(u32::MAX)
 }
@@ -123,7 +126,7 @@
 }
 
 impl WorkloadManager {
-    /// Creates the workload manager of a gateway that has just started.
+    /// Creates the workload manager of a gateway that has just started. `seed` determines its random draws.
     ///
     /// # Errors
     /// The settings are invalid, see [`Settings::check`].
@@ -175,6 +178,9 @@
     }
 
     /// Handles an event at the time `now`, in seconds, and appends the resulting actions to `actions`.
+    ///
+    /// # Panics
+    /// The class of a request that arrives is not in the settings.
     pub fn on_event(&mut self, now: f64, event: &Event, actions: &mut Vec<Action>) {
         self.start_at_first_event(now, actions);
         self.tokens.refill(now, self.load.mean_utilization);
@@ -243,7 +249,7 @@
         self.rng.next_u32()
     }
 
-    /// Number of engines in the list, or removed from it with attempts in flight.
+    /// Number of engines in the list, or removed from it with attempts in flight as of the last control tick.
     pub fn engines_known(&self) -> usize {
         self.engines.len()
     }
--- a/src/decisions/order_by_key.rs
+++ b/src/decisions/order_by_key.rs
@@ -71,7 +71,8 @@
         }
     }
 
-    /// Sets the end of a key's cooldown once the end of the attempt that caused it is known.
+    /// Sets the end of a key's cooldown once the attempt that caused it has ended or its run time is bounded.
+    /// Without a cooldown there is no effect.
     pub(super) fn set_cooldown_end(&mut self, key: KeyId, until: f64) {
         if let Some(cooldown) = self.0.get_mut(&key).and_then(|queue| queue.cooldown.as_mut()) {
             cooldown.until = until;
--- a/src/decisions/outcome.rs
+++ b/src/decisions/outcome.rs
@@ -125,8 +125,8 @@
 }
 
 /// Records the attempt's latency. An attempt that timed out or was cancelled is recorded with its elapsed
-/// time, because successes alone would bias the mean. A stalled attempt is not recorded, because its latency
-/// does not depend on the load.
+/// time, or with the mean if that is longer, because successes alone would bias the mean. A stalled attempt
+/// is not recorded, because its latency does not depend on the load.
 fn record_latency(
     now: f64,
     engine: &mut Engine,
--- a/src/decisions/outlier.rs
+++ b/src/decisions/outlier.rs
@@ -9,10 +9,10 @@
 
 use super::request_path::PendingRequest;
 
-/// First and longest backoff of an ejection.
+/// First and longest backoff of an ejection, before the factor [`EngineHealth::backoff_ratio`].
 const MIN_EJECTION_SECONDS: f64 = 1.0;
 const MAX_EJECTION_SECONDS: f64 = 8.0;
-/// First and longest backoff after a rejected attempt.
+/// First and longest backoff after a rejected attempt, before the same factor.
 const MIN_REJECTION_BACKOFF_SECONDS: f64 = 0.25;
 const MAX_REJECTION_BACKOFF_SECONDS: f64 = 8.0;
 /// Growth of each backoff, and of the recovery ramp, from one step to the next.
@@ -72,7 +72,8 @@
     epoch: u32,
     /// Attempts of the current epoch that are in flight.
     attempts_of_epoch: u32,
-    /// Time of the engine's last successful answer or progress report.
+    /// Time of the engine's last successful answer or progress report. Initially the time at which the engine
+    /// was added.
     pub(super) last_seen_at: f64,
     /// Factor on backoffs, drawn by each gateway, so that gateways do not probe the engine at the same time.
     backoff_ratio: f64,
@@ -127,7 +128,7 @@
         }
     }
 
-    /// Adds a fault, and ejects the engine if the sum reaches the threshold.
+    /// Adds a fault, and ejects the engine if the sum reaches the threshold and no backoff is running.
     pub(super) fn record_fault(&mut self, now: f64, faults: f64) -> Option<HealthChange> {
         self.faults += faults;
         if self.faults < EJECTION_FAULTS || self.is_backed_off(now) {
@@ -171,7 +172,7 @@
 
 impl PendingRequest {
     /// Records this engine if the outcome is an error. Returns another engine that answered this request with
-    /// an error earlier, if any.
+    /// an error earlier, if any. `None` for outcomes other than success and error.
     ///
     /// The error is attributed to that engine if this one serves the request, and to the request if this one
     /// also answers with an error.
--- a/src/decisions/release.rs
+++ b/src/decisions/release.rs
@@ -11,7 +11,7 @@
     /// Engines that admit the requests, of the active subset and of the others. `None` before the search.
     active: Option<Vec<EngineId>>,
     others: Option<Vec<EngineId>>,
-    /// Smallest memory for which no engine was found.
+    /// Smallest memory for which no engine was found. 0 if none admits the requests at any memory.
     blocked_mb: f64,
 }
 
@@ -40,7 +40,8 @@
         group.blocked_mb = group.blocked_mb.min(memory_mb);
     }
 
-    /// Engines that admit the request regardless of its memory. They are searched for once between two sends.
+    /// Engines of the active subset, or otherwise only those outside of it, that admit the request regardless
+    /// of its memory. They are searched for once between two sends.
     pub(super) fn admitting(
         &mut self,
         needs: &Needs,
--- a/src/decisions/request_path.rs
+++ b/src/decisions/request_path.rs
@@ -32,15 +32,15 @@
     pub(super) arrived_at: f64,
     /// Key of the request in the queue: its position in order of arrival.
     pub(super) queue_index: u64,
-    /// Ratio of the estimated work to the mean of the class.
+    /// Ratio of the estimated work to the mean of the class at arrival.
     pub(super) relative_size: f64,
     /// Number of attempts sent so far.
     pub(super) attempts: u32,
-    /// Whether an attempt was cancelled because it was slow.
+    /// Whether an attempt was cancelled because it was slow or stalled.
     pub(super) cancelled_as_slow: bool,
     /// Engine that last answered the request with an error.
     pub(super) error_from: Option<EngineId>,
-    /// First attempt that may have run.
+    /// First of the ended attempts that may have run.
     pub(super) first_possible_run: Option<EarlierAttempt>,
 }
 
@@ -77,7 +77,8 @@
     }
 
     /// Forwards all requests that may leave the queue, oldest first. A request without an admitting engine
-    /// blocks only requests of its group in [`Release`] that need at least as much memory.
+    /// blocks requests of its group in [`Release`]: those that need at least as much memory, or all if memory
+    /// is not the reason.
     pub(super) fn release_queued(&mut self, now: f64, actions: &mut Vec<Action>) {
         let mut release = Release::new(self.profiles.len());
         let may_start = |id: &RequestId| self.key_queues.may_start(&self.requests[id].request, now);
--- a/src/decisions/retry.rs
+++ b/src/decisions/retry.rs
@@ -72,6 +72,7 @@
     }
 
     /// Whether the engine deduplicates a retry of an attempt that may have run, if the class relies on that.
+    /// For a scope of a zone or cell, false if the engine of that attempt is not known any more.
     fn engine_deduplicates(&self, pending: &PendingRequest, entry: &EndpointEntry) -> bool {
         let Some(first) = pending.first_possible_run else { return true };
         let first = self.engines.get(&first.engine).map(|engine| &engine.entry);
--- a/src/decisions/selection.rs
+++ b/src/decisions/selection.rs
@@ -10,9 +10,9 @@
 const MAX_RANDOM_RATIO: f64 = 0.3;
 /// Cost of an engine in another zone, in units of utilization.
 const OTHER_ZONE_RATIO: f64 = 0.2;
-/// Cost of an engine whose attempts all stall, in threads per core, and the ratio of stalled attempts that
-/// costs nothing. Such an engine is used only if no other has capacity. Excluding it would leave too little
-/// capacity.
+/// Cost of the ratio of stalled attempts, in threads per core at a ratio of 1, and the part of the ratio that
+/// costs nothing. An engine whose attempts all stall is used only if no other has capacity. Excluding it
+/// would leave too little capacity.
 const STALLED_THREADS_PER_CORE: f64 = 4.0;
 const IGNORED_STALLED_RATIO: f64 = 0.03;
 
@@ -23,7 +23,7 @@
     /// error.
     to_avoid: bool,
     /// For interactive work this gateway's threads per core, and for background work its background threads
-    /// beyond the concurrency limit. A term for stalled attempts is added.
+    /// minus the concurrency limit. A term for stalled attempts is added.
     own_threads: f64,
     /// Sum of utilization, relative latency, zone cost and random term.
     tie_break: f64,
--- a/src/decisions/shedding.rs
+++ b/src/decisions/shedding.rs
@@ -7,7 +7,8 @@
 use super::request_path::PendingRequest;
 use super::{WorkloadManager, unit_interval};
 
-/// Longest time in the queue, as a ratio of the difference between the objective and the mean latency.
+/// Longest time from arrival to leaving the queue, as a ratio of the difference between the objective and the
+/// class's mean latency.
 const INTERACTIVE_QUEUE_TIME_RATIO: f64 = 0.25;
 const BACKGROUND_QUEUE_TIME_RATIO: f64 = 0.5;
 /// Lower bound of that difference, as a ratio of the objective.
@@ -23,7 +24,8 @@
 /// Rule by which a queued request is shed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum SheddingRule {
-    /// The request has been queued for too long to be answered within its objective.
+    /// The request is queued too long after its arrival to be answered within its objective. The time
+    /// includes earlier attempts.
     QueueTime,
     /// The request has an order key, and arrived with little time left.
     ShortDeadline,
@@ -71,15 +73,15 @@
     }
 
     /// Sends the final answer to a request that was not served: a rejection if the client may safely retry,
-    /// or else a failure. With `retry_after` set, a rejection has a Retry-After if clients respect it.
-    pub(super) fn give_up(&mut self, id: RequestId, retry_after: bool, actions: &mut Vec<Action>) {
+    /// or else a failure. With `with_retry_after` set, a rejection has a Retry-After if clients respect it.
+    pub(super) fn give_up(&mut self, id: RequestId, with_retry_after: bool, actions: &mut Vec<Action>) {
         let Some(pending) = self.requests.get(&id) else { return };
         let may_have_run =
             !self.queue.contains_key(&pending.queue_index) || pending.first_possible_run.is_some();
         let idempotency = self.settings.classes[pending.request.class.0].idempotency;
         if idempotency.client_may_retry(may_have_run) {
             let seconds = self.draw_retry_after_seconds();
-            let retry_after = (retry_after && self.settings.capabilities.retry_after).then_some(seconds);
+            let retry_after = (with_retry_after && self.settings.capabilities.retry_after).then_some(seconds);
             actions.push(Action::Reject { request: id, retry_after });
         } else {
             actions.push(Action::Fail(id));
@@ -93,7 +95,7 @@
         (MIN_RETRY_AFTER_RATIO + spread) * self.settings.capabilities.max_retry_after
     }
 
-    /// Longest time in seconds for which a request of this class may be queued.
+    /// Longest time in seconds after its arrival at which a request of this class may be queued.
     pub(super) fn max_queue_seconds(&self, class: ClassId) -> f64 {
         let (class, profile) = (&self.settings.classes[class.0], &self.profiles[class.0]);
         let objective = class.latency_objective
@@ -112,8 +114,8 @@
             .min(SUFFICIENT_DEADLINE_RATIO * self.settings.classes[class].deadline)
     }
 
-    /// Whether a request with an order key arrived with little time left. Unless it is sent at once, it is
-    /// shed to make way for later requests of its key.
+    /// Whether a request with an order key arrived with little time left. If it is queued at a control tick,
+    /// it is shed to make way for later requests of its key.
     fn is_short_of_time(&self, pending: &PendingRequest) -> bool {
         let deadline = self.settings.classes[pending.request.class.0].deadline;
         pending.request.key.is_some()
--- a/src/decisions/slow_start.rs
+++ b/src/decisions/slow_start.rs
@@ -12,7 +12,7 @@
 use super::engine::Engine;
 use super::unit_interval;
 
-/// Ratio of the collapse load that all gateways together send to an engine in slow start.
+/// Ratio of the collapse load that all gateways together may send to an engine in slow start.
 const USED_BUDGET_RATIO: f64 = 0.3;
 /// Ratio of the budget for each type of work, interactive and background.
 const WORK_TYPE_RATIO: f64 = 0.5;
@@ -33,7 +33,7 @@
     interactive: bool,
 }
 
-/// Work that this gateway has sent to an engine since the engine's start, and its share of the budget.
+/// Work that this gateway has sent to an engine during its slow start, and the gateway's share of the budget.
 #[derive(Default)]
 pub(super) struct SlowStartBudget {
     /// This gateway's share of the budget, as a multiple of an even share.
@@ -42,8 +42,9 @@
 }
 
 impl SlowStartBudget {
-    /// Sets this gateway's share. `active_ratio` is the ratio of the zone's available engines that are in the
-    /// active subset of this gateway, and estimates the ratio of gateways that have this engine in theirs.
+    /// Sets this gateway's share. `active` is whether the engine is in its active subset. `active_ratio` is
+    /// the ratio of the available engines, of the own zone or of all others, that are in this subset. It
+    /// estimates the ratio of gateways that have the engine in theirs.
     pub(super) fn set_share(&mut self, active: bool, active_ratio: f64, gateways: u32) {
         let max_share = 1.0 + f64::from(gateways) / GATEWAYS_PER_EXTRA_SHARE;
         let share = |gateways_ratio: f64, budget_ratio: f64| {
@@ -71,7 +72,8 @@
 }
 
 impl Engine {
-    /// Ratio of the engine's full capacity that is available now. It rises linearly from the minimum to 1.
+    /// Ratio of the engine's full capacity that is available now. It rises linearly from the minimum to 1,
+    /// and is 1 for an engine that was started long ago.
     pub(super) fn warm_up_ratio(&self, now: f64, rules: &Rules) -> f64 {
         let Some(started_at) = self.entry.started_at else { return 1.0 };
         let elapsed_ratio =
@@ -79,8 +81,8 @@
         rules.slow_start_min_ratio + (1.0 - rules.slow_start_min_ratio) * elapsed_ratio
     }
 
-    /// Whether the engine's slow-start budget allows a request of this class, assuming that all gateways send
-    /// the same load.
+    /// Whether this gateway's share of the engine's slow-start budget allows a request of this class. Always
+    /// true once the engine has its full capacity.
     pub(super) fn slow_start_admits(
         &self,
         now: f64,
@@ -107,7 +109,8 @@
     }
 
     /// Random fraction of a request by which this gateway may exceed its budget, drawn for each window. Of
-    /// the gateways whose share is less than a request, some send one request and others none.
+    /// the gateways whose share is less than a request, some send one request and others none. 0 in the first
+    /// window, whose length differs between gateways.
     fn rounding_ratio(&self, now: f64, window_seconds: f64) -> f64 {
         let age = now - self.entry.started_at.unwrap_or(now);
         let window = (age.max(0.0) / window_seconds + unit_interval(self.rank)) as u64;
--- a/src/decisions/supervision.rs
+++ b/src/decisions/supervision.rs
@@ -27,7 +27,8 @@
 const STALLED_LATENCIES: f64 = 4.0;
 /// Lower bound of the expected latency, as a ratio of the class's mean latency.
 const MIN_EXPECTED_RATIO: f64 = 0.5;
-/// Longest remaining time of an attempt that is not cancelled, as a multiple of the class's mean latency.
+/// Longest remaining time of an attempt that is not cancelled, as a multiple of the class's mean latency at
+/// the current slowdown.
 const MAX_REMAINING_LATENCIES: f64 = 3.0;
 /// Smallest progress that is used to measure the speed of an attempt.
 const MIN_MEASURABLE_PROGRESS_RATIO: f64 = 0.1;
@@ -72,7 +73,7 @@
 }
 
 impl Attempt {
-    /// Creates the next attempt of a request, to an engine with the given slow-start ratio.
+    /// Creates the next attempt of a request, to an engine with the given warm-up ratio.
     pub(super) fn new(
         now: f64,
         pending: &PendingRequest,
@@ -240,8 +241,8 @@
         self.cancel_if_slow(now, id, age, done_ratio, actions);
     }
 
-    /// Cancels an attempt that would take too long, once per request. If a later attempt can't end in time
-    /// either, the request is given up.
+    /// Cancels an attempt that would take too long, once per request. After that, the request is given up if
+    /// the expected end of an attempt exceeds the deadline by more than the attempt's age.
     fn cancel_if_slow(
         &mut self,
         now: f64,
--- a/src/decisions/token_bucket.rs
+++ b/src/decisions/token_bucket.rs
@@ -5,19 +5,21 @@
 //! each attempt is charged the thread-seconds that it takes. The balance is stored as a debt, which is
 //! negative while the bucket holds tokens.
 
-/// Capacity of the bucket, and bound of the debt after a charge, in seconds of refill.
+/// Capacity of the bucket, and bound up to which [`TokenBucket::charge_excess`] raises the debt, in seconds
+/// of refill.
 const CAPACITY_SECONDS: f64 = 2.0;
 /// Largest ratio of the bucket's capacity that may be required for a request to start.
 const MAX_REQUIRED_RATIO: f64 = 0.9;
-/// Tokens required for a large request, as a multiple of its cost beyond the mean.
-const LARGE_REQUEST_RATIO: f64 = 2.0;
+/// Tokens required for a large request, as a multiple of its cost beyond the mean. Also the debt allowed for
+/// a small request, as a multiple of its cost below the mean.
+const SIZE_DIFFERENCE_RATIO: f64 = 2.0;
 /// Mean utilization below which any debt is cancelled. Idle engines need no bound over time.
 const IDLE_UTILIZATION_RATIO: f64 = 0.5;
 
 /// Token bucket with thread-seconds as tokens.
 #[derive(Default)]
 pub(super) struct TokenBucket {
-    /// Refill per second: the sum of the concurrency limits, in threads.
+    /// Refill per second: the sum of the concurrency limits of available engines, in threads.
     pub(super) rate_threads: f64,
     /// Thread-seconds charged beyond the refill. Negative while the bucket holds tokens.
     pub(super) debt_thread_seconds: f64,
@@ -56,7 +58,7 @@
     /// `mean_thread_seconds` is the cost of a request of mean size, and `relative_size` the request's size
     /// relative to the mean.
     pub(super) fn admits(&self, mean_thread_seconds: f64, relative_size: f64) -> bool {
-        let allowed = LARGE_REQUEST_RATIO * mean_thread_seconds * (1.0 - relative_size);
+        let allowed = SIZE_DIFFERENCE_RATIO * mean_thread_seconds * (1.0 - relative_size);
         self.debt_thread_seconds <= allowed.max(-MAX_REQUIRED_RATIO * CAPACITY_SECONDS * self.rate_threads)
     }
 }
--- a/src/endpoint.rs
+++ b/src/endpoint.rs
@@ -38,8 +38,8 @@
     Delta,
     /// The whole list. Engines that are absent have been removed.
     Full,
-    /// The whole list as last received, possibly stale.
+    /// The whole list as last received, possibly stale. It is applied like [`Self::Full`].
     Cached,
-    /// The list could not be read. The known list stays.
+    /// The list could not be read. The known list stays, and the entries are ignored.
     Failed,
 }
--- a/src/event.rs
+++ b/src/event.rs
@@ -1,6 +1,6 @@
 //! Input of the workload manager: the events that a gateway reports.
 //!
-//! Times and durations are in seconds. The clock is monotonic and may start at any value.
+//! Times and durations are in seconds. The clock is monotonic and may start at any value from 0.
 
 use crate::{ClassId, EndpointEntry, EndpointListMode, EngineId, KeyId, RequestId, TableGroupId, TenantId};
 
@@ -9,21 +9,22 @@
 pub struct Request {
     /// Id that later events and actions refer to.
     pub id: RequestId,
-    /// Class that sets the request's objective, deadline and rules.
+    /// Class that sets the request's objective and rules. An index past the end of the settings causes a
+    /// panic.
     pub class: ClassId,
-    /// Tenant that sent the request, if the deployment has tenants.
+    /// Tenant that sent the request, if the deployment has tenants. No decision uses it.
     pub tenant: Option<TenantId>,
-    /// Order key, if the class is ordered by key.
+    /// Order key. `None` if the class is not [ordered by key](crate::Class::ordered_by_key).
     pub key: Option<KeyId>,
-    /// Time at which the client stops waiting, in seconds of the events' clock.
+    /// Time by which the request must be answered, in seconds of the events' clock.
     pub deadline: f64,
-    /// Estimated work, summed over all threads, in seconds.
+    /// Estimated work, summed over all threads, in seconds. `None` counts as the mean work of the class.
     pub estimated_work: Option<f64>,
-    /// Estimated memory in MB.
+    /// Estimated memory in MB. `None` counts as 0.
     pub estimated_memory_mb: Option<f64>,
     /// Tables that the request reads or loads.
     pub table_group: Option<TableGroupId>,
-    /// Whether the client sends the request as a retry of an earlier one.
+    /// Whether the client sends the request as a retry of an earlier one. No decision uses it.
     pub is_retry: bool,
 }
 
@@ -141,7 +142,8 @@
         /// Seconds for which the attempt may still run. 0 if it has ended.
         may_still_run_for: f64,
     },
-    /// The answer has started to stream, so the attempt can't be retried any more.
+    /// The answer has started to stream, so the attempt can't be retried any more. No decision uses this
+    /// event.
     StreamStarted {
         /// Request of the attempt.
         request: RequestId,
@@ -159,7 +161,7 @@
     },
     /// The client has disconnected, so the request needs no answer.
     RequestAborted(RequestId),
-    /// The result of a health check.
+    /// The result of a health check. Decisions use only its load report.
     HealthChecked {
         /// Engine that was checked.
         engine: EngineId,
--- a/src/id.rs
+++ b/src/id.rs
@@ -1,7 +1,8 @@
 //! Identifiers. The workload manager returns them unchanged. Except for indices into the settings, their
 //! values have no meaning to it.
 
-/// Unique id of a request. An id is never reused.
+/// Unique id of a request. An id is never reused, and is less than `u64::MAX - 1`, because timer tokens are
+/// derived from it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RequestId(pub u64);
 
@@ -26,7 +27,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TenantId(pub usize);
 
-/// Order key of a request. Requests of a class ordered by key run one at a time for each key.
+/// Order key of a request. Requests with the same key run one at a time, whatever their classes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct KeyId(pub u64);
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,4 +1,12 @@
 #![doc = include_str!("../README.md")]
+//!
+//! # Modules
+//!
+//! - `event` and `action`: input and output of [`WorkloadManager`]
+//! - `settings`: its configuration, and changes to it at run time
+//! - `endpoint`: the endpoint list
+//! - `id`: identifiers of requests, engines and classes
+//! - `decisions`: [`WorkloadManager`] itself, with a module for each rule
 
 mod action;
 mod decisions;
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -24,7 +24,7 @@
     Keyed {
         /// Engines that share the key.
         scope: IdempotencyScope,
-        /// Seconds for which the key is kept, from the first attempt that may have run.
+        /// Seconds for which the key is kept, from the start of the first attempt that may have run.
         window: f64,
     },
     /// The request must never run twice.
@@ -44,9 +44,9 @@
 pub struct Class {
     /// Target latency in seconds. An answer within this time earns the full priority weight.
     pub latency_objective: f64,
-    /// The objective is extended by this factor times the request's work per thread.
+    /// The objective is extended by this factor times the class's mean work per thread.
     pub objective_stretch: f64,
-    /// Seconds after which the client stops waiting.
+    /// Usual number of seconds after which the client stops waiting. The deadline of a request may differ.
     pub deadline: f64,
     /// Value of a request answered within its objective.
     /// Validated, and compared between versions of the class. No decision uses it.
@@ -57,6 +57,7 @@
     /// Whether, and at which engines, a request may run more than once.
     pub idempotency: Idempotency,
     /// Whether requests of the same key run one at a time, in order of arrival.
+    /// No decision uses it: any request that has a key is ordered by it.
     pub ordered_by_key: bool,
     /// Machine types that requests may run on. `None`: all.
     pub allowed_machine_types: Option<Vec<MachineTypeId>>,
@@ -144,7 +145,7 @@
     /// Load reports arrive with answers and health checks.
     Responses,
     /// Load reports arrive with health checks only. The workload manager requests no health checks, and
-    /// estimates load from its own attempts.
+    /// estimates load from its own attempts until a report arrives.
     HealthChecks,
 }
 
@@ -158,7 +159,8 @@
     pub health_checks: bool,
     /// Messages that carry load reports, if any.
     pub load_reports: LoadReportSource,
-    /// Whether the endpoint list has to be polled.
+    /// Whether the workload manager has to ask for the endpoint list, by
+    /// [`Action::WatchEndpointList`](crate::Action::WatchEndpointList).
     pub polls_endpoint_list: bool,
     /// Whether clients respect a Retry-After.
     pub retry_after: bool,
@@ -210,7 +212,8 @@
     /// The number of gateways is 0.
     #[error("settings say there are no gateways")]
     NoGateways,
-    /// A class has no origin, or its origin refers to a class that the earlier settings did not have.
+    /// The numbers of classes and origins differ, an earlier class is missing, or an origin refers to a class
+    /// that the earlier settings did not have.
     #[error("the origins do not fit the classes")]
     InvalidOrigins,
     /// A value is negative, infinite or not a number.
@@ -235,7 +238,8 @@
     /// Validates the settings.
     ///
     /// # Errors
-    /// The first problem found.
+    /// The first problem found: there are no classes or no gateways, or a value is negative, infinite or not
+    /// a number.
     pub fn check(&self) -> Result<(), SettingsError> {
         if self.classes.is_empty() {
             return Err(SettingsError::NoClasses);
@@ -320,7 +324,8 @@
 }
 
 impl ClassOrigin {
-    /// Class of the old settings whose statistics the class with the given id takes over, if any.
+    /// Class of the old settings whose statistics the class with the given id takes over. `None` for a new
+    /// class.
     pub fn previous_class(self, class: ClassId) -> Option<ClassId> {
         match self {
             ClassOrigin::Unchanged | ClassOrigin::Retired => Some(class),
@@ -346,11 +351,11 @@
         classes.filter(|(_, origin)| **origin != ClassOrigin::Retired).map(|(class, _)| class).collect()
     }
 
-    /// Validates the settings, and that each class is new or originates from one of the `known` earlier
-    /// classes.
+    /// Validates the settings, and that each class is new or originates from an earlier one. `known` is the
+    /// number of classes of the earlier settings, none of which may be missing.
     ///
     /// # Errors
-    /// The first problem found.
+    /// The first problem found: [`SettingsError::InvalidOrigins`], or else that of [`Settings::check`].
     pub fn check(&self, known: usize) -> Result<(), SettingsError> {
         let previous = |(at, origin): (usize, &ClassOrigin)| origin.previous_class(ClassId(at));
         let all_known = self.origins.iter().enumerate().filter_map(previous).all(|from| from.0 < known);
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -198,7 +198,7 @@
     }
 }
 
-/// The engine and timeout of the forwarded attempt. Panics if there are several.
+/// The engine and timeout of the forwarded attempt. `None` if there is none. Panics if there are several.
 pub fn forwarded_to(actions: &[Action]) -> Option<(u32, Option<f64>)> {
     let forwarded: Vec<_> = forwards(actions);
     assert!(forwarded.len() <= 1, "more than one attempt forwarded: {forwarded:?}");
@@ -241,7 +241,7 @@
 }
 
 /// Settings of one of a hundred gateways, and fifty engines. The concurrency limit of each engine is below
-/// one thread, so that only the sum over all engines admits a request.
+/// one thread, so that only the sum over all engines admits a request of several threads.
 pub fn many_gateways() -> (Settings, Vec<EndpointEntry>) {
     let mut s = settings();
     s.gateways = 100;
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,4 +1,4 @@
-//! Rules for every attempt and final answer, with one test for each rule.
+//! Rules for every attempt and final answer, and the rejection of invalid settings.
 
 mod common;
 
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -1,4 +1,4 @@
-//! Slow start: many independent gateways in front of one warming engine.
+//! Slow start: work that many independent gateways together send to a warming engine.
 
 mod common;
 
