--- a/gateway/tests/crossings.rs
+++ b/gateway/tests/crossings.rs
@@ -15,7 +15,7 @@
     format!("/* c={class},i={},d=20000 */ SELECT v FROM sales_17.orders", id(n))
 }
 
-/// Sends requests with new ids until one is served. Returns its number.
+/// Sends requests with increasing numbers until one is served. Returns its number.
 fn query_until_served(gateway: &Gateway, class: &str, from: u64) -> u64 {
     let mut client = pg::Client::connect(gateway.pg);
     for n in from..from + 100 {
@@ -30,22 +30,22 @@
     panic!("rejected 100 times");
 }
 
-/// Sends a request and reads its call. Returns the client and the engine's end of the connection.
+/// Sends request 1 and reads its call. Returns the client and the engine's end of the connection.
 fn request_in_flight(engine: &Peer, gateway: &Gateway, class: &str) -> (pg::Client, Connection) {
     let mut client = pg::Client::connect(gateway.pg);
     client.send(&text(class, 1));
-    let mut wire = engine.accept();
-    let call = wire.read_call();
+    let mut connection = engine.accept();
+    let call = connection.read_call();
     assert_eq!((call.method.as_str(), call.query_id()), ("POST", id(1).as_str()));
-    (client, wire)
+    (client, connection)
 }
 
-/// Records the ids of the queries that engines of [`serve_all_queries`] run.
+/// Returns an empty list, in which [`serve_all_queries`] records the ids of the queries that the engine executes.
 fn id_log() -> Arc<Mutex<Vec<String>>> {
     Arc::default()
 }
 
-/// Forbids cancellation, so that only the check before the first byte stops an attempt.
+/// Forbids cancellation, so that an attempt can only be stopped before the first byte of its call is written.
 fn without_cancelling(config: String) -> String {
     config.replace("\"cancelling\":true", "\"cancelling\":false")
 }
@@ -106,10 +106,10 @@
         watch.send_event(2, &engine.entry("Ready"));
         drop(clients);
     });
-    let ran = id_log();
-    serve_all_queries(engine, ran.clone());
+    let ran_ids = id_log();
+    serve_all_queries(engine, ran_ids.clone());
     let n = query_until_served(&gateway, "load", 100);
-    assert_eq!(*ran.lock().unwrap(), [id(n)]);
+    assert_eq!(*ran_ids.lock().unwrap(), [id(n)]);
     (0..60).for_each(|n| wait_client_left(&gateway, n));
 }
 
@@ -126,23 +126,23 @@
         wait_client_left(&gateway, 1);
         engine.drain_backlog();
         // Without cancellation the connection is established after its request has ended. Other requests may use it.
-        let wire = connects.then(|| engine.accept());
-        let ran = id_log();
+        let connection = connects.then(|| engine.accept());
+        let ran_ids = id_log();
         let late = thread::spawn({
-            let ran = ran.clone();
+            let ran_ids = ran_ids.clone();
             move || {
-                let Some(mut wire) = wire else { return };
-                while let Some(call) = wire.next_call() {
-                    ran.lock().unwrap().push(call.query_id().to_owned());
-                    wire.send_row(call.query_id());
+                let Some(mut connection) = connection else { return };
+                while let Some(call) = connection.next_call() {
+                    ran_ids.lock().unwrap().push(call.query_id().to_owned());
+                    connection.send_row(call.query_id());
                 }
             }
         });
-        serve_all_queries(engine, ran.clone());
+        serve_all_queries(engine, ran_ids.clone());
         let n = query_until_served(&gateway, "load", 100);
         drop(gateway);
         late.join().unwrap();
-        assert_eq!(*ran.lock().unwrap(), [id(n)]);
+        assert_eq!(*ran_ids.lock().unwrap(), [id(n)]);
     }
 }
 
@@ -150,16 +150,16 @@
 fn a_request_whose_client_leaves_between_two_attempts_is_not_retried() {
     let engine = Peer::new("e1");
     let gateway = Gateway::with_endpoints(&engine.entry("Ready"), None, "", None, |t| t);
-    let (client, mut wire) = request_in_flight(&engine, &gateway, "load");
+    let (client, mut connection) = request_in_flight(&engine, &gateway, "load");
     // The engine sheds the attempt, which delays the next one.
-    wire.send("HTTP/1.1 503 x\r\nX-Shed: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
+    connection.send("HTTP/1.1 503 x\r\nX-Shed: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
     gateway.wait_for_log("attempt ended query_id=\"0000000000000001\"");
     drop(client);
     wait_client_left(&gateway, 1);
-    let ran = id_log();
-    serve_all_queries(engine, ran.clone());
+    let ran_ids = id_log();
+    serve_all_queries(engine, ran_ids.clone());
     let n = query_until_served(&gateway, "load", 100);
-    assert_eq!(*ran.lock().unwrap(), [id(n)]);
+    assert_eq!(*ran_ids.lock().unwrap(), [id(n)]);
 }
 
 #[test]
@@ -179,13 +179,13 @@
     let gateway = Gateway::with_endpoints(&engine.entry("Ready"), None, "", None, |t| t);
     let (mut client, mut other) = (pg::Client::connect(gateway.pg), pg::Client::connect(gateway.pg));
     client.send(&text("load", 1));
-    let mut wire = engine.accept();
-    wire.read_call();
+    let mut connection = engine.accept();
+    connection.read_call();
     for _ in 0..16 {
         assert!(client.try_send_garbage(256 << 10));
         assert_eq!(other.query(";"), pg::Answer::Empty, "the gateway must go on reading other clients");
     }
-    wire.send_row(&id(1));
+    connection.send_row(&id(1));
     assert_eq!(client.answer(), row_answer(1), "the request must be answered");
     assert_eq!(error_code(&client.answer()), "54000", "the invalid data must be answered once");
     assert!(client.is_closed());
@@ -198,8 +198,8 @@
     let engine = Peer::new("e1");
     let operator = "[clients]\nmost_sessions = 180\nturn_ms = 1";
     let gateway = Gateway::with_endpoints(&engine.entry("Ready"), None, operator, None, |t| t);
-    let ran = id_log();
-    serve_all_queries(engine, ran.clone());
+    let ran_ids = id_log();
+    serve_all_queries(engine, ran_ids.clone());
     let mut others: Vec<_> = (0..140).map(|_| pg::Client::connect(gateway.pg)).collect();
     let mut client = pg::Client::connect(gateway.pg);
     // All requests wait to be read, the one to be cancelled last. The cancel request uses a new connection.
@@ -214,13 +214,13 @@
     for one in &mut others {
         one.answer();
     }
-    assert!(!ran.lock().unwrap().contains(&id(1)), "the cancelled request was forwarded");
+    assert!(!ran_ids.lock().unwrap().contains(&id(1)), "the cancelled request was forwarded");
     // Cancel requests with a wrong key or for a finished request have no effect.
     let key = client.key;
     pg::Client::cancel(gateway.pg, key);
     pg::Client::cancel(gateway.pg, [key[0], key[1], key[2], key[3], key[4], key[5], key[6], !key[7]]);
     let n = query_until_served(&gateway, "lookup", 100);
-    assert!(ran.lock().unwrap().contains(&id(n)));
+    assert!(ran_ids.lock().unwrap().contains(&id(n)));
 }
 
 #[test]
@@ -229,13 +229,13 @@
     let gateway = Gateway::with_endpoints(&engine.entry("Ready"), None, "", None, |t| t);
     thread::spawn(move || {
         loop {
-            let mut wire = engine.accept();
+            let mut connection = engine.accept();
             thread::spawn(move || {
-                while let Some(call) = wire.next_call() {
+                while let Some(call) = connection.next_call() {
                     if call.method == "POST" {
-                        wire.send_row(call.query_id());
+                        connection.send_row(call.query_id());
                         thread::sleep(Duration::from_millis(5));
-                        wire.send_row(call.query_id());
+                        connection.send_row(call.query_id());
                     }
                 }
             });
@@ -255,19 +255,19 @@
     let gateway = Gateway::with_endpoints(&engine.entry("Ready"), None, "", None, |t| t);
     let (mut client, mut other) = (pg::Client::connect(gateway.pg), pg::Client::connect(gateway.pg));
     client.send(&text("lookup", 1));
-    let mut wire = engine.accept();
-    assert_eq!(wire.read_call().query_id(), id(1));
+    let mut connection = engine.accept();
+    assert_eq!(connection.read_call().query_id(), id(1));
     let accepted = "HTTP/1.1 202 x\r\nContent-Length: 0\r\n\r\n";
-    wire.send(accepted);
-    assert_eq!(wire.read_call().method, "GET");
-    wire.send(accepted);
-    assert_eq!(wire.read_call().method, "GET");
-    wire.send_row(&id(1));
+    connection.send(accepted);
+    assert_eq!(connection.read_call().method, "GET");
+    connection.send(accepted);
+    assert_eq!(connection.read_call().method, "GET");
+    connection.send_row(&id(1));
     assert_eq!(client.answer(), row_answer(1));
     thread::sleep(Duration::from_millis(40));
     other.send(&text("lookup", 2));
     thread::sleep(Duration::from_millis(40));
-    wire.try_send(&row_response(&id(1)));
+    connection.try_send(&row_response(&id(1)));
     serve_all_queries(engine, id_log());
     assert_eq!(other.answer(), row_answer(2), "the response to the first query was delivered to the second");
 }
@@ -290,21 +290,21 @@
     let query =
         |token: &str| format!("/* c=report,i={},d=20000,k={token} */ SELECT v FROM sales_17.orders", id(1));
     client.send(&text("report", 2));
-    let mut wire = engine.accept();
-    assert!(!wire.read_call().headers.contains_key("x-nonce"), "the gateway added an idempotency key");
-    wire.send(&row_response(&id(2)).replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n"));
+    let mut connection = engine.accept();
+    assert!(!connection.read_call().headers.contains_key("x-nonce"), "the gateway added an idempotency key");
+    connection.send(&row_response(&id(2)).replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n"));
     assert_eq!(client.answer(), row_answer(2));
     client.send(&query("16d2cf6db534bf77e12ba3280ca951ca"));
-    let mut wire = engine.accept();
+    let mut connection = engine.accept();
     for attempt in 0..2 {
-        let call = wire.read_call();
+        let call = connection.read_call();
         assert_eq!(call.headers["x-nonce"], "16d2cf6db534bf77e12ba3280ca951ca", "attempt {attempt}");
         assert_eq!(call.query_id(), id(1));
         if attempt == 0 {
-            wire.send("HTTP/1.1 503 x\r\nX-Shed: 1\r\nContent-Length: 0\r\n\r\n");
+            connection.send("HTTP/1.1 503 x\r\nX-Shed: 1\r\nContent-Length: 0\r\n\r\n");
         }
     }
-    wire.send_row(&id(1));
+    connection.send_row(&id(1));
     assert_eq!(client.answer(), row_answer(1));
     for bad in ["", "a b", "a\tb", "a\u{7f}", &"k".repeat(129)] {
         assert_eq!(error_code(&client.query(&query(bad))), "42601", "{bad:?}");
@@ -320,22 +320,22 @@
     watch.send_stream_head();
     let mut client = pg::Client::connect(gateway.pg);
     client.send(&text("lookup", 1));
-    let mut wire = one.accept();
-    assert_eq!(wire.read_call().query_id(), id(1));
+    let mut connection = one.accept();
+    assert_eq!(connection.read_call().query_id(), id(1));
     watch.send_event(2, &format!("{},{}", two.entry("Ready"), one.entry("Terminating")));
     gateway.wait_for_log("name=\"e1\" state=Draining");
-    wire.send("HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n");
+    connection.send("HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n");
     gateway.wait_for_log("attempt ended query_id=\"0000000000000001\"");
     // The attempt's connection must have begun before the engine accepts connections.
     gateway.wait_for_log("connection opened engine=1");
     // The kernel resends the SYN after one second, which is twice the window.
     two.drain_backlog();
     assert!(error_code(&client.answer()).starts_with("53"), "the class must allow retries at every engine");
-    let ran = id_log();
-    serve_all_queries(two, ran.clone());
+    let ran_ids = id_log();
+    serve_all_queries(two, ran_ids.clone());
     let n = query_until_served(&gateway, "lookup", 100);
-    assert!(!ran.lock().unwrap().contains(&id(1)), "the request was forwarded after its window");
-    assert!(ran.lock().unwrap().contains(&id(n)));
+    assert!(!ran_ids.lock().unwrap().contains(&id(1)), "the request was forwarded after its window");
+    assert!(ran_ids.lock().unwrap().contains(&id(n)));
 }
 
 #[test]
@@ -350,13 +350,13 @@
     gateway.wait_for_log("connection opened");
     watch.send_event(2, &format!("{},{}", one.entry("Terminating"), two.entry("Ready")));
     gateway.wait_for_log("name=\"e1\" state=Draining");
-    let ran_on_two = id_log();
-    serve_all_queries(two, ran_on_two.clone());
+    let ids_on_two = id_log();
+    serve_all_queries(two, ids_on_two.clone());
     one.drain_backlog();
     assert_eq!(client.answer(), row_answer(1), "a request that never ran may be sent to another engine");
-    assert_eq!(*ran_on_two.lock().unwrap(), [id(1)]);
+    assert_eq!(*ids_on_two.lock().unwrap(), [id(1)]);
     let n = query_until_served(&gateway, "load", 100);
-    assert_eq!(*ran_on_two.lock().unwrap(), [id(1), id(n)]);
+    assert_eq!(*ids_on_two.lock().unwrap(), [id(1), id(n)]);
     // The log is read asynchronously. It is complete up to this line.
     wait_answered(&gateway, n);
     assert!(gateway.log().matches("attempt forwarded query_id=").count() == 2, "{}", gateway.log());
@@ -384,18 +384,18 @@
     let gateway = Gateway::with_endpoints(&engine.entry("Ready"), Some(discovery.address), "", None, |t| t);
     let (mut watch, _) = discovery.accept_watch();
     watch.send_stream_head();
-    let (mut client, wire) = request_in_flight(&engine, &gateway, "report");
+    let (mut client, connection) = request_in_flight(&engine, &gateway, "report");
     let replacement = engine.entry("Ready").replace("\"e1\"", "\"e2\"");
     watch.send_event(2, &format!("{},{replacement}", engine.entry("Gone")));
     gateway.wait_for_log("name=\"e2\" state=Ready");
-    wire.reset();
+    connection.reset();
     // The query is neither polled nor cancelled at the new engine.
     assert!(error_code(&client.answer()).starts_with("53"));
     client.send(&text("report", 2));
-    let mut wire = engine.accept();
-    let call = wire.read_call();
+    let mut connection = engine.accept();
+    let call = connection.read_call();
     assert_eq!((call.method.as_str(), call.query_id()), ("POST", id(2).as_str()));
-    wire.send_row(&id(2));
+    connection.send_row(&id(2));
     assert_eq!(client.answer(), row_answer(2));
 }
 
@@ -403,15 +403,15 @@
 #[test]
 fn a_call_whose_connection_is_closed_as_it_is_written_is_retried_as_its_class_allows() {
     let unknown = "HTTP/1.1 500 x\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
-    for (class, again) in [("report", true), ("load", false)] {
+    for (class, is_retried) in [("report", true), ("load", false)] {
         let engine = Peer::new("e1");
         let gateway = Gateway::with_endpoints(&engine.entry("Ready"), None, "", None, |t| t);
-        let (mut client, wire) = request_in_flight(&engine, &gateway, class);
-        drop(wire);
+        let (mut client, connection) = request_in_flight(&engine, &gateway, class);
+        drop(connection);
         let mut poll = engine.accept();
         assert_eq!(poll.read_call().path, format!("/data/{}/0", id(1)));
         poll.send(unknown);
-        if again {
+        if is_retried {
             let mut second = engine.accept();
             let call = second.read_call();
             assert_eq!((call.method.as_str(), call.query_id()), ("POST", id(1).as_str()));
@@ -444,13 +444,13 @@
     assert!(gateway.log().contains("name=\"e1\" state=Draining"), "events must be applied in order");
     // Events that are also missing from the second stream are skipped. An old event changes nothing.
     second.send_event(6, &one.entry("Ready"));
-    let (mut last_one, last) = discovery.accept_watch();
+    let (mut third, last) = discovery.accept_watch();
     assert_eq!(last, 3);
-    last_one.send_stream_head();
-    last_one.send_event(6, &one.entry("Ready"));
+    third.send_stream_head();
+    third.send_event(6, &one.entry("Ready"));
     gateway.wait_for_log("name=\"e1\" state=Ready since_ms=0 now_us=");
-    last_one.send_event(5, &one.entry("Gone"));
-    last_one.send_event(7, &two.entry("Gone"));
+    third.send_event(5, &one.entry("Gone"));
+    third.send_event(7, &two.entry("Gone"));
     gateway.wait_for_log("name=\"e2\" state=Removed");
     assert!(!gateway.log().contains("name=\"e1\" state=Removed"));
 }
@@ -495,8 +495,8 @@
     gateway.wait_for_log("the discovery service is silent");
     discovery.drain_backlog();
     // The abandoned connection may still be established. It then ends without a call.
-    let mut wire = discovery.accept();
-    let call = wire.next_call().unwrap_or_else(|| discovery.accept().read_call());
+    let mut connection = discovery.accept();
+    let call = connection.next_call().unwrap_or_else(|| discovery.accept().read_call());
     assert_eq!(call.path, "/v2/stream");
 }
 
@@ -508,7 +508,7 @@
     let gateway = Gateway::with_endpoints(&list, Some(old.address), "", None, |t| t);
     let (mut watch, _) = old.accept_watch();
     watch.send("HTTP/1.1 503 later\r\nContent-Length: 0\r\n\r\n");
-    // The next stream never gets a response head. Discovery moves to another address meanwhile.
+    // The next stream receives no response head. Meanwhile, the configured address of the service changes.
     let (mut silent, last) = old.accept_watch();
     assert_eq!(last, 1);
     gateway.reconfigure(|t| t.replace(&old.address.to_string(), &new.address.to_string()));
@@ -535,8 +535,8 @@
     let gateway = Gateway::with_endpoints(&engine.entry("Ready"), None, "", None, |t| t);
     let mut client = pg::Client::connect(gateway.pg);
     client.send(&text("report", 1));
-    let mut wire = engine.accept();
-    assert_eq!(wire.read_call().headers["x-queue"], "report");
+    let mut connection = engine.accept();
+    assert_eq!(connection.read_call().headers["x-queue"], "report");
     // The class of the running request is renamed, and the other classes change places.
     gateway.reconfigure(|t| {
         t.replace("\"report\"", "\"digest\"").replace("\"lookup\"", "\"load\"").replacen(
@@ -546,7 +546,7 @@
         )
     });
     gateway.wait_for_log("classes_gone=[\"report\"] classes_new=[\"digest\"]");
-    wire.send_row(&id(1));
+    connection.send_row(&id(1));
     assert_eq!(client.answer(), row_answer(1), "a running request must keep its settings");
     assert_eq!(
         error_code(&client.query(&text("digest", 2))),
@@ -554,7 +554,7 @@
         "the new class takes effect at the next start"
     );
     client.send(&text("report", 3));
-    assert_eq!(wire.read_call().headers["x-queue"], "report");
+    assert_eq!(connection.read_call().headers["x-queue"], "report");
     assert_eq!(gateway.log().matches("settings in the file differ from those in force").count(), 1);
 }
 
@@ -563,7 +563,7 @@
     for signal in ["-HUP", "-USR1", "-TERM"] {
         let engine = Peer::new("e1");
         let starting = Gateway::spawn_waiting(&engine.entry("Ready"));
-        // The process waits for its configuration.
+        // The process is still waiting for its configuration.
         starting.signal(signal);
         let gateway = starting.configure();
         match signal {
@@ -577,11 +577,11 @@
 #[test]
 fn sigterm_answers_connections_and_requests_that_arrive_late() {
     let engine = Peer::new("e1");
-    // One event loop turn is too short for all requests below.
+    // An event loop turn is too short for all requests below.
     let operator = "[clients]\nmost_sessions = 180\nturn_ms = 1";
     let gateway = Gateway::with_endpoints(&engine.entry("Ready"), None, operator, None, |t| t);
-    let ran = id_log();
-    serve_all_queries(engine, ran.clone());
+    let ran_ids = id_log();
+    serve_all_queries(engine, ran_ids.clone());
     let mut idle = pg::Client::connect(gateway.pg);
     let mut late_senders: Vec<_> = (0..70).map(|_| pg::Client::connect(gateway.pg)).collect();
     let (mut partial, mut starting) =
@@ -614,7 +614,7 @@
     assert_eq!(error_code(&partial.answer()), "57P03");
     assert_eq!(error_code(&starting.answer()), "57P03");
     assert!(idle.is_closed() && partial.is_closed(), "connections must be closed without a reset");
-    assert!(ran.lock().unwrap().is_empty());
+    assert!(ran_ids.lock().unwrap().is_empty());
     let (exit, log) = gateway.wait();
     assert_eq!(exit, Some(0), "{log}");
 }
@@ -622,29 +622,29 @@
 #[test]
 fn sigterm_answers_all_requests_in_flight_before_exit() {
     let (engine, discovery) = (Peer::new("e1"), Peer::new("c"));
-    // Deadlines are longer than the test's read timeout, so that the answers cannot be caused by a deadline.
+    // Deadlines are longer than the read timeout of the clients, so that no answer is caused by a deadline.
     let long = |t: String| t.replace("\"deadline-s\":2", "\"deadline-s\":32");
     let gateway = Gateway::with_endpoints(&engine.entry("Ready"), Some(discovery.address), "", None, long);
     // The discovery service never responds. SIGHUP and SIGTERM arrive in the same turn.
     let (_silent, _) = discovery.accept_watch();
     let mut clients: Vec<_> = (0..3).map(|_| pg::Client::connect(gateway.pg)).collect();
-    let mut wires = Vec::new();
+    let mut connections = Vec::new();
     for (n, (client, class)) in clients.iter_mut().zip(["report", "load", "report"]).enumerate() {
         client.send(&text(class, n as u64 + 1).replace("d=20000", "d=300000"));
         if n < 2 {
-            let mut wire = engine.accept();
-            assert_eq!(wire.read_call().query_id(), id(n as u64 + 1));
+            let mut connection = engine.accept();
+            assert_eq!(connection.read_call().query_id(), id(n as u64 + 1));
             // The query never ends.
-            wire.send("HTTP/1.1 202 x\r\nContent-Length: 0\r\n\r\n");
-            wires.push(wire);
+            connection.send("HTTP/1.1 202 x\r\nContent-Length: 0\r\n\r\n");
+            connections.push(connection);
         }
         wait_admitted(&gateway, n as u64 + 1);
     }
-    let pollers = wires.into_iter().map(|mut wire| {
+    let pollers = connections.into_iter().map(|mut connection| {
         thread::spawn(move || {
-            while wire.next_call().is_some() {
+            while connection.next_call().is_some() {
                 thread::sleep(Duration::from_millis(100));
-                wire.send("HTTP/1.1 202 x\r\nContent-Length: 0\r\n\r\n");
+                connection.send("HTTP/1.1 202 x\r\nContent-Length: 0\r\n\r\n");
             }
         })
     });
@@ -653,7 +653,7 @@
         gateway.signal("-HUP");
         gateway.terminate();
     });
-    // The queries would run for minutes. A report may be retried, a load may not.
+    // The queries would run for minutes. Reports are safe to retry, loads are not.
     assert!(error_code(&clients[0].answer()).starts_with("53"));
     assert_eq!(error_code(&clients[1].answer()), "58000");
     assert!(error_code(&clients[2].answer()).starts_with("53"));
@@ -665,30 +665,30 @@
 }
 
 #[test]
-fn idle_clients_that_hold_all_descriptors_are_evicted_for_engines_watch_and_new_clients() {
+fn idle_clients_that_hold_all_descriptors_are_evicted_for_engines_the_watch_and_new_clients() {
     let (engine, discovery) = (Peer::new("e1"), Peer::new("c"));
-    // The process gets fewer descriptors than the configuration says, so that they run out before the client limit.
+    // The process has fewer descriptors than configured, so that they run out before the client limit is reached.
     let gateway =
         Gateway::with_endpoints(&engine.entry("Ready"), Some(discovery.address), "", Some(64), |t| t);
     let (watch, _) = discovery.accept_watch();
     let address = discovery.address;
     drop((watch, discovery));
-    // The discovery service is down, so that clients may take the descriptor of its stream.
+    // While the discovery service is down, clients may use the descriptor of its stream.
     let mut clients: Vec<_> = (0..80).map(|_| pg::Client::connect(gateway.pg)).collect();
     let mut requesters = clients.split_off(76);
     for (n, client) in requesters.iter_mut().enumerate() {
         client.send(&text("lookup", n as u64));
     }
-    // All requests run at the same time, each over its own connection.
-    let mut wires: Vec<_> = (0..requesters.len()).map(|_| engine.accept()).collect();
-    for wire in &mut wires {
-        let query_id = wire.read_call().query_id().to_owned();
-        wire.send_row(&query_id);
+    // The requests run concurrently, each over a connection of its own.
+    let mut connections: Vec<_> = (0..requesters.len()).map(|_| engine.accept()).collect();
+    for connection in &mut connections {
+        let query_id = connection.read_call().query_id().to_owned();
+        connection.send_row(&query_id);
     }
     for (n, client) in requesters.iter_mut().enumerate() {
         assert_eq!(client.answer(), row_answer(n as u64), "engine connections must get descriptors");
     }
-    drop(wires);
+    drop(connections);
     serve_all_queries(engine, id_log());
     query_until_served(&gateway, "lookup", 100);
     let restarted = Peer::bind("c", address);
@@ -703,7 +703,7 @@
 }
 
 #[test]
-fn a_restarted_process_is_ready_whatever_the_discovery_service_does() {
+fn a_restarted_process_is_ready_while_the_discovery_service_is_silent_or_down() {
     let list = (0..4000).map(|n| {
         format!(
             "{{\"name\":\"e{n}\",\"address\":\"127.0.0.1:9\",\"zone\":\"z\",\"type\":\"k\",\"group\":{},\"status\":\"Ready\",\"weight\":1,\"since_ms\":0}}",
@@ -742,13 +742,13 @@
     let mut client = pg::Client::connect(gateway.pg);
     let whole = row_response(&id(1));
     let head = whole.find("\r\n\r\n").unwrap();
-    // The response ends within its head, between head and body, and within its body.
+    // The response is truncated within its head, between head and body, and within its body.
     for length in [5, head + 4, whole.len() - 3] {
         client.send(&text("load", 1));
-        let mut wire = engine.accept();
-        assert_eq!(wire.read_call().method, "POST");
-        wire.send(&whole[..length]);
-        wire.shutdown_write();
+        let mut connection = engine.accept();
+        assert_eq!(connection.read_call().method, "POST");
+        connection.send(&whole[..length]);
+        connection.shutdown_write();
         let mut again = engine.accept();
         let call = again.read_call();
         assert_eq!((call.method.as_str(), call.path), ("GET", format!("/data/{}/0", id(1))));
