--- a/gateway/src/admission.rs
+++ b/gateway/src/admission.rs
@@ -63,8 +63,8 @@
     if id_in_use { Err(InvalidRequest::DuplicateId) } else { resolve_names(names, fields) }
 }
 
-/// Time for which a client waits for the answer, in microseconds. The deadline of the class bounds the requested time,
-/// because the gateway keeps the timers of a request until its deadline.
+/// Time for which a client waits for the answer, in microseconds. The deadline of the class applies if no time is
+/// requested. It also bounds the requested time, because the gateway keeps the timers of a request until its deadline.
 pub fn wait_us(requested_ms: Option<u64>, class_deadline_seconds: f64) -> u64 {
     let class_us = (class_deadline_seconds * 1e6) as u64;
     requested_ms.map_or(class_us, |ms| ms.saturating_mul(1000)).min(class_us)
@@ -105,7 +105,7 @@
     ShuttingDown,
     /// The number of open requests has reached the limit of the settings.
     TooManyOpenRequests,
-    /// The memory budget, or its part for requests, is exhausted.
+    /// The part of the memory budget that is available to requests can't hold the request.
     MemoryShort,
     /// The client would stop waiting before the request is processed.
     TooLate,
@@ -131,13 +131,13 @@
         }
     }
 
-    /// Whether the answer has a Retry-After. The read scheduler computes its value from the queued work, which does not
-    /// determine when a process has shut down or when open requests end.
+    /// Whether the answer has a Retry-After, if the settings enable it. The read scheduler computes its value from the
+    /// queued work, which does not determine when a process has shut down or when open requests end.
     pub fn sends_retry_after(self) -> bool {
         matches!(self, RejectionReason::MemoryShort | RejectionReason::TooLate)
     }
 
-    /// Counter of rejections for this reason. Each rejection is also counted as refused.
+    /// Counter of rejections for this reason. `None`: they are only counted as refused, as all rejections are.
     pub fn counter(self) -> Option<RejectionCounter> {
         match self {
             RejectionReason::ShuttingDown | RejectionReason::TooManyOpenRequests => None,
@@ -168,12 +168,12 @@
         self.reasons.into_iter().flatten()
     }
 
-    /// Counters to be incremented by one.
+    /// Counters to be incremented by one, in addition to the counter of refused requests.
     pub fn counters(&self) -> impl Iterator<Item = RejectionCounter> {
         self.reasons().filter_map(RejectionReason::counter)
     }
 
-    /// Whether the answer has a Retry-After: at least one reason sends it.
+    /// Whether the answer has a Retry-After, if the settings enable it: at least one reason sends it.
     pub fn sends_retry_after(&self) -> bool {
         self.reasons().any(RejectionReason::sends_retry_after)
     }
--- a/gateway/src/config/config_file.rs
+++ b/gateway/src/config/config_file.rs
@@ -17,7 +17,7 @@
 /// Reads a configuration from a file.
 ///
 /// # Errors
-/// The file can't be read, or a value in it is missing or invalid.
+/// The file can't be read, is not JSON, or has a missing or invalid value.
 pub fn from_file(path: &str) -> Result<Config, ConfigError> {
     let json = parse_file(path)?;
     Ok(Config { path: Some(path.to_owned()), ..read(&JsonField::root(&json, "config"))? })
--- a/gateway/src/config/environment.rs
+++ b/gateway/src/config/environment.rs
@@ -1,5 +1,5 @@
 //! Configuration from the environment: `LB_CONFIG` is the path of `config.json`. `LB_NAME`, `LB_LISTEN` and `LB_OPS`
-//! override its values.
+//! override its values. An empty `LB_OPS` overrides nothing.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -11,10 +11,11 @@
 use super::{Config, ConfigError, operator_file};
 use crate::json::{JsonError, JsonField};
 
-/// Reads the configuration from the file in `LB_CONFIG`, applies the other variables, and then the operator's file.
+/// Reads the configuration from the file in `LB_CONFIG`, applies the other variables, and then the operator's file at
+/// the path `operator_file`, if there is one.
 ///
 /// # Errors
-/// A file can't be read, or a value in a file or a variable is missing or invalid.
+/// `LB_CONFIG` is not set, a file can't be read, or a value in a file or a variable is missing or invalid.
 pub fn from_environment(operator_file: Option<&str>) -> Result<Config, ConfigError> {
     let path = std::env::var("LB_CONFIG").map_err(|_| ConfigError::Unset("LB_CONFIG"))?;
     let json = parse_file(&path)?;
--- a/gateway/src/config/error.rs
+++ b/gateway/src/config/error.rs
@@ -19,7 +19,7 @@
         /// Error of the operating system.
         source: std::io::Error,
     },
-    /// A document is not JSON, or a value in it is missing or of another type.
+    /// A document is not JSON, or a value in it is missing or invalid.
     #[error(transparent)]
     Json(#[from] JsonError),
     /// An environment variable has an invalid value.
@@ -30,7 +30,7 @@
         /// Description of a valid value.
         expected: &'static str,
     },
-    /// The settings contradict each other or are out of range.
+    /// The settings have no class or no gateway, or a value that is negative or not a finite number.
     #[error("settings: {0}")]
     Settings(#[from] SettingsError),
     /// The operator's file can't be read or is invalid.
--- a/gateway/src/config/mod.rs
+++ b/gateway/src/config/mod.rs
@@ -1,5 +1,5 @@
-//! Typed configuration, read at startup. `config.json` is read again on SIGHUP, and the control plane may replace its
-//! settings.
+//! Typed configuration, read at startup. `config.json` is read again on SIGHUP for the endpoint list and the address of
+//! the discovery service, and the control plane may replace its settings.
 //!
 //! There are three sources:
 //! - the environment ([`from_environment`]),
@@ -51,13 +51,13 @@
     pub admin: Option<SocketAddr>,
     /// Seed of the random number generators.
     pub seed: u64,
-    /// Maximum number of open file descriptors.
+    /// Number of file descriptors that the processes of the gateway may have open together.
     pub max_descriptors: usize,
     /// Memory limit of the gateway, in bytes.
     pub memory_bytes: usize,
     /// Address of the discovery service. `None`: the endpoint list changes only with the configuration file.
     pub discovery: Option<SocketAddr>,
-    /// Endpoint list at the start, before the discovery service sends any event.
+    /// Endpoint list at the start, before the discovery service sends any event. The list of a predecessor replaces it.
     pub known_list: KnownList,
     /// Settings of the workload manager.
     pub settings: Settings,
@@ -80,7 +80,7 @@
 /// Endpoint list at the start, from `config.json`.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct KnownList {
-    /// Number of the last event. The discovery service is requested to send the events after it.
+    /// Number of the last event, or 0 without one. The discovery service is requested to send the events after it.
     pub last_index: u64,
     /// Events of the list, in order.
     pub events: Vec<EndpointListEvent>,
@@ -89,11 +89,11 @@
 /// Limits and options of client connections.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClientSettings {
-    /// Maximum number of sessions. `None`: only the descriptors limit the number.
+    /// Maximum number of sessions. `None`: derived from the descriptors by [`crate::net::max_sessions`].
     pub max_sessions: Option<usize>,
     /// Idle time after which a session is closed, in microseconds. `None`: no limit.
     pub idle_limit_us: Option<u64>,
-    /// Length of the kernel's queue of connections that have not been accepted.
+    /// Maximum length of the kernel's queue of connections that have not been accepted.
     pub backlog: u32,
     /// `None`: TCP keepalive is disabled.
     pub keepalive: Option<TcpKeepalive>,
--- a/gateway/src/config/names.rs
+++ b/gateway/src/config/names.rs
@@ -4,7 +4,8 @@
 
 use workload_manager::{ClassId, TenantId};
 
-/// Names in the settings. A name's position in its list is the number that the workload manager uses.
+/// Names in the settings. A name's position in `classes`, `machine_types`, `zones` or `tenants` is the number that the
+/// workload manager uses.
 #[derive(Clone, Debug, Default)]
 pub struct SettingsNames {
     /// Indexed by [`ClassId`].
@@ -15,7 +16,7 @@
     pub zones: Vec<String>,
     /// Indexed by [`TenantId`].
     pub tenants: Vec<String>,
-    /// Names of the quantities in the fields x0 and x1 of a load report.
+    /// Names of the quantities in the fields x0 and x1 of a load report. Empty: the field has no meaning.
     pub load_report_extras: [String; 2],
     /// Numbers of classes that are not in the current settings. They are not assigned to new requests.
     pub retired_classes: BTreeSet<usize>,
--- a/gateway/src/config/operator_file.rs
+++ b/gateway/src/config/operator_file.rs
@@ -1,5 +1,6 @@
-//! The operator's TOML file: settings that the platform does not provide. An absent key has its default value. An
-//! unknown key or an invalid value is an error with file, line and key.
+//! The operator's TOML file: settings that the platform does not provide. An absent key has its default value, except
+//! the required keys of optional tables. An unknown key, a missing required key or an invalid value is an error with
+//! file, line and key.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/gateway/src/config/site.rs
+++ b/gateway/src/config/site.rs
@@ -126,7 +126,7 @@
     })
 }
 
-/// Reads the retry budget. Without the key `look-back-s`, retries have no budget.
+/// Reads the retry budget. Without the key `look-back-s`, the number of retries is unlimited.
 fn read_retry_budget(rules: &JsonField<'_>) -> Result<Option<RetryBudget>, JsonError> {
     let window = rules.get("look-back-s");
     if !window.is_present() {
--- a/gateway/src/config/toml_file.rs
+++ b/gateway/src/config/toml_file.rs
@@ -29,7 +29,7 @@
     /// Parses the text.
     ///
     /// # Errors
-    /// The text is not TOML, a key is unknown or missing, or a value is of the wrong type.
+    /// The text is not TOML, a key is unknown or missing, or a value is invalid.
     pub fn parse<T: DeserializeOwned>(&self) -> Result<T, TomlError> {
         toml::from_str(self.text).map_err(|e| {
             let start = e.span().map_or(0, |span| span.start);
--- a/gateway/src/control_plane/client.rs
+++ b/gateway/src/control_plane/client.rs
@@ -15,13 +15,13 @@
 use crate::config::ControlPlaneSettings;
 use crate::event_stream::{EventStream, EventStreamError};
 
-/// Timeout of opening a connection. The next attempt uses another server.
+/// Timeout of opening the connection of the stream. The next attempt uses the next server.
 const CONNECT_TIMEOUT_US: u64 = 1_000_000;
 /// Interval between two checks of an established stream for silence.
 const SILENCE_CHECK_INTERVAL_US: u64 = 1_000_000;
 /// Maximum size of an event: a message and the surrounding fields.
 const MAX_EVENT_BYTES: usize = MAX_MESSAGE_BYTES + 64 * 1024;
-/// Timeout of the response to a report, after which the report is retried.
+/// Timeout from opening the connection of a report to the response.
 const REPORT_TIMEOUT_US: u64 = 2_000_000;
 /// Upper bound of the random delay before the first retry of a report.
 const REPORT_BACKOFF_INITIAL_US: u64 = 250_000;
@@ -48,7 +48,7 @@
 /// A report that no server has accepted yet.
 struct PendingReport {
     report: Report,
-    /// Time of the next attempt to send the report, in microseconds.
+    /// Time of the next attempt to send the report, or of the timeout of the attempt in progress, in microseconds.
     due_us: u64,
     failures: u32,
 }
@@ -87,7 +87,7 @@
         self.subscriber.in_force()
     }
 
-    /// Address of the server for the next connection.
+    /// Address of the selected server: that of the open stream, or of the next one. Reports are sent to it, too.
     pub fn server(&self) -> SocketAddr {
         self.servers[self.subscriber.server()]
     }
@@ -103,8 +103,8 @@
         self.report.as_ref().map_or(stream_us, |report| stream_us.min(report.due_us))
     }
 
-    /// Whether the stream has to be closed: its connection was not established in time, it is silent, or its server
-    /// offers only versions older than the one in force.
+    /// Whether the stream has to be closed: its connection was not established in time, or for too long the stream was
+    /// silent or its server announced only versions older than the one in force.
     pub fn is_stream_lost(&self, now_us: u64) -> bool {
         let is_late = |stream: &Stream| !stream.is_up && now_us >= stream.opened_us + CONNECT_TIMEOUT_US;
         self.stream.as_ref().is_some_and(is_late) || self.subscriber.is_timed_out(now_us)
@@ -151,7 +151,7 @@
         read
     }
 
-    /// Handles the next complete message of the stream. `None`: no message is complete.
+    /// Handles the next complete message of the stream. `None`: no message is complete, or there is no stream.
     pub fn next_message(&mut self, now_us: u64) -> Option<MessageOutcome> {
         let event = self.stream.as_mut()?.events.next_event()?;
         let newest_before = self.subscriber.newest_seen();
@@ -178,7 +178,8 @@
         self.set_report(report);
     }
 
-    /// Whether to send the pending report, for the first time or again.
+    /// Whether to send the pending report, for the first time or again, or to give up an attempt in progress, which has
+    /// timed out.
     pub fn is_report_due(&self, now_us: u64) -> bool {
         self.report.as_ref().is_some_and(|report| now_us >= report.due_us)
     }
--- a/gateway/src/control_plane/requests.rs
+++ b/gateway/src/control_plane/requests.rs
@@ -15,7 +15,7 @@
     gateway.0.chars().filter(char::is_ascii_graphic).collect()
 }
 
-/// Writes the request for the stream of versions after the version in force.
+/// Writes the request for the stream of versions after `position`.
 pub fn write_stream_request(gateway: &GatewayId, position: Position, out: &mut Vec<u8>) {
     // Writing to a vector never fails.
     let _ = write!(
@@ -47,7 +47,7 @@
     Incomplete,
     /// The server has accepted the report.
     Accepted,
-    /// The server has not accepted the report, or the response is not HTTP.
+    /// The server has not accepted the report, or the response is not HTTP or too long.
     Failed,
 }
 
--- a/gateway/src/core/attempts.rs
+++ b/gateway/src/core/attempts.rs
@@ -76,9 +76,9 @@
 }
 
 impl Core {
-    /// Starts the next attempt of a request. The attempt ends with [`Outcome::NeverSent`] if the request has another
-    /// attempt in flight, the engine is not ready, or the limit of attempts or the deadline has been reached. `timeout`
-    /// is in seconds.
+    /// Starts the next attempt of a request, unless the request is no longer open. The attempt ends with
+    /// [`Outcome::NeverSent`] if the request has another attempt in flight, the engine is not ready, or the limit of
+    /// attempts or the deadline has been reached. `timeout` is in seconds. `None`: the request's deadline applies.
     pub(super) fn start_attempt(
         &mut self,
         now_us: u64,
@@ -118,7 +118,7 @@
         commands.push(Command::StartAttempt { attempt: id, engine, terms, limits });
     }
 
-    /// Sets the terms of the attempts of a request. An attempt in flight gets the new priority.
+    /// Sets the terms of a request's later attempts. An attempt in flight gets the priority if it has changed.
     pub(super) fn set_attempt_terms(
         &mut self,
         request: RequestId,
--- a/gateway/src/core/command.rs
+++ b/gateway/src/core/command.rs
@@ -13,15 +13,16 @@
     pub priority: u8,
 }
 
-/// Time limits of an attempt. The engine connections enforce them.
+/// Time limits of an attempt, and the handling of its loss.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptLimits {
-    /// Time after which the engine may drop the attempt, in microseconds.
+    /// Time after which the engine may drop the attempt, in microseconds. The engine receives the remaining time.
     pub deadline_us: u64,
     /// Time before which the first byte of the attempt must be sent, in microseconds. An attempt whose connection is
     /// established later is not sent.
     pub send_deadline_us: u64,
-    /// The request has an order key: the next request of the key waits for the attempt's end.
+    /// The request has an order key: the next request of the key waits for the attempt's end, which has to be confirmed
+    /// if the attempt is lost.
     pub has_order_key: bool,
 }
 
@@ -36,7 +37,7 @@
         engine: EngineId,
         /// Sent to the engine with the request.
         terms: AttemptTerms,
-        /// Enforced by the engine connections.
+        /// Times by which the attempt has to be sent and to end.
         limits: AttemptLimits,
     },
     /// Change the priority of an attempt in flight.
@@ -61,14 +62,14 @@
     Fail(RequestId),
     /// Claim the lease of a key from a peer process.
     ClaimLease {
-        /// Order key of at least one waiting request.
+        /// Order key for which a request of this process, or a claim of another peer, is waiting.
         key: KeyId,
         /// Peer that holds the lease, or is nearer to the holder.
         holder: PeerProcessId,
     },
     /// Grant the lease of a key to a peer process.
     GrantLease {
-        /// Order key that no request of this process uses.
+        /// Order key that no admitted request and no attempt of this process uses.
         key: KeyId,
         /// New holder of the lease.
         to: PeerProcessId,
--- a/gateway/src/core/input.rs
+++ b/gateway/src/core/input.rs
@@ -10,9 +10,9 @@
 /// A request that a front end passes to the core.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NewRequest {
-    /// Determines deadline, idempotency, priority and allowed engines.
+    /// Determines idempotency, ordering by key, priority and allowed engines.
     pub class: ClassId,
-    /// Tenant whose quota the request counts against. `None`: the request counts against no quota.
+    /// Tenant that sent the request. `None`: the request names no tenant. The workload manager ignores it.
     pub tenant: Option<TenantId>,
     /// Time at which the client stops waiting, in microseconds of the core's clock.
     pub deadline_us: u64,
@@ -24,7 +24,7 @@
     pub table_group: Option<TableGroupId>,
     /// Order key. Ignored in a class that is not ordered by key.
     pub key: Option<KeyId>,
-    /// The client has sent the request before.
+    /// Whether the client marks the request as a retry of an earlier one.
     pub is_retry: bool,
 }
 
@@ -54,17 +54,17 @@
         /// Load report from the engine's response.
         load_report: Option<LoadReport>,
     },
-    /// No response to an attempt will arrive any more.
+    /// An attempt was given up although its engine may still run it, for a bounded time.
     AttemptLost {
         /// The input is ignored unless this attempt is in flight.
         attempt: AttemptId,
         /// Time until which the engine may run the attempt.
         runs_until_us: u64,
     },
-    /// The end of an attempt with an order key was not reported. Until [`Input::AttemptEndConfirmed`] follows, it is
-    /// unknown how long the engine may run the attempt.
+    /// An attempt with an order key was given up. Until [`Input::AttemptEndConfirmed`] follows, it is unknown how long
+    /// the engine may run the attempt. The input is ignored unless the attempt is in flight.
     AttemptUnconfirmed(AttemptId),
-    /// The end of an unconfirmed attempt is confirmed.
+    /// An unconfirmed attempt has ended, or will have ended by a known time.
     AttemptEndConfirmed {
         /// The input is ignored unless this attempt is unconfirmed.
         attempt: AttemptId,
@@ -80,13 +80,13 @@
     },
     /// The client has disconnected or cancelled its request. The core gives no final answer to the request.
     ClientLeft(RequestId),
-    /// The gateway shuts down. Every open request gets its final answer.
+    /// This process shuts down. Every open request gets its final answer in this turn.
     ShuttingDown,
     /// An event of a peer process of this gateway.
     PeerProcess {
         /// Number of the connection to the peer.
         peer: PeerProcessId,
-        /// Message of the peer, or the end of its connection.
+        /// Role or message of the peer, or its exit.
         event: PeerProcessEvent,
     },
 }
@@ -100,7 +100,7 @@
     ClaimsLease(KeyId),
     /// The peer grants the lease of a key to this process.
     GrantsLease(KeyId),
-    /// The peer has exited.
+    /// The connection to the peer has ended, which counts as the exit of the peer.
     Exited {
         /// Time by which all attempts of the peer have ended and their key cooldowns are over, in microseconds.
         cooldown_until_us: u64,
--- a/gateway/src/core/key_leases.rs
+++ b/gateway/src/core/key_leases.rs
@@ -10,8 +10,9 @@
 //! There are two differences from the paper:
 //! - Several requests of the holder may use a lease at once, because the workload manager orders them. `use_count`
 //!   counts these requests and their attempts.
-//! - An unused lease returns to the root, so that the table contains only keys in use. The lease of a key that is not
-//!   in the table is held by the predecessor, or by this process if there is no predecessor.
+//! - An unused lease returns to the root, so that the table contains only keys that are in use, claimed, in cooldown or
+//!   granted to a successor. The lease of a key that is not in the table is held by the predecessor, or by this process
+//!   if there is no predecessor.
 //!
 //! This module does no I/O and reads no clock. Times are whole microseconds of the core's clock. Methods append the
 //! resulting [`LeaseEffect`]s to a list, in the order in which they have to be carried out.
@@ -68,14 +69,14 @@
     holder: Option<PeerProcessId>,
     /// The lease has been claimed from `holder`.
     has_claimed: bool,
-    /// Number of open admitted requests and of attempts that have not ended.
+    /// Number of open admitted requests, of attempts in flight, and of lost attempts whose end is not confirmed.
     use_count: u32,
     /// End of the cooldown after attempts of this process. The lease is not granted to a peer before this time.
     /// Requests of this process need not wait for it, because the workload manager tracks this cooldown itself.
     cooldown_until_us: u64,
     /// End of the cooldown after attempts of a peer that has exited. Requests of this process wait for it too.
     inherited_cooldown_until_us: u64,
-    /// Time of the last [`LeaseEffect::WakeAt`].
+    /// Time of the last [`LeaseEffect::WakeAt`]. 0: there was none.
     wake_at_us: u64,
     /// Waiting claims, in order of arrival.
     request_queue: VecDeque<Claimant>,
@@ -87,7 +88,7 @@
     leases: BTreeMap<KeyId, KeyLease>,
     /// Process that this one replaces, until it exits. It holds all leases that are not in the table.
     predecessor: Option<PeerProcessId>,
-    /// End of the cooldown of all keys after attempts of a predecessor that has exited.
+    /// End of the cooldown after attempts of a predecessor that has exited. Applies to keys that are not in the table.
     inherited_cooldown_until_us: u64,
 }
 
@@ -97,8 +98,8 @@
         self.predecessor = Some(predecessor);
     }
 
-    /// Moves the leases of a peer that has exited to this process. `cooldown_until_us` is the time by which all
-    /// attempts of the peer have ended and their key cooldowns are over.
+    /// Moves the leases of a peer that has exited to this process and removes the peer's claims. `cooldown_until_us` is
+    /// the time by which all attempts of the peer have ended and their key cooldowns are over.
     pub fn on_peer_exited(
         &mut self,
         now_us: u64,
@@ -200,7 +201,7 @@
         self.serve_queue(now_us, key, effects);
     }
 
-    /// End of the last cooldown of all keys, in microseconds.
+    /// End of the last cooldown of all keys, in microseconds. 0: no key has had a cooldown.
     pub fn last_cooldown_end_us(&self) -> u64 {
         let ends = self.leases.values().map(KeyLease::last_cooldown_end_us);
         ends.fold(self.inherited_cooldown_until_us, u64::max)
@@ -219,9 +220,9 @@
         })
     }
 
-    /// Serves waiting claims of a key until one has to wait (the paper's *assign privilege* and *make request*). A key
-    /// that is neither used nor claimed is removed from the table, except during its cooldown or while a successor
-    /// holds the lease.
+    /// Serves waiting claims of a key until one has to wait (the paper's *assign privilege* and *make request*). If the
+    /// key is then neither used nor claimed, its lease returns to the predecessor, and the key is removed from the
+    /// table. Neither happens during the key's cooldown or while a successor holds the lease.
     fn serve_queue(&mut self, now_us: u64, key: KeyId, effects: &mut Vec<LeaseEffect>) {
         let Some(lease) = self.leases.get_mut(&key) else { return };
         while let Some(first) = lease.request_queue.front().copied() {
--- a/gateway/src/core/mod.rs
+++ b/gateway/src/core/mod.rs
@@ -7,7 +7,8 @@
 //!
 //! Invariants, whatever actions the workload manager returns:
 //!
-//! - A request gets one final answer, before its client's deadline, and none once its client has left (`requests`).
+//! - A request gets one final answer, or none if its client leaves first (`requests`). It is given at the latest in the
+//!   first turn at or after the client's deadline minus `CLIENT_DEADLINE_MARGIN_US` (`rules`).
 //! - A request never has two attempts in flight, and a lost attempt is never followed by another (`attempts`).
 //! - A request is rejected only where a retry by its client is safe (`rules`).
 //! - Requests of one order key reach the workload manager only while this process holds the key's lease (`order_keys`).
@@ -65,7 +66,7 @@
     /// Creates a core with a new workload manager. `seed` initializes the workload manager's random numbers.
     ///
     /// # Errors
-    /// The settings are contradictory or out of range.
+    /// The settings are invalid, see [`Settings::check`].
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         Ok(Self {
             rules: RequestRules::new(&settings),
@@ -86,7 +87,7 @@
     /// leases. Settings that belong to no class apply to all requests immediately.
     ///
     /// # Errors
-    /// The settings are contradictory or out of range. The previous settings stay in force.
+    /// The settings are invalid, see [`SettingsChange::check`]. The previous settings stay in force.
     pub fn reconfigure(&mut self, change: SettingsChange) -> Result<(), SettingsError> {
         let rules = RequestRules::new(&change.settings);
         self.workload_manager.reconfigure(change)?;
@@ -121,14 +122,15 @@
         self.timers.lag()
     }
 
-    /// Number of armed timers: one for each open request, one for each attempt with a timeout, and the timers of key
-    /// cooldowns and of the workload manager.
+    /// Number of armed timers: one for each open request, one for each attempt with a timeout that has not passed, and
+    /// the timers of key cooldowns and of the workload manager.
     pub fn timer_count(&self) -> usize {
         self.timers.len()
     }
 
-    /// Handles all inputs in order, then the timers that are due. The workload manager's actions for one input or timer
-    /// are carried out before the next one is handled.
+    /// Removes and handles all inputs in order, then the timers that are due. The workload manager's actions for one
+    /// input or timer are carried out before the next one is handled. The commands that result are appended to
+    /// `commands`.
     pub fn turn(&mut self, now_us: u64, inputs: &mut Vec<Input>, commands: &mut Vec<Command>) {
         for input in inputs.drain(..) {
             self.on_input(now_us, input, commands);
--- a/gateway/src/core/order_keys.rs
+++ b/gateway/src/core/order_keys.rs
@@ -10,7 +10,7 @@
 impl Core {
     /// Time until which no peer process may use the keys that this process has used, if this process exits at `now_us`,
     /// in microseconds. `abandon_timeout_us` is the time after which engines drop the attempts of an exited gateway.
-    pub fn cooldown_after_exit_us(&self, now_us: u64, abandon_timeout_us: u64) -> u64 {
+    pub fn exit_cooldown_end_us(&self, now_us: u64, abandon_timeout_us: u64) -> u64 {
         let has_keyed_attempts = !self.unconfirmed_attempts.is_empty()
             || self.in_flight.iter().any(|attempt| attempt.key.is_some());
         let attempts_cooldown_end_us =
--- a/gateway/src/core/rules.rs
+++ b/gateway/src/core/rules.rs
@@ -1,15 +1,16 @@
-//! Rules of retry safety that the core enforces for every action of the workload manager, with their limits from the
-//! settings.
+//! Rules that the core enforces whatever actions the workload manager returns: retry safety, number of attempts, answer
+//! times and key cooldowns. Most of their limits come from the settings.
 
 use workload_manager::{ClassId, Idempotency, KeyId, Settings};
 
 use super::time::micros;
 
-/// Minimum time between the core's answer and the client's deadline. The time covers the transmission of the request,
-/// which ends before the gateway measures its arrival, and the transmission of the answer.
+/// Time before the client's deadline at which the core answers at the latest. The time covers the transmission of the
+/// request, which ends before the gateway measures its arrival, and the transmission of the answer.
 pub(super) const CLIENT_DEADLINE_MARGIN_US: u64 = 25_000;
 
-/// Retry-After of requests that the core rejects: shutdown, lease not granted in time, unresponsive engine.
+/// Maximum Retry-After of requests that the core itself rejects: shutdown, lease not granted in time, lost attempt. The
+/// settings may limit it further.
 const CORE_RETRY_AFTER_SECONDS: f64 = 0.05;
 
 /// Limits that the core enforces.
@@ -22,7 +23,7 @@
     /// 0: no limit.
     max_attempts: u32,
     clock_resolution_us: u64,
-    /// Retry-After of requests that the core rejects. `None` if the settings disable Retry-After.
+    /// Retry-After of requests that the core itself rejects. `None` if the settings disable Retry-After.
     retry_after_seconds: Option<f64>,
 }
 
@@ -40,7 +41,7 @@
         }
     }
 
-    /// Retry-After of a request that the core rejects, in seconds.
+    /// Retry-After of a request that the core itself rejects, in seconds. `None` if the settings disable Retry-After.
     pub(super) fn retry_after_seconds(&self) -> Option<f64> {
         self.retry_after_seconds
     }
@@ -50,7 +51,7 @@
         client_deadline_us.saturating_sub(CLIENT_DEADLINE_MARGIN_US)
     }
 
-    /// Order key of a request of this class. `None` if the class is not ordered by key.
+    /// Order key of a request of this class. `None` if the request has no key or the class is not ordered by key.
     pub(super) fn order_key(&self, class: ClassId, key: Option<KeyId>) -> Option<KeyId> {
         key.filter(|_| self.ordered_by_key[class.0])
     }
@@ -65,9 +66,9 @@
         self.idempotency[class.0].client_may_retry(may_have_run)
     }
 
-    /// Time until which another attempt of a request may start. `may_have_run_since_us` is the start time of the first
-    /// attempt that may have run. Engines detect repeats of an idempotency key only within the window of the class, and
-    /// their clocks may differ by the clock resolution.
+    /// Time until which another attempt of a request may start. `u64::MAX`: no limit. `may_have_run_since_us` is the
+    /// start time of the first attempt that may have run. Engines detect repeats of an idempotency key only within the
+    /// window of the class, and their clocks may differ by the clock resolution.
     pub(super) fn retry_window_end_us(&self, class: ClassId, may_have_run_since_us: Option<u64>) -> u64 {
         match (self.idempotency[class.0], may_have_run_since_us) {
             (Idempotency::Keyed { window, .. }, Some(since_us)) => {
--- a/gateway/src/core/tests.rs
+++ b/gateway/src/core/tests.rs
@@ -250,7 +250,7 @@
         "the client is answered immediately"
     );
     assert!(
-        fixture.core.cooldown_after_exit_us(fixture.now_us, SECOND_US) > fixture.now_us,
+        fixture.core.exit_cooldown_end_us(fixture.now_us, SECOND_US) > fixture.now_us,
         "a successor must wait as well"
     );
     assert_eq!(started(&fixture.advance(3 * SECOND_US)), None, "the attempt may run for an unknown time");
--- a/gateway/src/core/time.rs
+++ b/gateway/src/core/time.rs
@@ -7,7 +7,7 @@
     us as f64 / 1e6
 }
 
-/// Rounds down. A negative duration becomes 0.
+/// Rounds down. A negative duration becomes 0, and a longer one than [`MAX_DURATION_US`] is shortened to it.
 pub(super) fn micros(seconds: f64) -> u64 {
     (seconds.max(0.0) * 1e6).min(MAX_DURATION_US) as u64
 }
--- a/gateway/src/counters.rs
+++ b/gateway/src/counters.rs
@@ -25,37 +25,37 @@
 counters! {
     /// Turns of the event loop.
     turns,
-    /// Client connections accepted.
+    /// Client connections that got a session, including those that got it only to receive an error.
     clients,
-    /// Client connections rejected for lack of descriptors or memory.
+    /// Client connections rejected with an error because of the session limit, or for lack of descriptors or memory.
     turned_away,
-    /// Idle client connections closed to make room for others.
+    /// Idle, slow or closing client connections closed to make room for others.
     evicted,
     /// Client connections closed because the start of a session or a message was not complete in time.
     timed_out,
     /// Client connections closed because they exceeded the idle limit of the configuration.
     idle_closed,
-    /// Client connections closed, or requests and statements rejected, because the memory budget was exhausted.
+    /// Client connections closed, or requests and statements rejected, because the memory budget was short.
     no_memory,
-    /// Requests rejected because they would not have been processed before their deadlines.
+    /// Requests rejected by admission because they would not have been processed before their deadlines.
     too_late,
-    /// Requests passed to the core.
+    /// Requests admitted and passed to the core.
     taken,
     /// Requests, statements and other messages of clients rejected because they are invalid or too large.
     invalid,
-    /// Final answers: served.
+    /// Requests answered with the result of a successful attempt.
     served,
-    /// Final answers: rejected.
+    /// Requests rejected, by admission or by the core.
     refused,
-    /// Final answers: failed.
+    /// Admitted requests answered with an error, including the errors of MySQL statements.
     failed,
     /// Requests whose client disconnected or cancelled them before the final answer.
     left,
     /// Attempts forwarded to an engine.
     sent,
-    /// Attempts cancelled.
+    /// Attempts cancelled, including those that were not forwarded.
     stopped,
-    /// Calls to engines repeated because their responses were invalid or missing.
+    /// Calls of attempts repeated over another connection because no usable response arrived.
     asked_again,
     /// Connections to engines, including those that were not established.
     engine_connects,
@@ -67,11 +67,11 @@
     ended_failure,
     /// Attempts for which no connection could be opened.
     ended_unreachable,
-    /// Attempts whose connection failed.
+    /// Always 0: an attempt whose connection has failed is continued, cancelled or counted as timed out.
     ended_broken,
-    /// Attempts that ended after they were cancelled.
+    /// Attempts whose cancellation was confirmed, or that their engine no longer has.
     ended_withdrawn,
-    /// Attempts whose engine reported no end.
+    /// Attempts that were given up because their engine reported no end.
     ended_timed_out,
     /// Attempts that were never sent.
     ended_void,
--- a/gateway/src/discovery/endpoint.rs
+++ b/gateway/src/discovery/endpoint.rs
@@ -12,7 +12,7 @@
 pub struct Endpoint {
     /// Identifies the engine.
     pub name: String,
-    /// Address of the engine's HTTP interface.
+    /// Address of the engine's HTTP interface. 127.0.0.1:0 if the entry of a removed engine has no address.
     pub address: SocketAddr,
     /// Name of the zone. May be empty.
     pub zone: String,
@@ -29,7 +29,7 @@
 /// An event of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointListEvent {
-    /// Number of the event. Numbers increase by one.
+    /// Number of the event, one more than that of the previous event. 0 in an event of the gateway itself.
     pub index: u64,
     /// Whether the entries are the whole list. Otherwise they are the changes since the previous event.
     pub is_full: bool,
@@ -103,7 +103,7 @@
 /// Reads an entry of the list.
 ///
 /// # Errors
-/// A value is missing or can't be read.
+/// The name, the state, or the address of an engine that is not removed is missing, or a value can't be read.
 pub fn read_endpoint(entry: &JsonField<'_>) -> Result<Endpoint, JsonError> {
     let status = entry.get("status");
     let name = status.string()?;
--- a/gateway/src/discovery/engine_registry.rs
+++ b/gateway/src/discovery/engine_registry.rs
@@ -14,7 +14,7 @@
 /// Bytes of the gateway's memory limit for each stored name, if the limit allows more than [`MIN_KNOWN_NAMES`] names.
 const MEMORY_BYTES_PER_NAME: usize = 8192;
 
-/// The registry has no engine of this name.
+/// The name is not in the registry: the engine was never listed, or its name was evicted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("no engine of this name was ever listed")]
 pub struct UnknownEngine;
@@ -48,7 +48,8 @@
     /// Applies an event of the list and returns the effective event. In the effective event, an engine in maintenance
     /// is draining, and an engine after maintenance has started at the end of its maintenance or later.
     ///
-    /// An engine whose entry can't be read keeps its previous entry but is draining, because its state is unknown.
+    /// An engine whose entry can't be read keeps its previous entry but is draining, because its state is unknown. An
+    /// engine without a previous entry is not listed.
     pub fn apply(&mut self, event: &EndpointListEvent) -> EndpointListEvent {
         let unreadable = event.unreadable.iter().filter_map(|u| self.endpoints.get(u.name.as_ref()?));
         let mut entries: Vec<Endpoint> =
@@ -81,7 +82,7 @@
     }
 
     /// Adds a known name. The oldest names are evicted beyond the limit, except names of listed engines and of engines
-    /// in maintenance.
+    /// in maintenance, which may exceed it.
     pub fn remember(&mut self, name: &str) {
         if !self.known_names.insert(name.to_owned()) {
             return;
--- a/gateway/src/discovery/silence.rs
+++ b/gateway/src/discovery/silence.rs
@@ -11,7 +11,8 @@
 const MISSED_PERIODS_JITTER: f64 = 0.5;
 /// Longest permitted silence. The platform expects gateways to observe a drain within 7 s.
 const MAX_SILENCE_US: f64 = 5e6;
-/// Weight of a period that is shorter than the estimate. A longer period replaces the estimate.
+/// Weight of a period that is shorter than the estimate. A longer period replaces the estimate. The estimate does not
+/// fall below a quarter of [`DEFAULT_PERIOD_US`].
 const SHORTER_PERIOD_WEIGHT: f64 = 0.125;
 /// Growth factor of the estimate when a stream becomes silent before its period is known.
 const UNKNOWN_PERIOD_GROWTH_RATIO: f64 = 1.5;
@@ -20,8 +21,8 @@
 #[derive(Clone, Debug)]
 pub struct SilenceDetector {
     last_activity_us: u64,
-    /// Number of comments received on the current stream.
-    comments: u32,
+    /// Number of reads of the current stream in which no event ended, after that of the response head.
+    comment_reads: u32,
     /// Estimated time between two comments.
     period_us: f64,
     /// Periods without a line after which a stream is dead. The value differs between gateways, so that they don't all
@@ -34,7 +35,7 @@
     pub fn new(random: f64) -> Self {
         Self {
             last_activity_us: 0,
-            comments: 0,
+            comment_reads: 0,
             period_us: DEFAULT_PERIOD_US,
             max_missed_periods: MIN_MISSED_PERIODS + MISSED_PERIODS_JITTER * random,
         }
@@ -42,23 +43,23 @@
 
     /// Records that a stream is being opened or that its connection is established.
     pub fn on_open(&mut self, now_us: u64) {
-        (self.last_activity_us, self.comments) = (now_us, 0);
+        (self.last_activity_us, self.comment_reads) = (now_us, 0);
     }
 
-    /// Records that whole lines were read. `only_comments`: no event ended among them.
+    /// Records that whole lines were read. `only_comments`: neither the response head nor an event ended among them.
     pub fn on_lines(&mut self, now_us: u64, only_comments: bool) {
         let gap_us = now_us.saturating_sub(std::mem::replace(&mut self.last_activity_us, now_us)) as f64;
         if only_comments {
-            self.comments += 1;
-            let decrease_us = SHORTER_PERIOD_WEIGHT * (gap_us - self.period_us);
-            self.period_us = gap_us.max(self.period_us + decrease_us).max(DEFAULT_PERIOD_US / 4.0);
+            self.comment_reads += 1;
+            let change_us = SHORTER_PERIOD_WEIGHT * (gap_us - self.period_us);
+            self.period_us = gap_us.max(self.period_us + change_us).max(DEFAULT_PERIOD_US / 4.0);
         }
     }
 
     /// Records that the stream was closed because of its silence. If its period was not known yet, the period may be
     /// longer than the estimate, which therefore grows.
     pub fn on_silence(&mut self) {
-        if self.comments < 2 {
+        if self.comment_reads < 2 {
             self.period_us *= UNKNOWN_PERIOD_GROWTH_RATIO;
         }
     }
--- a/gateway/src/discovery/stream.rs
+++ b/gateway/src/discovery/stream.rs
@@ -6,12 +6,12 @@
 use crate::event_stream::EventStream;
 use crate::json::JsonError;
 
-/// Maximum JSON size of an endpoint in an event.
+/// JSON size of an endpoint in an event that [`MIN_ENDPOINTS`] allows for. Single endpoints may be larger.
 const MAX_ENDPOINT_BYTES: usize = 512;
-/// Number of endpoints in one event that are accepted regardless of the memory limit.
+/// Number of endpoints of [`MAX_ENDPOINT_BYTES`] in one event that are accepted regardless of the memory limit.
 const MIN_ENDPOINTS: usize = 1024;
-/// The maximum size of an event is the gateway's memory limit divided by this number, because the parsed form of an
-/// event is several times as large as its text.
+/// Above that minimum, the maximum size of an event is the gateway's memory limit divided by this number, because the
+/// parsed form of an event is several times as large as its text.
 const MEMORY_DIVISOR: usize = 16;
 
 /// Writes the request for the stream of events after event `last_index`.
@@ -29,7 +29,7 @@
     /// The response is not an event stream, or an event is too long.
     #[error("the response of the discovery service is not an event stream, or an event is too long")]
     NotAStream,
-    /// The event with this number can't be read.
+    /// The event with this number can't be read. 0: the event has no numeric id.
     #[error("event {0} can't be read: {1}")]
     UnreadableEvent(u64, JsonError),
 }
@@ -48,7 +48,7 @@
         self.0.line_count()
     }
 
-    /// Consumes bytes of `input` and appends the complete events to `events`, including those before an error.
+    /// Consumes bytes of `input` and appends the complete events to `events`, including those before an unreadable one.
     ///
     /// # Errors
     /// The stream can't be read any further.
--- a/gateway/src/discovery/watch.rs
+++ b/gateway/src/discovery/watch.rs
@@ -11,20 +11,20 @@
 //! Methods append the list events to be applied, in order, to their argument `events`. Their argument `random` returns
 //! a random number from 0 to 1.
 //!
-//! Invariant: events are applied in the order of their numbers. An event is applied at most once, or twice if it has
-//! entries that can't be read. `last_index` is the number of the last accepted event, and each stream is requested from
-//! the following event.
+//! Invariant: accepted events are applied once, in the order of their numbers. An event with entries that can't be read
+//! is also applied before it is accepted. `last_index` is the number of the last accepted or skipped event, and each
+//! stream is requested from the following event.
 
 use super::endpoint::EndpointListEvent;
 use super::silence::SilenceDetector;
 use super::stream::{EndpointStream, EndpointStreamError, write_stream_request};
 
-/// Mean time between two attempts to open the stream. The actual time is at random up to a quarter shorter or longer,
-/// because all gateways may lose their streams at the same time.
+/// Mean of the minimum time between two attempts to open the stream. The minimum of each attempt is at random up to a
+/// quarter shorter or longer, because all gateways may lose their streams at the same time.
 const MEAN_RETRY_INTERVAL_US: u64 = 200_000;
-/// Minimum time between two attempts, as a ratio of the mean.
+/// Shortest of these times, as a ratio of the mean.
 const MIN_JITTER_RATIO: f64 = 0.75;
-/// Difference between maximum and minimum time, as a ratio of the mean.
+/// Difference between the longest and the shortest of these times, as a ratio of the mean.
 const JITTER_RANGE_RATIO: f64 = 0.5;
 /// Timeout of opening a connection. A connection attempt that began during a network partition may succeed only long
 /// after the partition has ended.
@@ -32,7 +32,7 @@
 /// Maximum random delay before a lost stream is reopened. The delay is short because engines may begin to drain
 /// meanwhile.
 const MAX_RECONNECT_JITTER_US: u64 = 100_000;
-/// Maximum number of events that are buffered while missing events before them are requested.
+/// Number of buffered events at which they are applied although more of the missing events may follow.
 const MAX_BUFFERED_EVENTS: usize = 1024;
 
 /// Actions of the owner at a deadline.
@@ -77,9 +77,10 @@
     connect_started_us: u64,
     /// Time from which the stream may be opened again.
     retry_at_us: u64,
-    /// Number of the last event that could not be read, in whole or in part.
+    /// Number of the last event that could not be read, in whole or in part. 0: there was none.
     unreadable_index: u64,
-    /// Number of the last event before which events were missing. The missing events have been requested.
+    /// Number of the last event before which events were missing. The missing events have been requested. 0: there was
+    /// none.
     gap_index: u64,
     /// Events received after the request for missing events, up to `gap_index`. They are applied together, so that an
     /// outdated state of an engine does not take effect although a newer one is known.
@@ -103,7 +104,7 @@
         }
     }
 
-    /// Number of the last accepted event.
+    /// Number of the last accepted or skipped event.
     pub fn last_index(&self) -> u64 {
         self.last_index
     }
@@ -123,8 +124,8 @@
         }
     }
 
-    /// Closes a silent stream, and decides whether to open one. Two attempts to open a stream have a minimum interval,
-    /// in case the discovery service ends its streams immediately.
+    /// Closes a stream that is silent or was not established in time, and decides whether to open one. After a lost
+    /// connection, two attempts have a minimum interval, in case the discovery service ends its streams immediately.
     pub fn on_deadline(
         &mut self,
         now_us: u64,
@@ -210,13 +211,14 @@
         self.retry_at_us = self.retry_at_us.max(now_us + jitter_us);
     }
 
-    /// Closes the stream and opens another one without delay, because the address of the discovery service has changed.
+    /// Discards the stream, because the address of the discovery service has changed. The owner closes the connection,
+    /// and the next [`EndpointWatch::on_deadline`] opens another one without delay.
     pub fn reconnect(&mut self, events: &mut Vec<EndpointListEvent>) {
         self.close(events);
         self.retry_at_us = 0;
     }
 
-    /// Accepts an event from the configuration, unless a newer one has been accepted.
+    /// Accepts an event from the configuration, unless this event or a newer one has been accepted.
     pub fn on_known_event(&mut self, event: &EndpointListEvent, events: &mut Vec<EndpointListEvent>) {
         if event.index > self.last_index {
             events.append(&mut self.buffered_events);
--- a/gateway/src/event_stream.rs
+++ b/gateway/src/event_stream.rs
@@ -44,7 +44,7 @@
         self.lines
     }
 
-    /// Consumes bytes of `input`.
+    /// Consumes bytes of `input`. An incomplete response head or chunk size stays in `input`.
     ///
     /// # Errors
     /// The stream can't be read any further.
@@ -65,7 +65,7 @@
         Ok(())
     }
 
-    /// Removes and returns the next complete event. Comments are skipped.
+    /// Removes and returns the next complete event. Comments are skipped. `None`: no event is complete.
     pub fn next_event(&mut self) -> Option<ServerSentEvent> {
         while let Some((end, width)) = blank_line(&self.body) {
             let block: Vec<u8> = self.body.drain(..end + width).take(end).collect();
--- a/gateway/src/json.rs
+++ b/gateway/src/json.rs
@@ -1,6 +1,6 @@
 //! Typed access to JSON documents. Every error contains the path of the value in the document.
 //!
-//! [`JsonField`] is a path in a document, with or without a value. A `null` counts as absent.
+//! [`JsonField`] is a path in a document, with or without a value. A member that is `null` counts as absent.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -49,7 +49,8 @@
         Self { value: Some(value), path: path.to_owned() }
     }
 
-    /// Returns a member of an object. The field has no value if the member is absent.
+    /// Returns a member of an object. The field has no value if the member is absent or `null`, or if this field is not
+    /// an object.
     pub fn get(&self, key: &str) -> JsonField<'a> {
         let object = self.value.and_then(|v| v.get::<HashMap<String, JsonValue>>());
         let value = object.and_then(|o| o.get(key)).filter(|v| !matches!(v, JsonValue::Null));
--- a/gateway/src/live_reconfiguration/error.rs
+++ b/gateway/src/live_reconfiguration/error.rs
@@ -11,7 +11,7 @@
     /// The new settings can't be read or are invalid.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The new settings can't replace those in force without a restart.
+    /// The new settings can't replace those in force.
     #[error(transparent)]
     Refused(#[from] SettingsRefused),
     /// The workload manager rejects the new settings.
@@ -19,7 +19,8 @@
     WorkloadManager(#[from] SettingsError),
 }
 
-/// Reason for which settings can't replace those in force without a restart. The text is reported to the control plane.
+/// Reason for which settings can't replace those in force: they are invalid, or can only be applied by a restart. The
+/// text is reported to the control plane.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum SettingsRefused {
     /// A list has a duplicate name.
@@ -44,7 +45,7 @@
     /// The new settings don't have the tenant of a user of the MySQL front end.
     #[error("no project is called {0}, which is that of a user of the MySQL front")]
     TenantInUse(String),
-    /// The number of names that a list has had since the start exceeds the limit.
+    /// New names would raise the number of names that a list has had since the start above the limit.
     #[error("{list} have had more than {MAX_NAMES} names since the start")]
     TooManyNames {
         /// Key of the list in the settings.
@@ -53,7 +54,7 @@
     /// The deadline or the parallelism of a class is not positive, so that no request could be served.
     #[error("class {0}: its deadline and its parallelism must be more than 0")]
     UnusableClass(String),
-    /// The settings contradict each other or are out of range.
+    /// The settings have no class or no gateway, or a value that is negative or not a finite number.
     #[error("settings: {0}")]
     Settings(#[from] SettingsError),
 }
--- a/gateway/src/live_reconfiguration/mod.rs
+++ b/gateway/src/live_reconfiguration/mod.rs
@@ -1,7 +1,8 @@
 //! Live reconfiguration: prepares new settings to replace those in force while the gateway runs, without I/O.
 //!
 //! [`prepare`] takes the settings in force and new settings, both with their names. It converts the numbers of classes,
-//! machine types, zones and tenants in the new settings, so that requests and attempts in flight keep their numbers.
+//! machine types, zones and tenants in the new settings, so that numbers in use by requests, attempts and engines keep
+//! their meaning.
 //! Settings are applied as a whole or not at all: after a [`SettingsRefused`], the settings in force stay unchanged.
 //! The module `slots` assigns the numbers.
 
--- a/gateway/src/live_reconfiguration/slots.rs
+++ b/gateway/src/live_reconfiguration/slots.rs
@@ -14,7 +14,8 @@
 use super::{NamedSettings, SettingsRefused};
 use crate::config::SettingsNames;
 
-/// Maximum number of names of machine types, and of zones, since the start.
+/// Maximum number of names of machine types, and of zones, since the start. Names of the endpoint list count, but only
+/// names of new settings are refused.
 pub(super) const MAX_NAMES: usize = 1024;
 
 /// Adds the names of new machine types and zones, which assigns numbers to them.
@@ -49,9 +50,9 @@
     Class { allowed_machine_types, allowed_zones, ..class.clone() }
 }
 
-/// Returns all machine types, indexed by number. A machine type that the new settings no longer describe is unchanged,
-/// because engines of this type may still serve. A machine type without any description has the values of an unknown
-/// type.
+/// Returns the machine types up to the last described one, indexed by number. A machine type that the new settings no
+/// longer describe is unchanged, because engines of this type may still serve. A machine type without any description
+/// has the values of an unknown type.
 pub(super) fn machine_types(
     names: &SettingsNames,
     current: &Settings,
@@ -68,7 +69,8 @@
     described.into_iter().take(count).map(|known| known.unwrap_or_else(|| unknown.clone())).collect()
 }
 
-/// Assigns numbers to tenants. An existing tenant keeps its number. A new tenant gets a free number.
+/// Assigns numbers to tenants. An existing tenant keeps its number. A new tenant gets the number of a tenant that the
+/// settings no longer have, or the next number.
 pub(super) fn assign_tenants(
     names: &mut SettingsNames,
     current: &Settings,
@@ -104,7 +106,7 @@
     pub(super) origins: Vec<ClassOrigin>,
     /// Slots without a class of the new settings.
     pub(super) retired: BTreeSet<usize>,
-    /// Slots without a request, an attempt or a class of the new settings.
+    /// Slots without a request, an attempt or an assigned class of the new settings.
     free: BTreeSet<usize>,
 }
 
--- a/gateway/src/net/process_replacement/mod.rs
+++ b/gateway/src/net/process_replacement/mod.rs
@@ -169,7 +169,7 @@
     pub(super) fn announce_exit_to_peers(&mut self) {
         let now_us = self.time.now_us;
         let cooldown_us =
-            self.core.cooldown_after_exit_us(now_us, MAX_RUN_AFTER_LAST_CALL_US).saturating_sub(now_us);
+            self.core.exit_cooldown_end_us(now_us, MAX_RUN_AFTER_LAST_CALL_US).saturating_sub(now_us);
         let peers = self.peer_processes.iter().filter(|peer| peer.features.key_leases);
         let peers: Vec<PeerProcessId> = peers.map(|peer| peer.id()).collect();
         for peer in peers {
--- a/gateway/src/process_replacement/messages.rs
+++ b/gateway/src/process_replacement/messages.rs
@@ -2,10 +2,13 @@
 //!
 //! The successor sends [`Message::Hello`]. The predecessor responds with any number of [`Message::KnownEngine`],
 //! [`Message::Endpoint`] and [`Message::MaintenanceBegan`], and then [`Message::EndOfState`]. The successor sends
-//! [`Message::AcceptingClients`] once it accepts clients. After that, either side may send any of the other messages.
+//! [`Message::AcceptingClients`] once it accepts clients. From the end of the state on, either side may send messages
+//! on maintenance. After [`Message::AcceptingClients`], either side may also send messages on leases and on its exit,
+//! and the successor may send [`Message::CancelRequest`].
 //!
 //! The two processes may be of different releases, so members may be added but not changed. A reader ignores unknown
-//! members and treats absent flags as false.
+//! members and treats absent flags as false. An unknown message is an error, so a message that earlier releases lack is
+//! sent only to a peer that supports it according to its [`PeerFeatures`].
 
 use std::net::SocketAddr;
 
@@ -18,7 +21,7 @@
 /// Protocol version of this release. Other versions are rejected.
 pub const PROTOCOL_VERSION: u32 = 1;
 
-/// Maximum length of a line, in bytes. A longer incomplete line is an error.
+/// Maximum length of an incomplete line, in bytes.
 const MAX_LINE_BYTES: usize = 8192;
 
 /// Member names of messages. The member that is written first in `Message::members` identifies the message.
@@ -59,14 +62,14 @@
     Hello {
         /// Name of the gateway. Must be equal to the receiver's name.
         gateway: String,
-        /// Listen address for PostgreSQL clients.
+        /// Listen address for PostgreSQL clients. Must be equal to the receiver's, unless the port is 0.
         listen_address: SocketAddr,
     },
     /// The endpoint list contains or has contained an engine of this name.
     KnownEngine {
         /// Name as in the endpoint list.
         name: String,
-        /// End of the engine's last maintenance. 0: the engine had no maintenance.
+        /// End of the engine's last maintenance. 0: no maintenance has ended.
         maintenance_end_ms: u64,
     },
     /// An entry of the endpoint list.
@@ -83,7 +86,7 @@
         /// Time of the end. The engine counts as started at that time.
         end_ms: u64,
     },
-    /// The predecessor has sent its whole state.
+    /// The predecessor has sent its whole state. It supports these features.
     EndOfState(PeerFeatures),
     /// The successor has received a CancelRequest for an unknown session, which may be a session of the predecessor.
     CancelRequest {
@@ -112,13 +115,13 @@
 /// Error of reading messages.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 pub enum MessageError {
-    /// A line exceeds the maximum length.
+    /// An incomplete line exceeds the maximum length.
     #[error("a line is longer than {MAX_LINE_BYTES} bytes")]
     LineTooLong,
     /// A line is not a JSON object, or a member is missing or of the wrong type.
     #[error("a line is not a message of a process replacement")]
     Malformed,
-    /// The sender uses another protocol version.
+    /// The hello message has this protocol version, which is another one.
     #[error("protocol version {0} is not {PROTOCOL_VERSION}")]
     UnsupportedVersion(u32),
 }
@@ -239,7 +242,8 @@
 /// Removes the next complete message from `input`. `None`: no message is complete.
 ///
 /// # Errors
-/// A line is not a message. The rest of the input can't be read either.
+/// The next line is too long, is not a message, or has another protocol version. It stays in `input`, so that the rest
+/// can't be read either.
 pub fn read_next(input: &mut Vec<u8>) -> Result<Option<Message>, MessageError> {
     let Some(end) = input.iter().position(|byte| *byte == b'\n') else {
         return if input.len() > MAX_LINE_BYTES { Err(MessageError::LineTooLong) } else { Ok(None) };
--- a/gateway/src/tenants.rs
+++ b/gateway/src/tenants.rs
@@ -30,7 +30,7 @@
         self.accounts.values().map(|account| &*account.tenant)
     }
 
-    /// Finds a user's account.
+    /// Account of a user. `None`: the user is unknown.
     pub fn look_up(&self, user: &str) -> Option<&Account> {
         self.accounts.get(user)
     }
--- a/gateway/src/timer_lag.rs
+++ b/gateway/src/timer_lag.rs
@@ -5,12 +5,12 @@
 
 use hdrhistogram::Histogram;
 
-/// Upper bound of the recorded lag.
+/// Upper bound of the recorded lag. A longer lag is recorded as this value.
 const MAX_LAG_US: u64 = 60_000_000;
 
 const SIGNIFICANT_DIGITS: u8 = 2;
 
-/// Histogram of the lag of all timers that have fired since the start.
+/// Histogram of the lag of all timers of one timer wheel that have fired since the start.
 #[derive(Clone, Debug)]
 pub struct TimerLag {
     histogram: Option<Histogram<u32>>,
