--- a/gateway/src/admission.rs
+++ b/gateway/src/admission.rs
@@ -84,9 +84,9 @@
     pub work_ahead_us: u64,
     /// This process shuts down and accepts no new requests.
     pub shutting_down: bool,
-    /// Number of open requests.
+    /// Number of requests of this process that have no final answer.
     pub open_requests: usize,
-    /// Maximum number of open requests, from the settings.
+    /// Number of open requests from which further ones are rejected, from the settings.
     pub max_open_requests: usize,
     /// Result of checking the memory budget for the bytes of the request.
     pub memory: Result<(), InsufficientMemory>,
--- a/gateway/src/control_plane/client.rs
+++ b/gateway/src/control_plane/client.rs
@@ -59,7 +59,7 @@
     reason: String,
 }
 
-/// Client of the control plane servers.
+/// State of the stream, of the pending report, and of the version in force.
 pub struct ControlPlaneClient {
     servers: Vec<SocketAddr>,
     gateway: GatewayId,
--- a/gateway/src/core/command.rs
+++ b/gateway/src/core/command.rs
@@ -26,7 +26,7 @@
     pub has_order_key: bool,
 }
 
-/// A command of the core.
+/// An instruction to the event loop. Commands are executed in the order in which the core returns them.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
     /// Start an attempt.
--- a/gateway/src/core/input.rs
+++ b/gateway/src/core/input.rs
@@ -7,7 +7,7 @@
 
 use super::{AttemptId, PeerProcessId};
 
-/// A request that a front end passes to the core.
+/// An admitted request of a client.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NewRequest {
     /// Determines idempotency, ordering by key, priority and allowed engines.
@@ -38,20 +38,20 @@
         /// Changed or listed engines. Start times are in seconds of the core's clock.
         entries: Vec<EndpointEntry>,
     },
-    /// A request has arrived.
+    /// A request was admitted. It is open until its final answer, or until its client leaves.
     RequestArrived {
         /// Id that no earlier request had.
         id: RequestId,
         /// Class, deadline and estimates from the fields of the client's request.
         request: NewRequest,
     },
-    /// An attempt has ended.
+    /// An attempt has ended: its engine no longer runs it, or never did.
     AttemptEnded {
         /// The input is ignored unless this attempt is in flight.
         attempt: AttemptId,
         /// Decides whether the request is served, and whether another attempt may follow.
         outcome: Outcome,
-        /// Load report from the engine's response.
+        /// Load report from the engine's response. `None`: there is no response, or it has no load report.
         load_report: Option<LoadReport>,
     },
     /// An attempt was given up although its engine may still run it, for a bounded time.
@@ -75,7 +75,7 @@
     AttemptProgress {
         /// The input is ignored unless this attempt is in flight.
         attempt: AttemptId,
-        /// Progress reported by the engine.
+        /// Passed to the workload manager unchanged.
         progress: Progress,
     },
     /// The client has disconnected or cancelled its request. The core gives no final answer to the request.
@@ -96,9 +96,10 @@
 pub enum PeerProcessEvent {
     /// This process replaces the peer, which holds the leases of all keys.
     BecamePredecessor,
-    /// The peer claims the lease of a key.
+    /// The peer claims the lease of a key, which is granted in its turn once this process does not use the key.
     ClaimsLease(KeyId),
-    /// The peer grants the lease of a key to this process.
+    /// The peer grants the lease of a key to this process. Ignored unless the peer held the lease or was nearer to the
+    /// holder.
     GrantsLease(KeyId),
     /// The connection to the peer has ended, which counts as the exit of the peer.
     Exited {
--- a/gateway/src/core/mod.rs
+++ b/gateway/src/core/mod.rs
@@ -43,7 +43,7 @@
 use time::{micros, seconds};
 use timers::Timers;
 
-/// The core of one gateway.
+/// Requests, attempts and order keys of one gateway process, and its workload manager.
 pub struct Core {
     workload_manager: WorkloadManager,
     rules: RequestRules,
--- a/gateway/src/discovery/stream.rs
+++ b/gateway/src/discovery/stream.rs
@@ -34,7 +34,7 @@
     UnreadableEvent(u64, JsonError),
 }
 
-/// Reader of one stream of endpoint list events.
+/// Reader of the events of one response. A new connection needs a new reader.
 pub struct EndpointStream(EventStream);
 
 impl EndpointStream {
--- a/gateway/src/event_stream.rs
+++ b/gateway/src/event_stream.rs
@@ -1,12 +1,12 @@
 //! Parser of server-sent events over HTTP/1.1, as sent by the discovery service and the control plane. The caller owns
 //! the socket.
 
-/// The response is not HTTP, has a status other than 200, or contains an event that is too long.
+/// The response is not HTTP, has a status other than 200, or has more unread bytes than an event may have.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the response is not an event stream, or an event is too long")]
 pub struct EventStreamError;
 
-/// A server-sent event.
+/// An event of the stream: the lines between two blank lines, unless they have no data.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServerSentEvent {
     /// Number from the field `id`. 0 without a numeric id.
@@ -15,7 +15,7 @@
     pub data: String,
 }
 
-/// Reader of one event stream.
+/// Reader of one response. A new connection needs a new reader.
 pub struct EventStream {
     max_event_bytes: usize,
     is_head_read: bool,
--- a/gateway/src/main.rs
+++ b/gateway/src/main.rs
@@ -1,4 +1,4 @@
-//! The command line of the gateway.
+//! The program `wrenhatch`: parses the command line, and runs the commands `serve`, `check`, `version` and `help`.
 
 use std::process::ExitCode;
 
--- a/gateway/src/process_replacement/messages.rs
+++ b/gateway/src/process_replacement/messages.rs
@@ -104,7 +104,7 @@
     ClaimLease(KeyId),
     /// The sender grants the lease of a key to the receiver.
     GrantLease(KeyId),
-    /// The sender exits.
+    /// Last message of the sender, which exits.
     Exiting {
         /// Duration after which all attempts of the sender have ended and their key cooldowns are over, in
         /// milliseconds.
--- a/gateway/src/tenants.rs
+++ b/gateway/src/tenants.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Account of a user.
+/// Tenant and password of a user of the MySQL front end.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Account {
     /// Name of the tenant in the settings.
