--- a/gateway/src/control_plane/mod.rs
+++ b/gateway/src/control_plane/mod.rs
@@ -1,5 +1,5 @@
-//! Client of the control plane, without I/O: receives versions of the settings from one of the control plane servers
-//! and reports each version as applied or refused.
+//! Client of the control plane, without I/O: receives versions of the settings from one of the control plane servers,
+//! and reports the latest one that was applied or refused.
 //!
 //! [`ControlPlaneClient`] decides when to connect and what to send. `net` holds the connections. The subscriber of the
 //! crate `wrenhatch-configuration` selects the server and the next version.
--- a/gateway/src/counters.rs
+++ b/gateway/src/counters.rs
@@ -67,7 +67,7 @@
     ended_failure,
     /// Attempts for which no connection could be opened.
     ended_unreachable,
-    /// Always 0: an attempt whose connection has failed is continued, cancelled or counted as timed out.
+    /// Always 0: an attempt whose connection has failed is continued, cancelled, or counted as unreachable or timed out.
     ended_broken,
     /// Attempts whose cancellation was confirmed, or that their engine no longer has.
     ended_withdrawn,
