--- a/gateway/src/tenants.rs
+++ b/gateway/src/tenants.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Account of a user.
+/// Tenant and password of a user of the MySQL front end.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Account {
     /// Name of the tenant in the settings.
@@ -30,7 +30,7 @@
         self.accounts.values().map(|account| &*account.tenant)
     }
 
-    /// Finds a user's account.
+    /// Account of a user. `None`: the user is unknown.
     pub fn look_up(&self, user: &str) -> Option<&Account> {
         self.accounts.get(user)
     }
