--- a/lab/src/configuration/fleet/control_machines.rs
+++ b/lab/src/configuration/fleet/control_machines.rs
@@ -100,7 +100,7 @@
         }
         self.machine_traffic[machine].add(self.now_us, document.canonical().len() as u64 + REQUEST_BYTES);
         let Some(publisher) = &mut self.machines[machine].publisher else { return };
-        // The publisher refuses a version that is older than its newest.
+        // The publisher refuses a version that is not newer than its own and the reported ones.
         if publisher.publish(version, document).is_ok() {
             self.schedule_turn(machine);
         }
--- a/lab/src/configuration/fleet/event.rs
+++ b/lab/src/configuration/fleet/event.rs
@@ -19,7 +19,7 @@
     /// A gateway has restarted.
     GatewayStarted { gateway: usize, incarnation: u64 },
     /// A gateway has finished the check of a version.
-    VersionApplied { gateway: usize, incarnation: u64, version: Version, is_valid: bool },
+    VersionChecked { gateway: usize, incarnation: u64, version: Version, is_valid: bool },
     /// A report arrives at a control machine.
     ReportArrived { gateway: usize, machine: usize, report: Report },
     /// The acknowledgement of a report arrives at its gateway.
@@ -28,7 +28,7 @@
     StreamReset { gateway: usize, stream: StreamId },
     /// A control machine sends the messages that are due.
     ControlMachineTurn { machine: usize },
-    /// A gateway checks its stream and its report.
+    /// A gateway checks its stream, its report and whether an attempt to connect is due.
     GatewayCheck { gateway: usize },
     /// Control machines compare their newest versions.
     VersionExchange,
--- a/lab/src/configuration/fleet/gateways.rs
+++ b/lab/src/configuration/fleet/gateways.rs
@@ -145,7 +145,7 @@
                 let is_valid = is_valid(&document);
                 self.schedule_after(
                     APPLY_TIME_US,
-                    Event::VersionApplied { gateway: number, incarnation, version, is_valid },
+                    Event::VersionChecked { gateway: number, incarnation, version, is_valid },
                 );
             }
             SubscriberAction::Refused { version, reason } => {
@@ -157,7 +157,13 @@
     }
 
     /// Puts a checked version into force, refuses it if it is invalid, or injects a restart.
-    pub(super) fn on_applied(&mut self, number: usize, incarnation: u64, version: Version, is_valid: bool) {
+    pub(super) fn on_version_checked(
+        &mut self,
+        number: usize,
+        incarnation: u64,
+        version: Version,
+        is_valid: bool,
+    ) {
         let now_us = self.now_us;
         let gateway = &mut self.gateways[number];
         if gateway.incarnation != incarnation {
--- a/lab/src/configuration/fleet/measure.rs
+++ b/lab/src/configuration/fleet/measure.rs
@@ -12,7 +12,7 @@
     pub(super) total_bytes: u64,
     pub(super) second: u64,
     pub(super) bytes_in_second: u64,
-    /// Largest number of bytes in one second.
+    /// Largest number of bytes in one second of the simulated clock.
     pub(super) peak_bytes: u64,
 }
 
@@ -47,15 +47,15 @@
     pub fleet_delays_us: Histogram<u64>,
     /// Number of measured versions that some gateway had not applied at the end.
     pub missed: u64,
-    /// Number of refusals, over all versions and gateways.
+    /// Number of times that a gateway refused an invalid version.
     pub refused: u64,
-    /// Mean traffic of the gateway with the most traffic.
+    /// Mean traffic of the gateway with the most traffic, over the whole simulated time.
     pub gateway_bytes_per_s: f64,
-    /// Largest traffic of any gateway in one second.
+    /// Largest number of bytes of any gateway in one second of the simulated clock.
     pub gateway_peak_bytes: u64,
-    /// Mean traffic of the control machine with the most traffic.
+    /// Mean traffic of the control machine with the most traffic, over the whole simulated time.
     pub machine_bytes_per_s: f64,
-    /// Largest traffic of any control machine in one second.
+    /// Largest number of bytes of any control machine in one second of the simulated clock.
     pub machine_peak_bytes: u64,
 }
 
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Ends the run. Mean traffic is over the whole simulated time.
+    /// Ends the run and returns its figures.
     pub fn finish(self) -> SimulationResult {
         let seconds = self.now_us as f64 / SECOND_US as f64;
         let mean = |traffic: &[Traffic]| {
--- a/lab/src/configuration/fleet/mod.rs
+++ b/lab/src/configuration/fleet/mod.rs
@@ -3,7 +3,7 @@
 //! delays of messages, `faults` has the faults that scenarios inject, and `measure` records traffic and delays.
 //!
 //! Events with the same time are handled in the order in which they were scheduled, and random numbers are drawn in the
-//! order of events, so a run depends on its seed only.
+//! order of events, so a run depends on its scenario and seed only.
 
 mod control_machines;
 mod event;
@@ -163,8 +163,8 @@
                 }
             }
             Event::GatewayStarted { gateway, incarnation } => self.on_gateway_started(gateway, incarnation),
-            Event::VersionApplied { gateway, incarnation, version, is_valid } => {
-                self.on_applied(gateway, incarnation, version, is_valid);
+            Event::VersionChecked { gateway, incarnation, version, is_valid } => {
+                self.on_version_checked(gateway, incarnation, version, is_valid);
             }
             Event::ReportArrived { gateway, machine, report } => {
                 if self.is_reachable(gateway, machine) {
--- a/lab/src/configuration/fleet/transmission.rs
+++ b/lab/src/configuration/fleet/transmission.rs
@@ -32,7 +32,8 @@
         (0..trips).map(|_| self.network.one_way_us(gateway, machine)).sum()
     }
 
-    /// Sends a message on a stream. It arrives after the messages sent on the stream before.
+    /// Sends a message on a stream. It arrives after the messages sent on the stream before, unless a network fault
+    /// delays one of them.
     pub(super) fn send(&mut self, machine: usize, gateway: usize, stream: StreamId, text: &Arc<str>) {
         if !self.is_reachable(gateway, machine) {
             return;
--- a/lab/src/configuration/mod.rs
+++ b/lab/src/configuration/mod.rs
@@ -49,7 +49,7 @@
     /// Number of tenants in the settings.
     #[arg(long, default_value_t = 100)]
     tenants: usize,
-    /// Number of runs of each fault scenario, each with its own seed.
+    /// Number of runs of each scenario except the ordinary day, each with its own seed.
     #[arg(long, default_value_t = 20)]
     repeats: u64,
     /// Number of changes in the scenario of an ordinary day.
--- a/lab/src/configuration/scenario.rs
+++ b/lab/src/configuration/scenario.rs
@@ -1,4 +1,5 @@
-//! Simulation scenarios: an ordinary day, and faults that begin when a version has reached only some of the gateways.
+//! Simulation scenarios: an ordinary day, a burst of changes, and faults. Most faults begin when a version has reached
+//! only some of the gateways.
 
 use serde::Serialize;
 
@@ -8,16 +9,16 @@
 use super::settings::{Operator, Size};
 use super::{CHANGES_PER_DAY, MACHINES, SECOND_US};
 
-/// Time until all gateways are connected and have applied a version.
+/// Time for all gateways to connect and to apply the last version of the warm-up.
 const WARM_UP_US: u64 = 20 * SECOND_US;
 
-/// Number of versions published before the one that is measured.
+/// Number of versions published before a scenario starts.
 const WARM_UP_VERSIONS: usize = 12;
 
 /// Time from publication to a fault. By then, only some of the gateways have received the version.
 const FAULT_DELAY_US: u64 = 30_000;
 
-/// Duration of the run after the fault.
+/// Duration of the run after the last step of each scenario except `Ordinary`.
 const RECOVERY_TIME_US: u64 = 60 * SECOND_US;
 
 /// Duration of the partition.
@@ -118,7 +119,7 @@
 }
 
 impl Simulation {
-    /// Publishes several versions and runs the fleet until all gateways have applied the last one.
+    /// Publishes `WARM_UP_VERSIONS` versions and runs the fleet for `WARM_UP_US`.
     fn new(gateways: usize, size: Size, seed: u64) -> Self {
         let mut simulation =
             Self { fleet: Fleet::new(gateways, seed), operator: Operator::new(size, seed), gateways };
@@ -134,7 +135,7 @@
         self.fleet.publish(version, &document);
     }
 
-    /// Publishes a version and measures the time until gateways apply it.
+    /// Publishes a version and starts to measure the time until gateways apply it.
     fn publish_measured(&mut self) {
         let (version, document) = self.operator.next_version();
         self.fleet.publish(version, &document);
--- a/lab/src/fleet.rs
+++ b/lab/src/fleet.rs
@@ -11,13 +11,13 @@
 use anyhow::{Context, anyhow};
 use serde_json::json;
 
-/// Resident anonymous memory of a process, in bytes.
+/// Resident anonymous memory of a process, in bytes. Fails if the process has ended.
 pub fn resident_bytes(process: u32) -> anyhow::Result<u64> {
     let kb = status_value(process, "RssAnon:")?;
     Ok(kb * 1024)
 }
 
-/// A number from `/proc/PID/status`.
+/// A number from `/proc/PID/status`: kilobytes for memory, else a count.
 fn status_value(process: u32, key: &str) -> anyhow::Result<u64> {
     let text = std::fs::read_to_string(format!("/proc/{process}/status"))?;
     let line = text
@@ -43,7 +43,7 @@
     Ok(CpuUsage { cpu_s: ns / 1e9, wakeups: status_value(process, "voluntary_ctxt_switches:")? })
 }
 
-/// Processor time of a process in user mode and in the kernel, in seconds with a resolution of 10 ms.
+/// Processor time of all threads of a process in user mode and in the kernel, in seconds with a resolution of 10 ms.
 pub fn user_and_system(process: u32) -> anyhow::Result<(f64, f64)> {
     let text = std::fs::read_to_string(format!("/proc/{process}/stat"))?;
     let fields: Vec<&str> = text.rsplit(')').next().unwrap_or_default().split_whitespace().collect();
@@ -96,14 +96,14 @@
     }
 }
 
-/// A gateway process.
+/// A gateway process. Dropping kills it and removes its folder.
 pub struct Gateway {
     child: Child,
     folder: PathBuf,
     log: Receiver<String>,
     /// Address of the PostgreSQL listener.
     pub pg: SocketAddr,
-    /// Address of the MySQL listener, if the gateway has opened one.
+    /// Address of the MySQL listener, `None` if the gateway opened none.
     pub mysql: Option<SocketAddr>,
 }
 
@@ -117,8 +117,9 @@
 }
 
 impl Gateway {
-    /// Starts a gateway for `engine` that admits up to `clients` clients. If `reads_operator_file` is true, it starts
-    /// with an operator's file that opens the MySQL front end. Earlier builds do not read such a file.
+    /// Starts a gateway for `engine` that admits up to `clients` clients, and waits until it serves. If
+    /// `reads_operator_file` is true, it starts with an operator's file that opens the MySQL front end. Earlier builds
+    /// do not read such a file.
     pub fn start(
         program: &Path,
         engine: SocketAddr,
@@ -160,7 +161,7 @@
         self.child.id()
     }
 
-    /// Makes the gateway log its counters (SIGUSR1) and returns that line.
+    /// Makes the gateway log its counters (SIGUSR1) and returns that line. Fails if nothing is logged for 5 s.
     pub fn counters(&self) -> anyhow::Result<String> {
         while self.log.try_recv().is_ok() {}
         let id = self.process().to_string();
--- a/lab/src/helper.rs
+++ b/lab/src/helper.rs
@@ -1,5 +1,6 @@
 //! Helper process that holds idle sessions, because one process has too few descriptors for all of them. It reads one
-//! command per line from standard input and writes the result of each as one line of JSON to standard output.
+//! command per line from standard input and writes the result of each as one line of JSON to standard output. The
+//! commands are `open`, `wake SESSIONS`, `reconnect SESSIONS`, `churn MILLISECONDS` and `close`.
 
 use std::io::{BufRead, ErrorKind, Read, Write};
 use std::net::{IpAddr, Shutdown, SocketAddr, TcpStream};
@@ -22,7 +23,7 @@
     pub lost: usize,
     /// Time from the start of the command until the last session completed it, in milliseconds.
     pub ms: f64,
-    /// 99th percentile over the sessions, in milliseconds.
+    /// 99th percentile of the times of the sessions, in milliseconds.
     pub p99_ms: f64,
     /// Longest time of a session, in milliseconds.
     pub max_ms: f64,
@@ -30,7 +31,7 @@
 
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Connects to a gateway and logs in.
+/// Connects to a gateway and logs in. Fails if the gateway refuses the login or does not answer in time.
 pub fn open_session(address: SocketAddr, source: IpAddr, front: FrontEnd) -> anyhow::Result<TcpStream> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
     socket.bind(&SocketAddr::new(source, 0).into())?;
@@ -82,7 +83,8 @@
     stream.write_all(&message)
 }
 
-/// Reads PostgreSQL messages up to ReadyForQuery. Returns the SQLSTATE of the last error among them.
+/// Reads PostgreSQL messages up to ReadyForQuery. Returns the SQLSTATE of the last error among them, `None` without an
+/// error. Fails on a FATAL error, or if the gateway closes the session.
 pub fn read_until_ready(stream: &mut TcpStream) -> anyhow::Result<Option<String>> {
     let mut error = None;
     loop {
@@ -135,7 +137,7 @@
         Ok(command_result(n, 0, began.elapsed(), &Summary::from(&latencies)))
     }
 
-    /// Sends a ping on each of the first `n` sessions and waits for the answers.
+    /// Sends a ping on each of the first `n` sessions and waits for the answers, at most about `ANSWER_TIMEOUT`.
     fn wake(&mut self, n: usize) -> anyhow::Result<CommandResult> {
         let (ping, answer_bytes) = ping_message(self.front);
         let mut poll = Poll::new()?;
--- a/lab/src/idle/helpers.rs
+++ b/lab/src/idle/helpers.rs
@@ -40,7 +40,7 @@
         Ok(self.input.write_all(format!("{command}\n").as_bytes())?)
     }
 
-    /// Waits for the result of the command sent last.
+    /// Waits for the result of the command sent last. Fails if the helper has ended.
     pub fn receive(&mut self) -> anyhow::Result<CommandResult> {
         let mut line = String::new();
         self.output.read_line(&mut line)?;
--- a/lab/src/idle/in_memory.rs
+++ b/lab/src/idle/in_memory.rs
@@ -75,8 +75,9 @@
     began.elapsed()
 }
 
-/// Arms `n` timers over one second, alternately for 3 s and 20 s, and waits until all have expired. Returns their lag,
-/// the number of wake-ups and the processor usage in percent of a core.
+/// Arms `n` timers, alternately for 3 s and 20 s after start times that are spread over one second, and waits until all
+/// have expired. Returns their lag, the number of wake-ups, and the time spent on expired timers in percent of the
+/// total time.
 fn timer_drift(n: usize) -> (Summary, u64, f64) {
     let mut wheel = TimerWheel::new();
     let clock = Instant::now();
--- a/lab/src/log.rs
+++ b/lab/src/log.rs
@@ -8,7 +8,8 @@
 #[cfg(test)]
 mod tests;
 
-/// Returns the value of the field `key` of a line, without quotes. Values must not contain spaces.
+/// Returns the value of the field `key` of a line, without quotes, or `None` if the line has no such field.
+/// Values must not contain spaces.
 pub fn field<'a>(line: &'a str, key: &str) -> Option<&'a str> {
     let start = line
         .match_indices(key)
@@ -18,6 +19,7 @@
 }
 
 /// Time of a line in seconds: its prefix, as in `0.054` or `[0.05]`, or else the field `now_us`, the gateway's clock.
+/// `None` for a line with neither.
 pub fn timestamp_s(line: &str) -> Option<f64> {
     let prefix = line.split_whitespace().next()?.trim_matches(['[', ']']).parse::<f64>().ok();
     prefix.or_else(|| Some(field(line, "now_us")?.parse::<f64>().ok()? / 1e6))
@@ -32,7 +34,7 @@
     Ok(logs)
 }
 
-/// Reads all logs of a folder in the order of their names.
+/// Reads all logs (`*.log`) of a folder in the order of their names. A folder without a log is an error.
 pub fn read_all<T>(
     folder: &Path,
     read: impl Fn(BufReader<std::fs::File>) -> std::io::Result<T>,
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -1,5 +1,11 @@
 //! Command line of the experiments on the gateway. All sockets are bound to loopback addresses. Every command that
 //! the help lists terminates on its own.
+//!
+//! - `idle` measures the cost of idle sessions, which processes running `helper` hold.
+//! - `configuration` simulates how configuration changes spread over a fleet, and measures their cost.
+//! - `classes` and `engines` summarize debug logs, which `log` reads.
+//! - `fleet` starts a gateway process and reads its resource usage. `spread` summarizes durations.
+//! - The library `wrenhatch_lab` has the commands `capacity` and `hollow`.
 
 mod classes;
 mod configuration;
--- a/lab/src/spread.rs
+++ b/lab/src/spread.rs
@@ -3,16 +3,15 @@
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-/// Count, median, 99th percentile and maximum of samples.
+/// Count, median, 99th percentile and maximum of samples. All are 0 without samples.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Summary {
     /// Number of samples.
     pub count: u64,
-    /// Median, in milliseconds.
+    /// Median.
     pub p50_ms: f64,
-    /// In milliseconds.
+    /// 99th percentile.
     pub p99_ms: f64,
-    /// In milliseconds.
     pub max_ms: f64,
 }
 
