--- a/lab/src/capacity/bounds.rs
+++ b/lab/src/capacity/bounds.rs
@@ -1,19 +1,19 @@
-//! Limits on the memory, processes and time of a run. A run that exceeds a limit is stopped with an error.
+//! Limits on the memory, processes and time of a measurement. It is stopped with an error when it exceeds a limit.
 
 use std::time::{Duration, Instant};
 
 use super::error::{CapacityError, LimitKind};
 
-/// Resource limits of a run.
+/// Resource limits of all experiments of a command together.
 #[derive(Clone, Copy, Debug, clap::Args)]
 pub struct Limits {
-    /// Limit on the resident memory of the measuring process and the gateway together, in MB.
+    /// Limit on the resident memory of the measuring process and the gateway together, in MiB.
     #[arg(long, default_value_t = 2_048)]
     pub memory_mb: u64,
     /// Limit on the number of threads of the measuring process plus gateway processes.
     #[arg(long, default_value_t = 400)]
     pub processes: u64,
-    /// Time limit of a run, in seconds.
+    /// Time limit of all experiments together, in seconds.
     #[arg(long, default_value_t = 60)]
     pub seconds: u64,
 }
@@ -24,14 +24,14 @@
     }
 }
 
-/// Resources in use by a run.
+/// Resources in use, to compare with [`Limits`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Usage {
-    /// Resident memory of the measuring process and the gateway together, in MB.
+    /// Resident memory of the measuring process and the gateway together, in MiB.
     pub memory_mb: u64,
     /// Threads of the measuring process plus gateway processes.
     pub processes: u64,
-    /// Time since the start of the run, in seconds.
+    /// Time since the creation of the [`Guard`], in seconds.
     pub seconds: u64,
 }
 
@@ -58,7 +58,7 @@
 /// Maximum time between two checks of the limits during a sleep.
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Enforces the limits of a run.
+/// Enforces limits. The time limit counts from the creation of the guard.
 #[derive(Clone, Copy, Debug)]
 pub struct Guard {
     limits: Limits,
@@ -66,7 +66,7 @@
 }
 
 impl Guard {
-    /// Creates the guard of a run that starts now.
+    /// Creates a guard whose time starts now.
     pub fn new(limits: Limits) -> Self {
         Self { limits, started_at: Instant::now() }
     }
@@ -103,7 +103,8 @@
     }
 }
 
-/// Returns the number after `key` in `/proc/PID/status`: kilobytes for memory, else a count.
+/// Returns the number after `key` in `/proc/PID/status`: kilobytes for memory, else a count. `None`
+/// if the process has ended or `key` is missing.
 pub fn proc_status(pid: u32, key: &str) -> Option<u64> {
     let text = std::fs::read_to_string(format!("/proc/{pid}/status")).ok()?;
     let line = text.lines().find_map(|line| line.strip_prefix(key))?;
--- a/lab/src/capacity/control_machine.rs
+++ b/lab/src/capacity/control_machine.rs
@@ -83,7 +83,7 @@
     /// Sends a version and returns its length on the stream in bytes.
     ///
     /// # Errors
-    /// The gateway has closed the stream.
+    /// The write failed because the gateway has closed the stream.
     pub fn send(&mut self, message: &Message) -> Result<usize, CapacityError> {
         let text = format!("id: {}\ndata: {}\n\n", message.version().0, message.encode());
         self.stream.write_all(text.as_bytes())?;
--- a/lab/src/capacity/error.rs
+++ b/lab/src/capacity/error.rs
@@ -11,11 +11,11 @@
 /// A limited resource.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LimitKind {
-    /// Resident memory of the measuring process and the gateway together, in MB.
+    /// Resident memory of the measuring process and the gateway together, in MiB.
     Memory,
     /// Threads of the measuring process plus gateway processes.
     Processes,
-    /// Time since the start of the run, in seconds.
+    /// Time since the limits took effect, in seconds.
     Time,
 }
 
@@ -32,7 +32,7 @@
 /// A failure of a measurement or of the page's generation.
 #[derive(Debug, thiserror::Error)]
 pub enum CapacityError {
-    /// The run exceeded one of its limits and was stopped.
+    /// A limit was exceeded, and the measurement was stopped.
     #[error("stopped: {used} {kind} exceed the limit of {limit}")]
     LimitExceeded {
         /// The exceeded limit.
--- a/lab/src/capacity/estimate/mod.rs
+++ b/lab/src/capacity/estimate/mod.rs
@@ -7,7 +7,7 @@
 use std::fmt;
 
 use super::experiment::{Experiment, Quantity};
-use super::slopes::{Estimate, Mark, Measurement, Slopes};
+use super::slopes::{Estimate, Measurement, Origin, Slopes};
 use super::target::Target;
 
 /// Seconds per day.
@@ -192,8 +192,8 @@
     pub limit: Option<f64>,
     /// Description of the inputs of the calculation.
     pub source: String,
-    /// Origin of the amount.
-    pub mark: Mark,
+    /// How the amount was obtained.
+    pub origin: Origin,
     /// Mechanism that meets the need.
     pub mechanism: Mechanism,
 }
@@ -319,7 +319,7 @@
         let measured = self.find(experiment, quantity)?;
         let estimate = measured.at(size)?;
         let source = format!("{} at {}", measured.name(), format_number(size));
-        Some(Figure { amount: estimate.into(), source, mark: estimate.mark })
+        Some(Figure { amount: estimate.into(), source, origin: estimate.origin })
     }
 
     /// Returns the increase per unit of size. A missing measurement is added to `unmeasured`.
@@ -327,12 +327,12 @@
         let measured = self.find(experiment, quantity)?;
         let fit = measured.fit?;
         let amount = Amount { value: fit.slope, spread: fit.slope_error };
-        Some(Figure { amount, source: format!("slope of {}", measured.name()), mark: Mark::Calculated })
+        Some(Figure { amount, source: format!("slope of {}", measured.name()), origin: Origin::Calculated })
     }
 
     fn add(&mut self, role: Role, entry: Entry, figure: Figure) {
         let Entry { resource, case, description, unit, limit, mechanism } = entry;
-        let Figure { amount, source, mark } = figure;
+        let Figure { amount, source, origin } = figure;
         self.needs.push(Need {
             role,
             resource,
@@ -342,7 +342,7 @@
             unit,
             limit,
             source,
-            mark,
+            origin,
             mechanism,
         });
     }
@@ -353,23 +353,23 @@
 struct Figure {
     amount: Amount,
     source: String,
-    mark: Mark,
+    origin: Origin,
 }
 
 impl Figure {
     /// Returns an amount that follows from the target alone.
     fn from_target(value: f64) -> Self {
-        Self { amount: Amount::exact(value), source: "the target".to_owned(), mark: Mark::Calculated }
+        Self { amount: Amount::exact(value), source: "the target".to_owned(), origin: Origin::Calculated }
     }
 
-    /// Converts the amount to another unit. Source and mark stay the same.
+    /// Converts the amount to another unit. Source and origin stay the same.
     fn in_unit(&self, factor: f64) -> Self {
         Self { amount: self.amount.times(factor), ..self.clone() }
     }
 
     /// Multiplies the amount by a factor. The result is marked as calculated.
     fn times(&self, factor: f64) -> Self {
-        Self { mark: Mark::Calculated, ..self.in_unit(factor) }
+        Self { origin: Origin::Calculated, ..self.in_unit(factor) }
     }
 
     fn plus(&self, other: &Self) -> Self {
@@ -378,7 +378,7 @@
         } else {
             format!("{}; {}", self.source, other.source)
         };
-        Self { amount: self.amount.plus(other.amount), source, mark: Mark::Calculated }
+        Self { amount: self.amount.plus(other.amount), source, origin: Origin::Calculated }
     }
 
     fn minus(&self, other: &Self) -> Self {
--- a/lab/src/capacity/experiment.rs
+++ b/lab/src/capacity/experiment.rs
@@ -118,8 +118,9 @@
     MetricsBytes,
     /// 99th percentile of the latency at clients.
     LatencyP99,
-    /// Median time to apply an event or a version. It starts when the event is written. It ends when the gateway's
-    /// metrics show the event (including the request for the metrics), or when the report of the version arrives.
+    /// Median time to apply an event or a version. It starts when the event or version is written. It ends when the
+    /// gateway's metrics show the event (including the request for the metrics), or when the report of the version
+    /// arrives.
     #[serde(rename = "taken")]
     ApplyTime,
 }
--- a/lab/src/capacity/experiments/mod.rs
+++ b/lab/src/capacity/experiments/mod.rs
@@ -85,7 +85,8 @@
 }
 
 impl ExperimentRunner {
-    /// Runs an experiment `runs` times at each size. `command` is stored with the figures.
+    /// Runs an experiment `runs` times at each size. `command` is stored with the figures. A quantity without a usable
+    /// run gives no measurement. If all runs are unusable, the result is empty and the reasons are not reported.
     ///
     /// # Errors
     /// A limit is exceeded, a size is out of range, or the gateway behaves unexpectedly.
--- a/lab/src/capacity/hollow.rs
+++ b/lab/src/capacity/hollow.rs
@@ -5,7 +5,7 @@
 use serde::Deserialize;
 
 use super::error::CapacityError;
-use super::slopes::Mark;
+use super::slopes::Origin;
 
 /// A figure of a hollow run.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
@@ -20,8 +20,9 @@
     pub value: f64,
     /// Unit, as printed on the page.
     pub unit: String,
-    /// Origin of the value: hollow or simulated.
-    pub mark: Mark,
+    /// How the value was obtained: hollow or simulated.
+    #[serde(rename = "mark")]
+    pub origin: Origin,
     /// Command that produced the figure.
     pub command: String,
 }
@@ -64,7 +65,7 @@
             event: format!("configuration, {}", self.scenario),
             value,
             unit: unit.to_owned(),
-            mark: Mark::Simulated,
+            origin: Origin::Simulated,
             command: "wrenhatch-lab configuration".to_owned(),
         };
         [
--- a/lab/src/capacity/mod.rs
+++ b/lab/src/capacity/mod.rs
@@ -1,5 +1,11 @@
 //! The `capacity` command: measures the gateway's cost as a function of size, and generates the page that compares
 //! it with a target size.
+//!
+//! - `experiment` names the experiments. `experiments` runs them on a gateway `process`, or on a core in memory
+//!   (`decisions`). `sessions`, `stand_ins` and `control_machine` are the clients and mock peers of a process, which
+//!   `site` configures. `bounds` limits the resources.
+//! - `fit` fits lines through the runs, and `slopes` stores them.
+//! - `estimate` calculates needs from `slopes` and `target`. `page` prints them with the figures that `hollow` reads.
 
 pub mod bounds;
 pub mod control_machine;
@@ -40,7 +46,7 @@
 
 #[derive(Subcommand)]
 enum Action {
-    /// Runs experiments and writes their figures to the slopes file.
+    /// Runs experiments, prints their figures, and writes them to the slopes file if one is given.
     Measure(MeasureOptions),
     /// Generates the page from the slopes, the target and any figures of hollow runs.
     Page(PageOptions),
@@ -94,7 +100,8 @@
 /// Runs the subcommand.
 ///
 /// # Errors
-/// A limit is exceeded, a file is missing or malformed, or the gateway behaves unexpectedly.
+/// A limit is exceeded, a file is missing or malformed, the gateway behaves unexpectedly, or with `--check` the page is
+/// out of date.
 pub fn run(options: &Options) -> Result<(), CapacityError> {
     match &options.action {
         Action::Measure(options) => measure(options),
--- a/lab/src/capacity/page.rs
+++ b/lab/src/capacity/page.rs
@@ -97,7 +97,7 @@
             format_amount(need),
             need.ratio(),
             need.source,
-            need.mark
+            need.origin
         )?;
     }
     Ok(())
@@ -126,7 +126,7 @@
         writeln!(
             page,
             "| {} | {} | {value} {} | {} | `{}` |",
-            f.event, f.quantity, f.unit, f.mark, f.command
+            f.event, f.quantity, f.unit, f.origin, f.command
         )?;
     }
     Ok(())
--- a/lab/src/capacity/process.rs
+++ b/lab/src/capacity/process.rs
@@ -42,7 +42,8 @@
     /// Starts a gateway binary with the configuration of a site and a log level, and waits until it serves.
     ///
     /// # Errors
-    /// The process can't be started, or logs no line with `serving` within `ANSWER_TIMEOUT`.
+    /// A file can't be written, the process can't be started, or it logs no line with `serving` and its addresses within
+    /// `ANSWER_TIMEOUT`.
     pub fn start(program: &Path, site: &Site, level: &str) -> Result<Self, CapacityError> {
         let number = NEXT_NUMBER.fetch_add(1, Ordering::SeqCst);
         let dir = std::env::temp_dir().join(format!("wrenhatch-capacity-{}-{number}", std::process::id()));
--- a/lab/src/capacity/sessions.rs
+++ b/lab/src/capacity/sessions.rs
@@ -50,7 +50,8 @@
 }
 
 impl Session {
-    /// Opens a session. Its number makes the query ids of its statements unique.
+    /// Opens a session. The query ids of its statements contain its number modulo 65,536, so sessions of a process with
+    /// the same number send the same ids.
     ///
     /// # Errors
     /// The gateway does not accept the session.
--- a/lab/src/capacity/site.rs
+++ b/lab/src/capacity/site.rs
@@ -34,7 +34,7 @@
         Self { engines, coordinator: None, control: None, classes: 3, tenants: 1, clients: 1_100 }
     }
 
-    /// Returns an engine's entry of the endpoint list.
+    /// Returns the entry of engine number `engine` in the endpoint list.
     pub fn endpoint_entry(&self, engine: usize, status: &str) -> Value {
         let address = self.engines[engine].to_string();
         json!({"name": format!("e{engine}"), "address": address, "zone": ZONES[engine % ZONES.len()], "type": "k",
@@ -56,7 +56,7 @@
     pub fn config_json(&self) -> String {
         let mut config = json!({
             "name": "capacity", "listen": "127.0.0.1:0", "seed": "8c1f30d27a5be964",
-            // The gateway reserves a third of its sockets for clients.
+            // The gateway assigns a third of its descriptors to clients.
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 3 * self.clients + OTHER_DESCRIPTORS},
             "known": {"index": 1, "updates": [self.full_list_event(1)]},
             "settings": self.settings(),
@@ -67,7 +67,7 @@
         config.to_string()
     }
 
-    /// Returns the content of the operator's file, if one is needed.
+    /// Returns the content of the operator's file, `None` without a control machine.
     pub fn operator_toml(&self) -> Option<String> {
         self.control.map(|machine| format!("[control]\nmachines = [\"{machine}\"]\n"))
     }
--- a/lab/src/capacity/slopes.rs
+++ b/lab/src/capacity/slopes.rs
@@ -33,13 +33,13 @@
     pub unusable: Vec<String>,
 }
 
-/// Origin of a figure.
+/// How the value of a figure was obtained.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Mark {
+pub enum Origin {
     /// Measured at this size.
     Measured,
-    /// Counted in a run with gateways without clients.
+    /// Counted or measured with many gateways without clients.
     Hollow,
     /// Measured in simulated time.
     Simulated,
@@ -48,13 +48,13 @@
     Calculated,
 }
 
-impl fmt::Display for Mark {
+impl fmt::Display for Origin {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Mark::Measured => "measured",
-            Mark::Hollow => "hollow",
-            Mark::Simulated => "simulated",
-            Mark::Calculated => "reckoned",
+            Origin::Measured => "measured",
+            Origin::Hollow => "hollow",
+            Origin::Simulated => "simulated",
+            Origin::Calculated => "reckoned",
         })
     }
 }
@@ -67,7 +67,7 @@
     /// Half of the range of the runs at a measured size, else the larger of the fit's noise and misfit.
     pub spread: f64,
     /// `Measured` at this size, or `Calculated` from other sizes.
-    pub mark: Mark,
+    pub origin: Origin,
 }
 
 impl Measurement {
@@ -102,11 +102,15 @@
     /// Without a fit, returns `None` for a size that was not measured.
     pub fn at(&self, size: f64) -> Option<Estimate> {
         if let Some(point) = self.points.iter().find(|p| p.size == size) {
-            return Some(Estimate { value: point.median(), spread: point.spread(), mark: Mark::Measured });
+            return Some(Estimate {
+                value: point.median(),
+                spread: point.spread(),
+                origin: Origin::Measured,
+            });
         }
         let fit = self.fit?;
         let value = if fit.linear { fit.intercept + fit.slope * size } else { self.interpolate(size)? };
-        Some(Estimate { value, spread: fit.noise.max(fit.misfit), mark: Mark::Calculated })
+        Some(Estimate { value, spread: fit.noise.max(fit.misfit), origin: Origin::Calculated })
     }
 
     fn interpolate(&self, size: f64) -> Option<f64> {
@@ -177,7 +181,7 @@
         self.measured.sort_by_key(|m| (m.experiment, m.quantity));
     }
 
-    /// Returns the measurement of a quantity in an experiment.
+    /// Returns the measurement of a quantity in an experiment, `None` if there is none.
     pub fn get(&self, experiment: Experiment, quantity: Quantity) -> Option<&Measurement> {
         self.measured.iter().find(|m| m.experiment == experiment && m.quantity == quantity)
     }
--- a/lab/src/capacity/stand_ins.rs
+++ b/lab/src/capacity/stand_ins.rs
@@ -214,7 +214,7 @@
     /// Accepts the endpoint stream of the gateway and starts a thread that writes to it.
     ///
     /// # Errors
-    /// The gateway opens no stream within `ANSWER_TIMEOUT`.
+    /// The gateway opens no stream or sends no request within `ANSWER_TIMEOUT`.
     pub fn accept_stream(&self) -> Result<EndpointStream, CapacityError> {
         let stream = self.accept()?;
         stream.set_nonblocking(false)?;
@@ -277,7 +277,7 @@
     /// Sends an event and returns its length on the stream in bytes.
     ///
     /// # Errors
-    /// The gateway has closed the stream.
+    /// An earlier write failed because the gateway has closed the stream.
     pub fn send(&self, index: u64, event: &serde_json::Value) -> Result<usize, CapacityError> {
         let bytes = format!("id: {index}\ndata: {event}\n\n").into_bytes();
         let length = bytes.len();
--- a/lab/src/hollow/bounds.rs
+++ b/lab/src/hollow/bounds.rs
@@ -4,7 +4,7 @@
 
 use super::error::HollowError;
 
-/// Maximum memory of all processes of a run together, in MB.
+/// Maximum memory of all processes of a run together, in MiB.
 pub const MAX_MEMORY_MB: u64 = 12_288;
 /// Maximum number of processes of a run.
 pub const MAX_PROCESSES: u64 = 300;
@@ -20,12 +20,12 @@
 }
 
 impl Bounds {
-    /// Creates the bounds of a run that starts now.
+    /// Creates the bounds of a run that starts now. `memory_mb` is in MiB.
     pub fn new(memory_mb: u64, time_limit: Duration) -> Self {
         Self { memory_mb, time_limit, started: Instant::now() }
     }
 
-    /// Checks the elapsed time and the total memory of these processes.
+    /// Checks the elapsed time and the total anonymous memory of these processes. Ended processes count as 0.
     ///
     /// # Errors
     /// A bound is exceeded.
@@ -82,7 +82,7 @@
     }
 }
 
-/// Resident anonymous memory of a process, in bytes (`RssAnon` of proc(5)).
+/// Resident anonymous memory of a process, in bytes (`RssAnon` of proc(5)). `None` if the process has ended.
 pub fn resident_bytes(process: u32) -> Option<u64> {
     let text = std::fs::read_to_string(format!("/proc/{process}/status")).ok()?;
     let line = text.lines().find_map(|line| line.strip_prefix("RssAnon:"))?;
@@ -90,7 +90,7 @@
     Some(kilobytes * 1024)
 }
 
-/// Processor time used by a thread, in nanoseconds (`schedstat` of proc(5)).
+/// Processor time used by a thread, in nanoseconds (`schedstat` of proc(5)). `None` if the thread has ended.
 pub fn processor_ns(process: u32, thread: u32) -> Option<u64> {
     let text = std::fs::read_to_string(format!("/proc/{process}/task/{thread}/schedstat")).ok()?;
     text.split_whitespace().next()?.parse().ok()
--- a/lab/src/hollow/compare.rs
+++ b/lab/src/hollow/compare.rs
@@ -38,7 +38,7 @@
     control: usize,
     #[command(flatten)]
     bounds: BoundOptions,
-    /// Seed from which the seeds of the gateways derive.
+    /// Seed of the simulation, from which also the seeds of the gateways derive.
     #[arg(long, default_value_t = 1)]
     seed: u64,
     /// Figure file; the comparison is written to the same folder.
@@ -49,8 +49,8 @@
 /// Counts of a run that do not depend on random numbers.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq, Serialize)]
 pub struct Counts {
-    /// List requests minus streams ended by control machines. The number of ended streams depends on the random
-    /// assignment of gateways to control machines.
+    /// Connection attempts for the list minus streams ended by control machines. The number of ended streams depends on
+    /// the random assignment of gateways to control machines.
     pub list_calls: u64,
     /// List events applied by gateways.
     pub list_events: u64,
@@ -65,7 +65,7 @@
 pub struct RunResult {
     /// Counts that must be equal in all runs.
     pub counts: Counts,
-    /// Processor time and memory; `None` for the simulation.
+    /// Phases, processor time and memory; `None` for the simulation.
     pub run: Option<RunFigures>,
 }
 
@@ -194,7 +194,7 @@
 /// kernel passes connections to open listeners only.
 ///
 /// # Errors
-/// A bound is exceeded.
+/// A bound is exceeded, or the settings of the gateways are invalid.
 pub fn simulated_counts(size: FleetSize, seed: u64, bounds: &Bounds) -> Result<Counts, HollowError> {
     let measurements = Model::new(size, seed).with_router_detection_delay(0).run(&script(size), bounds)?;
     Ok(Counts {
--- a/lab/src/hollow/figures.rs
+++ b/lab/src/hollow/figures.rs
@@ -18,10 +18,10 @@
     Control,
 }
 
-/// Source of a figure.
+/// How the value of a figure was obtained.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Mark {
+pub enum Origin {
     /// Complete gateways without client traffic, over loopback.
     Hollow,
     /// The gateway's control-side code in simulated time.
@@ -41,8 +41,9 @@
     pub value: f64,
     /// Unit, as printed on the page.
     pub unit: String,
-    /// Source of the value.
-    pub mark: Mark,
+    /// How the value was obtained.
+    #[serde(rename = "mark")]
+    pub origin: Origin,
     /// Command that reproduces the value.
     pub command: String,
 }
--- a/lab/src/hollow/list.rs
+++ b/lab/src/hollow/list.rs
@@ -41,7 +41,7 @@
 /// Entry of a database in the list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Database {
-    /// Number of the database, from which its name, zone and address derive.
+    /// Number of the database, from which its name, zone, group and address derive.
     pub number: usize,
     /// State that the list reports.
     pub state: DatabaseState,
@@ -105,7 +105,8 @@
         self.last_index
     }
 
-    /// Returns index and text of each event that a stream sends after event `after`.
+    /// Returns index and text of each event that a stream sends after event `after`. They are the events after it, or a
+    /// snapshot if `after` is 0 or some of them are no longer retained.
     pub fn events_after(&self, after: u64) -> Vec<(u64, Arc<[u8]>)> {
         let oldest = self.retained.front().map_or(self.last_index + 1, |(index, _)| *index);
         if after == 0 || after + 1 < oldest && after < self.last_index {
@@ -134,8 +135,8 @@
     text.into_bytes().into()
 }
 
-/// Parses `Last-Event-ID` from the head of a gateway's request. Returns `None` if the head is incomplete or the header
-/// is missing or invalid.
+/// Parses `Last-Event-ID` from the head of a gateway's request. Returns `None` if the head is incomplete or malformed,
+/// or the header is missing or invalid.
 pub fn last_event_id(head: &[u8]) -> Option<u64> {
     let mut headers = [httparse::EMPTY_HEADER; 16];
     let mut request = httparse::Request::new(&mut headers);
--- a/lab/src/hollow/load.rs
+++ b/lab/src/hollow/load.rs
@@ -2,14 +2,12 @@
 
 use std::collections::VecDeque;
 
-/// A tenth of a second, in microseconds.
-pub const TENTH_SECOND_US: u64 = 100_000;
+pub(crate) const TENTH_SECOND_US: u64 = 100_000;
 /// A second, in microseconds.
 pub const SECOND_US: u64 = 1_000_000;
-/// Ten seconds, in microseconds.
-pub const TEN_SECONDS_US: u64 = 10 * SECOND_US;
+const TEN_SECONDS_US: u64 = 10 * SECOND_US;
 
-/// Maximum amount within a sliding window.
+/// Maximum amount within a sliding window, which ends at the latest time and excludes its start.
 #[derive(Clone, Debug)]
 pub struct SlidingMaximum {
     window_us: u64,
--- a/lab/src/hollow/mod.rs
+++ b/lab/src/hollow/mod.rs
@@ -6,6 +6,9 @@
 //! and its limits.
 //!
 //! A hollow gateway is a complete gateway without clients that runs on a thread of a process with others.
+//!
+//! `events` builds the scripts that `model` simulates. `list` is the endpoint list of a control machine. `figures`
+//! stores the results for the capacity page. `bounds` limits the resources of a run.
 
 pub mod bounds;
 pub mod compare;
--- a/lab/src/hollow/model/actions.rs
+++ b/lab/src/hollow/model/actions.rs
@@ -63,6 +63,7 @@
         self.schedule_router_updates(machine);
     }
 
+    /// Closes all streams. Requires that all control machines are serving.
     fn close_streams(&mut self) {
         for machine in 0..self.size.control {
             for connection in self.machines[machine].reset(ControlState::Serving) {
--- a/lab/src/hollow/model/control.rs
+++ b/lab/src/hollow/model/control.rs
@@ -20,11 +20,11 @@
 /// State of a stream at its control machine.
 #[derive(Clone, Debug, Default)]
 pub struct ControlStream {
-    /// Index of the last event written.
+    /// Index of the last event written, initially of the last event that the gateway has.
     pub last_sent: u64,
     /// Writes that could not be delivered, oldest first.
     pub unsent: Vec<Arc<[u8]>>,
-    /// Time at which the stream stalled, in microseconds.
+    /// Time at which the stream stalled, in microseconds. `None` while all writes are delivered.
     pub stalled_since_us: Option<u64>,
 }
 
@@ -46,13 +46,14 @@
     pub event_bytes: u64,
     /// Bytes written in total.
     pub bytes: Load,
-    /// Streams that ended because the machine closed them, stopped or became unreachable.
+    /// Streams that ended by scripted actions: the machine closed them, stopped or became unreachable. Streams closed
+    /// after `STALL_TIMEOUT_US` or by gateways are not counted.
     pub ended: u64,
     /// Maximum number of concurrent streams.
     pub max_streams: usize,
     /// Maximum queueing delay of the worker, in microseconds.
     pub max_wait_us: u64,
-    /// Maximum number of undelivered bytes over all streams.
+    /// Maximum number of undelivered bytes in all streams together.
     pub max_unsent_bytes: u64,
     busy_until_us: u64,
 }
--- a/lab/src/hollow/model/measure.rs
+++ b/lab/src/hollow/model/measure.rs
@@ -44,7 +44,8 @@
 }
 
 impl PropagationDelays {
-    /// Records that a gateway that started at `started_us` advanced from event `previous` to event `current`.
+    /// Records that a gateway that started at `started_us` advanced from event `previous` to event `current`. Changes
+    /// before the gateway's start are not recorded.
     pub fn record(
         &mut self,
         now_us: u64,
@@ -103,13 +104,13 @@
 /// Measurements of one simulated event.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Measurements {
-    /// Peak list requests of a gateway.
+    /// Peak connection attempts of a gateway for the list.
     pub gateway_calls: Peak,
     /// Peak list events applied by a gateway.
     pub gateway_events: Peak,
     /// Peak bytes of list streams received by a gateway.
     pub gateway_bytes: Peak,
-    /// Peak list requests to a control machine.
+    /// Peak list requests that a control machine answered with a stream.
     pub control_calls: Peak,
     /// Peak list events written by a control machine, counted for each stream.
     pub control_events: Peak,
@@ -123,25 +124,26 @@
     pub control_wait_us: u64,
     /// Maximum number of undelivered bytes at a control machine.
     pub control_unsent_bytes: u64,
-    /// List requests of all gateways.
+    /// Connection attempts of all gateways for the list, including those that fail.
     pub calls: u64,
     /// List events applied by all gateways.
     pub events: u64,
     /// Bytes of list events written by all control machines.
     pub event_bytes: u64,
-    /// Streams that ended because a control machine closed them, stopped or became unreachable.
+    /// Streams that ended by scripted actions at control machines.
     pub ended: u64,
-    /// Maximum number of list requests of all gateways within a tenth of a second.
+    /// Maximum number of connection attempts of all gateways for the list within a tenth of a second.
     pub calls_per_tenth: u64,
-    /// Median delay from a change to a gateway, in microseconds, or 0 without a change.
+    /// Median delay from a change to a gateway, in microseconds, or 0 if no change reached a gateway.
     pub propagation_median_us: u64,
-    /// Maximum delay from a change to a gateway, in microseconds, or 0 without a change.
+    /// Maximum delay from a change to a gateway, in microseconds, or 0 if no change reached a gateway.
     pub propagation_max_us: u64,
-    /// Maximum delay from a gateway's start to its first list, in microseconds, or 0 if no gateway started.
+    /// Maximum delay from a gateway's start to its first list, in microseconds, or 0 if none received
+    /// its first list.
     pub first_list_max_us: u64,
     /// Number of running gateways that have not received all changes at the end.
     pub outdated: u64,
-    /// Number of running gateways without a stream at the end.
+    /// Number of running gateways without an established connection at the end.
     pub without_stream: u64,
 }
 
--- a/lab/src/hollow/model/watch.rs
+++ b/lab/src/hollow/model/watch.rs
@@ -7,7 +7,7 @@
 
 use super::ConnectionId;
 
-/// A connection request of the watch to the simulation.
+/// A request of the watch that the simulation opens or closes a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WatchRequest {
     /// Open a connection and request the events after [`Watch::last_index`].
@@ -31,12 +31,12 @@
         Self { state, connection: None, input: Vec::new(), random }
     }
 
-    /// Index of the last event received.
+    /// Index of the last accepted event, or 0 without a list.
     pub fn last_index(&self) -> u64 {
         self.state.last_index()
     }
 
-    /// Current connection, established or in progress.
+    /// Current connection, established or in progress; `None` between connections.
     pub fn connection(&self) -> Option<ConnectionId> {
         self.connection
     }
@@ -76,7 +76,8 @@
         self.state.on_connected(now_us);
     }
 
-    /// Handles received bytes and returns the events to apply, in order.
+    /// Handles received bytes and returns the events to apply, in order. Closes the connection if events are missing or
+    /// can't be read.
     pub fn on_bytes(
         &mut self,
         now_us: u64,
--- a/lab/src/hollow/options.rs
+++ b/lab/src/hollow/options.rs
@@ -36,7 +36,7 @@
 /// Options for the bounds of a run.
 #[derive(Args, Clone, Copy, Debug)]
 pub struct BoundOptions {
-    /// Maximum memory of all processes together, in MB. A run that exceeds it ends with an error.
+    /// Maximum memory of all processes together, in MiB. A run that exceeds it ends with an error.
     #[arg(long, default_value_t = MAX_MEMORY_MB)]
     pub memory_mb: u64,
     /// Maximum duration of the run, in seconds. A run that exceeds it ends with an error.
--- a/lab/src/hollow/settings.rs
+++ b/lab/src/hollow/settings.rs
@@ -1,4 +1,4 @@
-//! Configuration of the gateways of a run, identical for real processes and hollow gateways.
+//! Configuration of the gateways of a run, identical for real processes, hollow gateways and simulated gateways.
 
 use std::net::SocketAddr;
 
--- a/lab/src/hollow/simulate.rs
+++ b/lab/src/hollow/simulate.rs
@@ -9,7 +9,7 @@
 use super::bounds::Bounds;
 use super::error::HollowError;
 use super::events;
-use super::figures::{Figure, Mark, Role, add_to_file};
+use super::figures::{Figure, Origin, Role, add_to_file};
 use super::fleet::FleetSize;
 use super::model::{Measurements, Model, Peak};
 use super::options::{BoundOptions, SizeOptions};
@@ -68,7 +68,7 @@
 /// Simulates one event with one seed.
 ///
 /// # Errors
-/// The event is unknown, or a bound is exceeded.
+/// The event is unknown, a bound is exceeded, or the settings of the gateways are invalid.
 pub fn simulate(
     name: &str,
     size: FleetSize,
@@ -145,7 +145,7 @@
             event: self.event.to_owned(),
             value,
             unit: unit.to_owned(),
-            mark: Mark::Simulated,
+            origin: Origin::Simulated,
             command: self.command.to_owned(),
         }
     }
@@ -194,7 +194,7 @@
     .collect()
 }
 
-/// Streams, queueing delays and totals of the control machines.
+/// Streams and queueing delays of the control machines, and totals over all gateways.
 fn control_totals(builder: &FigureBuilder<'_>, measurements: &Measurements) -> Vec<Figure> {
     let control =
         |quantity: &str, value: f64, unit: &str| builder.figure(Role::Control, quantity, value, unit);
--- a/lab/src/hollow/sockets/control.rs
+++ b/lab/src/hollow/sockets/control.rs
@@ -58,7 +58,7 @@
     pub bytes: Load,
     /// Streams that the machine closed on command.
     pub ended: u64,
-    /// Open streams at present.
+    /// Streams that are open and were requested.
     pub streams: u64,
     /// Streams on which the last event is completely written.
     pub up_to_date: u64,
--- a/lab/src/hollow/sockets/gateways.rs
+++ b/lab/src/hollow/sockets/gateways.rs
@@ -63,7 +63,7 @@
     /// Writes the configurations and starts the gateways of a fleet.
     ///
     /// # Errors
-    /// A bound is exceeded, or a program can't be started.
+    /// A bound is exceeded, a file can't be written, or a program can't be started.
     pub fn start(
         programs: &Programs,
         mode: GatewayMode,
@@ -170,7 +170,8 @@
         Ok(())
     }
 
-    /// Processor time used by each gateway, in nanoseconds.
+    /// Processor time used by each gateway, in nanoseconds, 0 for one that has ended. Empty before
+    /// [`Self::find_threads`].
     pub fn processor_ns(&self) -> Vec<u64> {
         self.threads.iter().map(|(process, thread)| processor_ns(*process, *thread).unwrap_or(0)).collect()
     }
--- a/lab/src/hollow/sockets/host.rs
+++ b/lab/src/hollow/sockets/host.rs
@@ -34,7 +34,7 @@
 /// Counters of a gateway at shutdown.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq, Serialize)]
 pub struct GatewayCounts {
-    /// Requests for the list.
+    /// Connection attempts for the list, including those that fail.
     pub list_connects: u64,
     /// List events applied.
     pub list_events: u64,
@@ -66,7 +66,7 @@
 /// Hosts gateways until SIGTERM, then prints the counters of each as a line of JSON.
 ///
 /// # Errors
-/// A gateway fails to start or to run.
+/// The gateways may need too many descriptors, or a gateway fails to start or to run.
 pub fn run(options: &Options) -> Result<(), HollowError> {
     Bounds::check_descriptors(options.count as u64 * GATEWAY_DESCRIPTORS)?;
     let gateways = (options.first..options.first + options.count).map(|gateway| start(options, gateway));
--- a/lab/src/hollow/sockets/mod.rs
+++ b/lab/src/hollow/sockets/mod.rs
@@ -10,7 +10,7 @@
 use clap::Args;
 
 use super::error::HollowError;
-use super::figures::{Figure, Mark, Role, add_to_file};
+use super::figures::{Figure, Origin, Role, add_to_file};
 use super::fleet::FleetSize;
 use super::options::{BoundOptions, SizeOptions};
 use gateways::{GatewayMode, Programs};
@@ -98,7 +98,7 @@
         event: event.to_owned(),
         value,
         unit: unit.to_owned(),
-        mark: Mark::Hollow,
+        origin: Origin::Hollow,
         command: command.to_owned(),
     };
     let mut all: Vec<Figure> = figures
--- a/lab/src/hollow/sockets/run.rs
+++ b/lab/src/hollow/sockets/run.rs
@@ -19,11 +19,12 @@
 const MAX_LATENESS: Duration = Duration::from_millis(250);
 /// Time for gateways to apply the list after the control machines have written it.
 const SETTLE_TIME: Duration = Duration::from_secs(2);
-/// Maximum time until all gateways have the list.
+/// Maximum time until all gateways have the current list, at the start and before each phase.
 const START_TIMEOUT: Duration = Duration::from_secs(60);
-/// Interval between checks for the list at all gateways.
+/// Interval between checks for the current list at all gateways.
 const START_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Duration of [`Phase::CommentPause`]. Gateways close a stream after 2.5 to 3 s without a comment.
+/// Time for which [`Phase::CommentPause`] suspends comments. Gateways close a stream after 2.5 to 3 s without
+/// a comment.
 pub const COMMENT_PAUSE: Duration = Duration::from_millis(3500);
 /// Time until a stopped control machine listens again.
 pub const CONTROL_DOWNTIME: Duration = Duration::from_secs(3);
@@ -56,7 +57,8 @@
 pub struct Plan {
     /// Phases in order.
     pub phases: &'static [Phase],
-    /// Duration of each phase in seconds, at least one second longer than [`COMMENT_PAUSE`] and [`CONTROL_DOWNTIME`].
+    /// Duration of each phase in seconds. A plan with [`Phase::CommentPause`] or [`Phase::ControlRestarts`] needs more
+    /// than [`COMMENT_PAUSE`] or [`CONTROL_DOWNTIME`], or else the fault never ends.
     pub phase_s: u64,
 }
 
@@ -104,7 +106,7 @@
     pub phase: String,
     /// Mean processor time of a gateway over the phase, in ms.
     pub gateway_mean_ms: f64,
-    /// Maximum processor time of any gateway in any second, in ms.
+    /// Maximum processor time of any gateway in any second, in ms. For [`Phase::Start`], over the whole phase.
     pub gateway_worst_second_ms: f64,
     /// Maximum processor time of any gateway over the phase, in ms.
     pub gateway_worst_phase_ms: f64,
@@ -131,7 +133,8 @@
 }
 
 impl PhaseFigures {
-    /// Returns whether the phase kept its schedule. The figures of a late phase are not stored.
+    /// Returns whether the phase kept its schedule. The figures of a late phase are not added
+    /// to the figure file.
     pub fn is_usable(&self) -> bool {
         self.late_ms <= MAX_LATENESS.as_secs_f64() * 1e3
     }
--- a/lab/tests/capacity.rs
+++ b/lab/tests/capacity.rs
@@ -12,7 +12,7 @@
 use wrenhatch_lab::capacity::fit::{Point, fit};
 use wrenhatch_lab::capacity::hollow::HollowFile;
 use wrenhatch_lab::capacity::page::generate_page;
-use wrenhatch_lab::capacity::slopes::{Mark, Measurement, Slopes};
+use wrenhatch_lab::capacity::slopes::{Measurement, Origin, Slopes};
 use wrenhatch_lab::capacity::target::Target;
 
 fn docs(file: &str) -> PathBuf {
@@ -73,9 +73,9 @@
 fn measured_sizes_give_the_median_and_other_sizes_the_line() {
     let line = measured(runs(&SIZES, [-1.0, 0.0, 4.0], |size| 5.0 + 2.0 * size));
     let known = line.at(40.0).unwrap();
-    assert_eq!((known.value, known.spread, known.mark), (85.0, 2.5, Mark::Measured));
+    assert_eq!((known.value, known.spread, known.origin), (85.0, 2.5, Origin::Measured));
     let other = line.at(100.0).unwrap();
-    assert!((other.value - 206.0).abs() < 1e-9 && other.mark == Mark::Calculated, "{other:?}");
+    assert!((other.value - 206.0).abs() < 1e-9 && other.origin == Origin::Calculated, "{other:?}");
 }
 
 #[test]
@@ -282,7 +282,10 @@
     let hollow = HollowFile::default().with_configuration(&docs("capacity/configuration.json")).unwrap();
     assert!(!hollow.figures.is_empty());
     assert!(
-        hollow.figures.iter().all(|f| f.mark == Mark::Simulated && f.event.starts_with("configuration, "))
+        hollow
+            .figures
+            .iter()
+            .all(|f| f.origin == Origin::Simulated && f.event.starts_with("configuration, "))
     );
     let times = hollow.figures.iter().filter(|f| f.unit == "ms").count();
     assert_eq!(hollow.figures.len(), 3 * times, "a time and two rates for each scenario");
--- a/lab/tests/hollow.rs
+++ b/lab/tests/hollow.rs
@@ -9,7 +9,7 @@
 use wrenhatch_lab::hollow::compare::{Counts, simulated_counts};
 use wrenhatch_lab::hollow::error::HollowError;
 use wrenhatch_lab::hollow::events;
-use wrenhatch_lab::hollow::figures::{Figure, FigureFile, Mark, Role, add_to_file, comparison_path};
+use wrenhatch_lab::hollow::figures::{Figure, FigureFile, Origin, Role, add_to_file, comparison_path};
 use wrenhatch_lab::hollow::fleet::FleetSize;
 use wrenhatch_lab::hollow::list::{Database, DatabaseList, DatabaseState, RETAINED_EVENTS, last_event_id};
 use wrenhatch_lab::hollow::load::{Load, SECOND_US, SlidingMaximum};
@@ -229,7 +229,7 @@
         event: "zone".to_owned(),
         value: 1.0,
         unit: "calls".to_owned(),
-        mark: Mark::Simulated,
+        origin: Origin::Simulated,
         command: "a command".to_owned(),
     };
     let text = serde_json::to_value(FigureFile { figures: vec![figure] }).unwrap();
