--- a/gateway/src/net/admin.rs
+++ b/gateway/src/net/admin.rs
@@ -16,7 +16,7 @@
 use crate::process_replacement::Message;
 
 /// Maximum number of connections. At the limit, a new connection evicts one whose response is written, or else the
-/// oldest one without a complete call.
+/// oldest one without a complete call, or else the oldest one.
 pub const MAX_ADMIN_CONNECTIONS: usize = 16;
 /// Maximum lifetime of a connection, in microseconds.
 const CONNECTION_TIMEOUT_US: u64 = 5_000_000;
@@ -60,6 +60,9 @@
 
 impl AdminInterface {
     /// Opens the listener. Without an address the interface is disabled.
+    ///
+    /// # Errors
+    /// Opening the listener, or adding it to the poller, failed.
     pub fn open(address: Option<SocketAddr>, poll: &Poll) -> Result<Self, ServeError> {
         let Some(address) = address else { return Ok(Self::default()) };
         let failed = |e| ServeError::Listen(address, e);
--- a/gateway/src/net/clients/accept.rs
+++ b/gateway/src/net/clients/accept.rs
@@ -10,22 +10,23 @@
 use crate::net::listeners::{self, FrontEnd};
 use crate::net::sessions::Sessions;
 
-/// Maximum number of rejected clients that are kept beyond the session limit until they have read the error.
+/// Maximum number of rejected clients that are kept beyond the session limit during their graceful close.
 const MAX_REJECTED_CLIENTS: usize = 12;
 
 /// The decision on a new connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum AcceptDecision {
     Session,
-    /// The client gets an error, and the connection is kept until the client has read it.
+    /// The client gets an error, and the connection is closed gracefully.
     Rejection,
     /// The connection is closed at once.
     Close,
 }
 
 impl Server {
-    /// Creates a session for a new client, evicting another one if necessary, or rejects the client. The error
-    /// for a rejected client also answers a request that the client may have sent behind its start-up message.
+    /// Creates a session for a new client, evicting another one if necessary, or rejects the client. If too many
+    /// rejected clients are still connected, the connection is closed without an error. The error for a rejected client
+    /// also answers a request that the client may have sent behind its start-up message.
     pub(in crate::net) fn accept_client(&mut self, stream: TcpStream, from: SocketAddr, front_end: FrontEnd) {
         let decision = self.decide_accept();
         if decision == AcceptDecision::Close {
--- a/gateway/src/net/clients/eviction.rs
+++ b/gateway/src/net/clients/eviction.rs
@@ -13,7 +13,7 @@
 const MAX_MEMORY_EVICTIONS: usize = 64;
 
 impl Server {
-    /// Evicts the best candidate. Returns false if no session can be evicted.
+    /// Evicts the best candidate that is safe to close. Returns false if there is none among the candidates tried.
     pub(in crate::net) fn evict_one(&mut self) -> bool {
         for _ in 0..MAX_CANDIDATES {
             let Some(handle) = self.sessions.eviction_candidate(self.time.now_us) else { return false };
@@ -25,8 +25,9 @@
         false
     }
 
-    /// Whether a session can be closed without losing a request. An idle session is read once more first: a request
-    /// that has arrived would be lost, and closing a socket with unread input resets the connection.
+    /// Whether an idle session can be closed without losing a request. It is read once more first: a request that has
+    /// arrived would be lost, and closing a socket with unread input resets the connection. Always true for a session
+    /// that is not idle.
     pub(super) fn is_safe_to_close(&mut self, handle: Handle) -> bool {
         if self.sessions.table.activity(handle).is_some_and(|(activity, _)| activity.is_idle()) {
             self.read_now(handle);
@@ -41,7 +42,8 @@
         true
     }
 
-    /// Closes a session at once, unless that could lose a request. Returns whether the session was closed.
+    /// Closes a session at once, unless it was idle and a last read shows that it no longer is. Returns whether the
+    /// session was closed.
     fn close_if_safe(&mut self, handle: Handle) -> bool {
         let is_safe_to_close = self.is_safe_to_close(handle);
         if is_safe_to_close {
@@ -50,8 +52,9 @@
         is_safe_to_close
     }
 
-    /// Closes sessions while the memory budget is under pressure: first those with prepared statements, then those with
-    /// incomplete messages, then those that don't read their answers. Sessions with open requests are never closed.
+    /// Closes sessions while the memory budget is under pressure: first idle ones with prepared statements, then those
+    /// with incomplete messages, then those that don't read their answers. Sessions with open requests are never
+    /// closed.
     pub(in crate::net) fn relieve_memory_pressure(&mut self) {
         for _ in 0..MAX_MEMORY_EVICTIONS {
             let evictable: &[Activity] = match self.sessions.memory.pressure() {
--- a/gateway/src/net/clients/read.rs
+++ b/gateway/src/net/clients/read.rs
@@ -15,13 +15,13 @@
 
 impl Server {
     /// Handles a poller event of a client connection. A session with input is queued with the read scheduler and not
-    /// read here.
+    /// read here. If the event means that the client has gone, the session is closed.
     pub(in crate::net) fn session_ready(&mut self, handle: Handle, interest: Interest) {
         if interest.write {
             self.sessions.mark_dirty(handle);
         }
         if interest.read {
-            if self.sessions.table.active(handle).is_some_and(|session| session.connection.is_hung_up()) {
+            if self.sessions.table.active(handle).is_some_and(|session| session.connection.is_read_paused()) {
                 return self.close_client(handle);
             }
             self.sessions.enqueue_read(handle, self.time.now_us);
@@ -72,7 +72,8 @@
     }
 
     /// Updates the time at which the wait for the rest of a client's start-up or message began. `progressed` is true if
-    /// a complete message was read since the last call.
+    /// a complete message was read since the last call. Messages that are held back by unsent output count as
+    /// incomplete.
     pub(super) fn record_progress(&mut self, handle: Handle, progressed: bool) {
         let now_us = self.time.now_us;
         self.sessions.mark_dirty(handle);
@@ -92,8 +93,8 @@
         }
     }
 
-    /// Handles messages until the next one is incomplete, a request is open, too much output is unsent, or the session
-    /// has reached its message limit for this turn.
+    /// Handles messages until the next one is incomplete, a request is open, too much output is unsent, the session
+    /// begins to close, or the message limit of one call is reached.
     pub(super) fn read_messages(&mut self, handle: Handle) {
         let mut remaining = self.sessions.scheduler.limits().messages_per_turn;
         let mut progressed = false;
@@ -137,8 +138,8 @@
         true
     }
 
-    /// Answers a request to prepare a statement. Preparing fails if the settings do not contain a name in the
-    /// statement's fields, or if memory is short.
+    /// Answers a request to prepare a statement. Preparing fails if the settings do not contain the class or tenant in
+    /// the statement's fields, or if memory is short.
     fn prepare_statement(&mut self, handle: Handle, fields: &RequestFields) {
         let invalid = admission::resolve_names(&self.names, fields).err();
         let Some(session) = self.sessions.table.active_mut(handle) else { return };
--- a/gateway/src/net/clients/requests.rs
+++ b/gateway/src/net/clients/requests.rs
@@ -15,7 +15,8 @@
 use crate::net::{OpenClientRequest, Server};
 
 impl Server {
-    /// Validates a request and admits or rejects it. The decision is made by [`admission`].
+    /// Validates a request and admits or rejects it. An invalid request gets an error. The decision is made by
+    /// [`admission`].
     pub(super) fn handle_request(&mut self, handle: Handle, request: ClientRequest) {
         let ClientRequest { mut fields, statement, mode } = request;
         let id_in_use = fields.id.as_ref().is_some_and(|id| self.requests.is_query_id_in_use(id));
@@ -37,7 +38,7 @@
             ready_us,
             wait_us: admission::wait_us(fields.wait_ms, self.config.settings.classes[class.0].deadline),
             work_ahead_us: if expedited { self.sessions.scheduler.backlog_us() } else { 0 },
-            shutting_down: self.is_shutting_down(),
+            shutting_down: self.rejects_new_work(),
             open_requests: self.requests.open.len(),
             max_open_requests: self.config.max_open_requests,
             memory: self.sessions.memory.check(MemoryPurpose::Requests, request.bytes()),
@@ -109,8 +110,8 @@
         self.inputs.push(Input::RequestArrived { id, request: new_request });
     }
 
-    /// Cancels the open request of the session named by a CancelRequest, and answers the client at once. A
-    /// CancelRequest for an unknown session is forwarded to the predecessor.
+    /// Cancels the open request of the session named by a CancelRequest, and answers that session's client at once. A
+    /// CancelRequest without a matching session is forwarded to the predecessor, if there is one.
     pub(in crate::net) fn cancel(&mut self, session: u32, secret: u32) {
         let handle = session.checked_sub(1).and_then(|slot| self.sessions.table.handle_of_slot(slot));
         let Some(handle) = handle.filter(|handle| self.sessions.secret_of(*handle) == Some(secret)) else {
--- a/gateway/src/net/clients/settle.rs
+++ b/gateway/src/net/clients/settle.rs
@@ -7,8 +7,8 @@
 use crate::net::{NetTimer, Server};
 
 impl Server {
-    /// Settles a session at the end of a turn: writes its output, arms its timer, updates its memory reservation and
-    /// its activity, and suspends it if it is idle.
+    /// Settles a session at the end of a turn: writes its output, arms its timer, queues it for reading if input is
+    /// left, updates its memory reservation and its activity, and suspends it if it is idle.
     pub(in crate::net) fn settle_session(&mut self, handle: Handle) {
         let now_us = self.time.now_us;
         let Some(session) = self.sessions.table.active_mut(handle) else { return };
@@ -42,8 +42,8 @@
         }
     }
 
-    /// Begins a graceful close: the connection is closed once all output is written and the client has closed its side,
-    /// or after [`CLOSE_TIMEOUT_US`](crate::net::sessions::CLOSE_TIMEOUT_US).
+    /// Begins a graceful close: remaining output is written, and the connection is closed once the client has closed
+    /// its side, or after [`CLOSE_TIMEOUT_US`](crate::net::sessions::CLOSE_TIMEOUT_US).
     pub(in crate::net) fn close_gracefully(&mut self, handle: Handle) {
         let now_us = self.time.now_us;
         if let Some(session) = self.sessions.table.active_mut(handle) {
@@ -54,7 +54,8 @@
         self.sessions.mark_dirty(handle);
     }
 
-    /// Closes a client's connection at once and removes its session. All client connections are closed here.
+    /// Closes a client's connection at once and removes its session. An open request is withdrawn. All client
+    /// connections are closed here.
     pub(super) fn close_client(&mut self, handle: Handle) {
         match self.sessions.remove(handle) {
             Some(RemovedSession::Active(session)) => {
--- a/gateway/src/net/connection.rs
+++ b/gateway/src/net/connection.rs
@@ -139,7 +139,7 @@
         self.input.capacity() + self.output.capacity()
     }
 
-    /// Whether the connection is currently polled for input.
+    /// Whether the connection is to be polled for input. [`Connection::update`] passes this to the poller.
     pub fn wants_read(&self) -> bool {
         match self.phase {
             Phase::Connecting => false,
@@ -163,7 +163,8 @@
         Ok(())
     }
 
-    /// Reads available input, up to the read-ahead and to about `max_bytes`.
+    /// Reads available input, up to the read-ahead and to about `max_bytes`. In [`Phase::Closing`], input is discarded
+    /// instead.
     pub fn fill(&mut self, max_bytes: usize) -> ReadEnd {
         let mut chunk = [0; 16 * 1024];
         let closing = self.phase == Phase::Closing;
@@ -224,9 +225,9 @@
         end
     }
 
-    /// Whether a read event means that the peer has gone. True while the connection is not polled for input: the poller
-    /// then reports only errors and hang-ups.
-    pub fn is_hung_up(&self) -> bool {
+    /// Whether the connection is established and not polled for input. A read event then means that the peer has gone,
+    /// as the poller reports only errors and hang-ups.
+    pub fn is_read_paused(&self) -> bool {
         self.phase != Phase::Connecting && !self.registered.read
     }
 
--- a/gateway/src/net/control_plane.rs
+++ b/gateway/src/net/control_plane.rs
@@ -123,7 +123,7 @@
         }
         control_plane.client.on_connected();
         if interest.read {
-            if conn.is_hung_up() {
+            if conn.is_read_paused() {
                 return self.control_plane_lost();
             }
             let end = conn.fill(READ_AHEAD_BYTES);
@@ -188,7 +188,7 @@
         tracing::warn!(%version, %in_force, %reason, "configuration refused");
     }
 
-    /// Sends a new report and aborts a report in progress, which is outdated.
+    /// Sends a new report after aborting a report in progress, which is outdated.
     fn send_new_report(&mut self) {
         if let Some(conn) = self.control_plane.as_mut().and_then(|c| c.report.take()) {
             conn.close(&self.poll);
--- a/gateway/src/net/engines.rs
+++ b/gateway/src/net/engines.rs
@@ -43,11 +43,11 @@
 /// Reason for which a connection to an engine ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionEnd {
-    /// The connection was refused: no process listens at the address.
+    /// The connection was refused: no process listens at the address. A process of the engine may still run.
     Refused,
     /// The connection was not established in time. The machine may be down.
     TimedOut,
-    /// The connection broke, no response came in time, or a response was unusable.
+    /// The connection broke or failed for another reason, no response came in time, or a response was unusable.
     Broken,
 }
 
@@ -195,7 +195,8 @@
     reserved_bytes: usize,
     /// Fires if the engine has not confirmed the cancellation in time.
     cancel_timer: Option<TimerId>,
-    /// Number of times that the current call was repeated over another connection for lack of a usable response.
+    /// Number of times that the current call failed for lack of a usable response. Reset by a usable response, and when
+    /// the attempt is cancelled.
     call_retries: u32,
     /// Time at which the last call of this attempt was written: its start, or a call for a progress report or a page.
     last_call_us: u64,
@@ -203,7 +204,7 @@
 
 impl Attempt {
     /// Latest time at which the engine may still run this attempt if no further call reaches the engine, in
-    /// microseconds. Over MySQL, only the time limit sent with the statement bounds this time.
+    /// microseconds. Not before `now_us`. Over MySQL, only the time limit sent with the statement bounds this time.
     fn may_run_until_us(&self, now_us: u64) -> u64 {
         match self.execution {
             Execution::Http { .. } => now_us.max(self.last_call_us + http::MAX_RUN_AFTER_LAST_CALL_US),
--- a/gateway/src/net/engines/attempts.rs
+++ b/gateway/src/net/engines/attempts.rs
@@ -11,12 +11,13 @@
 use crate::mysql_protocol::Parameter;
 use crate::net::{OpenClientRequest, Server};
 
-/// Maximum number of times that a call is repeated if its response was unusable or missing.
+/// Maximum number of further calls if the response to a call was unusable or missing.
 pub(super) const MAX_CALL_RETRIES: u32 = 4;
 
 /// Action taken when the connection of an attempt ends before the attempt.
 enum NextStep {
-    /// Repeat the call over another connection.
+    /// Write a call over another connection: the first call if it was not written yet, or else one that asks again for
+    /// the missing response.
     RepeatCall,
     /// End the attempt. No part of it was executed.
     ConnectFailed,
@@ -29,7 +30,8 @@
 }
 
 impl Server {
-    /// Starts an attempt over an idle connection to its engine, or over a new one if none is idle.
+    /// Starts an attempt over an idle connection to its engine, or over a new one if none is idle. If the client has
+    /// left or there is no connection, the attempt ends at once.
     pub(in crate::net) fn start_attempt(
         &mut self,
         id: AttemptId,
@@ -149,8 +151,9 @@
     /// | yes | any | | lost |
     ///
     /// Over HTTP a query is independent of the connection, and the engine continues to run it after the connection has
-    /// ended. Therefore the same call is repeated, and the query is not started at another engine. An engine that
-    /// refuses a connection may still run the query: it may be draining, or have reached its connection limit.
+    /// ended. Therefore the response is requested again from the same engine, and the query is not started at another
+    /// one. An engine that refuses a connection may still run the query: it may be draining, or have reached its
+    /// connection limit.
     fn next_step(
         &self,
         attempt: &Attempt,
--- a/gateway/src/net/engines/calls.rs
+++ b/gateway/src/net/engines/calls.rs
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Writes the first call of an attempt, or repeats the call whose response was lost.
+    /// Writes the first call of an attempt, or a call that asks again for a lost response.
     fn write_attempt_call(&mut self, slot: usize, id: AttemptId) {
         let now_us = self.time.now_us;
         let Some(connection) = self.pools.connections.get_mut(slot).and_then(Option::as_mut) else { return };
@@ -97,7 +97,8 @@
         }
     }
 
-    /// Sends a new priority of an attempt to its engine, if an idle connection is available.
+    /// Sends a new priority of an attempt to its engine, if the attempt was started over HTTP and is not being
+    /// cancelled, and an idle connection is available.
     pub(in crate::net) fn set_priority(&mut self, id: AttemptId, priority: u8) {
         let Some(attempt) = self.pools.attempts.get(&id).filter(|a| !a.cancelling) else { return };
         if !attempt.is_http_started() {
--- a/gateway/src/net/engines/cancellation.rs
+++ b/gateway/src/net/engines/cancellation.rs
@@ -14,7 +14,7 @@
 
 impl Server {
     /// Cancels an attempt. An attempt that was not forwarded ends at once. Any other ends when its engine has confirmed
-    /// the cancellation or the time limit has passed.
+    /// the cancellation, or is lost when the time limit has passed.
     pub(in crate::net) fn cancel_attempt(&mut self, id: AttemptId) {
         let in_flight = self.pools.attempts.get(&id).filter(|a| !a.cancelling);
         let Some((engine, slot)) = in_flight.map(|a| (a.engine, a.slot)) else { return };
@@ -53,9 +53,10 @@
         }
     }
 
-    /// Repeats the call that cancels an attempt after its connection has ended, up to [`MAX_CALL_RETRIES`] times. If
-    /// the engine has refused the connection, the call is not repeated, and the attempt ends at the time limit. Such an
-    /// engine may still run the query: it may be draining, or have reached its connection limit.
+    /// Repeats the call that cancels an attempt over a new HTTP connection after its connection has ended, up to
+    /// [`MAX_CALL_RETRIES`] times. If the engine has refused the connection, the call is not repeated, and the attempt
+    /// is lost at the time limit. Such an engine may still run the query: it may be draining, or have reached its
+    /// connection limit.
     pub(super) fn retry_cancellation(&mut self, id: AttemptId, link: &Link, end: ConnectionEnd) {
         let attempt = self.pools.attempts.get_mut(&id).filter(|a| a.call_retries < MAX_CALL_RETRIES);
         let Some(attempt) = attempt else { return };
--- a/gateway/src/net/engines/confirmation.rs
+++ b/gateway/src/net/engines/confirmation.rs
@@ -41,7 +41,8 @@
         self.request_confirmation(id);
     }
 
-    /// Opens a connection for the call that cancels the attempt.
+    /// Opens a connection for the call that cancels the attempt. If the engine was removed or refuses the connection,
+    /// the end is confirmed without a call.
     pub(in crate::net) fn request_confirmation(&mut self, id: AttemptId) {
         let Some(attempt) = self.pools.unconfirmed.get(&id) else { return };
         let engine = attempt.engine;
@@ -97,7 +98,7 @@
         self.inputs.push(Input::AttemptEndConfirmed { attempt: id, runs_until_us: may_run_until_us });
     }
 
-    /// Handles the end of a confirmation's connection over which no response was received.
+    /// Handles the end of a confirmation's connection over which no usable response was received.
     pub(super) fn confirmation_connection_ended(&mut self, id: AttemptId, end: ConnectionEnd) {
         match end {
             // The refusal proves that the machine was reached. The process has exited, is draining, or has reached its
--- a/gateway/src/net/engines/connection_events.rs
+++ b/gateway/src/net/engines/connection_events.rs
@@ -10,8 +10,8 @@
 use crate::net::pools::{EngineConnection, Pools};
 use crate::net::{NetTimer, Server};
 
-/// Time limit for the response to a call of an attempt, in microseconds. Longer than a running engine may stall. After
-/// the limit the call is repeated over another connection, as the query may still be running.
+/// Time limit for the response to a call of an attempt over HTTP, in microseconds. Longer than a running engine may
+/// stall. After the limit the response is requested again over another connection, as the query may still be running.
 const RESPONSE_TIMEOUT_US: u64 = 500_000;
 
 /// Time limit for a response that is no longer needed, in microseconds. The connection can be reused once the response
@@ -34,7 +34,7 @@
 
 impl Server {
     /// Deadline of a connection for its current state, in microseconds: for being established, for writing a delayed
-    /// call, for a response, or for being idle.
+    /// call, for a response, or for being idle. `None` while a MySQL connection carries an attempt.
     fn connection_deadline_us(&self, connection: &EngineConnection) -> Option<u64> {
         let link = &connection.link;
         if link.is_connecting(connection.conn.phase) {
@@ -163,7 +163,7 @@
         }
         if interest.read {
             let Some(connection) = self.pools.connection(slot) else { return };
-            if connection.conn.is_hung_up() {
+            if connection.conn.is_read_paused() {
                 return self.connection_ended(slot, ConnectionEnd::Broken);
             }
             let end = connection.conn.fill(usize::MAX);
--- a/gateway/src/net/engines/connections.rs
+++ b/gateway/src/net/engines/connections.rs
@@ -7,9 +7,9 @@
 use crate::net::Server;
 use crate::net::connection::{Phase, ReadEnd};
 
-/// Minimum time between a response and the next call over the same connection, in microseconds. A duplicate of a
-/// response may arrive some milliseconds late and would be mistaken for the response to the next call. If no other idle
-/// connection is available, the call is delayed and no new connection is opened, as establishing one often takes
+/// Minimum time between the end of a connection's job and the first call of its next job, in microseconds. A duplicate
+/// of a response may arrive some milliseconds late and would be mistaken for the response to the next call. If no idle
+/// connection is past this delay, the call is delayed and no new connection is opened, as establishing one often takes
 /// longer.
 pub(super) const REUSE_DELAY_US: u64 = 25_000;
 
@@ -17,8 +17,9 @@
 const MYSQL_READ_AHEAD_BYTES: usize = 512 * 1024;
 
 impl Server {
-    /// Acquires a connection to an engine for a job and returns its slot. Prefers an idle connection on which the
-    /// statement `prepared` is prepared, then any idle connection, then opens a new one.
+    /// Acquires a connection to an engine for a job and returns its slot. Prefers an idle connection past its reuse
+    /// delay, if possible one on which the statement `prepared` is prepared, then any idle connection, then opens a new
+    /// one.
     ///
     /// # Errors
     /// No connection is available. If the job is an attempt, the error is its outcome.
@@ -145,7 +146,7 @@
     }
 
     fn max_engine_connections(&self) -> usize {
-        crate::net::sessions::max_engine_connections(&self.config, self.peer_processes.is_empty())
+        crate::net::sessions::max_engine_connections(&self.config, self.peer_processes.none_known())
     }
 
     /// Closes idle connections that exceed this process's share of the descriptors. While a peer process runs, the
--- a/gateway/src/net/engines/list.rs
+++ b/gateway/src/net/engines/list.rs
@@ -91,7 +91,7 @@
     }
 
     /// Deletes removed engines without connections or attempts. The list keeps adding new names, so that the table
-    /// would grow without bound.
+    /// would otherwise grow without bound.
     fn delete_removed_engines(&mut self) {
         let mut used: BTreeSet<EngineId> =
             self.pools.connections.iter().flatten().map(|connection| connection.link.engine).collect();
--- a/gateway/src/net/event_loop.rs
+++ b/gateway/src/net/event_loop.rs
@@ -3,7 +3,8 @@
 //! 1. Wait for events or the next timer, and read the clock.
 //! 2. Read from engines, the discovery service, the control plane, operators and peer processes, and fire timers.
 //! 3. Accept and read clients within the limits of the read scheduler.
-//! 4. Pass all inputs to the core, execute its commands, and flush all connections that have output.
+//! 4. Pass all inputs to the core, execute its commands, and flush the connections of clients and engines.
+//! 5. Advance a graceful shutdown.
 
 use std::io;
 use std::net::SocketAddr;
@@ -99,7 +100,7 @@
     }
 
     /// Accepts and reads clients. If the session table is full, sessions are read first, so that those of disconnected
-    /// clients are removed before a new client is rejected.
+    /// clients are removed before another session is evicted or a new client is rejected.
     fn serve_clients(&mut self, ready_listeners: ReadyListeners) {
         if ready_listeners.front_ends().next().is_some() && self.sessions.is_full() {
             self.read_sessions();
@@ -138,8 +139,8 @@
         self.pools.end_turn();
     }
 
-    /// Time to wait for events; `None` waits without a limit. Called once at the end of a turn, as it also reports the
-    /// turn's duration to the read scheduler.
+    /// Time to wait for events; `None` waits without a limit. Called once between two turns, as it also reports the
+    /// duration of the last turn to the read scheduler.
     fn timeout(&mut self) -> Option<Duration> {
         let now_us = self.time.started.elapsed().as_micros() as u64;
         self.sessions.scheduler.end_turn(now_us.saturating_sub(self.time.now_us));
@@ -151,8 +152,9 @@
         Some(Duration::from_micros(next_us.saturating_sub(now_us)))
     }
 
-    /// Opens a connection. If the system is out of descriptors in spite of the descriptor budget, a client's session is
-    /// evicted: admitted requests have precedence over idle clients.
+    /// Begins to open a connection to an engine or a service. If the system is out of descriptors in spite of the
+    /// descriptor budget, a client's session is evicted and the call is repeated once: admitted requests have
+    /// precedence over idle clients.
     pub(super) fn dial(
         &mut self,
         address: SocketAddr,
--- a/gateway/src/net/listeners.rs
+++ b/gateway/src/net/listeners.rs
@@ -138,7 +138,7 @@
         self.resume(poll);
     }
 
-    /// Accepts clients again after a pause.
+    /// Accepts clients again after a pause, unless the successor accepts them.
     pub fn resume(&mut self, poll: &Poll) {
         if self.paused && !self.handed_over {
             self.set_interest(poll, ACCEPT_INTEREST);
@@ -153,8 +153,8 @@
         }
         let rejected = match self.listener(front_end).map(TcpListener::accept) {
             Some(Ok((mut stream, _))) => {
-                // The send buffer of a new connection is empty, so that a short write does not block. Errors are
-                // ignored: they mean that the client has disconnected.
+                // The send buffer of a new connection is empty, so that the error fits into it. Errors are ignored:
+                // they mean that the client has disconnected.
                 let _ = stream.set_nonblocking(true);
                 let _ = stream.write(error);
                 let _ = stream.shutdown(Shutdown::Write);
@@ -188,7 +188,7 @@
 
 impl Server {
     /// Accepts connections up to the read scheduler's limit for this turn. The poller reports the remaining ones again.
-    /// Returns false once no connection can be accepted.
+    /// Returns true if that limit was reached, and false if no connection can be accepted any more.
     pub(super) fn accept(&mut self, front_end: FrontEnd) -> bool {
         for _ in 0..self.sessions.scheduler.accept_limit() {
             let Some(listener) = self.listeners.listener(front_end) else { return false };
--- a/gateway/src/net/mod.rs
+++ b/gateway/src/net/mod.rs
@@ -6,6 +6,7 @@
 //! - clients: `listeners`, `clients`, `sessions`, `requests`
 //! - engines: `engines`, `pools`, `watch` (the endpoint list)
 //! - operation: `admin`, `control_plane`, `live_reconfiguration`, `reload`, `process_replacement`, `shutdown`
+//! - shared by all: `poll` and `poll_key` (readiness), `connection` (TCP), `timer`, `signals`
 //!
 //! Scheduling decisions, the core and all protocols are implemented outside this module and perform no I/O. This
 //! module does the I/O for them.
@@ -71,7 +72,7 @@
     /// Binding or listening failed at the address.
     #[error("can't listen on {0}: {1}")]
     Listen(SocketAddr, io::Error),
-    /// A call to the poller, or the set-up of a signal handler, failed.
+    /// A call to the poller failed.
     #[error("{0}")]
     Io(#[from] io::Error),
     /// The workload manager rejected the settings as invalid.
@@ -79,13 +80,13 @@
     Settings(#[from] SettingsError),
 }
 
-/// The gateway's clock, in microseconds since the start of the process.
+/// The gateway's clock, in microseconds since the creation of the [`Server`].
 struct Time {
-    /// Start of the process: zero of all times in microseconds.
+    /// Zero of all times in microseconds.
     started: Instant,
-    /// Start of the current turn. All work of a turn uses this time.
+    /// Start of the current turn, after the wait for events. All work of a turn uses this time.
     now_us: u64,
-    /// Unix time of the start of the process.
+    /// Unix time of [`Self::started`].
     unix_offset_us: i128,
 }
 
@@ -103,7 +104,7 @@
     core: Core,
     counters: Counters,
     metrics: Metrics,
-    /// Inputs that the core receives at the end of this turn.
+    /// Inputs that the core receives in its next turn.
     inputs: Vec<Input>,
 
     poll: Poll,
@@ -198,12 +199,12 @@
         })
     }
 
-    /// Local address of the admin interface, if it is enabled.
+    /// Local address of the admin interface; `None` if it is disabled.
     pub fn admin_address(&self) -> Option<SocketAddr> {
         self.admin.address()
     }
 
-    /// Local addresses of the PostgreSQL and the MySQL listener, in this order.
+    /// Local addresses of the PostgreSQL and the MySQL listener, in this order; `None` for a listener that is not open.
     pub fn addresses(&self) -> (Option<String>, Option<String>) {
         (self.listeners.address(FrontEnd::PostgreSql), self.listeners.address(FrontEnd::MySql))
     }
--- a/gateway/src/net/poll.rs
+++ b/gateway/src/net/poll.rs
@@ -20,8 +20,8 @@
 
 /// Maximum number of events returned by one system call.
 const EVENTS_PER_WAIT: NonZeroUsize = NonZeroUsize::new(1024).expect("1024 is not zero");
-/// Maximum number of consecutive system calls in one wait while each returns a full batch. The read scheduler chooses
-/// among all ready sources, so that the batches of a turn are collected first.
+/// Maximum number of consecutive system calls in one wait while each returns a full batch. All batches of a turn are
+/// collected first, as the read scheduler chooses among all ready sessions.
 const MAX_WAITS: usize = 64;
 
 /// A poller with a reusable buffer of events.
@@ -35,8 +35,8 @@
 pub enum Trigger {
     /// An event is delivered at every wait.
     Level,
-    /// An event is delivered only when the source becomes ready again. Sources that stay ready while queued for
-    /// reading then cost nothing at each wait.
+    /// An event is delivered only when the source becomes ready or receives more input. Sources that stay ready while
+    /// queued for reading then cost nothing at each wait.
     Edge,
 }
 
@@ -105,8 +105,9 @@
         let _ = self.poller.delete(source);
     }
 
-    /// Waits for events, at most for `timeout`, and replaces the contents of `ready` by the keys of all ready sources,
-    /// each with the operations that are ready.
+    /// Waits for events, at most for `timeout` if there is one, and replaces the contents of `ready` by the keys of all
+    /// ready sources, each with the operations that are ready. After more than one system call, a source with
+    /// [`Trigger::Level`] may occur several times.
     ///
     /// # Errors
     /// The system call failed.
--- a/gateway/src/net/poll_key.rs
+++ b/gateway/src/net/poll_key.rs
@@ -30,7 +30,7 @@
     Watch(u32),
     /// A connection of the admin interface, by the serial number of the connection.
     AdminConnection(u32),
-    /// A connection to a peer process, by the id of the process.
+    /// A connection to a peer process, by the number of its [`PeerProcessId`](crate::core::PeerProcessId).
     PeerProcess(u32),
     /// The stream of the control plane, by the serial number of its connection.
     ControlPlaneStream(u32),
@@ -76,7 +76,8 @@
         }
     }
 
-    /// Reverses [`PollKey::encode`]. Returns `None` if the bits are not a valid key.
+    /// Reverses [`PollKey::encode`], except for the higher bits of an engine connection's serial number. Returns `None`
+    /// if the bits are not a valid key.
     pub fn decode(bits: u64) -> Option<Self> {
         let serial = bits as u32;
         match bits >> TAG_SHIFT {
--- a/gateway/src/net/pools.rs
+++ b/gateway/src/net/pools.rs
@@ -79,14 +79,15 @@
         PollKey::EngineConnection { slot: slot as u32, serial }.encode()
     }
 
-    /// The slot of the connection with this poller key, if the connection is still open.
+    /// The slot of the connection with this poller key; `None` if the connection was closed.
     pub fn slot_of(&self, key: u64) -> Option<usize> {
         let slot = key as u32 as usize;
         let serial = self.connections.get(slot)?.as_ref()?.serial;
         (Self::key(slot, serial) == key).then_some(slot)
     }
 
-    /// Closes a connection. All connections to engines are closed here.
+    /// Closes a connection and returns its link; `None` if the slot has no connection. All connections to engines are
+    /// closed here.
     pub fn close(&mut self, poll: &Poll, timers: &mut TimerWheel<NetTimer>, slot: usize) -> Option<Link> {
         let connection = self.connections.get_mut(slot)?.take()?;
         if let Some((_, timer)) = connection.timer {
--- a/gateway/src/net/process_replacement/mod.rs
+++ b/gateway/src/net/process_replacement/mod.rs
@@ -141,14 +141,14 @@
         }
     }
 
-    /// Sends a message to a peer process, if it still runs.
+    /// Sends a message to a peer process, if it is still connected.
     pub(super) fn send_to_peer(&mut self, peer: PeerProcessId, message: &Message) {
         if let Some(index) = self.peer_processes.position_of(peer) {
             self.send_to_peer_at(index, message);
         }
     }
 
-    /// Sends a message to all peer processes of this gateway.
+    /// Sends a message to all peer processes that have identified themselves as processes of this gateway.
     pub(super) fn send_to_all_peers(&mut self, message: &Message) {
         // Iterates backwards, as sending removes a peer whose connection is broken.
         for index in (0..self.peer_processes.len()).rev() {
@@ -165,7 +165,8 @@
         }
     }
 
-    /// Notifies peers that share key leases of the time by which all attempts left running by this process have ended.
+    /// Notifies peers that share key leases of the time by which all attempts left running by this process have ended,
+    /// including the key cooldown.
     pub(super) fn announce_exit_to_peers(&mut self) {
         let now_us = self.time.now_us;
         let cooldown_us =
--- a/gateway/src/net/process_replacement/peers.rs
+++ b/gateway/src/net/process_replacement/peers.rs
@@ -10,8 +10,8 @@
 use crate::net::poll_key::PollKey;
 use crate::process_replacement::messages::{self, Message, MessageError, PeerFeatures};
 
-/// Maximum number of connections. The platform may start more than one successor. Further connections are closed on
-/// accept.
+/// Maximum number of connections to peer processes. The platform may start more than one successor. Further connections
+/// are closed on accept.
 const MAX_PEERS: usize = 4;
 
 const READABLE: Interest = Interest { read: true, write: false };
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Removes the next complete message from the input.
+    /// Removes the next complete message from the input. Returns `None` if there is none.
     ///
     /// # Errors
     /// The input is not a valid message.
@@ -212,8 +212,8 @@
         self.peers[index].flush(poll)
     }
 
-    /// Whether this gateway has no other identified process.
-    pub fn is_empty(&self) -> bool {
+    /// Whether this process has neither a predecessor nor a peer that has sent a valid hello message.
+    pub fn none_known(&self) -> bool {
         self.peers.iter().all(|peer| peer.role == PeerRole::Unidentified)
     }
 
--- a/gateway/src/net/process_replacement/state_transfer.rs
+++ b/gateway/src/net/process_replacement/state_transfer.rs
@@ -109,8 +109,7 @@
                 Message::Endpoint(endpoint) => entries.push(endpoint),
                 Message::MaintenanceBegan { engine } => {
                     self.registry.remember(&engine);
-                    // The registry has no entry of the engine yet. Maintenance applies to the entry that is added
-                    // below.
+                    // The returned event is not applied: maintenance applies to the entry that is added below.
                     let _ = self.registry.begin_maintenance(&engine);
                 }
                 _ => {}
--- a/gateway/src/net/reload.rs
+++ b/gateway/src/net/reload.rs
@@ -12,7 +12,8 @@
 
 impl Server {
     /// Reads the file and applies the address of the discovery service and newer events of the endpoint list. If the
-    /// file can't be read, nothing is changed and the reload is retried.
+    /// file can't be read, nothing is changed and the reload is retried up to [`MAX_ATTEMPTS`]. `failures` is the
+    /// number of failures so far. Does nothing if the configuration was not read from a file.
     pub(super) fn reload(&mut self, failures: u32) {
         let Some(path) = self.config.path.clone() else { return };
         match config::from_file(&path) {
--- a/gateway/src/net/sessions/mod.rs
+++ b/gateway/src/net/sessions/mod.rs
@@ -47,7 +47,7 @@
     pub memory: MemoryBudget,
     /// Sessions to be settled at the end of this turn.
     pub dirty: Vec<Handle>,
-    /// Maximum number of sessions.
+    /// Maximum number of sessions, not counting rejected clients that are being closed.
     pub max_sessions: usize,
     /// Length of the longest message accepted from a client, in bytes.
     longest_message_bytes: usize,
@@ -215,7 +215,7 @@
         self.memory.resize(MemoryPurpose::Statements, before.statements, reserved.statements);
     }
 
-    /// Removes a session and releases its memory reservations.
+    /// Removes a session and releases its memory reservations. Returns `None` if the session has ended already.
     pub fn remove(&mut self, handle: Handle) -> Option<RemovedSession<SuspendedSession, ActiveSession>> {
         let removed = self.table.remove(handle)?;
         match &removed {
@@ -232,7 +232,7 @@
         Some(removed)
     }
 
-    /// The secret that a CancelRequest for this session must contain.
+    /// The secret that a CancelRequest for this session must contain; `None` if the session has ended.
     pub fn secret_of(&self, handle: Handle) -> Option<u32> {
         let suspended = || self.table.suspended(handle).map(|suspended| suspended.secret);
         self.table.active(handle).map(|session| session.secret).or_else(suspended)
@@ -265,7 +265,7 @@
         Some((priority, suspended.group))
     }
 
-    /// Queues a session with input for reading.
+    /// Queues a session with input for reading, unless it is queued already.
     pub fn enqueue_read(&mut self, handle: Handle, now_us: u64) {
         let Some((priority, group)) = self.priority_and_group(handle, now_us) else { return };
         if self.table.set_queued(handle) {
--- a/gateway/src/net/sessions/protocol.rs
+++ b/gateway/src/net/sessions/protocol.rs
@@ -21,7 +21,8 @@
 }
 
 impl ProtocolSession {
-    /// Removes one message from the input and handles it. Returns `None` if the message is incomplete.
+    /// Removes one message from the input and handles it. Returns `None` if the message is incomplete, a request is
+    /// open, or the session is closed.
     pub fn read(&mut self, input: &mut Vec<u8>, output: &mut Vec<u8>) -> Option<ClientCommand> {
         delegate!(self, read, input, output)
     }
--- a/gateway/src/net/sessions/state.rs
+++ b/gateway/src/net/sessions/state.rs
@@ -97,7 +97,7 @@
         self.has_unread_input && may_read
     }
 
-    /// Deadline of the wait for the client, in microseconds.
+    /// Deadline of the wait for the client, in microseconds; `None` if the client is not waited for.
     pub fn deadline_us(&self) -> Option<u64> {
         let is_closing = self.connection.phase == Phase::Closing;
         let limit_us = if is_closing { CLOSE_TIMEOUT_US } else { MESSAGE_TIMEOUT_US };
@@ -140,7 +140,7 @@
     MySql(mysql::SuspendedSession),
 }
 
-/// An idle session without buffers or timer. Of its protocol state, only prepared statements are kept.
+/// An idle session without buffers or timer. [`SuspendedProtocol`] is the part of its protocol state that is kept.
 pub struct SuspendedSession {
     pub stream: TcpStream,
     pub secret: u32,
--- a/gateway/src/net/shutdown.rs
+++ b/gateway/src/net/shutdown.rs
@@ -6,8 +6,9 @@
 //! 1. For [`ACCEPT_US`], clients and requests are accepted as before, as clients may not have been notified yet.
 //! 2. The listeners are closed, new requests are rejected, and open requests are waited for.
 //! 3. [`ANSWER_MARGIN_US`] before SIGKILL is due, requests that are still open get their final answers.
-//! 4. Once all answers are written, the gateway shuts down its side of all client connections and discards further
-//!    input, for [`LINGER_US`] at most. Then the process exits.
+//! 4. Once all requests are answered, and all answers are written or the time of step 3 has passed, the gateway shuts
+//!    down its side of all client connections and discards further input, for [`LINGER_US`] at most. Then the process
+//!    exits.
 
 use crate::front::DisconnectReason;
 use workload_manager::Settings;
@@ -21,7 +22,7 @@
 const ACCEPT_US: u64 = 700_000;
 
 /// Upper bound of the longest class deadline in the time until SIGKILL, for a process without a peer process. The
-/// platform sends SIGKILL no earlier than [`ACCEPT_US`] plus that deadline after SIGTERM.
+/// platform sends SIGKILL no earlier than [`ACCEPT_US`] plus the deadline, limited to this bound, after SIGTERM.
 const MAX_DEADLINE_ALONE_US: u64 = 3_000_000;
 
 /// The bound corresponding to [`MAX_DEADLINE_ALONE_US`] for a process that has a peer process.
@@ -42,7 +43,8 @@
     /// Time from SIGTERM by which all open requests get their final answers.
     answer_within_us: u64,
     has_closed_listeners: bool,
-    has_answered_all: bool,
+    /// [`Input::ShuttingDown`] was passed to the core.
+    has_requested_answers: bool,
     linger_start_us: Option<u64>,
 }
 
@@ -57,7 +59,7 @@
             longest_deadline_us: longest_deadline_us(settings.classes.iter().map(|class| class.deadline)),
             answer_within_us: ACCEPT_US,
             has_closed_listeners: false,
-            has_answered_all: false,
+            has_requested_answers: false,
             linger_start_us: None,
         }
     }
@@ -83,7 +85,7 @@
         let now_us = self.time.now_us;
         self.shutdown.began_us = Some(now_us);
         let max_deadline_us =
-            if self.peer_processes.is_empty() { MAX_DEADLINE_ALONE_US } else { MAX_DEADLINE_WITH_PEER_US };
+            if self.peer_processes.none_known() { MAX_DEADLINE_ALONE_US } else { MAX_DEADLINE_WITH_PEER_US };
         let kill_after_us = ACCEPT_US + self.shutdown.longest_deadline_us.min(max_deadline_us);
         let answer_within_us = kill_after_us.saturating_sub(ANSWER_MARGIN_US).max(ACCEPT_US);
         self.shutdown.answer_within_us = answer_within_us;
@@ -96,8 +98,8 @@
         self.shutdown.began_us.map(|began_us| self.time.now_us.saturating_sub(began_us))
     }
 
-    /// Whether new work is rejected.
-    pub(super) fn is_shutting_down(&self) -> bool {
+    /// Whether new work is rejected, that is, [`ACCEPT_US`] have passed since SIGTERM.
+    pub(super) fn rejects_new_work(&self) -> bool {
         self.since_sigterm_us().is_some_and(|since_us| since_us >= ACCEPT_US)
     }
 
@@ -110,7 +112,7 @@
             self.close_listeners();
         }
         let must_answer = since_us >= self.shutdown.answer_within_us;
-        if must_answer && !std::mem::replace(&mut self.shutdown.has_answered_all, true) {
+        if must_answer && !std::mem::replace(&mut self.shutdown.has_requested_answers, true) {
             self.inputs.push(Input::ShuttingDown);
         }
         let answers_pending =
--- a/gateway/src/net/timer.rs
+++ b/gateway/src/net/timer.rs
@@ -7,8 +7,8 @@
 /// The action that the event loop takes when a timer fires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NetTimer {
-    /// The deadline of an engine connection, given by its slot and serial number: for connecting, for a response, or
-    /// for being idle.
+    /// The deadline of an engine connection, given by its slot and serial number: for connecting, for writing a delayed
+    /// call, for a response, or for being idle.
     EngineConnection(usize, u32),
     /// The engine has not confirmed the cancellation of an attempt in time.
     CancelTimeout(engines::AttemptId),
--- a/gateway/src/net/watch.rs
+++ b/gateway/src/net/watch.rs
@@ -86,7 +86,7 @@
         self.check_watch();
     }
 
-    /// Applies an event from the configuration file, unless it is older than the last event.
+    /// Applies an event from the configuration file if it is newer than the last event.
     pub(super) fn apply_known_list_event(&mut self, event: &EndpointListEvent) {
         let mut events = Vec::new();
         self.watch.state.on_known_event(event, &mut events);
@@ -110,7 +110,7 @@
         }
         let Some(conn) = &mut self.watch.conn else { return };
         if interest.read {
-            if conn.is_hung_up() {
+            if conn.is_read_paused() {
                 return self.watch_lost();
             }
             let end = conn.fill(usize::MAX);
