--- a/gateway/src/net/engines.rs
+++ b/gateway/src/net/engines.rs
@@ -63,7 +63,8 @@
     address: SocketAddr,
     mysql: Option<SocketAddr>,
     state: EndpointState,
-    /// Unix time of the start of the engine's process, in milliseconds.
+    /// Unix time of the start of the engine's process, or of the end of its last maintenance if that is later, in
+    /// milliseconds.
     started_ms: u64,
     idle: IdleConnections,
 }
@@ -184,7 +185,7 @@
     send_deadline_us: u64,
     /// Deadline of the attempt, which the engine has received as a time limit.
     deadline_us: u64,
-    /// Other requests of the same order key wait for the end of this attempt.
+    /// The request has an order key. The next request of the key waits for the end of this attempt.
     has_order_key: bool,
     /// The engine's id of the attempt's MySQL connection. It is recorded when the attempt is cancelled, as the slot may
     /// have been reused by the time the KILL statement is written.
--- a/gateway/src/net/engines/attempts.rs
+++ b/gateway/src/net/engines/attempts.rs
@@ -21,7 +21,7 @@
     RepeatCall,
     /// End the attempt. No part of it was executed.
     ConnectFailed,
-    /// Give up the attempt. The engine may still run it, and there is no way to determine its end.
+    /// Give up the attempt. The engine may still run it.
     Lost,
     /// Cancel the attempt, as the engine may still run it.
     Cancel,
--- a/gateway/src/net/engines/list.rs
+++ b/gateway/src/net/engines/list.rs
@@ -71,7 +71,8 @@
         });
         let is_removed = endpoint.state == EndpointState::Removed;
         let has_restarted = endpoint.started_ms != engine.started_ms;
-        // Connections to a process that was removed, moved or restarted can't be reused.
+        // Connections to a process that was removed, moved or restarted can't be reused. The end of a maintenance
+        // counts as a restart.
         if is_removed || has_restarted || endpoint.address != engine.address {
             stale_connections.extend(engine.take_all_idle());
         }
--- a/gateway/src/net/process_replacement/mod.rs
+++ b/gateway/src/net/process_replacement/mod.rs
@@ -165,8 +165,8 @@
         }
     }
 
-    /// Notifies peers that share key leases of the time by which all attempts left running by this process have ended,
-    /// including the key cooldown.
+    /// Notifies peers that share key leases of the time by which all attempts with an order key that this process
+    /// leaves running have ended, including the key cooldown.
     pub(super) fn announce_exit_to_peers(&mut self) {
         let now_us = self.time.now_us;
         let cooldown_us =
--- a/gateway/src/net/signals.rs
+++ b/gateway/src/net/signals.rs
@@ -6,8 +6,8 @@
 use super::poll::{Interest, Poll, Trigger};
 use super::poll_key::PollKey;
 
-/// The pipes of the handled signals. They must be created before the listeners: by default SIGHUP and SIGTERM terminate
-/// a starting process, and clients in the accept queues of its listeners would be reset.
+/// The pipes of the handled signals. They must be created before the listeners: by default these signals terminate a
+/// starting process, and clients in the accept queues of its listeners would be reset.
 pub struct Signals {
     terminate: UnixStream,
     print_counters: UnixStream,
--- a/sessions/src/read_scheduler/tests.rs
+++ b/sessions/src/read_scheduler/tests.rs
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn a_request_misses_its_deadline_only_if_the_work_before_it_takes_longer() {
+fn a_request_meets_its_deadline_only_if_the_work_before_it_ends_earlier() {
     let mut scheduler = scheduler_with_read_cost(40.0);
     handles(1000).iter().for_each(|h| scheduler.enqueue(*h, ReadPriority::LongIdle, 1, 0));
     let work_us = scheduler.backlog_us();
--- a/sessions/src/session_table/tests.rs
+++ b/sessions/src/session_table/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-const NOW: u64 = 10_000_000;
+const NOW_US: u64 = 10_000_000;
 
 /// Returns a table with one session for each activity and start time, and their handles.
 fn table(activities: &[(Activity, u64)]) -> (SessionTable<u8, u32>, Vec<Handle>) {
@@ -17,7 +17,7 @@
 /// Index of the session that is selected for eviction.
 fn evicted(activities: &[(Activity, u64)]) -> Option<usize> {
     let (table, handles) = table(activities);
-    let candidate = table.eviction_candidate(NOW, usize::MAX)?;
+    let candidate = table.eviction_candidate(NOW_US, usize::MAX)?;
     handles.iter().position(|h| *h == candidate)
 }
 
@@ -43,16 +43,16 @@
 
 #[test]
 fn sessions_are_not_evicted_within_their_grace_period() {
-    let fresh = NOW - EVICTION_GRACE_US + 1;
+    let fresh = NOW_US - EVICTION_GRACE_US + 1;
     assert_eq!(evicted(&[(Activity::IncompleteMessage, fresh), (Activity::Closing, fresh)]), None);
-    assert_eq!(evicted(&[(Activity::IncompleteMessage, fresh), (Activity::Idle, NOW)]), Some(1));
+    assert_eq!(evicted(&[(Activity::IncompleteMessage, fresh), (Activity::Idle, NOW_US)]), Some(1));
     assert_eq!(evicted(&[(Activity::IncompleteMessage, fresh - 1)]), Some(0));
     assert_eq!(
         evicted(&[(Activity::UnreadOutput, fresh - 1)]),
         None,
         "unread output has a longer grace period"
     );
-    assert_eq!(evicted(&[(Activity::UnreadOutput, NOW - OUTPUT_READ_GRACE_US)]), Some(0));
+    assert_eq!(evicted(&[(Activity::UnreadOutput, NOW_US - OUTPUT_READ_GRACE_US)]), Some(0));
 }
 
 #[test]
@@ -84,13 +84,13 @@
 
 #[test]
 fn a_surge_of_silent_sessions_evicts_no_idle_session() {
-    let surge: Vec<_> = (0..50).map(|n| (Activity::IncompleteMessage, NOW - 40_000 + n)).collect();
+    let surge: Vec<_> = (0..50).map(|n| (Activity::IncompleteMessage, NOW_US - 40_000 + n)).collect();
     let (mut table, handles) = table(&[vec![(Activity::Idle, 1)], surge].concat());
-    assert_eq!(table.eviction_candidate(NOW, 51), Some(handles[0]), "50 sessions are not a surge of 51");
-    assert_eq!(table.eviction_candidate(NOW, 50), Some(handles[1]));
-    assert_eq!(table.eviction_candidate(NOW - 30_000, 50), Some(handles[0]), "within the grace period");
+    assert_eq!(table.eviction_candidate(NOW_US, 51), Some(handles[0]), "50 sessions are not a surge of 51");
+    assert_eq!(table.eviction_candidate(NOW_US, 50), Some(handles[1]));
+    assert_eq!(table.eviction_candidate(NOW_US - 30_000, 50), Some(handles[0]), "within the grace period");
     table.set_queued(handles[1]);
-    assert_eq!(table.eviction_candidate(NOW, 50), Some(handles[0]), "the session has unread input");
+    assert_eq!(table.eviction_candidate(NOW_US, 50), Some(handles[0]), "the session has unread input");
 }
 
 #[test]
