--- a/gateway/src/net/engines/list.rs
+++ b/gateway/src/net/engines/list.rs
@@ -71,7 +71,8 @@
         });
         let is_removed = endpoint.state == EndpointState::Removed;
         let has_restarted = endpoint.started_ms != engine.started_ms;
-        // Connections to a process that was removed, moved or restarted can't be reused.
+        // Connections to a process that was removed, moved or restarted can't be reused. The end of a maintenance
+        // counts as a restart.
         if is_removed || has_restarted || endpoint.address != engine.address {
             stale_connections.extend(engine.take_all_idle());
         }
@@ -91,7 +92,7 @@
     }
 
     /// Deletes removed engines without connections or attempts. The list keeps adding new names, so that the table
-    /// would grow without bound.
+    /// would otherwise grow without bound.
     fn delete_removed_engines(&mut self) {
         let mut used: BTreeSet<EngineId> =
             self.pools.connections.iter().flatten().map(|connection| connection.link.engine).collect();
