--- a/configuration/src/backoff.rs
+++ b/configuration/src/backoff.rs
@@ -2,10 +2,11 @@
 
 use crate::hash::mix;
 
-/// Upper bound of the delay after the first failure, in microseconds.
+/// Exclusive upper bound of the delay after the first failure, in microseconds. Doubles with each further failure up to
+/// [`BACKOFF_MAX_US`].
 pub const BACKOFF_INITIAL_US: u64 = 250_000;
 
-/// Upper bound of any delay, in microseconds.
+/// Exclusive upper bound of any delay, in microseconds.
 pub const BACKOFF_MAX_US: u64 = 8_000_000;
 
 /// Rotation through the control plane servers, with exponential backoff and full jitter between attempts.
@@ -43,7 +44,7 @@
         self.random % ceiling_us
     }
 
-    /// Resets the delay after the server has sent a valid message.
+    /// Resets the delay after a message that requires no resync. The current server stays selected.
     pub(crate) fn on_success(&mut self) {
         self.failures = 0;
     }
--- a/configuration/src/lib.rs
+++ b/configuration/src/lib.rs
@@ -7,6 +7,13 @@
 //! panic.
 //!
 //! The crate does no I/O and reads no clock. All times are microseconds of the caller's monotonic clock.
+//!
+//! Modules:
+//! - `version`, `document`: version numbers, digests, gateway names, and the normalised settings.
+//! - `message`, `patch`: snapshots, deltas, heartbeats and reports, and the patches in deltas.
+//! - `publisher`, `pacing`: the control plane server's side, and its rate limits.
+//! - `subscriber`, `backoff`: the gateway's side, and its choice of server and reconnect delays.
+//! - `hash`: hash functions for digests and pseudorandom numbers.
 
 mod backoff;
 mod document;
--- a/configuration/src/message.rs
+++ b/configuration/src/message.rs
@@ -10,7 +10,7 @@
 /// Longest accepted message or report, in bytes.
 pub const MAX_MESSAGE_BYTES: usize = 4 << 20;
 
-/// Longest reason of a refused version, in characters. Longer reasons are truncated.
+/// Longest reason that [`Report::refused`] keeps, in characters. Longer reasons are truncated.
 pub const MAX_REASON_CHARS: usize = 400;
 
 /// Error of parsing a [`Message`] or [`Report`].
@@ -121,7 +121,7 @@
     Snapshot(Snapshot),
     /// The difference between an earlier version and a newer one.
     Delta(Delta),
-    /// Heartbeat with the newest version of the server.
+    /// Heartbeat with the newest version of the server, or [`Version::NONE`] if the server has no version.
     Current(Version),
 }
 
--- a/configuration/src/pacing.rs
+++ b/configuration/src/pacing.rs
@@ -3,9 +3,9 @@
 /// The rate limits of a control plane server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Pacing {
-    /// Bytes per second of messages with configuration. Heartbeats do not count.
+    /// Bytes per second of messages with configuration. Heartbeats do not count. 0 has the same effect as 1.
     pub bytes_per_second: u64,
-    /// Messages with configuration per second.
+    /// Messages with configuration per second. 0 has the same effect as 1.
     pub messages_per_second: u64,
     /// Minimum interval between two messages with configuration to the same gateway, in microseconds.
     pub min_interval_us: u64,
@@ -48,7 +48,7 @@
         Self { bytes: rate(pacing.bytes_per_second), messages: rate(pacing.messages_per_second) }
     }
 
-    /// Earliest time of the next message, in microseconds.
+    /// Earliest time of the next message with configuration, in microseconds.
     pub(crate) fn free_at_us(&self) -> u64 {
         self.bytes.free_at_us.max(self.messages.free_at_us).saturating_sub(BURST_US)
     }
--- a/configuration/src/patch.rs
+++ b/configuration/src/patch.rs
@@ -27,7 +27,7 @@
     /// The list has no element of this name to change or remove.
     #[error("the list has no element named {0}")]
     UnknownElement(String),
-    /// The `order` of the patch does not contain exactly the elements of the list.
+    /// The `order` of the patch does not contain each element of the list exactly once.
     #[error("the order does not contain exactly the elements of the list")]
     OrderMismatch,
 }
--- a/configuration/src/publisher.rs
+++ b/configuration/src/publisher.rs
@@ -2,7 +2,8 @@
 //!
 //! A gateway is sent the next message with configuration after it has reported the result of the previous one, or
 //! after a timeout. Versions published in the meantime are coalesced: the next message updates the gateway to the
-//! newest version. A gateway that refuses the newest version is sent the newest version that it has not refused.
+//! newest version. A gateway that refuses the newest version is sent the newest version that it has not refused, unless
+//! that version is older than the one in force there.
 
 mod gateway_state;
 mod history;
@@ -23,11 +24,12 @@
 use gateway_state::GatewayState;
 use history::History;
 
-/// Number of tracked gateways at which gateways without a stream are removed.
+/// Number of tracked gateways at which [`Publisher::connect`] removes those without a stream. Connected gateways are
+/// tracked beyond this number.
 pub const MAX_KNOWN_GATEWAYS: usize = 4_096;
 
-/// Reported versions that exceed the newest version of this server by more than this number are ignored, so that no
-/// gateway can exhaust the version numbers.
+/// A version that exceeds the newest version of this server by more than this number when a gateway connects does not
+/// raise [`Publisher::next_version`], so that no gateway can exhaust the version numbers.
 const MAX_VERSIONS_AHEAD: u64 = 1 << 32;
 
 /// Identifies a stream of a gateway, so that the late end of an old stream does not disconnect the current one.
@@ -106,10 +108,11 @@
         }
     }
 
-    /// Publishes a version. Publishing the newest version again has no effect.
+    /// Publishes a version. Publishing the newest version again with the same document has no effect.
     ///
     /// # Errors
-    /// The newest version of this server or the newest reported version is the same or newer.
+    /// The version is [`Version::NONE`], or the newest version of this server or the newest reported version is the
+    /// same or newer.
     pub fn publish(&mut self, version: Version, document: Document) -> Result<(), PublishError> {
         let newest = self.history.newest();
         let is_newest = version == newest && version > Version::NONE;
@@ -180,7 +183,8 @@
         }
     }
 
-    /// Processes a report of a gateway.
+    /// Processes a report of a gateway. Ignored if the gateway has no stream, or if the report neither answers the
+    /// latest message with configuration on the stream nor corrects an earlier report.
     pub fn report(&mut self, gateway: &GatewayId, report: Report) {
         let history = &self.history;
         let gateway_state = self.gateways.get_mut(gateway).filter(|gateway_state| gateway_state.is_connected);
@@ -189,8 +193,8 @@
         }
     }
 
-    /// Returns the messages to send now: configuration within the rate limits, starting with the least recently
-    /// served gateway, and heartbeats.
+    /// Returns the messages to send now, and records them as sent: configuration within the rate limits, starting with
+    /// the least recently served gateway, and heartbeats.
     pub fn due_messages(&mut self, now_us: u64) -> Vec<(GatewayId, OutgoingMessage)> {
         let mut outgoing = Vec::new();
         self.add_configuration(now_us, &mut outgoing);
@@ -198,8 +202,8 @@
         outgoing
     }
 
-    /// Time of the next message if no other method is called before, in microseconds. `None` while no gateway is
-    /// connected.
+    /// Time of the next message if no other method is called before, in microseconds. Can be in the past. `None` while
+    /// no gateway is connected.
     pub fn next_due_us(&self) -> Option<u64> {
         let free_us = self.pacer.free_at_us();
         let next = |gateway_state: &GatewayState| {
--- a/configuration/src/publisher/gateway_state.rs
+++ b/configuration/src/publisher/gateway_state.rs
@@ -36,8 +36,8 @@
 }
 
 impl UnreportedMessage {
-    /// Earliest time of the next message with configuration, whose version is `target`. The backoff applies only if
-    /// this message has the same version.
+    /// Earliest time of the next message with configuration if its version is `target`. The timeout grows only if the
+    /// unreported message has the same version.
     fn retry_at_us(&self, target: Version) -> u64 {
         let doublings = if self.version == target {
             self.attempts.saturating_sub(ATTEMPTS_WITHOUT_BACKOFF).min(16)
@@ -90,7 +90,7 @@
     }
 
     /// Selects the version to send from `versions`, which are in descending order: the newest version that the
-    /// gateway has not refused, or `None` if the gateway already has that version.
+    /// gateway has not refused. `None` if the gateway has that version or a newer one, or is not connected.
     pub(super) fn target(&self, mut versions: impl Iterator<Item = (Version, Digest)>) -> Option<Version> {
         if !self.is_connected {
             return None;
@@ -100,7 +100,8 @@
         (!is_up_to_date && version >= self.version).then_some(version)
     }
 
-    /// Earliest time at which a version can be sent to the gateway, in microseconds.
+    /// Earliest time at which a version can be sent to the gateway, in microseconds, regardless of the rate limits of
+    /// the server.
     pub(super) fn ready_at_us(&self, target: Version) -> u64 {
         let retry_at_us = self.unreported.as_ref().map_or(0, |unreported| unreported.retry_at_us(target));
         self.next_message_us.max(retry_at_us)
--- a/configuration/src/publisher/history.rs
+++ b/configuration/src/publisher/history.rs
@@ -30,12 +30,12 @@
         self.versions.last().map_or(Version::NONE, |(version, _)| *version)
     }
 
-    /// Document of the newest version.
+    /// Document of the newest version. `None` before the first version.
     pub(super) fn newest_document(&self) -> Option<&Document> {
         self.versions.last().map(|(_, document)| document)
     }
 
-    /// Digest of a retained version.
+    /// Digest of a version. `None` if the version is not retained.
     pub(super) fn digest(&self, version: Version) -> Option<Digest> {
         self.document(version).map(Document::digest)
     }
--- a/configuration/src/publisher/status.rs
+++ b/configuration/src/publisher/status.rs
@@ -23,10 +23,10 @@
 /// Status of a control plane server and all gateways that it tracks.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Status {
-    /// Newest version of this server.
+    /// Newest version of this server. [`Version::NONE`] before the first version.
     pub newest: Version,
-    /// Newest version that a gateway had when it opened a stream. Can be newer than the newest version of this
-    /// server.
+    /// Newest version that a gateway had when it opened a stream, except for implausibly high numbers. Can be newer
+    /// than the newest version of this server.
     pub newest_reported: Version,
     /// Newest version, if another control plane server has it with a different document.
     pub conflict: Option<Version>,
@@ -44,7 +44,7 @@
         counts
     }
 
-    /// Gateways whose version in force is older than the newest version of this server.
+    /// Gateways, connected or not, whose version in force is older than the newest version of this server.
     pub fn behind(&self) -> impl Iterator<Item = &GatewayStatus> {
         self.gateways.iter().filter(|gateway| gateway.version < self.newest)
     }
--- a/configuration/src/subscriber.rs
+++ b/configuration/src/subscriber.rs
@@ -11,8 +11,8 @@
 use crate::message::{Delta, Message, Report, Snapshot, VerifyError};
 use crate::version::{Digest, Version};
 
-/// Timeout of a stream, in microseconds. The stream is closed after this time without received data, and after this
-/// time with a server whose newest version is older than the version in force.
+/// Timeout of a stream, in microseconds. Applies to the time without received data, and to the time during which the
+/// server's heartbeats announce versions older than the one in force.
 pub const STREAM_TIMEOUT_US: u64 = 6_000_000;
 
 /// Action that the gateway must take after a message.
@@ -23,7 +23,7 @@
     /// Apply the settings and call [`Subscriber::on_applied`] or [`Subscriber::on_refused`]. A later `Apply` replaces
     /// an unfinished one.
     Apply {
-        /// Version to pass to the callback.
+        /// Version to pass to [`Subscriber::on_applied`] or [`Subscriber::on_refused`].
         version: Version,
         /// Validated settings to apply.
         document: Document,
@@ -65,7 +65,7 @@
 #[derive(Debug)]
 pub struct Subscriber {
     in_force: VersionedDocument,
-    /// The version being applied, whose result the gateway has not reported yet.
+    /// The version being applied, for which neither `on_applied` nor `on_refused` was called yet.
     pending: Option<VersionedDocument>,
     /// The last version that the gateway failed to apply. A message with the same version and digest is refused again
     /// without another attempt.
@@ -86,7 +86,8 @@
 
 impl Subscriber {
     /// Creates the subscriber of a gateway with `servers` control plane servers and `document` in force. Version 0
-    /// stands for the settings of the gateway's own file. The seed should differ between gateways.
+    /// stands for the settings of the gateway's own file. The seed should differ between gateways. If `servers` is 0,
+    /// [`Subscriber::server`] still returns index 0.
     pub fn new(servers: usize, seed: u64, version: Version, document: Document) -> Self {
         Self {
             in_force: VersionedDocument { version, document },
@@ -99,7 +100,8 @@
         }
     }
 
-    /// Processes a message from the stream.
+    /// Processes a message from the stream and returns the action that it requires. Also counts as activity, even if
+    /// the message is invalid.
     pub fn on_message(&mut self, now_us: u64, text: &str) -> SubscriberAction {
         self.on_activity(now_us);
         let Ok(message) = Message::parse(text) else { return self.resync(true) };
@@ -123,6 +125,7 @@
     }
 
     /// Records that the gateway has applied a version. Returns the report to send until the control plane accepts it.
+    /// If the version is not the pending one, nothing is recorded and the report states the version in force.
     pub fn on_applied(&mut self, version: Version) -> Report {
         if let Some(applied) = self.take_pending(version) {
             self.in_force = applied;
@@ -130,8 +133,8 @@
         Report::Applied { version: self.in_force.version }
     }
 
-    /// Records that the gateway failed to apply a version. Returns the report to send until the control plane
-    /// accepts it.
+    /// Records that the gateway failed to apply a version. Returns the report to send until the control plane accepts
+    /// it. If the version is not the pending one, nothing is recorded and the report states the version in force.
     pub fn on_refused(&mut self, version: Version, error: &impl fmt::Display) -> Report {
         let Some(refused) = self.take_pending(version) else {
             return Report::Applied { version: self.in_force.version };
@@ -152,7 +155,8 @@
         self.stream = StreamState::Up { last_activity_us: now_us, server_behind_since_us: None };
     }
 
-    /// Records that the stream is closed or could not be opened, and schedules the next attempt.
+    /// Records that the stream is closed or could not be opened, selects the next server, and schedules the next
+    /// attempt.
     pub fn on_disconnected(&mut self, now_us: u64) {
         let wait_us = self.backoff.on_failure();
         self.stream = StreamState::Down { next_attempt_us: now_us.saturating_add(wait_us) };
@@ -177,7 +181,7 @@
         Position { version, digest: self.in_force.document.digest() }
     }
 
-    /// Whether the stream must be closed because of [`STREAM_TIMEOUT_US`].
+    /// Whether the stream must be closed because [`STREAM_TIMEOUT_US`] has passed. False while the stream is closed.
     pub fn is_timed_out(&self, now_us: u64) -> bool {
         let has_timed_out = |since_us: u64| now_us.saturating_sub(since_us) >= STREAM_TIMEOUT_US;
         match self.stream {
@@ -198,7 +202,7 @@
         &self.in_force.document
     }
 
-    /// Newest version in any message received so far.
+    /// Newest version in any valid message received so far, or the initial version if that is newer.
     pub fn newest_seen(&self) -> Version {
         self.newest_seen
     }
--- a/configuration/src/version.rs
+++ b/configuration/src/version.rs
@@ -12,7 +12,8 @@
 pub struct Version(pub u64);
 
 impl Version {
-    /// No published version: a gateway uses the settings of its own file.
+    /// Number that no published version has. As the version in force, it stands for the settings of the gateway's own
+    /// file. As the version with which a stream is opened, it requests a snapshot.
     pub const NONE: Self = Self(0);
 }
 
--- a/configuration/tests/model.rs
+++ b/configuration/tests/model.rs
@@ -61,6 +61,7 @@
     resyncs: usize,
     restarts_while_applying: usize,
     stream_timeouts: usize,
+    /// Restarts of a server with a published version, which is not always the newest.
     stale_servers: usize,
     longest_convergence_us: u64,
 }
@@ -176,7 +177,7 @@
         assert!(self.servers.iter().all(|server| server.publisher.is_some()));
     }
 
-    /// Publishes a new version on any server that is up.
+    /// Publishes a new version on a random server, if that server is up.
     fn publish(&mut self, is_invalid: bool) {
         let server = self.random.below(SERVERS);
         let version = Version(self.published.keys().last().map_or(0, |version| version.0) + 1);
@@ -194,7 +195,7 @@
         }
     }
 
-    /// Publishes an old version number on a server that has a newer one, which must be rejected.
+    /// Publishes other settings under the newest version number of a server or an older one, which must be rejected.
     fn publish_old_number(&mut self) {
         let server = self.random.below(SERVERS);
         let Some(publisher) = &mut self.servers[server].publisher else { return };
@@ -215,7 +216,7 @@
         }
     }
 
-    /// Restarts a server with a random published version, or without versions.
+    /// Restarts a random server, if it is down, with a random published version or without versions.
     fn restart_server(&mut self) {
         let server = self.random.below(SERVERS);
         if self.servers[server].publisher.is_some() {
@@ -245,7 +246,7 @@
         let settings = self.published.get(&gateway.in_force).cloned().unwrap_or_else(file_settings);
         gateway.subscriber = Subscriber::new(SERVERS, seed, gateway.in_force, settings);
         if let Some((server, connection)) = self.stream_at_server(number) {
-            // Not reached: `close` has already ended the stream at the server.
+            // Not reached: `close` has removed the gateway's stream, so that `stream_at_server` returns `None`.
             if self.random.chance(50) {
                 self.disconnect(server, number, connection);
             }
@@ -283,7 +284,7 @@
         }
     }
 
-    /// Sends a packet. Faults can drop, duplicate, delay or reorder packets.
+    /// Sends a packet. Partitions drop packets, and other faults can drop, duplicate, delay or reorder them.
     fn send(&mut self, packet: Packet) {
         let is_lost = self.is_partitioned(&packet) || self.is_faulty && self.random.chance(8);
         let copies = if is_lost { 0 } else { 1 + usize::from(self.is_faulty && self.random.chance(10)) };
--- a/gateway/src/admin/call.rs
+++ b/gateway/src/admin/call.rs
@@ -2,7 +2,7 @@
 
 use std::fmt::Write;
 
-/// Maximum length of a call's request line and header section.
+/// Number of received bytes at which a call with an incomplete request line or header section is rejected.
 pub const MAX_CALL_BYTES: usize = 4096;
 const MAX_HEADERS: usize = 32;
 /// Maximum length of an engine's name in a path, before percent-decoding.
@@ -11,7 +11,8 @@
 /// An operator's call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AdminCall {
-    /// `GET /status`: reports whether this process accepts clients.
+    /// `GET /status`: reports whether this process is ready, with the state of its configuration. Answered by
+    /// [`CallError::ShuttingDown`] after SIGTERM.
     Status,
     /// `GET /status/metrics`: returns [`super::metrics::Metrics::text`].
     Metrics,
@@ -27,13 +28,13 @@
     /// The data is not an HTTP/1.1 request.
     #[error("this is no call in HTTP/1.1")]
     NotHttp,
-    /// The header section exceeds [`MAX_CALL_BYTES`] or has too many fields.
+    /// The header section is incomplete after [`MAX_CALL_BYTES`], or has more than 32 fields.
     #[error("the head of the call is too long")]
     TooLong,
-    /// The call has content, which no method accepts.
+    /// A header field announces content, which no method accepts.
     #[error("calls here have no body")]
     HasBody,
-    /// No resource exists at the path.
+    /// No resource exists at the path, or the engine's name in it is empty, too long or badly encoded.
     #[error(
         "no such path; there are /status, /status/metrics, /maintenance/enter/ID and /maintenance/exit/ID"
     )]
@@ -44,7 +45,7 @@
     /// The endpoint list has never contained an engine with this name.
     #[error("no engine of this id was ever in the list")]
     UnknownEngine,
-    /// The process is shutting down or was replaced by its successor.
+    /// Answer to `GET /status` after SIGTERM was received.
     #[error("this process takes no new clients any more")]
     ShuttingDown,
 }
--- a/gateway/src/admin/metrics.rs
+++ b/gateway/src/admin/metrics.rs
@@ -6,14 +6,14 @@
 
 use workload_manager::ClassId;
 
-/// Counters of one class.
+/// Counters of one class. A request that was invalid, or that its client cancelled or left, has no outcome here.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClassMetrics {
     /// Requests answered with a complete result.
     pub served: u64,
     /// Requests answered with an error after which a retry is safe. Printed as `refused`.
     pub rejected: u64,
-    /// Requests answered with any other error.
+    /// Requests answered with any other error, including errors of the statement itself from a MySQL engine.
     pub failed: u64,
     /// Attempts forwarded to engines, including retries.
     pub attempts: u64,
@@ -37,7 +37,8 @@
     pub in_flight: usize,
     /// Number of engines in the endpoint list.
     pub engines_known: usize,
-    /// Number of these engines that receive no new attempts: draining, in maintenance, ejected or paused.
+    /// Number of these engines that receive no new attempts: draining, in maintenance, ejected, or backed off after a
+    /// rejection.
     pub engines_excluded: usize,
 }
 
--- a/gateway/src/engine/http/exchange.rs
+++ b/gateway/src/engine/http/exchange.rs
@@ -85,8 +85,8 @@
             status::SERVICE_UNAVAILABLE if response.shed && starting => Step::Ended(Outcome::Rejected),
             status::GATEWAY_TIMEOUT if response.shed && starting => Step::Ended(Outcome::NeverSent),
             status::SERVICE_UNAVAILABLE | status::GATEWAY_TIMEOUT if response.shed => Step::Unusable,
-            // The engine may process the cancellation before it responds to the last call, and then reports an error
-            // for a query that no longer exists.
+            // The engine may process the cancellation before it responds to the last call. Its response then describes
+            // a query that no longer exists: an error, or a status 200 without the next page.
             status::OK | status::INTERNAL_SERVER_ERROR if self.cancelled => Step::Ended(Outcome::Cancelled),
             status::INTERNAL_SERVER_ERROR | status::SERVICE_UNAVAILABLE | status::GATEWAY_TIMEOUT => {
                 Step::Ended(Outcome::Error)
--- a/gateway/src/engine/http/load_report.rs
+++ b/gateway/src/engine/http/load_report.rs
@@ -2,7 +2,8 @@
 
 use workload_manager::LoadReport;
 
-/// Parses a load report such as `inflight:7;util:0.61`. `extras` has the meanings of `x0` and `x1` from the settings.
+/// Parses a load report such as `inflight:7;util:0.61`. `extras` has the meanings of `x0` and `x1` from the settings: a
+/// meaning that contains `memory` or `disk` selects that utilization, and a value with any other meaning is ignored.
 /// Unknown names and non-numeric values are ignored.
 pub fn parse(text: &str, extras: &[String; 2]) -> LoadReport {
     let mut report = LoadReport::default();
--- a/gateway/src/engine/http/mod.rs
+++ b/gateway/src/engine/http/mod.rs
@@ -1,8 +1,8 @@
 //! The engines' HTTP protocol: encodes calls, parses responses, and tracks the exchange of one attempt, without I/O.
 //!
 //! [`post`] writes the call that starts an attempt. Each [`Response`] parsed by [`read`] is passed to the attempt's
-//! [`Exchange`], which determines its effect and writes the next call. Header names such as `X-Ticket` and `X-Meter`
-//! occur in `request` and `response` only.
+//! [`Exchange`], which determines its effect and writes the next call. Only `request` writes header fields such as
+//! `X-Ticket`, and only `response` reads them.
 
 mod exchange;
 mod load_report;
--- a/gateway/src/engine/http/pages.rs
+++ b/gateway/src/engine/http/pages.rs
@@ -28,7 +28,7 @@
         self.pages.len() as u32
     }
 
-    /// Whether all pages were received.
+    /// Whether all pages were received. Also true before the first page, as the total is unknown then.
     pub fn is_complete(&self) -> bool {
         self.next_page() >= self.page_count
     }
@@ -39,7 +39,8 @@
     }
 
     /// Whether a response with status 200 contains the next page. Page 0 must have `Page-Count`, and each further page
-    /// its number in `Page-No`. A page must consist of complete rows with the same number of columns as earlier rows.
+    /// its number in `Page-No`. A page must consist of complete rows with the same number of columns as earlier rows,
+    /// and must exceed no size limit.
     pub fn is_next(&self, response: &Response) -> bool {
         let next = self.next_page();
         let is_numbered = if next == 0 {
--- a/gateway/src/engine/http/request.rs
+++ b/gateway/src/engine/http/request.rs
@@ -11,7 +11,7 @@
     pub class: &'a str,
     /// SQL text, sent as the content.
     pub statement: &'a [u8],
-    /// Time for which the gateway waits for the result, in milliseconds. Sent as `X-Max-Ms`.
+    /// Time until the request's deadline, in milliseconds. Sent as `X-Max-Ms`.
     pub max_ms: u64,
     /// Memory grant in MB, rounded up and sent as `Grant-Mb`. If 0, the engine chooses the grant.
     pub memory_mb: f64,
--- a/gateway/src/engine/http/response.rs
+++ b/gateway/src/engine/http/response.rs
@@ -18,13 +18,13 @@
     pub page_count: Option<u32>,
     /// `Page-No`: number of this page, from 0.
     pub page_no: Option<u32>,
-    /// `X-Remark` with its value in `Figure`.
+    /// `X-Remark` with its value in `Figure`, which is 0 if missing or invalid. `None` for unknown remarks.
     pub progress: Option<Progress>,
     /// `X-Meter`, parsed with the meanings that the settings give to `x0` and `x1`.
     pub load_report: Option<LoadReport>,
     /// Content, without any transfer coding.
     pub body: Vec<u8>,
-    /// The engine closes the connection after this response.
+    /// Whether the connection must be closed after this response, because the engine announces that it closes it.
     pub close: bool,
 }
 
@@ -139,7 +139,8 @@
     Ok(Some(start + length))
 }
 
-/// Reads a body in the chunked transfer coding. Returns its end, or `None` while it is incomplete.
+/// Reads a body in the chunked transfer coding. Trailer fields are not supported. Returns the end of the body, or
+/// `None` while it is incomplete.
 fn read_chunked_body(
     input: &[u8],
     start: usize,
@@ -156,7 +157,7 @@
             return Err(InvalidResponse);
         }
         let chunk_end = chunk_start + length;
-        // The chunk data is followed by CRLF.
+        // The chunk data is followed by CRLF, and so is the last chunk if there are no trailer fields.
         let Some(chunk) = input.get(chunk_start..chunk_end + 2) else { return Ok(None) };
         body.extend(&chunk[..length]);
         at = chunk_end + 2;
--- a/gateway/src/engine/mysql/commands.rs
+++ b/gateway/src/engine/mysql/commands.rs
@@ -11,10 +11,11 @@
 const MAX_PREPARED_STATEMENTS: usize = 64;
 
 impl Session {
-    /// Starts a statement on a connection that is ready.
+    /// Starts a statement on a connection that is ready: writes COM_STMT_PREPARE if the statement must be prepared
+    /// first, and otherwise the command that executes it.
     pub fn start(&mut self, statement: Statement, out: &mut Vec<u8>) {
         debug_assert!(self.is_ready());
-        (self.executed, self.result_bytes) = (false, 0);
+        (self.execute_written, self.result_bytes) = (false, 0);
         let to_prepare = match &statement {
             Statement::Execute(sql, ..) if !self.prepared.contains_key(sql) => Some(sql.clone()),
             _ => None,
@@ -34,7 +35,8 @@
         self.start(Statement::Query(format!("KILL {connection_id}").into_bytes(), Vec::new()), out);
     }
 
-    /// Writes the command that executes the statement.
+    /// Writes the command that executes the statement. Has no effect if there is no statement, or if it must be
+    /// prepared first.
     pub fn execute(&mut self, out: &mut Vec<u8>) {
         let (command, body) = match &self.statement {
             None => return,
@@ -54,7 +56,7 @@
             }
         };
         self.write_command(command, &body, out);
-        self.executed = true;
+        self.execute_written = true;
         self.state = State::Running;
     }
 
--- a/gateway/src/engine/mysql/mod.rs
+++ b/gateway/src/engine/mysql/mod.rs
@@ -26,7 +26,7 @@
 pub struct Login {
     /// From `[mysql.login]` in the operator's file.
     pub user: String,
-    /// From the same section. Empty if the account has no password.
+    /// From `[mysql.login]` in the operator's file. Empty if the account has no password.
     pub password: String,
 }
 
@@ -82,7 +82,7 @@
 #[derive(Clone, Copy, Debug)]
 struct PreparedStatement {
     statement_id: u32,
-    /// Value of the session's `executions` at the latest execution of this statement.
+    /// Value of the session's `executions` at the latest execution of this statement, or at its preparation.
     last_use: u64,
 }
 
@@ -92,10 +92,10 @@
     login: Login,
     /// Capability flags set by both engine and gateway.
     capabilities: u32,
-    /// Assigned by the engine. Argument of KILL.
+    /// Assigned by the engine. Argument of KILL. 0 until the engine's handshake was read.
     pub connection_id: u32,
     sequence: u8,
-    /// By SQL text.
+    /// Statements prepared on this connection, by SQL text.
     prepared: BTreeMap<Vec<u8>, PreparedStatement>,
     executions: u64,
     statement: Option<Statement>,
@@ -103,7 +103,7 @@
     rows: Vec<Vec<u8>>,
     result_bytes: usize,
     /// The command that executes the statement was written.
-    executed: bool,
+    execute_written: bool,
 }
 
 impl Session {
@@ -121,7 +121,7 @@
             columns: Vec::new(),
             rows: Vec::new(),
             result_bytes: 0,
-            executed: false,
+            execute_written: false,
         }
     }
 
@@ -137,7 +137,7 @@
 
     /// Whether the engine may have executed the statement. False until the command that executes it is written.
     pub fn may_have_run(&self) -> bool {
-        self.executed
+        self.execute_written
     }
 
     /// Whether this statement is prepared on the connection.
--- a/gateway/src/engine/mysql/responses.rs
+++ b/gateway/src/engine/mysql/responses.rs
@@ -96,7 +96,7 @@
         {
             let sql = sql.clone();
             self.prepared.remove(&sql);
-            self.executed = false;
+            self.execute_written = false;
             self.prepare(&sql, out);
             return None;
         }
--- a/gateway/src/front/fields.rs
+++ b/gateway/src/front/fields.rs
@@ -3,8 +3,8 @@
 
 use workload_manager::KeyId;
 
-/// Names of the fields on the wire. MySQL engines receive `ID`, `CLASS`, `WAIT_MS` and `IDEMPOTENCY_KEY` as query
-/// attributes.
+/// Names of the fields on the wire. MySQL engines receive `ID`, `CLASS`, `WAIT_MS` (the remaining time) and
+/// `IDEMPOTENCY_KEY` as query attributes.
 pub mod field_name {
     /// 16 hexadecimal digits, chosen by the client.
     pub const ID: &str = "i";
@@ -38,13 +38,13 @@
 /// The fields of a request. Optional fields are `None` where the client left them out.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RequestFields {
-    /// Name of a class in the settings.
+    /// Name of a class, not yet checked against the settings.
     pub class: String,
     /// 16 hexadecimal digits, chosen by the client.
     pub id: Option<String>,
     /// Time for which the client waits, from 1 ms to a day.
     pub wait_ms: Option<u64>,
-    /// Name of a tenant in the settings.
+    /// Name of a tenant, not yet checked against the settings. For a MySQL client, the tenant of its account.
     pub tenant: Option<String>,
     /// Estimated CPU time, in milliseconds on one core.
     pub estimate_ms: Option<f64>,
@@ -61,19 +61,19 @@
 /// Error in the fields of a request. Its text is sent to the client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum FieldError {
-    /// No comment precedes the statement.
+    /// No complete comment precedes the statement.
     #[error("no comment with the fields stands before the statement")]
     NoComment,
-    /// A part of the comment is not `name=value`, or a name is repeated.
+    /// A part of the comment is not `name=value`, a name is repeated, or the comment is not UTF-8.
     #[error("the comment is not a list of name=value, each name once")]
     Malformed,
-    /// `c` is missing.
+    /// `c` is missing or empty.
     #[error("the class (c) is missing")]
     NoClass,
     /// `i` is not 16 hexadecimal digits.
     #[error("the id (i) must be 16 hex digits")]
     BadId,
-    /// `d` is not a positive number of milliseconds, or is longer than a day.
+    /// `d` is not a number of milliseconds, is less than 1, or is longer than a day.
     #[error("the wait (d) must be a positive whole number of milliseconds, a day at most")]
     BadWait,
     /// `h` or `mem` is not a number, or is out of range.
@@ -104,7 +104,7 @@
 /// Splits a query text into the fields in its leading comment and the statement after the comment.
 ///
 /// # Errors
-/// The text has no leading comment, a field is invalid, or no statement follows.
+/// The text has no leading comment, a field is invalid, the class is missing, or no statement follows.
 pub fn split(text: &[u8]) -> Result<(RequestFields, &[u8]), FieldError> {
     let text = text.trim_ascii_start();
     let rest = text.strip_prefix(b"/*").ok_or(FieldError::NoComment)?;
--- a/gateway/src/front/mod.rs
+++ b/gateway/src/front/mod.rs
@@ -2,7 +2,8 @@
 //! buffers. They perform no I/O and make no admission or routing decisions.
 //!
 //! A session parses its client's messages into [`ClientCommand`]s and writes the responses that need no decision. Each
-//! [`ClientCommand::Request`] must be answered by exactly one [`FinalAnswer`].
+//! [`ClientCommand::Request`] must be answered exactly once, by a [`FinalAnswer`] or as invalid, unless the session
+//! ends first.
 
 pub mod fields;
 pub mod mysql;
@@ -39,7 +40,7 @@
 /// The outcome of a request, which a front end encodes for its client.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FinalAnswer<'a> {
-    /// The complete result.
+    /// The complete result, or an error of the statement itself from a MySQL engine.
     Served(&'a QueryResult),
     /// A retry is safe. Holds the Retry-After in milliseconds, if there is one.
     Rejected(Option<u64>),
@@ -101,9 +102,10 @@
 /// The action that a client's message requires of the event loop.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ClientCommand {
-    /// Submit this request for admission. The session expects one [`FinalAnswer`].
+    /// Submit this request for admission. The session expects one call of `answer` or `answer_invalid`.
     Request(ClientRequest),
-    /// Validate the class and tenant of a statement that is being prepared against the settings.
+    /// Check against the settings the class and tenant of a statement that is being prepared. The MySQL session expects
+    /// one call of `complete_prepare`, `answer_invalid` or `fail_prepare_out_of_memory`.
     Prepare(fields::RequestFields),
     /// Cancel the open request of another session.
     Cancel {
--- a/gateway/src/front/mysql/mod.rs
+++ b/gateway/src/front/mysql/mod.rs
@@ -172,7 +172,7 @@
     }
 
     /// Reads one packet from `input` and writes any immediate response to `out`. Returns `None` if the packet is
-    /// incomplete, a request is open, or the session is closed.
+    /// incomplete, a request is open, the fields of a statement are being validated, or the session is closed.
     pub fn read(&mut self, input: &mut Vec<u8>, out: &mut Vec<u8>) -> Option<ClientCommand> {
         if matches!(self.state, State::Busy | State::Closed) {
             return None;
--- a/gateway/src/front/mysql/prepared_statements.rs
+++ b/gateway/src/front/mysql/prepared_statements.rs
@@ -12,7 +12,8 @@
 
 /// Maximum number of prepared statements in one session.
 const MAX_STATEMENTS: usize = 256;
-/// Maximum memory of the prepared statements of one session.
+/// Number of bytes that the prepared statements of one session and the text of COM_STMT_PREPARE must not exceed. Types
+/// bound by later executions can exceed the limit.
 const MAX_STATEMENT_BYTES: usize = 192 * 1024;
 
 /// Character set `binary`.
@@ -35,7 +36,7 @@
 }
 
 impl PreparedStatement {
-    /// Memory of the statement, including its share of the map nodes, in bytes.
+    /// Estimated memory of the statement, including its share of the map nodes, in bytes.
     pub fn bytes(&self) -> usize {
         let names: usize = self.bound_types.iter().map(|parameter| parameter.name.capacity()).sum();
         let bound_bytes = self.bound_types.capacity() * size_of::<ParameterType>() + names;
@@ -88,7 +89,8 @@
         self.invalid(error_code::ER_UNKNOWN_STMT_HANDLER, "HY000", &message, out)
     }
 
-    /// Handles COM_STMT_PREPARE. The caller must validate the statement's class and tenant next.
+    /// Handles COM_STMT_PREPARE. If it returns [`ClientCommand::Prepare`], the caller must validate the statement's
+    /// class and tenant next.
     pub(super) fn prepare(&mut self, text: &[u8], out: &mut Vec<u8>) -> ClientCommand {
         let (count, bytes) = self.statements.as_ref().map_or((0, 0), |s| (s.by_id.len(), s.bytes));
         if count >= MAX_STATEMENTS || bytes + text.len() > MAX_STATEMENT_BYTES {
@@ -191,7 +193,8 @@
         Ok(self.open(request, &attributes, out))
     }
 
-    /// Handles COM_STMT_SEND_LONG_DATA. As the command has no response, the next execution reports the error.
+    /// Handles COM_STMT_SEND_LONG_DATA. As the command has no response, the next execution reports the error. An
+    /// unknown statement is ignored.
     pub(super) fn send_long_data(&mut self, mut reader: Reader<'_>) -> Result<ClientCommand, PacketError> {
         let statement_id = reader.int(4)? as u32;
         if let Some(statement) = self.statement(statement_id) {
--- a/gateway/src/front/table_group.rs
+++ b/gateway/src/front/table_group.rs
@@ -11,15 +11,16 @@
 
 #[derive(Debug, PartialEq)]
 enum Token<'a> {
-    /// A keyword or an identifier, quoted or not.
+    /// A keyword, a number or an identifier, quoted or not.
     Word(Cow<'a, str>),
     Dot,
     Other,
 }
 
 /// Returns the table group of a statement: the numeric suffix of the first numbered schema, as in `sales_17.orders`.
-/// Only schemas of table names (after FROM, JOIN, INTO, UPDATE or TABLE) are considered. Aliases such as `a_3.day`, the
-/// `staging` schemas, and the contents of strings and comments are ignored.
+/// `None` if there is none. Only the table name directly after FROM, JOIN, INTO, UPDATE or TABLE is considered, and no
+/// further names of a list. Aliases such as `a_3.day`, the `staging` schemas, and the contents of strings and comments
+/// are ignored.
 pub fn table_group(statement: &[u8]) -> Option<u64> {
     let tokens = tokenize(statement);
     let is_keyword = |at: usize, keywords: &[&str]| {
@@ -138,7 +139,7 @@
 }
 
 /// Returns the position after the dollar-quoted string `$tag$...$tag$` that begins at `at`. For a parameter such as
-/// `$1`, returns the position after the dollar sign.
+/// `$1` or a lone dollar sign, returns the position after the dollar sign.
 fn dollar_quote_end(text: &[u8], at: usize) -> usize {
     let tag_end = text[at + 1..].iter().position(|b| !is_word_byte(*b)).map(|n| at + 1 + n);
     match tag_end.filter(|end| text[*end] == b'$' && !text[at + 1].is_ascii_digit()) {
--- a/gateway/src/mysql_protocol/capabilities.rs
+++ b/gateway/src/mysql_protocol/capabilities.rs
@@ -1,6 +1,6 @@
 //! Capability flags that client and server negotiate in the connection phase.
 
-/// Flags that the gateway always sets as a server, and uses as a client.
+/// Flags that the gateway sets as a server, and as a client if the engine has set them.
 pub const BASE: u32 = CLIENT_LONG_PASSWORD
     | CLIENT_LONG_FLAG
     | CLIENT_PROTOCOL_41
--- a/gateway/src/mysql_protocol/error.rs
+++ b/gateway/src/mysql_protocol/error.rs
@@ -14,7 +14,7 @@
     pub const ER_UNKNOWN_COM_ERROR: u16 = 1047;
     /// The server is shutting down.
     pub const ER_SERVER_SHUTDOWN: u16 = 1053;
-    /// The statement can't be parsed.
+    /// The statement, or the fields in its comment, can't be parsed.
     pub const ER_PARSE_ERROR: u16 = 1064;
     /// KILL found no connection with this id.
     pub const ER_NO_SUCH_THREAD: u16 = 1094;
@@ -57,7 +57,7 @@
     pub code: u16,
     /// Five characters. The first two are the class.
     pub sqlstate: String,
-    /// Human-readable text, forwarded to the client unchanged.
+    /// Human-readable text. The text of a statement error is forwarded to the client, with invalid UTF-8 replaced.
     pub message: String,
 }
 
@@ -93,7 +93,9 @@
         payload
     }
 
-    /// Whether the statement itself caused the error, so that every engine would report the same error.
+    /// Whether the statement itself caused the error according to the class of its SQLSTATE, so that every engine is
+    /// expected to report the same error. Class 42 also has errors of account limits, such as
+    /// [`error_code::ER_USER_LIMIT_REACHED`].
     pub fn is_statement_error(&self) -> bool {
         STATEMENT_ERROR_CLASSES.iter().any(|class| self.sqlstate.starts_with(class))
     }
--- a/gateway/src/mysql_protocol/mod.rs
+++ b/gateway/src/mysql_protocol/mod.rs
@@ -1,7 +1,8 @@
 //! Packets and data types of the MySQL client/server protocol, shared by the MySQL front end and the MySQL engine
 //! protocol. Names are those of the MySQL documentation.
 //!
-//! Readers remove complete packets from the front of an input buffer. Writers append to an output buffer.
+//! [`read_packet`] removes complete packets from the front of an input buffer, whose payloads a [`Reader`] parses.
+//! Writers append to an output buffer.
 
 mod authentication;
 pub mod capabilities;
--- a/gateway/src/mysql_protocol/parameters.rs
+++ b/gateway/src/mysql_protocol/parameters.rs
@@ -53,7 +53,8 @@
 pub struct ParameterType {
     /// A column type in the lower byte. The flag 0x8000 marks unsigned integers.
     pub type_and_flag: u16,
-    /// Name of a query attribute. Empty for the parameters of a statement.
+    /// Name sent with the type, which identifies a query attribute. Empty if CLIENT_QUERY_ATTRIBUTES was not
+    /// negotiated.
     pub name: Vec<u8>,
 }
 
@@ -62,7 +63,7 @@
 pub struct Parameter {
     /// A column type in the lower byte. The flag 0x8000 marks unsigned integers.
     pub type_and_flag: u16,
-    /// Name of a query attribute. Empty for the parameters of a statement.
+    /// Name of a query attribute. The name of a statement's parameter has no meaning and is not forwarded to engines.
     pub name: Vec<u8>,
     /// The value in its encoding on the wire. `None` is NULL.
     pub value: Option<Vec<u8>>,
@@ -77,7 +78,8 @@
         Self { type_and_flag, name: name.as_bytes().to_vec(), value: Some(encoded) }
     }
 
-    /// Returns the value as text, with numbers in decimal. `None` for NULL and for types that are not converted.
+    /// Returns an integer, a DOUBLE or a string as text, with numbers in decimal. `None` for NULL, for values of other
+    /// types, and for a string that is not UTF-8.
     pub fn as_text(&self) -> Option<String> {
         use column_type as t;
         let value = self.value.as_ref()?;
@@ -128,7 +130,8 @@
 /// as each type is followed by a name then.
 ///
 /// # Errors
-/// The payload is truncated or has an unknown type, or it binds no types and `bound_types` does not hold `count` types.
+/// The payload is truncated, a value that is not NULL has an unknown type, or the payload binds no types and
+/// `bound_types` does not hold `count` types. The contents of `bound_types` are then unspecified.
 pub fn read_parameters(
     reader: &mut Reader<'_>,
     count: usize,
@@ -164,7 +167,8 @@
     Ok(parameters)
 }
 
-/// Writes parameters in the format read by [`read_parameters`]. Always binds their types.
+/// Writes parameters in the format read by [`read_parameters`]. Always binds their types. Writes nothing without
+/// parameters.
 pub fn write_parameters(out: &mut Vec<u8>, parameters: &[Parameter], has_names: bool) {
     if parameters.is_empty() {
         return;
--- a/gateway/src/mysql_protocol/placeholders.rs
+++ b/gateway/src/mysql_protocol/placeholders.rs
@@ -3,7 +3,7 @@
 /// Returns the number of `?` placeholders in a statement, outside strings, quoted identifiers and comments.
 pub fn count_placeholders(sql: &[u8]) -> usize {
     let (mut count, mut i) = (0, 0);
-    // Returns the position after the next occurrence of `end`.
+    // Returns the position after the next occurrence of `end`, or the end of the statement if there is none.
     let skip = |from: usize, end: &[u8]| {
         let found = sql.get(from..).and_then(|s| s.windows(end.len()).position(|w| w == end));
         found.map_or(sql.len(), |p| from + p + end.len())
--- a/gateway/src/mysql_protocol/primitives.rs
+++ b/gateway/src/mysql_protocol/primitives.rs
@@ -41,7 +41,7 @@
         Ok(head)
     }
 
-    /// Reads a fixed-length integer of `n` bytes, in little-endian order.
+    /// Reads a fixed-length integer of `n` bytes, at most 8, in little-endian order.
     pub fn int(&mut self, n: usize) -> Result<u64, PacketError> {
         Ok(self.bytes(n)?.iter().rev().fold(0, |v, b| v << 8 | u64::from(*b)))
     }
--- a/gateway/tests/common/control.rs
+++ b/gateway/tests/common/control.rs
@@ -80,7 +80,7 @@
         Self { address, streams, received: RefCell::default(), reports, reports_to_reject }
     }
 
-    /// Waits for the next stream that a gateway opens, and sends the response head.
+    /// Waits for the next stream that the gateway named `t` opens, and sends the response head.
     pub fn accept_stream(&self) -> ControlPlaneStream {
         let received = self.received.borrow_mut().take();
         let next = || self.streams.recv_timeout(TIMEOUT).expect("no gateway has opened a stream");
--- a/gateway/tests/common/discovery.rs
+++ b/gateway/tests/common/discovery.rs
@@ -13,12 +13,13 @@
 /// A discovery service that serves the endpoint list.
 pub struct DiscoveryService {
     pub address: SocketAddr,
-    /// `Last-Event-ID` of each stream request so far.
+    /// `Last-Event-ID` of each stream request with this header so far.
     pub last_event_ids: Arc<Mutex<Vec<String>>>,
 }
 
 impl DiscoveryService {
-    /// Starts a service with these JSON events, numbered from `first`. Its streams stay open.
+    /// Starts a service with these JSON events, numbered from `first`. A stream begins after the last event id of its
+    /// request and stays open.
     pub fn with_events(first: usize, events: Vec<String>) -> Self {
         Self::serve(move |_, last, mut stream| {
             for (id, event) in (first..).zip(&events).filter(|(id, _)| *id > last) {
--- a/gateway/tests/common/engine.rs
+++ b/gateway/tests/common/engine.rs
@@ -180,7 +180,7 @@
         self.response_faults.lock().unwrap().extend(faults);
     }
 
-    /// Resets this number of new connections.
+    /// Resets this number of new connections, over HTTP or MySQL.
     pub fn reset_new_connections(&self, connections: u64) {
         self.resets_left.store(connections, Ordering::SeqCst);
     }
@@ -266,6 +266,7 @@
 }
 
 /// Response to `POST /data`, `GET /data/ID/N` or `DELETE /data/ID`. The result of a query has three rows on two pages.
+/// A statement that contains `fail` fails.
 fn respond(state: &EngineState, call: &HttpCall) -> String {
     match call.method.as_str() {
         "POST" => {
--- a/gateway/tests/common/gated.rs
+++ b/gateway/tests/common/gated.rs
@@ -1,4 +1,4 @@
-//! Scripted engines that report each query as running until the test finishes it.
+//! Scripted engines that report each query as running until the test finishes it. Cancellations have no effect.
 
 use std::collections::HashSet;
 use std::sync::mpsc::{Receiver, Sender, channel};
--- a/gateway/tests/common/gateway.rs
+++ b/gateway/tests/common/gateway.rs
@@ -37,7 +37,7 @@
     log: Arc<Mutex<String>>,
 }
 
-/// Last value of a counter in a log, by its key.
+/// Last value of a counter in a log. The key includes the equals sign, as in `evicted=`.
 pub fn last_counter(log: &str, key: &str) -> usize {
     let word = log.split_whitespace().rev().find_map(|w| w.split_once(key)).expect(key);
     word.1.parse().unwrap()
@@ -87,7 +87,8 @@
         Self::launch(dir, ([127, 0, 0, 1], 0).into(), None, true)
     }
 
-    /// Starts a gateway for the engines of these JSON entries that receives settings from these control plane servers.
+    /// Starts a gateway for the engines of these JSON entries that receives settings from these control plane servers
+    /// and has the admin interface.
     pub fn with_control_plane(
         entries: &str,
         servers: &[SocketAddr],
@@ -160,7 +161,7 @@
         Self::launch(Self::create_dir(engines, false, None, ""), ([127, 0, 0, 1], 0).into(), None, true)
     }
 
-    /// Starts a process that replaces this one.
+    /// Starts a process that replaces this one, and waits until it is serving.
     pub fn successor(&self) -> Self {
         Self::launch(self.dir.clone(), self.pg, None, true)
     }
@@ -338,7 +339,7 @@
         self.wait()
     }
 
-    /// Waits for the exit. Returns the exit code and the log.
+    /// Waits for the exit. Returns the exit code, or `None` after a signal, and the log.
     pub fn wait(mut self) -> (Option<i32>, String) {
         let code = self.child.wait().unwrap().code();
         thread::sleep(Duration::from_millis(100));
--- a/gateway/tests/common/pg.rs
+++ b/gateway/tests/common/pg.rs
@@ -110,7 +110,7 @@
         }
     }
 
-    /// SQLSTATE with which the gateway ends the connection, or `None` if it is closed without an error.
+    /// SQLSTATE of the next message, or `None` if the message is no error or the connection is closed without one.
     pub fn into_error_code(mut self) -> Option<String> {
         let (kind, body) = self.try_message()?;
         (kind == b'E').then(|| error(&body).0)
--- a/gateway/tests/deployments/auditor.rs
+++ b/gateway/tests/deployments/auditor.rs
@@ -11,7 +11,7 @@
 
 /// Time without a poll after which an engine ends a query.
 pub const POLL_TIMEOUT: Duration = Duration::from_secs(2);
-/// Added to every time limit for the delays of real sockets.
+/// Added to the time limit of an answer for the delays of real sockets.
 pub const SOCKET_TOLERANCE: Duration = Duration::from_millis(50);
 
 /// Position of a request in [`Spec::requests`]. Every statement contains it, so that engines recognize requests without
@@ -77,6 +77,7 @@
     pub requests: Vec<Request>,
     pub may_cancel: bool,
     pub may_probe: bool,
+    /// Maximum number of attempts of a request. 0 for no limit.
     pub max_attempts: usize,
     pub key_cooldown: Duration,
     pub drain_grace: Duration,
@@ -229,7 +230,7 @@
     engine: EngineIndex,
     log_index: usize,
     at: Duration,
-    /// Time of the last poll.
+    /// Time of the last poll, or of the arrival before the first poll.
     polled_at: Duration,
     end: Option<(Duration, End)>,
 }
@@ -596,7 +597,8 @@
     }
 
     /// Checks that no new attempt is sent to an engine that is draining or gone. As only its arrival is logged, the
-    /// time of sending is bounded from below by the writing of the request and the end of the previous attempt.
+    /// time of sending is bounded from below by the writing of the request, the end of the previous attempt, and the
+    /// arrival minus the delivery tolerance.
     fn check_drains(&mut self) {
         let mut found = Vec::new();
         for (n, attempt) in self.attempts.iter().enumerate() {
--- a/gateway/tests/deployments/client.rs
+++ b/gateway/tests/deployments/client.rs
@@ -28,6 +28,7 @@
     /// Requests that were written and have no answer yet.
     unanswered: VecDeque<RequestIndex>,
     cancel_key: Option<[u8; 8]>,
+    /// ReadyForQuery was received, or the connection has ended.
     ready: bool,
     /// The connection has ended or its client has left. No further requests are written.
     ended: bool,
@@ -94,14 +95,14 @@
         Ok(session)
     }
 
-    /// Waits for the first ReadyForQuery.
+    /// Waits for the first ReadyForQuery or the end of the connection.
     pub fn wait_ready(&self) {
         while !lock(&self.shared).ready {
             thread::sleep(Duration::from_millis(1));
         }
     }
 
-    /// Whether all queries are answered.
+    /// Whether all queries are answered, or the connection has ended.
     pub fn is_answered(&self) -> bool {
         let shared = lock(&self.shared);
         shared.ready && shared.unanswered.is_empty()
--- a/gateway/tests/deployments/generator.rs
+++ b/gateway/tests/deployments/generator.rs
@@ -110,7 +110,7 @@
     Probes,
 }
 
-/// A change of an engine's state, sent by the discovery service.
+/// A change of an engine's state, sent by the discovery service `after_ms` after the start of the run.
 #[derive(Clone, Copy, Debug)]
 pub struct StateChange {
     pub engine: usize,
@@ -233,7 +233,8 @@
         (0..count).map(engine).collect()
     }
 
-    /// Requests with one order key, each on a connection of its own and written before the previous answer.
+    /// Requests with one order key, each on a connection of its own and written without waiting for the previous
+    /// answer.
     fn ordered_script(&mut self, classes: &[Class], class: usize) -> ClientScript {
         let order_key = format!("{:016x}", self.rng.next());
         let mut steps = Vec::new();
--- a/gateway/tests/fronts.rs
+++ b/gateway/tests/fronts.rs
@@ -36,8 +36,8 @@
 
 #[test]
 fn postgres_clients_get_rows_in_order_and_errors_at_once() {
-    let seen = Recorder::default();
-    let engine = Engine::start("e1", &seen, 5);
+    let recorder = Recorder::default();
+    let engine = Engine::start("e1", &recorder, 5);
     let gateway = Gateway::start(&[&engine], false);
     assert!(gateway.mysql.is_none(), "the MySQL front end must be off by default");
     let mut client = pg::Client::connect(gateway.pg);
@@ -47,12 +47,12 @@
         pg::Answer::Rows(tags.map(|t| vec!["e1".to_owned(), t.to_owned(), String::new()]).to_vec())
     };
     assert_eq!(client.query(&text("lookup", ID, 2000)), rows(["a", "b", "c"]));
-    assert_eq!(seen.engines_of(ID), ["e1"]);
+    assert_eq!(recorder.engines_of(ID), ["e1"]);
 
     assert_eq!(error_code(&client.query("SELECT 1")), "42601");
     assert_eq!(error_code(&client.query(&text("gossip", ID, 2000))), "42601");
     assert_eq!(error_code(&client.query(&text("lookup", "12", 2000))), "42601");
-    assert_eq!(seen.query_count(), 1, "an invalid request was forwarded");
+    assert_eq!(recorder.query_count(), 1, "an invalid request was forwarded");
     assert_eq!(client.query(&text("lookup", ID, 2000)), rows(["a", "b", "c"]));
 
     let mut other = pg::Client::connect(gateway.pg);
@@ -71,8 +71,8 @@
 
 #[test]
 fn idle_clients_are_evicted_and_clients_with_open_requests_are_not() {
-    let seen = Recorder::default();
-    let engine = Engine::start("e1", &seen, 1);
+    let recorder = Recorder::default();
+    let engine = Engine::start("e1", &recorder, 1);
     let gateway = Gateway::start(&[&engine], false);
     let silent: Vec<_> =
         (0..gateway.max_clients()).map(|_| pg::Client::without_startup(gateway.pg)).collect();
@@ -97,8 +97,8 @@
 
 #[test]
 fn unfinished_startups_and_messages_time_out_with_an_error() {
-    let seen = Recorder::default();
-    let engine = Engine::start("e1", &seen, 1);
+    let recorder = Recorder::default();
+    let engine = Engine::start("e1", &recorder, 1);
     let gateway = Gateway::start(&[&engine], false);
     let (mut idle, mut partial) = (pg::Client::connect(gateway.pg), pg::Client::connect(gateway.pg));
     let mut silent = pg::Client::without_startup(gateway.pg);
@@ -111,8 +111,8 @@
 
 #[test]
 fn a_fatal_error_reaches_a_client_that_goes_on_sending() {
-    let seen = Recorder::default();
-    let engine = Engine::start("e1", &seen, 1);
+    let recorder = Recorder::default();
+    let engine = Engine::start("e1", &recorder, 1);
     let gateway = Gateway::start(&[&engine], false);
     let mut client = pg::Client::connect(gateway.pg);
     client.send_raw(b"Q\x03\0\0\0");
@@ -125,25 +125,25 @@
 
 #[test]
 fn an_id_in_use_is_invalid_for_another_request() {
-    let seen = Recorder::default();
-    let engine = Engine::start("e1", &seen, 700);
+    let recorder = Recorder::default();
+    let engine = Engine::start("e1", &recorder, 700);
     let gateway = Gateway::start(&[&engine], false);
     let (mut client, mut other) = (pg::Client::connect(gateway.pg), pg::Client::connect(gateway.pg));
     client.send(&text("report", "9b1f03aa5c7e2dff", 20_000));
-    while seen.query_count() == 0 {
+    while recorder.query_count() == 0 {
         thread::sleep(Duration::from_millis(1));
     }
     for id in ["9b1f03aa5c7e2dff", "9B1F03AA5C7E2DFF"] {
         assert_eq!(error_code(&other.query(&text("lookup", id, 2000))), "42601");
     }
     assert!(matches!(client.answer(), pg::Answer::Rows(_)), "the open request must be served");
-    assert_eq!(seen.query_count(), 1, "a request with an id in use was forwarded");
+    assert_eq!(recorder.query_count(), 1, "a request with an id in use was forwarded");
 }
 
 #[test]
 fn postgres_deadlines_and_cancels_end_requests() {
-    let seen = Recorder::default();
-    let engine = Engine::start("e1", &seen, 3000);
+    let recorder = Recorder::default();
+    let engine = Engine::start("e1", &recorder, 3000);
     let gateway = Gateway::start(&[&engine], false);
     let mut client = pg::Client::connect(gateway.pg);
     let began = Instant::now();
@@ -188,8 +188,8 @@
 
 #[test]
 fn the_endpoint_list_stays_current_across_broken_and_silent_streams() {
-    let seen = Recorder::default();
-    let (one, two) = (Engine::start("e1", &seen, 1), Engine::start("e2", &seen, 1));
+    let recorder = Recorder::default();
+    let (one, two) = (Engine::start("e1", &recorder, 1), Engine::start("e2", &recorder, 1));
     let second_event = format!("{},{}", one.entry("Ready"), two.entry("Gone"));
     let discovery = DiscoveryService::with_interrupted_streams([one.entry("Terminating"), second_event]);
     let gateway = Gateway::start_with_coordinator(&[&one, &two], false, Some(discovery.address));
@@ -208,8 +208,8 @@
 
 #[test]
 fn nothing_is_forwarded_to_a_draining_engine() {
-    let seen = Recorder::default();
-    let (one, two) = (Engine::start("e1", &seen, 1), Engine::start("e2", &seen, 1));
+    let recorder = Recorder::default();
+    let (one, two) = (Engine::start("e1", &recorder, 1), Engine::start("e2", &recorder, 1));
     let discovery =
         DiscoveryService::with_interrupted_streams([one.entry("Terminating"), one.entry("Terminating")]);
     let gateway = Gateway::start_with_coordinator(&[&one, &two], false, Some(discovery.address));
@@ -225,8 +225,8 @@
 
 #[test]
 fn sighup_moves_the_watch_and_an_invalid_file_changes_nothing() {
-    let seen = Recorder::default();
-    let (one, two) = (Engine::start("e1", &seen, 1), Engine::start("e2", &seen, 1));
+    let recorder = Recorder::default();
+    let (one, two) = (Engine::start("e1", &recorder, 1), Engine::start("e2", &recorder, 1));
     let old = DiscoveryService::with_events(2, vec![DiscoveryService::delta_event(2, &one.entry("Ready"))]);
     let gateway = Gateway::start_with_coordinator(&[&one, &two], false, Some(old.address));
     let mut client = pg::Client::connect(gateway.pg);
@@ -259,8 +259,9 @@
 
 #[test]
 fn an_unreadable_entry_affects_no_other_engine() {
-    let seen = Recorder::default();
-    let engines: Vec<Engine> = ["e1", "e2", "e3"].iter().map(|name| Engine::start(name, &seen, 1)).collect();
+    let recorder = Recorder::default();
+    let engines: Vec<Engine> =
+        ["e1", "e2", "e3"].iter().map(|name| Engine::start(name, &recorder, 1)).collect();
     let [one, two, three] = &engines[..] else { unreachable!() };
     // The second engine has an unknown state, the third one drains.
     let list = format!("{},{}", two.entry("Sick"), three.entry("Terminating"));
@@ -279,8 +280,8 @@
 
 #[test]
 fn an_unreadable_event_does_not_block_later_ones() {
-    let seen = Recorder::default();
-    let (one, two) = (Engine::start("e1", &seen, 1), Engine::start("e2", &seen, 1));
+    let recorder = Recorder::default();
+    let (one, two) = (Engine::start("e1", &recorder, 1), Engine::start("e2", &recorder, 1));
     let events = vec![
         "{\"index\":2,\"endpoints\":{\"endpoints\":7}}".to_owned(),
         DiscoveryService::delta_event(3, &two.entry("Gone")),
@@ -303,35 +304,35 @@
 
 #[test]
 fn a_query_survives_its_connection_without_a_second_attempt() {
-    let seen = Recorder::default();
-    let engine = Engine::start("e1", &seen, 600);
+    let recorder = Recorder::default();
+    let engine = Engine::start("e1", &recorder, 600);
     let gateway = Gateway::start(&[&engine], false);
     let mut client = pg::Client::connect(gateway.pg);
     client.send(&text("load", ID, 20_000));
-    while seen.query_count() == 0 {
+    while recorder.query_count() == 0 {
         thread::sleep(Duration::from_millis(1));
     }
     engine.close_connections();
     assert!(matches!(client.answer(), pg::Answer::Rows(_)));
-    assert_eq!(seen.engines_of(ID), ["e1"]);
+    assert_eq!(recorder.engines_of(ID), ["e1"]);
 }
 
 /// A reset connection does not prove that the query has ended.
 #[test]
 fn a_cancellation_is_repeated_over_connections_that_are_reset() {
-    let seen = Recorder::default();
-    let engine = Engine::start("e1", &seen, 2000);
+    let recorder = Recorder::default();
+    let engine = Engine::start("e1", &recorder, 2000);
     let gateway = Gateway::start(&[&engine], false);
     let mut client = pg::Client::connect(gateway.pg);
     client.send(&text("load", ID, 20_000));
     let began = Instant::now();
-    while seen.query_count() == 0 {
+    while recorder.query_count() == 0 {
         assert!(began.elapsed() < Duration::from_secs(60), "the load did not reach its engine");
         thread::sleep(Duration::from_millis(1));
     }
     engine.reset_new_connections(2);
     drop(client);
-    while seen.deletes().is_empty() {
+    while recorder.deletes().is_empty() {
         assert!(began.elapsed() < Duration::from_secs(60), "the engine received no cancellation");
         thread::sleep(Duration::from_millis(1));
     }
@@ -342,8 +343,8 @@
 /// Guards against a second run of a query whose result the engine still has.
 #[test]
 fn unusable_responses_are_requested_again() {
-    let seen = Recorder::default();
-    let engine = Engine::start("e1", &seen, 1);
+    let recorder = Recorder::default();
+    let engine = Engine::start("e1", &recorder, 1);
     let gateway = Gateway::start(&[&engine], false);
     let mut client = pg::Client::connect(gateway.pg);
     let cases = [
@@ -360,26 +361,26 @@
         let id = format!("{n:016x}");
         let answer = client.query(&text("load", &id, 20_000));
         assert!(matches!(&answer, pg::Answer::Rows(rows) if rows.len() == 3), "{faults:?}: {answer:?}");
-        assert_eq!(seen.engines_of(&id), ["e1"], "{faults:?}");
+        assert_eq!(recorder.engines_of(&id), ["e1"], "{faults:?}");
     }
 }
 
 #[test]
 fn a_query_at_a_silent_engine_is_not_retried_elsewhere() {
-    let seen = Recorder::default();
-    let engines = ["e1", "e2"].map(|n| Engine::start(n, &seen, 1));
+    let recorder = Recorder::default();
+    let engines = ["e1", "e2"].map(|n| Engine::start(n, &recorder, 1));
     let gateway = Gateway::start(&[&engines[0], &engines[1]], false);
     engines.iter().for_each(Engine::stop_responding);
     let mut client = pg::Client::connect(gateway.pg);
     let answer = client.query(&text("report", ID, 20_000));
     assert!(pg_rejected(&answer), "the client must be allowed to retry long before its deadline: {answer:?}");
-    assert_eq!(seen.engines_of(ID).len(), 1, "a query that may still run was sent to another engine");
+    assert_eq!(recorder.engines_of(ID).len(), 1, "a query that may still run was sent to another engine");
 }
 
 /// Waits until a query has started and returns its engine.
-fn engine_of<'a>(seen: &Recorder, id: &str, engines: &'a [Engine]) -> &'a Engine {
+fn engine_of<'a>(recorder: &Recorder, id: &str, engines: &'a [Engine]) -> &'a Engine {
     loop {
-        if let Some(name) = seen.engines_of(id).first() {
+        if let Some(name) = recorder.engines_of(id).first() {
             return engines.iter().find(|e| e.name == *name).unwrap();
         }
         thread::sleep(Duration::from_millis(1));
@@ -390,45 +391,52 @@
 /// refuses new ones.
 #[test]
 fn a_query_is_not_retried_elsewhere_when_its_engine_refuses_connections() {
-    let seen = Recorder::default();
-    let engines = ["e1", "e2"].map(|n| Engine::start(n, &seen, 10_000));
+    let recorder = Recorder::default();
+    let engines = ["e1", "e2"].map(|n| Engine::start(n, &recorder, 10_000));
     let gateway = Gateway::start(&[&engines[0], &engines[1]], false);
     let mut client = pg::Client::connect(gateway.pg);
     for (n, class) in ["report", "load"].into_iter().enumerate() {
         let id = format!("{n:016x}");
         client.send(&text(class, &id, 20_000));
-        let engine = engine_of(&seen, &id, &engines);
+        let engine = engine_of(&recorder, &id, &engines);
         engine.refuse_connections();
         engine.close_connections();
         let answer = client.answer();
         assert_eq!(pg_rejected(&answer), class == "report", "{answer:?}");
-        assert_eq!(seen.engines_of(&id).len(), 1, "a query that may still run was sent to another engine");
+        assert_eq!(
+            recorder.engines_of(&id).len(),
+            1,
+            "a query that may still run was sent to another engine"
+        );
     }
 }
 
 /// The query may still run if its cancellation does not reach the engine.
 #[test]
 fn a_cancelled_query_is_retried_elsewhere_only_after_its_engine_was_notified() {
-    let seen = Recorder::default();
-    let engines = ["e1", "e2"].map(|n| Engine::start(n, &seen, 10_000));
+    let recorder = Recorder::default();
+    let engines = ["e1", "e2"].map(|n| Engine::start(n, &recorder, 10_000));
     let gateway = Gateway::start(&[&engines[0], &engines[1]], false);
     let mut client = pg::Client::connect(gateway.pg);
     client.send(&text("lookup", ID, 3_000));
-    engine_of(&seen, ID, &engines).refuse_connections();
+    engine_of(&recorder, ID, &engines).refuse_connections();
     // The query runs far longer than a lookup usually does, so the gateway considers a new attempt.
     assert!(!matches!(client.answer(), pg::Answer::Rows(_)));
-    let sent = seen.engines_of(ID).len();
-    assert!(sent == 1 || seen.deletes().contains(&ID.to_owned()), "{sent} attempts, none of them cancelled");
+    let sent = recorder.engines_of(ID).len();
+    assert!(
+        sent == 1 || recorder.deletes().contains(&ID.to_owned()),
+        "{sent} attempts, none of them cancelled"
+    );
 }
 
 #[test]
 fn sigterm_finishes_open_requests_and_accepts_a_few_more() {
-    let seen = Recorder::default();
-    let engine = Engine::start("e1", &seen, 1500);
+    let recorder = Recorder::default();
+    let engine = Engine::start("e1", &recorder, 1500);
     let gateway = Gateway::start(&[&engine], false);
     let mut client = pg::Client::connect(gateway.pg);
     client.send(&text("report", ID, 20_000));
-    while seen.query_count() == 0 {
+    while recorder.query_count() == 0 {
         thread::sleep(Duration::from_millis(1));
     }
     gateway.terminate();
@@ -443,8 +451,8 @@
 
 #[test]
 fn mysql_clients_run_text_and_prepared_statements() {
-    let seen = Recorder::default();
-    let engine = Engine::start("e1", &seen, 2);
+    let recorder = Recorder::default();
+    let engine = Engine::start("e1", &recorder, 2);
     let gateway = Gateway::start(&[&engine], true);
     let denied = mysql::Client::log_in(gateway.mysql(), "unit", "wrong").err().unwrap();
     assert!(matches!(denied, mysql::Answer::Error(1045, ..)));
@@ -453,7 +461,7 @@
     let rows = |parameters: &str| mysql::Answer::Rows(vec!["e1".to_owned(), parameters.to_owned()]);
     let lookup = "/* c=lookup,h=20,mem=9 */ SELECT v FROM sales_17.orders";
     assert_eq!(client.query(lookup, &[("i", ID)]), rows(""));
-    assert_eq!(seen.engines_of(ID), ["e1"], "the id must be forwarded unchanged");
+    assert_eq!(recorder.engines_of(ID), ["e1"], "the id must be forwarded unchanged");
 
     let (handle, params) = client.prepare(&format!("{lookup} WHERE a = ? AND b = ?")).unwrap();
     assert_eq!(params, 2);
@@ -482,13 +490,13 @@
     assert_eq!(number(client.query("/* c=lookup */ SELECT 1", &[("d", "soon")])), 1210);
     client.command(0x05, b"db");
     assert_eq!(number(client.answer(false)), 1047);
-    let runs = seen.query_count();
+    let runs = recorder.query_count();
     assert_eq!(
         number(client.query("/* c=lookup */ nonsense", &[])),
         1064,
         "the engine's error code must be returned"
     );
-    assert_eq!(seen.query_count(), runs + 1, "a statement error must not be retried");
+    assert_eq!(recorder.query_count(), runs + 1, "a statement error must not be retried");
     assert_eq!(client.ping(), mysql::Answer::Done);
 
     let (exit, log) = gateway.end();
@@ -498,8 +506,8 @@
 
 #[test]
 fn a_mysql_load_that_may_have_run_fails_and_a_lookup_is_rejected() {
-    let seen = Recorder::default();
-    let engine = Engine::start("e1", &seen, 3000);
+    let recorder = Recorder::default();
+    let engine = Engine::start("e1", &recorder, 3000);
     let gateway = Gateway::start(&[&engine], true);
     let mut client = mysql::Client::connect(gateway.mysql());
     let (load, _) = client.prepare("/* c=load,h=20 */ INSERT INTO a_1.b VALUES (?)").unwrap();
@@ -516,27 +524,27 @@
     let fails = "/* c=load */ INSERT fail";
     let answer = until_served(|| client.query(fails, &[("i", "00000000000000ff")]), mysql_rejected);
     assert!(matches!(answer, mysql::Answer::Error(1105, ..)), "{answer:?}");
-    assert_eq!(seen.engines_of("00000000000000ff").len(), 1, "a failed load was sent again");
-    assert_eq!(seen.engines_of(ID).len(), 1);
+    assert_eq!(recorder.engines_of("00000000000000ff").len(), 1, "a failed load was sent again");
+    assert_eq!(recorder.engines_of(ID).len(), 1);
 }
 
 #[test]
 fn a_mysql_statement_is_killed_when_its_client_leaves() {
-    let seen = Recorder::default();
-    let engine = Engine::start("e1", &seen, 3000);
+    let recorder = Recorder::default();
+    let engine = Engine::start("e1", &recorder, 3000);
     let gateway = Gateway::start(&[&engine], true);
     let mut client = mysql::Client::connect(gateway.mysql());
     client.command(0x03, b"\0\x01/* c=report */ SELECT v FROM a_1.b");
-    while seen.query_count() == 0 {
+    while recorder.query_count() == 0 {
         thread::sleep(Duration::from_millis(1));
     }
     drop(client);
     let began = Instant::now();
-    while seen.kills().is_empty() {
+    while recorder.kills().is_empty() {
         assert!(began.elapsed() < Duration::from_secs(60), "the engine received no KILL");
         thread::sleep(Duration::from_millis(5));
     }
-    assert_eq!(seen.kills(), [1], "KILL must name the connection of the statement");
+    assert_eq!(recorder.kills(), [1], "KILL must name the connection of the statement");
     let (exit, log) = gateway.end();
     assert_eq!(exit, Some(0));
     assert!(log.contains("left=1"), "{log}");
@@ -544,8 +552,8 @@
 
 #[test]
 fn a_prepared_lookup_survives_an_engine_crash_and_a_load_runs_once() {
-    let seen = Recorder::default();
-    let (one, two) = (Engine::start("e1", &seen, 2), Engine::start("e2", &seen, 2));
+    let recorder = Recorder::default();
+    let (one, two) = (Engine::start("e1", &recorder, 2), Engine::start("e2", &recorder, 2));
     let gateway = Gateway::start(&[&one, &two], true);
     let mut client = mysql::Client::connect(gateway.mysql());
     let (lookup, _) = client.prepare("/* c=lookup,h=20 */ SELECT v FROM a_1.b WHERE c = ?").unwrap();
@@ -558,14 +566,14 @@
     // The load was not sent to the crashed engine, so the other engine may run it. It runs once.
     let answer = until_served(|| client.execute(load, &["3"], &[("i", ID)]), mysql_rejected);
     assert_eq!(answer, mysql::Answer::Done);
-    assert_eq!(seen.engines_of(ID), [alive.name.as_str()]);
+    assert_eq!(recorder.engines_of(ID), [alive.name.as_str()]);
     // The engine crashes while it runs the load. The load may have run, so it fails without a retry.
     alive.set_work_ms(400);
-    let runs = seen.query_count();
+    let runs = recorder.query_count();
     let wait_started = thread::spawn({
-        let seen = seen.clone();
+        let recorder = recorder.clone();
         move || {
-            while seen.query_count() == runs {
+            while recorder.query_count() == runs {
                 thread::sleep(Duration::from_millis(1));
             }
         }
@@ -574,21 +582,21 @@
     wait_started.join().unwrap();
     alive.kill();
     assert!(matches!(request.join().unwrap(), mysql::Answer::Error(1105, ..)));
-    assert_eq!(seen.engines_of("00000000000000bb"), [alive.name.as_str()]);
+    assert_eq!(recorder.engines_of("00000000000000bb"), [alive.name.as_str()]);
 }
 
 /// A MySQL statement may outlive its connection and cannot be polled over another one.
 #[test]
 fn a_mysql_statement_whose_connection_breaks_is_not_retried() {
-    let seen = Recorder::default();
-    let engines = ["e1", "e2"].map(|n| Engine::start(n, &seen, 10_000));
+    let recorder = Recorder::default();
+    let engines = ["e1", "e2"].map(|n| Engine::start(n, &recorder, 10_000));
     let gateway = Gateway::start(&[&engines[0], &engines[1]], true);
     let mut client = mysql::Client::connect(gateway.mysql());
     let (lookup, _) = client.prepare("/* c=lookup,h=20 */ SELECT v FROM a_1.b WHERE c = ?").unwrap();
     let request = thread::spawn(move || client.execute(lookup, &["1"], &[("i", ID)]));
-    engine_of(&seen, ID, &engines).close_connections();
+    engine_of(&recorder, ID, &engines).close_connections();
     assert!(mysql_rejected(&request.join().unwrap()), "the client must be allowed to retry");
-    assert_eq!(seen.engines_of(ID).len(), 1, "a statement that may still run was sent again");
+    assert_eq!(recorder.engines_of(ID).len(), 1, "a statement that may still run was sent again");
 }
 
 /// Sends lookups and loads over these front ends and returns the latencies of the lookups.
@@ -643,14 +651,14 @@
 
 #[test]
 fn mixed_traffic_survives_the_crash_of_an_engine() {
-    let seen = Recorder::default();
-    let engines: Vec<Engine> = ["e1", "e2", "e3"].map(|n| Engine::start(n, &seen, 5)).into();
+    let recorder = Recorder::default();
+    let engines: Vec<Engine> = ["e1", "e2", "e3"].map(|n| Engine::start(n, &recorder, 5)).into();
     let gateway = Gateway::start(&engines.iter().collect::<Vec<_>>(), true);
     let killer = thread::spawn({
-        let seen = seen.clone();
+        let recorder = recorder.clone();
         let victim = engines.into_iter().next().unwrap();
         move || {
-            while seen.query_count() < 100 {
+            while recorder.query_count() < 100 {
                 thread::sleep(Duration::from_millis(1));
             }
             victim.kill();
@@ -662,7 +670,7 @@
     for w in 0..8 {
         for n in (4..40).step_by(5) {
             for tries in 0..40 {
-                let runs = seen.engines_of(&format!("{w:08x}{n:06x}{tries:02x}")).len();
+                let runs = recorder.engines_of(&format!("{w:08x}{n:06x}{tries:02x}")).len();
                 assert!(runs <= 1, "load {n} of worker {w} ran {runs} times");
             }
         }
@@ -676,8 +684,8 @@
 #[ignore = "measures latencies"]
 fn lookup_latency_with_and_without_mysql_traffic() {
     let measure = |front_ends: &[&str]| {
-        let seen = Recorder::default();
-        let engines = ["e1", "e2", "e3"].map(|n| Engine::start(n, &seen, 20));
+        let recorder = Recorder::default();
+        let engines = ["e1", "e2", "e3"].map(|n| Engine::start(n, &recorder, 20));
         let gateway = Gateway::start(&engines.iter().collect::<Vec<_>>(), true);
         let mut latencies = traffic(&gateway, front_ends, 300);
         latencies.sort();
--- a/gateway/tests/idle.rs
+++ b/gateway/tests/idle.rs
@@ -27,7 +27,7 @@
     (0..n).map(|_| pg::Client::connect(gateway.pg)).collect()
 }
 
-/// Starts a gateway that admits more sessions than its file descriptors would allow by default.
+/// Starts a gateway whose session limit is above the default, which is derived from its number of sockets.
 fn gateway_with_many_sessions(engines: &[&Engine], extra_settings: &str) -> Gateway {
     Gateway::start_with_options(
         engines,
