--- a/gateway/src/admin/metrics.rs
+++ b/gateway/src/admin/metrics.rs
@@ -33,7 +33,7 @@
 /// Values sampled when the metrics are requested.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Gauges {
-    /// Requests received and not yet answered.
+    /// Requests admitted and not yet answered.
     pub in_flight: usize,
     /// Number of engines in the endpoint list.
     pub engines_known: usize,
--- a/gateway/src/engine/http/status.rs
+++ b/gateway/src/engine/http/status.rs
@@ -4,7 +4,7 @@
 pub const OK: u16 = 200;
 /// The query is running.
 pub const ACCEPTED: u16 = 202;
-/// The call was accepted. The response carries no information about the query.
+/// The call was accepted. In response to DELETE, it means that the query has ended.
 pub const NO_CONTENT: u16 = 204;
 /// The query failed, or the engine has no query with this id.
 pub const INTERNAL_SERVER_ERROR: u16 = 500;
--- a/gateway/tests/fronts.rs
+++ b/gateway/tests/fronts.rs
@@ -599,7 +599,8 @@
     assert_eq!(recorder.engines_of(ID).len(), 1, "a statement that may still run was sent again");
 }
 
-/// Sends lookups and loads over these front ends and returns the latencies of the lookups.
+/// Sends lookups and loads over these front ends and returns the latencies of the served lookups, without those of
+/// rejected tries.
 fn traffic(gateway: &Gateway, front_ends: &[&str], rounds: u32) -> Vec<Duration> {
     let mut workers = Vec::new();
     for (w, front_end) in front_ends.iter().cycle().take(8).enumerate() {
