--- a/gateway/src/front/pg/mod.rs
+++ b/gateway/src/front/pg/mod.rs
@@ -76,8 +76,8 @@
         self.state == State::StartUp
     }
 
-    /// Whether the session is between requests and reads messages other than Sync. An idle session can be restored from
-    /// its key alone.
+    /// Whether the session waits for the next query. False while messages are discarded until Sync. An idle session can
+    /// be restored from its key alone.
     pub fn is_idle(&self) -> bool {
         self.state == State::Ready
     }
