--- a/gateway/src/admin/call.rs
+++ b/gateway/src/admin/call.rs
@@ -28,7 +28,7 @@
     /// The data is not an HTTP/1.1 request.
     #[error("this is no call in HTTP/1.1")]
     NotHttp,
-    /// The header section is incomplete after [`MAX_CALL_BYTES`], or has more than 32 fields.
+    /// The header section is incomplete after [`MAX_CALL_BYTES`], or has more than `MAX_HEADERS` fields.
     #[error("the head of the call is too long")]
     TooLong,
     /// A header field announces content, which no method accepts.
