--- a/adapter/tests/wire.rs
+++ b/adapter/tests/wire.rs
@@ -1,4 +1,5 @@
-//! Runs the built adapter on batches of events and checks its replies.
+//! Runs the built adapter on batches of events and checks its replies, and its exit status and error line for
+//! invalid input.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -135,7 +136,7 @@
 }
 
 #[test]
-fn events_for_requests_that_have_ended_are_ignored() {
+fn events_without_an_open_request_cause_no_actions() {
     let all = replies(&[
         batch(
             10.0,
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -5,21 +5,21 @@
 use common::*;
 use workload_manager::*;
 
-/// Without the bound, a burst of interactive requests would overload all engines.
+/// Without the bound, a burst of interactive requests would overload the engines.
 #[test]
-fn interactive_requests_are_queued_only_when_they_overload_the_engines() {
+fn interactive_requests_beyond_the_overload_bound_are_queued() {
     let mut driver = Driver::new(settings(), vec![engine(1)]);
     driver.serve_interactive(100, 40, 0.2);
     // One and a half threads per core on eight cores, shared by two gateways.
     assert_eq!(driver.count_admitted(1, INTERACTIVE), 6);
 }
 
-/// Work beyond an engine's memory slows down all of its queries, so background work must stay within the
-/// gateway's share.
+/// If the gateways together exceeded an engine's memory, queries there would be delayed or slowed down. The
+/// background work of each must stay within its share.
 #[test]
-fn background_work_waits_for_its_share_of_memory() {
+fn background_work_stays_within_the_gateways_share_of_memory() {
     let mut s = settings();
-    s.machine_types[0].memory_mb = 8000.0; // Of 4,000 MB per gateway, 3,500 are used.
+    s.machine_types[0].memory_mb = 8000.0; // Of 4,000 MB per gateway, 3,500 may be used.
     let mut driver = Driver::new(s, vec![engine(1)]);
     driver.serve_interactive(100, 40, 0.2);
     let mut admits = |id, need_mb| {
@@ -35,7 +35,8 @@
         "the queued request was not forwarded when memory became free"
     );
 
-    // A request larger than the share is forwarded to an engine without other background work.
+    // A request larger than the share of all engines together is forwarded only while no other background
+    // work is in flight.
     driver.attempt_ended(2, 0, 1, Outcome::Success, 1.0);
     let large = Request { estimated_memory_mb: Some(9000.0), ..driver.request(4, BACKGROUND) };
     assert_eq!(forwarded_to(&driver.event(&Event::RequestArrived(large))), None);
@@ -69,12 +70,12 @@
 fn the_overload_bound_counts_the_current_capacity_of_warming_engines() {
     let (s, mut engines) = many_gateways();
     engines.iter_mut().take(25).for_each(|e| e.started_at = Some(100.0));
-    // One and a half threads per core on 25 warm engines and 25 engines at three tenths, shared by a hundred
-    // gateways.
+    // One and a half threads per core on 25 warm engines and 25 engines at three tenths of their capacity,
+    // shared by a hundred gateways.
     assert_eq!(Driver::new(s, engines).count_admitted(1, INTERACTIVE), 4);
 }
 
-/// One of 300 gateways, with this number of engines.
+/// Creates one of 300 gateways, with this number of engines.
 fn one_of_many_gateways(engines: u32) -> Driver {
     let mut s = settings_with_cancelling();
     (s.gateways, s.on_memory_shortage) = (300, MemoryShortage::Overcommit);
@@ -83,12 +84,12 @@
 }
 
 /// With many gateways a request exceeds its gateway's share of one engine. Without a bound on the sum over
-/// all engines, the remaining engines would run out of memory once most engines are removed.
+/// all engines, the gateways together would exceed the memory of few or warming engines.
 #[test]
 fn memory_is_bounded_over_all_engines_together() {
     for (engines, warming, min, max) in [(80, 0, 2, 4), (80, 60, 1, 1), (800, 0, 18, 40)] {
         let mut driver = one_of_many_gateways(engines);
-        // After an idle minute the concurrency limit alone would admit far more.
+        // With the token bucket full after an idle minute, the concurrency limit alone would admit far more.
         driver.now += 60.0;
         let started = Some(driver.now);
         driver.endpoint_list(
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -25,8 +25,8 @@
     }
 }
 
-/// Settings of one of two gateways. Interactive requests run on one thread and background work on four.
-/// Loads run on two threads, are not idempotent and are ordered by key.
+/// Settings of one of two gateways. Requests of the class [`INTERACTIVE`] run on one thread, and those of
+/// [`BACKGROUND`] on four. Loads run on two threads, are not idempotent and are ordered by key.
 pub fn settings() -> Settings {
     let load = Class {
         idempotency: Idempotency::NotIdempotent,
@@ -73,7 +73,7 @@
 }
 
 /// Settings as in [`settings`], but with idempotent, unordered loads of one thread. The number of loads
-/// admitted at once is the concurrency limit.
+/// in flight is bounded by the concurrency limit, rounded to at least one.
 pub fn single_thread_loads() -> Settings {
     let mut s = settings();
     s.classes[2] = Class { is_load: true, ..class(3.0, 1, 30.0) };
@@ -181,7 +181,8 @@
         self.event(&Event::Timer(0))
     }
 
-    /// Serves `n` interactive requests one after the other, each with this latency. Ids start at `from`.
+    /// Serves `n` interactive requests one after the other, and reports this latency for each. The clock does
+    /// not advance. Ids start at `from`.
     pub fn serve_interactive(&mut self, from: u64, n: u64, latency: f64) {
         for id in from..from + n {
             let engine = forwarded_to(&self.arrive(id, INTERACTIVE))
@@ -227,6 +228,7 @@
     actions.iter().filter_map(answer).collect()
 }
 
+/// Settings as in [`settings`], but with cancellation of attempts and a progress report every half second.
 pub fn settings_with_cancelling() -> Settings {
     let mut s = settings();
     s.capabilities.cancels_attempts = true;
@@ -241,7 +243,7 @@
 }
 
 /// Settings of one of a hundred gateways, and fifty engines. The concurrency limit of each engine is below
-/// one thread, so that only the sum over all engines admits a request of several threads.
+/// one thread, so that a request of several threads needs tokens of the bucket for all engines together.
 pub fn many_gateways() -> (Settings, Vec<EndpointEntry>) {
     let mut s = settings();
     s.gateways = 100;
--- a/tests/concurrency_limit.rs
+++ b/tests/concurrency_limit.rs
@@ -1,4 +1,4 @@
-//! Concurrency limit: feedback from interactive latency to the limit of background work.
+//! Concurrency limit: feedback from interactive latency and from utilization to the limit of background work.
 
 mod common;
 
@@ -57,7 +57,12 @@
         }
         driver.count_admitted(200, LOAD)
     };
-    assert!(admitted(true) > admitted(false), "{} {}", admitted(true), admitted(false));
+    assert!(
+        admitted(true) > admitted(false),
+        "{} with stalled attempts, {} with slow ones",
+        admitted(true),
+        admitted(false)
+    );
 }
 
 /// With many gateways, a gateway has few latency samples per engine. The mean over all engines must
@@ -110,7 +115,7 @@
     assert_eq!(admitted(0.05), admitted(2.0));
 }
 
-/// Serves the number of requests after which a new engine has completed its recovery ramp.
+/// Serves more than the three requests that complete the recovery ramp of a new engine.
 fn complete_recovery_ramp(driver: &mut Driver) {
     driver.serve_interactive(9000, 6, 0.99);
 }
@@ -123,7 +128,7 @@
 }
 
 #[test]
-fn the_limit_is_rounded_half_up() {
+fn the_limit_is_rounded_half_up_to_at_least_one() {
     for (cores, gateways, expected) in [(5.0, 2, 3), (7.0, 3, 2), (1.0, 4, 1)] {
         let mut s = single_thread_loads();
         (s.machine_types[0].cores, s.machine_types[1].cores, s.gateways) = (cores, cores, gateways);
@@ -139,8 +144,8 @@
 #[test]
 fn latency_below_the_objective_raises_the_limit_by_gain_times_error() {
     let mut driver = Driver::new(single_thread_loads(), vec![engine(1)]);
-    // Gain P/(R n) = 8/(1 * 3), where R is the objective at first. Integral 1.5 + (1 - 0.7) = 1.8. Limit
-    // 8/3 * 1.8 = 4.8.
+    // Gain P/(R n) = 8/(1 * 3), where the baseline latency R is initially the objective. Integral
+    // 1.5 + (1 - 0.7) = 1.8. Limit 8/3 * 1.8 = 4.8.
     driver.serve_interactive(1000, 20, 0.7);
     assert_eq!(driver.count_admitted(1, LOAD), 5);
 }
@@ -186,7 +191,7 @@
 }
 
 #[test]
-fn idle_periods_do_not_wind_up_the_limit() {
+fn a_long_time_of_low_latency_does_not_wind_up_the_limit() {
     let mut driver = Driver::new(single_thread_loads(), vec![engine(1)]);
     driver.serve_interactive(1000, 2000, 0.1);
     // The upper bound is 6 threads per core, of which this gateway has half.
@@ -216,16 +221,17 @@
     assert!(admitted(2.0, 19) < admitted(0.5, 19));
 }
 
-/// Background work may fill an engine without slowing down short interactive requests. Without load reports
-/// in responses, the estimated utilization must lower the limit instead.
+/// Background work may fill an engine without slowing down short interactive requests. Unless the settings
+/// provide for load reports in responses, the estimated utilization must lower the limit.
 #[test]
-fn the_limit_falls_when_the_engine_reports_high_utilization() {
+fn high_utilization_lowers_the_limit_without_load_reports_in_responses() {
     let admitted = |reports: LoadReportSource, busy: f64| {
         let mut s = single_thread_loads();
         s.capabilities.load_reports = reports;
         let mut driver = Driver::new(s, vec![engine(1)]);
         for id in 0..61 {
             driver.arrive(id, INTERACTIVE);
+            // The last report is low, so that the utilization guard admits loads.
             let busy = if id < 60 { busy } else { 0.1 };
             driver.first_attempt_served(
                 id,
--- a/tests/explain.rs
+++ b/tests/explain.rs
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_shed_request_is_logged_with_the_guard_that_rejected_it_most() {
+fn a_shed_request_is_logged_with_the_guard_that_rejected_it() {
     let draining = |id| EndpointEntry { state: EndpointState::Draining, ..engine(id) };
     let lines = log_of_shed_request(vec![draining(1), draining(2)], INTERACTIVE, |_| {});
     let [line] = lines.as_slice() else { panic!("{lines:?}") };
@@ -79,7 +79,7 @@
         " why=state open=0 state=2 ",
         " queued_seconds=4.00 ",
     ] {
-        assert!(line.contains(part), "no{part}in{line}");
+        assert!(line.contains(part), "no {part:?} in {line}");
     }
 
     let lines = log_of_shed_request(vec![engine(1)], BACKGROUND, |driver| {
@@ -133,9 +133,9 @@
     });
     let [ejected, recovered] = lines.as_slice() else { panic!("{lines:?}") };
     for part in ["message=engine ejected", " engine=1 ejection_seconds=", " epoch=1"] {
-        assert!(ejected.contains(part), "no{part}in{ejected}");
+        assert!(ejected.contains(part), "no {part:?} in {ejected}");
     }
     for part in ["message=engine recovered", " engine=1 epoch=1"] {
-        assert!(recovered.contains(part), "no{part}in{recovered}");
+        assert!(recovered.contains(part), "no {part:?} in {recovered}");
     }
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,5 +1,6 @@
-//! Simulated fleets of many gateways in front of shared engines, with random settings, outcomes, lost
-//! responses, restarts and stale endpoint lists, against an independent checker. Seeds are fixed.
+//! Simulated fleets of 1 to 400 gateways in front of shared engines, with random settings and outcomes, lost
+//! cancellations, restarted gateways and late endpoint lists, against an independent checker. Seeds are
+//! fixed.
 
 mod common;
 
@@ -13,7 +14,7 @@
 const TICK_SECONDS: f64 = 0.1;
 /// Time during which requests arrive.
 const ARRIVAL_SECONDS: f64 = 12.0;
-/// Duration of a simulation: the arrivals, and the longest deadline of the last request.
+/// Duration of a simulation: the time of arrivals, and the longest time to a deadline.
 const RUN_SECONDS: f64 = 24.0;
 
 fn draw(rng: &mut Pcg32, below: u32) -> u32 {
@@ -30,7 +31,7 @@
 
 impl PendingRequest {
     /// Engine and start time of the first attempt that may have run.
-    fn may_have_run(&self) -> Option<(u32, f64)> {
+    fn first_possible_run(&self) -> Option<(u32, f64)> {
         let proves_not_run =
             |how: Outcome| matches!(how, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NeverSent);
         self.attempts
@@ -44,7 +45,7 @@
 struct Instance {
     gateway: WorkloadManager,
     known_states: BTreeMap<u32, EndpointState>,
-    /// Endpoint list updates, by time of delivery.
+    /// Endpoint list updates and their times of delivery, in order of delivery.
     list_updates: Vec<(f64, Vec<EndpointEntry>)>,
     requests: BTreeMap<u64, PendingRequest>,
     timers: Vec<(f64, u64)>,
@@ -58,9 +59,9 @@
     work: Vec<f64>,
     engines: BTreeMap<u32, EndpointEntry>,
     instances: Vec<Instance>,
-    /// Time and work of each attempt sent to a warming engine.
+    /// Time and work of each attempt, by engine, for the engines that start during the simulation.
     warming: BTreeMap<u32, Vec<(f64, f64)>>,
-    /// Number of attempts of each class.
+    /// Number of attempts sent of each class.
     sent: Vec<u64>,
     rng: Pcg32,
 }
@@ -83,7 +84,7 @@
         s.classes = vec![class(0.6, 1, 3.0), class(2.0, 4, 10.0), class(4.0, 2, 12.0), class(2.0, 4, 10.0)];
         for (n, c) in s.classes.iter_mut().enumerate() {
             c.idempotency = idempotency_kinds[draw(&mut rng, 5) as usize];
-            // The last class is restricted to one zone.
+            // The last class is allowed in one zone only.
             c.allowed_zones = (n == 3).then(|| vec![ZoneId(draw(&mut rng, zones) as usize)]);
         }
         s.classes[2] =
@@ -126,7 +127,8 @@
         }
     }
 
-    /// Publishes a change of the endpoint list, which reaches each gateway after a random delay of up to 2 s.
+    /// Publishes a change of the endpoint list. It reaches each gateway after a random delay of less than
+    /// 2 s, and not before earlier changes.
     fn publish(&mut self, now: f64, entry: &EndpointEntry) {
         self.engines.insert(entry.engine.0, entry.clone());
         for instance in &mut self.instances {
@@ -167,7 +169,7 @@
                     Idempotency::Idempotent | Idempotency::Keyed { scope: IdempotencyScope::All, .. }
                 );
                 assert!(
-                    harmless || pending.may_have_run().is_none(),
+                    harmless || pending.first_possible_run().is_none(),
                     "a request that may have run was rejected"
                 );
                 self.answer(n, now, request.0);
@@ -202,7 +204,7 @@
             class.allowed_zones.as_ref().is_none_or(|z| z.contains(&entry.zone)),
             "forwarded to a zone that the class does not allow"
         );
-        if let Some((first, at)) = pending.may_have_run() {
+        if let Some((first, at)) = pending.first_possible_run() {
             let first = &self.engines[&first];
             match class.idempotency {
                 Idempotency::Idempotent => {}
@@ -244,14 +246,14 @@
         while let Some(i) = self.instances[n].in_flight.iter().position(|o| o.0 <= now) {
             let (_, id, attempt, engine, outcome) = self.instances[n].in_flight.remove(i);
             let pending = self.instances[n].requests.get_mut(&id).unwrap();
-            let send = &mut pending.attempts[attempt as usize];
-            (send.2, pending.answered) = (Some(outcome), pending.answered || outcome == Outcome::Success);
+            let record = &mut pending.attempts[attempt as usize];
+            (record.2, pending.answered) = (Some(outcome), pending.answered || outcome == Outcome::Success);
             let event = Event::AttemptEnded {
                 request: RequestId(id),
                 attempt,
                 engine: EngineId(engine),
                 outcome,
-                elapsed: now - send.1,
+                elapsed: now - record.1,
                 request_settled: pending.answered,
                 may_still_run_for: 0.0,
                 cost: None,
@@ -331,7 +333,8 @@
         }
     }
 
-    /// Checks that all gateways together sent no warming engine more work than the rules allow.
+    /// Checks that all gateways together sent no warming engine the work that makes it collapse, with a
+    /// tolerance of one request of the heaviest class.
     fn check_warming_engines(&self) {
         let (r, cores) = (&self.s.rules, self.s.machine_types[0].cores);
         let heaviest = self.work.iter().copied().fold(0.0, f64::max);
@@ -346,13 +349,14 @@
                 let max_work = r.collapse_load_ratio * warm_up * cores * 0.85 * r.collapse_window;
                 assert!(
                     warm_up >= 1.0 || sent <= max_work + heaviest,
-                    "{sent} s of work to warming engine {engine}, {max_work} s allowed"
+                    "{sent} s of work to warming engine {engine}, {max_work} s and one request allowed"
                 );
             }
         }
     }
 
-    /// Checks that each request got a final answer, and that each class with an allowed engine was served.
+    /// Checks that each request got an answer, except those lost with a restarted gateway, and that a class
+    /// with an allowed engine and more than 20 requests had a request forwarded.
     fn check_final_answers(&self) {
         for instance in &self.instances {
             assert!(instance.requests.values().all(|a| a.answered), "a request got no final answer");
@@ -396,7 +400,8 @@
     }
 }
 
-/// Prints percentiles of the time per event by the number of engines.
+/// Prints percentiles of the time per arrival of a request, every fifth with a control tick, by the number of
+/// engines.
 /// `cargo test --release --test fleet -- --ignored --nocapture`
 #[test]
 #[ignore = "prints measurements"]
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -3,9 +3,9 @@
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// Characters in a line; the `max_width` of `rustfmt.toml`.
+/// Maximum number of characters in a line, as `max_width` in `rustfmt.toml`.
 const MAX_LINE_CHARS: usize = 110;
-/// Lines in a file.
+/// Maximum number of lines in a file.
 const MAX_FILE_LINES: usize = 500;
 
 fn sources(directory: &Path, found: &mut Vec<PathBuf>) {
--- a/tests/load_estimate.rs
+++ b/tests/load_estimate.rs
@@ -45,8 +45,8 @@
     }
 }
 
-/// The reported number of queries implies a memory utilization, if the memory per query and per engine is
-/// known.
+/// The reported number of queries implies a memory utilization, if the memory of a query and of the engine
+/// is known.
 #[test]
 fn queries_that_use_all_memory_count_as_full_utilization() {
     for (memory_mb, queued) in [(0.0, false), (10_000.0, true)] {
@@ -91,7 +91,7 @@
                 );
             }
         }
-        assert_eq!(sent > 10, exceeds_share, "{sent} of 20");
+        assert_eq!(sent > 10, exceeds_share, "{sent} of 20 forwarded");
     }
 }
 
@@ -110,8 +110,8 @@
     }
 }
 
-/// Without load reports the duration of background work lowers the limit. Interactive latency alone would
-/// react too late, because engines prefer interactive requests.
+/// Until a load report arrives, the duration of background work lowers the limit. Interactive latency alone
+/// would react too late, because engines prefer interactive requests.
 #[test]
 fn slow_background_work_lowers_a_limit_below_one_thread_without_reports() {
     let (s, engines) = many_gateways();
@@ -132,7 +132,7 @@
         }
         sent
     };
-    // With estimated work, requests from id 300 on take four times as long for the same work.
+    // Requests from id 300 on take four times as long. Only estimated work shows that the work is the same.
     let (with_estimates, without_estimates) = (sent(Some(4.0)), sent(None));
     assert!(
         0 < with_estimates && 2 * with_estimates < without_estimates,
--- a/tests/order_by_key.rs
+++ b/tests/order_by_key.rs
@@ -8,15 +8,16 @@
 use common::*;
 use workload_manager::*;
 
+/// Number of keys, or of requests queued for a key in the measurement.
 const MANY: u64 = 10_000;
-/// Fewer than `MANY`, because the test also runs in unoptimized builds.
+/// Number of requests queued for a key. Fewer than `MANY`, because the test also runs in unoptimized builds.
 const QUEUED: u64 = 1_000;
 
 fn keyed(driver: &Driver, id: u64, key: u64) -> Event {
     Event::RequestArrived(Request { key: Some(KeyId(key)), ..driver.request(id, LOAD) })
 }
 
-/// A gateway with one request of a key in flight and this number of requests queued for the same key.
+/// Creates a gateway with one request of a key in flight and this number of requests queued for the same key.
 fn with_queued_requests(count: u64) -> Driver {
     let mut driver = Driver::new(settings(), vec![engine(1), engine(2)]);
     for id in 0..=count {
@@ -54,7 +55,7 @@
 }
 
 #[test]
-fn a_request_with_a_short_deadline_is_not_queued_for_its_key() {
+fn a_request_with_a_short_deadline_is_shed_if_its_key_is_in_use() {
     const DEADLINE: f64 = 30.0;
     let mut driver = with_queued_requests(0);
     for (id, wait) in [(1, DEADLINE), (2, 0.49 * DEADLINE), (3, 0.51 * DEADLINE)] {
@@ -65,7 +66,7 @@
     assert_eq!(
         final_answers(&driver.control_tick()),
         [(2, true)],
-        "only the request with less than half its deadline left is rejected"
+        "only the request with less than half of its class's deadline left is rejected"
     );
     // With its key free, the same request is forwarded.
     let mut driver = Driver::new(settings(), vec![engine(1)]);
--- a/tests/outliers.rs
+++ b/tests/outliers.rs
@@ -33,9 +33,10 @@
     }
 }
 
-/// A silent engine is ejected. After the backoff it gets one attempt at a time.
+/// Without an ejection, requests would continue to go to an engine that does not respond. After the backoff a
+/// single attempt must test the engine.
 #[test]
-fn a_silent_engine_is_ejected_until_one_attempt_succeeds() {
+fn a_silent_engine_is_ejected_and_then_gets_one_attempt_at_a_time() {
     let mut driver = Driver::new(settings(), vec![engine(1), engine(2)]);
     driver.serve_interactive(100, 40, 0.2);
     let mut unanswered = 0;
@@ -52,8 +53,8 @@
     driver.control_tick();
     for id in 11..=16 {
         assert_eq!(forwarded_to(&driver.arrive(id, INTERACTIVE)).unwrap().0, 2);
-        // Attempts left in flight make the silent engine the least loaded one, without an overload of the
-        // other.
+        // Three attempts stay in flight, so that the silent engine is preferred after its backoff. They do
+        // not overload the other engine.
         if id < 14 {
             driver.attempt_ended(id, 0, 2, Outcome::Success, 0.2);
         }
@@ -89,7 +90,8 @@
     assert!(forwarded_to(&driver.arrive(50, INTERACTIVE)).is_some());
 }
 
-/// Engines of a cached endpoint list may no longer exist, so each gets few attempts until it has answered.
+/// An engine of a cached endpoint list may no longer exist. Like any new engine, it gets few attempts until
+/// it has answered.
 #[test]
 fn engines_of_a_cached_list_get_few_attempts_until_they_answer() {
     let mut driver = Driver::new(settings(), vec![]);
@@ -113,7 +115,7 @@
     assert_eq!(
         forwarded_to(&driver.arrive(5, INTERACTIVE)).unwrap().0,
         rejecting,
-        "a rejection must not start a recovery ramp"
+        "the rejecting engine was not selected after its backoff"
     );
 }
 
@@ -137,9 +139,10 @@
     assert!(failed <= 2, "{failed} errors from one engine");
 }
 
-/// A request that fails on every engine is itself the cause. It is retried once and ejects no engine.
+/// A request that fails on two engines is itself taken to be the cause. It is not tried on a third one, and
+/// ejects no engine.
 #[test]
-fn a_request_that_fails_on_all_engines_ejects_none() {
+fn a_request_that_fails_on_two_engines_ejects_none() {
     let mut driver = Driver::new(settings(), vec![engine(1), engine(2), engine(3)]);
     driver.serve_interactive(100, 40, 0.2);
     for id in 1..=20 {
@@ -155,7 +158,7 @@
     assert!((1..=3).all(|e| used.contains(&e)), "selected engines: {used:?}");
 }
 
-/// An error counts against the engine if another engine serves the request.
+/// An error counts more against the engine if another engine serves the request.
 #[test]
 fn an_engine_that_fails_requests_served_elsewhere_is_ejected() {
     let mut driver = Driver::new(settings(), vec![engine(1), engine(2)]);
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -1,7 +1,7 @@
 //! Property test: random valid event sequences against an independent checker of the rules.
 //!
-//! A simulation keeps the attempts in flight and ends them in any order with any outcome. The checker uses
-//! only events and actions, and none of the workload manager's state.
+//! A simulation keeps the attempts in flight and ends them in any order, with any outcome but `NeverSent`.
+//! The checker uses only settings, events and actions, and none of the workload manager's state.
 
 mod common;
 
@@ -58,6 +58,7 @@
     deadline: f64,
     arrival_index: usize,
     done: bool,
+    /// Engine, start time and outcome of each attempt.
     attempts: Vec<(u32, f64, Option<Outcome>)>,
 }
 
@@ -65,13 +66,17 @@
     driver: Driver,
     settings: Settings,
     requests: BTreeMap<u64, TrackedRequest>,
+    /// Request, attempt, engine and start time.
     in_flight: Vec<(u64, u32, u32, f64)>,
+    /// Time and token.
     timers: Vec<(f64, u64)>,
     engines: BTreeMap<u32, EndpointEntry>,
     listed: BTreeSet<u32>,
+    /// End of each key's cooldown, and the request that caused it.
     cooldowns: BTreeMap<u8, (f64, u64)>,
     arrivals: Vec<f64>,
     retries: Vec<f64>,
+    /// Time and work of each attempt sent to a warming engine.
     warming: BTreeMap<u32, Vec<(f64, f64)>>,
 }
 
@@ -212,7 +217,7 @@
         if let Some(started) = entry.started_at
             && now < started + self.settings.rules.slow_start_duration
         {
-            // Each request is half a second of work, doubled below for the second gateway.
+            // Each request counts as half a second of work. It is doubled below for the second gateway.
             let sent = self.warming.entry(engine).or_default();
             sent.push((now, 0.5));
             let since = now - self.settings.rules.collapse_window;
@@ -250,7 +255,10 @@
     fn check_deadlines(&self) {
         for (id, r) in &self.requests {
             let late = self.driver.now > r.deadline + self.settings.rules.answer_grace;
-            assert!(r.done || !late, "request {id} got no final answer by its deadline");
+            assert!(
+                r.done || !late,
+                "request {id} got no final answer within the grace time of its deadline"
+            );
         }
     }
 
--- a/tests/queue.rs
+++ b/tests/queue.rs
@@ -1,4 +1,4 @@
-//! Order of the queue, and the classification of classes as interactive or background work.
+//! Order of the queue, and requests of classes that no engine may run or that are not interactive.
 
 mod common;
 
@@ -6,7 +6,7 @@
 use workload_manager::*;
 
 #[test]
-fn queued_requests_are_forwarded_in_order_of_arrival_to_the_engine_with_most_capacity() {
+fn queued_requests_are_forwarded_in_order_of_arrival_when_an_engine_admits_them() {
     let mut driver = Driver::new(settings(), vec![engine(1)]);
     driver.arrive(1, BACKGROUND);
     for id in 2..5 {
--- a/tests/reconfigure.rs
+++ b/tests/reconfigure.rs
@@ -12,7 +12,7 @@
     SettingsChange { settings, origins: origins.to_vec() }
 }
 
-/// Retires a class and appends a modified copy of it.
+/// A change of [`settings`] that retires a class and appends a modified copy of it.
 fn with_changed(old: ClassId, modify: impl Fn(&mut Class)) -> SettingsChange {
     let mut s = settings();
     let mut origins = vec![UNCHANGED; s.classes.len()];
@@ -24,8 +24,8 @@
     change(s, &origins)
 }
 
-/// Runs requests of all classes on three engines, some of them slow or lost. Returns the actions of each
-/// step.
+/// Runs requests of all classes on three engines, some with lost connections. With `reconfigures` set, equal
+/// settings are applied in every seventh step. Returns the actions of each step.
 fn run(reconfigures: bool) -> Vec<String> {
     let mut driver = Driver::new(settings(), vec![engine(1), engine(2), engine(3)]);
     let mut log = Vec::new();
@@ -102,7 +102,10 @@
     );
     let new = ClassId(settings().classes.len());
     let third = Event::RequestArrived(Request { class: new, ..driver.request(3, LOAD) });
-    assert!(!forwards(&driver.event(&third)).is_empty(), "a request of the new class was queued for the key");
+    assert!(
+        !forwards(&driver.event(&third)).is_empty(),
+        "a request of the new class, without a key, was queued"
+    );
     assert!(!forwards(&driver.attempt_ended(1, 0, engine, Outcome::Success, 0.1)).is_empty());
 }
 
@@ -111,7 +114,7 @@
     let mut driver = Driver::new(settings(), vec![engine(1)]);
     let (on, _) = forwarded_to(&driver.arrive(1, BACKGROUND)).unwrap();
     let before = driver.gateway.engines_known();
-    // With the lightest class retired, other classes become interactive.
+    // With the lightest class retired, the class of the attempt becomes interactive.
     let mut s = settings();
     s.classes[BACKGROUND.0].threads = settings().classes[INTERACTIVE.0].threads;
     let mut origins = vec![UNCHANGED; s.classes.len()];
@@ -152,7 +155,7 @@
 
 #[test]
 fn a_class_derived_from_another_starts_with_its_profile() {
-    // Requests of a class with a high latency are shed earlier than requests of a new class.
+    // Requests of a class with a high latency are shed earlier than those of a class without statistics.
     let steps_until_shed = |origin: ClassOrigin| {
         let mut driver = Driver::new(settings(), vec![engine(1), engine(2)]);
         for id in 1..=60 {
@@ -181,7 +184,7 @@
     assert!(derived < new, "shed after {derived} steps if derived, after {new} if new");
 }
 
-/// Sends `n` requests of a class. Returns the number of those forwarded at once.
+/// Sends `n` requests of a class, with ids from `first`. Returns the number of those forwarded at once.
 fn count_forwarded(driver: &mut Driver, first: u64, n: u64, class: ClassId) -> usize {
     (first..first + n).map(|id| forwards(&driver.arrive(id, class)).len()).sum()
 }
--- a/tests/recorded_decisions.rs
+++ b/tests/recorded_decisions.rs
@@ -2,7 +2,7 @@
 //!
 //! Each line of `recorded_decisions/expected.txt` has a stream's number, seed, number of events, number of
 //! actions and digest, and the digest of each block of events. After an intended change of decisions,
-//! `WRENHATCH_RECORD=1` rewrites the file.
+//! `WRENHATCH_RECORD=1` rewrites the file and lets the test fail.
 
 #[path = "recorded_decisions/action_format.rs"]
 mod action_format;
--- a/tests/recorded_decisions/action_log.rs
+++ b/tests/recorded_decisions/action_log.rs
@@ -1,4 +1,5 @@
-//! Log of a workload manager's actions over an event stream, in blocks of events with a digest each.
+//! Log of a workload manager's actions over an event stream, in blocks of events with a digest each. Changes
+//! of the settings count as events.
 
 /// Number of events in a block.
 pub const BLOCK_EVENTS: usize = 100;
@@ -13,6 +14,7 @@
 #[derive(Default)]
 pub struct ActionLog {
     pub events: usize,
+    /// Number of lines recorded for the events.
     pub actions: usize,
     blocks: Vec<Vec<String>>,
 }
@@ -28,7 +30,7 @@
         self.blocks.push(vec![first_line]);
     }
 
-    /// Records the actions that followed the next event.
+    /// Records the actions that follow the next event. Each line begins with the number of the event, from 0.
     pub fn record(&mut self, actions: Vec<String>) {
         let number = self.events;
         self.events += 1;
--- a/tests/recorded_decisions/scenario.rs
+++ b/tests/recorded_decisions/scenario.rs
@@ -8,12 +8,12 @@
 pub const FREQUENT_CLASS: usize = 0;
 pub const ZONES: usize = 3;
 
-/// Settings and number of engines of an event stream. Each setting cycles through its values with a period of
-/// its own, so that the streams cover many combinations.
+/// Settings and number of engines of an event stream. Many of them cycle through several values with the
+/// stream's number, at different periods, so that the streams cover many combinations.
 pub struct Scenario {
     pub settings: Settings,
     pub engine_count: u32,
-    /// Responses carry no load report, whatever the settings say.
+    /// Whether responses carry no load report, whatever the settings say.
     pub omits_reports: bool,
 }
 
@@ -113,7 +113,7 @@
     }
 }
 
-/// Whether the smallest machine has too few cores for any class to be interactive.
+/// Whether the smallest machine initially has too few cores for any class to be interactive.
 fn has_small_machines(stream: usize) -> bool {
     stream % 12 == 4
 }
@@ -170,7 +170,8 @@
         (0..self.retired.len()).filter(|class| !self.retired[*class]).collect()
     }
 
-    /// Draws the next settings change. Every fifth is invalid: it has fewer classes than before.
+    /// Draws a settings change of one of five kinds, selected by `number`. The last kind is invalid: it has
+    /// fewer classes than before.
     pub fn draw_change(&self, number: usize, rng: &mut Rng) -> SettingsChange {
         let mut settings = self.settings.clone();
         let kept = |retired: &bool| if *retired { ClassOrigin::Retired } else { ClassOrigin::Unchanged };
--- a/tests/recorded_decisions/simulation.rs
+++ b/tests/recorded_decisions/simulation.rs
@@ -16,7 +16,7 @@
 /// Number of settings changes in a stream.
 const CHANGES: usize = 4;
 
-/// A scheduled event of the simulation.
+/// A scheduled event of the simulation. A pair of numbers stands for a request and an attempt.
 enum SimEvent {
     Arrival,
     AttemptEnd(u64, u32),
@@ -90,7 +90,7 @@
     demand: f64,
     /// Load of the engines by other gateways. 1 is full load.
     other_load: f64,
-    /// Responses carry no load report, whatever the settings say.
+    /// Whether responses carry no load report, whatever the settings say.
     omits_reports: bool,
     log: ActionLog,
 }
@@ -140,7 +140,7 @@
         simulation
     }
 
-    /// Runs the simulation until the gateway has received this number of events.
+    /// Runs the simulation until the gateway has received this number of events, including settings changes.
     pub fn run(mut self, events: usize, stream: usize) -> ActionLog {
         if !self.active.settings.capabilities.polls_endpoint_list {
             let mode = if stream % 2 == 0 { EndpointListMode::Full } else { EndpointListMode::Cached };
@@ -378,7 +378,8 @@
         self.deliver(&Event::RequestArrived(request));
     }
 
-    /// Requests per second: proportional to the gateway's share of the engines, within bounds.
+    /// Requests per second: the demand times a rate that is proportional to the gateway's share of the
+    /// engines, within bounds.
     fn rate(&self) -> f64 {
         let base = 12.0 * self.engines.len() as f64 / f64::from(self.active.settings.gateways);
         self.demand * base.clamp(6.0, 60.0)
@@ -417,7 +418,8 @@
         });
     }
 
-    /// Draws the time in seconds for which a lost attempt may still run. Infinite until its end is confirmed.
+    /// Draws the time in seconds for which an attempt may still run after its outcome. 0 if it has no key.
+    /// Infinite if a later event confirms its end.
     fn draw_may_run_for(&mut self, outcome: Outcome, key: Option<u64>) -> f64 {
         let Some(key) = key.filter(|_| outcome.may_still_run()) else { return 0.0 };
         let span = self.rng.pick(&[0.0, 0.6, f64::INFINITY]);
@@ -505,7 +507,7 @@
         self.send_list(mode, entries);
     }
 
-    /// Changes the endpoint list or sends it again.
+    /// Changes the endpoint list, sends it again, or stores it as the cached list.
     fn change_list(&mut self) {
         let after = self.rng.between(0.3, 3.0);
         self.schedule(after, SimEvent::ListChange);
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -49,6 +49,7 @@
     assert_eq!(error.to_string(), "deadline of class 1 is -1, which is negative or not a number");
 }
 
+/// Settings as in [`settings`], but with an idempotency key for the class [`BACKGROUND`].
 fn keyed(key_scope: IdempotencyScope) -> Settings {
     let mut s = settings();
     s.classes[1].idempotency = Idempotency::Keyed { scope: key_scope, window: 5.0 };
@@ -148,14 +149,14 @@
 }
 
 #[test]
-fn a_warming_engine_gets_no_more_than_its_budget() {
+fn a_warming_engine_gets_less_work_than_makes_it_collapse() {
     let mut s = settings();
     s.gateways = 1;
     let mut driver = Driver::new(s, vec![]);
     let warming = EndpointEntry { started_at: Some(driver.now), ..engine(1) };
     driver.endpoint_list(EndpointListMode::Delta, vec![warming]);
     // The engine starts with 0.3 of 8 cores and collapses under twice that for 2 s, which is 9.6 s of work.
-    // Each request is served at once, so that only the budget limits their number.
+    // Each request is served at once, so that only the slow-start budget limits their number.
     let mut sent = 0;
     for id in 1..100 {
         if forwarded_to(&driver.arrive(id, INTERACTIVE)).is_some() {
@@ -163,7 +164,7 @@
             driver.attempt_ended(id, 0, 1, Outcome::Success, 0.01);
         }
     }
-    assert!((1..=9).contains(&sent), "{sent} requests of one second each");
+    assert!((1..=9).contains(&sent), "{sent} requests, each counted as one second of work");
     driver.now += 11.0;
     driver.control_tick();
     for id in 100..150 {
--- a/tests/selection.rs
+++ b/tests/selection.rs
@@ -83,7 +83,7 @@
     }
 }
 
-/// The age of attempts in flight indicates a slow engine before any attempt there has ended.
+/// The age of attempts in flight must indicate a slow engine before they end.
 #[test]
 fn an_engine_whose_attempts_do_not_end_is_selected_last() {
     let mut driver = Driver::new(settings(), (1..=12).map(engine).collect());
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -40,7 +40,7 @@
             }
             gateway.on_event(now, &Event::Timer(0), &mut actions);
             for (id, _) in forwards(&actions) {
-                // Half the objective on each thread: the assumed work of a class without samples.
+                // Half the objective on each thread: the work charged for a class without samples.
                 work.push((now, if id % 2 == 0 { 0.5 } else { 8.0 }));
                 gateway.on_event(now, &Event::RequestAborted(RequestId(id)), &mut Vec::new());
             }
@@ -60,7 +60,7 @@
     }
     assert!(
         work.iter().filter(|(at, _)| *at < 102.0).count() > 0,
-        "{gateways} gateways: the warming engine got no request"
+        "{gateways} gateways: the warming engine got no request in two seconds"
     );
 }
 
@@ -113,8 +113,8 @@
             }
         }
     }
-    // Interactive requests get half of three tenths of the budget, and the gateways that prefer the engine
-    // use most of that.
+    // All gateways may use three tenths of this budget, half of that for interactive requests. The gateways
+    // that prefer the engine use most of that half.
     let warm_up = |from: f64| 0.3 + 0.7 * (from - 108.0) / 10.0;
     let budget = |from: f64| 2.0 * warm_up(from) * 8.0 * 0.85 * window;
     let share = |from: f64| {
--- a/tests/supervision.rs
+++ b/tests/supervision.rs
@@ -5,8 +5,8 @@
 use common::*;
 use workload_manager::*;
 
-/// An attempt whose progress predicts many times the usual latency is cancelled and retried, but only once
-/// per request.
+/// An attempt whose progress predicts more than three times the usual latency is cancelled and retried, but
+/// only once per request.
 #[test]
 fn a_slow_request_is_cancelled_only_once() {
     let mut driver = Driver::new(settings_with_cancelling(), vec![engine(1), engine(2)]);
@@ -50,7 +50,7 @@
 }
 
 /// Attempts may run until the client's deadline. Without cancellation a retry would only add load. With
-/// cancellation, supervision acts on progress reports instead.
+/// cancellation, supervision cancels slow attempts instead.
 #[test]
 fn attempts_have_no_timeout() {
     for s in [settings(), settings_with_cancelling()] {
@@ -110,7 +110,7 @@
     );
 }
 
-/// An attempt whose client has disconnected is cancelled, if the deployment permits it.
+/// The response to a client that has disconnected is of no use, so its attempt must be cancelled.
 #[test]
 fn an_attempt_is_cancelled_when_its_client_disconnects() {
     let mut driver = Driver::new(settings_with_cancelling(), vec![engine(1)]);
@@ -220,7 +220,7 @@
         send(&mut driver, id, INTERACTIVE, 0.1);
         driver.attempt_ended(id, 0, 1, Outcome::Success, 0.2);
     }
-    // Three times the usual latency is no reason to cancel.
+    // Two and a half times the usual latency is no reason to cancel.
     send(&mut driver, 1, INTERACTIVE, 0.1);
     driver.now += 0.01;
     send(&mut driver, 2, INTERACTIVE, 0.1);
@@ -228,7 +228,7 @@
     driver.now += 0.5;
     assert!(
         cancelled_requests(&driver.control_tick()).is_empty(),
-        "cancelled after three times the usual latency"
+        "cancelled after two and a half times the usual latency"
     );
     driver.attempt_ended(1, 0, 1, Outcome::Success, 0.6);
 
@@ -242,8 +242,8 @@
     assert_eq!(final_answers(&driver.control_tick()), vec![(3, true)]);
 }
 
-/// A request with too little time for an attempt is rejected at once. A request with half of its class's
-/// deadline left is always forwarded, because latencies are measured only with attempts.
+/// A request with too little time for an attempt is rejected at the next control tick. A request with half of
+/// its class's deadline left is always forwarded, because latencies are measured only with attempts.
 #[test]
 fn a_request_without_time_for_an_attempt_is_not_forwarded() {
     let mut driver = Driver::new(settings_with_cancelling(), vec![engine(1), engine(2)]);
@@ -257,7 +257,11 @@
     };
     let late = with_deadline_in(&driver, 1, 0.2);
     assert!(forwards(&driver.event(&Event::RequestArrived(late))).is_empty());
-    assert_eq!(final_answers(&driver.control_tick()).len(), 1, "the request was not rejected at once");
+    assert_eq!(
+        final_answers(&driver.control_tick()).len(),
+        1,
+        "the request was not rejected at the control tick"
+    );
     for id in (2000..2400).step_by(2) {
         forwarded_to(&driver.arrive(id, INTERACTIVE)).unwrap();
         driver.attempt_ended(id, 0, 1, Outcome::Success, 9.0);
--- a/tests/token_bucket.rs
+++ b/tests/token_bucket.rs
@@ -52,7 +52,7 @@
 }
 
 /// With a hundred gateways the limit is far below one thread. The mean number of threads in flight must still
-/// equal the limit.
+/// be near the sum of the limits.
 #[test]
 fn a_limit_below_one_thread_holds_as_a_mean_over_time() {
     let mut s = settings();
@@ -70,10 +70,14 @@
             driver.attempt_ended(request, 0, on, Outcome::Success, 2.0);
         }
     }
-    assert!((20..=30).contains(&sent), "{sent} requests of 8 thread-seconds in 100 s at limits of two");
+    assert!(
+        (20..=30).contains(&sent),
+        "{sent} requests of 8 thread-seconds in 100 s at a total limit of two"
+    );
 }
 
-/// A heavy request is charged in full, but its debt delays further background work by a few seconds at most.
+/// The debt that a heavy request leaves must be bounded, so that it delays further background work by a few
+/// seconds at most.
 #[test]
 fn a_heavy_request_delays_further_requests_for_seconds_only() {
     let mut s = settings();
@@ -87,13 +91,14 @@
     assert!(forwarded_to(&driver.arrive(2, BACKGROUND)).is_some());
 }
 
-/// While the bucket is in debt, requests of the usual size go before a large one. The large one is forwarded
-/// once no other request is queued.
+/// A large request needs tokens in the bucket, so that smaller requests that arrive later go before it. It
+/// is forwarded after them.
 #[test]
-fn the_largest_request_waits_while_the_bucket_is_in_debt() {
+fn a_large_request_waits_until_the_bucket_holds_tokens() {
     let mut s = settings();
     s.gateways = 100;
-    // The bucket refills two thread-seconds per second. The large request needs two seconds of refill.
+    // The bucket refills two thread-seconds per second. The large request needs almost two seconds of
+    // refill.
     s.classes[1].latency_objective = 16.0;
     let mut driver = Driver::new(s, (1..=25).map(engine).collect());
     let sized =
--- a/tests/warming_engines.rs
+++ b/tests/warming_engines.rs
@@ -20,7 +20,7 @@
 enum Restarts {
     /// No gateway restarts.
     Never,
-    /// A tenth of the gateways restarts every third of a second.
+    /// A tenth of the gateways restarts every third of a second, each gateway once.
     Rolling,
     /// Seven in ten gateways restart at once, after a second and a half.
     Simultaneous,
@@ -49,8 +49,11 @@
 
 struct Instance {
     gateway: WorkloadManager,
+    /// Time from which the endpoint list of this gateway contains the warming engines.
     listed_at: f64,
+    /// Whether the gateway has received that list.
     listed: bool,
+    /// Requests per second.
     rate: f64,
     timers: Vec<(f64, u64)>,
     /// End time, request, engine and duration.
@@ -209,8 +212,8 @@
     requests
 }
 
-/// The window nearest to a collapse. Returns the requests sent, their budget and the tolerated maximum, each
-/// as a number of requests of mean work.
+/// The window nearest to a collapse. Returns the work sent, the budget and the tolerated maximum, each as a
+/// number of requests of mean work.
 fn worst_window(scenario: &Scenario, requests: &[(f64, f64)]) -> (f64, f64, f64) {
     let s = slow_start_settings();
     let r = &s.rules;
