--- a/adapter/src/translate.rs
+++ b/adapter/src/translate.rs
@@ -13,8 +13,8 @@
 use crate::names::NameTable;
 use crate::wire;
 
-/// Factor of the work in `used_up`, which is milliseconds of work times this, plus memory in units of
-/// [`MEMORY_STEP_MB`].
+/// Multiplier of the work in `used_up`. The field is the milliseconds of work times this value, plus the
+/// memory in units of [`MEMORY_STEP_MB`].
 const WORK_FACTOR: u64 = 4096;
 const MEMORY_STEP_MB: f64 = 4.0;
 
@@ -35,7 +35,7 @@
         tenants: NameTable::from_names(env.projects.iter().map(|project| project.name.as_str())),
     };
     // Classes may refer to machine types and zones that are not listed. Those get the numbers after the
-    // listed ones, in this order.
+    // listed ones, in order of first use. The gateway's own zone is translated after the classes.
     let classes =
         env.classes.iter().enumerate().map(|(index, c)| class(c, index, &env.domain, &mut names)).collect();
     let settings = Settings {
--- a/gateway/src/admin/metrics.rs
+++ b/gateway/src/admin/metrics.rs
@@ -6,7 +6,7 @@
 
 use workload_manager::ClassId;
 
-/// Counters of one class. A request that was invalid, or that its client cancelled or left, has no outcome here.
+/// Counters of one class. Invalid requests, and requests whose client cancelled them or disconnected, have no outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClassMetrics {
     /// Requests answered with a complete result.
--- a/gateway/src/admission.rs
+++ b/gateway/src/admission.rs
@@ -26,8 +26,8 @@
     /// The settings have no tenant of this name.
     #[error("unknown tenant")]
     UnknownTenant,
-    /// Another request with the same id is open, or an attempt of one has not ended. Engines identify a query by its id
-    /// alone, so they could not distinguish calls for the two.
+    /// Another request with the same id is open, or an attempt of such a request has not ended. Engines identify a
+    /// query by its id alone, so they could not distinguish calls for the two requests.
     #[error("the id is that of a request that is open")]
     DuplicateId,
 }
@@ -79,8 +79,8 @@
     pub ready_us: u64,
     /// Time for which the client waits, in microseconds, from [`wait_us`].
     pub wait_us: u64,
-    /// Estimated duration of the work queued before the request, in microseconds. 0 unless the request was read ahead
-    /// of that work.
+    /// Estimated duration of the queued work that precedes the request, in microseconds. 0 unless the read of the
+    /// request was expedited.
     pub work_ahead_us: u64,
     /// This process shuts down and accepts no new requests.
     pub shutting_down: bool,
@@ -137,7 +137,7 @@
         matches!(self, RejectionReason::MemoryShort | RejectionReason::TooLate)
     }
 
-    /// Counter of rejections for this reason. `None`: they are only counted as refused, as all rejections are.
+    /// Counter for this reason, in addition to the counter of refused requests. `None`: there is no such counter.
     pub fn counter(self) -> Option<RejectionCounter> {
         match self {
             RejectionReason::ShuttingDown | RejectionReason::TooManyOpenRequests => None,
--- a/gateway/src/config/descriptors.rs
+++ b/gateway/src/config/descriptors.rs
@@ -3,6 +3,6 @@
 /// Descriptors of one process for anything but clients, engines, the admin interface and the control plane: listeners,
 /// poller, signals, standard streams, discovery service, peer processes, the connection being accepted, and a spare.
 pub const OWN_DESCRIPTORS: usize = 32;
-/// Descriptors that remain for connections to engines with the maximum number of sessions. The admin interface and the
-/// control plane use the same ones.
+/// Descriptors that remain for connections to engines, the admin interface and the control plane at the maximum number
+/// of sessions.
 pub(super) const MIN_ENGINE_CONNECTIONS: usize = 8;
--- a/gateway/src/config/operator_file.rs
+++ b/gateway/src/config/operator_file.rs
@@ -108,7 +108,7 @@
 
 fn in_range<'de, D: Deserializer<'de>>(deserializer: D, range: RangeInclusive<u64>) -> Result<u64, D::Error> {
     let n = i64::deserialize(deserializer)?;
-    let error = || D::Error::custom(format!("{n} is not within {} and {}", range.start(), range.end()));
+    let error = || D::Error::custom(format!("{n} is not between {} and {}", range.start(), range.end()));
     u64::try_from(n).ok().filter(|n| range.contains(n)).ok_or_else(error)
 }
 
@@ -170,7 +170,7 @@
         let available = max_descriptors.saturating_sub(OWN_DESCRIPTORS + MIN_ENGINE_CONNECTIONS);
         if !(1..=available).contains(max_sessions.get_ref()) {
             let message = format!(
-                "{} is not within 1 and {available}, the number of sessions that {max_descriptors} descriptors allow",
+                "{} is not between 1 and {available}, the number of sessions that {max_descriptors} descriptors allow",
                 max_sessions.get_ref(),
             );
             return Err(toml.error_at(max_sessions.span().start, message));
@@ -200,7 +200,7 @@
 ) -> Result<ControlPlaneSettings, TomlError> {
     let (start, servers) = (table.machines.span().start, table.machines.into_inner());
     if !(1..=MAX_CONTROL_PLANE_SERVERS).contains(&servers.len()) {
-        let message = format!("{} machines are not within 1 and {MAX_CONTROL_PLANE_SERVERS}", servers.len());
+        let message = format!("{} machines given, expected 1 to {MAX_CONTROL_PLANE_SERVERS}", servers.len());
         return Err(toml.error_at(start, message));
     }
     let mut numbered = servers.iter().enumerate();
--- a/gateway/src/config/operator_file/tests.rs
+++ b/gateway/src/config/operator_file/tests.rs
@@ -39,7 +39,7 @@
         |text: &str| apply_text(&TomlFile { path: "f.toml", text }, &mut config()).unwrap_err().to_string();
     assert_eq!(
         error("[clients]\nbacklog = 10\nturn_ms = 0\n"),
-        "f.toml:3: turn_ms: 0 is not within 1 and 100"
+        "f.toml:3: turn_ms: 0 is not between 1 and 100"
     );
     assert!(error("\n[clients]\nidle_limit = 3\n").starts_with("f.toml:3: idle_limit: unknown field"));
     assert!(error("[client]\n").starts_with("f.toml:1: unknown field `client`"));
@@ -47,7 +47,7 @@
     assert!(error("[clients]\nbacklog = \n").starts_with("f.toml:2: backlog: "));
     assert!(
         error("[clients]\nmost_sessions = 240\n")
-            .starts_with("f.toml:2: most_sessions: 240 is not within 1 and 216")
+            .starts_with("f.toml:2: most_sessions: 240 is not between 1 and 216")
     );
     let mysql = "[mysql]\nlisten = \"127.0.0.1:1\"\nlogin = { user = \"g\" }\n[mysql.users.u]\n";
     assert_eq!(
@@ -56,7 +56,7 @@
     );
     assert!(error("mysql = 3\n").contains("expected struct MySqlTable"));
     assert!(error("[mysql]\nlisten = \"here\"\n").starts_with("f.toml:2: listen: "));
-    assert_eq!(error("[control]\nmachines = []\n"), "f.toml:2: machines: 0 machines are not within 1 and 64");
+    assert_eq!(error("[control]\nmachines = []\n"), "f.toml:2: machines: 0 machines given, expected 1 to 64");
     assert_eq!(
         error("[control]\nmachines = [\"127.0.0.1:1\", \"127.0.0.1:1\"]\n"),
         "f.toml:2: machines: 127.0.0.1:1 is named twice"
--- a/gateway/src/control_plane/client.rs
+++ b/gateway/src/control_plane/client.rs
@@ -87,7 +87,7 @@
         self.subscriber.in_force()
     }
 
-    /// Address of the selected server: that of the open stream, or of the next one. Reports are sent to it, too.
+    /// Address of the selected server, which serves the open stream or the next one. Reports are sent to it, too.
     pub fn server(&self) -> SocketAddr {
         self.servers[self.subscriber.server()]
     }
@@ -103,8 +103,8 @@
         self.report.as_ref().map_or(stream_us, |report| stream_us.min(report.due_us))
     }
 
-    /// Whether the stream has to be closed: its connection was not established in time, or for too long the stream was
-    /// silent or its server announced only versions older than the one in force.
+    /// Whether the stream has to be closed. Reasons are that its connection was not established in time, that it was
+    /// silent for too long, or that its server announced only versions older than the one in force for too long.
     pub fn is_stream_lost(&self, now_us: u64) -> bool {
         let is_late = |stream: &Stream| !stream.is_up && now_us >= stream.opened_us + CONNECT_TIMEOUT_US;
         self.stream.as_ref().is_some_and(is_late) || self.subscriber.is_timed_out(now_us)
@@ -178,8 +178,8 @@
         self.set_report(report);
     }
 
-    /// Whether to send the pending report, for the first time or again, or to give up an attempt in progress, which has
-    /// timed out.
+    /// Whether the pending report is to be sent, for the first time or as a retry, or an attempt to send it has timed
+    /// out.
     pub fn is_report_due(&self, now_us: u64) -> bool {
         self.report.as_ref().is_some_and(|report| now_us >= report.due_us)
     }
--- a/gateway/src/core/input.rs
+++ b/gateway/src/core/input.rs
@@ -12,7 +12,7 @@
 pub struct NewRequest {
     /// Determines idempotency, ordering by key, priority and allowed engines.
     pub class: ClassId,
-    /// Tenant that sent the request. `None`: the request names no tenant. The workload manager ignores it.
+    /// Tenant that sent the request. `None`: the request names no tenant. The workload manager ignores tenants.
     pub tenant: Option<TenantId>,
     /// Time at which the client stops waiting, in microseconds of the core's clock.
     pub deadline_us: u64,
@@ -96,7 +96,7 @@
 pub enum PeerProcessEvent {
     /// This process replaces the peer, which holds the leases of all keys.
     BecamePredecessor,
-    /// The peer claims the lease of a key, which is granted in its turn once this process does not use the key.
+    /// The peer claims the lease of a key. The claim is queued, and served once this process does not use the key.
     ClaimsLease(KeyId),
     /// The peer grants the lease of a key to this process. Ignored unless the peer held the lease or was nearer to the
     /// holder.
--- a/gateway/src/core/key_leases.rs
+++ b/gateway/src/core/key_leases.rs
@@ -69,7 +69,7 @@
     holder: Option<PeerProcessId>,
     /// The lease has been claimed from `holder`.
     has_claimed: bool,
-    /// Number of open admitted requests, of attempts in flight, and of lost attempts whose end is not confirmed.
+    /// Total number of open admitted requests, attempts in flight, and lost attempts whose end is not confirmed.
     use_count: u32,
     /// End of the cooldown after attempts of this process. The lease is not granted to a peer before this time.
     /// Requests of this process need not wait for it, because the workload manager tracks this cooldown itself.
@@ -201,7 +201,7 @@
         self.serve_queue(now_us, key, effects);
     }
 
-    /// End of the last cooldown of all keys, in microseconds. 0: no key has had a cooldown.
+    /// Latest end of a cooldown of any key, in microseconds. 0: no key has had a cooldown.
     pub fn last_cooldown_end_us(&self) -> u64 {
         let ends = self.leases.values().map(KeyLease::last_cooldown_end_us);
         ends.fold(self.inherited_cooldown_until_us, u64::max)
--- a/gateway/src/counters.rs
+++ b/gateway/src/counters.rs
@@ -25,7 +25,7 @@
 counters! {
     /// Turns of the event loop.
     turns,
-    /// Client connections that got a session, including those that got it only to receive an error.
+    /// Client connections that got a session, including sessions of rejected clients, which only receive an error.
     clients,
     /// Client connections rejected with an error because of the session limit, or for lack of descriptors or memory.
     turned_away,
--- a/gateway/src/discovery/engine_registry.rs
+++ b/gateway/src/discovery/engine_registry.rs
@@ -46,7 +46,7 @@
     }
 
     /// Applies an event of the list and returns the effective event. In the effective event, an engine in maintenance
-    /// is draining, and an engine after maintenance has started at the end of its maintenance or later.
+    /// is draining, and the start time of an engine is not before the end of its last maintenance.
     ///
     /// An engine whose entry can't be read keeps its previous entry but is draining, because its state is unknown. An
     /// engine without a previous entry is not listed.
--- a/gateway/src/discovery/silence.rs
+++ b/gateway/src/discovery/silence.rs
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug)]
 pub struct SilenceDetector {
     last_activity_us: u64,
-    /// Number of reads of the current stream in which no event ended, after that of the response head.
+    /// Number of reads of the current stream that completed neither the response head nor an event.
     comment_reads: u32,
     /// Estimated time between two comments.
     period_us: f64,
@@ -46,7 +46,7 @@
         (self.last_activity_us, self.comment_reads) = (now_us, 0);
     }
 
-    /// Records that whole lines were read. `only_comments`: neither the response head nor an event ended among them.
+    /// Records that whole lines were read. `only_comments`: the lines completed neither the response head nor an event.
     pub fn on_lines(&mut self, now_us: u64, only_comments: bool) {
         let gap_us = now_us.saturating_sub(std::mem::replace(&mut self.last_activity_us, now_us)) as f64;
         if only_comments {
--- a/gateway/src/discovery/silence/tests.rs
+++ b/gateway/src/discovery/silence/tests.rs
@@ -17,7 +17,7 @@
             detector.on_lines((10 + 3 * n) * second, true);
         }
         let slow = timeout(&detector, 19 * second);
-        assert!((4 * second..=5 * second).contains(&slow), "{slow} is not within the bound of the silence");
+        assert!((4 * second..=5 * second).contains(&slow), "{slow} is out of range");
         // The timeout of a stream with a known period does not grow after a silence.
         detector.on_silence();
         assert_eq!(timeout(&detector, 19 * second), slow);
--- a/gateway/src/discovery/stream.rs
+++ b/gateway/src/discovery/stream.rs
@@ -6,12 +6,12 @@
 use crate::event_stream::EventStream;
 use crate::json::JsonError;
 
-/// JSON size of an endpoint in an event that [`MIN_ENDPOINTS`] allows for. Single endpoints may be larger.
+/// Assumed JSON size of an endpoint, by which the minimum size of an event is computed. Single endpoints may be larger.
 const MAX_ENDPOINT_BYTES: usize = 512;
 /// Number of endpoints of [`MAX_ENDPOINT_BYTES`] in one event that are accepted regardless of the memory limit.
 const MIN_ENDPOINTS: usize = 1024;
-/// Above that minimum, the maximum size of an event is the gateway's memory limit divided by this number, because the
-/// parsed form of an event is several times as large as its text.
+/// Divisor of the gateway's memory limit. The quotient is the maximum size of an event, unless [`MIN_ENDPOINTS`] require
+/// more. The parsed form of an event is several times as large as its text.
 const MEMORY_DIVISOR: usize = 16;
 
 /// Writes the request for the stream of events after event `last_index`.
--- a/gateway/src/discovery/watch.rs
+++ b/gateway/src/discovery/watch.rs
@@ -19,12 +19,12 @@
 use super::silence::SilenceDetector;
 use super::stream::{EndpointStream, EndpointStreamError, write_stream_request};
 
-/// Mean of the minimum time between two attempts to open the stream. The minimum of each attempt is at random up to a
-/// quarter shorter or longer, because all gateways may lose their streams at the same time.
+/// Mean of the retry interval, which is the minimum time between two attempts to open the stream. Each interval is
+/// randomized, because all gateways may lose their streams at the same time.
 const MEAN_RETRY_INTERVAL_US: u64 = 200_000;
-/// Shortest of these times, as a ratio of the mean.
+/// Shortest retry interval, as a ratio of the mean.
 const MIN_JITTER_RATIO: f64 = 0.75;
-/// Difference between the longest and the shortest of these times, as a ratio of the mean.
+/// Difference between the longest and the shortest retry interval, as a ratio of the mean.
 const JITTER_RANGE_RATIO: f64 = 0.5;
 /// Timeout of opening a connection. A connection attempt that began during a network partition may succeed only long
 /// after the partition has ended.
--- a/gateway/src/front/mysql/prepared_statements.rs
+++ b/gateway/src/front/mysql/prepared_statements.rs
@@ -12,8 +12,8 @@
 
 /// Maximum number of prepared statements in one session.
 const MAX_STATEMENTS: usize = 256;
-/// Number of bytes that the prepared statements of one session and the text of COM_STMT_PREPARE must not exceed. Types
-/// bound by later executions can exceed the limit.
+/// Maximum total size of the prepared statements of one session, checked with the text of COM_STMT_PREPARE. Types bound
+/// by later executions can exceed the limit.
 const MAX_STATEMENT_BYTES: usize = 192 * 1024;
 
 /// Character set `binary`.
--- a/gateway/src/front/pg/tests.rs
+++ b/gateway/src/front/pg/tests.rs
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn a_query_may_be_pipelined_behind_the_startup_message() {
+fn a_query_may_be_pipelined_after_the_startup_message() {
     let mut session = Session::new(BackendKey { process_id: 1, secret: 2 }, MAX_MESSAGE_BYTES);
     let mut input =
         [vec![0, 0, 0, 8, 0x04, 0xd2, 0x16, 0x2f], startup_message(), bytes(Step::ValidQuery)].concat();
--- a/gateway/src/net/clients/accept.rs
+++ b/gateway/src/net/clients/accept.rs
@@ -26,7 +26,7 @@
 impl Server {
     /// Creates a session for a new client, evicting another one if necessary, or rejects the client. If too many
     /// rejected clients are still connected, the connection is closed without an error. The error for a rejected client
-    /// also answers a request that the client may have sent behind its start-up message.
+    /// also answers a request that the client may have sent after its start-up message.
     pub(in crate::net) fn accept_client(&mut self, stream: TcpStream, from: SocketAddr, front_end: FrontEnd) {
         let decision = self.decide_accept();
         if decision == AcceptDecision::Close {
--- a/gateway/src/net/clients/settle.rs
+++ b/gateway/src/net/clients/settle.rs
@@ -54,8 +54,8 @@
         self.sessions.mark_dirty(handle);
     }
 
-    /// Closes a client's connection at once and removes its session. An open request is withdrawn. All client
-    /// connections are closed here.
+    /// Closes a client's connection at once, removes its session, and closes its open request without an answer. All
+    /// client connections are closed here.
     pub(super) fn close_client(&mut self, handle: Handle) {
         match self.sessions.remove(handle) {
             Some(RemovedSession::Active(session)) => {
--- a/gateway/src/net/connection.rs
+++ b/gateway/src/net/connection.rs
@@ -45,7 +45,7 @@
     pub output: Vec<u8>,
     /// Size of [`Self::input`], in bytes, at which reading stops. The last read may exceed it.
     pub read_ahead: usize,
-    /// Set while the peer has an open request, so that its end of stream is detected behind any amount of input. Input
+    /// Set while the peer has an open request, so that its end of stream is detected after any amount of input. Input
     /// beyond the read-ahead is discarded instead of being left unread.
     pub detects_end: bool,
     /// Set once input was discarded. Input that follows can't be parsed.
--- a/gateway/src/net/engines.rs
+++ b/gateway/src/net/engines.rs
@@ -136,8 +136,8 @@
     call_written_us: u64,
     /// Earliest time for writing the first call of the current job.
     write_after_us: u64,
-    /// A response without progress came sooner than engines send one. It may have been a duplicate of the previous
-    /// response, and in this case one more response follows the last expected one.
+    /// A response without progress arrived earlier than engines send one, so it may be a duplicate of the previous
+    /// response. After a duplicate, one more response than expected arrives.
     duplicate_response_possible: bool,
 }
 
--- a/gateway/src/net/engines/http_responses.rs
+++ b/gateway/src/net/engines/http_responses.rs
@@ -13,7 +13,7 @@
 impl Server {
     pub(super) fn http_response(&mut self, slot: usize, mut response: Response) {
         let Some(connection) = self.pools.connection(slot) else { return };
-        // Input behind a response is unexpected and would be mistaken for the next response.
+        // Input after a response is unexpected and would be mistaken for the next response.
         response.close |= !connection.conn.input.is_empty();
         // Both statuses mean that the attempt has ended: the engine has cancelled the query or no longer has it.
         let cancelled = matches!(response.status, status::NO_CONTENT | status::INTERNAL_SERVER_ERROR);
--- a/gateway/src/net/poll.rs
+++ b/gateway/src/net/poll.rs
@@ -9,7 +9,7 @@
 
 use polling::{AsSource, Event, Events, PollMode, Poller};
 
-/// Kinds of readiness: those that a source is polled for, or those that an event reports.
+/// The kinds of readiness that a source is polled for, or that an event reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Interest {
     /// Bytes to read, or end of stream.
--- a/gateway/src/net/sessions/limits.rs
+++ b/gateway/src/net/sessions/limits.rs
@@ -11,7 +11,7 @@
 const MESSAGE_MEMORY_DIVISOR: usize = 8;
 /// Bounds of the longest accepted message in bytes, regardless of the process memory.
 const LONGEST_MESSAGE_BYTES: std::ops::RangeInclusive<usize> = 8 * 1024..=MAX_PACKET_BYTES;
-/// Number of sessions accepted in addition to the share of descriptors that clients are guaranteed, which is a third.
+/// Number of sessions accepted in addition to a third of the descriptors, which is guaranteed to clients.
 const EXTRA_SESSIONS: usize = 16;
 
 /// Maximum number of sessions. By default the remaining descriptors suffice for one attempt of each client and the
--- a/gateway/src/net/sessions/mod.rs
+++ b/gateway/src/net/sessions/mod.rs
@@ -28,9 +28,10 @@
 use crate::front::{mysql, pg};
 use state::{ActiveSession, ReservedBytes, SuspendedProtocol, SuspendedSession};
 
-/// Session limit divided by the number of sessions with incomplete messages that counts as a connection surge.
+/// Divisor of the session limit. The quotient is the number of sessions with incomplete messages that counts as a
+/// connection surge.
 const SURGE_DIVISOR: usize = 4;
-/// Lower bound of the number of sessions that counts as a connection surge.
+/// Lower bound of the number of sessions with incomplete messages that counts as a connection surge.
 const MIN_SURGE_SESSIONS: usize = 32;
 /// Read-ahead of a client connection in addition to the longest message.
 const READ_AHEAD_EXTRA_BYTES: usize = 1024;
--- a/gateway/src/net/sessions/state.rs
+++ b/gateway/src/net/sessions/state.rs
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Records an admitted request. While it is open, a disconnect of the client is detected behind any amount of
+    /// Records an admitted request. While it is open, a disconnect of the client is detected after any amount of
     /// input.
     pub fn set_open_request(&mut self, id: RequestId) {
         (self.open_request, self.connection.detects_end) = (Some(id), true);
--- a/gateway/src/net/shutdown.rs
+++ b/gateway/src/net/shutdown.rs
@@ -21,11 +21,11 @@
 /// Time after SIGTERM during which new work is accepted.
 const ACCEPT_US: u64 = 700_000;
 
-/// Upper bound of the longest class deadline in the time until SIGKILL, for a process without a peer process. The
-/// platform sends SIGKILL no earlier than [`ACCEPT_US`] plus the deadline, limited to this bound, after SIGTERM.
+/// Limit on the longest class deadline in the computation of the time of SIGKILL, for a process without a peer process.
+/// The platform sends SIGKILL no earlier than [`ACCEPT_US`] plus the limited deadline after SIGTERM.
 const MAX_DEADLINE_ALONE_US: u64 = 3_000_000;
 
-/// The bound corresponding to [`MAX_DEADLINE_ALONE_US`] for a process that has a peer process.
+/// Limit corresponding to [`MAX_DEADLINE_ALONE_US`] for a process that has a peer process.
 const MAX_DEADLINE_WITH_PEER_US: u64 = 5_000_000;
 
 /// Time reserved before SIGKILL for writing final answers, and for clients to read them.
--- a/gateway/src/process_replacement/messages.rs
+++ b/gateway/src/process_replacement/messages.rs
@@ -121,7 +121,7 @@
     /// A line is not a JSON object, or a member is missing or of the wrong type.
     #[error("a line is not a message of a process replacement")]
     Malformed,
-    /// The hello message has this protocol version, which is another one.
+    /// The protocol version in the hello message differs from [`PROTOCOL_VERSION`].
     #[error("protocol version {0} is not {PROTOCOL_VERSION}")]
     UnsupportedVersion(u32),
 }
--- a/src/decisions/active_subset.rs
+++ b/src/decisions/active_subset.rs
@@ -9,8 +9,8 @@
 use super::engine::Engine;
 use super::relative_latency::SLOW_RATIO;
 
-/// The index of the subset's last engine is the mean number of requests that arrive in this time, with a
-/// lower bound.
+/// Window of request arrivals. The mean number of requests that arrive in a window is the index of the
+/// subset's last engine, with a lower bound.
 const ARRIVALS_WINDOW_SECONDS: f64 = 2.0;
 const MIN_LAST_INDEX: f64 = 4.0;
 /// Time after the first event in which the rate of requests is unknown and all eligible engines are active.
@@ -38,7 +38,8 @@
 }
 
 impl WorkloadManager {
-    /// Recomputes the subset, and from its part of each zone this gateway's share of slow-start budgets.
+    /// Recomputes the subset. Sets this gateway's share of slow-start budgets from the ratio of active
+    /// engines, computed separately for its own zone and all other zones.
     pub(super) fn update_active_subset(&mut self, now: f64) {
         let last_rank = self.last_active_rank(now);
         let mean_relative_latency = self.fleet.mean_relative_latency;
--- a/src/decisions/admission.rs
+++ b/src/decisions/admission.rs
@@ -14,7 +14,8 @@
 /// Interactive threads per core, summed over all gateways, at which further interactive work is queued. With
 /// more than one or two threads per core, the total throughput of an engine falls.
 pub(super) const OVERLOAD_THREADS_PER_CORE: f64 = 1.5;
-/// Factor on that bound while the mean utilization is above [`MAX_BACKGROUND_UTILIZATION_RATIO`].
+/// Factor on [`OVERLOAD_THREADS_PER_CORE`] while the mean utilization is above
+/// [`MAX_BACKGROUND_UTILIZATION_RATIO`].
 const HIGH_UTILIZATION_OVERLOAD_RATIO: f64 = 0.5;
 /// Ratio of an engine's memory that attempts may need if there is only one gateway.
 const MEMORY_RATIO: f64 = 0.75;
--- a/src/decisions/control_tick.rs
+++ b/src/decisions/control_tick.rs
@@ -1,6 +1,6 @@
 //! Control tick: the periodic work that no event triggers.
 //!
-//! Ticks are aligned to multiples of the interval from the first event on. None is scheduled while there is
+//! Ticks are aligned to multiples of the interval since the first event. No tick is scheduled while there is
 //! neither an open request nor an attempt in flight.
 
 use crate::Action;
--- a/src/decisions/engine.rs
+++ b/src/decisions/engine.rs
@@ -49,7 +49,7 @@
         self.entry.state == EndpointState::Ready && self.health.admits(now)
     }
 
-    /// Adds an attempt that is sent to the sums.
+    /// Adds a sent attempt to the sums.
     pub(super) fn add_attempt(&mut self, threads: u32, needed_memory_mb: f64, profile: &ClassProfile) {
         let threads = f64::from(threads);
         self.needed_memory_mb += needed_memory_mb;
@@ -62,7 +62,7 @@
         self.health.attempt_started();
     }
 
-    /// Removes an attempt that has ended from the sums. `interactive` is the value at the time of sending.
+    /// Removes an ended attempt from the sums. `interactive` is the value at the time of sending.
     pub(super) fn remove_attempt(&mut self, threads: f64, needed_memory_mb: f64, interactive: bool) {
         self.threads -= threads;
         self.needed_memory_mb -= needed_memory_mb;
--- a/src/decisions/fleet.rs
+++ b/src/decisions/fleet.rs
@@ -33,7 +33,7 @@
         self.threads - self.background_threads
     }
 
-    /// Adds an attempt that is sent to the sums.
+    /// Adds a sent attempt to the sums.
     pub(super) fn add_attempt(&mut self, threads: u32, needed_memory_mb: f64, interactive: bool) {
         let threads = f64::from(threads);
         self.needed_memory_mb += needed_memory_mb;
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Removes an attempt that has ended from the sums. `interactive` is the value at the time of sending.
+    /// Removes an ended attempt from the sums. `interactive` is the value at the time of sending.
     pub(super) fn remove_attempt(&mut self, threads: f64, needed_memory_mb: f64, interactive: bool) {
         self.needed_memory_mb -= needed_memory_mb;
         self.threads -= threads;
--- a/src/decisions/load_estimate.rs
+++ b/src/decisions/load_estimate.rs
@@ -11,7 +11,7 @@
 use super::relative_latency::SLOW_RATIO;
 use super::smoothing::{SAMPLE_WEIGHT, TimedValue, blend};
 
-/// Utilization by load reports from which on an engine gets no background work.
+/// Utilization by load reports at and above which an engine gets no background work.
 pub(super) const MAX_BACKGROUND_UTILIZATION_RATIO: f64 = 0.8;
 /// Threads per core at a utilization of 1.
 const FULL_THREADS_PER_CORE: f64 = 2.0;
@@ -25,7 +25,7 @@
 const MAX_TIME_FOR_WORK_RATIO: f64 = 2.0;
 /// Utilization assumed for an engine that has rejected an attempt.
 const REJECTING_RATIO: f64 = 2.0;
-/// Negative utilizations, and those from here on, are ignored as implausible.
+/// Lowest utilization that is ignored as implausible. Negative utilizations are ignored as well.
 const IMPLAUSIBLE_RATIO: f64 = 1e6;
 /// Time constant of the decay of an estimate.
 const DECAY_SECONDS: f64 = 2.0;
--- a/src/decisions/outlier.rs
+++ b/src/decisions/outlier.rs
@@ -171,11 +171,11 @@
 }
 
 impl PendingRequest {
-    /// Records this engine if the outcome is an error. Returns another engine that answered this request with
+    /// Records the engine if the outcome is an error. Returns another engine that answered this request with
     /// an error earlier, if any. `None` for outcomes other than success and error.
     ///
-    /// The error is attributed to that engine if this one serves the request, and to the request if this one
-    /// also answers with an error.
+    /// The earlier error is attributed to the returned engine if `engine` serves the request, and to the
+    /// request if `engine` also answers with an error.
     pub(super) fn error_elsewhere(&mut self, engine: EngineId, outcome: Outcome) -> Option<EngineId> {
         let earlier = match outcome {
             Outcome::Error => self.error_from.replace(engine),
--- a/src/decisions/relative_latency.rs
+++ b/src/decisions/relative_latency.rs
@@ -5,7 +5,7 @@
 
 use super::smoothing::{TimedValue, blend};
 
-/// Relative latency from which on an engine is slow, as a multiple of the mean over engines.
+/// Relative latency at and above which an engine is slow, as a multiple of the mean over engines.
 pub(super) const SLOW_RATIO: f64 = 2.0;
 /// Weight of the newest attempt in the moving average.
 const SAMPLE_WEIGHT: f64 = 0.2;
--- a/src/decisions/selection.rs
+++ b/src/decisions/selection.rs
@@ -10,10 +10,10 @@
 const MAX_RANDOM_RATIO: f64 = 0.3;
 /// Cost of an engine in another zone, in units of utilization.
 const OTHER_ZONE_RATIO: f64 = 0.2;
-/// Cost of the ratio of stalled attempts, in threads per core at a ratio of 1, and the part of the ratio that
-/// costs nothing. An engine whose attempts all stall is used only if no other has capacity. Excluding it
-/// would leave too little capacity.
+/// Cost of stalled attempts, in threads per core and unit of their ratio at the engine. An engine whose
+/// attempts all stall is used only if no other has capacity. Excluding it would leave too little capacity.
 const STALLED_THREADS_PER_CORE: f64 = 4.0;
+/// Ratio of stalled attempts that costs nothing.
 const IGNORED_STALLED_RATIO: f64 = 0.03;
 
 /// Cost of selecting an engine. The engine with the lowest cost is selected. Fields are compared in order.
--- a/src/decisions/shedding.rs
+++ b/src/decisions/shedding.rs
@@ -11,7 +11,8 @@
 /// class's mean latency.
 const INTERACTIVE_QUEUE_TIME_RATIO: f64 = 0.25;
 const BACKGROUND_QUEUE_TIME_RATIO: f64 = 0.5;
-/// Lower bound of that difference, as a ratio of the objective.
+/// Lower bound of the difference between the objective and the class's mean latency, as a ratio of the
+/// objective.
 const MIN_LEFT_OBJECTIVE_RATIO: f64 = 0.3;
 /// Upper bound of the expected latency of an attempt, as a ratio of the class's deadline.
 const SUFFICIENT_DEADLINE_RATIO: f64 = 0.5;
--- a/src/decisions/slow_start.rs
+++ b/src/decisions/slow_start.rs
@@ -42,9 +42,10 @@
 }
 
 impl SlowStartBudget {
-    /// Sets this gateway's share. `active` is whether the engine is in its active subset. `active_ratio` is
-    /// the ratio of the available engines, of the own zone or of all others, that are in this subset. It
-    /// estimates the ratio of gateways that have the engine in theirs.
+    /// Sets this gateway's share. `active` is whether the engine is in the gateway's active subset.
+    /// `active_ratio` is the ratio of available engines that are in the subset, among the engines of the
+    /// gateway's own zone or of all other zones. It estimates the ratio of gateways that have the engine in
+    /// their active subsets.
     pub(super) fn set_share(&mut self, active: bool, active_ratio: f64, gateways: u32) {
         let max_share = 1.0 + f64::from(gateways) / GATEWAYS_PER_EXTRA_SHARE;
         let share = |gateways_ratio: f64, budget_ratio: f64| {
--- a/src/decisions/supervision.rs
+++ b/src/decisions/supervision.rs
@@ -23,7 +23,7 @@
 /// report other than [`Progress::Running`].
 const MAX_PERIODS_WITHOUT_REPORT: f64 = 1.5;
 const MAX_PERIODS_WITHOUT_PROGRESS: f64 = 2.6;
-/// Multiple of its expected latency after which an attempt without progress is stalled.
+/// Time without progress after which an attempt is stalled, as a multiple of the attempt's expected latency.
 const STALLED_LATENCIES: f64 = 4.0;
 /// Lower bound of the expected latency, as a ratio of the class's mean latency.
 const MIN_EXPECTED_RATIO: f64 = 0.5;
@@ -39,7 +39,8 @@
 /// interactive work.
 const SILENT_AFTER_LATENCIES: f64 = 8.0;
 const SILENT_AFTER_OBJECTIVES: f64 = 2.0;
-/// Lower bound of that time, as a ratio of the interactive objective.
+/// Lower bound of the age at which an attempt shows that its engine is silent, as a ratio of the interactive
+/// objective.
 const MIN_SILENT_OBJECTIVE_RATIO: f64 = 0.5;
 /// Time constant of the decay of the ratio of stalled attempts.
 const STALLED_DECAY_SECONDS: f64 = 8.0;
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -128,7 +128,7 @@
     pub slow_start_duration: f64,
     /// Load, as a multiple of its current capacity, at which an engine in slow start collapses.
     pub collapse_load_ratio: f64,
-    /// Seconds for which that load must last to make the engine collapse.
+    /// Seconds for which the collapse load must last to make an engine in slow start collapse.
     pub collapse_window: f64,
     /// Seconds for which an order key is held back after the last time at which a lost or cancelled attempt
     /// may run.
