--- a/gateway/src/net/engines/connections.rs
+++ b/gateway/src/net/engines/connections.rs
@@ -159,8 +159,8 @@
     /// idle.
     fn close_idle_connection(&mut self) -> bool {
         let pools = self.pools.engines.values_mut().flat_map(|e| e.idle.all());
-        let fullest = pools.max_by_key(|idle| idle.len()).filter(|idle| !idle.is_empty());
-        let Some(slot) = fullest.map(|idle| idle.remove(0)) else { return false };
+        let largest = pools.max_by_key(|idle| idle.len()).filter(|idle| !idle.is_empty());
+        let Some(slot) = largest.map(|idle| idle.remove(0)) else { return false };
         self.pools.close(&self.poll, &mut self.timers, slot);
         true
     }
--- a/src/decisions/load_estimate.rs
+++ b/src/decisions/load_estimate.rs
@@ -128,8 +128,8 @@
         let slowed = MAX_BACKGROUND_UTILIZATION_RATIO / SLOW_RATIO * ratio / profile.lowest_time_for_work();
         let utilization = slowed.min(MAX_TIME_FOR_WORK_RATIO).min(self.own_threads_bound(engine));
         // Samples are rare. With a fixed weight for each, the mean would stay high after an overload.
-        let since = now - std::mem::replace(&mut self.time_for_work_at, now);
-        self.record_mean(utilization, SAMPLE_WEIGHT.max(1.0 - (-since / DECAY_SECONDS).exp()));
+        let elapsed = now - std::mem::replace(&mut self.time_for_work_at, now);
+        self.record_mean(utilization, SAMPLE_WEIGHT.max(1.0 - (-elapsed / DECAY_SECONDS).exp()));
         engine.utilization = Some(TimedValue { value: utilization, at: now });
     }
 }
--- a/src/decisions/release.rs
+++ b/src/decisions/release.rs
@@ -16,11 +16,11 @@
 }
 
 /// Results of the searches for engines during one pass over the queue.
-pub(super) struct Release {
+pub(super) struct ReleasePass {
     groups: Vec<Group>,
 }
 
-impl Release {
+impl ReleasePass {
     pub(super) fn new(classes: usize) -> Self {
         Self { groups: vec![Group { blocked_mb: f64::INFINITY, ..Group::default() }; 2 * classes] }
     }
--- a/src/decisions/request_path.rs
+++ b/src/decisions/request_path.rs
@@ -9,7 +9,7 @@
 use super::admission::{Admission, EngineGuard, Needs};
 use super::outcome::AttemptEnd;
 use super::outlier::{CONFIRMED_ERROR_FAULTS, log_health_change};
-use super::release::Release;
+use super::release::ReleasePass;
 use super::supervision::{Attempt, AttemptId};
 
 /// Priorities of attempts, on a scale from 0 to 3.
@@ -77,32 +77,32 @@
     }
 
     /// Forwards all requests that may leave the queue, oldest first. A request without an admitting engine
-    /// blocks requests of its group in [`Release`]: those that need at least as much memory, or all if memory
-    /// is not the reason.
+    /// blocks requests of its group in [`ReleasePass`]: those that need at least as much memory, or all if
+    /// memory is not the reason.
     pub(super) fn release_queued(&mut self, now: f64, actions: &mut Vec<Action>) {
-        let mut release = Release::new(self.profiles.len());
+        let mut pass = ReleasePass::new(self.profiles.len());
         let may_start = |id: &RequestId| self.key_queues.may_start(&self.requests[id].request, now);
         let queued: Vec<RequestId> = self.queue.values().copied().filter(may_start).collect();
         for id in queued {
             let pending = &self.requests[&id];
             let needs = self.needs(pending);
             // An earlier request of the same key may have been forwarded in this pass.
-            if release.is_blocked(&needs) || !self.key_queues.may_start(&pending.request, now) {
+            if pass.is_blocked(&needs) || !self.key_queues.may_start(&pending.request, now) {
                 continue;
             }
-            if let Some(engine) = self.admit(&mut release, id, &needs, now) {
+            if let Some(engine) = self.admit(&mut pass, id, &needs, now) {
                 self.forward(now, id, engine, actions);
-                release.clear_admitting();
+                pass.clear_admitting();
             }
         }
     }
 
     /// Selects an engine for a request: one of the active subset, or else one of the others.
-    fn admit(&mut self, release: &mut Release, id: RequestId, needs: &Needs, now: f64) -> Option<EngineId> {
+    fn admit(&mut self, pass: &mut ReleasePass, id: RequestId, needs: &Needs, now: f64) -> Option<EngineId> {
         let (mut selected, mut min_blocked_mb) = (None, 0.0_f64);
         for active in [true, false] {
             let search = || Admission::new(self, *needs, now).admitting_engines(active);
-            let admitting = release.admitting(needs, active, search);
+            let admitting = pass.admitting(needs, active, search);
             let any_admits = !admitting.is_empty();
             let mut candidates = admitting.to_vec();
             let admission = Admission::new(self, *needs, now);
@@ -116,7 +116,7 @@
                 break;
             }
         }
-        release.block(needs, min_blocked_mb);
+        pass.block(needs, min_blocked_mb);
         selected
     }
 
@@ -163,14 +163,14 @@
         let cooldown_until = self.cooldown_end(now, end.may_still_run_for_seconds);
         self.key_queues.attempt_ended(&attempt.request, may_still_run.then_some(cooldown_until));
         self.record_outcome(now, &attempt, end);
-        let error_elsewhere =
+        let earlier =
             self.requests.get_mut(&id).and_then(|pending| pending.error_elsewhere(end.engine, end.outcome));
-        if error_elsewhere.is_some() && end.outcome == Outcome::Error && !end.request_settled {
+        if earlier.is_some() && end.outcome == Outcome::Error && !end.request_settled {
             actions.push(Action::Fail(id));
             return self.remove_request(id, actions);
         }
-        if let Some((at, engine)) = error_elsewhere.and_then(|at| Some((at, self.engines.get_mut(&at)?))) {
-            log_health_change(at, engine.health.record_fault(now, CONFIRMED_ERROR_FAULTS));
+        if let Some((earlier, engine)) = earlier.and_then(|id| Some((id, self.engines.get_mut(&id)?))) {
+            log_health_change(earlier, engine.health.record_fault(now, CONFIRMED_ERROR_FAULTS));
         }
         if end.request_settled {
             return self.remove_request(id, actions);
@@ -183,8 +183,8 @@
         let id = attempt.request.id;
         let Some(pending) = self.requests.get_mut(&id) else { return };
         if outcome.effect_is_unknown() {
-            let this = EarlierAttempt { engine: attempt.engine, sent_at: attempt.sent_at };
-            pending.first_possible_run.get_or_insert(this);
+            let run = EarlierAttempt { engine: attempt.engine, sent_at: attempt.sent_at };
+            pending.first_possible_run.get_or_insert(run);
         }
         self.queue.insert(pending.queue_index, id);
         if !self.allows_another_attempt(&self.requests[&id], now) {
--- a/src/decisions/retry.rs
+++ b/src/decisions/retry.rs
@@ -29,10 +29,10 @@
     /// Whether the budget allows a retry now. For retries the window is longer by the clock resolution, so
     /// that a retry at its edge still counts.
     fn allows_retry(&self, now: f64, budget: &RetryBudget, clock_resolution: f64) -> bool {
-        let since = |times: &VecDeque<f64>, from: f64| times.iter().filter(|at| **at > from).count() as f64;
+        let count = |times: &VecDeque<f64>, from: f64| times.iter().filter(|at| **at > from).count() as f64;
         let window_start = now - budget.window;
-        since(&self.retries, window_start - clock_resolution) + 1.0
-            <= budget.min_retries + budget.retry_ratio * since(&self.requests, window_start)
+        count(&self.retries, window_start - clock_resolution) + 1.0
+            <= budget.min_retries + budget.retry_ratio * count(&self.requests, window_start)
     }
 
     /// Removes entries that are too old for the budget.
