--- a/configuration/src/document.rs
+++ b/configuration/src/document.rs
@@ -1,4 +1,4 @@
-//! The versioned document: the `settings` object of a gateway's configuration, normalised and with its digest.
+//! The versioned document: the normalised `settings` object of a gateway's configuration, and its digest.
 
 use std::fmt;
 use std::str::FromStr;
--- a/configuration/src/message.rs
+++ b/configuration/src/message.rs
@@ -32,7 +32,8 @@
     },
 }
 
-/// Error of verifying the contents of a message. For a snapshot, its text is the reason of the refused version.
+/// Error of verifying the contents of a message. A snapshot with such an error is refused, with the text of the error
+/// as the reason.
 #[derive(Debug, thiserror::Error)]
 pub enum VerifyError {
     /// The document of the message, or the result of the delta, is not valid.
--- a/configuration/src/publisher.rs
+++ b/configuration/src/publisher.rs
@@ -28,8 +28,8 @@
 /// tracked beyond this number.
 pub const MAX_KNOWN_GATEWAYS: usize = 4_096;
 
-/// A version that exceeds the newest version of this server by more than this number when a gateway connects does not
-/// raise [`Publisher::next_version`], so that no gateway can exhaust the version numbers.
+/// If the version of a connecting gateway exceeds the newest version of this server by more than this number, it does
+/// not raise [`Publisher::next_version`]. This prevents a gateway from exhausting the version numbers.
 const MAX_VERSIONS_AHEAD: u64 = 1 << 32;
 
 /// Identifies a stream of a gateway, so that the late end of an old stream does not disconnect the current one.
@@ -183,8 +183,8 @@
         }
     }
 
-    /// Processes a report of a gateway. Ignored if the gateway has no stream, or if the report neither answers the
-    /// latest message with configuration on the stream nor corrects an earlier report.
+    /// Processes a report of a gateway. The report is ignored if the gateway has no stream, or if the report neither
+    /// answers the latest message with configuration on the stream nor corrects an earlier report.
     pub fn report(&mut self, gateway: &GatewayId, report: Report) {
         let history = &self.history;
         let gateway_state = self.gateways.get_mut(gateway).filter(|gateway_state| gateway_state.is_connected);
@@ -202,8 +202,8 @@
         outgoing
     }
 
-    /// Time of the next message if no other method is called before, in microseconds. Can be in the past. `None` while
-    /// no gateway is connected.
+    /// Time at which the next message is due if no other method is called first, in microseconds. Can be in the
+    /// past. `None` while no gateway is connected.
     pub fn next_due_us(&self) -> Option<u64> {
         let free_us = self.pacer.free_at_us();
         let next = |gateway_state: &GatewayState| {
--- a/configuration/src/subscriber.rs
+++ b/configuration/src/subscriber.rs
@@ -100,8 +100,8 @@
         }
     }
 
-    /// Processes a message from the stream and returns the action that it requires. Also counts as activity, even if
-    /// the message is invalid.
+    /// Processes a message from the stream and returns the action that it requires. Any message, even an invalid one,
+    /// counts as activity.
     pub fn on_message(&mut self, now_us: u64, text: &str) -> SubscriberAction {
         self.on_activity(now_us);
         let Ok(message) = Message::parse(text) else { return self.resync(true) };
@@ -228,7 +228,7 @@
         }
         let Some(base) = self.known_document(delta.from) else { return self.resync(false) };
         match delta.apply(base) {
-            Ok(document) => self.propose(version, document),
+            Ok(document) => self.set_pending(version, document),
             Err(_) => self.resync(true),
         }
     }
@@ -246,7 +246,7 @@
             return self.compare_digests(version, known.digest(), snapshot.digest);
         }
         match snapshot.verify() {
-            Ok(document) => self.propose(version, document),
+            Ok(document) => self.set_pending(version, document),
             Err(e) => self.refuse(version, &e),
         }
     }
@@ -264,7 +264,7 @@
         SubscriberAction::Refused { version, reason }
     }
 
-    fn propose(&mut self, version: Version, document: Document) -> SubscriberAction {
+    fn set_pending(&mut self, version: Version, document: Document) -> SubscriberAction {
         self.pending = Some(VersionedDocument { version, document: document.clone() });
         SubscriberAction::Apply { version, document }
     }
--- a/gateway/tests/configuration.rs
+++ b/gateway/tests/configuration.rs
@@ -274,7 +274,7 @@
     let mut client = send_request(&gateway, 20, "report", "");
     engines.next_start(&id(20)).finish();
     assert_served(&mut client, 20);
-    // A later valid version is applied to the version in force.
+    // The base of a later valid delta is the version in force.
     stream.send(&delta((1, &valid), (9, &initial_settings().parse().unwrap())));
     server.expect_applied(9);
     assert!(!status(&gateway).contains("refused"));
--- a/gateway/tests/fronts.rs
+++ b/gateway/tests/fronts.rs
@@ -156,13 +156,13 @@
     assert!(began.elapsed() < Duration::from_secs(2), "the answer must not wait for the engine");
 
     let (address, key) = (gateway.pg, client.key);
-    let canceller = thread::spawn(move || {
+    let cancel_thread = thread::spawn(move || {
         thread::sleep(Duration::from_millis(200));
         pg::Client::cancel(address, key);
     });
     let answer = client.query(&text("report", "00000000000000aa", 10_000));
     assert_eq!(error_code(&answer), "57014");
-    canceller.join().unwrap();
+    cancel_thread.join().unwrap();
     engine.set_work_ms(1);
     let served = until_served(|| client.query(&text("lookup", "00000000000000ab", 2000)), pg_rejected);
     assert!(matches!(served, pg::Answer::Rows(_)), "{served:?}");
@@ -559,16 +559,16 @@
     let (lookup, _) = client.prepare("/* c=lookup,h=20 */ SELECT v FROM a_1.b WHERE c = ?").unwrap();
     let (load, _) = client.prepare("/* c=load,h=20 */ INSERT INTO a_1.b VALUES (?)").unwrap();
     let mysql::Answer::Rows(rows) = client.execute(lookup, &["1"], &[]) else { panic!("expected rows") };
-    let (crashed, alive) = if rows[0] == "e1" { (&one, &two) } else { (&two, &one) };
+    let (crashed, surviving) = if rows[0] == "e1" { (&one, &two) } else { (&two, &one) };
     crashed.kill();
     let answer = until_served(|| client.execute(lookup, &["2"], &[]), mysql_rejected);
-    assert_eq!(answer, mysql::Answer::Rows(vec![alive.name.clone(), "2".to_owned()]));
+    assert_eq!(answer, mysql::Answer::Rows(vec![surviving.name.clone(), "2".to_owned()]));
     // The load was not sent to the crashed engine, so the other engine may run it. It runs once.
     let answer = until_served(|| client.execute(load, &["3"], &[("i", ID)]), mysql_rejected);
     assert_eq!(answer, mysql::Answer::Done);
-    assert_eq!(recorder.engines_of(ID), [alive.name.as_str()]);
+    assert_eq!(recorder.engines_of(ID), [surviving.name.as_str()]);
     // The engine crashes while it runs the load. The load may have run, so it fails without a retry.
-    alive.set_work_ms(400);
+    surviving.set_work_ms(400);
     let runs = recorder.query_count();
     let wait_started = thread::spawn({
         let recorder = recorder.clone();
@@ -580,9 +580,9 @@
     });
     let request = thread::spawn(move || client.execute(load, &["4"], &[("i", "00000000000000bb")]));
     wait_started.join().unwrap();
-    alive.kill();
+    surviving.kill();
     assert!(matches!(request.join().unwrap(), mysql::Answer::Error(1105, ..)));
-    assert_eq!(recorder.engines_of("00000000000000bb"), [alive.name.as_str()]);
+    assert_eq!(recorder.engines_of("00000000000000bb"), [surviving.name.as_str()]);
 }
 
 /// A MySQL statement may outlive its connection and cannot be polled over another one.
@@ -655,18 +655,18 @@
     let recorder = Recorder::default();
     let engines: Vec<Engine> = ["e1", "e2", "e3"].map(|n| Engine::start(n, &recorder, 5)).into();
     let gateway = Gateway::start(&engines.iter().collect::<Vec<_>>(), true);
-    let killer = thread::spawn({
+    let kill_thread = thread::spawn({
         let recorder = recorder.clone();
-        let victim = engines.into_iter().next().unwrap();
+        let engine = engines.into_iter().next().unwrap();
         move || {
             while recorder.query_count() < 100 {
                 thread::sleep(Duration::from_millis(1));
             }
-            victim.kill();
+            engine.kill();
         }
     });
     let latencies = traffic(&gateway, &["pg", "mysql"], 40);
-    killer.join().unwrap();
+    kill_thread.join().unwrap();
     assert_eq!(latencies.len(), 8 * 32, "a lookup was not served");
     for w in 0..8 {
         for n in (4..40).step_by(5) {
--- a/gateway/tests/recorded_messages.rs
+++ b/gateway/tests/recorded_messages.rs
@@ -1,6 +1,5 @@
-//! Guards the formats of messages to other gateway processes, the discovery service, the control plane and
-//! operators.
-//! Two releases communicate during a replacement. JSON is compared by value: object members have no fixed order.
+//! Guards the formats of messages to other gateway processes (of another release during a replacement), the discovery
+//! service, the control plane and operators. JSON is compared by value: object members have no fixed order.
 
 use std::net::SocketAddr;
 
--- a/lab/src/capacity/page.rs
+++ b/lab/src/capacity/page.rs
@@ -223,7 +223,7 @@
 fn write_slope(page: &mut String, m: &Measurement) -> std::fmt::Result {
     let join = |values: Vec<f64>| values.into_iter().map(format_number).collect::<Vec<_>>().join(" / ");
     let sizes = join(m.points.iter().map(|p| p.size).collect());
-    let middles = join(m.points.iter().map(|p| p.median()).collect());
+    let medians = join(m.points.iter().map(|p| p.median()).collect());
     let (slope, growth) = match &m.fit {
         None => ("-".to_owned(), "too few sizes".to_owned()),
         Some(f) => {
@@ -235,7 +235,7 @@
     };
     writeln!(
         page,
-        "| {} | {} | {} | {sizes} | {middles} | {slope} | {growth} | {} | `{}` |",
+        "| {} | {} | {} | {sizes} | {medians} | {slope} | {growth} | {} | `{}` |",
         m.name(),
         m.unit,
         m.variable,
@@ -259,7 +259,7 @@
     writeln!(page, "| | what | ratio | today's way | times its limit |")?;
     writeln!(page, "| --- | --- | --- | --- | --- |")?;
     for (index, need) in estimate.critical_needs().into_iter().enumerate() {
-        let (approach, times_limit) = match (&need.mechanism, need.ratio()) {
+        let (mechanism, times_limit) = match (&need.mechanism, need.ratio()) {
             (Mechanism::Missing(f), _) => {
                 (f.text.clone(), f.ratio.map_or_else(|| "can't be said".to_owned(), format_number))
             }
@@ -268,7 +268,7 @@
         };
         writeln!(
             page,
-            "| {} | {}: {} ({}) | {} | {approach} | {times_limit} |",
+            "| {} | {}: {} ({}) | {} | {mechanism} | {times_limit} |",
             index + 1,
             need.role,
             need.description,
--- a/lab/src/classes.rs
+++ b/lab/src/classes.rs
@@ -39,8 +39,8 @@
     pub refused: u64,
     /// Requests answered with another error.
     pub failed: u64,
-    /// Requests shed while queued, by the guard that rejected them at the largest number of engines, or by `order_key`
-    /// or `no_guard` if an engine would have admitted them.
+    /// Requests shed while queued, by reason: the guard that rejected the request at the largest number of engines. If
+    /// an engine would have admitted the request, the reason is `order_key` or `no_guard`.
     pub guards: BTreeMap<String, u64>,
     /// Sum of the seconds from admission to the first attempt, over the requests counted by `sent`.
     pub held_s: f64,
--- a/lab/src/fleet.rs
+++ b/lab/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Starts a gateway process and a stand-in engine for it, and reads resource usage of processes from `/proc`.
+//! Starts a gateway process and a mock engine for it, and reads resource usage of processes from `/proc`.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -32,7 +32,7 @@
 pub struct CpuUsage {
     /// Processor time, in seconds.
     pub cpu_s: f64,
-    /// Voluntary context switches: each time the thread blocks, it is woken once.
+    /// Wake-ups of the thread, counted as its voluntary context switches.
     pub wakeups: u64,
 }
 
@@ -53,7 +53,7 @@
     Ok((ticks(11)?, ticks(12)?))
 }
 
-/// Starts a stand-in engine. It answers each query with one row after `service_time`, except that a query whose text
+/// Starts a mock engine. It answers each query with one row after `service_time`, except that a query whose text
 /// contains `never` does not end.
 pub fn start_engine(service_time: Duration) -> anyhow::Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0")?;
--- a/lab/src/hollow/compare.rs
+++ b/lab/src/hollow/compare.rs
@@ -190,8 +190,8 @@
     phases.map(|(_, phase)| phase.gateway_mean_ms).sum()
 }
 
-/// Simulates the phases and returns the counts. The router detects failures without delay, since over loopback the
-/// kernel passes connections to open listeners only.
+/// Simulates the phases and returns the counts. The router detects failures without delay, because in a run over
+/// loopback the kernel passes connections to open listeners only.
 ///
 /// # Errors
 /// A bound is exceeded, or the settings of the gateways are invalid.
--- a/lab/src/hollow/model/network.rs
+++ b/lab/src/hollow/model/network.rs
@@ -26,7 +26,7 @@
 }
 
 impl Model {
-    /// Writes on a stream, at the cost of the control machine's worker.
+    /// Writes to a stream, which occupies the control machine's worker for [`write_cost_us`].
     pub(super) fn write(&mut self, connection: ConnectionId, text: Arc<[u8]>) {
         let now_us = self.now_us;
         let machine = self.machine_of(connection);
--- a/lab/src/hollow/model/watch.rs
+++ b/lab/src/hollow/model/watch.rs
@@ -7,7 +7,7 @@
 
 use super::ConnectionId;
 
-/// A request of the watch that the simulation opens or closes a connection.
+/// A request of the watch to the simulation, to open or close a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WatchRequest {
     /// Open a connection and request the events after [`Watch::last_index`].
--- a/lab/src/idle/report.rs
+++ b/lab/src/idle/report.rs
@@ -20,7 +20,7 @@
     pub latency_alone: Summary,
     /// Latency of lookups while the other sessions are idle.
     pub latency_beside_parked: Summary,
-    /// The wake-up of median duration. Its `lost` is the sum over all of these wake-ups.
+    /// The wake-up of median duration, except that `lost` is the sum over all wake-ups.
     pub wake_half: CommandResult,
     pub wake_half_least_ms: f64,
     pub wake_half_most_ms: f64,
@@ -40,7 +40,7 @@
     pub churn_cpu_percent: f64,
     /// Fraction of the processor time during churn that was spent in the kernel.
     pub churn_system_part: f64,
-    /// The same increase per session at the end of the round.
+    /// Increase of the gateway's resident memory at the end of the round, per session.
     pub bytes_after: f64,
     pub timers_late: String,
     pub longest_waits: String,
--- a/lab/tests/recorded_files.rs
+++ b/lab/tests/recorded_files.rs
@@ -1,7 +1,4 @@
 //! Guards against changes that make recorded files of figures unreadable or give a different page for them.
-//!
-//! The files in `recorded_files` are never regenerated. `hollow.json` has every tenth figure of its original. The
-//! page was generated from these copies.
 
 use std::path::{Path, PathBuf};
 
@@ -13,6 +10,8 @@
 use wrenhatch_lab::hollow::compare::{self, Comparison};
 use wrenhatch_lab::hollow::figures::FigureFile;
 
+/// Path of a recorded file. These files are never regenerated. `hollow.json` has every tenth figure of its original.
+/// `page.md` was generated from these copies.
 fn recorded(file: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/recorded_files").join(file)
 }
--- a/sessions/benches/structures.rs
+++ b/sessions/benches/structures.rs
@@ -68,7 +68,7 @@
     (wheel, ids)
 }
 
-/// Arms all timers, in memory that was used before.
+/// Arms all timers, in memory that earlier timers have used.
 #[divan::bench_group(sample_count = 20, sample_size = 1)]
 mod arm {
     use super::*;
@@ -154,8 +154,8 @@
     }
 }
 
-/// Arms and cancels timeouts of 20 s for `n` sessions: a million operations within 40 s of simulated time. Nearly none
-/// fires, except with a million sessions.
+/// Arms and cancels timeouts of 20 s for `n` sessions: a million operations within 40 s of simulated time. Few timers
+/// fire, except with a million sessions.
 #[divan::bench_group(sample_count = 5, sample_size = 1)]
 mod arm_and_cancel_over_time {
     use super::*;
--- a/sessions/src/read_scheduler.rs
+++ b/sessions/src/read_scheduler.rs
@@ -26,8 +26,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[repr(u8)]
 pub enum ReadPriority {
-    /// A request is open, or the session is being closed. The input may end either, for example if the client has
-    /// disconnected.
+    /// A request is open, or the session is being closed. Input can end the request or the session, for
+    /// example if the client has disconnected.
     OpenRequest,
     /// The session is not suspended. Usually, a part of a message was read, or further messages are buffered.
     PartialMessage,
@@ -67,8 +67,8 @@
 /// Limits from the operator's file and the settings.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ReadLimits {
-    /// Target duration of a turn, in microseconds. Once the estimated work of a turn reaches it, only sessions with an
-    /// open request are read, and others up to a minimum number of reads.
+    /// Target duration of a turn, in microseconds. Once the estimated work of a turn reaches it and the minimum
+    /// number of reads is done, only sessions with an open request are read.
     pub turn_us: u64,
     /// Maximum number of messages that are handled in succession when a session is read, or when a request of it has
     /// been answered.
@@ -79,8 +79,8 @@
     pub min_retry_after_ms: u64,
     /// Upper bound of Retry-After, in milliseconds.
     pub max_retry_after_ms: u64,
-    /// Shortest deadline of any class, in microseconds. Half of it is the backlog beyond which reads are expedited. A
-    /// client may wait for less.
+    /// Shortest deadline of any class, in microseconds. Half of it is the backlog beyond which reads are expedited. The
+    /// deadline of a single request can be shorter.
     pub shortest_deadline_us: u64,
 }
 
@@ -126,7 +126,7 @@
     queues: ReadQueues,
     turn_work: TurnWork,
     turn_reads: usize,
-    /// Latest time assigned to a retry, in microseconds. Later calls assign later times.
+    /// Latest time assigned to a retry, in microseconds. Each further retry is assigned a later time.
     last_assigned_retry_us: f64,
     deferred: u64,
     longest_waits_us: [u64; QUEUE_COUNT],
--- a/sessions/src/session_table.rs
+++ b/sessions/src/session_table.rs
@@ -173,8 +173,8 @@
         size_of::<Slot<S, A>>()
     }
 
-    /// The handle that the next call of [`Self::insert`] returns, so that a socket can be registered before. No session
-    /// may be removed in between.
+    /// The handle that the next call of [`Self::insert`] returns, so that a socket can be registered beforehand. No
+    /// session may be removed in between.
     pub fn next_handle(&self) -> Handle {
         match self.slots.get(self.free as usize) {
             Some(slot) => Handle { index: self.free, generation: slot.generation },
@@ -327,7 +327,7 @@
     }
 
     /// Sets the activity of a session. If the activity changes, the session becomes the youngest in the list of the new
-    /// one, and its age counts from `since_us`. Otherwise the call has no effect.
+    /// activity, and its age counts from `since_us`. Otherwise the call has no effect.
     pub fn set_activity(&mut self, handle: Handle, activity: Activity, since_us: u64) {
         match self.slot(handle) {
             Some(slot) if slot.activity != activity => {}
--- a/sessions/src/session_table/tests.rs
+++ b/sessions/src/session_table/tests.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn eviction_prefers_closing_to_slow_to_idle_sessions() {
+fn closing_sessions_are_evicted_before_slow_ones_and_slow_before_idle_ones() {
     let (idle, slow, closing) =
         ((Activity::Idle, 10), (Activity::IncompleteMessage, 100), (Activity::Closing, 500));
     assert_eq!(evicted(&[(Activity::Busy, 0), idle, slow, closing]), Some(3));
--- a/sessions/src/timer_wheel.rs
+++ b/sessions/src/timer_wheel.rs
@@ -1,5 +1,5 @@
 //! A hierarchical timing wheel with a resolution of one microsecond (Varghese and Lauck, 1987, scheme 7). As in a radix
-//! heap, a timer's level is that of the highest digit in which its due time differs from the current time of the wheel.
+//! heap, a timer's level is the position of the highest digit in which its due time differs from the current time.
 //!
 //! - Arming, rearming and cancelling take constant time. A timer is moved at most once per level before it fires.
 //! - A cancelled timer is removed immediately.
--- a/sessions/tests/surge.rs
+++ b/sessions/tests/surge.rs
@@ -1,4 +1,4 @@
-//! Simulates a surge on the session table and the read scheduler, with simulated time and costs: 50,000 idle clients
+//! Guards against long waits and synchronized retries in a surge, with simulated time and costs: 50,000 idle clients
 //! send requests within 50 ms, while 10,000 clients connect and ten others stay active.
 
 use std::collections::{BTreeMap, HashMap};
