--- a/gateway/src/config/mod.rs
+++ b/gateway/src/config/mod.rs
@@ -1,4 +1,4 @@
-//! Typed configuration, read at startup. `config.json` is read again on SIGHUP for the endpoint list and the address of
+//! Typed configuration, read at startup. `config.json` is reloaded on SIGHUP for the endpoint list and the address of
 //! the discovery service, and the control plane may replace its settings.
 //!
 //! There are three sources:
@@ -41,7 +41,7 @@
 /// Configuration of a gateway from all sources.
 #[derive(Debug)]
 pub struct Config {
-    /// Path of `config.json`, which is read again on SIGHUP. `None` if the configuration is not from a file.
+    /// Path of `config.json`, which is reloaded on SIGHUP. `None` if the configuration is not from a file.
     pub path: Option<String>,
     /// Identifies the gateway in a process replacement and to the control plane.
     pub name: String,
--- a/gateway/src/net/reload.rs
+++ b/gateway/src/net/reload.rs
@@ -5,7 +5,7 @@
 use super::{NetTimer, Server};
 use crate::config;
 
-/// Delay before a file that could not be read is read again, as it may be incomplete while being written.
+/// Delay before the reload is retried if the file could not be read, as it may be incomplete while being written.
 const RETRY_US: u64 = 100_000;
 /// Number of attempts after which the reload fails.
 const MAX_ATTEMPTS: u32 = 20;
@@ -18,7 +18,7 @@
         let Some(path) = self.config.path.clone() else { return };
         match config::from_file(&path) {
             Ok(new) => {
-                tracing::info!(discovery = ?new.discovery, "configuration read again");
+                tracing::info!(discovery = ?new.discovery, "configuration reloaded");
                 self.counters.reloads += 1;
                 self.warn_of_differences(&new);
                 new.known_list.events.iter().for_each(|event| self.apply_known_list_event(event));
@@ -30,11 +30,11 @@
                 }
             }
             Err(error) if failures + 1 < MAX_ATTEMPTS => {
-                tracing::debug!(%error, "reading the configuration again failed; it will be tried again");
+                tracing::debug!(%error, "reloading the configuration failed; it will be retried");
                 self.timers.arm(self.time.now_us + RETRY_US, NetTimer::Reload(failures + 1));
             }
             Err(error) => {
-                tracing::error!(%error, "reading the configuration again failed; the old settings are kept")
+                tracing::error!(%error, "reloading the configuration failed; the old settings are kept")
             }
         }
     }
--- a/gateway/tests/configuration.rs
+++ b/gateway/tests/configuration.rs
@@ -209,7 +209,7 @@
     stream.send(&snapshot(1, &document));
     server.expect_applied(1);
     gateway.signal("-HUP");
-    gateway.wait_for_log("configuration read again");
+    gateway.wait_for_log("configuration reloaded");
     let mut client = send_request(&gateway, 1, "digest", "");
     engines.next_start(&id(1)).finish();
     assert_served(&mut client, 1);
--- a/gateway/tests/crossings.rs
+++ b/gateway/tests/crossings.rs
@@ -567,7 +567,7 @@
         starting.signal(signal);
         let gateway = starting.configure();
         match signal {
-            "-HUP" => gateway.wait_for_log("configuration read again"),
+            "-HUP" => gateway.wait_for_log("configuration reloaded"),
             "-USR1" => gateway.wait_for_log("counters="),
             _ => assert_eq!(gateway.wait().0, Some(0)),
         }
