--- a/gateway/src/main.rs
+++ b/gateway/src/main.rs
@@ -32,7 +32,7 @@
     UnknownCommand(String),
     #[error("missing command; see wrenhatch help")]
     MissingCommand,
-    #[error("signals: {0}")]
+    #[error("can't install signal handlers: {0}")]
     Signals(std::io::Error),
     #[error("{0}")]
     Configuration(#[from] ConfigError),
