--- a/lab/src/hollow/error.rs
+++ b/lab/src/hollow/error.rs
@@ -7,7 +7,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum HollowError {
     /// The value of an option is out of range.
-    #[error("--{option}: {value} is not from {min} to {max}")]
+    #[error("--{option}: {value} is not between {min} and {max}")]
     OptionOutOfRange {
         /// Long name of the option, without dashes.
         option: &'static str,
