--- a/gateway/src/core/attempts.rs
+++ b/gateway/src/core/attempts.rs
@@ -191,12 +191,12 @@
         self.report_attempt_end(now_us, id, attempt, end);
     }
 
-    /// Records that an unconfirmed attempt ends by `runs_until_us`. The cooldown of its key begins at that time.
-    pub(super) fn on_attempt_end_confirmed(&mut self, now_us: u64, id: AttemptId, runs_until_us: u64) {
+    /// Records that an unconfirmed attempt ends by `may_run_until_us`. The cooldown of its key begins at that time.
+    pub(super) fn on_attempt_end_confirmed(&mut self, now_us: u64, id: AttemptId, may_run_until_us: u64) {
         let Some(key) = self.unconfirmed_attempts.remove(&id) else { return };
-        let cooldown_until_us = self.rules.key_cooldown_end_us(runs_until_us);
+        let cooldown_until_us = self.rules.key_cooldown_end_us(may_run_until_us);
         self.leases.release(now_us, key, cooldown_until_us, &mut self.lease_effects);
-        let may_still_run_for = remaining_seconds(now_us, runs_until_us);
+        let may_still_run_for = remaining_seconds(now_us, may_run_until_us);
         self.events.push_back(Event::AttemptEndConfirmed { key, may_still_run_for });
     }
 
--- a/gateway/src/core/input.rs
+++ b/gateway/src/core/input.rs
@@ -59,7 +59,7 @@
         /// The input is ignored unless this attempt is in flight.
         attempt: AttemptId,
         /// Time until which the engine may run the attempt.
-        runs_until_us: u64,
+        may_run_until_us: u64,
     },
     /// An attempt with an order key was given up. Until [`Input::AttemptEndConfirmed`] follows, it is unknown how long
     /// the engine may run the attempt. The input is ignored unless the attempt is in flight.
@@ -69,7 +69,7 @@
         /// The input is ignored unless this attempt is unconfirmed.
         attempt: AttemptId,
         /// Time until which the engine may run the attempt.
-        runs_until_us: u64,
+        may_run_until_us: u64,
     },
     /// An engine has reported progress of an attempt.
     AttemptProgress {
--- a/gateway/src/core/mod.rs
+++ b/gateway/src/core/mod.rs
@@ -149,14 +149,14 @@
             Input::AttemptEnded { attempt, outcome, load_report } => {
                 self.on_attempt_ended(now_us, attempt, outcome, load_report, commands);
             }
-            Input::AttemptLost { attempt, runs_until_us } => {
-                self.on_attempt_lost(now_us, attempt, MayRunUntil::Time(runs_until_us), commands);
+            Input::AttemptLost { attempt, may_run_until_us } => {
+                self.on_attempt_lost(now_us, attempt, MayRunUntil::Time(may_run_until_us), commands);
             }
             Input::AttemptUnconfirmed(attempt) => {
                 self.on_attempt_lost(now_us, attempt, MayRunUntil::Unconfirmed, commands);
             }
-            Input::AttemptEndConfirmed { attempt, runs_until_us } => {
-                self.on_attempt_end_confirmed(now_us, attempt, runs_until_us);
+            Input::AttemptEndConfirmed { attempt, may_run_until_us } => {
+                self.on_attempt_end_confirmed(now_us, attempt, may_run_until_us);
             }
             Input::AttemptProgress { attempt: AttemptId { request, number }, progress } => {
                 if self.in_flight.contains(AttemptId { request, number }) {
--- a/gateway/src/core/order_keys.rs
+++ b/gateway/src/core/order_keys.rs
@@ -18,9 +18,9 @@
         attempts_cooldown_end_us.max(self.leases.last_cooldown_end_us())
     }
 
-    /// End of a key's cooldown after an attempt that an engine may run until `runs_until_us`, in microseconds.
-    pub fn key_cooldown_end_us(&self, runs_until_us: u64) -> u64 {
-        self.rules.key_cooldown_end_us(runs_until_us)
+    /// End of a key's cooldown after an attempt that an engine may run until `may_run_until_us`, in microseconds.
+    pub fn key_cooldown_end_us(&self, may_run_until_us: u64) -> u64 {
+        self.rules.key_cooldown_end_us(may_run_until_us)
     }
 
     pub(super) fn on_peer_event(&mut self, now_us: u64, peer: PeerProcessId, event: PeerProcessEvent) {
--- a/gateway/src/core/rules.rs
+++ b/gateway/src/core/rules.rs
@@ -78,8 +78,9 @@
         }
     }
 
-    /// Time until which no other process may use a key after an attempt that an engine may run until `runs_until_us`.
-    pub(super) fn key_cooldown_end_us(&self, runs_until_us: u64) -> u64 {
-        runs_until_us + self.key_cooldown_us
+    /// Time until which no other process may use a key after an attempt that an engine may run until
+    /// `may_run_until_us`.
+    pub(super) fn key_cooldown_end_us(&self, may_run_until_us: u64) -> u64 {
+        may_run_until_us + self.key_cooldown_us
     }
 }
--- a/gateway/src/core/tests.rs
+++ b/gateway/src/core/tests.rs
@@ -188,7 +188,7 @@
         let mut fixture = Fixture::new();
         let attempt = first_attempt(&fixture.request(1, class, 20 * SECOND_US));
         assert_eq!(
-            fixture.turn(vec![Input::AttemptLost { attempt, runs_until_us: fixture.now_us }]),
+            fixture.turn(vec![Input::AttemptLost { attempt, may_run_until_us: fixture.now_us }]),
             [answer]
         );
         assert_eq!(fixture.advance(30 * SECOND_US), [], "no command follows the answer");
@@ -225,9 +225,9 @@
     let key = Some(KeyId(5));
     let first = first_attempt(&fixture.request_with_key(1, LOAD, 20 * SECOND_US, key));
     fixture.request_with_key(2, LOAD, 20 * SECOND_US, key);
-    let runs_until_us = fixture.now_us + 2 * SECOND_US;
+    let may_run_until_us = fixture.now_us + 2 * SECOND_US;
     assert_eq!(
-        fixture.turn(vec![Input::AttemptLost { attempt: first, runs_until_us }]),
+        fixture.turn(vec![Input::AttemptLost { attempt: first, may_run_until_us }]),
         [Command::Fail(first.request)]
     );
     assert_eq!(
@@ -254,12 +254,12 @@
         "a successor must wait as well"
     );
     assert_eq!(started(&fixture.advance(3 * SECOND_US)), None, "the attempt may run for an unknown time");
-    let runs_until_us = fixture.now_us + 200_000;
-    fixture.turn(vec![Input::AttemptEndConfirmed { attempt: first, runs_until_us }]);
+    let may_run_until_us = fixture.now_us + 200_000;
+    fixture.turn(vec![Input::AttemptEndConfirmed { attempt: first, may_run_until_us }]);
     assert_eq!(started(&fixture.advance(490_000)), None, "the attempt may run, and the key cooldown follows");
     assert_eq!(started(&fixture.advance(100_000)).map(|s| s.0.request), Some(RequestId(2)));
     assert_eq!(
-        fixture.turn(vec![Input::AttemptEndConfirmed { attempt: first, runs_until_us: 0 }]),
+        fixture.turn(vec![Input::AttemptEndConfirmed { attempt: first, may_run_until_us: 0 }]),
         [],
         "a duplicate confirmation is ignored"
     );
@@ -313,7 +313,7 @@
                         in_flight.remove(&attempt.request);
                         may_have_run.push(attempt.request);
                         lost.push(attempt.request);
-                        fixture.turn(vec![Input::AttemptLost { attempt, runs_until_us: fixture.now_us }])
+                        fixture.turn(vec![Input::AttemptLost { attempt, may_run_until_us: fixture.now_us }])
                     }
                     Some(attempt) => {
                         let outcomes = [Outcome::Success, Outcome::Error, Outcome::Rejected,
--- a/gateway/src/net/engines/cancellation.rs
+++ b/gateway/src/net/engines/cancellation.rs
@@ -91,7 +91,7 @@
                 let unconfirmed = LostAttempt::new(attempt.engine, attempt.query_id, may_run_until_us);
                 self.begin_confirmation(id, unconfirmed);
             }
-            _ => self.inputs.push(Input::AttemptLost { attempt: id, runs_until_us: may_run_until_us }),
+            _ => self.inputs.push(Input::AttemptLost { attempt: id, may_run_until_us }),
         }
     }
 }
--- a/gateway/src/net/engines/confirmation.rs
+++ b/gateway/src/net/engines/confirmation.rs
@@ -95,7 +95,7 @@
             may_run_until_us,
             "end of a lost attempt confirmed"
         );
-        self.inputs.push(Input::AttemptEndConfirmed { attempt: id, runs_until_us: may_run_until_us });
+        self.inputs.push(Input::AttemptEndConfirmed { attempt: id, may_run_until_us });
     }
 
     /// Handles the end of a confirmation's connection over which no usable response was received.
