--- a/lab/src/configuration/cost.rs
+++ b/lab/src/configuration/cost.rs
@@ -12,7 +12,7 @@
 
 use super::settings::{Operator, Size};
 use super::{CHANGES_PER_DAY, MACHINES, SECOND_US};
-use crate::fleet::{cpu_usage, resident_bytes};
+use crate::gateway_process::{cpu_usage, resident_bytes};
 
 /// Number of changes per measurement.
 const CHANGES: usize = 2_000;
--- a/lab/src/idle/in_memory.rs
+++ b/lab/src/idle/in_memory.rs
@@ -10,7 +10,7 @@
 use wrenhatch_sessions::session_table::{Activity, Handle, SessionTable};
 use wrenhatch_sessions::timer_wheel::TimerWheel;
 
-use crate::fleet::resident_bytes;
+use crate::gateway_process::resident_bytes;
 use crate::spread::{Summary, histogram};
 
 /// A session table whose entries have the sizes of the gateway's entries.
--- a/lab/src/idle/mod.rs
+++ b/lab/src/idle/mod.rs
@@ -12,7 +12,7 @@
 
 use clap::Args;
 
-use crate::{FrontEnd, Output, fleet};
+use crate::{FrontEnd, Output, gateway_process};
 
 /// Size, duration and gateway builds of the experiment.
 #[derive(Args)]
@@ -57,7 +57,7 @@
     }
     let program = match &options.gateway {
         Some(path) => path.clone(),
-        None => fleet::build_gateway()?,
+        None => gateway_process::build_gateway()?,
     };
     let mut rounds = Vec::new();
     for n in 1..=options.rounds {
--- a/lab/src/idle/round.rs
+++ b/lab/src/idle/round.rs
@@ -13,7 +13,7 @@
 use super::report::Round;
 use super::time_outs::{self, TimeoutLag};
 use crate::FrontEnd;
-use crate::fleet::{self, Gateway, cpu_usage, resident_bytes, user_and_system};
+use crate::gateway_process::{self, Gateway, cpu_usage, resident_bytes, user_and_system};
 use crate::helper::CommandResult;
 use crate::spread::Summary;
 
@@ -78,8 +78,12 @@
 ) -> anyhow::Result<Round> {
     let n = options.connections;
     let duration = Duration::from_secs(options.seconds);
-    let gateway =
-        Gateway::start(program, fleet::start_engine(SERVICE_TIME)?, n + n / 5 + 100, reads_operator_file)?;
+    let gateway = Gateway::start(
+        program,
+        gateway_process::start_engine(SERVICE_TIME)?,
+        n + n / 5 + 100,
+        reads_operator_file,
+    )?;
     let latency_alone = ActiveClients::run(gateway.pg, duration)?;
     let bytes_before = resident_bytes(gateway.process())?;
     let mut setup = Setup::start(options, gateway)?;
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -4,13 +4,13 @@
 //! - `idle` measures the cost of idle sessions, which processes running `helper` hold.
 //! - `configuration` simulates how configuration changes spread over a fleet, and measures their cost.
 //! - `classes` and `engines` summarize debug logs, which `log` reads.
-//! - `fleet` starts a gateway process and reads its resource usage. `spread` summarizes durations.
+//! - `gateway_process` starts a gateway and reads its resource usage. `spread` summarizes durations.
 //! - The library `wrenhatch_lab` has the commands `capacity` and `hollow`.
 
 mod classes;
 mod configuration;
 mod engines;
-mod fleet;
+mod gateway_process;
 mod helper;
 mod idle;
 mod log;
