--- a/gateway/src/admin/call/tests.rs
+++ b/gateway/src/admin/call/tests.rs
@@ -35,11 +35,11 @@
 
 #[test]
 fn a_call_may_arrive_byte_by_byte() {
-    let whole = b"PUT /maintenance/enter/e1 HTTP/1.1\r\nHost: gateway\r\nContent-Length: 0\r\n\r\n";
-    for n in 0..whole.len() {
-        assert_eq!(read(&whole[..n]), Ok(None), "{n}");
+    let call = b"PUT /maintenance/enter/e1 HTTP/1.1\r\nHost: gateway\r\nContent-Length: 0\r\n\r\n";
+    for n in 0..call.len() {
+        assert_eq!(read(&call[..n]), Ok(None), "{n}");
     }
-    assert_eq!(read(whole), Ok(Some(AdminCall::EnterMaintenance("e1".into()))));
+    assert_eq!(read(call), Ok(Some(AdminCall::EnterMaintenance("e1".into()))));
 }
 
 quickcheck::quickcheck! {
--- a/gateway/src/control_plane/requests/tests.rs
+++ b/gateway/src/control_plane/requests/tests.rs
@@ -19,11 +19,11 @@
 
 #[test]
 fn only_no_content_accepts_a_report() {
-    let whole = b"HTTP/1.1 204 No Content\r\nA: b\r\n\r\n";
-    for n in 0..whole.len() {
-        assert_eq!(read_report_response(&whole[..n]), ReportResponse::Incomplete, "{n}");
+    let response = b"HTTP/1.1 204 No Content\r\nA: b\r\n\r\n";
+    for n in 0..response.len() {
+        assert_eq!(read_report_response(&response[..n]), ReportResponse::Incomplete, "{n}");
     }
-    assert_eq!(read_report_response(whole), ReportResponse::Accepted);
+    assert_eq!(read_report_response(response), ReportResponse::Accepted);
     assert_eq!(read_report_response(b"HTTP/1.1 503 Later\r\n\r\n"), ReportResponse::Failed);
     assert_eq!(read_report_response(b"\x16\x03\x01"), ReportResponse::Failed);
     assert_eq!(
--- a/gateway/src/discovery/stream/tests.rs
+++ b/gateway/src/discovery/stream/tests.rs
@@ -17,14 +17,14 @@
 #[test]
 fn events_are_read_from_chunks_of_any_size() {
     let block = format!(": hello\n\nid: 41\ndata: {EVENT}\n\n");
-    let plain = format!("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n{block}");
+    let unchunked = format!("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n{block}");
     let (a, b) = block.split_at(30);
     let chunked = format!(
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n{a}\r\n{:x}\r\n{b}\r\n",
         a.len(),
         b.len()
     );
-    for text in [plain, chunked] {
+    for text in [unchunked, chunked] {
         for size in 1..40 {
             let events = read_in_chunks(&text, size);
             assert_eq!(events.len(), 1, "chunks of {size}");
--- a/gateway/src/engine/http/tests.rs
+++ b/gateway/src/engine/http/tests.rs
@@ -49,8 +49,8 @@
 #[test]
 fn incomplete_responses_are_not_parsed() {
     let text = b"HTTP/1.1 200 OK\r\nPage-Count: 2\r\nX-Meter: queue:3;util:0.5\r\nContent-Length: 6\r\n\r\na\tb\tc\nHTTP";
-    for cut in 0..text.len() - 4 {
-        assert_eq!(read(&mut text[..cut].to_vec(), &no_extras()), Ok(None), "{cut} bytes");
+    for length in 0..text.len() - 4 {
+        assert_eq!(read(&mut text[..length].to_vec(), &no_extras()), Ok(None), "{length} bytes");
     }
     let mut input = text.to_vec();
     let r = read(&mut input, &no_extras()).unwrap().unwrap();
--- a/gateway/src/event_stream/tests.rs
+++ b/gateway/src/event_stream/tests.rs
@@ -11,8 +11,8 @@
 #[test]
 fn a_truncated_event_is_not_returned() {
     let text = format!("{HEAD}id: 7\r\ndata: {{\"a\":\r\ndata: 1}}\r\n\r\n");
-    for cut in 0..text.len() {
-        assert_eq!(stream_of(&text.as_bytes()[..cut]).next_event(), None, "cut at {cut}");
+    for length in 0..text.len() {
+        assert_eq!(stream_of(&text.as_bytes()[..length]).next_event(), None, "truncated to {length} bytes");
     }
     let mut stream = stream_of(text.as_bytes());
     assert_eq!(stream.next_event(), Some(ServerSentEvent { id: 7, data: "{\"a\":\n1}".to_owned() }));
--- a/gateway/src/front/fields.rs
+++ b/gateway/src/front/fields.rs
@@ -180,7 +180,7 @@
 
 /// Parses a number of milliseconds and truncates its fraction.
 fn parse_wait_ms(value: &str) -> Result<u64, FieldError> {
-    let digits = value.split_once('.').map_or(value, |(whole, _)| whole);
+    let digits = value.split_once('.').map_or(value, |(integer, _)| integer);
     match digits.parse::<u64>() {
         Ok(ms) if ms > 0 && value.parse::<f64>().is_ok_and(|f| f <= MAX_WAIT_MS) => Ok(ms),
         _ => Err(FieldError::BadWait),
--- a/gateway/src/front/fields/tests.rs
+++ b/gateway/src/front/fields/tests.rs
@@ -41,8 +41,8 @@
     let fields = |text: &str| split(text.as_bytes()).unwrap().0;
     let retry = fields("/* r=1,o=7f3a9c21e0b4d655,c=load */ x");
     assert_eq!((retry.order_key.as_deref(), retry.is_retry), (Some("7f3a9c21e0b4d655"), true));
-    let plain = fields("/* c=load */ x");
-    assert_eq!((plain.order_key, plain.is_retry), (None, false));
+    let minimal = fields("/* c=load */ x");
+    assert_eq!((minimal.order_key, minimal.is_retry), (None, false));
     // All processes of a gateway must compute the same id for a key.
     assert_eq!(key_id("a"), KeyId(0xaf63_dc4c_8601_ec8c));
     assert_ne!(key_id("7f3a9c21e0b4d655"), key_id("7f3a9c21e0b4d656"));
--- a/gateway/src/mysql_protocol/parameters.rs
+++ b/gateway/src/mysql_protocol/parameters.rs
@@ -108,7 +108,7 @@
 
 fn read_value<'a>(reader: &mut Reader<'a>, type_and_flag: u16) -> Result<&'a [u8], PacketError> {
     use column_type as t;
-    let whole = reader.0;
+    let input = reader.0;
     match type_and_flag as u8 {
         t::TINY => reader.bytes(1)?,
         t::SHORT | t::YEAR => reader.bytes(2)?,
@@ -122,7 +122,7 @@
         t::DECIMAL | t::VARCHAR | t::BIT | t::JSON..=t::GEOMETRY => reader.lenenc_string()?,
         _ => return Err(PacketError::Malformed),
     };
-    Ok(&whole[..whole.len() - reader.0.len()])
+    Ok(&input[..input.len() - reader.0.len()])
 }
 
 /// Reads `count` parameters with their NULL bitmap. If the packet binds new types, they are stored in `bound_types`.
--- a/gateway/src/process_replacement/messages/tests.rs
+++ b/gateway/src/process_replacement/messages/tests.rs
@@ -32,17 +32,17 @@
 fn messages_are_read_as_written_however_the_input_is_split() {
     let mut bytes = Vec::new();
     messages().iter().for_each(|m| m.write(&mut bytes));
-    for cut in 0..bytes.len() {
-        let (mut input, mut got) = (bytes[..cut].to_vec(), Vec::new());
+    for split in 0..bytes.len() {
+        let (mut input, mut got) = (bytes[..split].to_vec(), Vec::new());
         while let Some(message) = read_next(&mut input).unwrap() {
             got.push(message);
         }
         assert_eq!(got, messages()[..got.len()], "the first messages, in order");
-        input.extend(&bytes[cut..]);
+        input.extend(&bytes[split..]);
         while let Some(message) = read_next(&mut input).unwrap() {
             got.push(message);
         }
-        assert_eq!(got, messages(), "{cut}");
+        assert_eq!(got, messages(), "{split}");
     }
 }
 
--- a/gateway/tests/auditor.rs
+++ b/gateway/tests/auditor.rs
@@ -333,14 +333,14 @@
 
 #[test]
 fn the_client_of_a_request_that_is_not_idempotent_is_not_invited_to_retry() {
-    let ran = |end: Event, code: &str| [(50, arrived(0, 3)), (100, end), (110, error(3, code))];
-    assert_valid(&[3], &ran(ending(0, 3, Outcome::NeverRan), "53000"));
+    let failed = |end: Event, code: &str| [(50, arrived(0, 3)), (100, end), (110, error(3, code))];
+    assert_valid(&[3], &failed(ending(0, 3, Outcome::NeverRan), "53000"));
     for end in
         [ending(0, 3, Outcome::Error), Event::Cancelled(0, 3), Event::Crashing(0, 3), Event::Polled(0, 3)]
     {
-        assert_valid(&[3], &ran(end.clone(), "58000"));
+        assert_valid(&[3], &failed(end.clone(), "58000"));
         for code in ["53000", "53300", "57P03"] {
-            assert_violates(Rule::RetryInvitation, 3, &[3], &ran(end.clone(), code));
+            assert_violates(Rule::RetryInvitation, 3, &[3], &failed(end.clone(), code));
         }
     }
     // The client of an idempotent request may be invited to retry.
--- a/gateway/tests/configuration.rs
+++ b/gateway/tests/configuration.rs
@@ -356,13 +356,13 @@
     let message = format!("id: 1\r\ndata: {}\r\n\r\n", snapshot(1, &document));
     // The connection is reset at evenly spaced positions of the message. Each heartbeat resets the reconnect backoff.
     let pieces = 16;
-    for cut in (0..pieces).map(|n| n * message.len() / pieces) {
+    for length in (0..pieces).map(|n| n * message.len() / pieces) {
         stream.send_heartbeat(0);
-        stream.connection.send(&message[..cut]);
+        stream.connection.send(&message[..length]);
         stream.connection.reset();
         stream = server.accept_stream();
-        assert_eq!(stream.version, 0, "cut at {cut}");
-        assert!(rejection(&gateway, &query(1, "digest", "")).contains("unknown class"), "cut at {cut}");
+        assert_eq!(stream.version, 0, "{length} bytes");
+        assert!(rejection(&gateway, &query(1, "digest", "")).contains("unknown class"), "{length} bytes");
     }
     for byte in message.as_bytes() {
         stream.connection.send(std::str::from_utf8(&[*byte]).unwrap());
--- a/gateway/tests/crossings.rs
+++ b/gateway/tests/crossings.rs
@@ -79,11 +79,11 @@
     clients[1].shutdown_write();
     drop(clients);
     (0..5).for_each(|n| wait_client_left(&gateway, n));
-    let ran_ids = id_log();
+    let executed_ids = id_log();
     watch.send_event(2, &engine.entry("Ready"));
-    serve_all_queries(engine, ran_ids.clone());
+    serve_all_queries(engine, executed_ids.clone());
     let n = query_until_served(&gateway, "load", 100);
-    assert_eq!(*ran_ids.lock().unwrap(), [id(n)]);
+    assert_eq!(*executed_ids.lock().unwrap(), [id(n)]);
     let (exit, log) = gateway.end();
     assert_eq!(exit, Some(0));
     assert!(log.contains("left=5"), "{log}");
@@ -106,10 +106,10 @@
         watch.send_event(2, &engine.entry("Ready"));
         drop(clients);
     });
-    let ran_ids = id_log();
-    serve_all_queries(engine, ran_ids.clone());
+    let executed_ids = id_log();
+    serve_all_queries(engine, executed_ids.clone());
     let n = query_until_served(&gateway, "load", 100);
-    assert_eq!(*ran_ids.lock().unwrap(), [id(n)]);
+    assert_eq!(*executed_ids.lock().unwrap(), [id(n)]);
     (0..60).for_each(|n| wait_client_left(&gateway, n));
 }
 
@@ -127,22 +127,22 @@
         engine.drain_backlog();
         // Without cancellation the connection is established after its request has ended. Other requests may use it.
         let connection = connects.then(|| engine.accept());
-        let ran_ids = id_log();
+        let executed_ids = id_log();
         let late = thread::spawn({
-            let ran_ids = ran_ids.clone();
+            let executed_ids = executed_ids.clone();
             move || {
                 let Some(mut connection) = connection else { return };
                 while let Some(call) = connection.next_call() {
-                    ran_ids.lock().unwrap().push(call.query_id().to_owned());
+                    executed_ids.lock().unwrap().push(call.query_id().to_owned());
                     connection.send_row(call.query_id());
                 }
             }
         });
-        serve_all_queries(engine, ran_ids.clone());
+        serve_all_queries(engine, executed_ids.clone());
         let n = query_until_served(&gateway, "load", 100);
         drop(gateway);
         late.join().unwrap();
-        assert_eq!(*ran_ids.lock().unwrap(), [id(n)]);
+        assert_eq!(*executed_ids.lock().unwrap(), [id(n)]);
     }
 }
 
@@ -156,10 +156,10 @@
     gateway.wait_for_log("attempt ended query_id=\"0000000000000001\"");
     drop(client);
     wait_client_left(&gateway, 1);
-    let ran_ids = id_log();
-    serve_all_queries(engine, ran_ids.clone());
+    let executed_ids = id_log();
+    serve_all_queries(engine, executed_ids.clone());
     let n = query_until_served(&gateway, "load", 100);
-    assert_eq!(*ran_ids.lock().unwrap(), [id(n)]);
+    assert_eq!(*executed_ids.lock().unwrap(), [id(n)]);
 }
 
 #[test]
@@ -198,8 +198,8 @@
     let engine = Peer::new("e1");
     let operator = "[clients]\nmost_sessions = 180\nturn_ms = 1";
     let gateway = Gateway::with_endpoints(&engine.entry("Ready"), None, operator, None, |t| t);
-    let ran_ids = id_log();
-    serve_all_queries(engine, ran_ids.clone());
+    let executed_ids = id_log();
+    serve_all_queries(engine, executed_ids.clone());
     let mut others: Vec<_> = (0..140).map(|_| pg::Client::connect(gateway.pg)).collect();
     let mut client = pg::Client::connect(gateway.pg);
     // All requests wait to be read, the one to be cancelled last. The cancel request uses a new connection.
@@ -214,13 +214,13 @@
     for one in &mut others {
         one.answer();
     }
-    assert!(!ran_ids.lock().unwrap().contains(&id(1)), "the cancelled request was forwarded");
+    assert!(!executed_ids.lock().unwrap().contains(&id(1)), "the cancelled request was forwarded");
     // Cancel requests with a wrong key or for a finished request have no effect.
     let key = client.key;
     pg::Client::cancel(gateway.pg, key);
     pg::Client::cancel(gateway.pg, [key[0], key[1], key[2], key[3], key[4], key[5], key[6], !key[7]]);
     let n = query_until_served(&gateway, "lookup", 100);
-    assert!(ran_ids.lock().unwrap().contains(&id(n)));
+    assert!(executed_ids.lock().unwrap().contains(&id(n)));
 }
 
 #[test]
@@ -331,11 +331,11 @@
     // The kernel resends the SYN after one second, which is twice the window.
     two.drain_backlog();
     assert!(error_code(&client.answer()).starts_with("53"), "the class must allow retries at every engine");
-    let ran_ids = id_log();
-    serve_all_queries(two, ran_ids.clone());
+    let executed_ids = id_log();
+    serve_all_queries(two, executed_ids.clone());
     let n = query_until_served(&gateway, "lookup", 100);
-    assert!(!ran_ids.lock().unwrap().contains(&id(1)), "the request was forwarded after its window");
-    assert!(ran_ids.lock().unwrap().contains(&id(n)));
+    assert!(!executed_ids.lock().unwrap().contains(&id(1)), "the request was forwarded after its window");
+    assert!(executed_ids.lock().unwrap().contains(&id(n)));
 }
 
 #[test]
@@ -580,8 +580,8 @@
     // An event loop turn is too short for all requests below.
     let operator = "[clients]\nmost_sessions = 180\nturn_ms = 1";
     let gateway = Gateway::with_endpoints(&engine.entry("Ready"), None, operator, None, |t| t);
-    let ran_ids = id_log();
-    serve_all_queries(engine, ran_ids.clone());
+    let executed_ids = id_log();
+    serve_all_queries(engine, executed_ids.clone());
     let mut idle = pg::Client::connect(gateway.pg);
     let mut late_senders: Vec<_> = (0..70).map(|_| pg::Client::connect(gateway.pg)).collect();
     let (mut partial, mut starting) =
@@ -614,7 +614,7 @@
     assert_eq!(error_code(&partial.answer()), "57P03");
     assert_eq!(error_code(&starting.answer()), "57P03");
     assert!(idle.is_closed() && partial.is_closed(), "connections must be closed without a reset");
-    assert!(ran_ids.lock().unwrap().is_empty());
+    assert!(executed_ids.lock().unwrap().is_empty());
     let (exit, log) = gateway.wait();
     assert_eq!(exit, Some(0), "{log}");
 }
@@ -740,19 +740,19 @@
     let engine = Peer::new("e1");
     let gateway = Gateway::with_endpoints(&engine.entry("Ready"), None, "", None, |t| t);
     let mut client = pg::Client::connect(gateway.pg);
-    let whole = row_response(&id(1));
-    let head = whole.find("\r\n\r\n").unwrap();
+    let response = row_response(&id(1));
+    let head = response.find("\r\n\r\n").unwrap();
     // The response is truncated within its head, between head and body, and within its body.
-    for length in [5, head + 4, whole.len() - 3] {
+    for length in [5, head + 4, response.len() - 3] {
         client.send(&text("load", 1));
         let mut connection = engine.accept();
         assert_eq!(connection.read_call().method, "POST");
-        connection.send(&whole[..length]);
+        connection.send(&response[..length]);
         connection.shutdown_write();
         let mut again = engine.accept();
         let call = again.read_call();
         assert_eq!((call.method.as_str(), call.path), ("GET", format!("/data/{}/0", id(1))));
-        again.send(&whole);
+        again.send(&response);
         assert_eq!(client.answer(), row_answer(1));
         again.reset();
         gateway.wait_for_log("connection closed");
--- a/gateway/tests/deployments/auditor.rs
+++ b/gateway/tests/deployments/auditor.rs
@@ -463,12 +463,12 @@
         if matches!(answer, Answer::Rows(_)) && !self.log.iter().any(produced) {
             self.report(Rule::CorrectRows, request, format!("no engine produced {answer:?}"));
         }
-        let ran = |a: &Attempt| {
+        let may_have_run = |a: &Attempt| {
             let never = matches!(a.end, Some((_, End::NeverRan)));
             a.request == request && a.at <= answered && !never
         };
         let non_idempotent = self.class(request).retry_safety == RetrySafety::Unsafe;
-        if non_idempotent && answer.invites_retry() && self.attempts.iter().any(ran) {
+        if non_idempotent && answer.invites_retry() && self.attempts.iter().any(may_have_run) {
             self.report(
                 Rule::RetryInvitation,
                 request,
--- a/gateway/tests/fronts.rs
+++ b/gateway/tests/fronts.rs
@@ -241,11 +241,11 @@
     // An incomplete file is completed a little later.
     let new = DiscoveryService::with_events(3, vec![DiscoveryService::delta_event(3, &two.entry("Gone"))]);
     let list = format!("{},{}", one.entry("Ready"), two.entry("Ready"));
-    let whole = include_str!("common/config.json").replace("LIST", &list);
-    let whole = whole.replace("\"known\":", &format!("\"coordinator\":\"{}\",\"known\":", new.address));
-    gateway.reconfigure(|_| whole[..whole.len() / 2].to_owned());
+    let config = include_str!("common/config.json").replace("LIST", &list);
+    let config = config.replace("\"known\":", &format!("\"coordinator\":\"{}\",\"known\":", new.address));
+    gateway.reconfigure(|_| config[..config.len() / 2].to_owned());
     thread::sleep(Duration::from_millis(50));
-    gateway.reconfigure(|_| whole.clone());
+    gateway.reconfigure(|_| config.clone());
     let began = Instant::now();
     while new.last_event_ids.lock().unwrap().is_empty() {
         assert!(began.elapsed() < Duration::from_secs(60), "no stream was requested from the new service");
--- a/lab/src/capacity/estimate/mod.rs
+++ b/lab/src/capacity/estimate/mod.rs
@@ -219,11 +219,11 @@
         _ => 4,
     };
     let text = format!("{value:.digits$}");
-    let (whole, rest) = text.split_at(text.find('.').unwrap_or(text.len()));
-    let (sign, whole) = whole.strip_prefix('-').map_or(("", whole), |whole| ("-", whole));
+    let (integer, rest) = text.split_at(text.find('.').unwrap_or(text.len()));
+    let (sign, integer) = integer.strip_prefix('-').map_or(("", integer), |integer| ("-", integer));
     let mut grouped = String::new();
-    for (at, digit) in whole.chars().enumerate() {
-        if at > 0 && (whole.len() - at) % 3 == 0 {
+    for (at, digit) in integer.chars().enumerate() {
+        if at > 0 && (integer.len() - at) % 3 == 0 {
             grouped.push(',');
         }
         grouped.push(digit);
--- a/tests/recorded_decisions/simulation.rs
+++ b/tests/recorded_decisions/simulation.rs
@@ -334,7 +334,7 @@
                     EndpointListMode::Full,
                     EndpointListMode::Full,
                 ]);
-                self.send_whole_list(mode);
+                self.send_complete_list(mode);
             }
             SimEvent::ListChange => self.change_list(),
             SimEvent::ConditionChange => self.change_conditions(),
@@ -497,7 +497,7 @@
         self.deliver(&Event::EndpointList { mode, entries });
     }
 
-    fn send_whole_list(&mut self, mode: EndpointListMode) {
+    fn send_complete_list(&mut self, mode: EndpointListMode) {
         let present = |e: &&SimEngine| e.entry.state != EndpointState::Removed;
         let entries = match mode {
             EndpointListMode::Failed => Vec::new(),
@@ -512,9 +512,9 @@
         let after = self.rng.between(0.3, 3.0);
         self.schedule(after, SimEvent::ListChange);
         match self.rng.below(12) {
-            0 => self.send_whole_list(EndpointListMode::Full),
-            1 => self.send_whole_list(EndpointListMode::Cached),
-            2 => self.send_whole_list(EndpointListMode::Failed),
+            0 => self.send_complete_list(EndpointListMode::Full),
+            1 => self.send_complete_list(EndpointListMode::Cached),
+            2 => self.send_complete_list(EndpointListMode::Failed),
             3 => self.cached_list = self.engines.values().map(|e| e.entry.clone()).collect(),
             4 => self.add_engine(),
             _ => self.change_engines(),
