--- a/configuration/src/message.rs
+++ b/configuration/src/message.rs
@@ -17,7 +17,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum MessageError {
     /// The text has this number of bytes, more than [`MAX_MESSAGE_BYTES`].
-    #[error("{0} bytes, {MAX_MESSAGE_BYTES} at most")]
+    #[error("message of {0} bytes exceeds the limit of {MAX_MESSAGE_BYTES} bytes")]
     TooLong(usize),
     /// The text is not JSON, or the JSON does not have the form of a message.
     #[error("not a message: {0}")]
--- a/configuration/src/publisher.rs
+++ b/configuration/src/publisher.rs
@@ -57,7 +57,7 @@
         newest: Version,
     },
     /// A gateway has this version or a newer one from another server, which this server has not received yet.
-    #[error("version {version} is not newer than {reported}, which a gateway has")]
+    #[error("version {version} is not newer than {reported}, which a gateway has reported")]
     AlreadyReported {
         /// Rejected version.
         version: Version,
--- a/gateway/src/core/key_leases/tests.rs
+++ b/gateway/src/core/key_leases/tests.rs
@@ -282,7 +282,7 @@
             }
         }
         chain.drain();
-        assert!(chain.processes.iter().all(KeyLeases::is_empty), "seed {seed}: a lease stays in a table");
+        assert!(chain.processes.iter().all(KeyLeases::is_empty), "seed {seed}: a lease remains in a table");
         assert_eq!(chain.admitted.len(), requested.iter().map(Vec::len).sum::<usize>(), "seed {seed}");
     }
 }
--- a/gateway/src/net/admin.rs
+++ b/gateway/src/net/admin.rs
@@ -227,7 +227,7 @@
             MaintenanceChange::Exit { at_ms } => self.registry.end_maintenance(engine, at_ms)?,
         };
         let in_maintenance = change == MaintenanceChange::Enter;
-        tracing::info!(engine, in_maintenance, changed = event.is_some(), "maintenance of an engine");
+        tracing::info!(engine, in_maintenance, changed = event.is_some(), "engine maintenance requested");
         if let Some(event) = event {
             self.update_engines(&event);
             // The turn must run before the response is written: attempts that the inputs of this turn cause must not be
--- a/gateway/src/net/process_replacement/mod.rs
+++ b/gateway/src/net/process_replacement/mod.rs
@@ -59,7 +59,7 @@
                 Ok(Some(message)) => keep_open &= self.on_peer_message(index, message),
                 Ok(None) => break,
                 Err(error) => {
-                    tracing::error!(%error, "message of a peer process is invalid");
+                    tracing::error!(%error, "invalid message from a peer process");
                     keep_open = false;
                     break;
                 }
@@ -119,7 +119,7 @@
                 true
             }
             (role, _) => {
-                tracing::error!(?role, "message of a peer process is not expected in its role");
+                tracing::error!(?role, "unexpected message from a peer process");
                 false
             }
         }
--- a/gateway/src/net/process_replacement/peers.rs
+++ b/gateway/src/net/process_replacement/peers.rs
@@ -145,7 +145,7 @@
                 continue;
             }
             if let Err(error) = self.add(poll, stream, PeerRole::Unidentified, Vec::new()) {
-                tracing::warn!(%error, "accepting a peer process failed");
+                tracing::warn!(%error, "accepting a connection from a peer process failed");
             }
         }
     }
--- a/gateway/src/net/sessions/tests.rs
+++ b/gateway/src/net/sessions/tests.rs
@@ -29,6 +29,6 @@
         let own = own_descriptors(&config);
         assert!(max_sessions(&config) + own + alone <= sockets);
         assert!(max_sessions(&config) + 2 * (own + each) <= sockets, "{sockets}: {each} per process");
-        assert!(each > 10, "{sockets}: {each} are too few");
+        assert!(each > 10, "{sockets}: {each} per process are too few");
     }
 }
--- a/gateway/tests/crossings.rs
+++ b/gateway/tests/crossings.rs
@@ -27,7 +27,7 @@
             }
         }
     }
-    panic!("rejected 100 times");
+    panic!("100 requests were rejected");
 }
 
 /// Sends request 1 and reads its call. Returns the client and the engine's end of the connection.
--- a/gateway/tests/fronts.rs
+++ b/gateway/tests/fronts.rs
@@ -23,7 +23,7 @@
         }
         thread::sleep(Duration::from_millis(50));
     }
-    panic!("rejected 40 times");
+    panic!("the request was rejected 40 times");
 }
 
 fn mysql_rejected(a: &mysql::Answer) -> bool {
--- a/gateway/tests/operation.rs
+++ b/gateway/tests/operation.rs
@@ -102,7 +102,7 @@
     {
         assert!(
             began.elapsed() < Duration::from_secs(30),
-            "the request must be in flight and counted as by the engines"
+            "the request must be in flight, and gateway and engines must count the same attempts"
         );
     }
     assert_eq!(gateway.metric("served.lookup"), 30);
--- a/lab/tests/capacity.rs
+++ b/lab/tests/capacity.rs
@@ -223,7 +223,7 @@
     let subset = critical.iter().find(|n| n.description.contains("a stable, even subset")).unwrap();
     assert_eq!(subset.ratio(), Ratio::NoMechanism);
     let wrenhatch_lab::capacity::estimate::Mechanism::Missing(fallback) = &subset.mechanism else {
-        panic!("a mechanism exists")
+        panic!("expected no mechanism")
     };
     assert!((fallback.ratio.unwrap() - 810.0 / 20_000.0).abs() < 1e-9);
     // 550 gateways have streams to 7 machines, to 5 after the loss of a zone, and to 3 after the loss of a region.
--- a/lab/tests/capacity_process.rs
+++ b/lab/tests/capacity_process.rs
@@ -69,7 +69,7 @@
     stream.send(3, &site.full_list_event(3)).unwrap();
     // The gateway may print its counters before it has read both events.
     let applied = || gateway.counter("list_events").unwrap() - before;
-    assert!((0..1_000).any(|_| applied() == 2), "{} of 2", applied());
+    assert!((0..1_000).any(|_| applied() == 2), "{} of 2 events were applied", applied());
 }
 
 #[test]
--- a/sessions/src/session_table/tests.rs
+++ b/sessions/src/session_table/tests.rs
@@ -32,12 +32,12 @@
     assert_eq!(
         evicted(&[(Activity::Idle, 8), (Activity::Idle, 9), (Activity::Idle, 11)]),
         Some(0),
-        "the oldest"
+        "the oldest idle session"
     );
     assert_eq!(
         evicted(&[(Activity::UnreadOutput, 50), (Activity::IncompleteMessage, 60)]),
         Some(0),
-        "the oldest of both kinds"
+        "the oldest session of both kinds"
     );
 }
 
