--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,6 +1,5 @@
-//! Simulated fleets of 1 to 400 gateways in front of shared engines, with random settings and outcomes, lost
-//! cancellations, restarted gateways and late endpoint lists, against an independent checker. Seeds are
-//! fixed.
+//! Simulated fleets of 1 to 400 gateways in front of shared engines, with random settings and faults at fixed
+//! seeds, against an independent checker of the rules.
 
 mod common;
 
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -1,7 +1,5 @@
-//! Property test: random valid event sequences against an independent checker of the rules.
-//!
-//! A simulation keeps the attempts in flight and ends them in any order, with any outcome but `NeverSent`.
-//! The checker uses only settings, events and actions, and none of the workload manager's state.
+//! Property test: random valid event sequences against a checker of the rules, which uses only settings,
+//! events and actions. Attempts end in any order, with any outcome but `NeverSent`.
 
 mod common;
 
--- a/tests/recorded_decisions.rs
+++ b/tests/recorded_decisions.rs
@@ -1,8 +1,5 @@
 //! Golden test: all actions of a workload manager over random event streams, against recorded digests.
-//!
-//! Each line of `recorded_decisions/expected.txt` has a stream's number, seed, number of events, number of
-//! actions and digest, and the digest of each block of events. After an intended change of decisions,
-//! `WRENHATCH_RECORD=1` rewrites the file and lets the test fail.
+//! After an intended change of decisions, `WRENHATCH_RECORD=1` rewrites the file and lets the test fail.
 
 #[path = "recorded_decisions/action_format.rs"]
 mod action_format;
@@ -35,7 +32,8 @@
     Simulation::new(Scenario::of(stream), seed(stream)).run(EVENTS, stream)
 }
 
-/// The line of this stream in the format of `expected.txt`.
+/// The line of this stream in `expected.txt`: its number, seed, number of events, number of actions, digest, and
+/// the digest of each block of events.
 fn line(stream: usize, log: &ActionLog) -> String {
     let mut line = format!(
         "{stream} seed={} events={} actions={} digest={:016x} blocks",
