--- a/tests/recorded_decisions.rs
+++ b/tests/recorded_decisions.rs
@@ -32,8 +32,8 @@
     Simulation::new(Scenario::of(stream), seed(stream)).run(EVENTS, stream)
 }
 
-/// The line of this stream in `expected.txt`: its number, seed, number of events, number of actions, digest, and
-/// the digest of each block of events.
+/// The line of this stream in `expected.txt`: its number, seed, number of events, number of actions, digest,
+/// and the digest of each block of events.
 fn line(stream: usize, log: &ActionLog) -> String {
     let mut line = format!(
         "{stream} seed={} events={} actions={} digest={:016x} blocks",
--- a/tests/warming_engines.rs
+++ b/tests/warming_engines.rs
@@ -1,5 +1,5 @@
-//! Work that all gateways together send a warming engine, against its budget and a statistical tolerance, with
-//! shares below one request, uneven traffic, late endpoint lists and restarted gateways. Seeds are fixed.
+//! Work that all gateways together send a warming engine, against its budget and a statistical tolerance,
+//! with shares below one request, uneven traffic, late lists and restarted gateways. Seeds are fixed.
 
 mod common;
 
